--- /dev/null
+++ b/crates/policy/tests/recording/mod.rs
@@ -0,0 +1,365 @@
+//! One gateway in a closed loop with simulated clients, counter and servers; what it does is digested.
+
+mod peers;
+mod settings;
+
+use chalkdeck::api::*;
+use chalkdeck::rules::Gateway;
+use peers::{CounterState, ServerState};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::fmt::{self, Display};
+
+/// Events that one seed plays.
+pub const EVENTS_PER_SEED: u64 = 20_000;
+pub const MILLISECOND: u64 = 1_000;
+pub const SECOND: u64 = 1_000_000;
+
+/// What one seed came to, as one line of the recorded file.
+pub struct Summary {
+    seed: u64,
+    counts: BTreeMap<&'static str, u64>,
+    digest: u64,
+}
+
+impl Display for Summary {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "seed={}", self.seed)?;
+        for kind in ["events", "send", "refuse", "fail", "cancel", "count", "timer", "grant", "subscribe"] {
+            write!(f, " {kind}={}", self.counts.get(kind).copied().unwrap_or(0))?;
+        }
+        write!(f, " digest={:016x}", self.digest)
+    }
+}
+
+/// Plays a seed and returns what it came to.
+pub fn play(seed: u64) -> Summary {
+    let mut world = World::new(seed);
+    while world.counts.get("events").copied().unwrap_or(0) < EVENTS_PER_SEED {
+        world.step();
+    }
+    Summary { seed, counts: world.counts, digest: world.digest.0 }
+}
+
+/// FNV-1a over the texts of all actions.
+struct Digest(u64);
+
+impl Digest {
+    fn add(&mut self, text: &str) {
+        for byte in text.bytes() {
+            self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
+        }
+    }
+}
+
+/// What happens in the world at a time of its own.
+#[derive(Clone, Debug)]
+enum Pending {
+    Arrives(Arrival),
+    NextArrival,
+    TimerDue(TimerId),
+    AttemptEnds { id: RequestId, attempt: usize, outcome: Outcome },
+    CounterAnswers { name: CountName, outcome: Outcome, total: f64 },
+    ClientLeaves(RequestId),
+    StreamStarts(RequestId),
+    BodyDropped(RequestId),
+    UnitsSettle(RequestId),
+    ListMoves,
+    SitesMove,
+    FaultsMove,
+}
+
+struct OpenAttempt {
+    server: ServerId,
+    sent: u64,
+    is_open: bool,
+}
+
+struct OpenRequest {
+    arrival: Arrival,
+    attempts: Vec<OpenAttempt>,
+    is_answered: bool,
+}
+
+pub struct World {
+    gateway: Gateway,
+    settings: Settings,
+    random: fastrand::Rng,
+    now: u64,
+    sequence: u64,
+    pending: BTreeMap<(u64, u64), Pending>,
+    requests: HashMap<u64, OpenRequest>,
+    servers: BTreeMap<u64, ServerState>,
+    counter: CounterState,
+    has_sites: bool,
+    arrivals_a_second: f64,
+    customers: u64,
+    next_request: u64,
+    counts: BTreeMap<&'static str, u64>,
+    digest: Digest,
+}
+
+impl World {
+    fn new(seed: u64) -> World {
+        let mut random = fastrand::Rng::with_seed(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let settings = settings::draw(&mut random);
+        let gateway = Gateway::new(seed, settings.clone()).expect("sound settings");
+        let server_count = [3, 12, 60, 200][random.usize(..4)];
+        let mut world = World {
+            gateway,
+            has_sites: random.f64() < 0.3,
+            arrivals_a_second: [4.0, 30.0, 200.0][random.usize(..3)],
+            customers: [3, 20, 400][random.usize(..3)],
+            settings,
+            random,
+            now: 1_000 * SECOND,
+            sequence: 0,
+            pending: BTreeMap::new(),
+            requests: HashMap::new(),
+            servers: (0..server_count).map(|i| (i, ServerState::default())).collect(),
+            counter: CounterState::default(),
+            next_request: 1,
+            counts: BTreeMap::new(),
+            digest: Digest(0xcbf2_9ce4_8422_2325),
+        };
+        let entries = (0..server_count).map(|i| peers::entry(i, Listed::InService, None)).collect();
+        world.tell(Event::Servers(ListScope::Whole, entries));
+        world.schedule(0, Pending::NextArrival);
+        world.schedule(2 * SECOND, Pending::ListMoves);
+        world.schedule(SECOND, Pending::FaultsMove);
+        if world.has_sites {
+            world.schedule(3 * SECOND, Pending::SitesMove);
+        }
+        world
+    }
+
+    fn schedule(&mut self, after: u64, what: Pending) {
+        self.schedule_at(self.now + after, what);
+    }
+
+    fn schedule_at(&mut self, at: u64, what: Pending) {
+        self.sequence += 1;
+        self.pending.insert((at, self.sequence), what);
+    }
+
+    fn count(&mut self, kind: &'static str) {
+        *self.counts.entry(kind).or_insert(0) += 1;
+    }
+
+    /// Lets the next thing happen.
+    fn step(&mut self) {
+        let ((at, _), what) = self.pending.pop_first().expect("something always goes on");
+        self.now = self.now.max(at);
+        match what {
+            Pending::NextArrival => self.draw_arrival(),
+            Pending::Arrives(arrival) => self.arrive(arrival),
+            Pending::TimerDue(id) => self.tell(Event::Timer(id)),
+            Pending::AttemptEnds { id, attempt, outcome } => self.end_attempt(id, attempt, outcome),
+            Pending::CounterAnswers { name, outcome, total } => {
+                self.tell(Event::Counted(name, outcome, total))
+            }
+            Pending::ClientLeaves(id) => self.client_leaves(id),
+            Pending::StreamStarts(id) => {
+                if self.requests.get(&id.0).is_some_and(|r| !r.is_answered) {
+                    self.tell(Event::StreamStarted(id));
+                }
+            }
+            Pending::BodyDropped(id) => self.tell(Event::BodyGone(id)),
+            Pending::UnitsSettle(id) => {
+                let units = self.random.f64() * 5.0;
+                self.tell(Event::Settled(id, units));
+            }
+            Pending::ListMoves => self.move_list(),
+            Pending::SitesMove => self.move_sites(),
+            Pending::FaultsMove => self.move_faults(),
+        }
+    }
+
+    fn tell(&mut self, event: Event) {
+        self.count("events");
+        let mut actions = Vec::new();
+        self.gateway.handle(Micros(self.now), event, &mut actions);
+        for action in actions {
+            self.carry_out(action);
+        }
+    }
+
+    fn record(&mut self, kind: &'static str, text: &str) {
+        self.count(kind);
+        self.digest.add(&format!("{} {kind} {text}\n", self.now));
+    }
+
+    fn carry_out(&mut self, action: Action) {
+        match action {
+            Action::Send(id, server, until) => {
+                self.record("send", &format!("{} {} {}", id.0, server.0, until.0));
+                self.send(id, server, until.0);
+            }
+            Action::Refuse(id, advice) => {
+                self.record("refuse", &format!("{} {:?}", id.0, advice.map(|a| a.0)));
+                self.retry_later(id, advice.map_or(300 * MILLISECOND, |a| a.0));
+            }
+            Action::Fail(id) => {
+                self.record("fail", &id.0.to_string());
+                self.retry_later(id, 300 * MILLISECOND);
+            }
+            Action::Grant(id) => {
+                self.record("grant", &id.0.to_string());
+                self.schedule(20 * MILLISECOND, Pending::UnitsSettle(id));
+                self.schedule(60 * MILLISECOND, Pending::ClientLeaves(id));
+            }
+            Action::Cancel(id, attempt) => {
+                self.record("cancel", &format!("{} {attempt}", id.0));
+                let outcome = Outcome::Cancelled;
+                self.schedule(MILLISECOND, Pending::AttemptEnds { id, attempt, outcome });
+            }
+            Action::Count(name, amount, lifetime) => {
+                self.record("count", &format!("{} {amount} {}", name.0, lifetime.0));
+                let timeout = self.settings.count_timeout.0;
+                let answer = self.counter.add(name, amount, self.now, timeout, &mut self.random);
+                let what = Pending::CounterAnswers { name, outcome: answer.outcome, total: answer.total };
+                self.schedule_at(answer.at, what);
+            }
+            Action::SetTimer(id, after) => {
+                self.record("timer", &format!("{} {}", id.0, after.0));
+                self.schedule(after.0, Pending::TimerDue(id));
+            }
+            Action::Subscribe => {
+                self.record("subscribe", "");
+                if self.random.f64() < 0.5 {
+                    self.schedule(700 * MILLISECOND, Pending::ListMoves);
+                }
+            }
+            Action::Probe(server) => self.record("probe", &server.0.to_string()),
+            Action::FetchList => self.record("fetch", ""),
+        }
+    }
+
+    fn draw_arrival(&mut self) {
+        let gap = -(1.0 - self.random.f64()).ln() / self.arrivals_a_second;
+        self.schedule((gap * 1e6) as u64 + 1, Pending::NextArrival);
+        let class = ClassId(self.random.usize(..self.settings.classes.len()));
+        let customer = (self.random.f64().powi(2) * self.customers as f64) as u64;
+        let spread = if self.random.f64() < 0.5 { self.settings.gateways } else { 1 };
+        let arrival = Arrival {
+            id: RequestId(0),
+            class,
+            plan: PlanId(customer as usize % self.settings.plans.len()),
+            customer: CustomerId(customer),
+            spread,
+            deadline: Micros(self.now + self.settings.classes[class.0].deadline.0),
+            units: f64::from(self.random.u32(1..=4)),
+            resent: false,
+        };
+        self.arrive(arrival);
+    }
+
+    fn arrive(&mut self, arrival: Arrival) {
+        let id = RequestId(self.next_request);
+        self.next_request += 1;
+        let arrival = Arrival { id, ..arrival };
+        let request = OpenRequest { arrival: arrival.clone(), attempts: Vec::new(), is_answered: false };
+        self.requests.insert(id.0, request);
+        if self.random.f64() < 0.05 {
+            let after = self.random.u64(..2 * SECOND);
+            self.schedule(after, Pending::ClientLeaves(id));
+        }
+        if self.random.f64() < 0.05 {
+            self.schedule(30 * MILLISECOND, Pending::BodyDropped(id));
+        }
+        self.tell(Event::Request(arrival));
+    }
+
+    fn retry_later(&mut self, id: RequestId, after: u64) {
+        let Some(request) = self.requests.get_mut(&id.0) else { return };
+        request.is_answered = true;
+        let again = request.arrival.clone();
+        if again.resent || self.random.f64() < 0.5 {
+            return;
+        }
+        let resent = self.random.f64() < 0.7;
+        let deadline = Micros(self.now + after + self.settings.classes[again.class.0].deadline.0);
+        self.schedule(after, Pending::Arrives(Arrival { resent, deadline, ..again }));
+    }
+
+    fn client_leaves(&mut self, id: RequestId) {
+        if let Some(request) = self.requests.get_mut(&id.0) {
+            request.is_answered = true;
+        }
+        self.tell(Event::ClientGone(id));
+    }
+
+    fn send(&mut self, id: RequestId, server: ServerId, until: u64) {
+        let Some(request) = self.requests.get_mut(&id.0) else { return };
+        request.attempts.push(OpenAttempt { server, sent: self.now, is_open: true });
+        let attempt = request.attempts.len() - 1;
+        let is_stream = self.settings.classes[request.arrival.class.0].stream;
+        let state = self.servers.entry(server.0).or_default();
+        let (outcome, took) = state.serve(self.now, &mut self.random);
+        let (outcome, at) =
+            if self.now + took >= until { (Outcome::Timeout, until) } else { (outcome, self.now + took) };
+        if is_stream && outcome == Outcome::Ok {
+            self.schedule_at(self.now + took / 2, Pending::StreamStarts(id));
+        }
+        self.schedule_at(at, Pending::AttemptEnds { id, attempt, outcome });
+    }
+
+    fn end_attempt(&mut self, id: RequestId, attempt: usize, outcome: Outcome) {
+        let Some(request) = self.requests.get_mut(&id.0) else { return };
+        let Some(open) = request.attempts.get_mut(attempt).filter(|a| a.is_open) else { return };
+        open.is_open = false;
+        let (server, took) = (open.server, Micros(self.now - open.sent));
+        request.is_answered |= outcome == Outcome::Ok;
+        let ended = request.is_answered;
+        if let Some(state) = self.servers.get_mut(&server.0) {
+            state.in_flight = state.in_flight.saturating_sub(1);
+        }
+        let settled = (outcome == Outcome::Ok && self.random.f64() < 0.1).then(|| self.random.f64() * 4.0);
+        let report = Report::default();
+        let end = AttemptEnd { id, attempt, server, outcome, took, ended, settled, report };
+        self.tell(Event::AttemptEnded(end));
+    }
+
+    fn move_list(&mut self) {
+        self.schedule(1_500 * MILLISECOND, Pending::ListMoves);
+        if self.random.f64() < 0.1 {
+            return self.tell(Event::Servers(ListScope::Lost, Vec::new()));
+        }
+        let changed: BTreeSet<u64> =
+            (0..2).map(|_| self.random.u64(..self.servers.len() as u64 + 1)).collect();
+        let mut entries = Vec::new();
+        for number in changed {
+            let listed = match self.random.u32(..8) {
+                0 => Listed::Draining,
+                1 => Listed::Gone,
+                _ => Listed::InService,
+            };
+            let restarted = self.random.f64() < 0.3;
+            let started = restarted.then(|| self.now - self.random.u64(..SECOND));
+            if restarted {
+                self.servers.insert(number, ServerState::default());
+            }
+            entries.push(peers::entry(number, listed, started));
+        }
+        self.tell(Event::Servers(ListScope::Changes, entries));
+    }
+
+    fn move_sites(&mut self) {
+        self.schedule(500 * MILLISECOND, Pending::SitesMove);
+        let north = self.random.f64();
+        let share = |zone: u32, share: f64, open: bool| ZoneShare { zone: ZoneId(zone), share, open };
+        let open = self.random.f64() < 0.9;
+        let shares = vec![share(0, north, open), share(1, 1.0 - north, true)];
+        let from = if self.random.f64() < 0.5 { 0.0 } else { 0.2 };
+        let floor = Floor { sure: from + 0.3, from, part: self.random.f64() };
+        self.tell(Event::Sites(shares, floor));
+    }
+
+    fn move_faults(&mut self) {
+        self.schedule(900 * MILLISECOND, Pending::FaultsMove);
+        self.counter.draw_fault(&mut self.random);
+        let overload = self.random.f64() < 0.15;
+        for state in self.servers.values_mut() {
+            state.draw_fault(overload, &mut self.random);
+        }
+    }
+}
