--- a/crates/access/src/compiled.rs
+++ b/crates/access/src/compiled.rs
@@ -64,7 +64,9 @@
 }
 
 fn is_like(like: &[String; 4], call: &Call) -> bool {
-    like.iter().zip([call.caller, call.gateway, call.path, call.class]).all(|(a, b)| a == b)
+    like.iter()
+        .zip([call.caller, call.gateway, call.path, call.class])
+        .all(|(a, b)| a == b)
 }
 
 impl Compiled {
@@ -91,7 +93,14 @@
         let mut lengths: Vec<usize> = begins.keys().map(String::len).collect();
         lengths.sort_unstable();
         lengths.dedup();
-        Compiled { set, whole, begins, lengths, every, known: RefCell::default() }
+        Compiled {
+            set,
+            whole,
+            begins,
+            lengths,
+            every,
+            known: RefCell::default(),
+        }
     }
 
     /// The set.
@@ -104,7 +113,8 @@
     }
     /// The id of the rule that decided; `default` for none.
     pub fn id(&self, rule: Option<u32>) -> &str {
-        rule.and_then(|r| self.set.rules.get(r as usize)).map_or("default", |r| r.id.as_str())
+        rule.and_then(|r| self.set.rules.get(r as usize))
+            .map_or("default", |r| r.id.as_str())
     }
 
     /// What the set says of a call: the first rule that matches, or the default.
@@ -128,14 +138,25 @@
 
     fn look(&self, call: &Call) -> Decision {
         let first = |list: &Vec<u32>| {
-            list.iter().copied().find(|&place| matches(&self.set.rules[place as usize], call))
+            list.iter()
+                .copied()
+                .find(|&place| matches(&self.set.rules[place as usize], call))
         };
-        let beginnings = self.lengths.iter().filter_map(|&length| call.path.get(..length));
+        let beginnings = self
+            .lengths
+            .iter()
+            .filter_map(|&length| call.path.get(..length));
         let lists = beginnings.filter_map(|b| self.begins.get(b));
         let lists = lists.chain(self.whole.get(call.path)).chain([&self.every]);
         match lists.filter_map(first).min() {
-            Some(place) => Decision { action: self.set.rules[place as usize].action, rule: Some(place) },
-            None => Decision { action: self.set.default, rule: None },
+            Some(place) => Decision {
+                action: self.set.rules[place as usize].action,
+                rule: Some(place),
+            },
+            None => Decision {
+                action: self.set.default,
+                rule: None,
+            },
         }
     }
 }
--- a/crates/access/src/held.rs
+++ b/crates/access/src/held.rs
@@ -73,28 +73,40 @@
 
     /// Decides a call at its arrival and counts the hit. `stands`: the session does.
     pub fn arrives(&mut self, customer: &str, call: &Call, stands: bool) -> Verdict {
-        let Some((by, verdict)) = self.look(customer, call, stands) else { return Verdict::Goes };
+        let Some((by, verdict)) = self.look(customer, call, stands) else {
+            return Verdict::Goes;
+        };
         self.hits.hit(customer, by);
         verdict
     }
     /// The same for what goes on already, uncounted: a stream under a set that has changed, or whose session lapsed.
     pub fn still_goes(&self, customer: &str, call: &Call, stands: bool) -> Verdict {
-        self.look(customer, call, stands).map_or(Verdict::Goes, |(_, verdict)| verdict)
+        self.look(customer, call, stands)
+            .map_or(Verdict::Goes, |(_, verdict)| verdict)
     }
 
     fn look(&self, customer: &str, call: &Call, stands: bool) -> Option<(By, Verdict)> {
         let set = self.sets.get(customer)?;
         let version = set.set().version;
         if !stands && set.stale() == Stale::Deny {
-            return Some((By::Stale, Verdict::Denied { rule: "stale".into(), version, stale: true }));
+            return Some((
+                By::Stale,
+                Verdict::Denied {
+                    rule: "stale".into(),
+                    version,
+                    stale: true,
+                },
+            ));
         }
         let decision = set.decide(call);
         let by = decision.rule.map_or(By::Default, By::Rule);
         let verdict = match decision.action {
             Action::Allow => Verdict::Goes,
-            Action::Deny => {
-                Verdict::Denied { rule: set.id(decision.rule).to_string(), version, stale: false }
-            }
+            Action::Deny => Verdict::Denied {
+                rule: set.id(decision.rule).to_string(),
+                version,
+                stale: false,
+            },
         };
         Some((by, verdict))
     }
--- a/crates/access/src/hits.rs
+++ b/crates/access/src/hits.rs
@@ -59,18 +59,26 @@
         if let Some(earlier) = earlier {
             self.end(earlier);
         }
-        let counts = Counts { version: set.version, rules: vec![0; set.rules.len()], ..Counts::default() };
+        let counts = Counts {
+            version: set.version,
+            rules: vec![0; set.rules.len()],
+            ..Counts::default()
+        };
         self.counts.insert(set.customer.clone(), counts);
     }
     /// A customer has no set any more.
     pub(crate) fn end(&mut self, set: &RuleSet) {
-        let Some(counts) = self.counts.remove(&set.customer) else { return };
+        let Some(counts) = self.counts.remove(&set.customer) else {
+            return;
+        };
         self.moved.retain(|c| *c != set.customer);
         self.ended.extend(counts.told(set));
     }
     /// A call was decided.
     pub(crate) fn hit(&mut self, customer: &str, by: By) {
-        let Some(counts) = self.counts.get_mut(customer) else { return };
+        let Some(counts) = self.counts.get_mut(customer) else {
+            return;
+        };
         match by {
             By::Rule(place) => counts.rules[place as usize] += 1,
             By::Default => counts.default += 1,
@@ -122,8 +130,14 @@
         self.rules.iter().sum::<u64>() + self.default + self.stale
     }
     fn told(&self, set: &RuleSet) -> Vec<Told> {
-        let rules = set.rules.iter().map(|r| r.id.as_str()).zip(self.rules.iter().copied());
-        let all = rules.chain([("default", self.default), ("stale", self.stale)]).filter(|(_, n)| *n > 0);
+        let rules = set
+            .rules
+            .iter()
+            .map(|r| r.id.as_str())
+            .zip(self.rules.iter().copied());
+        let all = rules
+            .chain([("default", self.default), ("stale", self.stale)])
+            .filter(|(_, n)| *n > 0);
         let told = |(rule, count): (&str, u64)| Told {
             customer: set.customer.clone(),
             version: self.version,
@@ -162,10 +176,16 @@
         const EARLIER: &str = "earlier";
         while self.folded.len() > most.max(1) {
             let versioned = self.folded.keys().find(|(version, _)| *version > 0);
-            let key = versioned.or_else(|| self.folded.keys().find(|(_, rule)| rule != EARLIER)).cloned();
+            let key = versioned
+                .or_else(|| self.folded.keys().find(|(_, rule)| rule != EARLIER))
+                .cloned();
             let Some(key) = key else { return };
             let count = self.folded.remove(&key).unwrap_or(0);
-            let rule = if key.0 > 0 { key.1 } else { EARLIER.to_string() };
+            let rule = if key.0 > 0 {
+                key.1
+            } else {
+                EARLIER.to_string()
+            };
             *self.folded.entry((0, rule)).or_default() += count;
         }
     }
--- a/crates/access/src/recent.rs
+++ b/crates/access/src/recent.rs
@@ -82,12 +82,23 @@
         let compiled = Compiled::new(set.clone());
         let mut would = WouldHit::default();
         for (seen, count) in self.before.iter().chain(&self.now) {
-            let call =
-                Call { caller: &seen.caller, gateway: &seen.gateway, path: &seen.path, class: &seen.class };
+            let call = Call {
+                caller: &seen.caller,
+                gateway: &seen.gateway,
+                path: &seen.path,
+                class: &seen.class,
+            };
             let decision = compiled.decide(&call);
             would.calls += count;
-            would.denied += if decision.action == Action::Deny { *count } else { 0 };
-            *would.by_rule.entry(compiled.id(decision.rule).to_string()).or_default() += count;
+            would.denied += if decision.action == Action::Deny {
+                *count
+            } else {
+                0
+            };
+            *would
+                .by_rule
+                .entry(compiled.id(decision.rule).to_string())
+                .or_default() += count;
         }
         would
     }
--- a/crates/access/src/regions.rs
+++ b/crates/access/src/regions.rs
@@ -36,7 +36,10 @@
     },
     /// More prefixes than are taken.
     #[error("expected at most {MOST} prefixes")]
-    #[diagnostic(code(chalkdeck::access::prefixes), help("join neighbouring prefixes of one region"))]
+    #[diagnostic(
+        code(chalkdeck::access::prefixes),
+        help("join neighbouring prefixes of one region")
+    )]
     TooMany,
 }
 
@@ -57,7 +60,10 @@
             if line.is_empty() {
                 continue;
             }
-            let wrong = || RegionError::Prefix { line: i + 1, found: line.to_string() };
+            let wrong = || RegionError::Prefix {
+                line: i + 1,
+                found: line.to_string(),
+            };
             let (prefix, region) = line.split_once(char::is_whitespace).ok_or_else(wrong)?;
             let prefix: IpNet = prefix.parse().map_err(|_| wrong())?;
             let region = region.trim().to_string();
@@ -66,7 +72,10 @@
                 IpNet::V6(net) => regions.v6.insert(net, region),
             };
             if before.is_some() {
-                return Err(RegionError::Twice { line: i + 1, found: prefix.trunc().to_string() });
+                return Err(RegionError::Twice {
+                    line: i + 1,
+                    found: prefix.trunc().to_string(),
+                });
             }
             count += 1;
             if count > MOST {
--- a/crates/access/src/set.rs
+++ b/crates/access/src/set.rs
@@ -69,10 +69,15 @@
     TooMany(usize),
     /// A set of nobody.
     #[error("customer: expected a name of at most {MOST_TEXT} bytes")]
-    #[diagnostic(code(chalkdeck::access::customer), help("give the customer as its calls name it"))]
+    #[diagnostic(
+        code(chalkdeck::access::customer),
+        help("give the customer as its calls name it")
+    )]
     Customer,
     /// A rule without a name of its own.
-    #[error("rules[{at}].id: expected a name of its own of at most {MOST_TEXT} bytes, found '{found}'")]
+    #[error(
+        "rules[{at}].id: expected a name of its own of at most {MOST_TEXT} bytes, found '{found}'"
+    )]
     #[diagnostic(
         code(chalkdeck::access::id),
         help("hits and refusals name rules by their ids, so each needs another")
@@ -85,7 +90,10 @@
     },
     /// More values than a field may have.
     #[error("rules[{at}].{field}: expected at most {MOST_VALUES} values, found {found}")]
-    #[diagnostic(code(chalkdeck::access::values), help("split the rule in two with the same action"))]
+    #[diagnostic(
+        code(chalkdeck::access::values),
+        help("split the rule in two with the same action")
+    )]
     Values {
         /// The rule's place.
         at: usize,
@@ -124,7 +132,10 @@
         let mut ids = std::collections::HashSet::new();
         for (at, rule) in self.rules.iter().enumerate() {
             if rule.id.is_empty() || rule.id.len() > MOST_TEXT || !ids.insert(rule.id.as_str()) {
-                return Err(SetError::Id { at, found: rule.id.clone() });
+                return Err(SetError::Id {
+                    at,
+                    found: rule.id.clone(),
+                });
             }
             rule.check(at)?;
         }
@@ -142,19 +153,33 @@
         ];
         for (field, values) in fields {
             if values.len() > MOST_VALUES {
-                return Err(SetError::Values { at, field, found: values.len() });
+                return Err(SetError::Values {
+                    at,
+                    field,
+                    found: values.len(),
+                });
             }
             let wrong = values.iter().find(|v| v.is_empty() || v.len() > MOST_TEXT);
             if let Some(found) = wrong {
                 let expected = "a value of 1 to 256 bytes";
-                return Err(SetError::Value { at, field, expected, found: found.clone() });
+                return Err(SetError::Value {
+                    at,
+                    field,
+                    expected,
+                    found: found.clone(),
+                });
             }
         }
         let inner = |r: &&String| !r.starts_with('/') || r[..r.len() - 1].contains('*');
         match self.routes.iter().find(inner) {
             Some(found) => {
                 let expected = "a path from '/' on, with a '*' at its end at most";
-                Err(SetError::Value { at, field: "routes", expected, found: found.clone() })
+                Err(SetError::Value {
+                    at,
+                    field: "routes",
+                    expected,
+                    found: found.clone(),
+                })
             }
             None => Ok(()),
         }
--- a/crates/cli/src/contract.rs
+++ b/crates/cli/src/contract.rs
@@ -96,12 +96,24 @@
 /// Runs it.
 pub fn run(command: &Command) -> Result<(), Failure> {
     match command {
-        Command::Propose { file, proto, include, to } => {
+        Command::Propose {
+            file,
+            proto,
+            include,
+            to,
+        } => {
             let contract = contract(file, proto.as_deref(), include)?;
             let what = Some(wire::propose::What::Contract(contract));
             propose(to, wire::Propose { what, force: false })
         }
-        Command::Subscribe { customer, service, version, repeats_ms, gone, to } => {
+        Command::Subscribe {
+            customer,
+            service,
+            version,
+            repeats_ms,
+            gone,
+            to,
+        } => {
             let subscribe = wire::Subscribe {
                 customer: customer.clone(),
                 service: service.clone(),
@@ -109,12 +121,20 @@
                 gone: *gone,
                 repeats_ms: *repeats_ms,
             };
-            to.asking()?.tell(What::Subscribe(subscribe), to.patience())?;
+            to.asking()?
+                .tell(What::Subscribe(subscribe), to.patience())?;
             println!("taken");
             Ok(())
         }
-        Command::Retire { service, version, to } => {
-            let retire = wire::Retire { service: service.clone(), version: version.clone() };
+        Command::Retire {
+            service,
+            version,
+            to,
+        } => {
+            let retire = wire::Retire {
+                service: service.clone(),
+                version: version.clone(),
+            };
             to.asking()?.tell(What::Retire(retire), to.patience())?;
             println!("retired; calls that still come are shown as 'retired and called again'");
             Ok(())
@@ -123,19 +143,33 @@
     }
 }
 
-fn contract(path: &Path, proto: Option<&Path>, include: &[PathBuf]) -> Result<wire::Contract, Failure> {
+fn contract(
+    path: &Path,
+    proto: Option<&Path>,
+    include: &[PathBuf],
+) -> Result<wire::Contract, Failure> {
     let mut contract: wire::Contract = read(MESSAGE, path)?;
     if let Some(proto) = proto {
         let own = [proto.parent().unwrap_or(Path::new(".")).to_path_buf()];
-        let include = if include.is_empty() { &own[..] } else { include };
+        let include = if include.is_empty() {
+            &own[..]
+        } else {
+            include
+        };
         let file = proto.display().to_string();
-        let set = protox::compile([proto], include)
-            .map_err(|e| ContractError::Schema { file, what: e.to_string() })?;
+        let set = protox::compile([proto], include).map_err(|e| ContractError::Schema {
+            file,
+            what: e.to_string(),
+        })?;
         contract.descriptors = set.encode_to_vec();
     }
     match version_of(&contract) {
         Ok(_) => Ok(contract),
-        Err(source) => Err(ContractError::Wrong { file: path.display().to_string(), source }.into()),
+        Err(source) => Err(ContractError::Wrong {
+            file: path.display().to_string(),
+            source,
+        }
+        .into()),
     }
 }
 
@@ -148,14 +182,22 @@
     let answer = to.asking()?.look(&request, to.patience())?;
     for admitted in &answer.admitted {
         let c = admitted.contract.clone().unwrap_or_default();
-        let state = if admitted.retired { "retired" } else { "admitted" };
+        let state = if admitted.retired {
+            "retired"
+        } else {
+            "admitted"
+        };
         println!("{} {} {state}", c.service, c.version);
     }
     for version in &answer.spoken {
         for u in &version.uses {
             let word = if u.declared { "subscribes" } else { "seen" };
             let ago = answer.time_ms.saturating_sub(u.last_ms) / 1_000;
-            let last = if u.last_ms > 0 { format!(", last {ago} s ago") } else { String::new() };
+            let last = if u.last_ms > 0 {
+                format!(", last {ago} s ago")
+            } else {
+                String::new()
+            };
             println!(
                 "{} {} {}: {word}, {} calls{last}",
                 version.service, version.version, u.customer, u.calls
--- a/crates/cli/src/failure.rs
+++ b/crates/cli/src/failure.rs
@@ -40,7 +40,15 @@
         }
     )*};
 }
-told!(ConfigError, StartError, AskError, KeeperError, SettingsError, RulesError, ContractError);
+told!(
+    ConfigError,
+    StartError,
+    AskError,
+    KeeperError,
+    SettingsError,
+    RulesError,
+    ContractError
+);
 
 /// The error itself, or the one within it that has a code.
 fn coded(error: &dyn Diagnostic) -> &dyn Diagnostic {
@@ -57,8 +65,14 @@
             Failure::Told(error) => {
                 write!(f, "error: {error}")?;
                 let within = coded(error.as_ref());
-                within.code().into_iter().try_for_each(|code| write!(f, "\n  code: {code}"))?;
-                within.help().into_iter().try_for_each(|help| write!(f, "\n  help: {help}"))
+                within
+                    .code()
+                    .into_iter()
+                    .try_for_each(|code| write!(f, "\n  code: {code}"))?;
+                within
+                    .help()
+                    .into_iter()
+                    .try_for_each(|help| write!(f, "\n  help: {help}"))
             }
         }
     }
--- a/crates/cli/src/keeper.rs
+++ b/crates/cli/src/keeper.rs
@@ -70,7 +70,11 @@
 /// Runs it.
 pub fn run(command: &Command) -> Result<(), Failure> {
     match command {
-        Command::Run { config, first, with_parent } => serve(config, *first, *with_parent),
+        Command::Run {
+            config,
+            first,
+            with_parent,
+        } => serve(config, *first, *with_parent),
         Command::Check { config } => {
             Settings::load(config)?;
             println!("{}: ok", config.display());
@@ -78,7 +82,10 @@
         }
         Command::Status(keepers) => status(keepers),
         Command::Word { site, word, to } => {
-            let told = wire::Word { site: site.clone(), word: word.clone() };
+            let told = wire::Word {
+                site: site.clone(),
+                word: word.clone(),
+            };
             to.asking()?.tell(What::Word(told), to.patience())?;
             println!("{word} {site}: taken; it reaches each gateway with its session, or at its next start");
             Ok(())
@@ -101,20 +108,34 @@
 
 fn status(keepers: &Keepers) -> Result<(), Failure> {
     let mut asking = keepers.asking()?;
-    let request = wire::LookRequest { what: Look::Status as i32, ..wire::LookRequest::default() };
+    let request = wire::LookRequest {
+        what: Look::Status as i32,
+        ..wire::LookRequest::default()
+    };
     let mut best: Option<wire::LookAnswer> = None;
     for (place, address) in keepers.keepers.iter().enumerate() {
         let Some(answer) = asking.look_at(place, &request, 2_000_000)? else {
             println!("{address}  no answer");
             continue;
         };
-        let state = if answer.majority { "agrees" } else { "NO MAJORITY: nothing is agreed on" };
-        let leader = if answer.leader.is_empty() { "nobody" } else { &answer.leader };
+        let state = if answer.majority {
+            "agrees"
+        } else {
+            "NO MAJORITY: nothing is agreed on"
+        };
+        let leader = if answer.leader.is_empty() {
+            "nobody"
+        } else {
+            &answer.leader
+        };
         println!(
             "{address}  {state}, configuration {}, version {}, leader {leader}",
             answer.configuration, answer.version
         );
-        if best.as_ref().is_none_or(|b| (b.majority, b.version) < (answer.majority, answer.version)) {
+        if best
+            .as_ref()
+            .is_none_or(|b| (b.majority, b.version) < (answer.majority, answer.version))
+        {
             best = Some(answer);
         }
     }
@@ -129,18 +150,35 @@
         let of = answer.sessions.iter().find(|s| s.id == session);
         of.map_or("nobody".to_string(), |s| s.gateway.clone())
     };
-    println!("{} sessions, {} gateways cut off", answer.sessions.len(), answer.departed.len());
+    println!(
+        "{} sessions, {} gateways cut off",
+        answer.sessions.len(),
+        answer.departed.len()
+    );
     for s in &answer.sessions {
-        println!("  {:<20} {:<12} session {} applies {}", s.gateway, s.site, s.id, s.applied);
+        println!(
+            "  {:<20} {:<12} session {} applies {}",
+            s.gateway, s.site, s.id, s.applied
+        );
     }
     for d in &answer.departed {
         let ago = answer.time_ms.saturating_sub(d.ended_ms) / 1_000;
-        println!("  {:<20} cut off {ago} s ago, applied {}", d.gateway, d.applied);
+        println!(
+            "  {:<20} cut off {ago} s ago, applied {}",
+            d.gateway, d.applied
+        );
     }
     for duty in &answer.duties {
         // Without a majority no holder's session can be renewed: it has stopped by itself, or is about to.
-        let held = if answer.majority { name(duty.holder) } else { "not held for sure".to_string() };
+        let held = if answer.majority {
+            name(duty.holder)
+        } else {
+            "not held for sure".to_string()
+        };
         println!("duty {:<16} {held}, token {}", duty.name, duty.token);
     }
-    answer.back.iter().for_each(|b| println!("retired and called again: {b}"));
+    answer
+        .back
+        .iter()
+        .for_each(|b| println!("retired and called again: {b}"));
 }
--- a/crates/cli/src/rules.rs
+++ b/crates/cli/src/rules.rs
@@ -22,7 +22,10 @@
 pub enum RulesError {
     /// The file is not read.
     #[error("{file}: {source}")]
-    #[diagnostic(code(chalkdeck::rules::file), help("see the path, and whether it may be read"))]
+    #[diagnostic(
+        code(chalkdeck::rules::file),
+        help("see the path, and whether it may be read")
+    )]
     File {
         /// Its path.
         file: String,
@@ -31,7 +34,10 @@
     },
     /// It is no such message.
     #[error("{file}:{line}: {what}")]
-    #[diagnostic(code(chalkdeck::rules::form), help("docs/access.md and docs/contracts.md show each field"))]
+    #[diagnostic(
+        code(chalkdeck::rules::form),
+        help("docs/access.md and docs/contracts.md show each field")
+    )]
     Form {
         /// Its path.
         file: String,
@@ -136,16 +142,25 @@
 /// Reads a message in text form.
 pub fn read<M: prost::Message + Default>(message: &str, path: &Path) -> Result<M, RulesError> {
     let file = path.display().to_string();
-    let source =
-        std::fs::read_to_string(path).map_err(|source| RulesError::File { file: file.clone(), source })?;
-    text::parse(message, &source).map_err(|e| RulesError::Form { file, line: e.line, what: e.what })
+    let source = std::fs::read_to_string(path).map_err(|source| RulesError::File {
+        file: file.clone(),
+        source,
+    })?;
+    text::parse(message, &source).map_err(|e| RulesError::Form {
+        file,
+        line: e.line,
+        what: e.what,
+    })
 }
 
 fn read_set(path: &Path) -> Result<wire::RuleSet, RulesError> {
     let set: wire::RuleSet = read(MESSAGE, path)?;
     match wrong_in(&set) {
         None => Ok(set),
-        Some(what) => Err(RulesError::Wrong { file: path.display().to_string(), what }),
+        Some(what) => Err(RulesError::Wrong {
+            file: path.display().to_string(),
+            what,
+        }),
     }
 }
 
@@ -155,7 +170,13 @@
         Command::Apply { file, force, to } => {
             let set = read_set(file)?;
             let what = Some(wire::propose::What::Rules(set));
-            propose(to, wire::Propose { what, force: *force })
+            propose(
+                to,
+                wire::Propose {
+                    what,
+                    force: *force,
+                },
+            )
         }
         Command::Check { file, to } => check(&read_set(file)?, to),
         Command::Wait { customer, to } => {
@@ -194,17 +215,31 @@
 }
 
 fn look(what: Look, customer: &str) -> wire::LookRequest {
-    wire::LookRequest { what: what as i32, customer: customer.into(), ..wire::LookRequest::default() }
+    wire::LookRequest {
+        what: what as i32,
+        customer: customer.into(),
+        ..wire::LookRequest::default()
+    }
 }
 
 fn check(set: &wire::RuleSet, to: &Keepers) -> Result<(), Failure> {
-    let request = wire::LookRequest { set: Some(set.clone()), ..look(Look::Try, &set.customer) };
-    let tried = to.asking()?.look(&request, to.patience())?.tried.unwrap_or_default();
+    let request = wire::LookRequest {
+        set: Some(set.clone()),
+        ..look(Look::Try, &set.customer)
+    };
+    let tried = to
+        .asking()?
+        .look(&request, to.patience())?
+        .tried
+        .unwrap_or_default();
     println!(
         "{}: {} of {} calls of the last minutes would be denied",
         set.customer, tried.denied, tried.calls
     );
-    tried.by_rule.iter().for_each(|line| println!("  {:<24} {}", line.rule, line.count));
+    tried
+        .by_rule
+        .iter()
+        .for_each(|line| println!("  {:<24} {}", line.rule, line.count));
     if tried.locks_out {
         println!("it would lock the customer out: `apply` wants --force");
     }
@@ -215,7 +250,10 @@
 pub fn propose(to: &Keepers, propose: wire::Propose) -> Result<(), Failure> {
     let mut asking = to.asking()?;
     let proposal = asking.tell(What::Propose(propose), to.patience())?.id;
-    let request = wire::LookRequest { proposal, ..look(Look::Verdict, "") };
+    let request = wire::LookRequest {
+        proposal,
+        ..look(Look::Verdict, "")
+    };
     wait(&mut asking, to, &request, None, proposal)
 }
 
@@ -253,11 +291,20 @@
                 return Ok(());
             }
             Progress::Waits if late => {
-                return Err(RulesError::NotJudged { proposal, seconds: to.wait }.into())
+                return Err(RulesError::NotJudged {
+                    proposal,
+                    seconds: to.wait,
+                }
+                .into())
             }
             Progress::Missing { version, gateways } if late => {
                 let missing = gateways;
-                return Err(RulesError::NotInForce { version, seconds: to.wait, missing }.into());
+                return Err(RulesError::NotInForce {
+                    version,
+                    seconds: to.wait,
+                    missing,
+                }
+                .into());
             }
             Progress::Waits | Progress::Missing { .. } => std::thread::sleep(AGAIN),
         }
--- a/crates/cli/src/site.rs
+++ b/crates/cli/src/site.rs
@@ -66,11 +66,20 @@
 }
 
 fn show(admin: SocketAddr, status: &SitesStatus) -> String {
-    let mut out =
-        format!("{admin}  in {}  lets in {:.0}% of the work offered\n", status.own, 100.0 * status.level);
+    let mut out = format!(
+        "{admin}  in {}  lets in {:.0}% of the work offered\n",
+        status.own,
+        100.0 * status.level
+    );
     for s in &status.sites {
-        let room = s.room.map_or("no bound met".to_string(), |r| format!("room {r:.1} units/s"));
-        let pace = if s.pace < 1.0 { format!(", pace {:.0}%", 100.0 * s.pace) } else { String::new() };
+        let room = s.room.map_or("no bound met".to_string(), |r| {
+            format!("room {r:.1} units/s")
+        });
+        let pace = if s.pace < 1.0 {
+            format!(", pace {:.0}%", 100.0 * s.pace)
+        } else {
+            String::new()
+        };
         out += &format!(
             "  {:<16} {:<18} {:>5.1}% of the load, {:.0} of {:.0} places taken, {room}{pace}; for {:.1} s: {}\n",
             s.site,
--- a/crates/client/src/budget.rs
+++ b/crates/client/src/budget.rs
@@ -11,7 +11,11 @@
 impl Budget {
     /// Starts full.
     pub(crate) fn new(most: f64, earn: f64) -> Budget {
-        Budget { tokens: most, most, earn }
+        Budget {
+            tokens: most,
+            most,
+            earn,
+        }
     }
     pub(crate) fn earn(&mut self) {
         self.tokens = (self.tokens + self.earn).min(self.most);
--- a/crates/client/src/core.rs
+++ b/crates/client/src/core.rs
@@ -93,9 +93,18 @@
                 self.backoff_first == 0 || self.backoff_most < self.backoff_first,
                 "backoff_first: expected above 0 and at most backoff_most",
             ),
-            (!part(self.spread) || self.spread > 10.0, "spread: expected 0 to 10"),
-            (!part(self.budget) || !part(self.earn), "budget, earn: expected numbers of 0 or more"),
-            (self.reconnect_most < self.reconnect_first, "reconnect_most: expected at least reconnect_first"),
+            (
+                !part(self.spread) || self.spread > 10.0,
+                "spread: expected 0 to 10",
+            ),
+            (
+                !part(self.budget) || !part(self.earn),
+                "budget, earn: expected numbers of 0 or more",
+            ),
+            (
+                self.reconnect_most < self.reconnect_first,
+                "reconnect_most: expected at least reconnect_first",
+            ),
             (self.outstanding == 0, "outstanding: expected at least 1"),
         ];
         match wrong.iter().find(|w| w.0) {
@@ -242,7 +251,9 @@
             Event::Call(id, repeat, deadline) => self.on_call(id, repeat, deadline),
             Event::Cancel(id) => self.finish(id, Outcome::Cancelled),
             Event::Connected(place) => self.gateways.connected(place),
-            Event::Lost(place) => self.gateways.lost(place, self.now, &self.set, &mut self.rng),
+            Event::Lost(place) => self
+                .gateways
+                .lost(place, self.now, &self.set, &mut self.rng),
             Event::Started(id) => self.on_started(id),
             Event::Ended(id, number, end) => self.on_end(id, number, end),
             Event::Tick => {}
@@ -273,8 +284,17 @@
         }
         let backoff = self.set.backoff_first;
         let last = Outcome::Deadline { sent: false };
-        let call =
-            Call { repeat, deadline, tries: 0, out: None, ran: None, sent: 0, backoff, wakes: None, last };
+        let call = Call {
+            repeat,
+            deadline,
+            tries: 0,
+            out: None,
+            ran: None,
+            sent: 0,
+            backoff,
+            wakes: None,
+            last,
+        };
         self.calls.insert(id, call);
         self.wakes.insert((deadline, id));
         self.waiting.push_back(id);
@@ -284,11 +304,15 @@
     fn wake(&mut self) {
         while let Some(&(at, id)) = self.wakes.first().filter(|w| w.0 <= self.now) {
             self.wakes.remove(&(at, id));
-            let Some(call) = self.calls.get_mut(&id) else { continue };
+            let Some(call) = self.calls.get_mut(&id) else {
+                continue;
+            };
             if call.deadline <= self.now {
                 let outcome = match call.last {
                     Outcome::Refused(_) if call.out.is_none() && call.ran.is_none() => call.last,
-                    _ => Outcome::Deadline { sent: call.out.is_some() || call.ran.is_some() },
+                    _ => Outcome::Deadline {
+                        sent: call.out.is_some() || call.ran.is_some(),
+                    },
                 };
                 self.finish(id, outcome);
             } else if call.wakes.take_if(|w| *w <= at).is_some() {
@@ -312,7 +336,9 @@
                 }
                 continue;
             }
-            let Some(gateway) = self.gateways.choose(self.now, &self.set, &mut self.rng) else { return };
+            let Some(gateway) = self.gateways.choose(self.now, &self.set, &mut self.rng) else {
+                return;
+            };
             self.waiting.pop_front();
             self.send(id, gateway);
         }
@@ -320,12 +346,19 @@
 
     fn send(&mut self, id: CallId, gateway: usize) {
         let now = self.now;
-        let Some(call) = self.calls.get_mut(&id) else { return };
+        let Some(call) = self.calls.get_mut(&id) else {
+            return;
+        };
         let number = call.tries;
         call.tries += 1;
         (call.out, call.sent) = (Some(gateway), now);
         self.gateways.sent(gateway);
-        self.out.push(Action::Send { call: id, number, gateway, left: call.deadline - now });
+        self.out.push(Action::Send {
+            call: id,
+            number,
+            gateway,
+            left: call.deadline - now,
+        });
     }
 
     /// Whether a further try could do no harm now.
@@ -346,8 +379,12 @@
 
     fn on_end(&mut self, id: CallId, number: u32, end: TryEnd) {
         let now = self.now;
-        let Some(call) = self.calls.get_mut(&id).filter(|c| c.tries == number + 1) else { return };
-        let Some(gateway) = call.out.take() else { return };
+        let Some(call) = self.calls.get_mut(&id).filter(|c| c.tries == number + 1) else {
+            return;
+        };
+        let Some(gateway) = call.out.take() else {
+            return;
+        };
         let well = matches!(end, TryEnd::Answered | TryEnd::Refused(_));
         self.gateways.ended(gateway, well, now, &self.set);
         // What comes after the deadline is never handed over as good.
@@ -373,10 +410,14 @@
     /// Waits for a further try, or ends the call at once where there can be none.
     fn again(&mut self, id: CallId, end: TryEnd) {
         let set = &self.set;
-        let Some(call) = self.calls.get_mut(&id) else { return };
+        let Some(call) = self.calls.get_mut(&id) else {
+            return;
+        };
         // Decorrelated: the next wait is drawn between the first and three times the last.
-        call.backoff =
-            self.rng.u64(set.backoff_first..=(call.backoff * 3).max(set.backoff_first)).min(set.backoff_most);
+        call.backoff = self
+            .rng
+            .u64(set.backoff_first..=(call.backoff * 3).max(set.backoff_first))
+            .min(set.backoff_most);
         let wait = match end {
             TryEnd::Refused(Some(back)) => {
                 back.saturating_add((back as f64 * set.spread * self.rng.f64()) as u64)
@@ -399,13 +440,16 @@
     }
 
     fn finish(&mut self, id: CallId, outcome: Outcome) {
-        let Some(call) = self.calls.remove(&id) else { return };
+        let Some(call) = self.calls.remove(&id) else {
+            return;
+        };
         self.wakes.remove(&(call.deadline, id));
         if let Some(at) = call.wakes {
             self.wakes.remove(&(at, id));
         }
         if let Some(gateway) = call.out {
-            self.gateways.ended(gateway, outcome == Outcome::Cancelled, self.now, &self.set);
+            self.gateways
+                .ended(gateway, outcome == Outcome::Cancelled, self.now, &self.set);
             self.out.push(Action::CallOff(id, call.tries - 1));
         }
         // A caller that reads a refusal may call again; what may have run is never called refused.
--- a/crates/client/src/driver.rs
+++ b/crates/client/src/driver.rs
@@ -62,7 +62,12 @@
 }
 
 impl Carrier {
-    pub(crate) fn new(core: Core, engine: Engine, inbox: Receiver<Command>, settings: &Settings) -> Carrier {
+    pub(crate) fn new(
+        core: Core,
+        engine: Engine,
+        inbox: Receiver<Command>,
+        settings: &Settings,
+    ) -> Carrier {
         let (connect_timeout, keepalive, seed) =
             (settings.connect_timeout, settings.keepalive, settings.seed);
         Carrier {
@@ -89,8 +94,10 @@
         let mut events = Vec::new();
         while !self.stopped {
             let now = self.engine.now();
-            let wait =
-                self.core.next_wake().map_or(LONGEST_WAIT, |at| at.saturating_sub(now).min(LONGEST_WAIT));
+            let wait = self
+                .core
+                .next_wake()
+                .map_or(LONGEST_WAIT, |at| at.saturating_sub(now).min(LONGEST_WAIT));
             if let Err(e) = self.engine.turn(wait, &mut events) {
                 tracing::error!("the client's loop ends: {e}");
                 break;
@@ -107,7 +114,8 @@
             self.stats.budget.set(self.core.budget());
         }
         let left: Vec<CallId> = self.open.keys().copied().collect();
-        left.into_iter().for_each(|id| self.finish(id, Outcome::Cancelled));
+        left.into_iter()
+            .for_each(|id| self.finish(id, Outcome::Cancelled));
     }
 
     fn settle(&mut self) {
@@ -139,27 +147,60 @@
 
     fn start(&mut self, id: CallId, mut call: Call, done: Caller) {
         if matches!(call.repeat, Repeat::Keyed { .. }) {
-            call.key.get_or_insert_with(|| format!("{:032x}", self.rng.u128(..)));
+            call.key
+                .get_or_insert_with(|| format!("{:032x}", self.rng.u128(..)));
         }
-        let (begun, left) = (self.engine.now(), u64::try_from(call.timeout.as_micros()).unwrap_or(u64::MAX));
-        self.todo.push(Event::Call(id, call.repeat, begun.saturating_add(left)));
-        let span =
-            tracing::debug_span!("call", id = id.0, path = %call.path, outcome = tracing::field::Empty);
+        let (begun, left) = (
+            self.engine.now(),
+            u64::try_from(call.timeout.as_micros()).unwrap_or(u64::MAX),
+        );
+        self.todo
+            .push(Event::Call(id, call.repeat, begun.saturating_add(left)));
+        let span = tracing::debug_span!("call", id = id.0, path = %call.path, outcome = tracing::field::Empty);
         let (stream, code, text, gather, tries) = (None, None, String::new(), Gather::default(), 0);
-        self.open.insert(id, Open { call, done, stream, code, text, gather, tries, begun, span });
+        self.open.insert(
+            id,
+            Open {
+                call,
+                done,
+                stream,
+                code,
+                text,
+                gather,
+                tries,
+                begun,
+                span,
+            },
+        );
         self.stats.open.set(self.open.len() as i64);
     }
 
     /// A further message of a stream. Once sent it is not kept, so from there on the stream does not go again.
     fn message(&mut self, id: CallId, message: Bytes) {
-        let Some(Open { done: Caller::Stream(live), stream, .. }) = self.open.get_mut(&id) else { return };
-        let Some(stream) = stream else { return live.early.push(message) };
+        let Some(Open {
+            done: Caller::Stream(live),
+            stream,
+            ..
+        }) = self.open.get_mut(&id)
+        else {
+            return;
+        };
+        let Some(stream) = stream else {
+            return live.early.push(message);
+        };
         self.engine.send(*stream, grpc::frame(&message));
         self.todo.push(Event::Started(id));
     }
 
     fn end_of_messages(&mut self, id: CallId) {
-        let Some(Open { done: Caller::Stream(live), stream, .. }) = self.open.get_mut(&id) else { return };
+        let Some(Open {
+            done: Caller::Stream(live),
+            stream,
+            ..
+        }) = self.open.get_mut(&id)
+        else {
+            return;
+        };
         live.ended = true;
         stream.iter().for_each(|s| self.engine.finish(*s, None));
     }
@@ -169,7 +210,10 @@
         let Some(watch) = &mut self.watch else { return };
         self.engine.timer(self.engine.now() + LOOK, LOOK_TOKEN);
         let Some(bytes) = watch.look() else { return };
-        match bytes.map_err(FileError::from).and_then(|b| addresses_of(&b)) {
+        match bytes
+            .map_err(FileError::from)
+            .and_then(|b| addresses_of(&b))
+        {
             Ok(addresses) => self.relist(addresses),
             Err(why) => {
                 tracing::error!(file = %watch.path().display(), "the last good list of gateways stays: {why}")
@@ -187,7 +231,8 @@
                 }
             }
         }
-        self.conns.resize(addresses.len().max(self.conns.len()), None);
+        self.conns
+            .resize(addresses.len().max(self.conns.len()), None);
         self.todo.push(Event::Gateways(addresses.len()));
         self.addresses = addresses;
     }
@@ -195,7 +240,12 @@
     fn act(&mut self, action: Action) {
         match action {
             Action::Connect(place) => self.connect(place),
-            Action::Send { call, number, gateway, left } => self.send(call, number, gateway, left),
+            Action::Send {
+                call,
+                number,
+                gateway,
+                left,
+            } => self.send(call, number, gateway, left),
             Action::CallOff(call, _) => {
                 if let Some(stream) = self.open.get_mut(&call).and_then(|o| o.stream.take()) {
                     self.tries.remove(&stream);
@@ -207,14 +257,23 @@
     }
 
     fn finish(&mut self, id: CallId, outcome: Outcome) {
-        let Some(open) = self.open.remove(&id) else { return };
+        let Some(open) = self.open.remove(&id) else {
+            return;
+        };
         let answered = outcome == Outcome::Answered;
-        self.stats.ended(outcome, self.engine.now().saturating_sub(open.begun));
+        self.stats
+            .ended(outcome, self.engine.now().saturating_sub(open.begun));
         self.stats.open.set(self.open.len() as i64);
         open.span.record("outcome", tracing::field::debug(outcome));
         tracing::debug!(parent: &open.span, tries = open.tries, "ended");
         let message = open.gather.message().filter(|_| answered).cloned();
-        let reply = Reply { outcome, code: open.code, text: open.text, message, tries: open.tries };
+        let reply = Reply {
+            outcome,
+            code: open.code,
+            text: open.text,
+            message,
+            tries: open.tries,
+        };
         match open.done {
             Caller::Unary(done) => done(reply),
             Caller::Stream(mut live) => (live.hear)(StreamEvent::End(reply)),
@@ -222,16 +281,23 @@
     }
 
     fn connect(&mut self, place: usize) {
-        let Some(address) = self.addresses.get(place) else { return };
-        match self
-            .engine
-            .connect(*address, Limits { streams: 10_000, keepalive: self.keepalive, ..Limits::default() })
-        {
+        let Some(address) = self.addresses.get(place) else {
+            return;
+        };
+        match self.engine.connect(
+            *address,
+            Limits {
+                streams: 10_000,
+                keepalive: self.keepalive,
+                ..Limits::default()
+            },
+        ) {
             Ok(conn) => {
                 self.conns[place] = Some(conn);
                 self.next += 1;
                 self.connects.insert(self.next, conn);
-                self.engine.timer(self.engine.now() + self.connect_timeout, self.next);
+                self.engine
+                    .timer(self.engine.now() + self.connect_timeout, self.next);
             }
             Err(_) => self.todo.push(Event::Lost(place)),
         }
@@ -242,10 +308,14 @@
     }
 
     fn send(&mut self, id: CallId, number: u32, place: usize, left: u64) {
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         (open.code, open.gather, open.text) = (None, Gather::default(), String::new());
         let head = head(&open.call, self.addresses[place], number, left);
-        let stream = head.zip(self.conns[place]).and_then(|(head, conn)| self.engine.open(conn, head, false));
+        let stream = head
+            .zip(self.conns[place])
+            .and_then(|(head, conn)| self.engine.open(conn, head, false));
         let Some(stream) = stream else {
             // It never left: the gateway is going away or takes no more.
             self.todo.push(Event::Ended(id, number, TryEnd::NeverRan));
@@ -264,7 +334,9 @@
             if !live.early.is_empty() {
                 self.todo.push(Event::Started(id));
             }
-            live.early.drain(..).for_each(|m| self.engine.send(stream, grpc::frame(&m)));
+            live.early
+                .drain(..)
+                .for_each(|m| self.engine.send(stream, grpc::frame(&m)));
         }
         if !matches!(&open.done, Caller::Stream(live) if !live.ended) {
             self.engine.finish(stream, None);
@@ -293,13 +365,19 @@
                     self.engine.close(conn);
                 }
             }
-            NetEvent::Head { stream, head, ended: true } => self.on_end(stream, &head.headers),
+            NetEvent::Head {
+                stream,
+                head,
+                ended: true,
+            } => self.on_end(stream, &head.headers),
             NetEvent::Data { stream, data } => {
                 self.engine.consume(stream, data.len());
                 self.on_data(stream, &data);
             }
             NetEvent::Sent { stream, bytes } => self.on_sent(stream, bytes),
-            NetEvent::End { stream, trailers } => self.on_end(stream, &trailers.unwrap_or_default()),
+            NetEvent::End { stream, trailers } => {
+                self.on_end(stream, &trailers.unwrap_or_default())
+            }
             NetEvent::Broken { stream, how } => self.ended(
                 stream,
                 match how {
@@ -313,10 +391,20 @@
 
     /// The first message was not queued by the caller, so the sum may come out below nothing.
     fn on_sent(&mut self, stream: StreamId, bytes: usize) {
-        let open = self.tries.get(&stream).and_then(|t| self.open.get_mut(&t.0));
-        if let Some(Open { done: Caller::Stream(live), .. }) = open {
+        let open = self
+            .tries
+            .get(&stream)
+            .and_then(|t| self.open.get_mut(&t.0));
+        if let Some(Open {
+            done: Caller::Stream(live),
+            ..
+        }) = open
+        {
             let take = |queued: usize| Some(queued.saturating_sub(bytes));
-            let was = live.queued.fetch_update(Ordering::Relaxed, Ordering::Relaxed, take).unwrap_or(0);
+            let was = live
+                .queued
+                .fetch_update(Ordering::Relaxed, Ordering::Relaxed, take)
+                .unwrap_or(0);
             if was >= MOST_QUEUED && was.saturating_sub(bytes) < MOST_QUEUED {
                 (live.hear)(StreamEvent::Room);
             }
@@ -324,8 +412,12 @@
     }
 
     fn on_data(&mut self, stream: StreamId, data: &[u8]) {
-        let Some(&(id, _)) = self.tries.get(&stream) else { return };
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(&(id, _)) = self.tries.get(&stream) else {
+            return;
+        };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         let pushed = match &mut open.done {
             Caller::Unary(_) => open.gather.push(data, ANSWER_BYTES),
             Caller::Stream(live) => hand_over(live, data),
@@ -341,7 +433,11 @@
     }
 
     fn on_end(&mut self, stream: StreamId, trailers: &HeaderMap) {
-        if let Some(open) = self.tries.get(&stream).and_then(|t| self.open.get_mut(&t.0)) {
+        if let Some(open) = self
+            .tries
+            .get(&stream)
+            .and_then(|t| self.open.get_mut(&t.0))
+        {
             open.code = Code::read(trailers);
             open.text = grpc::message_of(trailers);
         }
@@ -349,8 +445,13 @@
     }
 
     fn ended(&mut self, stream: StreamId, end: TryEnd) {
-        let Some((id, number)) = self.tries.remove(&stream) else { return };
-        self.open.get_mut(&id).into_iter().for_each(|o| o.stream = None);
+        let Some((id, number)) = self.tries.remove(&stream) else {
+            return;
+        };
+        self.open
+            .get_mut(&id)
+            .into_iter()
+            .for_each(|o| o.stream = None);
         self.todo.push(Event::Ended(id, number, end));
     }
 }
--- a/crates/client/src/gateways.rs
+++ b/crates/client/src/gateways.rs
@@ -37,8 +37,14 @@
         for (i, g) in self.0.iter_mut().enumerate() {
             g.gone = i >= count;
         }
-        let new =
-            Gateway { link: Link::Down(now), lost: 0, outstanding: 0, failed: 0, rested: 0, gone: false };
+        let new = Gateway {
+            link: Link::Down(now),
+            lost: 0,
+            outstanding: 0,
+            failed: 0,
+            rested: 0,
+            gone: false,
+        };
         while self.0.len() < count {
             self.0.push(new.clone());
         }
@@ -48,7 +54,9 @@
     pub(crate) fn due(&mut self, now: u64) -> Vec<usize> {
         let due = |g: &Gateway| !g.gone && matches!(g.link, Link::Down(at) if at <= now);
         let places: Vec<usize> = (0..self.0.len()).filter(|&i| due(&self.0[i])).collect();
-        places.iter().for_each(|&i| self.0[i].link = Link::Connecting);
+        places
+            .iter()
+            .for_each(|&i| self.0[i].link = Link::Connecting);
         places
     }
 
@@ -69,19 +77,29 @@
 
     /// A connection is over or was not made: tried again at a time drawn from a window that doubles with each loss.
     pub(crate) fn lost(&mut self, place: usize, now: u64, set: &Settings, rng: &mut Rng) {
-        let Some(g) = self.0.get_mut(place) else { return };
-        let window = set.reconnect_first.saturating_mul(1 << g.lost.min(20)).min(set.reconnect_most);
+        let Some(g) = self.0.get_mut(place) else {
+            return;
+        };
+        let window = set
+            .reconnect_first
+            .saturating_mul(1 << g.lost.min(20))
+            .min(set.reconnect_most);
         g.lost += 1;
         (g.link, g.outstanding) = (Link::Down(now + rng.u64(0..=window)), 0);
     }
 
     pub(crate) fn sent(&mut self, place: usize) {
-        self.0.get_mut(place).into_iter().for_each(|g| g.outstanding += 1);
+        self.0
+            .get_mut(place)
+            .into_iter()
+            .for_each(|g| g.outstanding += 1);
     }
 
     /// A try ended there, in an answer or refusal (`well`) or not.
     pub(crate) fn ended(&mut self, place: usize, well: bool, now: u64, set: &Settings) {
-        let Some(g) = self.0.get_mut(place) else { return };
+        let Some(g) = self.0.get_mut(place) else {
+            return;
+        };
         g.outstanding = g.outstanding.saturating_sub(1);
         if well {
             (g.failed, g.lost) = (0, 0);
@@ -98,9 +116,17 @@
     pub(crate) fn choose(&self, now: u64, set: &Settings, rng: &mut Rng) -> Option<usize> {
         let up = |g: &Gateway| g.link == Link::Up && !g.gone && g.outstanding < set.outstanding;
         let all: Vec<usize> = (0..self.0.len()).filter(|&i| up(&self.0[i])).collect();
-        let fit: Vec<usize> = all.iter().copied().filter(|&i| self.0[i].rested <= now).collect();
+        let fit: Vec<usize> = all
+            .iter()
+            .copied()
+            .filter(|&i| self.0[i].rested <= now)
+            .collect();
         let from = if fit.is_empty() { &all } else { &fit };
         let (a, b) = (rng.choice(from)?, rng.choice(from)?);
-        Some(if self.0[*b].outstanding < self.0[*a].outstanding { *b } else { *a })
+        Some(if self.0[*b].outstanding < self.0[*a].outstanding {
+            *b
+        } else {
+            *a
+        })
     }
 }
--- a/crates/client/src/handle.rs
+++ b/crates/client/src/handle.rs
@@ -145,19 +145,30 @@
         let (commands, inbox) = channel();
         let mut carrier = Carrier::new(core, engine, inbox, &settings);
         let stats = carrier.stats.clone();
-        let thread =
-            std::thread::Builder::new().name("chalkdeck-client".into()).spawn(move || carrier.run())?;
+        let thread = std::thread::Builder::new()
+            .name("chalkdeck-client".into())
+            .spawn(move || carrier.run())?;
         let door = Arc::new(Door { commands, waker });
         let most = settings.queue.saturating_add(settings.outstanding);
         let (next, open) = (AtomicU64::new(1), Arc::default());
-        let client = Client { door, next, open, most, stats, thread: Some(thread) };
+        let client = Client {
+            door,
+            next,
+            open,
+            most,
+            stats,
+            thread: Some(thread),
+        };
         client.set_gateways(gateways);
         Ok(client)
     }
 
     /// The same with the gateways of a file, which is read again when it changes: one `ip:port` a line, `#` begins a comment.
     /// A file that cannot be read or has a wrong line leaves the last good list in force and is logged.
-    pub fn start_with_file(settings: Settings, file: std::path::PathBuf) -> Result<Client, StartError> {
+    pub fn start_with_file(
+        settings: Settings,
+        file: std::path::PathBuf,
+    ) -> Result<Client, StartError> {
         let client = Client::start(settings, Vec::new())?;
         client.door.tell(Command::Watch(Watch::new(file)));
         Ok(client)
@@ -189,13 +200,20 @@
                 message: None,
                 tries: 0,
             });
-            return Handle { door: self.door.clone(), call: CallId(0) };
+            return Handle {
+                door: self.door.clone(),
+                call: CallId(0),
+            };
         }
         self.start_call(call, done)
     }
 
     /// The same, but says at once that too many calls are open; `done` is not run then.
-    pub fn try_begin(&self, call: Call, done: impl FnOnce(Reply) + Send + 'static) -> Result<Handle, Full> {
+    pub fn try_begin(
+        &self,
+        call: Call,
+        done: impl FnOnce(Reply) + Send + 'static,
+    ) -> Result<Handle, Full> {
         if self.is_full() {
             return Err(Full);
         }
@@ -204,7 +222,11 @@
 
     /// Opens a stream with its first message; `hear` runs on the client's thread and must not block. `timeout` is the whole
     /// stream's. Errors: too many calls are open.
-    pub fn open(&self, call: Call, hear: impl FnMut(StreamEvent) + Send + 'static) -> Result<Stream, Full> {
+    pub fn open(
+        &self,
+        call: Call,
+        hear: impl FnMut(StreamEvent) + Send + 'static,
+    ) -> Result<Stream, Full> {
         if self.is_full() {
             return Err(Full);
         }
@@ -226,7 +248,11 @@
             ended: false,
         };
         self.door.tell(Command::Open(id, call, live));
-        Ok(Stream { door: self.door.clone(), call: id, queued })
+        Ok(Stream {
+            door: self.door.clone(),
+            call: id,
+            queued,
+        })
     }
 
     fn is_full(&self) -> bool {
@@ -242,7 +268,10 @@
         };
         let id = CallId(self.next.fetch_add(1, Ordering::Relaxed));
         self.door.tell(Command::Start(id, call, Box::new(done)));
-        Handle { door: self.door.clone(), call: id }
+        Handle {
+            door: self.door.clone(),
+            call: id,
+        }
     }
 
     /// Calls and waits, for the call's timeout at the longest.
--- a/crates/client/src/settings.rs
+++ b/crates/client/src/settings.rs
@@ -12,11 +12,21 @@
     pub fn parse(text: &str) -> Result<Settings, TextError> {
         let wire: wire::Settings = chalkdeck_proto::text::parse(MESSAGE, text)?;
         let default = Settings::default();
-        let micros = |ms: u32, default: u64| if ms == 0 { default } else { u64::from(ms) * 1_000 };
+        let micros = |ms: u32, default: u64| {
+            if ms == 0 {
+                default
+            } else {
+                u64::from(ms) * 1_000
+            }
+        };
         let count = |n: u32, default: usize| if n == 0 { default } else { n as usize };
         let real = |v: f64, default: f64| if v == 0.0 { default } else { v };
         let set = Settings {
-            tries: if wire.tries == 0 { default.tries } else { wire.tries },
+            tries: if wire.tries == 0 {
+                default.tries
+            } else {
+                wire.tries
+            },
             backoff_first: micros(wire.backoff_first_ms, default.backoff_first),
             backoff_most: micros(wire.backoff_most_ms, default.backoff_most),
             spread: real(wire.spread, default.spread),
@@ -32,7 +42,10 @@
             least_left: default.least_left,
             seed: default.seed,
         };
-        set.check().map_err(|e| TextError { line: 1, what: e.to_string() })?;
+        set.check().map_err(|e| TextError {
+            line: 1,
+            what: e.to_string(),
+        })?;
         Ok(set)
     }
 }
--- a/crates/client/src/stats.rs
+++ b/crates/client/src/stats.rs
@@ -86,13 +86,26 @@
             ("connects", "Connections that came to stand", &self.connects),
             ("answered", "Calls that ended by an answer", &self.answered),
             ("refused", "Calls refused or never sent on", &self.refused),
-            ("failed", "Calls that failed or ran out of time", &self.failed),
+            (
+                "failed",
+                "Calls that failed or ran out of time",
+                &self.failed,
+            ),
             ("dropped", "Calls called off, or too many", &self.dropped),
         ] {
             client.register(name, help, counter.clone());
         }
         client.register("open", "Calls that have not ended", self.open.clone());
-        client.register("retry_budget", "Further tries that the client may make now", self.budget.clone());
-        client.register_with_unit("call", "From begin to end", Unit::Seconds, self.took.clone());
+        client.register(
+            "retry_budget",
+            "Further tries that the client may make now",
+            self.budget.clone(),
+        );
+        client.register_with_unit(
+            "call",
+            "From begin to end",
+            Unit::Seconds,
+            self.took.clone(),
+        );
     }
 }
--- a/crates/client/src/tower.rs
+++ b/crates/client/src/tower.rs
@@ -42,7 +42,12 @@
 
 impl Default for Terms {
     fn default() -> Terms {
-        Terms { repeat: Repeat::Unsafe, key: None, timeout: Duration::from_secs(10), streaming: false }
+        Terms {
+            repeat: Repeat::Unsafe,
+            key: None,
+            timeout: Duration::from_secs(10),
+            streaming: false,
+        }
     }
 }
 
@@ -62,7 +67,10 @@
 impl<S> tower_layer::Layer<S> for TermsLayer {
     type Service = WithTerms<S>;
     fn layer(&self, inner: S) -> WithTerms<S> {
-        WithTerms { inner, layer: self.clone() }
+        WithTerms {
+            inner,
+            layer: self.clone(),
+        }
     }
 }
 
@@ -117,9 +125,14 @@
     fn call(&mut self, request: Request<B>) -> Calling<B> {
         let (parts, body) = request.into_parts();
         let terms = parts.extensions.get::<Terms>().cloned().unwrap_or_default();
-        let asked =
-            parts.headers.get(grpc::TIMEOUT).and_then(|v| v.to_str().ok()).and_then(grpc::parse_timeout);
-        let timeout = asked.map_or(terms.timeout, |us| terms.timeout.min(Duration::from_micros(us)));
+        let asked = parts
+            .headers
+            .get(grpc::TIMEOUT)
+            .and_then(|v| v.to_str().ok())
+            .and_then(grpc::parse_timeout);
+        let timeout = asked.map_or(terms.timeout, |us| {
+            terms.timeout.min(Duration::from_micros(us))
+        });
         let call = Call {
             path: parts.uri.path().to_string(),
             message: Bytes::new(),
@@ -128,17 +141,35 @@
             key: terms.key,
             timeout,
         };
-        let asking = Asking { client: self.client.clone(), call, body, deframer: Deframer::default() };
-        Calling { streaming: terms.streaming, state: State::Asking(Box::new(asking)) }
+        let asking = Asking {
+            client: self.client.clone(),
+            call,
+            body,
+            deframer: Deframer::default(),
+        };
+        Calling {
+            streaming: terms.streaming,
+            state: State::Asking(Box::new(asking)),
+        }
     }
 }
 
 /// What the caller set itself; transport headers are made anew for each try.
 fn metadata(headers: &HeaderMap) -> Vec<(String, String)> {
-    let own = ["te", "content-type", grpc::TIMEOUT, grpc::KEY, grpc::ATTEMPTS, "user-agent"];
+    let own = [
+        "te",
+        "content-type",
+        grpc::TIMEOUT,
+        grpc::KEY,
+        grpc::ATTEMPTS,
+        "user-agent",
+    ];
     let text = |v: &HeaderValue| v.to_str().ok().map(str::to_string);
-    let kept = headers.iter().filter(|(name, _)| !own.contains(&name.as_str()));
-    kept.filter_map(|(name, value)| Some((name.to_string(), text(value)?))).collect()
+    let kept = headers
+        .iter()
+        .filter(|(name, _)| !own.contains(&name.as_str()));
+    kept.filter_map(|(name, value)| Some((name.to_string(), text(value)?)))
+        .collect()
 }
 
 struct Asking<B> {
@@ -160,21 +191,38 @@
             match Pin::new(&mut self.body).poll_frame(cx) {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(Some(Ok(frame))) => {
-                    frame.into_data().iter().for_each(|data| self.deframer.push(data));
+                    frame
+                        .into_data()
+                        .iter()
+                        .for_each(|data| self.deframer.push(data));
+                }
+                _ => {
+                    return Poll::Ready(Err(never(
+                        Code::Cancelled,
+                        "the request ended before its message",
+                    )))
                 }
-                _ => return Poll::Ready(Err(never(Code::Cancelled, "the request ended before its message"))),
             }
         }
     }
 }
 
 fn never(code: Code, text: &str) -> Reply {
-    Reply { outcome: Outcome::NotSent, code: Some(code), text: text.into(), message: None, tries: 0 }
+    Reply {
+        outcome: Outcome::NotSent,
+        code: Some(code),
+        text: text.into(),
+        message: None,
+        tries: 0,
+    }
 }
 
 enum State<B> {
     Asking(Box<Asking<B>>),
-    Out { reply: oneshot::Receiver<Reply>, cancel: CancelOnDrop },
+    Out {
+        reply: oneshot::Receiver<Reply>,
+        cancel: CancelOnDrop,
+    },
     Over,
 }
 
@@ -206,7 +254,8 @@
                         Poll::Ready(Ok(message)) => message,
                         Poll::Ready(Err(reply)) => return Poll::Ready(Ok(response(reply))),
                     };
-                    let State::Asking(asking) = std::mem::replace(&mut this.state, State::Over) else {
+                    let State::Asking(asking) = std::mem::replace(&mut this.state, State::Over)
+                    else {
                         continue;
                     };
                     if this.streaming {
@@ -215,7 +264,9 @@
                     this.state = begin(*asking, message);
                 }
                 State::Out { reply, cancel } => {
-                    let Poll::Ready(reply) = Pin::new(reply).poll(cx) else { return Poll::Pending };
+                    let Poll::Ready(reply) = Pin::new(reply).poll(cx) else {
+                        return Poll::Pending;
+                    };
                     cancel.0 = None;
                     let gone = || never(Code::Cancelled, "the client ended");
                     return Poll::Ready(Ok(response(reply.unwrap_or_else(|_| gone()))));
@@ -229,8 +280,13 @@
 fn begin<B>(mut asking: Asking<B>, message: Bytes) -> State<B> {
     asking.call.message = message;
     let (tell, reply) = oneshot::channel();
-    let handle = asking.client.begin(asking.call, move |reply| drop(tell.send(reply)));
-    State::Out { reply, cancel: CancelOnDrop(Some(handle)) }
+    let handle = asking
+        .client
+        .begin(asking.call, move |reply| drop(tell.send(reply)));
+    State::Out {
+        reply,
+        cancel: CancelOnDrop(Some(handle)),
+    }
 }
 
 fn begin_stream<B>(mut asking: Asking<B>, message: Bytes) -> Response<Body<B>> {
@@ -247,8 +303,18 @@
     let Ok(stream) = asking.client.open(asking.call, hear) else {
         return response(never(Code::ResourceExhausted, &crate::Full.to_string()));
     };
-    let talk = Talk { stream, heard, unread, body: Some(asking.body), deframer: asking.deframer, held: None };
-    answer(Body { frames: VecDeque::new(), talk: Some(Box::new(talk)) })
+    let talk = Talk {
+        stream,
+        heard,
+        unread,
+        body: Some(asking.body),
+        deframer: asking.deframer,
+        held: None,
+    };
+    answer(Body {
+        frames: VecDeque::new(),
+        talk: Some(Box::new(talk)),
+    })
 }
 
 fn answer<B>(body: Body<B>) -> Response<Body<B>> {
@@ -260,7 +326,10 @@
 /// A reply as the answer that a channel would have given.
 fn response<B>(reply: Reply) -> Response<Body<B>> {
     let message = reply.message.as_ref().map(|m| Frame::data(grpc::frame(m)));
-    let frames = message.into_iter().chain([Frame::trailers(trailers(&reply))]).collect();
+    let frames = message
+        .into_iter()
+        .chain([Frame::trailers(trailers(&reply))])
+        .collect();
     answer(Body { frames, talk: None })
 }
 
@@ -297,7 +366,10 @@
     /// Sends on what the caller has ready, as far as there is room.
     fn send(&mut self, cx: &mut Context<'_>) {
         while self.body.is_some() {
-            let next = self.held.take().map_or_else(|| self.deframer.next(MESSAGE_BYTES), |m| Ok(Some(m)));
+            let next = self
+                .held
+                .take()
+                .map_or_else(|| self.deframer.next(MESSAGE_BYTES), |m| Ok(Some(m)));
             match next {
                 Ok(Some(message)) if self.stream.send(message.clone()).is_err() => {
                     // Goes on when it hears of room.
@@ -311,7 +383,10 @@
             match Pin::new(body).poll_frame(cx) {
                 Poll::Pending => return,
                 Poll::Ready(Some(Ok(frame))) => {
-                    frame.into_data().iter().for_each(|data| self.deframer.push(data));
+                    frame
+                        .into_data()
+                        .iter()
+                        .for_each(|data| self.deframer.push(data));
                 }
                 Poll::Ready(Some(Err(_))) => return self.call_off(),
                 Poll::Ready(None) => {
@@ -336,7 +411,10 @@
 
 impl<B> Drop for Body<B> {
     fn drop(&mut self) {
-        self.talk.take().into_iter().for_each(|talk| talk.stream.cancel());
+        self.talk
+            .take()
+            .into_iter()
+            .for_each(|talk| talk.stream.cancel());
     }
 }
 
@@ -351,7 +429,9 @@
         if let Some(frame) = self.frames.pop_front() {
             return Poll::Ready(Some(Ok(frame)));
         }
-        let Some(talk) = &mut self.talk else { return Poll::Ready(None) };
+        let Some(talk) = &mut self.talk else {
+            return Poll::Ready(None);
+        };
         if talk.unread.load(Ordering::Relaxed) > UNREAD {
             talk.call_off();
         }
--- a/crates/client/src/wire.rs
+++ b/crates/client/src/wire.rs
@@ -7,17 +7,31 @@
 use http::{HeaderMap, HeaderName, HeaderValue};
 use std::net::SocketAddr;
 
-pub(crate) fn head(call: &Call, address: SocketAddr, number: u32, left: u64) -> Option<http::Request<()>> {
+pub(crate) fn head(
+    call: &Call,
+    address: SocketAddr,
+    number: u32,
+    left: u64,
+) -> Option<http::Request<()>> {
     let mut head = grpc::request(&address.to_string(), &call.path)?;
     let headers = head.headers_mut();
     for (name, value) in &call.metadata {
-        headers.insert(HeaderName::from_bytes(name.as_bytes()).ok()?, HeaderValue::from_str(value).ok()?);
+        headers.insert(
+            HeaderName::from_bytes(name.as_bytes()).ok()?,
+            HeaderValue::from_str(value).ok()?,
+        );
     }
     if let Some(key) = &call.key {
-        headers.insert(HeaderName::from_static(grpc::KEY), HeaderValue::from_str(key).ok()?);
+        headers.insert(
+            HeaderName::from_static(grpc::KEY),
+            HeaderValue::from_str(key).ok()?,
+        );
     }
     if number > 0 {
-        headers.insert(HeaderName::from_static(grpc::ATTEMPTS), HeaderValue::from(number));
+        headers.insert(
+            HeaderName::from_static(grpc::ATTEMPTS),
+            HeaderValue::from(number),
+        );
     }
     headers.insert(HeaderName::from_static(grpc::TIMEOUT), grpc::timeout(left));
     Some(head)
@@ -28,7 +42,9 @@
     let pushback = trailers.get(grpc::PUSHBACK);
     match Code::read(trailers) {
         Some(Code::ResourceExhausted) if pushback.is_some() => {
-            let ms = pushback.and_then(|v| v.to_str().ok()).and_then(|v| v.parse::<u64>().ok());
+            let ms = pushback
+                .and_then(|v| v.to_str().ok())
+                .and_then(|v| v.parse::<u64>().ok());
             TryEnd::Refused(ms.map(|ms| ms.saturating_mul(1_000)))
         }
         Some(Code::Unavailable) if trailers.get(grpc::UNPROCESSED).is_some_and(|v| v == "1") => {
@@ -59,7 +75,10 @@
         if line.is_empty() {
             continue;
         }
-        let wrong = |_| FileError::Address { line: i + 1, found: line.to_string() };
+        let wrong = |_| FileError::Address {
+            line: i + 1,
+            found: line.to_string(),
+        };
         addresses.push(line.parse().map_err(wrong)?);
     }
     Ok(addresses)
--- a/crates/contract/src/breaks.rs
+++ b/crates/contract/src/breaks.rs
@@ -126,7 +126,12 @@
         write!(f, "{}: {:?}: {}", self.path, self.rule, self.what)?;
         match &self.witness {
             Witness::Call(call) => write!(f, "; {call}"),
-            Witness::Message { message, written, read, .. } => {
+            Witness::Message {
+                message,
+                written,
+                read,
+                ..
+            } => {
                 write!(f, "; {message} {{ {written} }} is read as {{ {read} }}")
             }
         }
--- a/crates/contract/src/promise.rs
+++ b/crates/contract/src/promise.rs
@@ -59,17 +59,34 @@
 }
 
 /// What of an old promise a new one takes back.
-pub(crate) fn compare(path: &str, old: &Promise, new: &Promise, rests: &Rests, out: &mut Vec<Break>) {
+pub(crate) fn compare(
+    path: &str,
+    old: &Promise,
+    new: &Promise,
+    rests: &Rests,
+    out: &mut Vec<Break>,
+) {
     let mut say = |rule, what: String, call: String| {
-        out.push(Break { path: path.into(), rule, what, witness: Witness::Call(call) });
+        out.push(Break {
+            path: path.into(),
+            rule,
+            what,
+            witness: Witness::Call(call),
+        });
     };
     if new.effect > old.effect {
-        let what = format!("{:?} was promised, {:?} is proposed", old.effect, new.effect);
+        let what = format!(
+            "{:?} was promised, {:?} is proposed",
+            old.effect, new.effect
+        );
         let call = format!("a call of {path} that is sent again after a time-out, as its subscriber may, has its effect twice");
         say(Rule::PromiseEffect, what, call);
     }
     if old.effect == Effect::Keyed && new.effect == Effect::Keyed && new.group < old.group {
-        let what = format!("group {:?} was promised, {:?} is proposed", old.group, new.group);
+        let what = format!(
+            "group {:?} was promised, {:?} is proposed",
+            old.group, new.group
+        );
         let call = format!("a call of {path} that is sent again under its key to a server outside its {:?} has its effect twice", new.group);
         say(Rule::PromiseGroup, what, call);
     }
@@ -80,15 +97,29 @@
         say(Rule::PromiseWindow, what, call);
     }
     for (rule, name, was, is) in [
-        (Rule::PromiseDeadline, "deadline", old.deadline_ms, new.deadline_ms),
+        (
+            Rule::PromiseDeadline,
+            "deadline",
+            old.deadline_ms,
+            new.deadline_ms,
+        ),
         (Rule::PromiseAim, "aim", old.aim_ms, new.aim_ms),
     ] {
         if is < was {
-            let call = format!("a call of {path} that takes {was} ms, as it might, comes after the {name}");
-            say(rule, format!("{name} of {was} ms was promised, {is} ms is proposed"), call);
+            let call = format!(
+                "a call of {path} that takes {was} ms, as it might, comes after the {name}"
+            );
+            say(
+                rule,
+                format!("{name} of {was} ms was promised, {is} ms is proposed"),
+                call,
+            );
         }
     }
-    if let Some(burst) = rests.burst.filter(|burst| new.units > *burst && old.units <= *burst) {
+    if let Some(burst) = rests
+        .burst
+        .filter(|burst| new.units > *burst && old.units <= *burst)
+    {
         let what = format!(
             "{} units were promised, {} are proposed, above a plan's burst of {burst}",
             old.units, new.units
@@ -100,7 +131,11 @@
         );
     }
     if new.density() < old.density() {
-        let what = format!("worth for a unit was {:.3}, {:.3} is proposed", old.density(), new.density());
+        let what = format!(
+            "worth for a unit was {:.3}, {:.3} is proposed",
+            old.density(),
+            new.density()
+        );
         let call = format!("when a site is lost, calls of {path} are refused while the others are served that they stood beside");
         say(Rule::PromiseWorth, what, call);
     }
--- a/crates/contract/src/reads.rs
+++ b/crates/contract/src/reads.rs
@@ -48,18 +48,33 @@
         }
     }
 
-    fn message(&mut self, writer: &MessageDescriptor, reader: &MessageDescriptor, path: &[FieldDescriptor]) {
-        if !self.seen.insert((writer.full_name().to_string(), reader.full_name().to_string())) {
+    fn message(
+        &mut self,
+        writer: &MessageDescriptor,
+        reader: &MessageDescriptor,
+        path: &[FieldDescriptor],
+    ) {
+        if !self.seen.insert((
+            writer.full_name().to_string(),
+            reader.full_name().to_string(),
+        )) {
             return;
         }
-        let pair = Pair { path, writer, reader };
+        let pair = Pair {
+            path,
+            writer,
+            reader,
+        };
         for field in writer.fields() {
             match reader.get_field(field.number()) {
                 Some(other) => self.field(&pair, &field, &other),
                 None => self.only_written(&pair, &field),
             }
         }
-        for field in reader.fields().filter(|f| writer.get_field(f.number()).is_none()) {
+        for field in reader
+            .fields()
+            .filter(|f| writer.get_field(f.number()).is_none())
+        {
             self.only_read(&pair, &field);
         }
         self.oneofs(&pair);
@@ -71,9 +86,18 @@
             Rule::JsonName | Rule::JsonForm => shown_in_json(self.direction, &whole, &self.roots.1),
             _ => shown(self.direction, &whole, &self.roots.1),
         };
-        let names = pair.path.iter().map(|f| f.name().to_string()).chain([field.to_string()]);
+        let names = pair
+            .path
+            .iter()
+            .map(|f| f.name().to_string())
+            .chain([field.to_string()]);
         let path = format!("{} {}", self.place, names.collect::<Vec<_>>().join("."));
-        self.out.push(Break { path, rule, what, witness });
+        self.out.push(Break {
+            path,
+            rule,
+            what,
+            witness,
+        });
     }
 
     /// A message of the writer with one field set.
@@ -89,10 +113,16 @@
     /// The writer has a field that the reader has not.
     fn only_written(&mut self, pair: &Pair, field: &FieldDescriptor) {
         let (older, newer) = self.by_age(pair.writer, pair.reader);
-        let aside = |m: &MessageDescriptor| m.reserved_ranges().any(|r| r.contains(&field.number()));
+        let aside =
+            |m: &MessageDescriptor| m.reserved_ranges().any(|r| r.contains(&field.number()));
         let written = self.telling(field);
         if let Some(moved) = pair.reader.get_field_by_name(field.name()) {
-            let what = format!("'{}' was number {}, and is {}", field.name(), field.number(), moved.number());
+            let what = format!(
+                "'{}' was number {}, and is {}",
+                field.name(),
+                field.number(),
+                moved.number()
+            );
             return self.say(pair, field.name(), Rule::NumberMoved, what, written);
         }
         if self.direction == Direction::Request && !aside(newer) {
@@ -116,7 +146,8 @@
     /// The reader has a field that the writer has not.
     fn only_read(&mut self, pair: &Pair, field: &FieldDescriptor) {
         let (older, newer) = self.by_age(pair.writer, pair.reader);
-        let aside = |m: &MessageDescriptor| m.reserved_ranges().any(|r| r.contains(&field.number()));
+        let aside =
+            |m: &MessageDescriptor| m.reserved_ranges().any(|r| r.contains(&field.number()));
         let empty = DynamicMessage::new(pair.writer.clone());
         if field.is_required() {
             let what = format!("'{}' is required and never written", field.name());
@@ -138,13 +169,19 @@
     /// Fields that could stand together must not shut each other out.
     fn oneofs(&mut self, pair: &Pair) {
         for group in pair.reader.oneofs().filter(|o| !o.is_synthetic()) {
-            let fields: Vec<FieldDescriptor> =
-                group.fields().filter_map(|f| pair.writer.get_field(f.number())).collect();
+            let fields: Vec<FieldDescriptor> = group
+                .fields()
+                .filter_map(|f| pair.writer.get_field(f.number()))
+                .collect();
             let real = |f: &FieldDescriptor| {
-                f.containing_oneof().filter(|o| !o.is_synthetic()).map(|o| o.full_name().to_string())
+                f.containing_oneof()
+                    .filter(|o| !o.is_synthetic())
+                    .map(|o| o.full_name().to_string())
             };
             let apart = fields.iter().enumerate().find_map(|(i, a)| {
-                let other = fields[i + 1..].iter().find(|b| real(a).is_none() || real(a) != real(b))?;
+                let other = fields[i + 1..]
+                    .iter()
+                    .find(|b| real(a).is_none() || real(a) != real(b))?;
                 Some((a.clone(), other.clone()))
             });
             let Some((a, b)) = apart else { continue };
@@ -163,7 +200,8 @@
     fn field(&mut self, pair: &Pair, field: &FieldDescriptor, other: &FieldDescriptor) {
         let written = self.telling(field);
         if holds(field) != holds(other) {
-            let what = format!("{:?} was written, {:?} is read", holds(field), holds(other)).to_lowercase();
+            let what = format!("{:?} was written, {:?} is read", holds(field), holds(other))
+                .to_lowercase();
             return self.say(pair, field.name(), Rule::Cardinality, what, written);
         }
         let (kind, read) = (field.kind(), other.kind());
@@ -183,7 +221,8 @@
         self.presence(pair, field, other);
         match (&kind, &read) {
             (Kind::Message(w), Kind::Message(r)) => {
-                let path: Vec<FieldDescriptor> = pair.path.iter().cloned().chain([field.clone()]).collect();
+                let path: Vec<FieldDescriptor> =
+                    pair.path.iter().cloned().chain([field.clone()]).collect();
                 self.message(w, r, &path);
             }
             (Kind::Enum(w), Kind::Enum(r)) => self.values(pair, field, w, r),
@@ -202,12 +241,24 @@
             return;
         }
         // The old name under a new number: what was written there is read as something else.
-        let elsewhere = pair.reader.get_field_by_name(field.name()).filter(|f| f.number() != field.number());
+        let elsewhere = pair
+            .reader
+            .get_field_by_name(field.name())
+            .filter(|f| f.number() != field.number());
         if let Some(moved) = elsewhere {
-            let what = format!("'{}' was number {}, and is {}", field.name(), field.number(), moved.number());
+            let what = format!(
+                "'{}' was number {}, and is {}",
+                field.name(),
+                field.number(),
+                moved.number()
+            );
             self.say(pair, field.name(), Rule::NumberMoved, what, written);
         } else if self.level == Level::WireAndJson {
-            let what = format!("'{}' was written, '{}' is read", field.json_name(), other.json_name());
+            let what = format!(
+                "'{}' was written, '{}' is read",
+                field.json_name(),
+                other.json_name()
+            );
             self.say(pair, field.name(), Rule::JsonName, what, written);
         }
     }
@@ -256,19 +307,52 @@
                 let moved = reader.get_value_by_name(value.name());
                 let what = match &moved {
                     Some(moved) => {
-                        format!("'{}' was {}, and is {}", value.name(), value.number(), moved.number())
+                        format!(
+                            "'{}' was {}, and is {}",
+                            value.name(),
+                            value.number(),
+                            moved.number()
+                        )
                     }
-                    None => format!("value {} '{}' is not known to its reader", value.number(), value.name()),
+                    None => format!(
+                        "value {} '{}' is not known to its reader",
+                        value.number(),
+                        value.name()
+                    ),
                 };
                 if moved.is_some() {
-                    self.say(pair, field.name(), Rule::EnumReused, what, self.with(field, one()));
+                    self.say(
+                        pair,
+                        field.name(),
+                        Rule::EnumReused,
+                        what,
+                        self.with(field, one()),
+                    );
                 } else if closed || self.level == Level::WireAndJson {
-                    self.say(pair, field.name(), Rule::EnumValue, what, self.with(field, one()));
+                    self.say(
+                        pair,
+                        field.name(),
+                        Rule::EnumValue,
+                        what,
+                        self.with(field, one()),
+                    );
                 }
-            } else if !names.iter().any(|n| n == value.name()) && !writer_has(writer, value.number(), &names)
+            } else if !names.iter().any(|n| n == value.name())
+                && !writer_has(writer, value.number(), &names)
             {
-                let what = format!("number {} was '{}', and is '{}'", value.number(), value.name(), names[0]);
-                self.say(pair, field.name(), Rule::EnumReused, what, self.with(field, one()));
+                let what = format!(
+                    "number {} was '{}', and is '{}'",
+                    value.number(),
+                    value.name(),
+                    names[0]
+                );
+                self.say(
+                    pair,
+                    field.name(),
+                    Rule::EnumReused,
+                    what,
+                    self.with(field, one()),
+                );
             }
         }
     }
@@ -276,7 +360,9 @@
 
 /// Whether the writer has an alias of a number that the reader knows.
 fn writer_has(writer: &EnumDescriptor, number: i32, names: &[String]) -> bool {
-    writer.values().any(|v| v.number() == number && names.iter().any(|n| n == v.name()))
+    writer
+        .values()
+        .any(|v| v.number() == number && names.iter().any(|n| n == v.name()))
 }
 
 fn held_enum(field: &FieldDescriptor, number: i32) -> Value {
--- a/crates/contract/src/spoken.rs
+++ b/crates/contract/src/spoken.rs
@@ -33,7 +33,12 @@
     fn of(&mut self, version: &str, customer: &str) -> &mut Use {
         let uses = self.uses.entry(version.to_string()).or_default();
         let full = uses.len() >= MOST && !uses.contains_key(customer);
-        uses.entry(if full { OTHERS.into() } else { customer.to_string() }).or_default()
+        uses.entry(if full {
+            OTHERS.into()
+        } else {
+            customer.to_string()
+        })
+        .or_default()
     }
     /// A customer subscribes to a version, or no longer does.
     pub fn declare(&mut self, version: &str, customer: &str, on: bool, repeats_ms: Option<u64>) {
@@ -43,7 +48,10 @@
     /// Gateways saw calls.
     pub fn seen(&mut self, version: &str, customer: &str, calls: u64, now_ms: u64) {
         // What is seen after a version was retired is later than that, also within one step of the clock.
-        let now_ms = self.retired.get(version).map_or(now_ms, |at| now_ms.max(at + 1));
+        let now_ms = self
+            .retired
+            .get(version)
+            .map_or(now_ms, |at| now_ms.max(at + 1));
         let of = self.of(version, customer);
         of.calls += calls;
         of.last_ms = of.last_ms.max(Some(now_ms));
@@ -51,9 +59,18 @@
     /// A version counts as spoken no more, whatever was seen until now.
     pub fn retire(&mut self, version: &str, now_ms: u64) {
         let uses = self.uses.get_mut(version);
-        let last = uses.iter().flat_map(|u| u.values()).filter_map(|u| u.last_ms).max();
-        self.retired.insert(version.to_string(), last.map_or(now_ms, |last| now_ms.max(last)));
-        uses.into_iter().flat_map(BTreeMap::values_mut).for_each(|u| u.declared = false);
+        let last = uses
+            .iter()
+            .flat_map(|u| u.values())
+            .filter_map(|u| u.last_ms)
+            .max();
+        self.retired.insert(
+            version.to_string(),
+            last.map_or(now_ms, |last| now_ms.max(last)),
+        );
+        uses.into_iter()
+            .flat_map(BTreeMap::values_mut)
+            .for_each(|u| u.declared = false);
     }
     /// Who speaks a version now: who declared it, and whose last call is younger than `dead_after_ms` and later than a word that retired
     /// it.
@@ -66,7 +83,9 @@
             u.declared || lately
         };
         let uses = self.uses.get(version).into_iter().flatten();
-        uses.filter(|(_, u)| speaks(u)).map(|(c, u)| (c.clone(), u.clone())).collect()
+        uses.filter(|(_, u)| speaks(u))
+            .map(|(c, u)| (c.clone(), u.clone()))
+            .collect()
     }
     /// Versions that somebody speaks.
     pub fn versions(&self, now_ms: u64, dead_after_ms: u64) -> Vec<String> {
@@ -76,7 +95,11 @@
     /// Retired versions that were called since: thought dead, and back.
     pub fn back(&self) -> Vec<String> {
         let back = |(version, at): (&String, &u64)| {
-            let called = self.uses.get(version)?.values().any(|u| u.last_ms > Some(*at));
+            let called = self
+                .uses
+                .get(version)?
+                .values()
+                .any(|u| u.last_ms > Some(*at));
             called.then(|| version.clone())
         };
         self.retired.iter().filter_map(back).collect()
--- a/crates/contract/src/types.rs
+++ b/crates/contract/src/types.rs
@@ -42,7 +42,13 @@
 /// Whether each value written as one kind is read as the same by another.
 pub(crate) fn fit(written: &Kind, read: &Kind, level: Level) -> Fit {
     use Kind::*;
-    let json = |fits| if level == Level::WireAndJson { Fit::NotInJson } else { fits };
+    let json = |fits| {
+        if level == Level::WireAndJson {
+            Fit::NotInJson
+        } else {
+            fits
+        }
+    };
     match (written, read) {
         (Message(_), Message(_)) | (Enum(_), Enum(_)) => Fit::Same,
         // Widening, where both are varints of the same reading.
--- a/crates/contract/src/version.rs
+++ b/crates/contract/src/version.rs
@@ -35,7 +35,10 @@
     Descriptors(String),
     /// No such service.
     #[error("service: '{0}' is not in the descriptors")]
-    #[diagnostic(code(chalkdeck::contract::service), help("give the service's full name, with its package"))]
+    #[diagnostic(
+        code(chalkdeck::contract::service),
+        help("give the service's full name, with its package")
+    )]
     Service(String),
     /// A promise of nothing.
     #[error("promises: '{0}' is no method of the service")]
@@ -72,8 +75,8 @@
         if descriptors.len() > MOST_BYTES {
             return Err(VersionError::TooLong(descriptors.len()));
         }
-        let pool =
-            DescriptorPool::decode(descriptors).map_err(|e| VersionError::Descriptors(e.to_string()))?;
+        let pool = DescriptorPool::decode(descriptors)
+            .map_err(|e| VersionError::Descriptors(e.to_string()))?;
         let found = pool.get_service_by_name(service);
         let service = found.ok_or_else(|| VersionError::Service(service.to_string()))?;
         let methods: Vec<String> = service.methods().map(|m| m.name().to_string()).collect();
@@ -83,6 +86,10 @@
         if let Some(missing) = methods.iter().find(|m| !promises.contains_key(*m)) {
             return Err(VersionError::Promise(missing.clone()));
         }
-        Ok(Version { name: name.to_string(), service, promises })
+        Ok(Version {
+            name: name.to_string(),
+            service,
+            promises,
+        })
     }
 }
--- a/crates/contract/src/walk.rs
+++ b/crates/contract/src/walk.rs
@@ -25,28 +25,56 @@
         let Some(is) = new.service.methods().find(|m| m.name() == was.name()) else {
             let what = "the method is gone".to_string();
             let call = Witness::Call(format!("a call of {path} is answered UNIMPLEMENTED"));
-            out.push(Break { path, rule: Rule::MethodRemoved, what, witness: call });
+            out.push(Break {
+                path,
+                rule: Rule::MethodRemoved,
+                what,
+                witness: call,
+            });
             continue;
         };
         method(&path, &was, &is, level, &mut out);
-        if let (Some(old), Some(new)) = (old.promises.get(was.name()), new.promises.get(was.name())) {
-            let rests = Rests { repeats_ms: bounds.repeats_ms, burst: bounds.burst };
+        if let (Some(old), Some(new)) = (old.promises.get(was.name()), new.promises.get(was.name()))
+        {
+            let rests = Rests {
+                repeats_ms: bounds.repeats_ms,
+                burst: bounds.burst,
+            };
             compare(&path, old, new, &rests, &mut out);
         }
     }
     out
 }
 
-fn method(path: &str, was: &MethodDescriptor, is: &MethodDescriptor, level: Level, out: &mut Vec<Break>) {
+fn method(
+    path: &str,
+    was: &MethodDescriptor,
+    is: &MethodDescriptor,
+    level: Level,
+    out: &mut Vec<Break>,
+) {
     for (way, old, new) in [
-        ("request", was.is_client_streaming(), is.is_client_streaming()),
-        ("answer", was.is_server_streaming(), is.is_server_streaming()),
+        (
+            "request",
+            was.is_client_streaming(),
+            is.is_client_streaming(),
+        ),
+        (
+            "answer",
+            was.is_server_streaming(),
+            is.is_server_streaming(),
+        ),
     ] {
         if old != new {
             let word = |stream| if stream { "a stream" } else { "one message" };
             let what = format!("the {way} was {}, and is {}", word(old), word(new));
             let call = format!("a subscriber of {path} that sends and awaits {} of its {way} hears an error or waits for good", word(old));
-            out.push(Break { path: path.into(), rule: Rule::Streaming, what, witness: Witness::Call(call) });
+            out.push(Break {
+                path: path.into(),
+                rule: Rule::Streaming,
+                what,
+                witness: Witness::Call(call),
+            });
         }
     }
     for (direction, word, roots) in [
@@ -54,6 +82,14 @@
         (Direction::Answer, "answer", (is.output(), was.output())),
     ] {
         let place = format!("{path} {word}");
-        Reads { level, direction, place, roots, seen: HashSet::new(), out }.all();
+        Reads {
+            level,
+            direction,
+            place,
+            roots,
+            seen: HashSet::new(),
+            out,
+        }
+        .all();
     }
 }
--- a/crates/contract/src/witness.rs
+++ b/crates/contract/src/witness.rs
@@ -40,7 +40,10 @@
         Holds::Map => match field.kind().as_message() {
             Some(entry) => {
                 let key = key_of(&entry.map_entry_key_field().kind());
-                Value::Map(HashMap::from([(key, telling(&entry.map_entry_value_field().kind()))]))
+                Value::Map(HashMap::from([(
+                    key,
+                    telling(&entry.map_entry_value_field().kind()),
+                )]))
             }
             None => value,
         },
@@ -101,14 +104,24 @@
 }
 
 /// What a reader makes of a message that was written.
-pub(crate) fn shown(direction: Direction, written: &DynamicMessage, reader: &MessageDescriptor) -> Witness {
+pub(crate) fn shown(
+    direction: Direction,
+    written: &DynamicMessage,
+    reader: &MessageDescriptor,
+) -> Witness {
     let bytes = written.encode_to_vec();
     let read = match DynamicMessage::decode(reader.clone(), &bytes[..]) {
         Ok(message) => message.to_text_format(),
         Err(e) => format!("nothing: {e}"),
     };
     let message = written.descriptor().full_name().to_string();
-    Witness::Message { direction, message, bytes, written: written.to_text_format(), read }
+    Witness::Message {
+        direction,
+        message,
+        bytes,
+        written: written.to_text_format(),
+        read,
+    }
 }
 
 /// The same for the JSON form.
@@ -125,7 +138,13 @@
         Err(e) => format!("nothing: {e}"),
     };
     let message = written.descriptor().full_name().to_string();
-    Witness::Message { direction, message, bytes, written: json, read }
+    Witness::Message {
+        direction,
+        message,
+        bytes,
+        written: json,
+        read,
+    }
 }
 
 /// Bytes with one field of a number and the first wire type, as an earlier version may have written them.
@@ -133,5 +152,6 @@
     let mut bytes = Vec::new();
     prost::encoding::encode_key(number, prost::encoding::WireType::Varint, &mut bytes);
     bytes.push(7);
-    DynamicMessage::decode(root.clone(), &bytes[..]).unwrap_or_else(|_| DynamicMessage::new(root.clone()))
+    DynamicMessage::decode(root.clone(), &bytes[..])
+        .unwrap_or_else(|_| DynamicMessage::new(root.clone()))
 }
