--- a/crates/counter/src/cli.rs
+++ b/crates/counter/src/cli.rs
@@ -73,7 +73,10 @@
     pub fn run(self) -> anyhow::Result<()> {
         match self {
             Command::Serve { config } => {
-                tracing_subscriber::fmt().json().with_writer(std::io::stderr).init();
+                tracing_subscriber::fmt()
+                    .json()
+                    .with_writer(std::io::stderr)
+                    .init();
                 let settings = Settings::load(&config)?;
                 serve::run(&settings, &Signals::take()?)
             }
@@ -91,7 +94,11 @@
 impl FolderArgs {
     fn open(&self) -> anyhow::Result<Folder> {
         // Looking must not make one.
-        anyhow::ensure!(self.folder.is_dir(), "{}: expected a folder", self.folder.display());
+        anyhow::ensure!(
+            self.folder.is_dir(),
+            "{}: expected a folder",
+            self.folder.display()
+        );
         Folder::open(&self.folder).with_context(|| self.folder.display().to_string())
     }
 }
@@ -105,7 +112,12 @@
             LogCommand::Dump(args) => dump(&args.open()?, &mut out),
             LogCommand::Replay { folder, until } => {
                 let replayed = log::replay(&folder.open()?, Limits::default(), until)?;
-                writeln!(out, "# position {} time {}", replayed.held.position(), replayed.held.time())?;
+                writeln!(
+                    out,
+                    "# position {} time {}",
+                    replayed.held.position(),
+                    replayed.held.time()
+                )?;
                 for t in replayed.held.all() {
                     writeln!(out, "{:016x} {} until {}", t.name, t.total, t.until)?;
                 }
@@ -170,7 +182,13 @@
 
 fn dump_batch(at: usize, batch: &Batch, out: &mut impl Write) -> anyhow::Result<()> {
     let adds = log::adds_of(batch).context("expected columns of one length")?;
-    writeln!(out, "offset {at}: position {} time {} adds {}", batch.position, batch.time, adds.len())?;
+    writeln!(
+        out,
+        "offset {at}: position {} time {} adds {}",
+        batch.position,
+        batch.time,
+        adds.len()
+    )?;
     for a in adds {
         writeln!(
             out,
@@ -187,7 +205,9 @@
     write!(stream, "GET /top HTTP/1.1\r\nhost: {admin}\r\n\r\n")?;
     let mut answer = String::new();
     stream.read_to_string(&mut answer)?;
-    let (_, body) = answer.split_once("\r\n\r\n").context("expected an HTTP answer")?;
+    let (_, body) = answer
+        .split_once("\r\n\r\n")
+        .context("expected an HTTP answer")?;
     print!("{body}");
     Ok(())
 }
--- a/crates/counter/src/log.rs
+++ b/crates/counter/src/log.rs
@@ -43,7 +43,12 @@
 /// The adds of a batch; none if its columns differ in length.
 pub fn adds_of(batch: &Batch) -> Option<Vec<Add>> {
     let len = batch.names.len();
-    let columns = [batch.amounts.len(), batch.lifetimes.len(), batch.callers.len(), batch.numbers.len()];
+    let columns = [
+        batch.amounts.len(),
+        batch.lifetimes.len(),
+        batch.callers.len(),
+        batch.numbers.len(),
+    ];
     if columns.iter().any(|c| *c != len) || batch.amounts.iter().any(|a| !a.is_finite()) {
         return None;
     }
--- a/crates/counter/src/meters.rs
+++ b/crates/counter/src/meters.rs
@@ -49,16 +49,31 @@
             epoch: Gauge::default(),
             closed: Gauge::default(),
         };
-        m.registry.register("answers", "Adds by the status of their answer", statuses);
-        m.registry.register("batch_adds", "Adds in one batch", m.batches.clone());
-        m.registry.register_with_unit("write", "A batch on the disk", Unit::Seconds, m.wrote.clone());
+        m.registry
+            .register("answers", "Adds by the status of their answer", statuses);
+        m.registry
+            .register("batch_adds", "Adds in one batch", m.batches.clone());
+        m.registry.register_with_unit(
+            "write",
+            "A batch on the disk",
+            Unit::Seconds,
+            m.wrote.clone(),
+        );
         for (name, help, gauge) in [
             ("names", "Names in memory", &m.names),
-            ("callers", "Callers whose numbers are remembered", &m.callers),
+            (
+                "callers",
+                "Callers whose numbers are remembered",
+                &m.callers,
+            ),
             ("waiting", "Adds that wait for a batch", &m.waiting),
             ("position", "Adds counted by this incarnation", &m.position),
             ("epoch", "Starts of this incarnation", &m.epoch),
-            ("log_closed", "1: the disk failed and nothing more is counted", &m.closed),
+            (
+                "log_closed",
+                "1: the disk failed and nothing more is counted",
+                &m.closed,
+            ),
         ] {
             m.registry.register(name, help, gauge.clone());
         }
--- a/crates/counter/src/serve.rs
+++ b/crates/counter/src/serve.rs
@@ -75,26 +75,48 @@
     /// Reads the folder back and binds the ports. Errors: damage, the disk, a port taken.
     pub fn start(part: &Part, settings: &Settings) -> anyhow::Result<Service> {
         let mut engine = Engine::new()?;
-        let limits = Limits { streams: 20_000, ..Limits::default() };
-        let (mut counts, mut identity) =
-            (Counts::new(settings.limits), Identity { incarnation: incarnation(engine.now()), epoch: 1 });
+        let limits = Limits {
+            streams: 20_000,
+            ..Limits::default()
+        };
+        let (mut counts, mut identity) = (
+            Counts::new(settings.limits),
+            Identity {
+                incarnation: incarnation(engine.now()),
+                epoch: 1,
+            },
+        );
         let (mut writer, mut disk) = (None, None);
         if let Some(path) = &part.folder {
-            let folder = Folder::open(path).map_err(|e| anyhow::anyhow!("folder {}: {e}", path.display()))?;
+            let folder = Folder::open(path)
+                .map_err(|e| anyhow::anyhow!("folder {}: {e}", path.display()))?;
             let opened = log::open(folder.clone(), settings.limits, identity.incarnation)
                 .map_err(|e| anyhow::anyhow!("folder {}: {e}", path.display()))?;
-            let Opened { log, held: found_counts, found } = opened;
+            let Opened {
+                log,
+                held: found_counts,
+                found,
+            } = opened;
             say(path, &found, &found_counts, log.identity);
             (counts, identity) = (found_counts, log.identity);
             let promise = match settings.promise {
                 wire::Promise::Write => Promise::Write,
                 _ => Promise::Sync,
             };
-            writer = Some(Writer::start(folder.clone(), log, promise, engine.waker()?)?);
+            writer = Some(Writer::start(
+                folder.clone(),
+                log,
+                promise,
+                engine.waker()?,
+            )?);
             disk = Some(folder);
         }
         let (listener, listen) = engine.listen(part.listen, limits, false, false)?;
-        let admin = part.admin.map(|a| engine.listen(a, limits, false, true)).transpose()?.map(|l| l.1);
+        let admin = part
+            .admin
+            .map(|a| engine.listen(a, limits, false, true))
+            .transpose()?
+            .map(|l| l.1);
         Ok(Service {
             engine,
             listener,
@@ -159,17 +181,35 @@
 
     fn on_event(&mut self, event: Event) {
         match event {
-            Event::Opened { conn, stream, head, .. } => match head.uri.path() {
+            Event::Opened {
+                conn, stream, head, ..
+            } => match head.uri.path() {
                 ADDS => {
                     self.engine.respond(stream, grpc::head(), false);
-                    self.askers.insert(stream, Asker { conn, deframer: Deframer::default(), single: false });
+                    self.askers.insert(
+                        stream,
+                        Asker {
+                            conn,
+                            deframer: Deframer::default(),
+                            single: false,
+                        },
+                    );
                 }
                 ADD => {
-                    self.askers.insert(stream, Asker { conn, deframer: Deframer::default(), single: true });
+                    self.askers.insert(
+                        stream,
+                        Asker {
+                            conn,
+                            deframer: Deframer::default(),
+                            single: true,
+                        },
+                    );
                 }
                 other => {
-                    let trailers = grpc::trailers(Code::Unimplemented, &format!("no method {other}"));
-                    self.engine.respond(stream, grpc::trailers_only(trailers), true);
+                    let trailers =
+                        grpc::trailers(Code::Unimplemented, &format!("no method {other}"));
+                    self.engine
+                        .respond(stream, grpc::trailers_only(trailers), true);
                 }
             },
             Event::Data { stream, data } => {
@@ -178,7 +218,8 @@
             }
             Event::End { stream, .. } if self.askers.get(&stream).is_some_and(|a| !a.single) => {
                 self.askers.remove(&stream);
-                self.engine.finish(stream, Some(grpc::trailers(Code::Ok, "")));
+                self.engine
+                    .finish(stream, Some(grpc::trailers(Code::Ok, "")));
             }
             Event::Broken { stream, .. } => drop(self.askers.remove(&stream)),
             // What a lost connection still has waiting is not counted: nobody would hear of it.
@@ -189,10 +230,14 @@
     }
 
     fn on_data(&mut self, stream: StreamId, data: &[u8]) {
-        let Some(asker) = self.askers.get_mut(&stream) else { return };
+        let Some(asker) = self.askers.get_mut(&stream) else {
+            return;
+        };
         asker.deframer.push(data);
         loop {
-            let Some(asker) = self.askers.get_mut(&stream) else { return };
+            let Some(asker) = self.askers.get_mut(&stream) else {
+                return;
+            };
             let (conn, next) = (asker.conn, asker.deframer.next(MOST_BYTES));
             let request = match next {
                 Ok(None) => return,
@@ -203,7 +248,8 @@
                 let trailers = grpc::trailers(Code::InvalidArgument, "expected an AddRequest");
                 match self.askers.remove(&stream) {
                     Some(Asker { single: true, .. }) => {
-                        self.engine.respond(stream, grpc::trailers_only(trailers), true);
+                        self.engine
+                            .respond(stream, grpc::trailers_only(trailers), true);
                     }
                     _ => self.engine.finish(stream, Some(trailers)),
                 }
@@ -243,7 +289,9 @@
         }
         self.meters.batch(asked.len());
         (self.out, self.out_time) = (asked, time);
-        let Some(writer) = &self.writer else { return self.count() };
+        let Some(writer) = &self.writer else {
+            return self.count();
+        };
         let adds: Vec<Add> = self.out.iter().map(|a| a.add).collect();
         writer.batch(self.counts.position(), time, adds);
     }
@@ -262,15 +310,24 @@
 
     fn on_done(&mut self, done: Done) {
         match done {
-            Done::Batch(Written { result: Ok(()), took, bytes }) => {
+            Done::Batch(Written {
+                result: Ok(()),
+                took,
+                bytes,
+            }) => {
                 self.meters.wrote(took);
                 self.grown += bytes as u64;
                 self.count();
                 self.maybe_roll();
             }
-            Done::Batch(Written { result: Err(failed), .. }) => self.on_failed(&failed),
+            Done::Batch(Written {
+                result: Err(failed),
+                ..
+            }) => self.on_failed(&failed),
             Done::Rolled(Ok(())) => {
-                self.writer.iter().for_each(|w| w.snapshot(self.counts.clone()));
+                self.writer
+                    .iter()
+                    .for_each(|w| w.snapshot(self.counts.clone()));
                 self.grown = 0;
             }
             Done::Rolled(Err(e)) | Done::Snapshot(Err(e)) => {
@@ -305,11 +362,15 @@
             return;
         }
         self.snapping = true;
-        self.writer.iter().for_each(|w| w.roll(self.counts.position()));
+        self.writer
+            .iter()
+            .for_each(|w| w.roll(self.counts.position()));
     }
 
     fn last_snapshot(mut self) -> anyhow::Result<()> {
-        let Some(disk) = self.disk.take().filter(|_| !self.closed) else { return Ok(()) };
+        let Some(disk) = self.disk.take().filter(|_| !self.closed) else {
+            return Ok(());
+        };
         // Ends the writer, which syncs what it wrote.
         self.writer = None;
         snapshot::write(&disk, &self.counts, self.identity)?;
@@ -320,18 +381,34 @@
 
     fn answer(&mut self, stream: StreamId, number: u64, total: f64, code: Code) {
         self.meters.answered(code);
-        let Some(asker) = self.askers.get(&stream) else { return };
+        let Some(asker) = self.askers.get(&stream) else {
+            return;
+        };
         let Identity { incarnation, epoch } = self.identity;
         let position = self.counts.position();
-        let answer = AddResponse { total, number, status: code as i32, incarnation, epoch, position };
+        let answer = AddResponse {
+            total,
+            number,
+            status: code as i32,
+            incarnation,
+            epoch,
+            position,
+        };
         if asker.single {
             self.askers.remove(&stream);
             if code != Code::Ok {
-                return self.engine.respond(stream, grpc::trailers_only(grpc::trailers(code, "")), true);
+                return self.engine.respond(
+                    stream,
+                    grpc::trailers_only(grpc::trailers(code, "")),
+                    true,
+                );
             }
             self.engine.respond(stream, grpc::head(), false);
-            self.engine.send(stream, grpc::frame(&answer.encode_to_vec()));
-            return self.engine.finish(stream, Some(grpc::trailers(Code::Ok, "")));
+            self.engine
+                .send(stream, grpc::frame(&answer.encode_to_vec()));
+            return self
+                .engine
+                .finish(stream, Some(grpc::trailers(Code::Ok, "")));
         }
         let out = self.answers.entry(stream).or_default();
         grpc::push_frame(out, &answer);
@@ -352,10 +429,15 @@
     fn on_get(&mut self, conn: ConnId, path: &str) {
         match path {
             "/metrics" => {
-                let text = self.meters.text(&self.counts, self.identity, self.waiting.len());
+                let text = self
+                    .meters
+                    .text(&self.counts, self.identity, self.waiting.len());
                 self.engine.reply(conn, 200, &text);
             }
-            "/healthz" if self.closed => self.engine.reply(conn, 503, "the log is closed; start again\n"),
+            "/healthz" if self.closed => {
+                self.engine
+                    .reply(conn, 503, "the log is closed; start again\n")
+            }
             "/healthz" => self.engine.reply(conn, 200, "ok\n"),
             "/top" => {
                 let mut text = format!(
@@ -367,7 +449,9 @@
                 }
                 self.engine.reply(conn, 200, &text);
             }
-            _ => self.engine.reply(conn, 404, "expected /metrics, /healthz or /top\n"),
+            _ => self
+                .engine
+                .reply(conn, 404, "expected /metrics, /healthz or /top\n"),
         }
     }
 }
@@ -382,9 +466,16 @@
 }
 
 fn say(path: &std::path::Path, found: &Found, counts: &Counts, identity: Identity) {
-    found.bad_snapshots.iter().for_each(|s| tracing::error!("a damaged snapshot was passed over: {s}"));
+    found
+        .bad_snapshots
+        .iter()
+        .for_each(|s| tracing::error!("a damaged snapshot was passed over: {s}"));
     if let Some((file, bytes)) = &found.cut {
-        tracing::warn!(file, bytes, "a torn tail was cut off: its adds were never answered as counted");
+        tracing::warn!(
+            file,
+            bytes,
+            "a torn tail was cut off: its adds were never answered as counted"
+        );
     }
     tracing::info!(
         folder = %path.display(),
@@ -405,20 +496,29 @@
     let services = parts.collect::<anyhow::Result<Vec<Service>>>()?;
     let join = |a: Vec<String>| a.join(",");
     let grpc = join(services.iter().map(|s| s.listen().to_string()).collect());
-    let admin = join(services.iter().filter_map(|s| Some(s.admin()?.to_string())).collect());
+    let admin = join(
+        services
+            .iter()
+            .filter_map(|s| Some(s.admin()?.to_string()))
+            .collect(),
+    );
     println!("ready grpc={grpc} admin={admin}");
     let threads: Vec<_> = services
         .into_iter()
         .map(|service| {
             let signals = signals.clone();
             std::thread::spawn(move || {
-                service.run(&signals).inspect_err(|e| tracing::error!("a part ended: {e:#}"))
+                service
+                    .run(&signals)
+                    .inspect_err(|e| tracing::error!("a part ended: {e:#}"))
             })
         })
         .collect();
     let mut ended = Ok(());
     for thread in threads {
-        let result = thread.join().unwrap_or_else(|_| Err(anyhow::anyhow!("a part panicked")));
+        let result = thread
+            .join()
+            .unwrap_or_else(|_| Err(anyhow::anyhow!("a part panicked")));
         if result.is_err() {
             ended = result;
         }
--- a/crates/counter/src/settings.rs
+++ b/crates/counter/src/settings.rs
@@ -45,7 +45,10 @@
 impl Settings {
     /// Reads a file. Errors name it, and the line or the field with what was expected.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
-        let error = |what: String| SettingsError { file: path.display().to_string(), what };
+        let error = |what: String| SettingsError {
+            file: path.display().to_string(),
+            what,
+        };
         let source = std::fs::read_to_string(path).map_err(|e| error(e.to_string()))?;
         let base = path.parent().unwrap_or(Path::new("."));
         Settings::parse(&source, base).map_err(error)
@@ -71,24 +74,43 @@
             return Err("folder: expected one, or promise: MEMORY without one".into());
         }
         let address = |field: &str, text: &String| {
-            text.parse::<SocketAddr>().map_err(|_| format!("{field}: expected ip:port, found '{text}'"))
+            text.parse::<SocketAddr>()
+                .map_err(|_| format!("{field}: expected ip:port, found '{text}'"))
         };
         let mut parts = Vec::new();
         for (i, listen) in wire.listen.iter().enumerate() {
             let admin = wire.admin.get(i).map(|a| address("admin", a)).transpose()?;
             let folder = base.join(&wire.folder).join(format!("part-{i}"));
             let folder = (promise != wire::Promise::Memory).then_some(folder);
-            parts.push(Part { listen: address("listen", listen)?, admin, folder });
+            parts.push(Part {
+                listen: address("listen", listen)?,
+                admin,
+                folder,
+            });
         }
-        let horizon = if wire.horizon_ms == 0 { default.horizon } else { u64::from(wire.horizon_ms) * 1_000 };
+        let horizon = if wire.horizon_ms == 0 {
+            default.horizon
+        } else {
+            u64::from(wire.horizon_ms) * 1_000
+        };
         let limits = Limits {
             names: or(wire.names, default.names),
             callers: or(wire.callers, default.callers),
             remembered: or(wire.remembered, default.remembered),
             horizon,
         };
-        let snapshot_bytes = if wire.snapshot_bytes == 0 { 64 << 20 } else { wire.snapshot_bytes };
-        Ok(Settings { parts, promise, limits, waiting: or(wire.waiting, 65_536), snapshot_bytes })
+        let snapshot_bytes = if wire.snapshot_bytes == 0 {
+            64 << 20
+        } else {
+            wire.snapshot_bytes
+        };
+        Ok(Settings {
+            parts,
+            promise,
+            limits,
+            waiting: or(wire.waiting, 65_536),
+            snapshot_bytes,
+        })
     }
 }
 
--- a/crates/counter/src/snapshot.rs
+++ b/crates/counter/src/snapshot.rs
@@ -51,7 +51,9 @@
 fn push_caller(out: &mut Vec<u8>, id: u64, caller: &Caller) {
     let seen: Vec<&Seen> = caller.seen.iter().collect();
     let empty: [&[&Seen]; 1] = [&[]];
-    let chunks = seen.chunks(PART).chain(empty.into_iter().filter(|_| seen.is_empty()));
+    let chunks = seen
+        .chunks(PART)
+        .chain(empty.into_iter().filter(|_| seen.is_empty()));
     for chunk in chunks {
         let state = CallerState {
             caller: id,
@@ -61,7 +63,13 @@
             totals: chunk.iter().map(|s| s.total).collect(),
             times: chunk.iter().map(|s| s.at).collect(),
         };
-        record::push(out, &SnapshotPart { callers: vec![state], ..SnapshotPart::default() });
+        record::push(
+            out,
+            &SnapshotPart {
+                callers: vec![state],
+                ..SnapshotPart::default()
+            },
+        );
     }
 }
 
@@ -76,12 +84,18 @@
 
 /// Reads a snapshot, whole or not at all.
 pub fn decode(bytes: &[u8], limits: Limits) -> Result<Decoded, Damage> {
-    let damage = |offset, expected: &str| Damage { offset, expected: expected.into() };
+    let damage = |offset, expected: &str| Damage {
+        offset,
+        expected: expected.into(),
+    };
     let head = record::body(bytes, 0).ok_or_else(|| damage(0, "a sound record"))?;
     let mut at = record::FRAME + head.len();
     let head = SnapshotHead::decode(head).map_err(|_| damage(0, "the head of a snapshot"))?;
     if head.version != VERSION {
-        return Err(damage(0, &format!("version {VERSION}, found {}", head.version)));
+        return Err(damage(
+            0,
+            &format!("version {VERSION}, found {}", head.version),
+        ));
     }
     let mut counts = Counts::new(limits);
     (counts.position, counts.time, counts.forgotten) = (head.position, head.time, head.forgotten);
@@ -95,7 +109,13 @@
         let expected = format!("{} names and {} callers", head.names, head.callers);
         return Err(damage(bytes.len(), &expected));
     }
-    Ok(Decoded { counts, identity: Identity { incarnation: head.incarnation, epoch: head.epoch } })
+    Ok(Decoded {
+        counts,
+        identity: Identity {
+            incarnation: head.incarnation,
+            epoch: head.epoch,
+        },
+    })
 }
 
 fn take(counts: &mut Counts, part: SnapshotPart) -> Option<()> {
--- a/crates/counter/src/state.rs
+++ b/crates/counter/src/state.rs
@@ -22,7 +22,12 @@
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { names: 2_000_000, callers: 1_024, remembered: 16_384, horizon: 30_000_000 }
+        Limits {
+            names: 2_000_000,
+            callers: 1_024,
+            remembered: 16_384,
+            horizon: 30_000_000,
+        }
     }
 }
 
@@ -91,7 +96,9 @@
         self.seen.insert(place, seen);
         let old = |s: &Seen| s.at.saturating_add(limits.horizon) < seen.at;
         while self.seen.len() > limits.remembered || self.seen.front().is_some_and(old) {
-            let Some(dropped) = self.seen.pop_front() else { break };
+            let Some(dropped) = self.seen.pop_front() else {
+                break;
+            };
             self.floor = self.floor.max(dropped.number);
         }
     }
@@ -114,7 +121,10 @@
 impl Counts {
     /// Nothing counted yet.
     pub fn new(limits: Limits) -> Counts {
-        Counts { limits, ..Counts::default() }
+        Counts {
+            limits,
+            ..Counts::default()
+        }
     }
     /// Adds that were counted.
     pub fn position(&self) -> u64 {
@@ -130,13 +140,21 @@
     }
     /// The total of a name, if it is kept and has not ended.
     pub fn total(&self, name: u64) -> Option<f64> {
-        self.names.get(&name).filter(|n| n.until > self.time).map(|n| n.total)
+        self.names
+            .get(&name)
+            .filter(|n| n.until > self.time)
+            .map(|n| n.total)
     }
     /// All names that have not ended, with their totals and ends, by number.
     pub fn all(&self) -> Vec<Total> {
         let live = self.names.iter().filter(|(_, n)| n.until > self.time);
-        let mut all: Vec<Total> =
-            live.map(|(&name, n)| Total { name, total: n.total, until: n.until }).collect();
+        let mut all: Vec<Total> = live
+            .map(|(&name, n)| Total {
+                name,
+                total: n.total,
+                until: n.until,
+            })
+            .collect();
         all.sort_unstable_by_key(|t| t.name);
         all
     }
@@ -149,7 +167,9 @@
     /// Whether an add may be written to the log. What passes is counted by `apply`, whatever came between; what arrived
     /// before passes too, and hears its total there.
     pub fn check(&self, add: &Add) -> Result<(), Refusal> {
-        if !add.amount.is_finite() || !(self.total(add.name).unwrap_or(0.0) + add.amount).is_finite() {
+        if !add.amount.is_finite()
+            || !(self.total(add.name).unwrap_or(0.0) + add.amount).is_finite()
+        {
             return Err(Refusal::NotFinite);
         }
         if add.caller != 0 {
@@ -173,7 +193,11 @@
     /// Counts an add that passed `check`, and returns the total it hears. One that arrived before counts once.
     pub fn apply(&mut self, time: u64, add: &Add) -> f64 {
         self.time = self.clock(time);
-        let place = match self.callers.get(&add.caller).map(|c| (c, c.find(add.number))) {
+        let place = match self
+            .callers
+            .get(&add.caller)
+            .map(|c| (c, c.find(add.number)))
+        {
             Some((caller, Ok(place))) => return caller.seen[place].total,
             Some((_, Err(place))) => place,
             None => 0,
@@ -184,20 +208,30 @@
         if add.caller == 0 {
             return total;
         }
-        let seen = Seen { number: add.number, total, at: self.time };
+        let seen = Seen {
+            number: add.number,
+            total,
+            at: self.time,
+        };
         if let Some(caller) = self.callers.get_mut(&add.caller) {
             caller.remember(place, seen, &self.limits);
             return total;
         }
         self.room_for_caller();
-        self.callers.entry(add.caller).or_default().remember(0, seen, &self.limits);
+        self.callers
+            .entry(add.caller)
+            .or_default()
+            .remember(0, seen, &self.limits);
         total
     }
 
     fn add(&mut self, add: &Add) -> f64 {
         let until = self.time.saturating_add(add.lifetime);
         let time = self.time;
-        let name = self.names.entry(add.name).or_insert(Name { total: 0.0, until: 0 });
+        let name = self.names.entry(add.name).or_insert(Name {
+            total: 0.0,
+            until: 0,
+        });
         if name.until <= time {
             self.ends.remove(&(name.until, add.name));
             self.ends.insert((until, add.name));
@@ -210,7 +244,9 @@
 
     fn sweep(&mut self) {
         for _ in 0..SWEEP {
-            let Some(&(until, name)) = self.ends.first().filter(|e| e.0 <= self.time) else { return };
+            let Some(&(until, name)) = self.ends.first().filter(|e| e.0 <= self.time) else {
+                return;
+            };
             self.ends.remove(&(until, name));
             self.names.remove(&name);
         }
--- a/crates/counter/src/waiting.rs
+++ b/crates/counter/src/waiting.rs
@@ -15,7 +15,12 @@
 impl<K: Copy + Eq + std::hash::Hash, T> Waiting<K, T> {
     /// At most so many in all, and a quarter of them of one connection.
     pub fn new(most: usize) -> Waiting<K, T> {
-        Waiting { queues: FxHashMap::default(), turns: VecDeque::new(), len: 0, most }
+        Waiting {
+            queues: FxHashMap::default(),
+            turns: VecDeque::new(),
+            len: 0,
+            most,
+        }
     }
     /// How many wait.
     pub fn len(&self) -> usize {
@@ -42,8 +47,12 @@
     pub fn take(&mut self, most: usize) -> Vec<T> {
         let mut out = Vec::with_capacity(most.min(self.len));
         while out.len() < most {
-            let Some(key) = self.turns.pop_front() else { break };
-            let Some(queue) = self.queues.get_mut(&key) else { continue };
+            let Some(key) = self.turns.pop_front() else {
+                break;
+            };
+            let Some(queue) = self.queues.get_mut(&key) else {
+                continue;
+            };
             out.extend(queue.pop_front());
             if queue.is_empty() {
                 self.queues.remove(&key);
--- a/crates/counter/src/writer.rs
+++ b/crates/counter/src/writer.rs
@@ -64,7 +64,12 @@
 
 impl Writer {
     /// Starts the thread, and one for snapshots.
-    pub fn start<D: Disk>(disk: D, log: Log<D>, promise: Promise, waker: LoopWaker) -> io::Result<Writer> {
+    pub fn start<D: Disk>(
+        disk: D,
+        log: Log<D>,
+        promise: Promise,
+        waker: LoopWaker,
+    ) -> io::Result<Writer> {
         let (work, inbox) = channel();
         let (snaps, snap_inbox) = channel();
         let (tell, done) = channel();
@@ -73,7 +78,8 @@
         let (snap_tell, snap_waker) = (tell.clone(), waker.clone());
         let snapshots = move || {
             while let Ok(counts) = snap_inbox.recv() {
-                let written = snapshot::write(&disk, &counts, identity).and_then(|()| log::trim(&disk));
+                let written =
+                    snapshot::write(&disk, &counts, identity).and_then(|()| log::trim(&disk));
                 let _ = snap_tell.send(Done::Snapshot(written));
                 let _ = snap_waker.wake();
             }
@@ -86,13 +92,24 @@
             std::thread::Builder::new()
                 .name("log".into())
                 .spawn(move || write(log, promise, &inbox, tell))?,
-            std::thread::Builder::new().name("snapshots".into()).spawn(snapshots)?,
+            std::thread::Builder::new()
+                .name("snapshots".into())
+                .spawn(snapshots)?,
         ];
-        Ok(Writer { work: Some(work), done, threads, snaps: Some(snaps) })
+        Ok(Writer {
+            work: Some(work),
+            done,
+            threads,
+            snaps: Some(snaps),
+        })
     }
     /// Writes adds that count from a position on at a time. The caller waits for `Done::Batch` before the next.
     pub fn batch(&self, position: u64, time: u64, adds: Vec<Add>) {
-        self.give(Work::Batch(Batch { position, time, adds }));
+        self.give(Work::Batch(Batch {
+            position,
+            time,
+            adds,
+        }));
     }
     /// Begins a new segment at a position, behind the batches that were given.
     pub fn roll(&self, position: u64) {
@@ -128,18 +145,29 @@
     let mut behind = false;
     let mut record = Vec::new();
     loop {
-        let wait = if behind { SYNC_EVERY.saturating_sub(synced.elapsed()) } else { Duration::MAX };
+        let wait = if behind {
+            SYNC_EVERY.saturating_sub(synced.elapsed())
+        } else {
+            Duration::MAX
+        };
         match inbox.recv_timeout(wait) {
             Ok(Work::Batch(batch)) => {
                 let begun = Instant::now();
                 record.clear();
                 log::encode(&mut record, batch.position, batch.time, &batch.adds);
                 let written = log.append(&record);
-                let written =
-                    if promise == Promise::Sync { written.and_then(|()| log.sync()) } else { written };
+                let written = if promise == Promise::Sync {
+                    written.and_then(|()| log.sync())
+                } else {
+                    written
+                };
                 behind = promise == Promise::Write;
                 let (took, bytes) = (begun.elapsed(), record.len());
-                tell(Done::Batch(Written { result: written, took, bytes }));
+                tell(Done::Batch(Written {
+                    result: written,
+                    took,
+                    bytes,
+                }));
             }
             Ok(Work::Roll(position)) => tell(Done::Rolled(log.roll(position))),
             Err(RecvTimeoutError::Timeout) => {}
--- a/crates/door/src/lib.rs
+++ b/crates/door/src/lib.rs
@@ -146,7 +146,9 @@
     /// Bytes that its maps and queues hold at the most, whatever comes.
     pub fn most_bytes(&self) -> usize {
         let waiter = std::mem::size_of::<Waiter>() + 48;
-        self.set.waiting * 2 * waiter + self.set.inside * 64 + (self.set.own + self.set.hashed) * 256
+        self.set.waiting * 2 * waiter
+            + self.set.inside * 64
+            + (self.set.own + self.set.hashed) * 256
     }
 
     /// Takes a request in; it waits for the next `turn`, or is refused at once.
@@ -161,7 +163,10 @@
         if full || wait > longest as f64 {
             return Some(self.refuse(wait, offer));
         }
-        let waiter = Waiter { offer, until: now.saturating_add(longest) };
+        let waiter = Waiter {
+            offer,
+            until: now.saturating_add(longest),
+        };
         self.queues.push(place, waiter);
         self.held.insert(offer.id, place);
         if self.held.len() <= self.set.waiting {
@@ -181,7 +186,9 @@
         let mut passes = 0;
         while passes < self.set.each_turn && self.inside.len() < self.set.inside {
             let most = self.most_of_one();
-            let Some(next) = self.queues.next(self.set.quantum, most) else { break };
+            let Some(next) = self.queues.next(self.set.quantum, most) else {
+                break;
+            };
             let Waiter { offer, until } = next.waiter;
             self.held.remove(&offer.id);
             if until < now {
@@ -208,7 +215,11 @@
             return None;
         }
         let blocked = self.inside.len() >= self.set.inside;
-        Some(if blocked { now + self.set.longest / 10 } else { now })
+        Some(if blocked {
+            now + self.set.longest / 10
+        } else {
+            now
+        })
     }
 
     /// A request that passed has its final answer.
@@ -220,7 +231,9 @@
 
     /// A waiting request is no longer wanted; whether it waited.
     pub fn gone(&mut self, id: u64) -> bool {
-        let Some(place) = self.held.remove(&id) else { return false };
+        let Some(place) = self.held.remove(&id) else {
+            return false;
+        };
         self.queues.remove(place, id);
         true
     }
@@ -247,9 +260,14 @@
 
     /// Never before the studio's quota has room and the queue ahead is gone; spread, so that those who return do not meet.
     fn refuse(&mut self, wait: f64, offer: Offer) -> Verdict {
-        let back = wait.max(offer.refill as f64).max(self.set.longest as f64 / 4.0);
+        let back = wait
+            .max(offer.refill as f64)
+            .max(self.set.longest as f64 / 4.0);
         let spread = 1.0 + self.set.spread * self.rng.f64();
-        Verdict::Refuse { id: offer.id, back: (back * spread) as u64 }
+        Verdict::Refuse {
+            id: offer.id,
+            back: (back * spread) as u64,
+        }
     }
 
     fn seen(&mut self, now: u64) {
@@ -258,7 +276,11 @@
             return;
         }
         let of_late = self.passed / (gone as f64 / 1e6);
-        self.rate = if self.rate == 0.0 { of_late } else { 0.5 * (self.rate + of_late) };
+        self.rate = if self.rate == 0.0 {
+            of_late
+        } else {
+            0.5 * (self.rate + of_late)
+        };
         (self.since, self.passed) = (now, 0.0);
     }
 }
--- a/crates/door/src/queues.rs
+++ b/crates/door/src/queues.rs
@@ -36,7 +36,11 @@
 impl Queues {
     pub(crate) fn new(own: usize, hashed: usize) -> Queues {
         let queues = (0..own + hashed.max(1)).map(|_| Queue::default()).collect();
-        Queues { queues, own, round: VecDeque::new() }
+        Queues {
+            queues,
+            own,
+            round: VecDeque::new(),
+        }
     }
 
     fn index(&self, place: usize) -> usize {
@@ -90,7 +94,10 @@
             queue.deficit -= first.offer.units;
             queue.units -= first.offer.units;
             queue.waiting.pop_front();
-            return Some(Placed { place, waiter: first });
+            return Some(Placed {
+                place,
+                waiter: first,
+            });
         }
         None
     }
@@ -103,7 +110,10 @@
             while let Some(first) = queue.waiting.front().copied().filter(|w| w.until < now) {
                 queue.units -= first.offer.units;
                 queue.waiting.pop_front();
-                out.push(Placed { place, waiter: first });
+                out.push(Placed {
+                    place,
+                    waiter: first,
+                });
             }
         }
         out
@@ -112,7 +122,11 @@
     /// The queue with the most units waiting for its weight.
     pub(crate) fn longest(&self) -> usize {
         let length = |p: &usize| self.queues[*p].units / self.queues[*p].weight.max(1e-3);
-        self.round.iter().copied().max_by(|a, b| length(a).total_cmp(&length(b))).unwrap_or(0)
+        self.round
+            .iter()
+            .copied()
+            .max_by(|a, b| length(a).total_cmp(&length(b)))
+            .unwrap_or(0)
     }
 
     pub(crate) fn pop_last(&mut self, place: usize) -> Option<Waiter> {
@@ -132,7 +146,10 @@
 
     /// Queues with somebody waiting or inside.
     pub(crate) fn busy(&self) -> usize {
-        self.queues.iter().filter(|q| !q.waiting.is_empty() || q.inside > 0).count()
+        self.queues
+            .iter()
+            .filter(|q| !q.waiting.is_empty() || q.inside > 0)
+            .count()
     }
 
     /// The weights of the queues in the round.
--- a/crates/drill/src/settings.rs
+++ b/crates/drill/src/settings.rs
@@ -20,8 +20,15 @@
 /// Reads settings that are told in another form, as text values by their paths (`classes.count`, `classes.0.name`). Errors name
 /// the path, what was expected and what was found.
 pub fn read_paths(paths: &HashMap<String, String>) -> std::result::Result<Read, WireError> {
-    let pairs = paths.iter().map(|(k, v)| (k.as_str(), v.as_str())).collect();
-    read(&Fields { at: 0, message: "settings", pairs })
+    let pairs = paths
+        .iter()
+        .map(|(k, v)| (k.as_str(), v.as_str()))
+        .collect();
+    read(&Fields {
+        at: 0,
+        message: "settings",
+        pairs,
+    })
 }
 
 /// The number of a server's name, the same at every gateway: its FNV-1a hash.
@@ -119,5 +126,10 @@
         tip_after: f.micros_or("rules.tip_after", 0)?,
         tick: f.micros_or("tick", 0)?,
     };
-    Ok(Read { settings, classes, plans, zones })
+    Ok(Read {
+        settings,
+        classes,
+        plans,
+        zones,
+    })
 }
--- a/crates/duty/src/lease.rs
+++ b/crates/duty/src/lease.rs
@@ -20,7 +20,12 @@
 impl Lease {
     /// A session that was never granted.
     pub fn new(terms: Terms) -> Lease {
-        Lease { terms, out: VecDeque::new(), next: 0, until: None }
+        Lease {
+            terms,
+            out: VecDeque::new(),
+            next: 0,
+            until: None,
+        }
     }
     /// What was agreed on.
     pub fn terms(&self) -> &Terms {
--- a/crates/duty/src/lib.rs
+++ b/crates/duty/src/lib.rs
@@ -26,7 +26,10 @@
 
 impl Default for Terms {
     fn default() -> Terms {
-        Terms { lease: 6_000_000, drift: 10_000 }
+        Terms {
+            lease: 6_000_000,
+            drift: 10_000,
+        }
     }
 }
 
--- a/crates/duty/src/token.rs
+++ b/crates/duty/src/token.rs
@@ -31,7 +31,10 @@
     /// Whether an effect may be done; from here on none with a smaller token is.
     pub fn pass(&mut self, came: Token) -> Result<(), Stale> {
         if came < self.seen {
-            return Err(Stale { came, seen: self.seen });
+            return Err(Stale {
+                came,
+                seen: self.seen,
+            });
         }
         self.seen = came;
         Ok(())
--- a/crates/duty/src/watch.rs
+++ b/crates/duty/src/watch.rs
@@ -15,7 +15,10 @@
 impl Watch {
     /// Nothing was heard.
     pub fn new(terms: Terms) -> Watch {
-        Watch { terms, heard: HashMap::new() }
+        Watch {
+            terms,
+            heard: HashMap::new(),
+        }
     }
     /// A renewal was applied here now: `renewed` is its place in the agreed log.
     pub fn applied(&mut self, session: u64, renewed: u64, now: u64) {
@@ -28,7 +31,10 @@
     /// Everything that stands was heard of only now: this keeper was started, or took a state over, and does not know since when
     /// nothing came.
     pub fn begin_anew(&mut self, sessions: impl IntoIterator<Item = (u64, u64)>, now: u64) {
-        self.heard = sessions.into_iter().map(|(session, renewed)| (session, (renewed, now))).collect();
+        self.heard = sessions
+            .into_iter()
+            .map(|(session, renewed)| (session, (renewed, now)))
+            .collect();
     }
     /// Sessions that can no longer stand by their holders' own reckoning, with the renewal that this counts from; in order.
     pub fn lapsed(&self, now: u64) -> Vec<(u64, u64)> {
@@ -44,7 +50,10 @@
     }
     /// The next time at which one can lapse.
     pub fn next(&self) -> Option<u64> {
-        self.heard.values().map(|(_, at)| at + self.terms.waited()).min()
+        self.heard
+            .values()
+            .map(|(_, at)| at + self.terms.waited())
+            .min()
     }
     /// Sessions that are watched.
     pub fn len(&self) -> usize {
--- a/crates/gateway/src/base/failed.rs
+++ b/crates/gateway/src/base/failed.rs
@@ -11,13 +11,18 @@
 pub enum StartError {
     /// The system gives no poll handle.
     #[error("poll: {0}")]
-    #[diagnostic(code(chalkdeck::gateway::poll), help("see the limit of descriptors (ulimit -n)"))]
+    #[diagnostic(
+        code(chalkdeck::gateway::poll),
+        help("see the limit of descriptors (ulimit -n)")
+    )]
     Poll(io::Error),
     /// An address cannot be listened at.
     #[error("cannot listen at {address}: {source}")]
     #[diagnostic(
         code(chalkdeck::gateway::listen),
-        help("see whether another process listens there, and whether the address is this machine's")
+        help(
+            "see whether another process listens there, and whether the address is this machine's"
+        )
     )]
     Listen {
         /// The address.
@@ -73,7 +78,10 @@
     },
     /// Too many sites.
     #[error("expected at most {0} sites kept out")]
-    #[diagnostic(code(chalkdeck::gateway::words_most), help("let back sites that are gone"))]
+    #[diagnostic(
+        code(chalkdeck::gateway::words_most),
+        help("let back sites that are gone")
+    )]
     Most(usize),
 }
 
@@ -82,11 +90,17 @@
 pub enum AskedError {
     /// The settings watch no sites.
     #[error("sites are not watched: settings have no 'sites {{ on: true }}'")]
-    #[diagnostic(code(chalkdeck::gateway::sites_off), help("say it to gateways that watch sites"))]
+    #[diagnostic(
+        code(chalkdeck::gateway::sites_off),
+        help("say it to gateways that watch sites")
+    )]
     Off,
     /// No such word.
     #[error("expected drain, hold or let-back, found '{0}'")]
-    #[diagnostic(code(chalkdeck::gateway::site_word), help("see docs/site-loss.md for what each does"))]
+    #[diagnostic(
+        code(chalkdeck::gateway::site_word),
+        help("see docs/site-loss.md for what each does")
+    )]
     Word(String),
     /// No such site.
     #[error("expected one of {known}, found '{found}'")]
@@ -102,7 +116,10 @@
     },
     /// No such path.
     #[error("expected /sites or /sites/WORD/NAME")]
-    #[diagnostic(code(chalkdeck::gateway::sites_path), help("`chalkdeck site` says it rightly"))]
+    #[diagnostic(
+        code(chalkdeck::gateway::sites_path),
+        help("`chalkdeck site` says it rightly")
+    )]
     Path,
     /// Not kept, so not taken.
     #[error("the word could not be kept: {0}")]
--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -37,7 +37,11 @@
 
 impl Kept {
     pub(crate) fn new(most: usize, ended: bool) -> Kept {
-        Kept { most, ended, ..Kept::default() }
+        Kept {
+            most,
+            ended,
+            ..Kept::default()
+        }
     }
     /// Takes bytes; `forwarded`: an attempt sends them on at once.
     pub(crate) fn take(&mut self, data: &Bytes, forwarded: bool) -> Taken {
@@ -49,11 +53,17 @@
         self.bytes += data.len();
         let fits = self.bytes <= self.most;
         if forwarded {
-            return Taken { consume: 0, gone: self.drop_if(!fits) };
+            return Taken {
+                consume: 0,
+                gone: self.drop_if(!fits),
+            };
         }
         let consume = if fits { data.len() } else { 0 };
         self.consumed += consume;
-        Taken { consume, gone: false }
+        Taken {
+            consume,
+            gone: false,
+        }
     }
     /// An attempt starts: it sends all that came so far.
     pub(crate) fn replay(&mut self) -> Replay {
--- a/crates/gateway/src/calls.rs
+++ b/crates/gateway/src/calls.rs
@@ -16,7 +16,11 @@
     /// Nothing was sent.
     None,
     /// A head and bytes of an attempt are kept back until its end.
-    Held { head: Box<response::Parts>, chunks: Vec<Bytes>, bytes: usize },
+    Held {
+        head: Box<response::Parts>,
+        chunks: Vec<Bytes>,
+        bytes: usize,
+    },
     /// The head was sent; bytes follow as they come.
     Started,
     /// The final answer was sent, or the client is gone.
@@ -80,7 +84,10 @@
     }
     /// The attempt that is out with a stream of its own.
     pub(crate) fn back(&self) -> Option<StreamId> {
-        self.attempts.last().filter(|a| a.out).and_then(|a| a.stream)
+        self.attempts
+            .last()
+            .filter(|a| a.out)
+            .and_then(|a| a.stream)
     }
     pub(crate) fn is_done(&self) -> bool {
         matches!(self.answer, Answer::Done)
@@ -128,11 +135,19 @@
     }
     /// The attempt, while it is out.
     pub(crate) fn attempt(&mut self, id: AttemptId) -> Option<&mut Attempt> {
-        self.by_id.get_mut(&id.call)?.attempts.get_mut(id.number).filter(|a| a.out)
+        self.by_id
+            .get_mut(&id.call)?
+            .attempts
+            .get_mut(id.number)
+            .filter(|a| a.out)
     }
     /// Forgets a call that has its answer and nothing out.
     pub(crate) fn forget_if_over(&mut self, id: RequestId) {
-        if self.by_id.get(&id).is_some_and(|c| c.is_done() && !c.is_out()) {
+        if self
+            .by_id
+            .get(&id)
+            .is_some_and(|c| c.is_done() && !c.is_out())
+        {
             self.by_id.remove(&id);
         }
     }
--- a/crates/gateway/src/counters.rs
+++ b/crates/gateway/src/counters.rs
@@ -34,7 +34,11 @@
         }
         let before = std::mem::replace(
             self,
-            Standing { incarnation: answer.incarnation, epoch: answer.epoch, position: answer.position },
+            Standing {
+                incarnation: answer.incarnation,
+                epoch: answer.epoch,
+                position: answer.position,
+            },
         );
         if before.incarnation == 0 {
             None
@@ -66,13 +70,21 @@
         &mut self.parts[part]
     }
     pub(crate) fn next_timeout(&mut self) -> Option<u64> {
-        self.parts.iter_mut().filter_map(Counter::next_timeout).min()
+        self.parts
+            .iter_mut()
+            .filter_map(Counter::next_timeout)
+            .min()
     }
     pub(crate) fn timed_out(&mut self, engine: &mut Engine) -> Vec<Told> {
-        self.parts.iter_mut().flat_map(|p| p.timed_out(engine)).collect()
+        self.parts
+            .iter_mut()
+            .flat_map(|p| p.timed_out(engine))
+            .collect()
     }
     pub(crate) fn connected(&mut self, engine: &mut Engine, conn: ConnId) -> Option<Vec<Told>> {
-        self.parts.iter_mut().find_map(|p| p.connected(engine, conn))
+        self.parts
+            .iter_mut()
+            .find_map(|p| p.connected(engine, conn))
     }
     pub(crate) fn closed(&mut self, conn: ConnId) -> Option<Vec<Told>> {
         self.parts.iter_mut().find_map(|p| p.closed(conn))
@@ -87,7 +99,10 @@
     }
     /// What the parts' answers told since the last look.
     pub(crate) fn news(&mut self) -> Vec<News> {
-        self.parts.iter_mut().flat_map(|p| p.news.drain(..)).collect()
+        self.parts
+            .iter_mut()
+            .flat_map(|p| p.news.drain(..))
+            .collect()
     }
 }
 
--- a/crates/gateway/src/counters/tests.rs
+++ b/crates/gateway/src/counters/tests.rs
@@ -3,7 +3,12 @@
 use super::*;
 
 fn answer(incarnation: u64, epoch: u64, position: u64) -> AddResponse {
-    AddResponse { incarnation, epoch, position, ..AddResponse::default() }
+    AddResponse {
+        incarnation,
+        epoch,
+        position,
+        ..AddResponse::default()
+    }
 }
 
 #[test]
--- a/crates/gateway/src/endpoints.rs
+++ b/crates/gateway/src/endpoints.rs
@@ -49,10 +49,13 @@
 pub fn read(path: &Path, bytes: &[u8]) -> Result<Vec<Server>, ListError> {
     let ending = path.extension().and_then(|e| e.to_str()).unwrap_or("");
     let list = if ["txtpb", "textproto", "pb_text"].contains(&ending) {
-        let Ok(text) = std::str::from_utf8(bytes) else { return bad("expected UTF-8 text") };
+        let Ok(text) = std::str::from_utf8(bytes) else {
+            return bad("expected UTF-8 text");
+        };
         text::parse(MESSAGE, text).map_err(|e| ListError(e.to_string()))?
     } else {
-        ClusterLoadAssignment::decode(bytes).map_err(|e| ListError(format!("expected {MESSAGE}: {e}")))?
+        ClusterLoadAssignment::decode(bytes)
+            .map_err(|e| ListError(format!("expected {MESSAGE}: {e}")))?
     };
     servers(&list)
 }
@@ -66,13 +69,19 @@
             let server = server(locality, endpoint)
                 .map_err(|e| ListError(format!("endpoints[{i}].lb_endpoints[{k}]: {e}")))?;
             if !known.insert(server.entry.server) {
-                return bad(format!("endpoints[{i}].lb_endpoints[{k}]: {} is listed twice", server.address));
+                return bad(format!(
+                    "endpoints[{i}].lb_endpoints[{k}]: {} is listed twice",
+                    server.address
+                ));
             }
             out.push(server);
         }
     }
     if out.len() > MOST {
-        return bad(format!("expected at most {MOST} endpoints, found {}", out.len()));
+        return bad(format!(
+            "expected at most {MOST} endpoints, found {}",
+            out.len()
+        ));
     }
     Ok(out)
 }
@@ -81,9 +90,18 @@
     let address = address_of(endpoint)?;
     let zone = locality.locality.as_ref().map_or("", |l| l.zone.as_str());
     let listed = match HealthStatus::try_from(endpoint.health_status) {
-        Ok(HealthStatus::Unknown | HealthStatus::Healthy | HealthStatus::Degraded) => Listed::InService,
-        Ok(HealthStatus::Draining | HealthStatus::Unhealthy | HealthStatus::Timeout) => Listed::Draining,
-        Err(_) => return bad(format!("health_status: {} is not known", endpoint.health_status)),
+        Ok(HealthStatus::Unknown | HealthStatus::Healthy | HealthStatus::Degraded) => {
+            Listed::InService
+        }
+        Ok(HealthStatus::Draining | HealthStatus::Unhealthy | HealthStatus::Timeout) => {
+            Listed::Draining
+        }
+        Err(_) => {
+            return bad(format!(
+                "health_status: {} is not known",
+                endpoint.health_status
+            ))
+        }
     };
     let weight = endpoint.load_balancing_weight.unwrap_or(1);
     let cell = match field(endpoint, "cell") {
@@ -112,12 +130,19 @@
     };
     let contract = match field(endpoint, "contract") {
         None => None,
-        Some(Kind::StringValue(contract)) if contract.split(' ').count() == 2 => Some(contract.clone()),
-        Some(_) => {
-            return bad("metadata chalkdeck.contract: expected a service and its version, parted by a space")
+        Some(Kind::StringValue(contract)) if contract.split(' ').count() == 2 => {
+            Some(contract.clone())
         }
+        Some(_) => return bad(
+            "metadata chalkdeck.contract: expected a service and its version, parted by a space",
+        ),
     };
-    Ok(Server { address, zone_name: zone.to_string(), contract, entry })
+    Ok(Server {
+        address,
+        zone_name: zone.to_string(),
+        contract,
+        entry,
+    })
 }
 
 fn address_of(endpoint: &LbEndpoint) -> Result<SocketAddr, ListError> {
@@ -133,13 +158,24 @@
         return bad("socket_address: expected a port_value");
     };
     let (Ok(ip), Ok(port)) = (socket.address.parse(), u16::try_from(port)) else {
-        return bad(format!("socket_address: expected an IP and a port, found {}:{port}", socket.address));
+        return bad(format!(
+            "socket_address: expected an IP and a port, found {}:{port}",
+            socket.address
+        ));
     };
     Ok(SocketAddr::new(ip, port))
 }
 
 fn field<'a>(endpoint: &'a LbEndpoint, name: &str) -> Option<&'a Kind> {
-    endpoint.metadata.as_ref()?.filter_metadata.get("chalkdeck")?.fields.get(name)?.kind.as_ref()
+    endpoint
+        .metadata
+        .as_ref()?
+        .filter_metadata
+        .get("chalkdeck")?
+        .fields
+        .get(name)?
+        .kind
+        .as_ref()
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -14,7 +14,11 @@
 
 impl Entry {
     pub(crate) fn new(set: Settings) -> Entry {
-        Entry { door: Door::new(set), arrivals: FxHashMap::default(), verdicts: Vec::new() }
+        Entry {
+            door: Door::new(set),
+            arrivals: FxHashMap::default(),
+            verdicts: Vec::new(),
+        }
     }
 }
 
@@ -23,11 +27,23 @@
     pub(crate) fn enter(&mut self, arrival: Arrival) {
         self.site_offered(&arrival);
         let now = self.engine.now();
-        let Shell { entry: Some(entry), decisions, set, .. } = self else {
+        let Shell {
+            entry: Some(entry),
+            decisions,
+            set,
+            ..
+        } = self
+        else {
             return self.decisions.push(Event::Request(arrival));
         };
-        let standing = decisions.gateway.standing(Micros(now), arrival.customer, arrival.plan);
-        let refill = if standing.remaining < arrival.units { standing.reset.0 } else { 0 };
+        let standing = decisions
+            .gateway
+            .standing(Micros(now), arrival.customer, arrival.plan);
+        let refill = if standing.remaining < arrival.units {
+            standing.reset.0
+        } else {
+            0
+        };
         let offer = Offer {
             id: arrival.id.0,
             studio: arrival.customer.0,
@@ -62,7 +78,9 @@
         match verdict {
             Verdict::Pass(id) => {
                 let arrival = entry.arrivals.remove(&RequestId(id));
-                arrival.into_iter().for_each(|a| self.decisions.push(Event::Request(a)));
+                arrival
+                    .into_iter()
+                    .for_each(|a| self.decisions.push(Event::Request(a)));
             }
             Verdict::Refuse { id, back } => {
                 entry.arrivals.remove(&RequestId(id));
--- a/crates/gateway/src/fault.rs
+++ b/crates/gateway/src/fault.rs
@@ -27,7 +27,9 @@
             "cold" => Fault::Cold,
             "ceiling" => Fault::Ceiling,
             _ => {
-                return Err(format!("fault: expected lose, repeat, drains, cold or ceiling, found '{text}'"))
+                return Err(format!(
+                    "fault: expected lose, repeat, drains, cold or ceiling, found '{text}'"
+                ))
             }
         })
     }
--- a/crates/gateway/src/keepers.rs
+++ b/crates/gateway/src/keepers.rs
@@ -77,9 +77,15 @@
         let regions = match &set.regions {
             None => Regions::default(),
             Some(file) => {
-                let text = std::fs::read_to_string(file)
-                    .map_err(|source| KeepersError::RegionsFile { file: file.clone(), source })?;
-                Regions::read(&text).map_err(|source| KeepersError::Regions { file: file.clone(), source })?
+                let text =
+                    std::fs::read_to_string(file).map_err(|source| KeepersError::RegionsFile {
+                        file: file.clone(),
+                        source,
+                    })?;
+                Regions::read(&text).map_err(|source| KeepersError::Regions {
+                    file: file.clone(),
+                    source,
+                })?
             }
         };
         let (kept, held) = match &set.state {
@@ -95,8 +101,12 @@
             incarnation: incarnation(now),
             candidate: set.candidate,
         };
-        let member_set =
-            Set { open, keepers: set.addresses.len(), report_every: set.report, seed: fastrand::u64(..) };
+        let member_set = Set {
+            open,
+            keepers: set.addresses.len(),
+            report_every: set.report,
+            seed: fastrand::u64(..),
+        };
         let version = held.version;
         let mut member = Member::new(member_set, held, now);
         if kept.is_some() {
@@ -119,7 +129,10 @@
 
     fn hang_up(&mut self, engine: &mut Engine) {
         (self.stream, self.deframer) = (None, Deframer::default());
-        self.conn.take().into_iter().for_each(|conn| engine.close(conn));
+        self.conn
+            .take()
+            .into_iter()
+            .for_each(|conn| engine.close(conn));
     }
 
     fn dial(&mut self, engine: &mut Engine, place: usize) {
@@ -132,7 +145,10 @@
 
     /// The connection stands: the session's stream is opened on it.
     fn connected(&mut self, engine: &mut Engine, conn: ConnId) {
-        let head = grpc::request(&self.set.addresses[self.member.place()].to_string(), SESSION);
+        let head = grpc::request(
+            &self.set.addresses[self.member.place()].to_string(),
+            SESSION,
+        );
         self.stream = head.and_then(|head| engine.open(conn, head, false));
         match self.stream {
             Some(_) => self.member.connected(engine.now()),
@@ -184,24 +200,36 @@
     /// Marks servers whose version was not admitted as draining: nothing new goes to them.
     fn hold_back(&mut self, servers: &mut [Server]) {
         let held = &self.member.session().held;
-        let told = servers.iter().map(|s| (s.entry.listed == Listed::InService, s.contract.as_deref()));
-        let back = chalkdeck_contract::hold_back(told, |service, version| held.admits(service, version));
+        let told = servers
+            .iter()
+            .map(|s| (s.entry.listed == Listed::InService, s.contract.as_deref()));
+        let back =
+            chalkdeck_contract::hold_back(told, |service, version| held.admits(service, version));
         self.held_back.clear();
-        for (server, _) in servers.iter_mut().zip(&back.held).filter(|(_, held)| **held) {
+        for (server, _) in servers
+            .iter_mut()
+            .zip(&back.held)
+            .filter(|(_, held)| **held)
+        {
             server.entry.listed = Listed::Draining;
             self.held_back.push(server.address.to_string());
         }
-        if back.last_resort != std::mem::replace(&mut self.last_resort, back.last_resort) && back.last_resort
+        if back.last_resort != std::mem::replace(&mut self.last_resort, back.last_resort)
+            && back.last_resort
         {
-            tracing::error!("no server in service is of an admitted version: they are used as a last resort");
+            tracing::error!(
+                "no server in service is of an admitted version: they are used as a last resort"
+            );
         }
     }
 
     fn status(&self, now: u64) -> KeepersStatus {
         let (session, access) = (self.member.session(), self.member.access());
         let holds = |d: &wire::Duty| Some((d.name.clone(), session.holds(&d.name, now)?));
-        let mut sets: Vec<(String, u64)> =
-            access.customers().filter_map(|c| Some((c.to_string(), access.get(c)?.set().version))).collect();
+        let mut sets: Vec<(String, u64)> = access
+            .customers()
+            .filter_map(|c| Some((c.to_string(), access.get(c)?.set().version)))
+            .collect();
         sets.sort_unstable();
         sets.truncate(1_000);
         KeepersStatus {
@@ -222,7 +250,11 @@
 }
 
 fn rejected(code: Code, kind: &'static str, what: String) -> Rejected {
-    Rejected { code: Some(code), what, kind }
+    Rejected {
+        code: Some(code),
+        what,
+        kind,
+    }
 }
 
 fn denied(rule: &str, version: u64, stale: bool) -> String {
@@ -243,7 +275,15 @@
         head: &request::Parts,
         conn: ConnId,
     ) -> Result<Option<Box<Who>>, Rejected> {
-        let Shell { keepers: Some(keepers), set, engine, .. } = self else { return Ok(None) };
+        let Shell {
+            keepers: Some(keepers),
+            set,
+            engine,
+            ..
+        } = self
+        else {
+            return Ok(None);
+        };
         if !keepers.member.knows() {
             return Err(unknown());
         }
@@ -252,7 +292,11 @@
         let told = keepers.set.region_metadata.as_ref().and_then(text);
         let found = || engine.came_from(conn).and_then(|a| keepers.regions.of(a));
         let caller = told.or_else(found).unwrap_or("").to_string();
-        keepers.set.region_metadata.iter().for_each(|name| drop(asked.headers.remove(name)));
+        keepers
+            .set
+            .region_metadata
+            .iter()
+            .for_each(|name| drop(asked.headers.remove(name)));
         let class = asked.arrival.class.0;
         let call = Call {
             caller: &caller,
@@ -261,22 +305,49 @@
             class: &set.class_names[class],
         };
         let version = text(&keepers.set.version_metadata);
-        match keepers.member.arrives(engine.now(), customer, &call, version) {
-            Verdict::Denied { rule, version, stale } => {
-                Err(rejected(Code::PermissionDenied, "denied", denied(&rule, version, stale)))
-            }
-            Verdict::Goes if set.policy.classes[class].stream => {
-                Ok(Some(Box::new(Who { customer: customer.to_string(), caller })))
-            }
+        match keepers
+            .member
+            .arrives(engine.now(), customer, &call, version)
+        {
+            Verdict::Denied {
+                rule,
+                version,
+                stale,
+            } => Err(rejected(
+                Code::PermissionDenied,
+                "denied",
+                denied(&rule, version, stale),
+            )),
+            Verdict::Goes if set.policy.classes[class].stream => Ok(Some(Box::new(Who {
+                customer: customer.to_string(),
+                caller,
+            }))),
             Verdict::Goes => Ok(None),
         }
     }
 
     /// The same for a request of the limits front; the error's text says why not.
-    pub(crate) fn admits_ask(&mut self, conn: ConnId, customer: &str, command: &str) -> Option<String> {
-        let Shell { keepers: Some(keepers), set, engine, metrics, .. } = self else { return None };
+    pub(crate) fn admits_ask(
+        &mut self,
+        conn: ConnId,
+        customer: &str,
+        command: &str,
+    ) -> Option<String> {
+        let Shell {
+            keepers: Some(keepers),
+            set,
+            engine,
+            metrics,
+            ..
+        } = self
+        else {
+            return None;
+        };
         let count = |kind: &str| {
-            metrics.rejected.get_or_create(&crate::metrics::Kind { kind: kind.into() }).inc();
+            metrics
+                .rejected
+                .get_or_create(&crate::metrics::Kind { kind: kind.into() })
+                .inc();
         };
         if !keepers.member.knows() {
             let why = unknown();
@@ -284,12 +355,23 @@
             return Some(format!("UNAVAILABLE {}", why.what));
         }
         let class = set.resp.as_ref().map_or(0, |r| r.class);
-        let caller = engine.came_from(conn).and_then(|a| keepers.regions.of(a)).unwrap_or("");
-        let call =
-            Call { caller, gateway: &keepers.set.region, path: command, class: &set.class_names[class] };
+        let caller = engine
+            .came_from(conn)
+            .and_then(|a| keepers.regions.of(a))
+            .unwrap_or("");
+        let call = Call {
+            caller,
+            gateway: &keepers.set.region,
+            path: command,
+            class: &set.class_names[class],
+        };
         match keepers.member.arrives(engine.now(), customer, &call, None) {
             Verdict::Goes => None,
-            Verdict::Denied { rule, version, stale } => {
+            Verdict::Denied {
+                rule,
+                version,
+                stale,
+            } => {
                 count("denied");
                 Some(format!("DENIED {}", denied(&rule, version, stale)))
             }
@@ -298,11 +380,22 @@
 
     /// Ends the streams that rules do not admit any more; of these customers, or of all.
     fn end_denied(&mut self, customers: Option<&[String]>) {
-        let Shell { keepers: Some(keepers), calls, set, engine, .. } = self else { return };
+        let Shell {
+            keepers: Some(keepers),
+            calls,
+            set,
+            engine,
+            ..
+        } = self
+        else {
+            return;
+        };
         let now = engine.now();
         let mut over: Vec<(RequestId, String)> = Vec::new();
         for call in calls.all() {
-            let Some(who) = call.who.as_deref().filter(|_| !call.is_done()) else { continue };
+            let Some(who) = call.who.as_deref().filter(|_| !call.is_done()) else {
+                continue;
+            };
             if customers.is_some_and(|c| !c.contains(&who.customer)) {
                 continue;
             }
@@ -312,8 +405,11 @@
                 path: call.path.path(),
                 class: &set.class_names[call.arrival.class.0],
             };
-            if let Verdict::Denied { rule, version, stale } =
-                keepers.member.still_goes(now, &who.customer, &like)
+            if let Verdict::Denied {
+                rule,
+                version,
+                stale,
+            } = keepers.member.still_goes(now, &who.customer, &like)
             {
                 over.push((call.arrival.id, denied(&rule, version, stale)));
             }
@@ -327,10 +423,20 @@
 
     /// Looks at what is due.
     pub(crate) fn keeper_tick(&mut self) {
-        let Shell { keepers: Some(keepers), engine, .. } = self else { return };
+        let Shell {
+            keepers: Some(keepers),
+            engine,
+            ..
+        } = self
+        else {
+            return;
+        };
         let now = engine.now();
         if keepers.keep_at.is_some_and(|at| now >= at) {
-            let whole = wire::News { whole: true, ..wire::News::default() };
+            let whole = wire::News {
+                whole: true,
+                ..wire::News::default()
+            };
             keepers.keep(now, &whole);
         }
         keepers.member.tick(now);
@@ -341,7 +447,9 @@
     /// Carries out what the shared state asks for, until nothing follows.
     fn keeper_acts(&mut self) {
         loop {
-            let Some(keepers) = &mut self.keepers else { return };
+            let Some(keepers) = &mut self.keepers else {
+                return;
+            };
             let acts = keepers.member.take();
             if acts.is_empty() {
                 return;
@@ -351,7 +459,14 @@
     }
 
     fn keeper_act(&mut self, act: Act) {
-        let Shell { keepers: Some(keepers), engine, .. } = self else { return };
+        let Shell {
+            keepers: Some(keepers),
+            engine,
+            ..
+        } = self
+        else {
+            return;
+        };
         match act {
             Act::Dial(place) => keepers.dial(engine, place),
             Act::Up(up) => {
@@ -383,7 +498,14 @@
 
     /// Whether it was the connection to a keeper.
     pub(crate) fn keeper_connected(&mut self, conn: ConnId) -> bool {
-        let Shell { keepers: Some(keepers), engine, .. } = self else { return false };
+        let Shell {
+            keepers: Some(keepers),
+            engine,
+            ..
+        } = self
+        else {
+            return false;
+        };
         let own = keepers.conn == Some(conn);
         if own {
             keepers.connected(engine, conn);
@@ -393,7 +515,14 @@
     }
     /// See [`Shell::keeper_connected`].
     pub(crate) fn keeper_closed(&mut self, conn: ConnId) -> bool {
-        let Shell { keepers: Some(keepers), engine, .. } = self else { return false };
+        let Shell {
+            keepers: Some(keepers),
+            engine,
+            ..
+        } = self
+        else {
+            return false;
+        };
         let own = keepers.conn == Some(conn);
         if own {
             keepers.lost(engine);
@@ -403,7 +532,14 @@
     }
     /// Whether it was the session's stream; `over`: nothing more comes on it.
     pub(crate) fn keeper_heard(&mut self, stream: StreamId, data: &[u8], over: bool) -> bool {
-        let Shell { keepers: Some(keepers), engine, .. } = self else { return false };
+        let Shell {
+            keepers: Some(keepers),
+            engine,
+            ..
+        } = self
+        else {
+            return false;
+        };
         let own = keepers.stream == Some(stream);
         if own {
             engine.consume(stream, data.len());
@@ -444,5 +580,8 @@
 
 /// Takes part, where the settings say so.
 pub(crate) fn of(set: &Settings, now: u64) -> Result<Option<Keepers>, KeepersError> {
-    set.keepers.as_ref().map(|k| Keepers::new(k, &set.zone_name, now)).transpose()
+    set.keepers
+        .as_ref()
+        .map(|k| Keepers::new(k, &set.zone_name, now))
+        .transpose()
 }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -57,7 +57,12 @@
 impl Metrics {
     pub(crate) fn new(classes: &[String], plans: &[String]) -> Metrics {
         let (ended, attempts, counts) = (Family::default(), Family::default(), Family::default());
-        let by_plan = |class: &String| plans.iter().map(|plan| by_end(&ended, class, plan)).collect();
+        let by_plan = |class: &String| {
+            plans
+                .iter()
+                .map(|plan| by_end(&ended, class, plan))
+                .collect()
+        };
         let mut m = Metrics {
             registry: Registry::with_prefix("chalkdeck"),
             taken: Counter::default(),
@@ -77,23 +82,55 @@
         };
         let r = &mut m.registry;
         r.register("calls_taken", "Calls taken", m.taken.clone());
-        r.register("resp_asks", "Requests that came over RESP", m.resp_asks.clone());
-        r.register("door_refused", "Requests refused at the door", m.door_refused.clone());
-        r.register("door_waiting", "Requests that wait at the door", m.door_waiting.clone());
+        r.register(
+            "resp_asks",
+            "Requests that came over RESP",
+            m.resp_asks.clone(),
+        );
+        r.register(
+            "door_refused",
+            "Requests refused at the door",
+            m.door_refused.clone(),
+        );
+        r.register(
+            "door_waiting",
+            "Requests that wait at the door",
+            m.door_waiting.clone(),
+        );
         r.register("calls_ended", "Calls by class, plan and end", ended);
         r.register("attempts", "Attempts by how they ended", attempts);
-        r.register("counter_calls", "Calls to the counter by how they ended", counts);
+        r.register(
+            "counter_calls",
+            "Calls to the counter by how they ended",
+            counts,
+        );
         r.register(
             "counter_news",
             "Changes of the counter's counts as its answers tell them",
             m.news.clone(),
         );
-        r.register("calls_rejected", "Input that is no call, by what was wrong", m.rejected.clone());
+        r.register(
+            "calls_rejected",
+            "Input that is no call, by what was wrong",
+            m.rejected.clone(),
+        );
         r.register("calls_open", "Calls without their answer", m.open.clone());
-        r.register("connections", "Connections of all kinds", m.connections.clone());
+        r.register(
+            "connections",
+            "Connections of all kinds",
+            m.connections.clone(),
+        );
         r.register("servers", "Servers on the list", m.servers.clone());
-        r.register("server_list_failures", "Server lists that could not be read", m.list_failures.clone());
-        r.register("call_seconds", "Time from a call's head to its final answer", m.took.clone());
+        r.register(
+            "server_list_failures",
+            "Server lists that could not be read",
+            m.list_failures.clone(),
+        );
+        r.register(
+            "call_seconds",
+            "Time from a call's head to its final answer",
+            m.took.clone(),
+        );
         m
     }
 
@@ -123,15 +160,34 @@
 
 fn by_end(family: &Family<Call, Counter>, class: &str, plan: &str) -> [Counter; 4] {
     ["served", "refused", "failed", "gone"].map(|end| {
-        let labels = Call { class: class.to_string(), plan: plan.to_string(), end };
+        let labels = Call {
+            class: class.to_string(),
+            plan: plan.to_string(),
+            end,
+        };
         family.get_or_create(&labels).clone()
     })
 }
 
 fn by_outcome(family: &Family<Kind, Counter>) -> ByOutcome {
     use Outcome::{Cancelled, ConnectFailed, Error, Full, Moot, Ok, Reset, Timeout};
-    let all = [Ok, Error, Full, Timeout, ConnectFailed, Reset, Cancelled, Moot];
-    let counter = |o: Outcome| family.get_or_create(&Kind { kind: format!("{o:?}").to_lowercase() }).clone();
+    let all = [
+        Ok,
+        Error,
+        Full,
+        Timeout,
+        ConnectFailed,
+        Reset,
+        Cancelled,
+        Moot,
+    ];
+    let counter = |o: Outcome| {
+        family
+            .get_or_create(&Kind {
+                kind: format!("{o:?}").to_lowercase(),
+            })
+            .clone()
+    };
     all.into_iter().map(|o| (o, counter(o))).collect()
 }
 
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -43,7 +43,10 @@
 
 fn authority(address: SocketAddr) -> Authority {
     // An address is always a sound authority.
-    address.to_string().parse().unwrap_or(Authority::from_static("server"))
+    address
+        .to_string()
+        .parse()
+        .unwrap_or(Authority::from_static("server"))
 }
 
 pub(crate) struct Pool {
@@ -57,7 +60,11 @@
 
 impl Pool {
     pub(crate) fn new(most: usize, streams: u32, keepalive: u64) -> Pool {
-        let limits = Limits { streams, keepalive, ..Limits::default() };
+        let limits = Limits {
+            streams,
+            keepalive,
+            ..Limits::default()
+        };
         Pool {
             limits,
             most,
@@ -72,10 +79,17 @@
     pub(crate) fn update(&mut self, engine: &mut Engine, servers: &[Server]) -> Vec<AttemptId> {
         let mut old = std::mem::take(&mut self.places);
         for server in servers {
-            let links = old.remove(&server.entry.server).map(|p| p.links).unwrap_or_default();
+            let links = old
+                .remove(&server.entry.server)
+                .map(|p| p.links)
+                .unwrap_or_default();
             self.places.insert(
                 server.entry.server,
-                Place { address: server.address, authority: authority(server.address), links },
+                Place {
+                    address: server.address,
+                    authority: authority(server.address),
+                    links,
+                },
             );
         }
         let mut unsent = Vec::new();
@@ -114,22 +128,43 @@
     }
 
     /// A connection for an attempt; where it must wait it is noted.
-    pub(crate) fn find(&mut self, engine: &mut Engine, server: ServerId, attempt: AttemptId) -> Found {
-        let Some(place) = self.places.get_mut(&server) else { return Found::Unreachable };
-        let up = place.links.iter().filter(|l| l.up).max_by_key(|l| engine.room(l.conn));
+    pub(crate) fn find(
+        &mut self,
+        engine: &mut Engine,
+        server: ServerId,
+        attempt: AttemptId,
+    ) -> Found {
+        let Some(place) = self.places.get_mut(&server) else {
+            return Found::Unreachable;
+        };
+        let up = place
+            .links
+            .iter()
+            .filter(|l| l.up)
+            .max_by_key(|l| engine.room(l.conn));
         if let Some(link) = up.filter(|l| engine.room(l.conn) > 0) {
             return Found::Ready(link.conn);
         }
         let streams = self.limits.streams as usize;
-        if let Some(link) = place.links.iter_mut().find(|l| !l.up && l.waiting.len() < streams) {
+        if let Some(link) = place
+            .links
+            .iter_mut()
+            .find(|l| !l.up && l.waiting.len() < streams)
+        {
             link.waiting.push(attempt);
             return Found::Waits { fresh: None };
         }
         if place.links.len() >= self.most {
             return Found::Full;
         }
-        let Ok(conn) = engine.connect(place.address, self.limits) else { return Found::Unreachable };
-        place.links.push(Link { conn, up: false, waiting: vec![attempt] });
+        let Ok(conn) = engine.connect(place.address, self.limits) else {
+            return Found::Unreachable;
+        };
+        place.links.push(Link {
+            conn,
+            up: false,
+            waiting: vec![attempt],
+        });
         self.server_of.insert(conn, server);
         Found::Waits { fresh: Some(conn) }
     }
@@ -156,6 +191,10 @@
 
     fn link(&mut self, conn: ConnId) -> Option<&mut Link> {
         let server = self.server_of.get(&conn)?;
-        self.places.get_mut(server)?.links.iter_mut().find(|l| l.conn == conn)
+        self.places
+            .get_mut(server)?
+            .links
+            .iter_mut()
+            .find(|l| l.conn == conn)
     }
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -26,8 +26,15 @@
         let mut engine = Engine::new()?;
         let (_, listen) = engine.listen(listen, Limits::default(), false, false)?;
         let conns = vec![None; servers.len()];
-        let mut relay =
-            Relay { engine, listen, servers, conns, turn: 0, peer: HashMap::new(), backs: HashSet::new() };
+        let mut relay = Relay {
+            engine,
+            listen,
+            servers,
+            conns,
+            turn: 0,
+            peer: HashMap::new(),
+            backs: HashSet::new(),
+        };
         relay.connect();
         Ok(relay)
     }
@@ -56,16 +63,25 @@
     fn on_event(&mut self, event: Event) {
         match event {
             Event::Opened { stream, head, .. } => self.on_call(stream, &head),
-            Event::Head { stream, head, ended } => {
-                let Some(&front) = self.peer.get(&stream) else { return };
-                self.engine.respond(front, http::Response::from_parts(*head, ()), ended);
+            Event::Head {
+                stream,
+                head,
+                ended,
+            } => {
+                let Some(&front) = self.peer.get(&stream) else {
+                    return;
+                };
+                self.engine
+                    .respond(front, http::Response::from_parts(*head, ()), ended);
                 if ended {
                     self.forget(front, stream);
                 }
             }
             Event::Data { stream, data } => self.on_data(stream, data),
             Event::End { stream, trailers } => {
-                let Some(&other) = self.peer.get(&stream) else { return };
+                let Some(&other) = self.peer.get(&stream) else {
+                    return;
+                };
                 self.engine.finish(other, trailers);
                 // The server's end is the call's.
                 if self.backs.contains(&stream) {
@@ -73,11 +89,15 @@
                 }
             }
             Event::Sent { stream, bytes } => {
-                let Some(&other) = self.peer.get(&stream) else { return };
+                let Some(&other) = self.peer.get(&stream) else {
+                    return;
+                };
                 self.engine.consume(other, bytes);
             }
             Event::Broken { stream, .. } => {
-                let Some(&other) = self.peer.get(&stream) else { return };
+                let Some(&other) = self.peer.get(&stream) else {
+                    return;
+                };
                 self.engine.reset(other, h2::Reason::CANCEL);
                 self.forget(stream, other);
             }
@@ -96,13 +116,17 @@
         self.connect();
         self.turn = (self.turn + 1) % self.servers.len();
         let request = grpc::request(&self.servers[self.turn].to_string(), head.uri.path());
-        let opened = request.zip(self.conns[self.turn]).and_then(|(mut request, conn)| {
-            request.headers_mut().extend(head.headers.clone());
-            self.engine.open(conn, request, false)
-        });
+        let opened = request
+            .zip(self.conns[self.turn])
+            .and_then(|(mut request, conn)| {
+                request.headers_mut().extend(head.headers.clone());
+                self.engine.open(conn, request, false)
+            });
         let Some(back) = opened else {
             let trailers = grpc::trailers(Code::Unavailable, "no connection");
-            return self.engine.respond(front, grpc::trailers_only(trailers), true);
+            return self
+                .engine
+                .respond(front, grpc::trailers_only(trailers), true);
         };
         self.peer.insert(front, back);
         self.peer.insert(back, front);
--- a/crates/gateway/src/resp/command.rs
+++ b/crates/gateway/src/resp/command.rs
@@ -48,20 +48,30 @@
 }
 
 fn number(word: &Bytes, what: &str) -> Result<f64, String> {
-    let value = std::str::from_utf8(word).ok().and_then(|t| t.parse::<f64>().ok());
+    let value = std::str::from_utf8(word)
+        .ok()
+        .and_then(|t| t.parse::<f64>().ok());
     match value.filter(|v| v.is_finite()) {
         Some(value) => Ok(value),
-        None => error(format!("ERR {what}: expected a number, found '{}'", word.escape_ascii())),
+        None => error(format!(
+            "ERR {what}: expected a number, found '{}'",
+            word.escape_ascii()
+        )),
     }
 }
 
 fn arity<T>(name: &str) -> Result<T, String> {
-    error(format!("ERR wrong number of arguments for '{}' command", name.to_ascii_lowercase()))
+    error(format!(
+        "ERR wrong number of arguments for '{}' command",
+        name.to_ascii_lowercase()
+    ))
 }
 
 /// Reads a command's words. Errors are answers in RESP's form, without their mark.
 pub(crate) fn read(words: &[Bytes]) -> Result<Command, String> {
-    let Some((first, rest)) = words.split_first() else { return error("ERR empty command") };
+    let Some((first, rest)) = words.split_first() else {
+        return error("ERR empty command");
+    };
     let name = String::from_utf8_lossy(first).to_ascii_uppercase();
     let plain = |reply| Ok(Command::Plain(reply));
     match (name.as_str(), rest) {
@@ -71,18 +81,28 @@
                 number(word, what)?;
             }
             let units = units.first().map_or(Ok(1.0), |w| number(w, "quantity"))?;
-            Ok(Command::Throttle { customer: text(customer, "key")?, units })
+            Ok(Command::Throttle {
+                customer: text(customer, "key")?,
+                units,
+            })
         }
         ("CHALK.TAKE", [customer, options @ ..]) => take(text(customer, "customer")?, options),
         ("CHALK.GIVE", [ticket, options @ ..]) => {
             let units = match options {
                 [] => None,
-                [word, units] if word.eq_ignore_ascii_case(b"UNITS") => Some(number(units, "UNITS")?),
+                [word, units] if word.eq_ignore_ascii_case(b"UNITS") => {
+                    Some(number(units, "UNITS")?)
+                }
                 _ => return error("ERR syntax error: expected UNITS n"),
             };
-            Ok(Command::Give { ticket: text(ticket, "ticket")?, units })
+            Ok(Command::Give {
+                ticket: text(ticket, "ticket")?,
+                units,
+            })
         }
-        ("CHALK.PEEK", [customer]) => Ok(Command::Peek { customer: text(customer, "customer")? }),
+        ("CHALK.PEEK", [customer]) => Ok(Command::Peek {
+            customer: text(customer, "customer")?,
+        }),
         ("CL.THROTTLE" | "CHALK.TAKE" | "CHALK.GIVE" | "CHALK.PEEK", _) => arity(&name),
         ("HELLO", options) => hello(options),
         ("AUTH", [password] | [_, password]) => Ok(Command::Auth(password.clone())),
@@ -95,7 +115,10 @@
         ("CLIENT", [sub, ..]) => client(&String::from_utf8_lossy(sub).to_ascii_uppercase()),
         ("COMMAND", _) => plain(Reply::Array(Vec::new())),
         ("RESET", []) => plain(Reply::Bulk(Bytes::from_static(b"RESET"))),
-        _ => error(format!("ERR unknown command '{}'", first.slice(..first.len().min(64)).escape_ascii())),
+        _ => error(format!(
+            "ERR unknown command '{}'",
+            first.slice(..first.len().min(64)).escape_ascii()
+        )),
     }
 }
 
@@ -114,7 +137,11 @@
             _ => return error("ERR syntax error: expected UNITS n, LEASE ms"),
         }
     }
-    Ok(Command::Take { customer, units, lease })
+    Ok(Command::Take {
+        customer,
+        units,
+        lease,
+    })
 }
 
 fn hello(options: &[Bytes]) -> Result<Command, String> {
@@ -145,7 +172,12 @@
         "SETNAME" | "SETINFO" | "NO-EVICT" | "NO-TOUCH" | "TRACKING" => Reply::Ok,
         "GETNAME" => Reply::Null,
         "ID" => Reply::Integer(1),
-        _ => return error(format!("ERR unknown subcommand '{}'", sub.chars().take(64).collect::<String>())),
+        _ => {
+            return error(format!(
+                "ERR unknown subcommand '{}'",
+                sub.chars().take(64).collect::<String>()
+            ))
+        }
     };
     Ok(Command::Plain(reply))
 }
--- a/crates/gateway/src/resp/mod.rs
+++ b/crates/gateway/src/resp/mod.rs
@@ -55,15 +55,30 @@
 
 impl Resp {
     pub(crate) fn start(engine: &mut Engine, set: &RespSettings) -> io::Result<Resp> {
-        let limits = Limits { connections: set.connections, ..Limits::default() };
+        let limits = Limits {
+            connections: set.connections,
+            ..Limits::default()
+        };
         let (listener, listen) = engine.listen_raw(set.listen, limits)?;
         let (sessions, asks, tickets) = Default::default();
-        Ok(Resp { listener, listen, sessions, asks, tickets, stopping: false })
+        Ok(Resp {
+            listener,
+            listen,
+            sessions,
+            asks,
+            tickets,
+            stopping: false,
+        })
     }
 
     fn drop_ticket(&mut self, id: RequestId) -> bool {
-        let Some(ticket) = self.tickets.remove(&id) else { return false };
-        self.sessions.get_mut(&ticket.conn).into_iter().for_each(|s| s.tickets -= 1);
+        let Some(ticket) = self.tickets.remove(&id) else {
+            return false;
+        };
+        self.sessions
+            .get_mut(&ticket.conn)
+            .into_iter()
+            .for_each(|s| s.tickets -= 1);
         true
     }
 }
@@ -74,7 +89,10 @@
 
 fn ticket_of(text: &str) -> Option<(RequestId, u32)> {
     let (id, secret) = text.split_once('-')?;
-    Some((RequestId(u64::from_str_radix(id, 16).ok()?), u32::from_str_radix(secret, 16).ok()?))
+    Some((
+        RequestId(u64::from_str_radix(id, 16).ok()?),
+        u32::from_str_radix(secret, 16).ok()?,
+    ))
 }
 
 /// Seconds, whole ones, as Redis clients expect them.
@@ -98,7 +116,9 @@
     pub(crate) fn resp_bytes(&mut self, conn: ConnId, data: &Bytes) {
         let now = self.engine.now();
         self.engine.handled(conn);
-        let Some(session) = self.resp_session(conn) else { return };
+        let Some(session) = self.resp_session(conn) else {
+            return;
+        };
         session.bytes.extend_from_slice(data);
         session.heard = now;
         self.resp_read(conn);
@@ -112,7 +132,9 @@
     fn resp_read(&mut self, conn: ConnId) {
         loop {
             let unread = self.engine.unsent(conn);
-            let Some(session) = self.resp_session(conn) else { return };
+            let Some(session) = self.resp_session(conn) else {
+                return;
+            };
             if session.over {
                 return;
             }
@@ -152,8 +174,17 @@
     }
 
     fn resp_command(&mut self, conn: ConnId, words: &[Bytes]) {
-        let Shell { set, resp: Some(resp), .. } = self else { return };
-        let Some(session) = resp.sessions.get_mut(&conn) else { return };
+        let Shell {
+            set,
+            resp: Some(resp),
+            ..
+        } = self
+        else {
+            return;
+        };
+        let Some(session) = resp.sessions.get_mut(&conn) else {
+            return;
+        };
         let password = set.resp.as_ref().map_or("", |r| r.password.as_str());
         let command = match command::read(words) {
             Ok(command) => command,
@@ -167,7 +198,11 @@
             Command::Throttle { customer, units } => {
                 self.resp_ask(conn, (&customer, "/CL.THROTTLE"), units, None)
             }
-            Command::Take { customer, units, lease } => {
+            Command::Take {
+                customer,
+                units,
+                lease,
+            } => {
                 let lease = lease.or(self.set.resp.as_ref().map(|r| r.lease));
                 self.resp_ask(conn, (&customer, "/CHALK.TAKE"), units, lease);
             }
@@ -183,29 +218,56 @@
         }
     }
 
-    fn resp_ask(&mut self, conn: ConnId, (customer, command): (&str, &str), units: f64, lease: Option<u64>) {
+    fn resp_ask(
+        &mut self,
+        conn: ConnId,
+        (customer, command): (&str, &str),
+        units: f64,
+        lease: Option<u64>,
+    ) {
         let (most, plan) = (self.set.policy.most_units, self.set.plan_for(customer));
         let class = self.set.resp.as_ref().map_or(0, |r| r.class);
         let Some(resp) = &mut self.resp else { return };
-        let Some(session) = resp.sessions.get_mut(&conn) else { return };
+        let Some(session) = resp.sessions.get_mut(&conn) else {
+            return;
+        };
         let Some(plan) = plan else {
             return session.ready(Reply::Error("NOPLAN this customer has no plan".into()));
         };
         if !(units > 0.0 && units <= most) {
-            return session
-                .ready(Reply::Error(format!("ERR units: expected above 0, at most {most}, found {units}")));
+            return session.ready(Reply::Error(format!(
+                "ERR units: expected above 0, at most {most}, found {units}"
+            )));
         }
         if lease.is_some() && session.tickets >= MOST_TICKETS {
-            return session.ready(Reply::Error("ERR too many tickets on this connection".into()));
+            return session.ready(Reply::Error(
+                "ERR too many tickets on this connection".into(),
+            ));
         }
         if let Some(why) = self.admits_ask(conn, customer, command) {
             return self.resp_say(conn, Reply::Error(why));
         }
         let (id, now) = (self.calls.next_id(), self.engine.now());
-        let Shell { resp: Some(resp), .. } = self else { return };
-        let Some(session) = resp.sessions.get_mut(&conn) else { return };
+        let Shell {
+            resp: Some(resp), ..
+        } = self
+        else {
+            return;
+        };
+        let Some(session) = resp.sessions.get_mut(&conn) else {
+            return;
+        };
         let customer = CustomerId(crate::base::server::number_of(customer));
-        resp.asks.insert(id, Ask { conn, slot: session.wait(), customer, plan, lease });
+        resp.asks.insert(
+            id,
+            Ask {
+                conn,
+                slot: session.wait(),
+                customer,
+                plan,
+                lease,
+            },
+        );
         self.metrics.resp_asks.inc();
         self.enter(Arrival {
             id,
@@ -223,7 +285,9 @@
     pub(crate) fn granted(&mut self, id: RequestId) {
         let now = Micros(self.engine.now());
         self.left(id);
-        let Some(ask) = self.resp.as_mut().and_then(|r| r.asks.remove(&id)) else { return };
+        let Some(ask) = self.resp.as_mut().and_then(|r| r.asks.remove(&id)) else {
+            return;
+        };
         let standing = self.decisions.gateway.standing(now, ask.customer, ask.plan);
         let (limit, remaining) = (standing.limit as i64, standing.remaining as i64);
         let Some(lease) = ask.lease else {
@@ -238,7 +302,13 @@
             return self.decisions.push(Event::ClientGone(id));
         };
         session.tickets += 1;
-        resp.tickets.insert(id, Ticket { conn: ask.conn, secret });
+        resp.tickets.insert(
+            id,
+            Ticket {
+                conn: ask.conn,
+                secret,
+            },
+        );
         self.due_in(lease, Due::Lease(id));
         let ticket = Reply::Bulk(ticket_text(id, secret).into());
         let reply = vec![Reply::Integer(1), ticket, Reply::Integer(remaining)];
@@ -248,15 +318,29 @@
     /// Whether it was a request of this front; it is refused, to come back after that time.
     pub(crate) fn resp_refused(&mut self, id: RequestId, back_in: Option<u64>) -> bool {
         let now = Micros(self.engine.now());
-        let Some(ask) = self.resp.as_mut().and_then(|r| r.asks.remove(&id)) else { return false };
+        let Some(ask) = self.resp.as_mut().and_then(|r| r.asks.remove(&id)) else {
+            return false;
+        };
         self.left(id);
         let standing = self.decisions.gateway.standing(now, ask.customer, ask.plan);
         let back = back_in.unwrap_or(standing.reset.0);
         let reply = match ask.lease {
-            Some(_) => vec![Reply::Integer(0), Reply::Null, Reply::Integer(back.div_ceil(1_000) as i64)],
+            Some(_) => vec![
+                Reply::Integer(0),
+                Reply::Null,
+                Reply::Integer(back.div_ceil(1_000) as i64),
+            ],
             None => {
                 let (limit, remaining) = (standing.limit as i64, standing.remaining as i64);
-                [1, limit, remaining, seconds(back), seconds(standing.reset.0)].map(Reply::Integer).into()
+                [
+                    1,
+                    limit,
+                    remaining,
+                    seconds(back),
+                    seconds(standing.reset.0),
+                ]
+                .map(Reply::Integer)
+                .into()
             }
         };
         self.resp_answer(&ask, Reply::Array(reply));
@@ -271,13 +355,19 @@
     }
 
     fn resp_give(&mut self, ticket: &str, units: Option<f64>) -> bool {
-        let Some((id, secret)) = ticket_of(ticket) else { return false };
-        let Some(resp) = &mut self.resp else { return false };
+        let Some((id, secret)) = ticket_of(ticket) else {
+            return false;
+        };
+        let Some(resp) = &mut self.resp else {
+            return false;
+        };
         if resp.tickets.get(&id).is_none_or(|t| t.secret != secret) {
             return false;
         }
         resp.drop_ticket(id);
-        units.into_iter().for_each(|units| self.decisions.push(Event::Settled(id, units)));
+        units
+            .into_iter()
+            .for_each(|units| self.decisions.push(Event::Settled(id, units)));
         self.decisions.push(Event::ClientGone(id));
         true
     }
@@ -287,15 +377,24 @@
             return Reply::Error("NOPLAN this customer has no plan".into());
         };
         let now = Micros(self.engine.now());
-        let standing =
-            self.decisions.gateway.standing(now, CustomerId(crate::base::server::number_of(customer)), plan);
-        let numbers = [standing.limit as i64, standing.remaining as i64, seconds(standing.reset.0)];
+        let standing = self.decisions.gateway.standing(
+            now,
+            CustomerId(crate::base::server::number_of(customer)),
+            plan,
+        );
+        let numbers = [
+            standing.limit as i64,
+            standing.remaining as i64,
+            seconds(standing.reset.0),
+        ];
         Reply::Array(numbers.map(Reply::Integer).into())
     }
 
     /// Sends the answers that are ready, in the order of their commands.
     fn resp_flush(&mut self, conn: ConnId) {
-        let Some(session) = self.resp_session(conn) else { return };
+        let Some(session) = self.resp_session(conn) else {
+            return;
+        };
         let (bytes, over, paused) = (session.take_ready(), session.ended(), session.paused);
         if !bytes.is_empty() {
             self.engine.write(conn, &bytes);
@@ -305,17 +404,24 @@
         }
         self.engine.pause(conn, paused);
         let unread = self.engine.unsent(conn);
-        let Some(session) = self.resp_session(conn).filter(|s| s.paused) else { return };
+        let Some(session) = self.resp_session(conn).filter(|s| s.paused) else {
+            return;
+        };
         if unread > UNREAD {
             self.resp_watch(conn);
-        } else if session.pending() < MOST_PENDING / 2 && !std::mem::replace(&mut session.resumes, true) {
+        } else if session.pending() < MOST_PENDING / 2
+            && !std::mem::replace(&mut session.resumes, true)
+        {
             // In the loop's next turn, so that a long pipeline does not keep the others waiting.
             self.due_in(0, Due::Resume(conn));
         }
     }
 
     fn resp_watch(&mut self, conn: ConnId) {
-        if self.resp_session(conn).is_some_and(|s| !std::mem::replace(&mut s.watched, true)) {
+        if self
+            .resp_session(conn)
+            .is_some_and(|s| !std::mem::replace(&mut s.watched, true))
+        {
             self.due_in(STALLED, Due::Stalled(conn));
         }
     }
@@ -330,7 +436,9 @@
     /// A connection that stood still for long is closed; one that went on is looked at again when it stands still.
     pub(crate) fn resp_stalled(&mut self, conn: ConnId) {
         let (now, unread) = (self.engine.now(), self.engine.unsent(conn));
-        let Some(session) = self.resp_session(conn) else { return };
+        let Some(session) = self.resp_session(conn) else {
+            return;
+        };
         session.watched = false;
         let half = !session.bytes.is_empty() && !session.paused;
         let still = session.heard + STALLED <= now;
@@ -350,8 +458,16 @@
         if resp.sessions.remove(&conn).is_none() {
             return;
         }
-        let asks = resp.asks.iter().filter(|(_, a)| a.conn == conn).map(|(id, _)| *id);
-        let tickets = resp.tickets.iter().filter(|(_, t)| t.conn == conn).map(|(id, _)| *id);
+        let asks = resp
+            .asks
+            .iter()
+            .filter(|(_, a)| a.conn == conn)
+            .map(|(id, _)| *id);
+        let tickets = resp
+            .tickets
+            .iter()
+            .filter(|(_, t)| t.conn == conn)
+            .map(|(id, _)| *id);
         let mut gone: Vec<RequestId> = asks.chain(tickets).collect();
         gone.sort_unstable();
         for id in gone {
@@ -366,7 +482,10 @@
 
     pub(crate) fn lease_over(&mut self, id: RequestId) {
         if self.resp.as_mut().is_some_and(|r| r.drop_ticket(id)) {
-            tracing::info!(request = id.0, "a ticket's lease is over: its place comes back");
+            tracing::info!(
+                request = id.0,
+                "a ticket's lease is over: its place comes back"
+            );
             self.decisions.push(Event::ClientGone(id));
         }
     }
@@ -381,8 +500,13 @@
     /// Ends the connections that are between two requests and hold no ticket, once a turn's events were dealt with: what was
     /// read, or waits unread, is answered first.
     pub(crate) fn resp_let_go(&mut self) {
-        let Some(resp) = self.resp.as_ref().filter(|r| r.stopping) else { return };
-        let idle = resp.sessions.iter().filter(|(_, s)| s.is_idle() && s.tickets == 0);
+        let Some(resp) = self.resp.as_ref().filter(|r| r.stopping) else {
+            return;
+        };
+        let idle = resp
+            .sessions
+            .iter()
+            .filter(|(_, s)| s.is_idle() && s.tickets == 0);
         let mut idle: Vec<ConnId> = idle.map(|(conn, _)| *conn).collect();
         idle.sort_unstable();
         for conn in idle {
@@ -392,6 +516,8 @@
 
     /// Whether no connection of the front is left.
     pub(crate) fn resp_is_alone(&self) -> bool {
-        self.resp.as_ref().is_none_or(|r| self.engine.held_by(r.listener) == 0)
+        self.resp
+            .as_ref()
+            .is_none_or(|r| self.engine.held_by(r.listener) == 0)
     }
 }
--- a/crates/gateway/src/resp/session.rs
+++ b/crates/gateway/src/resp/session.rs
@@ -59,10 +59,17 @@
 
     /// Commands that are answered from the connection's own state; none: the command goes on.
     pub(crate) fn greet(&mut self, command: &Command, password: &[u8]) -> Option<Reply> {
-        let wrong =
-            || Some(Reply::Error("WRONGPASS invalid username-password pair or user is disabled.".into()));
+        let wrong = || {
+            Some(Reply::Error(
+                "WRONGPASS invalid username-password pair or user is disabled.".into(),
+            ))
+        };
         match command {
-            Command::Hello { password: Some(given), .. } | Command::Auth(given) => {
+            Command::Hello {
+                password: Some(given),
+                ..
+            }
+            | Command::Auth(given) => {
                 if password.is_empty() {
                     let text = "ERR Client sent AUTH, but no password is set.";
                     return Some(Reply::Error(text.into()));
--- a/crates/gateway/src/resp/wire.rs
+++ b/crates/gateway/src/resp/wire.rs
@@ -6,8 +6,13 @@
 use redis_protocol::resp3;
 
 /// What is read of a command.
-pub(crate) const BOUNDS: Bounds =
-    Bounds { words: 64, word: 4 << 10, line: 0, message: 64 << 10, inline: true };
+pub(crate) const BOUNDS: Bounds = Bounds {
+    words: 64,
+    word: 4 << 10,
+    line: 0,
+    message: 64 << 10,
+    inline: true,
+};
 
 /// An answer.
 #[derive(Debug, Clone, PartialEq)]
@@ -61,7 +66,10 @@
         Reply::Null => F::Null,
         Reply::Integer(data) => F::Number { data, attributes },
         Reply::Bulk(data) => F::BlobString { data, attributes },
-        Reply::Array(items) => F::Array { data: items.into_iter().map(frame3).collect(), attributes },
+        Reply::Array(items) => F::Array {
+            data: items.into_iter().map(frame3).collect(),
+            attributes,
+        },
         Reply::Hello => {
             let mut words = hello(true).into_iter().map(frame3);
             let mut data = resp3::types::FrameMap::default();
@@ -70,9 +78,18 @@
             }
             F::Map { data, attributes }
         }
-        Reply::Error(text) => F::SimpleError { data: text.replace(['\r', '\n'], " ").into(), attributes },
-        Reply::Ok => F::SimpleString { data: Bytes::from_static(b"OK"), attributes },
-        Reply::Pong => F::SimpleString { data: Bytes::from_static(b"PONG"), attributes },
+        Reply::Error(text) => F::SimpleError {
+            data: text.replace(['\r', '\n'], " ").into(),
+            attributes,
+        },
+        Reply::Ok => F::SimpleString {
+            data: Bytes::from_static(b"OK"),
+            attributes,
+        },
+        Reply::Pong => F::SimpleString {
+            data: Bytes::from_static(b"PONG"),
+            attributes,
+        },
     }
 }
 
