--- a/crates/gateway/src/shell.rs
+++ b/crates/gateway/src/shell.rs
@@ -80,7 +80,12 @@
 impl Shell {
     /// Binds the sockets and reads the server list. `shared`: other instances listen at the same address.
     /// `file`: where settings are read again from. Errors: see [`StartError`].
-    pub fn start(set: Settings, file: Option<PathBuf>, seed: u64, shared: bool) -> Result<Shell, StartError> {
+    pub fn start(
+        set: Settings,
+        file: Option<PathBuf>,
+        seed: u64,
+        shared: bool,
+    ) -> Result<Shell, StartError> {
         let mut engine = Engine::new().map_err(StartError::Poll)?;
         let mut bind = |address, http1| {
             let bound = engine.listen(address, set.front, shared, http1);
@@ -93,7 +98,10 @@
         };
         let policy = Gateway::new(seed, set.policy.clone())?;
         let resp = set.resp.as_ref().map(|r| {
-            let failed = |source| StartError::Listen { address: r.listen, source };
+            let failed = |source| StartError::Listen {
+                address: r.listen,
+                source,
+            };
             Resp::start(&mut engine, r).map_err(failed)
         });
         let resp = resp.transpose()?;
@@ -176,21 +184,33 @@
         if self.stop_by.is_some() {
             return;
         }
-        let longest = self.set.policy.classes.iter().map(|c| c.deadline.0).max().unwrap_or(0);
+        let longest = self
+            .set
+            .policy
+            .classes
+            .iter()
+            .map(|c| c.deadline.0)
+            .max()
+            .unwrap_or(0);
         self.stop_by = Some(self.engine.now() + longest);
         self.engine.unlisten(self.listener);
         self.engine.drain(self.listener);
         self.resp_stop();
         self.keeper_resigns();
-        tracing::info!(open = self.calls.open, "stopping: takes no calls, finishes what it holds");
+        tracing::info!(
+            open = self.calls.open,
+            "stopping: takes no calls, finishes what it holds"
+        );
     }
 
     /// Whether a stop is over: nothing is open and no client is left that could still open something, or the longest deadline has
     /// passed. Until a client has heard that it may open nothing, what it opens is taken and answered.
     pub fn stopped(&self) -> bool {
-        let alone =
-            || self.calls.open == 0 && self.engine.held_by(self.listener) == 0 && self.resp_is_alone();
-        self.stop_by.is_some_and(|by| self.engine.now() >= by || alone())
+        let alone = || {
+            self.calls.open == 0 && self.engine.held_by(self.listener) == 0 && self.resp_is_alone()
+        };
+        self.stop_by
+            .is_some_and(|by| self.engine.now() >= by || alone())
     }
 
     /// What is still open are streams without an end of their own: they are told.
@@ -223,7 +243,12 @@
         self.door_turn();
         self.settle();
         self.resp_let_go();
-        if let Shell { counter: Some(counter), engine, .. } = self {
+        if let Shell {
+            counter: Some(counter),
+            engine,
+            ..
+        } = self
+        {
             counter.flush(engine);
         }
         Ok(())
@@ -233,13 +258,22 @@
         match event {
             NetEvent::Accepted { listener, conn } => self.resp_accepted(listener, conn),
             NetEvent::Bytes { conn, data } => self.resp_bytes(conn, &data),
-            NetEvent::Opened { stream, conn, head, ended } => self.on_call(stream, conn, &head, ended),
+            NetEvent::Opened {
+                stream,
+                conn,
+                head,
+                ended,
+            } => self.on_call(stream, conn, &head, ended),
             NetEvent::Connected { conn } => self.on_connected(conn),
             NetEvent::Closed { conn, reason, .. } => {
                 self.resp_closed(conn);
                 self.on_closed(conn, &reason.to_string());
             }
-            NetEvent::Head { stream, head, ended } => self.on_head(stream, head, ended),
+            NetEvent::Head {
+                stream,
+                head,
+                ended,
+            } => self.on_head(stream, head, ended),
             NetEvent::Data { stream, data } => self.on_data(stream, data),
             NetEvent::End { stream, trailers } => self.on_end(stream, trailers),
             NetEvent::Sent { stream, bytes } => self.on_sent(stream, bytes),
@@ -264,7 +298,9 @@
             Action::Refuse(id, back_in) => self.refuse(id, back_in.map(|m| m.0)),
             Action::Grant(id) => self.granted(id),
             Action::Fail(id) => self.fail(id),
-            Action::Cancel(call, number) => self.call_off(AttemptId { call, number }, Outcome::Cancelled),
+            Action::Cancel(call, number) => {
+                self.call_off(AttemptId { call, number }, Outcome::Cancelled)
+            }
             Action::Count(name, amount, life) => self.count(name, amount, life.0),
             Action::SetTimer(timer, after) => self.due_in(after.0, Due::Policy(timer)),
             Action::FetchList => self.look(),
@@ -299,7 +335,14 @@
     }
 
     fn count(&mut self, name: CountName, amount: f64, life: u64) {
-        let Shell { counter: Some(counter), engine, .. } = self else { return };
+        let Shell {
+            counter: Some(counter),
+            engine,
+            ..
+        } = self
+        else {
+            return;
+        };
         let until = engine.now() + self.set.policy.count_timeout.0;
         let told = counter.part_of(name).add(engine, name, amount, life, until);
         self.watch_counts();
@@ -308,7 +351,9 @@
 
     /// All calls have the same time, so the first of them times out first and one timer serves all.
     fn watch_counts(&mut self) {
-        let Some(until) = self.counter.as_mut().and_then(Counters::next_timeout) else { return };
+        let Some(until) = self.counter.as_mut().and_then(Counters::next_timeout) else {
+            return;
+        };
         if !std::mem::replace(&mut self.counts_watched, true) {
             self.due_in(until.saturating_sub(self.engine.now()), Due::Count);
         }
@@ -316,23 +361,42 @@
 
     fn count_times_out(&mut self) {
         self.counts_watched = false;
-        let Shell { counter: Some(counter), engine, .. } = self else { return };
+        let Shell {
+            counter: Some(counter),
+            engine,
+            ..
+        } = self
+        else {
+            return;
+        };
         let told = counter.timed_out(engine);
         self.watch_counts();
         self.counted(told);
     }
 
     pub(crate) fn counted(&mut self, told: Vec<Told>) {
-        for news in self.counter.as_mut().map(Counters::news).unwrap_or_default() {
+        for news in self
+            .counter
+            .as_mut()
+            .map(Counters::news)
+            .unwrap_or_default()
+        {
             self.metrics.counter_news(news);
             match news {
-                News::Recovered => tracing::info!("the counter was started again and has its counts"),
+                News::Recovered => {
+                    tracing::info!("the counter was started again and has its counts")
+                }
                 News::Emptied => tracing::warn!("the counter has lost its counts"),
                 News::WentBack => tracing::warn!("the counter has an earlier state of its counts"),
             }
         }
         self.site_counted(&told);
-        for Told { name, outcome, total } in told {
+        for Told {
+            name,
+            outcome,
+            total,
+        } in told
+        {
             self.metrics.count(outcome);
             self.decisions.push(Event::Counted(name, outcome, total));
         }
@@ -344,7 +408,9 @@
     fn look(&mut self) {
         self.due_in(self.set.poll, Due::Look);
         self.pool.close_idle(&mut self.engine);
-        let Some(bytes) = self.watch.look() else { return };
+        let Some(bytes) = self.watch.look() else {
+            return;
+        };
         let list = |b: Vec<u8>| endpoints::read(self.watch.path(), &b).map_err(LookError::from);
         match bytes.map_err(LookError::from).and_then(list) {
             Ok(servers) => {
@@ -364,7 +430,9 @@
     pub(crate) fn take_list(&mut self, mut servers: Vec<Server>) {
         self.keeper_list(&mut servers);
         let unsent = self.pool.update(&mut self.engine, &servers);
-        unsent.into_iter().for_each(|attempt| self.ended(attempt, Outcome::ConnectFailed, false));
+        unsent
+            .into_iter()
+            .for_each(|attempt| self.ended(attempt, Outcome::ConnectFailed, false));
         self.site_list(&servers);
         let mut entries: Vec<_> = servers.into_iter().map(|s| s.entry).collect();
         for entry in &mut entries {
@@ -375,7 +443,8 @@
                 self.freshest = Some(entry.server);
             }
         }
-        self.decisions.push(Event::Servers(ListScope::Whole, entries));
+        self.decisions
+            .push(Event::Servers(ListScope::Whole, entries));
     }
 
     /// Takes over what can change in service; the decisions' own settings need a new start.
@@ -428,11 +497,18 @@
                 Ok(text) => self.engine.reply(conn, 200, &text),
                 Err(what) => self.engine.reply(conn, 400, &format!("{what}\n")),
             },
-            "/keepers" => match self.keeper_status().and_then(|s| serde_json::to_string(&s).ok()) {
+            "/keepers" => match self
+                .keeper_status()
+                .and_then(|s| serde_json::to_string(&s).ok())
+            {
                 Some(text) => self.engine.reply(conn, 200, &text),
                 None => self.engine.reply(conn, 400, "settings have no keepers\n"),
             },
-            _ => self.engine.reply(conn, 404, "expected /healthz, /metrics, /sites or /keepers\n"),
+            _ => self.engine.reply(
+                conn,
+                404,
+                "expected /healthz, /metrics, /sites or /keepers\n",
+            ),
         }
     }
 }
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -74,11 +74,20 @@
             fall_multiple: set.policy.fall_multiple,
         });
         let words = Words::read(set.site_words.as_deref())?;
-        Ok(Sites { core, names: BTreeMap::from([(own, set.zone_name.clone())]), told: None, words })
+        Ok(Sites {
+            core,
+            names: BTreeMap::from([(own, set.zone_name.clone())]),
+            told: None,
+            words,
+        })
     }
 
     fn list(&mut self, now: u64, servers: &[Server]) {
-        self.names.extend(servers.iter().map(|s| (site_of(s.entry.zone), s.zone_name.clone())));
+        self.names.extend(
+            servers
+                .iter()
+                .map(|s| (site_of(s.entry.zone), s.zone_name.clone())),
+        );
         let line = |s: &Server| chalkdeck_site::Listed {
             server: s.entry.server.0,
             site: site_of(s.entry.zone),
@@ -90,7 +99,8 @@
         self.core.on(now, Event::List(&lines));
         // Words of an earlier life count from the first list that names their site on.
         for held in self.words.held() {
-            self.core.on(now, Event::Command(site_of(zone_of(held)), Command::Hold));
+            self.core
+                .on(now, Event::Command(site_of(zone_of(held)), Command::Hold));
         }
     }
 
@@ -156,18 +166,29 @@
 
     /// Requests whose callers do the work themselves take no room here.
     pub(crate) fn site_offered(&mut self, arrival: &Arrival) {
-        let Shell { sites: Some(sites), set, .. } = self else { return };
+        let Shell {
+            sites: Some(sites),
+            set,
+            ..
+        } = self
+        else {
+            return;
+        };
         let class = &set.policy.classes[arrival.class.0];
         if class.by_caller {
             return;
         }
         let worth = class.worth * set.policy.plans[arrival.plan.0].price / arrival.units;
-        sites.core.on(self.engine.now(), Event::Offered(worth, arrival.units));
+        sites
+            .core
+            .on(self.engine.now(), Event::Offered(worth, arrival.units));
     }
 
     pub(crate) fn site_sent(&mut self, server: ServerId) {
         let now = self.engine.now();
-        self.sites.iter_mut().for_each(|s| s.core.on(now, Event::Sent(server.0)));
+        self.sites
+            .iter_mut()
+            .for_each(|s| s.core.on(now, Event::Sent(server.0)));
     }
 
     pub(crate) fn site_ended(
@@ -178,30 +199,67 @@
         class: usize,
         units: f64,
     ) {
-        let Shell { sites: Some(sites), set, .. } = self else { return };
+        let Shell {
+            sites: Some(sites),
+            set,
+            ..
+        } = self
+        else {
+            return;
+        };
         let aim = set.policy.classes[class].aim.0;
-        sites.core.on(self.engine.now(), Event::Ended(server.0, how(outcome), took, aim, units));
+        sites.core.on(
+            self.engine.now(),
+            Event::Ended(server.0, how(outcome), took, aim, units),
+        );
     }
 
     /// A call of that class had its final answer after so long.
     pub(crate) fn site_final(&mut self, class: usize, end: End, waited: u64) {
-        let Shell { sites: Some(sites), set, .. } = self else { return };
+        let Shell {
+            sites: Some(sites),
+            set,
+            ..
+        } = self
+        else {
+            return;
+        };
         let aim = set.policy.classes[class].aim.0;
         if end != End::Gone {
-            sites.core.on(self.engine.now(), Event::Final(end == End::Served, waited, aim));
+            sites.core.on(
+                self.engine.now(),
+                Event::Final(end == End::Served, waited, aim),
+            );
         }
     }
 
     pub(crate) fn site_counted(&mut self, told: &[Told]) {
-        let (Some(sites), Some(last)) = (&mut self.sites, told.last()) else { return };
-        sites.core.on(self.engine.now(), Event::Counter(last.outcome == Outcome::Ok));
+        let (Some(sites), Some(last)) = (&mut self.sites, told.last()) else {
+            return;
+        };
+        sites.core.on(
+            self.engine.now(),
+            Event::Counter(last.outcome == Outcome::Ok),
+        );
     }
 
     /// Looks at the plan again and tells the decisions what moved.
     pub(crate) fn site_look(&mut self) {
         self.due_in(LOOK, Due::Sites);
-        let Shell { sites: Some(sites), decisions, engine, .. } = self else { return };
-        let places: Vec<_> = decisions.gateway.places().map(|(id, out, most)| (id.0, out, most)).collect();
+        let Shell {
+            sites: Some(sites),
+            decisions,
+            engine,
+            ..
+        } = self
+        else {
+            return;
+        };
+        let places: Vec<_> = decisions
+            .gateway
+            .places()
+            .map(|(id, out, most)| (id.0, out, most))
+            .collect();
         sites.core.on(engine.now(), Event::Places(&places));
         self.site_plan();
     }
@@ -228,9 +286,15 @@
             share: v.share,
             open: v.state == State::Serving,
         };
-        let floor = api::Floor { sure: plan.floor.sure, from: plan.floor.from, part: plan.floor.part };
+        let floor = api::Floor {
+            sure: plan.floor.sure,
+            from: plan.floor.from,
+            part: plan.floor.part,
+        };
         let shares = plan.sites.iter().map(part).collect();
-        sites.names.retain(|id, _| plan.sites.iter().any(|s| s.site == *id));
+        sites
+            .names
+            .retain(|id, _| plan.sites.iter().any(|s| s.site == *id));
         sites.told = Some(plan);
         self.decisions.push(api::Event::Sites(shares, floor));
     }
@@ -253,17 +317,27 @@
             );
         }
         tracing::warn!(site = name, word, "an operator's word to the fleet");
-        sites.core.on(now, Event::Command(site_of(zone_of(name)), command));
+        sites
+            .core
+            .on(now, Event::Command(site_of(zone_of(name)), command));
         self.site_plan();
     }
 
     /// `/sites`, and `/sites/drain/NAME`, `/sites/hold/NAME`, `/sites/let-back/NAME`. Errors: what was expected.
     pub(crate) fn site_asked(&mut self, path: &str) -> Result<String, AskedError> {
         let now = self.engine.now();
-        let Shell { sites: Some(sites), set, .. } = self else {
+        let Shell {
+            sites: Some(sites),
+            set,
+            ..
+        } = self
+        else {
             return Err(AskedError::Off);
         };
-        if let Some((word, name)) = path.strip_prefix("/sites/").and_then(|rest| rest.split_once('/')) {
+        if let Some((word, name)) = path
+            .strip_prefix("/sites/")
+            .and_then(|rest| rest.split_once('/'))
+        {
             let command = match word {
                 "drain" => Command::Drain,
                 "hold" => Command::Hold,
@@ -273,7 +347,10 @@
             let site = site_of(zone_of(name));
             if sites.names.get(&site).is_none_or(|known| known != name) {
                 let known: Vec<&str> = sites.names.values().map(String::as_str).collect();
-                return Err(AskedError::Site { known: known.join(", "), found: name.to_string() });
+                return Err(AskedError::Site {
+                    known: known.join(", "),
+                    found: name.to_string(),
+                });
             }
             sites.words.keep(name, command != Command::LetBack)?;
             tracing::warn!(site = name, word, "an operator's word");
--- a/crates/gateway/src/words.rs
+++ b/crates/gateway/src/words.rs
@@ -21,20 +21,34 @@
 impl Words {
     /// Reads them. Errors: a file that is there but is not sound, with its line; better no start than a drain forgotten.
     pub(crate) fn read(file: Option<&Path>) -> Result<Words, WordsError> {
-        let Some(path) = file else { return Ok(Words { file: None, held: BTreeSet::new() }) };
+        let Some(path) = file else {
+            return Ok(Words {
+                file: None,
+                held: BTreeSet::new(),
+            });
+        };
         let held = match std::fs::read_to_string(path) {
             Err(e) if e.kind() == io::ErrorKind::NotFound => BTreeSet::new(),
-            Err(source) => return Err(WordsError::File { file: path.into(), source }),
-            Ok(content) => {
-                let held: HeldSites = text::parse(MESSAGE, &content).map_err(|e| WordsError::Form {
+            Err(source) => {
+                return Err(WordsError::File {
                     file: path.into(),
-                    line: e.line,
-                    what: e.what,
-                })?;
+                    source,
+                })
+            }
+            Ok(content) => {
+                let held: HeldSites =
+                    text::parse(MESSAGE, &content).map_err(|e| WordsError::Form {
+                        file: path.into(),
+                        line: e.line,
+                        what: e.what,
+                    })?;
                 held.sites.into_iter().collect()
             }
         };
-        Ok(Words { file: Some(path.to_path_buf()), held })
+        Ok(Words {
+            file: Some(path.to_path_buf()),
+            held,
+        })
     }
 
     pub(crate) fn held(&self) -> impl Iterator<Item = &str> {
@@ -53,11 +67,16 @@
             return Err(WordsError::Most(MOST));
         }
         if let Some(file) = &self.file {
-            let message = HeldSites { sites: held.iter().cloned().collect() };
+            let message = HeldSites {
+                sites: held.iter().cloned().collect(),
+            };
             let content = text::print(MESSAGE, &message).unwrap_or_default();
             let new = file.with_extension("new");
             let written = std::fs::write(&new, content).and_then(|()| std::fs::rename(&new, file));
-            written.map_err(|source| WordsError::File { file: file.clone(), source })?;
+            written.map_err(|source| WordsError::File {
+                file: file.clone(),
+                source,
+            })?;
         }
         self.held = held;
         Ok(())
--- a/crates/keeper/src/agree.rs
+++ b/crates/keeper/src/agree.rs
@@ -57,8 +57,11 @@
         let core = match nodes.len() {
             1 => Core::One,
             3 | 5 => {
-                let cluster =
-                    ClusterConfig { configuration_id: configuration.number, nodes, flexible_quorum: None };
+                let cluster = ClusterConfig {
+                    configuration_id: configuration.number,
+                    nodes,
+                    flexible_quorum: None,
+                };
                 let server = ServerConfig {
                     pid: configuration.own,
                     election_tick_timeout: ELECTION,
@@ -67,11 +70,18 @@
                     ..ServerConfig::default()
                 };
                 let built = cluster.build_for_server(server, shelf.clone());
-                Core::Many(Box::new(built.map_err(|e| AgreeError::Library(e.to_string()))?))
+                Core::Many(Box::new(
+                    built.map_err(|e| AgreeError::Library(e.to_string()))?,
+                ))
             }
             other => return Err(AgreeError::Count(other)),
         };
-        Ok(Agreement { core, shelf, taken: 0, out: Vec::new() })
+        Ok(Agreement {
+            core,
+            shelf,
+            taken: 0,
+            out: Vec::new(),
+        })
     }
 
     /// Puts a command before the others. It may be lost on its way to the leader.
@@ -91,7 +101,9 @@
 
     /// A message of another keeper came.
     pub fn heard(&mut self, bytes: &[u8]) {
-        let (Core::Many(core), Ok(message)) = (&mut self.core, postcard::from_bytes(bytes)) else { return };
+        let (Core::Many(core), Ok(message)) = (&mut self.core, postcard::from_bytes(bytes)) else {
+            return;
+        };
         core.handle_incoming(message);
     }
     /// Time passes.
@@ -109,9 +121,16 @@
 
     /// Messages to go out, by keeper. They may leave once the store's changes are on the disk.
     pub fn messages(&mut self) -> Vec<(u64, Vec<u8>)> {
-        let Core::Many(core) = &mut self.core else { return Vec::new() };
+        let Core::Many(core) = &mut self.core else {
+            return Vec::new();
+        };
         core.take_outgoing_messages(&mut self.out);
-        let bytes = |m: Message<Entry>| (m.get_receiver(), postcard::to_stdvec(&m).unwrap_or_default());
+        let bytes = |m: Message<Entry>| {
+            (
+                m.get_receiver(),
+                postcard::to_stdvec(&m).unwrap_or_default(),
+            )
+        };
         self.out.drain(..).map(bytes).collect()
     }
 
@@ -148,8 +167,9 @@
 fn of_log(entry: LogEntry<Entry>) -> Option<wire::Command> {
     match entry {
         LogEntry::Decided(entry) => Some(entry.command()),
-        LogEntry::StopSign(..) | LogEntry::Undecided(_) | LogEntry::Trimmed(_) | LogEntry::Snapshotted(_) => {
-            None
-        }
+        LogEntry::StopSign(..)
+        | LogEntry::Undecided(_)
+        | LogEntry::Trimmed(_)
+        | LogEntry::Snapshotted(_) => None,
     }
 }
--- a/crates/keeper/src/apply.rs
+++ b/crates/keeper/src/apply.rs
@@ -36,7 +36,9 @@
 
 /// Reads a look at a proposal's verdict.
 pub fn progress(look: &wire::LookAnswer) -> Progress {
-    let Some(verdict) = &look.verdict else { return Progress::Waits };
+    let Some(verdict) = &look.verdict else {
+        return Progress::Waits;
+    };
     if !verdict.admitted {
         return Progress::Rejected(verdict.breaks.clone());
     }
@@ -46,10 +48,22 @@
     let version = verdict.set_version;
     match &look.in_force {
         // A set that allows everything is forgotten once it is in force.
-        None => Progress::InForce { version, unknown: Vec::new() },
-        Some(of) if of.version > version => Progress::Followed { version, by: of.version },
-        Some(of) if of.in_force => Progress::InForce { version, unknown: of.unknown.clone() },
-        Some(of) => Progress::Missing { version, gateways: of.missing.clone() },
+        None => Progress::InForce {
+            version,
+            unknown: Vec::new(),
+        },
+        Some(of) if of.version > version => Progress::Followed {
+            version,
+            by: of.version,
+        },
+        Some(of) if of.in_force => Progress::InForce {
+            version,
+            unknown: of.unknown.clone(),
+        },
+        Some(of) => Progress::Missing {
+            version,
+            gateways: of.missing.clone(),
+        },
     }
 }
 
--- a/crates/keeper/src/ask.rs
+++ b/crates/keeper/src/ask.rs
@@ -22,7 +22,10 @@
 pub enum AskError {
     /// No loop.
     #[error("poll: {0}")]
-    #[diagnostic(code(chalkdeck::keeper::ask_poll), help("see the limit of descriptors (ulimit -n)"))]
+    #[diagnostic(
+        code(chalkdeck::keeper::ask_poll),
+        help("see the limit of descriptors (ulimit -n)")
+    )]
     Poll(io::Error),
     /// Nobody answered a look.
     #[error("no keeper of {keepers} answered within {seconds} s")]
@@ -79,11 +82,22 @@
         let engine = Engine::new().map_err(AskError::Poll)?;
         let caller = incarnation(engine.now());
         let place = fastrand::usize(..keepers.len().max(1));
-        Ok(Asking { engine, keepers, caller, number: 0, place, conn: None })
+        Ok(Asking {
+            engine,
+            keepers,
+            caller,
+            number: 0,
+            place,
+            conn: None,
+        })
     }
 
     /// Says a command; `patience` in microseconds. Errors: refused, or its outcome is not known.
-    pub fn tell(&mut self, what: wire::command::What, patience: u64) -> Result<wire::Answer, AskError> {
+    pub fn tell(
+        &mut self,
+        what: wire::command::What,
+        patience: u64,
+    ) -> Result<wire::Answer, AskError> {
         self.number += 1;
         let command = wire::Command {
             caller: self.caller,
@@ -97,14 +111,25 @@
             match answer.as_ref().map(wire::Answer::code) {
                 Some(Told::Done) => return Ok(answer.unwrap_or_default()),
                 None | Some(Told::Elsewhere) => self.next(until)?,
-                Some(_) => return Err(AskError::Refused { why: answer.map(|a| a.why).unwrap_or_default() }),
+                Some(_) => {
+                    return Err(AskError::Refused {
+                        why: answer.map(|a| a.why).unwrap_or_default(),
+                    })
+                }
             }
         }
-        Err(AskError::Unknown { keepers: self.keepers.len(), seconds: patience / 1_000_000 })
+        Err(AskError::Unknown {
+            keepers: self.keepers.len(),
+            seconds: patience / 1_000_000,
+        })
     }
 
     /// Looks at what is held. Errors: nobody answered.
-    pub fn look(&mut self, request: &wire::LookRequest, patience: u64) -> Result<wire::LookAnswer, AskError> {
+    pub fn look(
+        &mut self,
+        request: &wire::LookRequest,
+        patience: u64,
+    ) -> Result<wire::LookAnswer, AskError> {
         let until = self.engine.now() + patience;
         while self.engine.now() < until {
             let answer: Option<wire::LookAnswer> = self.ask(LOOK, request, until)?;
@@ -114,7 +139,10 @@
                 _ => self.next(until)?,
             }
         }
-        Err(AskError::NoAnswer { keepers: self.keepers.len(), seconds: patience / 1_000_000 })
+        Err(AskError::NoAnswer {
+            keepers: self.keepers.len(),
+            seconds: patience / 1_000_000,
+        })
     }
 
     /// What one keeper says of itself; none: it does not answer in time.
@@ -131,7 +159,10 @@
     }
 
     fn hang_up(&mut self) {
-        self.conn.take().into_iter().for_each(|c| self.engine.close(c));
+        self.conn
+            .take()
+            .into_iter()
+            .for_each(|c| self.engine.close(c));
     }
 
     /// Another keeper, after a while.
@@ -142,7 +173,9 @@
         let mut events = Vec::new();
         while self.engine.now() < at {
             let left = at.saturating_sub(self.engine.now());
-            self.engine.turn(left, &mut events).map_err(AskError::Poll)?;
+            self.engine
+                .turn(left, &mut events)
+                .map_err(AskError::Poll)?;
             events.clear();
         }
         Ok(())
@@ -159,10 +192,14 @@
         let address = self.keepers[self.place];
         let fresh = self.conn.is_none();
         if fresh {
-            let Ok(conn) = self.engine.connect(address, limits()) else { return Ok(None) };
+            let Ok(conn) = self.engine.connect(address, limits()) else {
+                return Ok(None);
+            };
             self.conn = Some(conn);
         }
-        let Some(conn) = self.conn else { return Ok(None) };
+        let Some(conn) = self.conn else {
+            return Ok(None);
+        };
         let mut stream: Option<StreamId> = None;
         let mut open = |engine: &mut Engine| {
             let head = grpc::request(&address.to_string(), path);
@@ -177,7 +214,9 @@
         let (mut gather, mut events) = (Gather::default(), Vec::new());
         while self.engine.now() < until {
             let left = until.saturating_sub(self.engine.now());
-            self.engine.turn(left, &mut events).map_err(AskError::Poll)?;
+            self.engine
+                .turn(left, &mut events)
+                .map_err(AskError::Poll)?;
             for event in events.drain(..) {
                 match event {
                     Event::Connected { conn: c } if c == conn => asked = open(&mut self.engine),
@@ -196,9 +235,12 @@
                         let message = gather.message().filter(|_| sound);
                         return Ok(message.and_then(|m| A::decode(&m[..]).ok()));
                     }
-                    Event::Broken { stream, .. } | Event::Head { stream, ended: true, .. }
-                        if Some(stream) == asked =>
-                    {
+                    Event::Broken { stream, .. }
+                    | Event::Head {
+                        stream,
+                        ended: true,
+                        ..
+                    } if Some(stream) == asked => {
                         return Ok(None);
                     }
                     _ => {}
--- a/crates/keeper/src/core.rs
+++ b/crates/keeper/src/core.rs
@@ -120,7 +120,13 @@
 
 impl Keeper {
     /// Begins with what its log replayed to. Errors: a number of keepers that cannot agree.
-    pub fn new(set: Set, kept: Kept, position: u64, start: Start, now: u64) -> Result<Keeper, AgreeError> {
+    pub fn new(
+        set: Set,
+        kept: Kept,
+        position: u64,
+        start: Start,
+        now: u64,
+    ) -> Result<Keeper, AgreeError> {
         let shelf = Shelf::new(kept);
         let mut keeper = Keeper {
             watch: Watch::new(set.terms),
@@ -158,15 +164,28 @@
             if self.start != Start::First {
                 return Ok(());
             }
-            let members = (1..=self.set.keepers).map(|slot| (u64::from(slot), slot, 0)).collect();
+            let members = (1..=self.set.keepers)
+                .map(|slot| (u64::from(slot), slot, 0))
+                .collect();
             let own = u64::from(self.set.slot);
-            self.enter(Configuration { number: 1, own, members, base: Vec::new() })?;
+            self.enter(Configuration {
+                number: 1,
+                own,
+                members,
+                base: Vec::new(),
+            })?;
         } else {
             self.agreement = Some(Agreement::begin(self.shelf.clone())?);
             self.state = base_of(&held);
         }
         self.apply_decided();
-        self.watch.begin_anew(self.state.sessions().map(|s| (s.id, s.renewed)).collect::<Vec<_>>(), self.now);
+        self.watch.begin_anew(
+            self.state
+                .sessions()
+                .map(|s| (s.id, s.renewed))
+                .collect::<Vec<_>>(),
+            self.now,
+        );
         Ok(())
     }
 
@@ -177,7 +196,9 @@
         self.agreement = Some(Agreement::begin(self.shelf.clone())?);
         self.state = base_of(&configuration);
         let standing: Vec<(u64, u64)> = self.state.sessions().map(|s| (s.id, s.renewed)).collect();
-        standing.into_iter().for_each(|(id, renewed)| self.watch.applied(id, renewed, self.now));
+        standing
+            .into_iter()
+            .for_each(|(id, renewed)| self.watch.applied(id, renewed, self.now));
         self.spoke = false;
         Ok(())
     }
@@ -213,7 +234,13 @@
     }
     fn slot_of(&self, pid: u64) -> Option<u32> {
         let store = self.shelf.0.borrow();
-        store.kept().configuration.members.iter().find(|m| m.0 == pid).map(|m| m.1)
+        store
+            .kept()
+            .configuration
+            .members
+            .iter()
+            .find(|m| m.0 == pid)
+            .map(|m| m.1)
     }
     /// What is kept, for a snapshot of the log.
     pub fn kept(&self) -> Kept {
@@ -229,7 +256,11 @@
 
     /// A message of another keeper.
     pub fn heard(&mut self, between: &wire::Between) {
-        let known = self.state.members().find(|m| m.pid == between.from).map_or(0, |m| m.epoch);
+        let known = self
+            .state
+            .members()
+            .find(|m| m.pid == between.from)
+            .map_or(0, |m| m.epoch);
         // From a disk that is older than what was told: its promises are forgotten, so nothing it says counts.
         if between.epoch < known {
             return;
@@ -242,7 +273,9 @@
             return;
         }
         self.heard.insert(between.from, self.now);
-        let Some(agreement) = &mut self.agreement else { return };
+        let Some(agreement) = &mut self.agreement else {
+            return;
+        };
         let link = self.links.entry(between.from).or_default();
         if between.reset != 0 {
             if link.reset(between.reset) {
@@ -255,12 +288,17 @@
             agreement.reconnected(between.from);
         }
         came.bodies.iter().for_each(|body| agreement.heard(body));
-        came.ask.into_iter().for_each(|run| self.ask_reset(between.from, run));
+        came.ask
+            .into_iter()
+            .for_each(|run| self.ask_reset(between.from, run));
     }
 
     /// Asks another keeper to begin its run of messages anew.
     fn ask_reset(&mut self, to: u64, reset: u64) {
-        let between = wire::Between { reset, ..self.to_peer(to) };
+        let between = wire::Between {
+            reset,
+            ..self.to_peer(to)
+        };
         if let Some(slot) = self.slot_of(to) {
             self.out.push(Out::Peer(slot, Box::new(between)));
         }
@@ -291,7 +329,11 @@
     fn refusal(&self, command: &wire::Command) -> Option<wire::Answer> {
         use prost::Message;
         let refuse = |code: Code, why: &str| {
-            Some(wire::Answer { code: code as i32, why: why.into(), ..wire::Answer::default() })
+            Some(wire::Answer {
+                code: code as i32,
+                why: why.into(),
+                ..wire::Answer::default()
+            })
         };
         let Some(what) = &command.what else {
             return refuse(Code::Unknown, "this keeper does not know the command");
@@ -303,7 +345,10 @@
             return refuse(Code::Refused, "only keepers say this");
         }
         if command.caller == 0 || command.number == 0 {
-            return refuse(Code::Refused, "expected the caller's incarnation and a number from 1 on");
+            return refuse(
+                Code::Refused,
+                "expected the caller's incarnation and a number from 1 on",
+            );
         }
         if command.encoded_len() > MOST_COMMAND {
             return refuse(Code::Full, "expected a command of at most 2 MiB");
@@ -312,7 +357,10 @@
             return refuse(Code::Full, "too many commands wait here to be agreed on");
         }
         if !self.is_configured() {
-            return refuse(Code::Elsewhere, "this keeper takes no part in the agreement yet");
+            return refuse(
+                Code::Elsewhere,
+                "this keeper takes no part in the agreement yet",
+            );
         }
         None
     }
@@ -327,13 +375,21 @@
         if request.what() == wire::look_request::What::Members && request.slot > 0 {
             self.asked_for_a_place(request.slot, request.incarnation);
         }
-        let mut answer = self.state.look(request, LookTerms { dead_after_ms: self.set.dead_after_ms });
-        answer.leader = self.leader().map_or_else(String::new, |slot| slot.to_string());
+        let mut answer = self.state.look(
+            request,
+            LookTerms {
+                dead_after_ms: self.set.dead_after_ms,
+            },
+        );
+        answer.leader = self
+            .leader()
+            .map_or_else(String::new, |slot| slot.to_string());
         answer.majority = self.has_majority();
         answer.configuration = self.configuration();
         let store = self.shelf.0.borrow();
         // For one that missed the end of its own configuration, or has none.
-        if request.what() == wire::look_request::What::Members && request.configuration < answer.configuration
+        if request.what() == wire::look_request::What::Members
+            && request.configuration < answer.configuration
         {
             answer.base = store.kept().configuration.base.clone();
         }
@@ -341,9 +397,20 @@
             slot: m.1,
             pid: m.0,
             incarnation: m.2,
-            ..self.state.members().find(|s| s.pid == m.0).cloned().unwrap_or_default()
+            ..self
+                .state
+                .members()
+                .find(|s| s.pid == m.0)
+                .cloned()
+                .unwrap_or_default()
         };
-        answer.members = store.kept().configuration.members.iter().map(member).collect();
+        answer.members = store
+            .kept()
+            .configuration
+            .members
+            .iter()
+            .map(member)
+            .collect();
         answer
     }
 
@@ -356,9 +423,14 @@
             agreement.tick();
         }
         let now = self.now;
-        let missing: Vec<(u64, u64)> =
-            self.links.iter_mut().filter_map(|(pid, link)| Some((*pid, link.missing(now)?))).collect();
-        missing.into_iter().for_each(|(pid, run)| self.ask_reset(pid, run));
+        let missing: Vec<(u64, u64)> = self
+            .links
+            .iter_mut()
+            .filter_map(|(pid, link)| Some((*pid, link.missing(now)?)))
+            .collect();
+        missing
+            .into_iter()
+            .for_each(|(pid, run)| self.ask_reset(pid, run));
         self.join();
         self.again();
         self.chores();
@@ -367,7 +439,9 @@
     /// Commands that were not agreed on for a while go in again.
     fn again(&mut self) {
         let now = self.now;
-        let Some(agreement) = &mut self.agreement else { return };
+        let Some(agreement) = &mut self.agreement else {
+            return;
+        };
         for pending in self.pending.values_mut().filter(|p| now >= p.since + AGAIN) {
             pending.since = now;
             agreement.propose(&pending.command);
@@ -375,15 +449,32 @@
     }
 
     fn put(&mut self, what: wire::command::What, for_whom: ForWhom) {
-        self.put_for(wire::Command { what: Some(what), ..wire::Command::default() }, for_whom);
+        self.put_for(
+            wire::Command {
+                what: Some(what),
+                ..wire::Command::default()
+            },
+            for_whom,
+        );
     }
     fn put_for(&mut self, command: wire::Command, for_whom: ForWhom) {
         self.next += 1;
-        let command = wire::Command { origin: self.set.incarnation, origin_number: self.next, ..command };
+        let command = wire::Command {
+            origin: self.set.incarnation,
+            origin_number: self.next,
+            ..command
+        };
         if let Some(agreement) = &mut self.agreement {
             agreement.propose(&command);
         }
-        self.pending.insert(self.next, Pending { for_whom, command, since: self.now });
+        self.pending.insert(
+            self.next,
+            Pending {
+                for_whom,
+                command,
+                since: self.now,
+            },
+        );
     }
 
     // ---- out ----
@@ -394,11 +485,21 @@
         self.apply_decided();
         self.news();
         self.shorten();
-        let messages = self.agreement.as_mut().map(Agreement::messages).unwrap_or_default();
+        let messages = self
+            .agreement
+            .as_mut()
+            .map(Agreement::messages)
+            .unwrap_or_default();
         for (to, body) in messages {
-            let Some(slot) = self.slot_of(to).filter(|_| !self.outdated) else { continue };
-            let mut between = wire::Between { body, ..self.to_peer(to) };
-            let seed = self.set.incarnation.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ self.set.epoch << 20;
+            let Some(slot) = self.slot_of(to).filter(|_| !self.outdated) else {
+                continue;
+            };
+            let mut between = wire::Between {
+                body,
+                ..self.to_peer(to)
+            };
+            let seed =
+                self.set.incarnation.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ self.set.epoch << 20;
             self.links.entry(to).or_default().stamp(seed, &mut between);
             self.out.push(Out::Peer(slot, Box::new(between)));
         }
@@ -445,9 +546,19 @@
 
     /// The configuration that begins here, if this command ends the present one.
     fn next_of(&self, command: &wire::Command) -> Option<Configuration> {
-        let Some(wire::command::What::Next(next)) = &command.what else { return None };
-        let members = next.members.iter().map(|m| (m.pid, m.slot, m.incarnation)).collect();
-        let next = Configuration { number: next.configuration, members, ..Configuration::default() };
+        let Some(wire::command::What::Next(next)) = &command.what else {
+            return None;
+        };
+        let members = next
+            .members
+            .iter()
+            .map(|m| (m.pid, m.slot, m.incarnation))
+            .collect();
+        let next = Configuration {
+            number: next.configuration,
+            members,
+            ..Configuration::default()
+        };
         (next.number == self.configuration() + 1).then_some(next)
     }
 
@@ -464,15 +575,25 @@
             ..Default::default()
         };
         let members = next.members.iter().map(member).collect();
-        let what = wire::command::What::Next(wire::Next { configuration: next.number, members });
-        let command = wire::Command { what: Some(what), ..wire::Command::default() };
+        let what = wire::command::What::Next(wire::Next {
+            configuration: next.number,
+            members,
+        });
+        let command = wire::Command {
+            what: Some(what),
+            ..wire::Command::default()
+        };
         self.agreement.iter_mut().for_each(|a| a.propose(&command));
     }
 
     /// A later start of this keeper was agreed on: its disk is an older one, and what it promised since is forgotten.
     fn look_at_own_epoch(&mut self) {
         let own = self.own();
-        let told = self.state.members().find(|m| m.pid == own).map_or(0, |m| m.epoch);
+        let told = self
+            .state
+            .members()
+            .find(|m| m.pid == own)
+            .map_or(0, |m| m.epoch);
         if told > self.set.epoch && !self.outdated {
             tracing::error!(
                 told,
@@ -493,7 +614,11 @@
             }
             store.kept().configuration.clone()
         };
-        let next = Configuration { number: configuration.number + 1, base: Vec::new(), ..configuration };
+        let next = Configuration {
+            number: configuration.number + 1,
+            base: Vec::new(),
+            ..configuration
+        };
         if next.members.len() == 1 {
             let base = self.state.to_bytes();
             return self.enter_or_say(Configuration { base, ..next });
@@ -542,7 +667,12 @@
     use wire::command::What;
     matches!(
         what,
-        What::Renew(_) | What::Lapse(_) | What::Move(_) | What::Tick(_) | What::Next(_) | What::Speaks(_)
+        What::Renew(_)
+            | What::Lapse(_)
+            | What::Move(_)
+            | What::Tick(_)
+            | What::Next(_)
+            | What::Speaks(_)
     )
 }
 
@@ -550,8 +680,17 @@
 fn base_of(configuration: &Configuration) -> Shared {
     let mut base = Shared::from_bytes(&configuration.base).unwrap_or_default();
     let member = |m: &(u64, u32, u64)| {
-        let before = base.members().find(|b| b.pid == m.0).cloned().unwrap_or_default();
-        wire::Member { pid: m.0, slot: m.1, incarnation: m.2, ..before }
+        let before = base
+            .members()
+            .find(|b| b.pid == m.0)
+            .cloned()
+            .unwrap_or_default();
+        wire::Member {
+            pid: m.0,
+            slot: m.1,
+            incarnation: m.2,
+            ..before
+        }
     };
     let members: Vec<wire::Member> = configuration.members.iter().map(member).collect();
     base.configured(configuration.number, members);
--- a/crates/keeper/src/core/chores.rs
+++ b/crates/keeper/src/core/chores.rs
@@ -34,7 +34,10 @@
         self.ensure_duties();
         for (session, renewed) in self.watch.lapsed(self.now) {
             if self.state.session(session).is_some() {
-                self.put(What::Lapse(wire::Lapse { session, renewed }), ForWhom::Nobody);
+                self.put(
+                    What::Lapse(wire::Lapse { session, renewed }),
+                    ForWhom::Nobody,
+                );
             } else {
                 self.watch.forget(session);
             }
@@ -46,7 +49,10 @@
 
     fn ensure_duties(&mut self) {
         let own = self.set.duties.clone();
-        let wanted = [REGISTRAR, TALLY, SITE_WORDS].map(String::from).into_iter().chain(own);
+        let wanted = [REGISTRAR, TALLY, SITE_WORDS]
+            .map(String::from)
+            .into_iter()
+            .chain(own);
         let missing = wanted.filter(|name| !self.state.duties().any(|d| d.name == *name));
         for duty in missing.collect::<Vec<_>>() {
             self.put(What::Ensure(wire::Ensure { duty }), ForWhom::Nobody);
--- a/crates/keeper/src/core/joining.rs
+++ b/crates/keeper/src/core/joining.rs
@@ -36,13 +36,17 @@
             ..wire::LookRequest::default()
         };
         let others = (1..=self.set.keepers).filter(|s| *s != self.set.slot);
-        self.out.extend(others.map(|s| Out::AskMembers(s, request.clone())));
+        self.out
+            .extend(others.map(|s| Out::AskMembers(s, request.clone())));
     }
 
     /// Somebody is in a later configuration: this keeper missed the end of its own.
     pub(super) fn behind(&mut self, between: &wire::Between) {
         // Known to the others under this number: its disk is whole, it may go on in the later one, from what that began with.
-        if self.configuration() > 0 && self.now >= self.joined_at + ASK / 4 && between.to == self.own() {
+        if self.configuration() > 0
+            && self.now >= self.joined_at + ASK / 4
+            && between.to == self.own()
+        {
             self.joined_at = self.now;
             self.ask_members(0);
         }
@@ -52,9 +56,14 @@
     pub(super) fn asked_for_a_place(&mut self, slot: u32, incarnation: u64) {
         let configuration = self.shelf.0.borrow().kept().configuration.clone();
         let members = &configuration.members;
-        let Some(place) = members.iter().position(|m| m.1 == slot) else { return };
+        let Some(place) = members.iter().position(|m| m.1 == slot) else {
+            return;
+        };
         let (pid, _, known) = members[place];
-        let lately = self.heard.get(&pid).is_some_and(|at| self.now < at + SILENT);
+        let lately = self
+            .heard
+            .get(&pid)
+            .is_some_and(|at| self.now < at + SILENT);
         if known == incarnation || lately || pid == configuration.own {
             return;
         }
@@ -62,7 +71,12 @@
         let mut members = members.clone();
         // Never used before: grows with the configurations.
         members[place] = (u64::from(number) * 16 + u64::from(slot), slot, incarnation);
-        let next = Configuration { number, own: 0, members, base: Vec::new() };
+        let next = Configuration {
+            number,
+            own: 0,
+            members,
+            base: Vec::new(),
+        };
         tracing::warn!(slot, "a keeper without its disk comes back as a new member");
         self.ask_for(&next);
     }
@@ -75,16 +89,31 @@
         let (slot, incarnation, own) = (self.set.slot, self.set.incarnation, self.own());
         let fits = |m: &&wire::Member| {
             m.slot == slot
-                && if self.configuration() == 0 { m.incarnation == incarnation } else { m.pid == own }
+                && if self.configuration() == 0 {
+                    m.incarnation == incarnation
+                } else {
+                    m.pid == own
+                }
+        };
+        let Some(member) = answer.members.iter().find(fits) else {
+            return;
         };
-        let Some(member) = answer.members.iter().find(fits) else { return };
-        let members = answer.members.iter().map(|m| (m.pid, m.slot, m.incarnation)).collect();
+        let members = answer
+            .members
+            .iter()
+            .map(|m| (m.pid, m.slot, m.incarnation))
+            .collect();
         // A later one than the first begins with what those before left.
         if answer.configuration > 1 && answer.base.is_empty() {
             return;
         }
         let (number, own, base) = (answer.configuration, member.pid, answer.base.clone());
-        self.enter_or_say(Configuration { number, own, members, base });
+        self.enter_or_say(Configuration {
+            number,
+            own,
+            members,
+            base,
+        });
     }
 
     /// The configuration ended here: the next one begins with what this one left.
--- a/crates/keeper/src/core/link/tests.rs
+++ b/crates/keeper/src/core/link/tests.rs
@@ -3,7 +3,10 @@
 use super::*;
 
 fn message(link: &mut Link, body: u8) -> wire::Between {
-    let mut between = wire::Between { body: vec![body], ..wire::Between::default() };
+    let mut between = wire::Between {
+        body: vec![body],
+        ..wire::Between::default()
+    };
     link.stamp(7, &mut between);
     between
 }
--- a/crates/keeper/src/journal.rs
+++ b/crates/keeper/src/journal.rs
@@ -55,10 +55,25 @@
     /// Reads a folder. `incarnation`: of one that holds nothing. Errors: the disk, or damage.
     pub fn open(disk: D, incarnation: u64) -> Result<Begun<D>, OpenError> {
         let opened: Opened<D, Kept> = Log::open(disk.clone(), &(), incarnation)?;
-        let Opened { log, held: kept, found } = opened;
+        let Opened {
+            log,
+            held: kept,
+            found,
+        } = opened;
         let (position, identity) = (kept.position(), log.identity);
-        let journal = Journal { disk, log, grown: 0, most: GROWN };
-        Ok(Begun { journal, kept, position, identity, found })
+        let journal = Journal {
+            disk,
+            log,
+            grown: 0,
+            most: GROWN,
+        };
+        Ok(Begun {
+            journal,
+            kept,
+            position,
+            identity,
+            found,
+        })
     }
     /// Makes snapshots after so many bytes.
     pub fn snapshot_after(&mut self, bytes: usize) {
--- a/crates/keeper/src/kept.rs
+++ b/crates/keeper/src/kept.rs
@@ -55,23 +55,43 @@
 impl Kept {
     /// Reads what an earlier life kept. Errors: see [`KeptError`]; better no start than rules forgotten.
     pub fn open(path: &Path) -> Result<(Kept, Held), KeptError> {
-        let failed = |source| KeptError::File { file: path.into(), source };
+        let failed = |source| KeptError::File {
+            file: path.into(),
+            source,
+        };
         let mut bytes = Vec::new();
         match File::open(path) {
             Err(e) if e.kind() == io::ErrorKind::NotFound => {}
-            opened => drop(opened.and_then(|mut f| f.read_to_end(&mut bytes)).map_err(failed)?),
+            opened => drop(
+                opened
+                    .and_then(|mut f| f.read_to_end(&mut bytes))
+                    .map_err(failed)?,
+            ),
         }
         let (mut held, mut at) = (Held::default(), 0);
         while let Some(body) = record::body(&bytes, at) {
-            let news = wire::News::decode(body).map_err(|_| KeptError::Form { file: path.to_path_buf() })?;
+            let news = wire::News::decode(body).map_err(|_| KeptError::Form {
+                file: path.to_path_buf(),
+            })?;
             held.apply(&news);
             at += record::FRAME + body.len();
         }
         // Only the last record may be torn.
         if at < bytes.len() && (at == 0 || record::any_after(&bytes, at + 1)) {
-            return Err(KeptError::Form { file: path.to_path_buf() });
+            return Err(KeptError::Form {
+                file: path.to_path_buf(),
+            });
         }
-        Ok((Kept { path: path.to_path_buf(), file: None, whole: 0, changes: 0, version: held.version }, held))
+        Ok((
+            Kept {
+                path: path.to_path_buf(),
+                file: None,
+                whole: 0,
+                changes: 0,
+                version: held.version,
+            },
+            held,
+        ))
     }
 
     /// Keeps news that were applied; returns once they are on the disk. Errors: the disk; the next call writes the whole.
@@ -80,7 +100,13 @@
             Some(file) if self.changes < LEAST.max(self.whole) && !news.whole => {
                 let mut out = Vec::new();
                 // News between that had nothing to be kept are no gap.
-                record::push(&mut out, &wire::News { since: self.version, ..news.clone() });
+                record::push(
+                    &mut out,
+                    &wire::News {
+                        since: self.version,
+                        ..news.clone()
+                    },
+                );
                 self.changes += out.len() as u64;
                 let fits = out.len() <= record::MOST;
                 if fits {
@@ -94,7 +120,10 @@
         self.version = held.version;
         done.map_err(|source| {
             self.file = None;
-            KeptError::File { file: self.path.clone(), source }
+            KeptError::File {
+                file: self.path.clone(),
+                source,
+            }
         })
     }
 
@@ -111,14 +140,24 @@
             ..wire::News::default()
         };
         for rules in sets.chunks(SETS) {
-            record::push(&mut out, &wire::News { rules: rules.to_vec(), ..part.clone() });
+            record::push(
+                &mut out,
+                &wire::News {
+                    rules: rules.to_vec(),
+                    ..part.clone()
+                },
+            );
         }
         let new = self.path.with_extension("new");
         let mut file = File::create(&new)?;
         file.write_all(&out)?;
         file.sync_data()?;
         std::fs::rename(&new, &self.path)?;
-        let folder = self.path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
+        let folder = self
+            .path
+            .parent()
+            .filter(|p| !p.as_os_str().is_empty())
+            .unwrap_or(Path::new("."));
         File::open(folder)?.sync_all()?;
         (self.whole, self.changes) = (out.len() as u64, 0);
         self.file = Some(OpenOptions::new().append(true).open(&self.path)?);
--- a/crates/keeper/src/member.rs
+++ b/crates/keeper/src/member.rs
@@ -123,7 +123,11 @@
     }
     /// What is to be done now.
     pub fn take(&mut self) -> Vec<Act> {
-        let ups = self.session.take_out().into_iter().map(|up| Act::Up(Box::new(up)));
+        let ups = self
+            .session
+            .take_out()
+            .into_iter()
+            .map(|up| Act::Up(Box::new(up)));
         let ups: Vec<Act> = ups.collect();
         self.acts.extend(ups);
         std::mem::take(&mut self.acts)
@@ -145,7 +149,8 @@
     }
     /// Whether what goes on already may go on.
     pub fn still_goes(&self, now: u64, customer: &str, call: &access::Call) -> access::Verdict {
-        self.access.still_goes(customer, call, self.session.stands(now))
+        self.access
+            .still_goes(customer, call, self.session.stands(now))
     }
 
     // ---- the connection ----
@@ -168,7 +173,11 @@
     pub fn tick(&mut self, now: u64) {
         // Half of a session is left for another keeper then.
         let half = self.session.terms().lease / 2;
-        let patience = if self.session.id() == 0 { half.min(FIRST) } else { half };
+        let patience = if self.session.id() == 0 {
+            half.min(FIRST)
+        } else {
+            half
+        };
         match self.link {
             Link::Down(at) if now >= at => {
                 self.link = Link::Dialled(now + patience / 2);
@@ -205,7 +214,10 @@
         if let Some(look) = came.looked.take() {
             self.judging = false;
             // The token is the one held now: a look that was asked for under an earlier one serves as well.
-            let judge = self.session.holds(REGISTRAR, now).and_then(|t| registrar::judge(&look, t));
+            let judge = self
+                .session
+                .holds(REGISTRAR, now)
+                .and_then(|t| registrar::judge(&look, t));
             if let Some(judge) = judge {
                 self.session.tell(What::Judge(judge));
             }
@@ -239,7 +251,8 @@
         if changes.contracts {
             self.acts.push(Act::Contracts);
         }
-        self.acts.extend(changes.words.iter().cloned().map(Act::Word));
+        self.acts
+            .extend(changes.words.iter().cloned().map(Act::Word));
     }
 
     // ---- duties ----
@@ -257,20 +270,29 @@
         if proposals && !self.judging && self.session.holds(REGISTRAR, now).is_some() {
             self.judging = true;
             let what = wire::look_request::What::Proposals as i32;
-            self.session.look(wire::LookRequest { what, ..wire::LookRequest::default() });
+            self.session.look(wire::LookRequest {
+                what,
+                ..wire::LookRequest::default()
+            });
         }
         if let Some(token) = self.session.holds(TALLY, now).filter(|_| unfolded) {
             self.session.tell(What::Fold(wire::Fold { token }));
         }
         if let Some(token) = self.session.holds(SITE_WORDS, now).filter(|_| unpublished) {
             let upto = self.session.held.version;
-            self.session.tell(What::Publish(wire::Publish { token, upto }));
+            self.session
+                .tell(What::Publish(wire::Publish { token, upto }));
         }
     }
 
     fn release(&mut self, duty: String, token: u64) {
         let (session, progress) = (self.session.id(), self.session.progress(&duty).to_vec());
-        self.session.tell(What::Release(wire::Release { duty, token, progress, session }));
+        self.session.tell(What::Release(wire::Release {
+            duty,
+            token,
+            progress,
+            session,
+        }));
     }
 
     fn report(&mut self, now: u64) {
@@ -289,7 +311,12 @@
         };
         let hits = self.access.report(REPORTED).into_iter().map(line).collect();
         let (spoke, seen) = self.counted.report();
-        self.session.report(wire::Report { hits, spoke, seen, ..wire::Report::default() });
+        self.session.report(wire::Report {
+            hits,
+            spoke,
+            seen,
+            ..wire::Report::default()
+        });
     }
 
     /// What is held is on the disk as far as this version; to be told at the start, too, where anything is kept there.
--- a/crates/keeper/src/registrar.rs
+++ b/crates/keeper/src/registrar.rs
@@ -1,7 +1,9 @@
 //! How the registrar judges what was proposed, from a look at it and at what it rests on; free of I/O.
 
 use crate::state::wrong_in;
-use chalkdeck_contract::{check, Bounds, Effect, Group, Level, Promise, Spoken, Version, VersionError};
+use chalkdeck_contract::{
+    check, Bounds, Effect, Group, Level, Promise, Spoken, Version, VersionError,
+};
 use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
 use std::collections::BTreeMap;
 use wire::promise::{Effect as WireEffect, Group as WireGroup};
@@ -14,7 +16,9 @@
     let proposal = look.proposals.first()?;
     let breaks = match &proposal.what {
         Some(wire::proposal::What::Contract(contract)) => breaks_of(contract, look),
-        Some(wire::proposal::What::Rules(set)) => wrong_with(set, proposal.force, look.tried.as_ref()),
+        Some(wire::proposal::What::Rules(set)) => {
+            wrong_with(set, proposal.force, look.tried.as_ref())
+        }
         None => vec!["nothing was proposed".to_string()],
     };
     Some(wire::Judge {
@@ -74,8 +78,11 @@
         WireGroup::Zone => Group::Zone,
         WireGroup::Cell | WireGroup::Unspecified => Group::Cell,
     };
-    let sound =
-        p.units.is_finite() && p.units > 0.0 && p.worth.is_finite() && p.worth >= 0.0 && p.deadline_ms > 0;
+    let sound = p.units.is_finite()
+        && p.units > 0.0
+        && p.worth.is_finite()
+        && p.worth >= 0.0
+        && p.deadline_ms > 0;
     if !sound || p.aim_ms > p.deadline_ms {
         return Err(ContractError::Figures(p.method.clone()));
     }
@@ -83,7 +90,11 @@
         effect,
         group,
         window_ms: p.window_ms,
-        aim_ms: if p.aim_ms == 0 { p.deadline_ms } else { p.aim_ms },
+        aim_ms: if p.aim_ms == 0 {
+            p.deadline_ms
+        } else {
+            p.aim_ms
+        },
         deadline_ms: p.deadline_ms,
         units: p.units,
         worth: p.worth,
@@ -98,7 +109,12 @@
             return Err(ContractError::Twice(p.method.clone()));
         }
     }
-    Ok(Version::read(&contract.version, &contract.service, &contract.descriptors, promises)?)
+    Ok(Version::read(
+        &contract.version,
+        &contract.service,
+        &contract.descriptors,
+        promises,
+    )?)
 }
 
 /// Who speaks what, as a look tells it.
@@ -124,7 +140,11 @@
         Ok(new) => new,
         Err(why) => return vec![why.to_string()],
     };
-    let level = if contract.json { Level::WireAndJson } else { Level::Wire };
+    let level = if contract.json {
+        Level::WireAndJson
+    } else {
+        Level::Wire
+    };
     let mut known: Vec<&wire::Admitted> = look.admitted.iter().filter(|a| !a.retired).collect();
     known.sort_by_key(|a| a.admitted_ms);
     let by_name = |name: &str| {
@@ -151,14 +171,20 @@
             continue;
         };
         let repeats = speakers.iter().filter_map(|(_, u)| u.repeats_ms).max();
-        let bounds = Bounds { repeats_ms: repeats, burst: None };
+        let bounds = Bounds {
+            repeats_ms: repeats,
+            burst: None,
+        };
         match version_of(old) {
-            Ok(old) => out.extend(
-                check(&old, &new, level, bounds)
-                    .into_iter()
-                    .map(|b| format!("{b}; version {version} is spoken by {who}; {}", b.rule.help())),
-            ),
-            Err(why) => out.push(format!("version {version}, spoken by {who}, cannot be read: {why}")),
+            Ok(old) => out.extend(check(&old, &new, level, bounds).into_iter().map(|b| {
+                format!(
+                    "{b}; version {version} is spoken by {who}; {}",
+                    b.rule.help()
+                )
+            })),
+            Err(why) => out.push(format!(
+                "version {version}, spoken by {who}, cannot be read: {why}"
+            )),
         }
     }
     out
@@ -167,12 +193,21 @@
 fn who_speaks(speakers: &[(String, chalkdeck_contract::Use)], now_ms: u64) -> String {
     let one = |(customer, u): &(String, chalkdeck_contract::Use)| match u.last_ms {
         Some(at) => {
-            format!("{customer} ({} calls, last {} s ago)", u.calls, now_ms.saturating_sub(at) / 1_000)
+            format!(
+                "{customer} ({} calls, last {} s ago)",
+                u.calls,
+                now_ms.saturating_sub(at) / 1_000
+            )
         }
         None => format!("{customer} (declared)"),
     };
     let more = speakers.len().saturating_sub(5);
-    let named = speakers.iter().take(5).map(one).collect::<Vec<_>>().join(", ");
+    let named = speakers
+        .iter()
+        .take(5)
+        .map(one)
+        .collect::<Vec<_>>()
+        .join(", ");
     if more > 0 {
         format!("{named} and {more} more")
     } else {
--- a/crates/keeper/src/seen.rs
+++ b/crates/keeper/src/seen.rs
@@ -28,7 +28,10 @@
 
 /// The service in a path of gRPC; none: it is another path.
 fn service_of(path: &str) -> Option<&str> {
-    path.strip_prefix('/')?.split_once('/').map(|(service, _)| service).filter(|s| !s.is_empty())
+    path.strip_prefix('/')?
+        .split_once('/')
+        .map(|(service, _)| service)
+        .filter(|s| !s.is_empty())
 }
 
 impl Counted {
@@ -48,8 +51,12 @@
         } else {
             self.left_out += 1;
         }
-        let Some(service) = service_of(call.path) else { return };
-        let version = version.filter(|v| !v.is_empty() && v.len() <= 256).unwrap_or(UNVERSIONED);
+        let Some(service) = service_of(call.path) else {
+            return;
+        };
+        let version = version
+            .filter(|v| !v.is_empty() && v.len() <= 256)
+            .unwrap_or(UNVERSIONED);
         let of = key(&[customer, service, version]);
         if self.spoke.len() < MOST || self.spoke.contains_key(&of) {
             let new = || wire::Spoke {
--- a/crates/keeper/src/serve.rs
+++ b/crates/keeper/src/serve.rs
@@ -57,13 +57,18 @@
 pub enum KeeperError {
     /// The system gives no poll handle, or the loop fails.
     #[error("poll: {0}")]
-    #[diagnostic(code(chalkdeck::keeper::poll), help("see the limit of descriptors (ulimit -n)"))]
+    #[diagnostic(
+        code(chalkdeck::keeper::poll),
+        help("see the limit of descriptors (ulimit -n)")
+    )]
     Poll(io::Error),
     /// An address cannot be listened at.
     #[error("cannot listen at {address}: {source}")]
     #[diagnostic(
         code(chalkdeck::keeper::listen),
-        help("see whether another process listens there, and whether the address is this machine's")
+        help(
+            "see whether another process listens there, and whether the address is this machine's"
+        )
     )]
     Listen {
         /// The address.
@@ -128,11 +133,21 @@
     /// Reads the folder back and binds the ports. `first`: all keepers start for the first time. Errors: see [`KeeperError`].
     pub fn start(set: &Settings, first: bool) -> Result<Service, KeeperError> {
         let mut engine = Engine::new().map_err(KeeperError::Poll)?;
-        let folder = Folder::open(&set.folder)
-            .map_err(|source| KeeperError::Folder { folder: set.folder.clone(), source })?;
+        let folder = Folder::open(&set.folder).map_err(|source| KeeperError::Folder {
+            folder: set.folder.clone(),
+            source,
+        })?;
         let life = incarnation(engine.now());
-        let Begun { mut journal, kept, position, identity, .. } = Journal::open(folder, life)
-            .map_err(|source| KeeperError::Damage { folder: set.folder.clone(), source })?;
+        let Begun {
+            mut journal,
+            kept,
+            position,
+            identity,
+            ..
+        } = Journal::open(folder, life).map_err(|source| KeeperError::Damage {
+            folder: set.folder.clone(),
+            source,
+        })?;
         // At least so that the state's own copy in each configuration fits several times.
         journal.snapshot_after(kept.configuration.base.len().max(16 << 20) * 2);
         let core_set = Set {
@@ -144,7 +159,11 @@
             snapshot_entries: set.snapshot_entries,
             duties: set.duties.clone(),
             // A keeper without a place is known by its disk, so that a restart asks for the same one.
-            incarnation: if kept.configuration.number == 0 { identity.incarnation } else { life },
+            incarnation: if kept.configuration.number == 0 {
+                identity.incarnation
+            } else {
+                life
+            },
             epoch: identity.epoch,
         };
         let start = if first { Start::First } else { Start::Join };
@@ -185,7 +204,9 @@
         let mut events = Vec::new();
         self.write()?;
         while !signals.stop() {
-            self.engine.turn(50_000, &mut events).map_err(KeeperError::Poll)?;
+            self.engine
+                .turn(50_000, &mut events)
+                .map_err(KeeperError::Poll)?;
             self.core.at(self.engine.now());
             for event in events.drain(..) {
                 self.on_event(event);
@@ -228,8 +249,10 @@
             return;
         }
         self.engine.respond(stream, grpc::head(), false);
-        self.engine.send(stream, grpc::frame(&message.encode_to_vec()));
-        self.engine.finish(stream, Some(grpc::trailers(Code::Ok, "")));
+        self.engine
+            .send(stream, grpc::frame(&message.encode_to_vec()));
+        self.engine
+            .finish(stream, Some(grpc::trailers(Code::Ok, "")));
     }
 
     fn down(&mut self, asker: Asker, message: &[u8]) {
@@ -254,8 +277,12 @@
                 self.on_data(stream, &data);
             }
             Event::End { stream, .. } => {
-                if matches!(self.incoming.get(&stream), Some(Incoming::Session(_) | Incoming::Peer(_))) {
-                    self.engine.finish(stream, Some(grpc::trailers(Code::Ok, "")));
+                if matches!(
+                    self.incoming.get(&stream),
+                    Some(Incoming::Session(_) | Incoming::Peer(_))
+                ) {
+                    self.engine
+                        .finish(stream, Some(grpc::trailers(Code::Ok, "")));
                     self.over(stream);
                 }
                 self.peers.over(stream);
@@ -292,7 +319,9 @@
             }
             other => {
                 let trailers = grpc::trailers(Code::Unimplemented, &format!("no method {other}"));
-                return self.engine.respond(stream, grpc::trailers_only(trailers), true);
+                return self
+                    .engine
+                    .respond(stream, grpc::trailers_only(trailers), true);
             }
         };
         self.incoming.insert(stream, incoming);
@@ -314,7 +343,8 @@
             None => return,
         };
         while let Some(incoming) = self.incoming.get_mut(&stream) {
-            let (Incoming::Tell(d) | Incoming::Look(d) | Incoming::Session(d) | Incoming::Peer(d)) = incoming;
+            let (Incoming::Tell(d) | Incoming::Look(d) | Incoming::Session(d) | Incoming::Peer(d)) =
+                incoming;
             match d.next(most) {
                 Ok(None) => return,
                 Ok(Some(message)) if self.on_message(stream, &message) => {}
@@ -327,18 +357,18 @@
     fn on_message(&mut self, stream: StreamId, message: &Bytes) -> bool {
         let asker = Asker(stream.0);
         match self.incoming.get(&stream) {
-            Some(Incoming::Tell(_)) => {
-                wire::Command::decode(&message[..]).map(|c| self.core.tell(asker, c)).is_ok()
-            }
-            Some(Incoming::Look(_)) => {
-                wire::LookRequest::decode(&message[..]).map(|r| self.core.look(asker, &r)).is_ok()
-            }
-            Some(Incoming::Session(_)) => {
-                wire::Up::decode(&message[..]).map(|up| self.core.up(asker, up)).is_ok()
-            }
-            Some(Incoming::Peer(_)) => {
-                wire::Between::decode(&message[..]).map(|b| self.core.heard(&b)).is_ok()
-            }
+            Some(Incoming::Tell(_)) => wire::Command::decode(&message[..])
+                .map(|c| self.core.tell(asker, c))
+                .is_ok(),
+            Some(Incoming::Look(_)) => wire::LookRequest::decode(&message[..])
+                .map(|r| self.core.look(asker, &r))
+                .is_ok(),
+            Some(Incoming::Session(_)) => wire::Up::decode(&message[..])
+                .map(|up| self.core.up(asker, up))
+                .is_ok(),
+            Some(Incoming::Peer(_)) => wire::Between::decode(&message[..])
+                .map(|b| self.core.heard(&b))
+                .is_ok(),
             None => true,
         }
     }
@@ -347,7 +377,8 @@
         let trailers = grpc::trailers(Code::InvalidArgument, "expected a message of this method");
         match self.incoming.get(&stream) {
             Some(Incoming::Tell(_) | Incoming::Look(_)) => {
-                self.engine.respond(stream, grpc::trailers_only(trailers), true);
+                self.engine
+                    .respond(stream, grpc::trailers_only(trailers), true);
             }
             _ => self.engine.finish(stream, Some(trailers)),
         }
@@ -357,12 +388,18 @@
     fn on_get(&mut self, conn: ConnId, path: &str) {
         match path {
             "/healthz" if self.core.has_majority() => self.engine.reply(conn, 200, "ok\n"),
-            "/healthz" => self.engine.reply(conn, 503, "nothing is agreed on: no majority, or no place\n"),
+            "/healthz" => self.engine.reply(
+                conn,
+                503,
+                "nothing is agreed on: no majority, or no place\n",
+            ),
             "/metrics" => {
                 let text = self.metrics();
                 self.engine.reply(conn, 200, &text);
             }
-            _ => self.engine.reply(conn, 404, "expected /healthz or /metrics\n"),
+            _ => self
+                .engine
+                .reply(conn, 404, "expected /healthz or /metrics\n"),
         }
     }
 
@@ -370,13 +407,33 @@
         let state = self.core.state();
         let held = state.duties().filter(|d| d.holder > 0).count();
         let lines: [(&str, &str, u64); 9] = [
-            ("majority", "1 while things are agreed on", u64::from(self.core.has_majority())),
-            ("leads", "1 while this keeper leads", u64::from(self.core.leads())),
-            ("outdated", "1 when its disk is older than what it took part in", u64::from(self.core.outdated)),
-            ("configuration", "number of the configuration", u64::from(self.core.configuration())),
+            (
+                "majority",
+                "1 while things are agreed on",
+                u64::from(self.core.has_majority()),
+            ),
+            (
+                "leads",
+                "1 while this keeper leads",
+                u64::from(self.core.leads()),
+            ),
+            (
+                "outdated",
+                "1 when its disk is older than what it took part in",
+                u64::from(self.core.outdated),
+            ),
+            (
+                "configuration",
+                "number of the configuration",
+                u64::from(self.core.configuration()),
+            ),
             ("applied", "commands applied", state.index),
             ("version", "version of what gateways watch", state.version),
-            ("sessions", "sessions that stand", state.sessions().count() as u64),
+            (
+                "sessions",
+                "sessions that stand",
+                state.sessions().count() as u64,
+            ),
             ("duties_held", "duties with a holder", held as u64),
             ("records", "records written since the start", self.commits),
         ];
--- a/crates/keeper/src/serve/peers.rs
+++ b/crates/keeper/src/serve/peers.rs
@@ -40,18 +40,27 @@
 impl Peers {
     pub(super) fn new(addresses: &[SocketAddr], own: u32) -> Peers {
         let peers = addresses.iter().map(|_| Peer::default()).collect();
-        Peers { own, addresses: addresses.to_vec(), peers, looks: FxHashMap::default() }
+        Peers {
+            own,
+            addresses: addresses.to_vec(),
+            peers,
+            looks: FxHashMap::default(),
+        }
     }
 
     /// Sends a message of the agreement, or drops it where there is no connection: the core says again what it needs.
     pub(super) fn send(&mut self, engine: &mut Engine, slot: u32, between: &wire::Between) {
         let place = slot as usize - 1;
-        let Some(conn) = self.conn(engine, place) else { return };
+        let Some(conn) = self.conn(engine, place) else {
+            return;
+        };
         if self.peers[place].stream.is_none_or(|s| !engine.is_open(s)) {
             let head = grpc::request(&self.addresses[place].to_string(), PEER);
             self.peers[place].stream = head.and_then(|head| engine.open(conn, head, false));
         }
-        let Some(stream) = self.peers[place].stream else { return };
+        let Some(stream) = self.peers[place].stream else {
+            return;
+        };
         if engine.queued(stream) > UNREAD {
             engine.close(conn);
             self.lost(engine.now(), place);
@@ -63,13 +72,17 @@
     /// Asks which configuration it is in.
     pub(super) fn ask(&mut self, engine: &mut Engine, slot: u32, request: &wire::LookRequest) {
         let place = slot as usize - 1;
-        let Some(conn) = self.conn(engine, place) else { return };
+        let Some(conn) = self.conn(engine, place) else {
+            return;
+        };
         self.looks.retain(|stream, _| engine.is_open(*stream));
         if self.looks.len() >= MOST_LOOKS * self.peers.len() {
             return;
         }
         let head = grpc::request(&self.addresses[place].to_string(), LOOK);
-        let Some(stream) = head.and_then(|head| engine.open(conn, head, false)) else { return };
+        let Some(stream) = head.and_then(|head| engine.open(conn, head, false)) else {
+            return;
+        };
         engine.send(stream, grpc::frame(&request.encode_to_vec()));
         engine.finish(stream, None);
         self.looks.insert(stream, Gather::default());
@@ -80,7 +93,11 @@
         if place + 1 == self.own as usize {
             return None;
         }
-        let (now, address, peer) = (engine.now(), *self.addresses.get(place)?, self.peers.get_mut(place)?);
+        let (now, address, peer) = (
+            engine.now(),
+            *self.addresses.get(place)?,
+            self.peers.get_mut(place)?,
+        );
         if peer.conn.is_none() && now >= peer.dial_at {
             peer.conn = engine.connect(address, limits()).ok();
             (peer.dial_at, peer.until) = (now + REDIAL, now + DIAL);
@@ -101,10 +118,16 @@
     }
 
     fn lost(&mut self, now: u64, place: usize) {
-        self.peers[place] = Peer { dial_at: now + REDIAL, ..Peer::default() };
+        self.peers[place] = Peer {
+            dial_at: now + REDIAL,
+            ..Peer::default()
+        };
     }
     pub(super) fn connected(&mut self, conn: ConnId) {
-        self.peers.iter_mut().filter(|p| p.conn == Some(conn)).for_each(|p| p.stands = true);
+        self.peers
+            .iter_mut()
+            .filter(|p| p.conn == Some(conn))
+            .for_each(|p| p.stands = true);
     }
     pub(super) fn closed(&mut self, engine: &Engine, conn: ConnId) {
         if let Some(place) = self.peers.iter().position(|p| p.conn == Some(conn)) {
@@ -113,13 +136,18 @@
     }
     pub(super) fn over(&mut self, stream: StreamId) {
         self.looks.remove(&stream);
-        self.peers.iter_mut().filter(|p| p.stream == Some(stream)).for_each(|p| p.stream = None);
+        self.peers
+            .iter_mut()
+            .filter(|p| p.stream == Some(stream))
+            .for_each(|p| p.stream = None);
     }
     /// Bytes of an answer to a look: the answer, once it is whole.
     pub(super) fn data(&mut self, stream: StreamId, data: &[u8]) -> Option<wire::LookAnswer> {
         let gather = self.looks.get_mut(&stream)?;
         let whole = gather.push(data, MOST_STATE).is_ok();
-        let answer = gather.message().and_then(|m| wire::LookAnswer::decode(&m[..]).ok());
+        let answer = gather
+            .message()
+            .and_then(|m| wire::LookAnswer::decode(&m[..]).ok());
         if !whole || answer.is_some() {
             self.looks.remove(&stream);
         }
--- a/crates/keeper/src/session.rs
+++ b/crates/keeper/src/session.rs
@@ -53,7 +53,9 @@
         self.cluster = news.cluster;
         if news.whole {
             let told: BTreeSet<&String> = news.rules.iter().map(|s| &s.customer).collect();
-            changes.rules.extend(self.rules.keys().filter(|c| !told.contains(c)).cloned());
+            changes
+                .rules
+                .extend(self.rules.keys().filter(|c| !told.contains(c)).cloned());
             self.rules.retain(|c, _| told.contains(c));
             self.contracts.clear();
             let named: BTreeSet<&String> = news.words.iter().map(|w| &w.site).collect();
@@ -71,14 +73,22 @@
             }
         }
         for contract in &news.contracts {
-            changes.contracts |= self.contracts.insert((contract.service.clone(), contract.version.clone()));
+            changes.contracts |= self
+                .contracts
+                .insert((contract.service.clone(), contract.version.clone()));
         }
         for gone in news.retired.iter().filter_map(|r| r.split_once(' ')) {
-            changes.contracts |= self.contracts.remove(&(gone.0.to_string(), gone.1.to_string()));
+            changes.contracts |= self
+                .contracts
+                .remove(&(gone.0.to_string(), gone.1.to_string()));
         }
         changes.contracts |= news.whole;
         for word in &news.words {
-            if self.words.get(&word.site).is_none_or(|w| w.changed < word.changed) {
+            if self
+                .words
+                .get(&word.site)
+                .is_none_or(|w| w.changed < word.changed)
+            {
                 self.words.insert(word.site.clone(), word.clone());
                 changes.words.push(word.clone());
             }
@@ -108,7 +118,10 @@
     /// known.
     pub fn admits(&self, service: &str, version: &str) -> bool {
         let known = self.contracts.iter().any(|(s, _)| s == service);
-        !known || self.contracts.contains(&(service.to_string(), version.to_string()))
+        !known
+            || self
+                .contracts
+                .contains(&(service.to_string(), version.to_string()))
     }
 }
 
@@ -217,7 +230,10 @@
     }
     /// Duties that this gateway is asked to let go.
     pub fn asked_for(&self) -> Vec<(String, u64)> {
-        let asked = self.duties.values().filter(|d| d.holder == self.id && self.id > 0 && d.move_to != 0);
+        let asked = self
+            .duties
+            .values()
+            .filter(|d| d.holder == self.id && self.id > 0 && d.move_to != 0);
         asked.map(|d| (d.name.clone(), d.token)).collect()
     }
     /// What waits for a holder: proposals, hits to be folded, words to be published.
@@ -273,7 +289,11 @@
     /// When the next tick is due.
     pub fn due(&self) -> Option<u64> {
         let renew = (self.id > 0).then_some(self.renew_at);
-        [renew, self.hello_at].into_iter().flatten().min().filter(|_| self.connected)
+        [renew, self.hello_at]
+            .into_iter()
+            .flatten()
+            .min()
+            .filter(|_| self.connected)
     }
 
     /// What is held is kept on disk, too, as far as this version. From here on no newer one is said to be applied: after a restart
@@ -284,7 +304,8 @@
     }
     /// What this gateway can say that it goes by, in this life and a next one.
     fn applied(&self) -> u64 {
-        self.kept.map_or(self.held.version, |k| k.min(self.held.version))
+        self.kept
+            .map_or(self.held.version, |k| k.min(self.held.version))
     }
     /// What is applied is said soon: others wait for it.
     fn say_soon(&mut self, now: u64) {
@@ -297,7 +318,11 @@
         let number = self.lease.sent(now);
         self.renew_at = now + self.lease.terms().renew_after();
         self.said = self.applied();
-        let renewal = wire::Renewal { session: self.id, number, applied: self.said };
+        let renewal = wire::Renewal {
+            session: self.id,
+            number,
+            applied: self.said,
+        };
         self.say(What::Renewal(renewal));
     }
 
@@ -323,7 +348,8 @@
                 if news.whole {
                     self.duties.clear();
                 }
-                self.duties.extend(news.duties.iter().map(|d| (d.name.clone(), d.clone())));
+                self.duties
+                    .extend(news.duties.iter().map(|d| (d.name.clone(), d.clone())));
                 self.hints = (news.proposals, news.unfolded, news.unpublished);
             }
             let before = self.held.version;
@@ -338,7 +364,10 @@
             came.session_changed = down.session != self.id;
             self.had = true;
             if came.session_changed {
-                let terms = Terms { lease: down.lease_us.max(1_000), drift: down.drift };
+                let terms = Terms {
+                    lease: down.lease_us.max(1_000),
+                    drift: down.drift,
+                };
                 self.lease = Lease::new(terms);
             }
             self.id = down.session;
@@ -349,7 +378,12 @@
         if down.granted > 0 {
             self.lease.granted(down.granted);
         }
-        if down.reported > 0 && self.report.as_ref().is_some_and(|r| r.number == down.reported) {
+        if down.reported > 0
+            && self
+                .report
+                .as_ref()
+                .is_some_and(|r| r.number == down.reported)
+        {
             self.report = None;
             came.reported = true;
         }
@@ -373,7 +407,9 @@
     /// What may have been lost with an earlier connection goes up again.
     fn again(&mut self) {
         let commands: Vec<wire::Command> = self.commands.values().cloned().collect();
-        commands.into_iter().for_each(|c| self.say(What::Command(c)));
+        commands
+            .into_iter()
+            .for_each(|c| self.say(What::Command(c)));
         if let Some(report) = &mut self.report {
             report.session = self.id;
             let report = report.clone();
@@ -410,7 +446,11 @@
     /// Tells what was counted.
     pub fn report(&mut self, report: wire::Report) {
         self.reports += 1;
-        let report = wire::Report { session: self.id, number: self.reports, ..report };
+        let report = wire::Report {
+            session: self.id,
+            number: self.reports,
+            ..report
+        };
         self.report = Some(report.clone());
         self.say(What::Report(report));
     }
--- a/crates/keeper/src/settings.rs
+++ b/crates/keeper/src/settings.rs
@@ -13,7 +13,10 @@
 pub enum SettingsError {
     /// The file cannot be read.
     #[error("{file}: {why}")]
-    #[diagnostic(code(chalkdeck::keeper::settings_file), help("see the path, and whether it may be read"))]
+    #[diagnostic(
+        code(chalkdeck::keeper::settings_file),
+        help("see the path, and whether it may be read")
+    )]
     File {
         /// Its path.
         file: String,
@@ -83,55 +86,91 @@
     /// Reads a file. Errors name it, and the line or the field with what was expected.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let file = path.display().to_string();
-        let source = std::fs::read_to_string(path)
-            .map_err(|e| SettingsError::File { file: file.clone(), why: e.to_string() })?;
+        let source = std::fs::read_to_string(path).map_err(|e| SettingsError::File {
+            file: file.clone(),
+            why: e.to_string(),
+        })?;
         Settings::parse(&source, &file, path.parent().unwrap_or(Path::new(".")))
     }
 
     /// The same from text; the folder is relative to `base`.
     pub fn parse(source: &str, file: &str, base: &Path) -> Result<Settings, SettingsError> {
-        let wire: wire::Settings = text::parse(MESSAGE, source).map_err(|e| SettingsError::Form {
-            file: file.into(),
-            line: e.line,
-            what: e.what,
-        })?;
+        let wire: wire::Settings =
+            text::parse(MESSAGE, source).map_err(|e| SettingsError::Form {
+                file: file.into(),
+                line: e.line,
+                what: e.what,
+            })?;
         let wrong = |field, expected, found: String| SettingsError::Value {
             file: file.into(),
             field,
             expected,
-            found: if found.is_empty() { "nothing".into() } else { found },
+            found: if found.is_empty() {
+                "nothing".into()
+            } else {
+                found
+            },
         };
         let address = |field, text: &str| {
-            text.parse::<SocketAddr>().map_err(|_| wrong(field, "ip:port", text.to_string()))
+            text.parse::<SocketAddr>()
+                .map_err(|_| wrong(field, "ip:port", text.to_string()))
         };
-        let keepers =
-            wire.keepers.iter().map(|k| address("keepers", k)).collect::<Result<Vec<SocketAddr>, _>>()?;
+        let keepers = wire
+            .keepers
+            .iter()
+            .map(|k| address("keepers", k))
+            .collect::<Result<Vec<SocketAddr>, _>>()?;
         if !matches!(keepers.len(), 1 | 3 | 5) {
-            return Err(wrong("keepers", "one, three or five addresses", keepers.len().to_string()));
+            return Err(wrong(
+                "keepers",
+                "one, three or five addresses",
+                keepers.len().to_string(),
+            ));
         }
         let place = wire.slot as usize;
         if place == 0 || place > keepers.len() {
-            return Err(wrong("slot", "a place among the keepers, from 1", wire.slot.to_string()));
+            return Err(wrong(
+                "slot",
+                "a place among the keepers, from 1",
+                wire.slot.to_string(),
+            ));
         }
         if wire.folder.is_empty() {
             return Err(wrong("folder", "where the log is kept", String::new()));
         }
-        let drift = if wire.drift_ppm == 0 { 10_000 } else { wire.drift_ppm };
+        let drift = if wire.drift_ppm == 0 {
+            10_000
+        } else {
+            wire.drift_ppm
+        };
         if drift > 100_000 {
             return Err(wrong("drift_ppm", "at most 100000", drift.to_string()));
         }
         let or = |value: u64, default: u64| if value == 0 { default } else { value };
         let lease = or(u64::from(wire.lease_ms), 6_000) * 1_000;
         if !(200_000..=600_000_000).contains(&lease) {
-            return Err(wrong("lease_ms", "200 to 600000", wire.lease_ms.to_string()));
+            return Err(wrong(
+                "lease_ms",
+                "200 to 600000",
+                wire.lease_ms.to_string(),
+            ));
         }
         let tick = or(u64::from(wire.tick_ms), 20) * 1_000;
         if tick * 20 > lease {
-            return Err(wrong("tick_ms", "at most a twentieth of lease_ms", wire.tick_ms.to_string()));
+            return Err(wrong(
+                "tick_ms",
+                "at most a twentieth of lease_ms",
+                wire.tick_ms.to_string(),
+            ));
         }
-        let listen =
-            if wire.listen.is_empty() { keepers[place - 1] } else { address("listen", &wire.listen)? };
-        let admin = (!wire.admin.is_empty()).then(|| address("admin", &wire.admin)).transpose()?;
+        let listen = if wire.listen.is_empty() {
+            keepers[place - 1]
+        } else {
+            address("listen", &wire.listen)?
+        };
+        let admin = (!wire.admin.is_empty())
+            .then(|| address("admin", &wire.admin))
+            .transpose()?;
         Ok(Settings {
             slot: wire.slot,
             listen,
--- a/crates/keeper/src/state/callers.rs
+++ b/crates/keeper/src/state/callers.rs
@@ -40,14 +40,21 @@
             // It may be one that was forgotten: then it must have begun before the last one was.
             let may_be_old = begun < self.forgotten_at;
             return may_be_old.then(|| {
-                refuse(Code::Forgotten, "it cannot be told any more whether this command was done")
+                refuse(
+                    Code::Forgotten,
+                    "it cannot be told any more whether this command was done",
+                )
             });
         };
         if let Some((_, answer)) = of.answers.iter().find(|(n, _)| *n == number) {
             return Some(answer.clone());
         }
-        (number <= of.floor)
-            .then(|| refuse(Code::Forgotten, "it cannot be told any more whether this command was done"))
+        (number <= of.floor).then(|| {
+            refuse(
+                Code::Forgotten,
+                "it cannot be told any more whether this command was done",
+            )
+        })
     }
 
     pub(super) fn answered(&mut self, caller: u64, number: u64, answer: &wire::Answer, index: u64) {
@@ -61,7 +68,9 @@
         }
         self.used.insert(index, caller);
         while self.all.len() > MOST_CALLERS {
-            let Some((used, oldest)) = self.used.pop_first() else { return };
+            let Some((used, oldest)) = self.used.pop_first() else {
+                return;
+            };
             self.all.remove(&oldest);
             self.forgotten_at = self.forgotten_at.max(used);
         }
@@ -78,12 +87,22 @@
         self.all.iter().map(one).collect()
     }
     pub(super) fn from_wire(list: &[wire::Answered], forgotten_at: u64) -> Option<Callers> {
-        let mut callers = Callers { forgotten_at, ..Callers::default() };
+        let mut callers = Callers {
+            forgotten_at,
+            ..Callers::default()
+        };
         for a in list {
             let answers = a.answers.iter().map(|b| wire::Answer::decode(&b[..]).ok());
             let answers = answers.collect::<Option<Vec<_>>>()?;
             let answers = a.numbers.iter().copied().zip(answers).collect();
-            callers.all.insert(a.caller, Caller { used: a.used, answers, floor: a.floor });
+            callers.all.insert(
+                a.caller,
+                Caller {
+                    used: a.used,
+                    answers,
+                    floor: a.floor,
+                },
+            );
             callers.used.insert(a.used, a.caller);
         }
         Some(callers)
--- a/crates/keeper/src/state/contracts.rs
+++ b/crates/keeper/src/state/contracts.rs
@@ -17,7 +17,10 @@
 impl Shared {
     pub(super) fn propose(&mut self, propose: &wire::Propose, caller: u64) -> wire::Answer {
         if self.proposals.len() >= MOST_PROPOSALS {
-            return refuse(Code::Full, format!("{MOST_PROPOSALS} proposals wait for the registrar"));
+            return refuse(
+                Code::Full,
+                format!("{MOST_PROPOSALS} proposals wait for the registrar"),
+            );
         }
         let what = match &propose.what {
             Some(Proposed::Contract(contract)) => {
@@ -39,7 +42,15 @@
         };
         self.next_proposal += 1;
         let id = self.next_proposal;
-        self.proposals.insert(id, wire::Proposal { id, what: Some(what), force: propose.force, caller });
+        self.proposals.insert(
+            id,
+            wire::Proposal {
+                id,
+                what: Some(what),
+                force: propose.force,
+                caller,
+            },
+        );
         self.bump();
         wire::Answer { id, ..done(0) }
     }
@@ -47,22 +58,36 @@
     fn has_room_for_version(&self, contract: &wire::Contract) -> Result<(), wire::Answer> {
         let key = (contract.service.clone(), contract.version.clone());
         if contract.service.is_empty() || contract.version.is_empty() {
-            return Err(refuse(Code::Refused, "expected the service's name and the version's"));
+            return Err(refuse(
+                Code::Refused,
+                "expected the service's name and the version's",
+            ));
         }
         if contract.descriptors.len() > chalkdeck_contract::MOST_BYTES {
-            return Err(refuse(Code::Full, format!("descriptors: {} bytes", contract.descriptors.len())));
+            return Err(refuse(
+                Code::Full,
+                format!("descriptors: {} bytes", contract.descriptors.len()),
+            ));
         }
         if let Some(known) = self.admitted.get(&key) {
             if known.contract.as_ref() != Some(contract) {
-                let why = format!("{} {} was admitted with another text", contract.service, contract.version);
+                let why = format!(
+                    "{} {} was admitted with another text",
+                    contract.service, contract.version
+                );
                 return Err(refuse(Code::Refused, why));
             }
         }
-        let of_service = self.admitted.keys().filter(|k| k.0 == contract.service).count();
+        let of_service = self
+            .admitted
+            .keys()
+            .filter(|k| k.0 == contract.service)
+            .count();
         let mut services: Vec<&String> = self.admitted.keys().map(|k| &k.0).collect();
         services.dedup();
         if of_service >= MOST_VERSIONS || of_service == 0 && services.len() >= MOST_SERVICES {
-            let why = format!("{MOST_SERVICES} services with {MOST_VERSIONS} versions each: retire one");
+            let why =
+                format!("{MOST_SERVICES} services with {MOST_VERSIONS} versions each: retire one");
             return Err(refuse(Code::Full, why));
         }
         Ok(())
@@ -95,7 +120,11 @@
                 (verdict.admitted, verdict.breaks) = (false, vec![full.why]);
             }
         }
-        verdict.changed = if verdict.changed == 0 { self.bump() } else { verdict.changed };
+        verdict.changed = if verdict.changed == 0 {
+            self.bump()
+        } else {
+            verdict.changed
+        };
         self.verdicts.insert(proposal.id, verdict);
         if self.verdicts.len() > MOST_VERDICTS {
             self.verdicts.pop_first();
@@ -103,7 +132,11 @@
         done(0)
     }
 
-    fn put(&mut self, proposal: &wire::Proposal, verdict: &mut wire::Verdict) -> Result<(), wire::Answer> {
+    fn put(
+        &mut self,
+        proposal: &wire::Proposal,
+        verdict: &mut wire::Verdict,
+    ) -> Result<(), wire::Answer> {
         match &proposal.what {
             Some(wire::proposal::What::Contract(contract)) => {
                 self.has_room_for_version(contract)?;
@@ -115,7 +148,10 @@
                     admitted_ms: self.time_ms,
                     retired: false,
                 };
-                self.admitted.insert((contract.service.clone(), contract.version.clone()), admitted);
+                self.admitted.insert(
+                    (contract.service.clone(), contract.version.clone()),
+                    admitted,
+                );
             }
             Some(wire::proposal::What::Rules(set)) => {
                 self.has_room_for(set)?;
@@ -138,7 +174,10 @@
             return;
         }
         // A version that nobody spoke, or that was thought dead, is news to whoever checks.
-        let known = spoken.uses.get(&spoke.version).is_some_and(|u| u.contains_key(&spoke.customer));
+        let known = spoken
+            .uses
+            .get(&spoke.version)
+            .is_some_and(|u| u.contains_key(&spoke.customer));
         let dead = spoken.retired.contains_key(&spoke.version);
         spoken.seen(&spoke.version, &spoke.customer, spoke.calls, now);
         if !known || dead {
@@ -147,7 +186,10 @@
     }
 
     pub(super) fn subscribe(&mut self, s: &wire::Subscribe) -> wire::Answer {
-        if [&s.customer, &s.service, &s.version].iter().any(|t| t.is_empty() || t.len() > 256) {
+        if [&s.customer, &s.service, &s.version]
+            .iter()
+            .any(|t| t.is_empty() || t.len() > 256)
+        {
             return refuse(
                 Code::Refused,
                 "expected a customer, a service and a version, of 256 bytes at most",
@@ -165,12 +207,18 @@
 
     /// An explicit word that a version counts as spoken no more.
     pub(super) fn retire(&mut self, retire: &wire::Retire) -> wire::Answer {
-        let (now, key) = (self.time_ms, (retire.service.clone(), retire.version.clone()));
+        let (now, key) = (
+            self.time_ms,
+            (retire.service.clone(), retire.version.clone()),
+        );
         if !self.admitted.contains_key(&key) && !self.spoken.contains_key(&key.0) {
             return refuse(Code::Refused, format!("{} {} is not known", key.0, key.1));
         }
         self.speakers += 1;
-        self.spoken.entry(key.0.clone()).or_default().retire(&key.1, now);
+        self.spoken
+            .entry(key.0.clone())
+            .or_default()
+            .retire(&key.1, now);
         let changed = self.bump();
         if let Some(admitted) = self.admitted.get_mut(&key) {
             (admitted.retired, admitted.changed) = (true, changed);
--- a/crates/keeper/src/state/duties.rs
+++ b/crates/keeper/src/state/duties.rs
@@ -27,7 +27,14 @@
             return refuse(Code::Full, format!("there are {MOST_DUTIES} duties"));
         }
         let changed = self.bump();
-        self.duties.insert(name.into(), wire::Duty { name: name.into(), changed, ..wire::Duty::default() });
+        self.duties.insert(
+            name.into(),
+            wire::Duty {
+                name: name.into(),
+                changed,
+                ..wire::Duty::default()
+            },
+        );
         self.place_free();
         done(0)
     }
@@ -38,18 +45,28 @@
             Some(duty) if duty.holder != 0 && duty.token == token => Ok(duty),
             Some(duty) => {
                 let why = format!("token {token} of {name}: the present one is {}", duty.token);
-                Err(wire::Answer { token: duty.token, ..refuse(Code::Stale, why) })
+                Err(wire::Answer {
+                    token: duty.token,
+                    ..refuse(Code::Stale, why)
+                })
             }
             None => Err(refuse(Code::Refused, format!("no duty '{name}'"))),
         }
     }
 
     fn holders(&self) -> Vec<Option<u64>> {
-        self.duties.values().map(|d| Some(d.holder).filter(|h| *h != 0)).collect()
+        self.duties
+            .values()
+            .map(|d| Some(d.holder).filter(|h| *h != 0))
+            .collect()
     }
     fn candidates(&self) -> Vec<Candidate<'_>> {
         let fit = self.sessions.values().filter(|s| s.candidate);
-        fit.map(|s| Candidate { session: s.id, site: &s.site }).collect()
+        fit.map(|s| Candidate {
+            session: s.id,
+            site: &s.site,
+        })
+        .collect()
     }
 
     /// Duties that nobody holds go to those that hold least.
@@ -69,15 +86,24 @@
     fn give(&mut self, name: &str, to: u64) {
         let changed = self.bump();
         if let Some(duty) = self.duties.get_mut(name) {
-            (duty.holder, duty.token, duty.move_to, duty.changed) = (to, duty.token + 1, 0, changed);
+            (duty.holder, duty.token, duty.move_to, duty.changed) =
+                (to, duty.token + 1, 0, changed);
         }
     }
 
     /// A session is over: what it held is held by others, and nobody moves a duty to it.
     pub(super) fn free_duties(&mut self, session: u64) {
         let changed = self.bump();
-        for duty in self.duties.values_mut().filter(|d| d.holder == session || d.move_to == session) {
-            duty.holder = if duty.holder == session { 0 } else { duty.holder };
+        for duty in self
+            .duties
+            .values_mut()
+            .filter(|d| d.holder == session || d.move_to == session)
+        {
+            duty.holder = if duty.holder == session {
+                0
+            } else {
+                duty.holder
+            };
             (duty.move_to, duty.changed) = (0, changed);
         }
         self.place_free();
@@ -86,7 +112,10 @@
     /// A holder lets go, with how far it came.
     pub(super) fn release(&mut self, release: &wire::Release) -> wire::Answer {
         if release.progress.len() > MOST_PROGRESS {
-            return refuse(Code::Full, format!("progress: expected at most {MOST_PROGRESS} bytes"));
+            return refuse(
+                Code::Full,
+                format!("progress: expected at most {MOST_PROGRESS} bytes"),
+            );
         }
         if let Err(stale) = self.held(&release.duty, release.token) {
             return stale;
@@ -104,7 +133,10 @@
             Some(to) => self.give(&release.duty, to),
             None => {
                 let changed = self.bump();
-                self.duties.get_mut(&release.duty).into_iter().for_each(|d| d.changed = changed);
+                self.duties
+                    .get_mut(&release.duty)
+                    .into_iter()
+                    .for_each(|d| d.changed = changed);
             }
         }
         done(0)
@@ -134,7 +166,11 @@
         let (place, to) = move_one(&self.holders(), &self.candidates())?;
         let duty = self.duties.values().nth(place)?;
         let rested = duty.moved_ms == 0 || self.time_ms >= duty.moved_ms + at_most_every_ms;
-        rested.then(|| wire::Move { duty: duty.name.clone(), token: duty.token, to })
+        rested.then(|| wire::Move {
+            duty: duty.name.clone(),
+            token: duty.token,
+            to,
+        })
     }
 
     /// All duties.
--- a/crates/keeper/src/state/looks.rs
+++ b/crates/keeper/src/state/looks.rs
@@ -15,7 +15,11 @@
     /// What waits for a holder: proposals, hits to be folded, words to be published.
     pub fn hints(&self) -> (bool, bool, bool) {
         let unpublished = self.words.values().any(|w| !w.published);
-        (!self.proposals.is_empty(), !self.ended.is_empty(), unpublished)
+        (
+            !self.proposals.is_empty(),
+            !self.ended.is_empty(),
+            unpublished,
+        )
     }
 
     /// What changed since a version that the other side holds; whole where changes alone cannot tell it, or nothing is held.
@@ -23,13 +27,29 @@
         // One that holds more than this keeper has heard misses nothing that is known here.
         let whole = held == 0 || held < self.removed_before;
         let since = if whole { 0 } else { held };
-        let rules = self.rules.values().filter(|c| c.changed > since).filter_map(|c| c.set.clone()).collect();
-        let gone = self.removed.iter().filter(|(c, at)| *at > since && !self.rules.contains_key(c));
-        let gone = if whole { Vec::new() } else { gone.map(|(c, _)| c.clone()).collect() };
+        let rules = self
+            .rules
+            .values()
+            .filter(|c| c.changed > since)
+            .filter_map(|c| c.set.clone())
+            .collect();
+        let gone = self
+            .removed
+            .iter()
+            .filter(|(c, at)| *at > since && !self.rules.contains_key(c));
+        let gone = if whole {
+            Vec::new()
+        } else {
+            gone.map(|(c, _)| c.clone()).collect()
+        };
         let contracts = self.admitted.values().filter(|a| a.changed > since);
         let name = |a: &wire::Admitted| {
             let c = a.contract.clone().unwrap_or_default();
-            wire::Contract { descriptors: Vec::new(), promises: Vec::new(), ..c }
+            wire::Contract {
+                descriptors: Vec::new(),
+                promises: Vec::new(),
+                ..c
+            }
         };
         let (retired, standing): (Vec<_>, Vec<_>) = contracts.partition(|a| a.retired);
         let (proposals, unfolded, unpublished) = self.hints();
@@ -38,10 +58,24 @@
             whole,
             rules,
             rules_gone: gone,
-            duties: self.duties.values().filter(|d| d.changed > since).cloned().collect(),
+            duties: self
+                .duties
+                .values()
+                .filter(|d| d.changed > since)
+                .cloned()
+                .collect(),
             contracts: standing.into_iter().map(name).collect(),
-            retired: retired.into_iter().map(name).map(|c| format!("{} {}", c.service, c.version)).collect(),
-            words: self.words.values().filter(|w| w.published && w.changed > since).cloned().collect(),
+            retired: retired
+                .into_iter()
+                .map(name)
+                .map(|c| format!("{} {}", c.service, c.version))
+                .collect(),
+            words: self
+                .words
+                .values()
+                .filter(|w| w.published && w.changed > since)
+                .cloned()
+                .collect(),
             proposals,
             unfolded,
             unpublished,
@@ -66,20 +100,33 @@
             What::Proposals => self.waiting(&mut answer),
             What::Verdict => {
                 answer.verdict = self.verdicts.get(&request.proposal).cloned();
-                let customer = answer.verdict.as_ref().map_or(&request.customer, |v| &v.customer);
+                let customer = answer
+                    .verdict
+                    .as_ref()
+                    .map_or(&request.customer, |v| &v.customer);
                 answer.in_force = self.in_force(customer);
-                answer.proposals = self.proposals.get(&request.proposal).cloned().into_iter().collect();
+                answer.proposals = self
+                    .proposals
+                    .get(&request.proposal)
+                    .cloned()
+                    .into_iter()
+                    .collect();
             }
             What::Hits => answer.hits = self.hit_lines(&request.customer),
             What::Try => {
                 let set = request.set.as_ref().and_then(rules::set_of);
-                let recent = request.set.as_ref().and_then(|s| self.recents.get(&s.customer));
-                answer.tried = set.map(|set| tried(&recent.map(|r| r.try_set(&set)).unwrap_or_default()));
+                let recent = request
+                    .set
+                    .as_ref()
+                    .and_then(|s| self.recents.get(&s.customer));
+                answer.tried =
+                    set.map(|set| tried(&recent.map(|r| r.try_set(&set)).unwrap_or_default()));
             }
             What::Spoken => self.speak(&mut answer, &request.service),
             What::Rules => {
                 let fit = self.rules.values().filter_map(|c| c.set.as_ref());
-                let fit = fit.filter(|s| request.customer.is_empty() || s.customer == request.customer);
+                let fit =
+                    fit.filter(|s| request.customer.is_empty() || s.customer == request.customer);
                 answer.rules = fit.cloned().collect();
             }
             What::Members => {}
@@ -93,25 +140,39 @@
         answer.departed = self.departed.values().cloned().collect();
         let back = |(service, spoken): (&String, &chalkdeck_contract::Spoken)| {
             let back = spoken.back();
-            back.into_iter().map(|version| format!("{service} {version}")).collect::<Vec<_>>()
+            back.into_iter()
+                .map(|version| format!("{service} {version}"))
+                .collect::<Vec<_>>()
         };
         answer.back = self.spoken.iter().flat_map(back).collect();
     }
 
     /// What waits for the registrar, the next one first, with what its check rests on.
     fn waiting(&self, answer: &mut wire::LookAnswer) {
-        let Some(next) = self.proposals.values().next() else { return };
+        let Some(next) = self.proposals.values().next() else {
+            return;
+        };
         answer.proposals = vec![next.clone()];
         match &next.what {
             Some(wire::proposal::What::Contract(contract)) => {
                 let of_service = |k: &(String, String)| k.0 == contract.service;
-                answer.admitted =
-                    self.admitted.iter().filter(|(k, _)| of_service(k)).map(|(_, a)| a.clone()).collect();
+                answer.admitted = self
+                    .admitted
+                    .iter()
+                    .filter(|(k, _)| of_service(k))
+                    .map(|(_, a)| a.clone())
+                    .collect();
                 self.speak(answer, &contract.service);
             }
             Some(wire::proposal::What::Rules(set)) => {
                 answer.tried = rules::set_of(set).map(|rules| {
-                    tried(&self.recents.get(&set.customer).map(|r| r.try_set(&rules)).unwrap_or_default())
+                    tried(
+                        &self
+                            .recents
+                            .get(&set.customer)
+                            .map(|r| r.try_set(&rules))
+                            .unwrap_or_default(),
+                    )
                 });
             }
             None => {}
@@ -119,7 +180,10 @@
     }
 
     fn speak(&self, answer: &mut wire::LookAnswer, service: &str) {
-        let fit = self.spoken.iter().filter(|(s, _)| service.is_empty() || *s == service);
+        let fit = self
+            .spoken
+            .iter()
+            .filter(|(s, _)| service.is_empty() || *s == service);
         for (service, spoken) in fit {
             for (version, uses) in &spoken.uses {
                 let one = |(customer, u): (&String, &chalkdeck_contract::Use)| wire::Use {
@@ -141,7 +205,10 @@
 
     /// Hits of the fleet by customer, version and rule; empty: of all customers.
     pub fn hit_lines(&self, customer: &str) -> Vec<wire::HitLine> {
-        let fit = self.hits.iter().filter(|(c, _)| customer.is_empty() || *c == customer);
+        let fit = self
+            .hits
+            .iter()
+            .filter(|(c, _)| customer.is_empty() || *c == customer);
         let lines = fit.flat_map(|(c, totals)| {
             let line = |((version, rule), count): ((u64, String), u64)| wire::HitLine {
                 customer: c.clone(),
@@ -160,7 +227,10 @@
     }
     /// What came of late from a customer, by kind.
     pub fn seen_of(&self, customer: &str) -> Vec<(Seen, u64)> {
-        self.recents.get(customer).map(|r| r.kinds()).unwrap_or_default()
+        self.recents
+            .get(customer)
+            .map(|r| r.kinds())
+            .unwrap_or_default()
     }
 }
 
--- a/crates/keeper/src/state/mod.rs
+++ b/crates/keeper/src/state/mod.rs
@@ -73,11 +73,18 @@
 
 /// An answer without more.
 fn done(version: u64) -> wire::Answer {
-    wire::Answer { version, ..wire::Answer::default() }
+    wire::Answer {
+        version,
+        ..wire::Answer::default()
+    }
 }
 
 fn refuse(code: Code, why: impl Into<String>) -> wire::Answer {
-    wire::Answer { code: code as i32, why: why.into(), ..wire::Answer::default() }
+    wire::Answer {
+        code: code as i32,
+        why: why.into(),
+        ..wire::Answer::default()
+    }
 }
 
 impl Shared {
@@ -86,7 +93,10 @@
         self.index += 1;
         let (caller, number) = (command.caller, command.number);
         if caller != 0 {
-            if let Some(answer) = self.callers.heard(caller, number, command.begun, self.index) {
+            if let Some(answer) = self
+                .callers
+                .heard(caller, number, command.begun, self.index)
+            {
                 return answer;
             }
         }
@@ -157,18 +167,27 @@
         if !["hold", "drain", "let-back"].contains(&word.word.as_str()) {
             return refuse(
                 Code::Refused,
-                format!("word: expected hold, drain or let-back, found '{}'", word.word),
+                format!(
+                    "word: expected hold, drain or let-back, found '{}'",
+                    word.word
+                ),
             );
         }
-        if word.site.is_empty() || self.words.len() >= MOST_WORDS && !self.words.contains_key(&word.site) {
+        if word.site.is_empty()
+            || self.words.len() >= MOST_WORDS && !self.words.contains_key(&word.site)
+        {
             return refuse(
                 Code::Full,
                 format!("expected a site's name, and at most {MOST_WORDS} sites with a word"),
             );
         }
         let changed = self.bump();
-        let new =
-            wire::SiteWord { site: word.site.clone(), word: word.word.clone(), changed, published: false };
+        let new = wire::SiteWord {
+            site: word.site.clone(),
+            word: word.word.clone(),
+            changed,
+            published: false,
+        };
         self.words.insert(word.site.clone(), new);
         done(0)
     }
@@ -186,7 +205,10 @@
             .collect();
         for site in waiting {
             let changed = self.bump();
-            self.words.get_mut(&site).into_iter().for_each(|w| (w.published, w.changed) = (true, changed));
+            self.words
+                .get_mut(&site)
+                .into_iter()
+                .for_each(|w| (w.published, w.changed) = (true, changed));
         }
         done(0)
     }
@@ -202,6 +224,10 @@
     }
     /// The newest commands that every keeper knows.
     pub fn all_speak(&self) -> u32 {
-        self.members.values().map(|m| m.speaks.max(1)).min().unwrap_or(1)
+        self.members
+            .values()
+            .map(|m| m.speaks.max(1))
+            .min()
+            .unwrap_or(1)
     }
 }
--- a/crates/keeper/src/state/rules.rs
+++ b/crates/keeper/src/state/rules.rs
@@ -44,7 +44,9 @@
 /// What is wrong with a set, in one line.
 pub fn wrong_in(wire: &wire::RuleSet) -> Option<String> {
     match set_of(wire) {
-        None => Some("otherwise, stale and each rule's action: expected one of each to be given".into()),
+        None => {
+            Some("otherwise, stale and each rule's action: expected one of each to be given".into())
+        }
         Some(set) => set.check().err().map(|e| e.to_string()),
     }
 }
@@ -55,10 +57,16 @@
         let before = self.rules.get(&set.customer).and_then(|c| c.set.as_ref());
         let rules = self.rule_count - before.map_or(0, |s| s.rules.len()) + set.rules.len();
         if rules > MOST_ALL {
-            return Err(refuse(Code::Full, format!("there would be {rules} rules, of {MOST_ALL} at most")));
+            return Err(refuse(
+                Code::Full,
+                format!("there would be {rules} rules, of {MOST_ALL} at most"),
+            ));
         }
         if before.is_none() && self.rules.len() >= MOST_CUSTOMERS {
-            return Err(refuse(Code::Full, format!("{MOST_CUSTOMERS} customers have sets")));
+            return Err(refuse(
+                Code::Full,
+                format!("{MOST_CUSTOMERS} customers have sets"),
+            ));
         }
         Ok(())
     }
@@ -70,9 +78,16 @@
         let before = entry.set.as_ref().map_or(0, |s| s.rules.len());
         let version = entry.history.last().map_or(0, |h| h.version) + 1;
         self.rule_count = self.rule_count - before + set.rules.len();
-        entry.set = Some(wire::RuleSet { version, ..set.clone() });
+        entry.set = Some(wire::RuleSet {
+            version,
+            ..set.clone()
+        });
         entry.changed = changed;
-        entry.history.push(wire::SetVersion { version, stale: set.stale, changed });
+        entry.history.push(wire::SetVersion {
+            version,
+            stale: set.stale,
+            changed,
+        });
         if entry.history.len() > HISTORY {
             entry.history.remove(0);
         }
@@ -91,9 +106,17 @@
             let held = rules.history.iter().rev().find(|h| h.changed <= applied);
             held.is_none_or(|h| h.stale() != WireStale::Deny)
         };
-        let unknown = self.departed.values().filter(|d| d.applied < changed && keeps(d.applied));
+        let unknown = self
+            .departed
+            .values()
+            .filter(|d| d.applied < changed && keeps(d.applied));
         let unknown = unknown.map(|d| d.gateway.clone()).collect();
-        Some(wire::InForce { in_force: missing.is_empty(), missing, unknown, version: set.version })
+        Some(wire::InForce {
+            in_force: missing.is_empty(),
+            missing,
+            unknown,
+            version: set.version,
+        })
     }
 
     /// A customer's set.
@@ -105,12 +128,16 @@
     pub(super) fn drop_if_empty(&mut self, customer: &str) {
         let empty = |c: &wire::CustomerRules| {
             c.set.as_ref().is_some_and(|s| {
-                s.rules.is_empty() && s.otherwise() == WireAction::Allow && s.stale() == WireStale::Keep
+                s.rules.is_empty()
+                    && s.otherwise() == WireAction::Allow
+                    && s.stale() == WireStale::Keep
             })
         };
         // In force first: until then gateways have to hear of it.
         let over = self.rules.get(customer).is_some_and(empty)
-            && self.in_force(customer).is_some_and(|f| f.in_force && f.unknown.is_empty());
+            && self
+                .in_force(customer)
+                .is_some_and(|f| f.in_force && f.unknown.is_empty());
         if !over {
             return;
         }
@@ -118,7 +145,10 @@
         self.rules.remove(customer);
         self.removed.push_back((customer.to_string(), changed));
         while self.removed.len() > REMOVED {
-            self.removed_before = self.removed.pop_front().map_or(self.removed_before, |(_, at)| at);
+            self.removed_before = self
+                .removed
+                .pop_front()
+                .map_or(self.removed_before, |(_, at)| at);
         }
     }
 }
--- a/crates/keeper/src/state/sessions.rs
+++ b/crates/keeper/src/state/sessions.rs
@@ -18,11 +18,15 @@
             return refuse(Code::Refused, "expected a gateway's name and incarnation");
         }
         // Said again, over another connection or after a lost answer: the same session.
-        let same = |s: &&wire::Session| s.gateway == open.gateway && s.incarnation == open.incarnation;
+        let same =
+            |s: &&wire::Session| s.gateway == open.gateway && s.incarnation == open.incarnation;
         if let Some(session) = self.sessions.values().find(same) {
             let (id, resigns) = (session.id, session.candidate && !open.candidate);
             if resigns {
-                self.sessions.get_mut(&id).into_iter().for_each(|s| s.candidate = false);
+                self.sessions
+                    .get_mut(&id)
+                    .into_iter()
+                    .for_each(|s| s.candidate = false);
                 self.free_duties(id);
             }
             return wire::Answer { id, ..done(0) };
@@ -64,9 +68,15 @@
     /// The largest incarnation that is known under the gateway's name, if it is a later life. Guards what a later life told from being
     /// folded as that of an earlier one.
     fn later_life(&self, open: &wire::Open) -> Option<u64> {
-        let own = self.sessions.values().filter(|s| s.gateway == open.gateway).map(|s| s.incarnation);
+        let own = self
+            .sessions
+            .values()
+            .filter(|s| s.gateway == open.gateway)
+            .map(|s| s.incarnation);
         let departed = self.departed.get(&open.gateway).map(|d| d.incarnation);
-        own.chain(departed).filter(|known| *known > open.incarnation).max()
+        own.chain(departed)
+            .filter(|known| *known > open.incarnation)
+            .max()
     }
 
     pub(super) fn renew(&mut self, renew: &wire::Renew) -> wire::Answer {
@@ -93,7 +103,11 @@
     /// A session was not renewed for longer than its holder counts on.
     pub(super) fn lapse(&mut self, lapse: &wire::Lapse) -> wire::Answer {
         // Renewed meanwhile: it stays.
-        if self.sessions.get(&lapse.session).is_none_or(|s| s.renewed != lapse.renewed) {
+        if self
+            .sessions
+            .get(&lapse.session)
+            .is_none_or(|s| s.renewed != lapse.renewed)
+        {
             return refuse(Code::Changed, "renewed since, or gone");
         }
         let Some(session) = self.sessions.remove(&lapse.session) else {
@@ -101,7 +115,11 @@
         };
         // One of the same name may be back already, with a session of its own. What lapsed in the same life goes on counting and is
         // folded only once that life is surely over: folded before, all that it told would count again when it is back.
-        match self.sessions.values().find(|s| s.gateway == session.gateway) {
+        match self
+            .sessions
+            .values()
+            .find(|s| s.gateway == session.gateway)
+        {
             Some(back) if back.incarnation == session.incarnation => {}
             Some(_) => drop(self.ended.insert(session.incarnation)),
             None => self.depart(session),
@@ -119,7 +137,11 @@
         };
         self.departed.insert(session.gateway, departed);
         while self.departed.len() > MOST_DEPARTED {
-            let oldest = self.departed.values().min_by_key(|d| d.ended_ms).map(|d| d.gateway.clone());
+            let oldest = self
+                .departed
+                .values()
+                .min_by_key(|d| d.ended_ms)
+                .map(|d| d.gateway.clone());
             let gone = oldest.and_then(|o| self.departed.remove(&o));
             self.ended.extend(gone.map(|d| d.incarnation));
         }
@@ -153,9 +175,15 @@
                 path: seen.path.clone(),
                 class: seen.class.clone(),
             };
-            self.recents.entry(seen.customer.clone()).or_default().came(kind, seen.count);
+            self.recents
+                .entry(seen.customer.clone())
+                .or_default()
+                .came(kind, seen.count);
+        }
+        wire::Answer {
+            id: report.number,
+            ..done(0)
         }
-        wire::Answer { id: report.number, ..done(0) }
     }
 
     /// The tally's holder folds what ended sessions left.
--- a/crates/keeper/src/state/snapshot.rs
+++ b/crates/keeper/src/state/snapshot.rs
@@ -55,7 +55,11 @@
             rules: self.rules.values().cloned().collect(),
             departed: self.departed.values().cloned().collect(),
             admitted: self.admitted.values().cloned().collect(),
-            spoken: self.spoken.iter().flat_map(|(s, spoken)| spoken_to(s, spoken)).collect(),
+            spoken: self
+                .spoken
+                .iter()
+                .flat_map(|(s, spoken)| spoken_to(s, spoken))
+                .collect(),
             proposals: self.proposals.values().cloned().collect(),
             verdicts: self.verdicts.values().cloned().collect(),
             words: self.words.values().cloned().collect(),
@@ -65,7 +69,10 @@
             removed: self
                 .removed
                 .iter()
-                .map(|(c, at)| wire::Removed { customer: c.clone(), changed: *at })
+                .map(|(c, at)| wire::Removed {
+                    customer: c.clone(),
+                    changed: *at,
+                })
                 .collect(),
             removed_before: self.removed_before,
             configuration: self.configuration,
@@ -81,10 +88,18 @@
     pub fn from_wire(w: &wire::Shared) -> Result<Shared, Broken> {
         for c in &w.rules {
             if c.set.as_ref().is_some_and(|s| rules::set_of(s).is_none()) {
-                return Err(Broken::Set(c.set.as_ref().map_or_else(String::new, |s| s.customer.clone())));
+                return Err(Broken::Set(
+                    c.set
+                        .as_ref()
+                        .map_or_else(String::new, |s| s.customer.clone()),
+                ));
             }
         }
-        let key = |c: &wire::CustomerRules| c.set.as_ref().map_or_else(String::new, |s| s.customer.clone());
+        let key = |c: &wire::CustomerRules| {
+            c.set
+                .as_ref()
+                .map_or_else(String::new, |s| s.customer.clone())
+        };
         let contract = |a: &wire::Admitted| {
             let c = a.contract.clone().unwrap_or_default();
             (c.service, c.version)
@@ -96,17 +111,46 @@
             next_session: w.next_session,
             next_proposal: w.next_proposal,
             sessions: w.sessions.iter().map(|s| (s.id, s.clone())).collect(),
-            duties: w.duties.iter().map(|d| (d.name.clone(), d.clone())).collect(),
+            duties: w
+                .duties
+                .iter()
+                .map(|d| (d.name.clone(), d.clone()))
+                .collect(),
             rules: w.rules.iter().map(|c| (key(c), c.clone())).collect(),
-            rule_count: w.rules.iter().filter_map(|c| c.set.as_ref()).map(|s| s.rules.len()).sum(),
-            departed: w.departed.iter().map(|d| (d.gateway.clone(), d.clone())).collect(),
-            admitted: w.admitted.iter().map(|a| (contract(a), a.clone())).collect(),
+            rule_count: w
+                .rules
+                .iter()
+                .filter_map(|c| c.set.as_ref())
+                .map(|s| s.rules.len())
+                .sum(),
+            departed: w
+                .departed
+                .iter()
+                .map(|d| (d.gateway.clone(), d.clone()))
+                .collect(),
+            admitted: w
+                .admitted
+                .iter()
+                .map(|a| (contract(a), a.clone()))
+                .collect(),
             proposals: w.proposals.iter().map(|p| (p.id, p.clone())).collect(),
             verdicts: w.verdicts.iter().map(|v| (v.proposal, v.clone())).collect(),
-            words: w.words.iter().map(|s| (s.site.clone(), s.clone())).collect(),
-            recents: w.recents.iter().map(|r| (r.customer.clone(), recent_from(r))).collect(),
+            words: w
+                .words
+                .iter()
+                .map(|s| (s.site.clone(), s.clone()))
+                .collect(),
+            recents: w
+                .recents
+                .iter()
+                .map(|r| (r.customer.clone(), recent_from(r)))
+                .collect(),
             callers: Callers::from_wire(&w.answered, w.forgotten_at).ok_or(Broken::Answers)?,
-            removed: w.removed.iter().map(|r| (r.customer.clone(), r.changed)).collect(),
+            removed: w
+                .removed
+                .iter()
+                .map(|r| (r.customer.clone(), r.changed))
+                .collect(),
             removed_before: w.removed_before,
             configuration: w.configuration,
             members: w.members.iter().map(|m| (m.pid, *m)).collect(),
@@ -116,7 +160,10 @@
             ..Shared::default()
         };
         for spoken in &w.spoken {
-            spoken_from(state.spoken.entry(spoken.service.clone()).or_default(), spoken);
+            spoken_from(
+                state.spoken.entry(spoken.service.clone()).or_default(),
+                spoken,
+            );
         }
         state.hits_from(&w.hits);
         Ok(state)
@@ -124,16 +171,21 @@
 
     fn hits_to(&self) -> Vec<wire::HitsOf> {
         let mut of: BTreeMap<u64, Vec<wire::HitLine>> = BTreeMap::new();
-        let line = |customer: &String, (version, rule): &(u64, String), count: &u64| wire::HitLine {
-            customer: customer.clone(),
-            version: *version,
-            rule: rule.clone(),
-            count: *count,
-        };
+        let line =
+            |customer: &String, (version, rule): &(u64, String), count: &u64| wire::HitLine {
+                customer: customer.clone(),
+                version: *version,
+                rule: rule.clone(),
+                count: *count,
+            };
         for (customer, totals) in &self.hits {
-            of.entry(0).or_default().extend(totals.folded.iter().map(|(k, n)| line(customer, k, n)));
+            of.entry(0)
+                .or_default()
+                .extend(totals.folded.iter().map(|(k, n)| line(customer, k, n)));
             for (incarnation, told) in &totals.told {
-                of.entry(*incarnation).or_default().extend(told.iter().map(|(k, n)| line(customer, k, n)));
+                of.entry(*incarnation)
+                    .or_default()
+                    .extend(told.iter().map(|(k, n)| line(customer, k, n)));
             }
         }
         for ended in &self.ended {
@@ -154,7 +206,9 @@
             for line in &of.lines {
                 let totals: &mut Totals = self.hits.entry(line.customer.clone()).or_default();
                 if of.incarnation == 0 {
-                    totals.folded.insert((line.version, line.rule.clone()), line.count);
+                    totals
+                        .folded
+                        .insert((line.version, line.rule.clone()), line.count);
                 } else {
                     totals.tell(of.incarnation, line.version, &line.rule, line.count);
                 }
@@ -164,7 +218,11 @@
 }
 
 fn spoken_to(service: &str, spoken: &Spoken) -> Vec<wire::SpokenVersion> {
-    let versions = spoken.uses.keys().chain(spoken.retired.keys()).collect::<std::collections::BTreeSet<_>>();
+    let versions = spoken
+        .uses
+        .keys()
+        .chain(spoken.retired.keys())
+        .collect::<std::collections::BTreeSet<_>>();
     let one = |(customer, u): (&String, &Use)| wire::Use {
         customer: customer.clone(),
         declared: u.declared,
@@ -228,7 +286,10 @@
         (seen, s.count)
     };
     let mut recent = Recent::default();
-    w.before.iter().map(kind).for_each(|(s, n)| recent.came(s, n));
+    w.before
+        .iter()
+        .map(kind)
+        .for_each(|(s, n)| recent.came(s, n));
     recent.next_span();
     w.now.iter().map(kind).for_each(|(s, n)| recent.came(s, n));
     recent
