--- a/crates/keeper/src/store.rs
+++ b/crates/keeper/src/store.rs
@@ -3,7 +3,9 @@
 use chalkdeck_wal::held::{Applied, Damage, Held, Identity};
 use chalkdeck_wal::record;
 use omnipaxos::ballot_leader_election::Ballot;
-use omnipaxos::storage::{Entry as EntryTrait, Snapshot, StopSign, Storage, StorageOp, StorageResult};
+use omnipaxos::storage::{
+    Entry as EntryTrait, Snapshot, StopSign, Storage, StorageOp, StorageResult,
+};
 use prost::Message;
 use serde::{Deserialize, Serialize};
 
@@ -99,12 +101,19 @@
             Op::Accepted(b) => self.accepted = Some(b),
             Op::Decided(d) => self.decided = d,
             Op::Begin(configuration) => {
-                *self = Kept { configuration, ops: self.ops, ..Kept::default() };
+                *self = Kept {
+                    configuration,
+                    ops: self.ops,
+                    ..Kept::default()
+                };
             }
         }
     }
     fn entries(&self, from: usize, to: usize) -> Vec<Entry> {
-        self.entries.get(from..to).map(<[Entry]>::to_vec).unwrap_or_default()
+        self.entries
+            .get(from..to)
+            .map(<[Entry]>::to_vec)
+            .unwrap_or_default()
     }
     /// So many entries are decided, in all.
     pub fn decided(&self) -> usize {
@@ -131,7 +140,10 @@
 impl Store {
     /// What a log replayed to.
     pub fn new(kept: Kept) -> Store {
-        Store { kept, gathered: Vec::new() }
+        Store {
+            kept,
+            gathered: Vec::new(),
+        }
     }
     /// What is kept.
     pub fn kept(&self) -> &Kept {
@@ -195,15 +207,19 @@
     fn replay(&mut self, body: &[u8]) -> Option<Applied> {
         let (position, ops): (u64, Vec<Op>) = postcard::from_bytes(body).ok()?;
         if position != self.ops {
-            return Some(if position > self.ops { Applied::Gap(position) } else { Applied::Held });
+            return Some(if position > self.ops {
+                Applied::Gap(position)
+            } else {
+                Applied::Held
+            });
         }
         let count = ops.len() as u64;
         ops.into_iter().for_each(|op| self.apply(op));
         Some(Applied::Changes(count))
     }
     fn snapshot(&self, identity: Identity) -> Vec<u8> {
-        let body =
-            postcard::to_stdvec(&(VERSION, identity.incarnation, identity.epoch, self)).unwrap_or_default();
+        let body = postcard::to_stdvec(&(VERSION, identity.incarnation, identity.epoch, self))
+            .unwrap_or_default();
         // Parts, as one record is bounded.
         let mut out = Vec::new();
         for part in body.chunks(record::MOST / 2) {
@@ -215,7 +231,10 @@
         let (mut whole, mut at) = (Vec::new(), 0);
         while at < bytes.len() {
             let Some(body) = record::body(bytes, at) else {
-                return Err(Damage { offset: at, expected: "a sound record".into() });
+                return Err(Damage {
+                    offset: at,
+                    expected: "a sound record".into(),
+                });
             };
             whole.extend_from_slice(body);
             at += record::FRAME + body.len();
@@ -223,10 +242,14 @@
         let read: Result<(u32, u64, u64, Kept), _> = postcard::from_bytes(&whole);
         match read {
             Ok((VERSION, incarnation, epoch, kept)) => Ok((kept, Identity { incarnation, epoch })),
-            Ok((other, ..)) => {
-                Err(Damage { offset: 0, expected: format!("version {VERSION}, found {other}") })
-            }
-            Err(e) => Err(Damage { offset: 0, expected: format!("what a keeper keeps: {e}") }),
+            Ok((other, ..)) => Err(Damage {
+                offset: 0,
+                expected: format!("version {VERSION}, found {other}"),
+            }),
+            Err(e) => Err(Damage {
+                offset: 0,
+                expected: format!("what a keeper keeps: {e}"),
+            }),
         }
     }
 }
--- a/crates/lab/src/parts/log.rs
+++ b/crates/lab/src/parts/log.rs
@@ -21,21 +21,56 @@
         gateway: usize,
     },
     /// A client's call ended: the status it read, or why there was none.
-    Answer { t: u64, id: String, end: End, status: i32, pushback: Option<i64> },
+    Answer {
+        t: u64,
+        id: String,
+        end: End,
+        status: i32,
+        pushback: Option<i64>,
+    },
     /// A server's socket brought a call.
-    Arrive { t: u64, server: String, id: String, customer: String, path: String, key: String, units: f64 },
+    Arrive {
+        t: u64,
+        server: String,
+        id: String,
+        customer: String,
+        path: String,
+        key: String,
+        units: f64,
+    },
     /// A server begins to work on it.
-    Start { t: u64, server: String, id: String, key: String },
+    Start {
+        t: u64,
+        server: String,
+        id: String,
+        key: String,
+    },
     /// A server's work is done; `effect`: it changed something, which a dropped repeat does not.
-    Done { t: u64, server: String, id: String, key: String, effect: bool },
+    Done {
+        t: u64,
+        server: String,
+        id: String,
+        key: String,
+        effect: bool,
+    },
     /// A server answered, with this status; `unprocessed`: it said that it did not look at the call.
-    Reply { t: u64, server: String, id: String, status: i32, unprocessed: bool },
+    Reply {
+        t: u64,
+        server: String,
+        id: String,
+        status: i32,
+        unprocessed: bool,
+    },
     /// A server was told that the call is off.
     Cancel { t: u64, server: String, id: String },
     /// A cold server was pushed over.
     Fell { t: u64, server: String },
     /// Something that the run did.
-    Note { t: u64, what: String, target: String },
+    Note {
+        t: u64,
+        what: String,
+        target: String,
+    },
 }
 
 /// How a call ended for its client.
--- a/crates/lab/src/parts/plot.rs
+++ b/crates/lab/src/parts/plot.rs
@@ -31,13 +31,19 @@
     chart.configure_mesh().x_desc("seconds").draw()?;
     for (i, curve) in curves.iter().enumerate() {
         let color = Palette99::pick(i).to_rgba();
-        let series =
-            chart.draw_series(LineSeries::new(curve.points.iter().copied(), color.stroke_width(2)))?;
-        series
-            .label(&curve.name)
-            .legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], color.stroke_width(2)));
+        let series = chart.draw_series(LineSeries::new(
+            curve.points.iter().copied(),
+            color.stroke_width(2),
+        ))?;
+        series.label(&curve.name).legend(move |(x, y)| {
+            PathElement::new(vec![(x, y), (x + 16, y)], color.stroke_width(2))
+        });
     }
-    chart.configure_series_labels().background_style(WHITE).border_style(BLACK).draw()?;
+    chart
+        .configure_series_labels()
+        .background_style(WHITE)
+        .border_style(BLACK)
+        .draw()?;
     root.present()?;
     Ok(())
 }
--- a/crates/lab/src/rig/counting.rs
+++ b/crates/lab/src/rig/counting.rs
@@ -33,7 +33,14 @@
     pub fn start(program: &Program, dir: &Path, own: bool) -> anyhow::Result<CounterPart> {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let (program, dir) = (program.clone(), dir.to_path_buf());
-        let mut part = CounterPart { program, dir, own, process: None, address: any, control: any };
+        let mut part = CounterPart {
+            program,
+            dir,
+            own,
+            process: None,
+            address: any,
+            control: any,
+        };
         part.begin()?;
         Ok(part)
     }
@@ -52,7 +59,9 @@
             std::fs::write(&config, text)?;
             vec!["own-counter".to_string(), config.display().to_string()]
         } else {
-            ["counter", "--listen", &listen, "--control", &control].map(String::from).to_vec()
+            ["counter", "--listen", &listen, "--control", &control]
+                .map(String::from)
+                .to_vec()
         };
         let process = Process::start(&self.program, &args, &self.dir.join("counter.log"))?;
         self.address = process.address("grpc")?;
@@ -77,7 +86,10 @@
             Some("silent=0") => Signal::CONT,
             _ => bail!("the own counter has no fault '{query}'; play this day with the stand-in"),
         };
-        self.process.as_ref().context("the counter is down")?.signal(signal);
+        self.process
+            .as_ref()
+            .context("the counter is down")?
+            .signal(signal);
         Ok(())
     }
 }
--- a/crates/lab/src/rig/keeping.rs
+++ b/crates/lab/src/rig/keeping.rs
@@ -31,7 +31,10 @@
         std::fs::write(&config, text)?;
         let args = ["own-keeper".to_string(), config.display().to_string()];
         let process = Process::start(program, &args, &dir.join("keeper.log"))?;
-        Ok(KeeperPart { address: process.address("grpc")?, _process: process })
+        Ok(KeeperPart {
+            address: process.address("grpc")?,
+            _process: process,
+        })
     }
     /// Where gateways find it.
     pub fn address(&self) -> SocketAddr {
--- a/crates/lab/src/rig/links/tcp.rs
+++ b/crates/lab/src/rig/links/tcp.rs
@@ -87,7 +87,9 @@
         rng: &mut fastrand::Rng,
     ) -> io::Result<Step> {
         let [a, b] = &mut self.ends;
-        let (Some(a), Some(b)) = (a, b) else { return Ok(Step::Idle) };
+        let (Some(a), Some(b)) = (a, b) else {
+            return Ok(Step::Idle);
+        };
         let (from, to) = if way == 0 { (a, b) } else { (b, a) };
         let flow = &mut self.flows[way];
         let mut chunk = [0; 16 << 10];
--- a/crates/lab/src/rig/links/udp.rs
+++ b/crates/lab/src/rig/links/udp.rs
@@ -49,17 +49,26 @@
         rng: &mut fastrand::Rng,
     ) {
         let way = &faults.ways[usize::from(!there)];
-        match way.arrival(now, rng, false).filter(|_| !way.cut && self.on_the_way.len() < MOST) {
+        match way
+            .arrival(now, rng, false)
+            .filter(|_| !way.cut && self.on_the_way.len() < MOST)
+        {
             Some(due) => {
                 self.serial += 1;
-                self.on_the_way.push(Reverse((due, self.serial, place, there, data.to_vec())));
+                self.on_the_way
+                    .push(Reverse((due, self.serial, place, there, data.to_vec())));
             }
             None => self.dropped += 1,
         }
     }
 
     /// Reads what came; returns the place of a sender's new socket, which is to be watched.
-    pub(crate) fn read(&mut self, now: u64, faults: &Faults, rng: &mut fastrand::Rng) -> Vec<usize> {
+    pub(crate) fn read(
+        &mut self,
+        now: u64,
+        faults: &Faults,
+        rng: &mut fastrand::Rng,
+    ) -> Vec<usize> {
         let (mut buffer, mut new) = ([0; 2_048], Vec::new());
         while let Ok((n, from)) = self.front.recv_from(&mut buffer) {
             let known = self.place_of.get(&from).copied();
@@ -97,7 +106,11 @@
             }
             let (sender, socket) = &self.behind[*place];
             // A datagram that nobody takes is lost, as on any network.
-            let _ = if *there { socket.send(data) } else { self.front.send_to(data, *sender) };
+            let _ = if *there {
+                socket.send(data)
+            } else {
+                self.front.send_to(data, *sender)
+            };
             self.on_the_way.pop();
         }
         None
--- a/crates/lab/src/rig/serve.rs
+++ b/crates/lab/src/rig/serve.rs
@@ -42,7 +42,9 @@
         shell.inject(fault.parse().map_err(anyhow::Error::msg)?);
     }
     let admin = shell.admin().map_or("-".to_string(), |a| a.to_string());
-    let resp = shell.resp_listen().map_or(String::new(), |a| format!(" resp={a}"));
+    let resp = shell
+        .resp_listen()
+        .map_or(String::new(), |a| format!(" resp={a}"));
     println!("ready grpc={} admin={admin}{resp}", shell.listen());
     Ok(shell.run(&signals)?)
 }
--- a/crates/lab/src/rig/watch.rs
+++ b/crates/lab/src/rig/watch.rs
@@ -34,13 +34,18 @@
                             what: "sites".into(),
                             target: format!("{gateway} {text}"),
                         };
-                        log.lock().unwrap_or_else(PoisonError::into_inner).line(&note);
+                        log.lock()
+                            .unwrap_or_else(PoisonError::into_inner)
+                            .line(&note);
                     }
                     std::thread::sleep(EACH);
                 }
             })
         });
-        Ok(Watch { threads: threads.collect(), stop })
+        Ok(Watch {
+            threads: threads.collect(),
+            stop,
+        })
     }
 
     /// Ends it; the notes are in the file then.
