--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -44,7 +44,8 @@
 
     /// A source that went back is taken to go on from where it was.
     fn steady(&self, source: u64) -> u64 {
-        let moved = source as i64 + self.by.load(Ordering::SeqCst) + self.held.load(Ordering::SeqCst);
+        let moved =
+            source as i64 + self.by.load(Ordering::SeqCst) + self.held.load(Ordering::SeqCst);
         let last = self.last.fetch_max(moved.max(0) as u64, Ordering::SeqCst);
         let back = last as i64 - moved;
         if back > 0 {
@@ -57,15 +58,23 @@
 impl Clock {
     /// Reads the machine's date once.
     pub fn start() -> Clock {
-        Clock { ahead: read(ClockId::Realtime).saturating_sub(monotonic()), jumps: None }
+        Clock {
+            ahead: read(ClockId::Realtime).saturating_sub(monotonic()),
+            jumps: None,
+        }
     }
     /// The same, moved by `jumps`.
     pub fn jumping(jumps: Arc<Jumps>) -> Clock {
-        Clock { jumps: Some(jumps), ..Clock::start() }
+        Clock {
+            jumps: Some(jumps),
+            ..Clock::start()
+        }
     }
     /// Microseconds since the Unix epoch.
     pub fn now(&self) -> u64 {
         let source = monotonic() + self.ahead;
-        self.jumps.as_ref().map_or(source, |jumps| jumps.steady(source))
+        self.jumps
+            .as_ref()
+            .map_or(source, |jumps| jumps.steady(source))
     }
 }
--- a/crates/net/src/conn.rs
+++ b/crates/net/src/conn.rs
@@ -11,13 +11,19 @@
 use std::pin::Pin;
 use std::task::{Context, Poll, Waker};
 
-type ClientLink = (h2::client::SendRequest<Bytes>, h2::client::Connection<Io, Bytes>);
+type ClientLink = (
+    h2::client::SendRequest<Bytes>,
+    h2::client::Connection<Io, Bytes>,
+);
 type ClientHandshake = Pin<Box<dyn Future<Output = Result<ClientLink, h2::Error>> + Send>>;
 
 pub(crate) enum Link {
     Connecting(Option<TcpStream>, Speaks),
     Greeting(ClientHandshake),
-    Client(h2::client::SendRequest<Bytes>, Box<h2::client::Connection<Io, Bytes>>),
+    Client(
+        h2::client::SendRequest<Bytes>,
+        Box<h2::client::Connection<Io, Bytes>>,
+    ),
     Welcome(Box<h2::server::Handshake<Io, Bytes>>),
     Server(Box<h2::server::Connection<Io, Bytes>>),
     Http1(Http1),
@@ -61,7 +67,10 @@
     /// A connection to a server stands.
     Connected,
     /// A client opened a stream.
-    Opened(Box<http::Request<h2::RecvStream>>, h2::server::SendResponse<Bytes>),
+    Opened(
+        Box<http::Request<h2::RecvStream>>,
+        h2::server::SendResponse<Bytes>,
+    ),
     /// A GET on a side port.
     Get(String),
     /// Plain bytes, and whether there may be more to read at once.
@@ -100,7 +109,12 @@
         }
     }
 
-    pub(crate) fn connecting(stream: TcpStream, limits: Limits, speaks: Speaks, waker: Waker) -> Conn {
+    pub(crate) fn connecting(
+        stream: TcpStream,
+        limits: Limits,
+        speaks: Speaks,
+        waker: Waker,
+    ) -> Conn {
         let link = Link::Connecting(Some(stream), speaks);
         Conn {
             link,
@@ -120,8 +134,12 @@
 
     /// How many further streams it takes now: by our limit and by what the peer allows.
     pub(crate) fn room(&self) -> usize {
-        let Link::Client(sender, _) = &self.link else { return 0 };
-        let most = sender.current_max_send_streams().min(self.limits.streams as usize);
+        let Link::Client(sender, _) = &self.link else {
+            return 0;
+        };
+        let most = sender
+            .current_max_send_streams()
+            .min(self.limits.streams as usize);
         most.saturating_sub(self.streams)
     }
 
@@ -146,8 +164,11 @@
     pub(crate) fn poll(&mut self) -> Step {
         let waker = self.waker.clone();
         let mut cx = Context::from_waker(&waker);
-        if let Some(Poll::Ready(_)) =
-            self.ping.as_mut().filter(|_| self.unanswered).map(|p| p.poll_pong(&mut cx))
+        if let Some(Poll::Ready(_)) = self
+            .ping
+            .as_mut()
+            .filter(|_| self.unanswered)
+            .map(|p| p.poll_pong(&mut cx))
         {
             self.unanswered = false;
         }
@@ -215,17 +236,24 @@
 }
 
 fn ended(error: Option<h2::Error>) -> CloseReason {
-    error.map_or(CloseReason::PeerEnded, |e| CloseReason::Failed(e.to_string()))
+    error.map_or(CloseReason::PeerEnded, |e| {
+        CloseReason::Failed(e.to_string())
+    })
 }
 
 /// Whether a connection under way has come to stand.
 fn reached(slot: &mut Option<TcpStream>) -> Poll<std::io::Result<TcpStream>> {
-    let Some(stream) = slot else { return Poll::Pending };
+    let Some(stream) = slot else {
+        return Poll::Pending;
+    };
     if let Ok(Some(e)) | Err(e) = stream.take_error() {
         return Poll::Ready(Err(e));
     }
     match stream.peer_addr() {
-        Ok(_) => Poll::Ready(slot.take().ok_or_else(|| std::io::ErrorKind::NotConnected.into())),
+        Ok(_) => Poll::Ready(
+            slot.take()
+                .ok_or_else(|| std::io::ErrorKind::NotConnected.into()),
+        ),
         Err(e) if e.kind() == std::io::ErrorKind::NotConnected => Poll::Pending,
         Err(e) => Poll::Ready(Err(e)),
     }
--- a/crates/net/src/engine.rs
+++ b/crates/net/src/engine.rs
@@ -91,15 +91,32 @@
     /// A connection that was asked for stands.
     Connected { conn: ConnId },
     /// A connection is over. `reached`: it once stood. `unsent`: bytes queued on a plain one that were never written.
-    Closed { conn: ConnId, reached: bool, unsent: usize, reason: CloseReason },
+    Closed {
+        conn: ConnId,
+        reached: bool,
+        unsent: usize,
+        reason: CloseReason,
+    },
     /// A client opened a stream. `ended`: it has no body.
-    Opened { stream: StreamId, conn: ConnId, head: Box<request::Parts>, ended: bool },
+    Opened {
+        stream: StreamId,
+        conn: ConnId,
+        head: Box<request::Parts>,
+        ended: bool,
+    },
     /// The head of an answer came.
-    Head { stream: StreamId, head: Box<response::Parts>, ended: bool },
+    Head {
+        stream: StreamId,
+        head: Box<response::Parts>,
+        ended: bool,
+    },
     /// Bytes came; `Engine::consume` lets more come.
     Data { stream: StreamId, data: Bytes },
     /// The peer sent its last.
-    End { stream: StreamId, trailers: Option<HeaderMap> },
+    End {
+        stream: StreamId,
+        trailers: Option<HeaderMap>,
+    },
     /// So many queued bytes were handed to the connection.
     Sent { stream: StreamId, bytes: usize },
     /// The stream broke off; nothing more is heard of it.
@@ -190,7 +207,10 @@
 
     /// Connections of a listener that are held now, also of one that takes no more.
     pub fn held_by(&self, listener: ListenerId) -> usize {
-        self.conns.values().filter(|c| c.listener == Some(listener.0)).count()
+        self.conns
+            .values()
+            .filter(|c| c.listener == Some(listener.0))
+            .count()
     }
 
     /// Begins a connection; `Connected` or `Closed` follows. Errors: no socket, or refused at once.
@@ -208,9 +228,12 @@
         let _ = stream.set_nodelay(true);
         let id = self.id();
         let interest = Interest::READABLE | Interest::WRITABLE;
-        self.poll.registry().register(&mut stream, Token(id as usize), interest)?;
+        self.poll
+            .registry()
+            .register(&mut stream, Token(id as usize), interest)?;
         let waker = self.ready.waker(id, Turn::First);
-        self.conns.insert(id, Conn::connecting(stream, limits, speaks, waker));
+        self.conns
+            .insert(id, Conn::connecting(stream, limits, speaks, waker));
         Ok(ConnId(id))
     }
 
@@ -229,11 +252,17 @@
         let id = self.next + 1;
         let waker = self.ready.waker(id, Turn::First);
         let link = self.conns.get_mut(&conn.0).filter(|c| c.room() > 0)?;
-        let Link::Client(sender, _) = &mut link.link else { return None };
+        let Link::Client(sender, _) = &mut link.link else {
+            return None;
+        };
         let (answer, body) = sender.send_request(head, ended).ok()?;
         self.next = id;
         link.streams += 1;
-        let outgoing = if ended { Outgoing::Done } else { Outgoing::Body(body) };
+        let outgoing = if ended {
+            Outgoing::Done
+        } else {
+            Outgoing::Body(body)
+        };
         waker.wake_by_ref();
         let stream = Stream::sent(StreamId(id), conn.0, waker, answer, outgoing);
         self.streams.insert(id, Box::new(stream));
@@ -282,7 +311,11 @@
 
     /// Asks all clients of a listener's connections to open nothing new (GOAWAY); what is open goes on.
     pub fn drain(&mut self, listener: ListenerId) {
-        for conn in self.conns.values_mut().filter(|c| c.listener == Some(listener.0)) {
+        for conn in self
+            .conns
+            .values_mut()
+            .filter(|c| c.listener == Some(listener.0))
+        {
             conn.drain();
         }
     }
@@ -307,7 +340,12 @@
 
     /// Answers a GET and closes.
     pub fn reply(&mut self, conn: ConnId, status: u16, body: &str) {
-        if let Some(Conn { link: Link::Http1(http1), waker, .. }) = self.conns.get_mut(&conn.0) {
+        if let Some(Conn {
+            link: Link::Http1(http1),
+            waker,
+            ..
+        }) = self.conns.get_mut(&conn.0)
+        {
             if matches!(http1.reply(status, body), crate::http1::Step::Close) {
                 self.drop_conn(conn.0, CloseReason::Local);
             } else {
@@ -327,11 +365,17 @@
         self.unhandled.clear();
         self.retry_accepts();
         let idle = self.ready.is_empty() && self.out.is_empty() && self.accepting.is_empty();
-        let next =
-            [self.timers.peek(), self.pings.peek()].into_iter().flatten().map(|Reverse((at, _))| *at).min();
+        let next = [self.timers.peek(), self.pings.peek()]
+            .into_iter()
+            .flatten()
+            .map(|Reverse((at, _))| *at)
+            .min();
         let due = next.map_or(most_wait, |at| at.saturating_sub(self.now()));
         let wait = if idle { due.min(most_wait) } else { 0 };
-        match self.poll.poll(&mut self.readiness, Some(Duration::from_micros(wait))) {
+        match self
+            .poll
+            .poll(&mut self.readiness, Some(Duration::from_micros(wait)))
+        {
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
             other => other?,
         }
@@ -340,7 +384,11 @@
             let key = event.token().0 as u64;
             touched.push(key);
             if event.is_read_closed() || event.is_error() {
-                if let Some(Conn { link: Link::Raw(raw), .. }) = self.conns.get_mut(&key) {
+                if let Some(Conn {
+                    link: Link::Raw(raw),
+                    ..
+                }) = self.conns.get_mut(&key)
+                {
                     raw.ends = true;
                 }
             }
@@ -375,7 +423,8 @@
 
     fn timers_due(&mut self) {
         let now = self.now();
-        while let Some(Reverse((_, token))) = self.timers.peek().filter(|t| t.0 .0 <= now).copied() {
+        while let Some(Reverse((_, token))) = self.timers.peek().filter(|t| t.0 .0 <= now).copied()
+        {
             self.timers.pop();
             self.out.push_back(Event::Timer(token));
         }
@@ -386,7 +435,9 @@
     fn ping_due(&mut self, now: u64) {
         while let Some(Reverse((_, key))) = self.pings.peek().filter(|p| p.0 .0 <= now).copied() {
             self.pings.pop();
-            let Some(conn) = self.conns.get_mut(&key) else { continue };
+            let Some(conn) = self.conns.get_mut(&key) else {
+                continue;
+            };
             if conn.unanswered {
                 self.drop_conn(key, CloseReason::Failed("no answer to a ping".to_string()));
                 continue;
@@ -416,7 +467,9 @@
     /// Guards against clients that open and reset without end: each such stream costs work that nobody waits for.
     fn count_reset(&mut self, key: u64) {
         let second = self.now() / 1_000_000;
-        let Some(conn) = self.conns.get_mut(&key) else { return };
+        let Some(conn) = self.conns.get_mut(&key) else {
+            return;
+        };
         if conn.reset_second != second {
             (conn.reset_second, conn.resets) = (second, 0);
         }
@@ -431,7 +484,9 @@
     }
 
     fn forget(&mut self, key: u64) {
-        let Some(stream) = self.streams.remove(&key) else { return };
+        let Some(stream) = self.streams.remove(&key) else {
+            return;
+        };
         if let Some(conn) = self.conns.get_mut(&stream.conn) {
             conn.streams -= 1;
         }
@@ -446,11 +501,15 @@
                     let keepalive = conn.limits.keepalive;
                     self.out.push_back(Event::Connected { conn: ConnId(key) });
                     if keepalive > 0 {
-                        self.pings.push(Reverse((self.clock.now() + keepalive, key)));
+                        self.pings
+                            .push(Reverse((self.clock.now() + keepalive, key)));
                     }
                 }
                 Step::Get(path) => {
-                    self.out.push_back(Event::Get { conn: ConnId(key), path });
+                    self.out.push_back(Event::Get {
+                        conn: ConnId(key),
+                        path,
+                    });
                     return;
                 }
                 Step::Bytes(data, more) => {
@@ -461,7 +520,10 @@
                     }
                     if !data.is_empty() {
                         self.unhandled.insert(key);
-                        self.out.push_back(Event::Bytes { conn: ConnId(key), data });
+                        self.out.push_back(Event::Bytes {
+                            conn: ConnId(key),
+                            data,
+                        });
                     }
                     return;
                 }
@@ -494,20 +556,39 @@
         let waker = self.ready.waker(id, Turn::First);
         waker.wake_by_ref();
         let (stream, head) = (StreamId(id), Box::new(head));
-        self.out.push_back(Event::Opened { stream, conn: ConnId(conn), head, ended });
+        self.out.push_back(Event::Opened {
+            stream,
+            conn: ConnId(conn),
+            head,
+            ended,
+        });
         self.opens += 1;
-        self.streams.insert(id, Box::new(Stream::opened(stream, conn, waker, body, respond)));
+        self.streams.insert(
+            id,
+            Box::new(Stream::opened(stream, conn, waker, body, respond)),
+        );
     }
 
     fn drop_conn(&mut self, key: u64, reason: CloseReason) {
-        let Some(conn) = self.conns.remove(&key) else { return };
+        let Some(conn) = self.conns.remove(&key) else {
+            return;
+        };
         if let Some(l) = conn.listener.and_then(|l| self.listeners.get_mut(&l)) {
             l.held -= 1;
             if std::mem::take(&mut l.paused) {
                 self.accept(conn.listener.unwrap_or(0), ACCEPTS_TURN);
             }
         }
-        let unsent = if let Link::Raw(raw) = &conn.link { raw.unsent() } else { 0 };
-        self.out.push_back(Event::Closed { conn: ConnId(key), reached: conn.reached, unsent, reason });
+        let unsent = if let Link::Raw(raw) = &conn.link {
+            raw.unsent()
+        } else {
+            0
+        };
+        self.out.push_back(Event::Closed {
+            conn: ConnId(key),
+            reached: conn.reached,
+            unsent,
+            reason,
+        });
     }
 }
--- a/crates/net/src/grpc.rs
+++ b/crates/net/src/grpc.rs
@@ -78,7 +78,10 @@
 impl Code {
     /// The code of a number; numbers that the specification does not know are UNKNOWN.
     pub fn of(number: i32) -> Code {
-        usize::try_from(number).ok().and_then(|i| CODES.get(i).copied()).unwrap_or(Code::Unknown)
+        usize::try_from(number)
+            .ok()
+            .and_then(|i| CODES.get(i).copied())
+            .unwrap_or(Code::Unknown)
     }
     /// The status in trailers (or in the head of a trailers-only answer), where there is one.
     pub fn read(trailers: &HeaderMap) -> Option<Code> {
@@ -89,8 +92,11 @@
 
 /// A content type of gRPC (`application/grpc`, also with a `+` or `;` part).
 pub fn is_grpc(headers: &HeaderMap) -> bool {
-    let Some(Ok(kind)) = headers.get(CONTENT_TYPE).map(HeaderValue::to_str) else { return false };
-    kind.strip_prefix("application/grpc").is_some_and(|rest| rest.is_empty() || rest.starts_with(['+', ';']))
+    let Some(Ok(kind)) = headers.get(CONTENT_TYPE).map(HeaderValue::to_str) else {
+        return false;
+    };
+    kind.strip_prefix("application/grpc")
+        .is_some_and(|rest| rest.is_empty() || rest.starts_with(['+', ';']))
 }
 
 /// A `grpc-timeout` in microseconds, rounded up. At most eight digits and a unit, else nothing.
@@ -113,9 +119,17 @@
 
 /// A span in microseconds as `grpc-timeout`, in the finest unit that eight digits hold.
 pub fn timeout(micros: u64) -> HeaderValue {
-    let units = [("u", 1), ("m", 1_000), ("S", 1_000_000), ("M", 60_000_000), ("H", 3_600_000_000)];
+    let units = [
+        ("u", 1),
+        ("m", 1_000),
+        ("S", 1_000_000),
+        ("M", 60_000_000),
+        ("H", 3_600_000_000),
+    ];
     let fits = units.iter().find(|(_, size)| micros / size <= 99_999_999);
-    let text = fits.map_or("99999999H".to_string(), |(unit, size)| format!("{}{unit}", micros / size));
+    let text = fits.map_or("99999999H".to_string(), |(unit, size)| {
+        format!("{}{unit}", micros / size)
+    });
     HeaderValue::from_str(&text).unwrap_or(HeaderValue::from_static("1H"))
 }
 
@@ -127,7 +141,10 @@
 
 /// The message of a status in trailers.
 pub fn message_of(trailers: &HeaderMap) -> String {
-    let text = trailers.get(MESSAGE).and_then(|v| v.to_str().ok()).unwrap_or("");
+    let text = trailers
+        .get(MESSAGE)
+        .and_then(|v| v.to_str().ok())
+        .unwrap_or("");
     percent_decode_str(text).decode_utf8_lossy().into_owned()
 }
 
@@ -159,7 +176,9 @@
 /// A call's head.
 pub fn request(authority: &str, path: &str) -> Option<Request<()>> {
     let uri = format!("http://{authority}{path}");
-    let request = Request::post(uri).header(CONTENT_TYPE, GRPC).header("te", "trailers");
+    let request = Request::post(uri)
+        .header(CONTENT_TYPE, GRPC)
+        .header("te", "trailers");
     request.body(()).ok()
 }
 
@@ -174,12 +193,18 @@
         seconds: (micros / 1_000_000) as i64,
         nanos: (micros % 1_000_000 * 1_000) as i32,
     };
-    let info = rpc::RetryInfo { retry_delay: Some(delay) };
+    let info = rpc::RetryInfo {
+        retry_delay: Some(delay),
+    };
     let detail = prost_types::Any {
         type_url: format!("type.googleapis.com/{RETRY_INFO}"),
         value: info.encode_to_vec(),
     };
-    let status = rpc::Status { code: code as i32, message: message.to_string(), details: vec![detail] };
+    let status = rpc::Status {
+        code: code as i32,
+        message: message.to_string(),
+        details: vec![detail],
+    };
     if let Ok(value) = HeaderValue::from_str(&STANDARD_NO_PAD.encode(status.encode_to_vec())) {
         map.insert(DETAILS, value);
     }
@@ -187,14 +212,22 @@
 
 /// The come-back time in status details, in microseconds.
 pub fn retry_info(trailers: &HeaderMap) -> Option<u64> {
-    let lenient = GeneralPurposeConfig::new().with_decode_padding_mode(DecodePaddingMode::Indifferent);
+    let lenient =
+        GeneralPurposeConfig::new().with_decode_padding_mode(DecodePaddingMode::Indifferent);
     let base64 = GeneralPurpose::new(&alphabet::STANDARD, lenient);
     let bytes = base64.decode(trailers.get(DETAILS)?.as_bytes()).ok()?;
     let status = rpc::Status::decode(&bytes[..]).ok()?;
-    let any = status.details.iter().find(|any| any.type_url.ends_with(RETRY_INFO))?;
+    let any = status
+        .details
+        .iter()
+        .find(|any| any.type_url.ends_with(RETRY_INFO))?;
     let delay = rpc::RetryInfo::decode(&any.value[..]).ok()?.retry_delay?;
     let seconds = u64::try_from(delay.seconds).ok()?;
-    Some(seconds.saturating_mul(1_000_000).saturating_add(u64::try_from(delay.nanos).ok()? / 1_000))
+    Some(
+        seconds
+            .saturating_mul(1_000_000)
+            .saturating_add(u64::try_from(delay.nanos).ok()? / 1_000),
+    )
 }
 
 /// Appends a message with its frame.
--- a/crates/net/src/http1.rs
+++ b/crates/net/src/http1.rs
@@ -21,7 +21,12 @@
 
 impl Http1 {
     pub(crate) fn new(stream: TcpStream) -> Http1 {
-        Http1 { stream, head: Vec::new(), out: Vec::new(), asked: false }
+        Http1 {
+            stream,
+            head: Vec::new(),
+            out: Vec::new(),
+            asked: false,
+        }
     }
 
     pub(crate) fn poll(&mut self) -> Step {
--- a/crates/net/src/io.rs
+++ b/crates/net/src/io.rs
@@ -32,7 +32,11 @@
 }
 
 impl AsyncWrite for Io {
-    fn poll_write(mut self: Pin<&mut Self>, _: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        _: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         ready(self.0.write(buf))
     }
     fn poll_write_vectored(
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -65,7 +65,12 @@
         shared: bool,
         http1: bool,
     ) -> io::Result<(ListenerId, SocketAddr)> {
-        self.listen_for(address, limits, shared, if http1 { Speaks::Http1 } else { Speaks::Http2 })
+        self.listen_for(
+            address,
+            limits,
+            shared,
+            if http1 { Speaks::Http1 } else { Speaks::Http2 },
+        )
     }
 
     /// The same for connections of plain bytes.
@@ -84,8 +89,11 @@
         shared: bool,
         speaks: Speaks,
     ) -> io::Result<(ListenerId, SocketAddr)> {
-        let socket =
-            socket2::Socket::new(socket2::Domain::for_address(address), socket2::Type::STREAM, None)?;
+        let socket = socket2::Socket::new(
+            socket2::Domain::for_address(address),
+            socket2::Type::STREAM,
+            None,
+        )?;
         socket.set_reuse_address(true)?;
         if shared {
             socket.set_reuse_port(true)?;
@@ -96,8 +104,17 @@
         let mut socket = TcpListener::from_std(socket.into());
         let bound = socket.local_addr()?;
         let id = self.id();
-        self.poll.registry().register(&mut socket, Token(id as usize), Interest::READABLE)?;
-        let listener = Listener { socket, limits, speaks, held: 0, paused: false, retry: None };
+        self.poll
+            .registry()
+            .register(&mut socket, Token(id as usize), Interest::READABLE)?;
+        let listener = Listener {
+            socket,
+            limits,
+            speaks,
+            held: 0,
+            paused: false,
+            retry: None,
+        };
         self.listeners.insert(id, listener);
         Ok((ListenerId(id), bound))
     }
@@ -114,7 +131,10 @@
     /// clients sent.
     pub fn unlisten_if_empty(&mut self, listener: ListenerId) -> bool {
         self.accept(listener.0, usize::MAX);
-        let waits = self.listeners.get(&listener.0).is_some_and(|l| l.paused || l.retry.is_some());
+        let waits = self
+            .listeners
+            .get(&listener.0)
+            .is_some_and(|l| l.paused || l.retry.is_some());
         if !waits {
             self.listeners.remove(&listener.0);
         }
@@ -125,7 +145,12 @@
     pub(crate) fn retry_accepts(&mut self) {
         let now = self.now();
         let due = |l: &Listener| l.retry.is_some_and(|at| at <= now);
-        let due: Vec<u64> = self.listeners.iter().filter(|(_, l)| due(l)).map(|(key, _)| *key).collect();
+        let due: Vec<u64> = self
+            .listeners
+            .iter()
+            .filter(|(_, l)| due(l))
+            .map(|(key, _)| *key)
+            .collect();
         for key in due {
             self.accept(key, ACCEPTS_TURN);
         }
@@ -135,7 +160,9 @@
     pub(crate) fn accept(&mut self, key: u64, most: usize) {
         for _ in 0..most {
             let now = self.now();
-            let Some(listener) = self.listeners.get_mut(&key) else { return };
+            let Some(listener) = self.listeners.get_mut(&key) else {
+                return;
+            };
             let accepted = listener.accept();
             listener.paused = matches!(accepted, Accepted::Full);
             listener.retry = matches!(accepted, Accepted::Failed(_)).then_some(now + ACCEPT_RETRY);
@@ -154,15 +181,26 @@
         let _ = stream.set_nodelay(true);
         let id = self.id();
         let interest = Interest::READABLE | Interest::WRITABLE;
-        if self.poll.registry().register(&mut stream, Token(id as usize), interest).is_err() {
+        if self
+            .poll
+            .registry()
+            .register(&mut stream, Token(id as usize), interest)
+            .is_err()
+        {
             return;
         }
-        let Some(listener) = self.listeners.get_mut(&key) else { return };
+        let Some(listener) = self.listeners.get_mut(&key) else {
+            return;
+        };
         listener.held += 1;
         let (limits, speaks) = (listener.limits, listener.speaks);
         let waker = self.ready.waker(id, Turn::Then);
         waker.wake_by_ref();
-        self.conns.insert(id, Conn::accepted(stream, from, limits, key, speaks, waker));
-        self.out.push_back(Event::Accepted { listener: ListenerId(key), conn: ConnId(id) });
+        self.conns
+            .insert(id, Conn::accepted(stream, from, limits, key, speaks, waker));
+        self.out.push_back(Event::Accepted {
+            listener: ListenerId(key),
+            conn: ConnId(id),
+        });
     }
 }
--- a/crates/net/src/plain.rs
+++ b/crates/net/src/plain.rs
@@ -8,7 +8,11 @@
 impl Engine {
     fn raw(&mut self, conn: ConnId) -> Option<(&mut Raw, &Waker)> {
         match self.conns.get_mut(&conn.0) {
-            Some(Conn { link: Link::Raw(raw), waker, .. }) => Some((raw, waker)),
+            Some(Conn {
+                link: Link::Raw(raw),
+                waker,
+                ..
+            }) => Some((raw, waker)),
             _ => None,
         }
     }
@@ -72,7 +76,14 @@
 
     pub(crate) fn write_dirty(&mut self) {
         for key in std::mem::take(&mut self.dirty) {
-            let Some(Conn { link: Link::Raw(raw), waker, .. }) = self.conns.get_mut(&key) else { continue };
+            let Some(Conn {
+                link: Link::Raw(raw),
+                waker,
+                ..
+            }) = self.conns.get_mut(&key)
+            else {
+                continue;
+            };
             raw.dirty = false;
             // An error is met again and told when the connection is polled.
             if raw.flush().is_err() {
--- a/crates/net/src/raw.rs
+++ b/crates/net/src/raw.rs
@@ -47,7 +47,16 @@
 impl Raw {
     pub(crate) fn new(stream: TcpStream) -> Raw {
         let (out, ending) = (BytesMut::new(), Ending::No);
-        Raw { stream, out, taken: 0, paused: false, ending, shut: false, dirty: false, ends: false }
+        Raw {
+            stream,
+            out,
+            taken: 0,
+            paused: false,
+            ending,
+            shut: false,
+            dirty: false,
+            ends: false,
+        }
     }
     /// Queues bytes; returns whether the connection was not dirty before.
     pub(crate) fn write(&mut self, bytes: &[u8]) -> bool {
@@ -91,7 +100,10 @@
                 Ok(0) => return Step::Close(CloseReason::PeerEnded),
                 // Readiness is told once: a short read emptied the socket, what comes later is told anew.
                 Ok(n) => {
-                    return Step::Bytes(Bytes::copy_from_slice(&chunk[..n]), n == CHUNK || self.ends);
+                    return Step::Bytes(
+                        Bytes::copy_from_slice(&chunk[..n]),
+                        n == CHUNK || self.ends,
+                    );
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Step::Wait,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -49,7 +49,9 @@
 fn why(error: &h2::Error) -> Broken {
     let remote_goaway = error.is_go_away() && error.is_remote();
     match error.reason() {
-        Some(h2::Reason::REFUSED_STREAM) if error.is_reset() && error.is_remote() => Broken::Refused,
+        Some(h2::Reason::REFUSED_STREAM) if error.is_reset() && error.is_remote() => {
+            Broken::Refused
+        }
         _ if remote_goaway => Broken::GoneAway,
         Some(reason) if error.is_reset() => Broken::Reset(reason),
         _ => Broken::Lost,
@@ -66,9 +68,22 @@
     ) -> Stream {
         let mut body = body;
         let flow = Some(body.flow_control().clone());
-        Stream::new(id, conn, waker, Incoming::Body(body), Outgoing::Head(out), flow)
+        Stream::new(
+            id,
+            conn,
+            waker,
+            Incoming::Body(body),
+            Outgoing::Head(out),
+            flow,
+        )
     }
-    pub(crate) fn sent(id: StreamId, conn: u64, waker: Waker, head: ResponseFuture, out: Outgoing) -> Stream {
+    pub(crate) fn sent(
+        id: StreamId,
+        conn: u64,
+        waker: Waker,
+        head: ResponseFuture,
+        out: Outgoing,
+    ) -> Stream {
         Stream::new(id, conn, waker, Incoming::Head(head), out, None)
     }
     fn new(
@@ -154,37 +169,62 @@
         }
         let waker = self.waker.clone();
         let mut cx = Context::from_waker(&waker);
-        let result = self.poll_in(&mut cx, out).and_then(|()| self.poll_out(&mut cx, out));
+        let result = self
+            .poll_in(&mut cx, out)
+            .and_then(|()| self.poll_out(&mut cx, out));
         if let Err(how) = result {
             self.broken = true;
             self.taken_back = matches!(how, Broken::Reset(_));
-            out.push_back(Event::Broken { stream: self.id, how });
+            out.push_back(Event::Broken {
+                stream: self.id,
+                how,
+            });
         }
     }
 
     fn poll_in(&mut self, cx: &mut Context<'_>, out: &mut VecDeque<Event>) -> Result<(), Broken> {
         if let Incoming::Head(head) = &mut self.incoming {
-            let Poll::Ready(head) = Pin::new(head).poll(cx) else { return Ok(()) };
+            let Poll::Ready(head) = Pin::new(head).poll(cx) else {
+                return Ok(());
+            };
             let (head, mut body) = head.map_err(|e| why(&e))?.into_parts();
             self.flow = Some(body.flow_control().clone());
             let ended = body.is_end_stream();
-            out.push_back(Event::Head { stream: self.id, head: Box::new(head), ended });
-            self.incoming = if ended { Incoming::Done } else { Incoming::Body(body) };
+            out.push_back(Event::Head {
+                stream: self.id,
+                head: Box::new(head),
+                ended,
+            });
+            self.incoming = if ended {
+                Incoming::Done
+            } else {
+                Incoming::Body(body)
+            };
         }
         loop {
-            let Incoming::Body(body) = &mut self.incoming else { return Ok(()) };
+            let Incoming::Body(body) = &mut self.incoming else {
+                return Ok(());
+            };
             match body.poll_data(cx) {
                 Poll::Pending => return Ok(()),
                 Poll::Ready(Some(Ok(data))) => {
                     if !data.is_empty() {
-                        out.push_back(Event::Data { stream: self.id, data });
+                        out.push_back(Event::Data {
+                            stream: self.id,
+                            data,
+                        });
                     }
                 }
                 Poll::Ready(Some(Err(e))) => return Err(why(&e)),
                 Poll::Ready(None) => {
-                    let Poll::Ready(trailers) = body.poll_trailers(cx) else { return Ok(()) };
+                    let Poll::Ready(trailers) = body.poll_trailers(cx) else {
+                        return Ok(());
+                    };
                     let trailers = trailers.map_err(|e| why(&e))?;
-                    out.push_back(Event::End { stream: self.id, trailers });
+                    out.push_back(Event::End {
+                        stream: self.id,
+                        trailers,
+                    });
                     self.incoming = Incoming::Done;
                 }
             }
@@ -207,13 +247,18 @@
         let before = self.queued;
         let result = self.flush(cx);
         if before > self.queued {
-            out.push_back(Event::Sent { stream: self.id, bytes: before - self.queued });
+            out.push_back(Event::Sent {
+                stream: self.id,
+                bytes: before - self.queued,
+            });
         }
         result
     }
 
     fn flush(&mut self, cx: &mut Context<'_>) -> Result<(), Broken> {
-        let Outgoing::Body(body) = &mut self.outgoing else { return Ok(()) };
+        let Outgoing::Body(body) = &mut self.outgoing else {
+            return Ok(());
+        };
         while let Some(chunk) = self.queue.front_mut() {
             if body.capacity() == 0 {
                 body.reserve_capacity(self.queued.min(1 << 20));
--- a/crates/net/src/wake.rs
+++ b/crates/net/src/wake.rs
@@ -40,7 +40,11 @@
     fn wake_by_ref(self: &Arc<Self>) {
         if !self.queued.swap(true, Ordering::AcqRel) {
             let mut queues = self.ready.lock();
-            let queue = if self.turn == Turn::First { &mut queues.first } else { &mut queues.then };
+            let queue = if self.turn == Turn::First {
+                &mut queues.first
+            } else {
+                &mut queues.then
+            };
             queue.push_back(self.clone());
         }
     }
@@ -51,11 +55,19 @@
         self.queues.lock().unwrap_or_else(PoisonError::into_inner)
     }
     pub(crate) fn waker(self: &Arc<Self>, id: u64, turn: Turn) -> Waker {
-        Waker::from(Arc::new(Key { id, turn, queued: AtomicBool::new(false), ready: self.clone() }))
+        Waker::from(Arc::new(Key {
+            id,
+            turn,
+            queued: AtomicBool::new(false),
+            ready: self.clone(),
+        }))
     }
     pub(crate) fn pop(&self) -> Option<u64> {
         let mut queues = self.lock();
-        let key = queues.first.pop_front().or_else(|| queues.then.pop_front())?;
+        let key = queues
+            .first
+            .pop_front()
+            .or_else(|| queues.then.pop_front())?;
         drop(queues);
         key.queued.store(false, Ordering::Release);
         Some(key.id)
--- a/crates/net/src/watch.rs
+++ b/crates/net/src/watch.rs
@@ -44,7 +44,11 @@
 impl Watch {
     /// Watches a file; nothing is read yet.
     pub fn new(path: PathBuf) -> Watch {
-        Watch { path, seen: None, failed: false }
+        Watch {
+            path,
+            seen: None,
+            failed: false,
+        }
     }
     /// The file.
     pub fn path(&self) -> &Path {
@@ -74,5 +78,9 @@
     if meta.len() > MOST_BYTES {
         return Err(WatchError::TooLong(meta.len()));
     }
-    Ok(Stamp { changed: meta.modified().ok(), bytes: meta.len(), node: meta.ino() })
+    Ok(Stamp {
+        changed: meta.modified().ok(),
+        bytes: meta.len(),
+        node: meta.ino(),
+    })
 }
--- a/crates/plan/src/show.rs
+++ b/crates/plan/src/show.rs
@@ -14,11 +14,25 @@
 pub fn table(cases: &[Case]) -> String {
     let mut out = String::new();
     for case in cases {
-        let part = if case.worth_offered > 0.0 { 100.0 * case.worth / case.worth_offered } else { 100.0 };
-        out += &format!("{}: {part:.1}% of the worth inside quotas is served", title(case));
-        let tightest = case.in_use.iter().find(|u| Some(&u.site) == case.tightest.as_ref());
+        let part = if case.worth_offered > 0.0 {
+            100.0 * case.worth / case.worth_offered
+        } else {
+            100.0
+        };
+        out += &format!(
+            "{}: {part:.1}% of the worth inside quotas is served",
+            title(case)
+        );
+        let tightest = case
+            .in_use
+            .iter()
+            .find(|u| Some(&u.site) == case.tightest.as_ref());
         if let Some(tightest) = tightest {
-            out += &format!("; tightest {} at {:.0}%", tightest.site, 100.0 * tightest.part);
+            out += &format!(
+                "; tightest {} at {:.0}%",
+                tightest.site,
+                100.0 * tightest.part
+            );
         }
         out += &match case.missing {
             m if m > 0.0 => format!("; {m:.1} units/s are missing\n"),
@@ -35,7 +49,10 @@
             );
         }
         for f in case.flows.iter().filter(|f| f.from != f.to) {
-            out += &format!("  sends   {:>9.1} units/s  {} to {}\n", f.units, f.from, f.to);
+            out += &format!(
+                "  sends   {:>9.1} units/s  {} to {}\n",
+                f.units, f.from, f.to
+            );
         }
     }
     out
--- a/crates/plan/src/solve.rs
+++ b/crates/plan/src/solve.rs
@@ -88,29 +88,59 @@
 /// One case.
 pub fn case(input: &Input, lost: &[usize]) -> Result<Case, NoOptimum> {
     let names: Vec<String> = lost.iter().map(|&i| input.sites[i].name.clone()).collect();
-    let up: Vec<&Site> =
-        input.sites.iter().enumerate().filter(|(i, _)| !lost.contains(i)).map(|(_, s)| s).collect();
+    let up: Vec<&Site> = input
+        .sites
+        .iter()
+        .enumerate()
+        .filter(|(i, _)| !lost.contains(i))
+        .map(|(_, s)| s)
+        .collect();
     let gateways: f64 = up.iter().map(|s| s.gateways).sum();
     // With no gateway left nothing arrives that could be served.
-    let arrives = |s: &Site| if gateways > 0.0 { s.gateways / gateways } else { 0.0 };
+    let arrives = |s: &Site| {
+        if gateways > 0.0 {
+            s.gateways / gateways
+        } else {
+            0.0
+        }
+    };
     let solved = solve(input, &up, &arrives).map_err(|e| NoOptimum {
-        lost: if names.is_empty() { "nothing".into() } else { names.join(" and ") },
+        lost: if names.is_empty() {
+            "nothing".into()
+        } else {
+            names.join(" and ")
+        },
         why: e.to_string(),
     })?;
     let mut served = Vec::new();
     let (mut worth, mut offered, mut inside) = (0.0, 0.0, 0.0);
     for (k, d) in input.demand.iter().enumerate() {
-        let got: f64 = solved.iter().flatten().map(|by| by[k]).sum::<f64>().min(d.rate);
+        let got: f64 = solved
+            .iter()
+            .flatten()
+            .map(|by| by[k])
+            .sum::<f64>()
+            .min(d.rate);
         if !d.over {
             worth += got * d.worth;
             offered += d.rate * d.worth;
             inside += d.rate * d.units;
         }
         let (class, plan) = (d.class.clone(), d.plan.clone());
-        served.push(Served { class, plan, over: d.over, served: got, refused: d.rate - got });
+        served.push(Served {
+            class,
+            plan,
+            over: d.over,
+            served: got,
+            refused: d.rate - got,
+        });
     }
     let units = |from: usize, to: usize| -> f64 {
-        solved[from][to].iter().zip(&input.demand).map(|(rate, d)| rate * d.units).sum()
+        solved[from][to]
+            .iter()
+            .zip(&input.demand)
+            .map(|(rate, d)| rate * d.units)
+            .sum()
     };
     let pairs = (0..up.len()).flat_map(|from| (0..up.len()).map(move |to| (from, to)));
     let flow = |(from, to): (usize, usize)| Flow {
@@ -121,14 +151,29 @@
     let in_use: Vec<Use> = (0..up.len())
         .map(|to| {
             let all: f64 = (0..up.len()).map(|from| units(from, to)).sum();
-            Use { site: up[to].name.clone(), part: all / up[to].capacity }
+            Use {
+                site: up[to].name.clone(),
+                part: all / up[to].capacity,
+            }
         })
         .collect();
-    let tightest = in_use.iter().max_by(|a, b| a.part.total_cmp(&b.part)).map(|u| u.site.clone());
+    let tightest = in_use
+        .iter()
+        .max_by(|a, b| a.part.total_cmp(&b.part))
+        .map(|u| u.site.clone());
     let capacity: f64 = up.iter().map(|s| s.capacity).sum();
     let flows = pairs.map(flow).filter(|f| f.units > 1e-9).collect();
     let missing = (inside - capacity).max(0.0);
-    Ok(Case { lost: names, worth, worth_offered: offered, served, flows, in_use, tightest, missing })
+    Ok(Case {
+        lost: names,
+        worth,
+        worth_offered: offered,
+        served,
+        flows,
+        in_use,
+        tightest,
+        missing,
+    })
 }
 
 /// Rates by site of the gateway, site of the server and kind of demand.
@@ -143,12 +188,17 @@
     for _ in 0..sites * sites * kinds {
         rate.push(vars.add(variable().min(0.0)));
     }
-    let at = |from: usize, to: usize, k: usize| -> Variable { rate[(from * sites + to) * kinds + k] };
+    let at =
+        |from: usize, to: usize, k: usize| -> Variable { rate[(from * sites + to) * kinds + k] };
     let mut worth = Expression::from(0.0);
     for from in 0..sites {
         for to in 0..sites {
             for (k, d) in input.demand.iter().enumerate() {
-                let far = if from == to { 1.0 } else { 1.0 - input.crossing };
+                let far = if from == to {
+                    1.0
+                } else {
+                    1.0 - input.crossing
+                };
                 worth += at(from, to, k) * (value(d) * far);
             }
         }
@@ -162,15 +212,23 @@
     }
     for (to, site) in up.iter().enumerate() {
         let pairs = (0..sites).flat_map(|from| (0..kinds).map(move |k| (from, k)));
-        let all: Expression = pairs.map(|(from, k)| at(from, to, k) * input.demand[k].units).sum();
+        let all: Expression = pairs
+            .map(|(from, k)| at(from, to, k) * input.demand[k].units)
+            .sum();
         model = model.with(constraint!(all <= site.capacity));
     }
     if sites == 0 {
         return Ok(Vec::new());
     }
     let solution = model.solve()?;
-    let of = |from, to| (0..kinds).map(|k| solution.value(at(from, to, k)).max(0.0)).collect();
-    Ok((0..sites).map(|from| (0..sites).map(|to| of(from, to)).collect()).collect())
+    let of = |from, to| {
+        (0..kinds)
+            .map(|k| solution.value(at(from, to, k)).max(0.0))
+            .collect()
+    };
+    Ok((0..sites)
+        .map(|from| (0..sites).map(|to| of(from, to)).collect())
+        .collect())
 }
 
 /// What is worth nothing is served, too, where there is room.
--- a/crates/platform/src/backends.rs
+++ b/crates/platform/src/backends.rs
@@ -108,14 +108,25 @@
     /// `memory`: bytes granted. `idle`: when a backend closes a connection that is not used; 0: never.
     pub(crate) fn new(most: usize, memory: f64, idle: u64) -> Backends {
         let word = (memory * VALUE_PART) as usize;
-        let most_keep = if idle > 0 { (idle as f64 * IDLE_PART) as u64 } else { IDLE_MOST }.min(IDLE_MOST);
+        let most_keep = if idle > 0 {
+            (idle as f64 * IDLE_PART) as u64
+        } else {
+            IDLE_MOST
+        }
+        .min(IDLE_MOST);
         Backends {
             servers: FxHashMap::default(),
             links: FxHashMap::default(),
             out: FxHashMap::default(),
             idle: FxHashMap::default(),
             most,
-            bounds: Bounds { words: ITEMS, word, line: LINE, message: word + (8 << 10), inline: false },
+            bounds: Bounds {
+                words: ITEMS,
+                word,
+                line: LINE,
+                message: word + (8 << 10),
+                inline: false,
+            },
             most_held: (memory * VALUES_PART) as usize,
             held: 0,
             most_keep,
@@ -142,11 +153,19 @@
             }
         }
         for id in old {
-            let Some(kept) = self.idle.get(&id) else { continue };
+            let Some(kept) = self.idle.get(&id) else {
+                continue;
+            };
             let address = self.servers.get(&id).filter(|_| !draining.contains(&id));
-            let stale = |c: &&ConnId| self.links.get(c).is_none_or(|l| address != Some(&l.address));
+            let stale = |c: &&ConnId| {
+                self.links
+                    .get(c)
+                    .is_none_or(|l| address != Some(&l.address))
+            };
             let stale: Vec<ConnId> = kept.iter().filter(stale).copied().collect();
-            stale.into_iter().for_each(|conn| self.drop_link(engine, conn));
+            stale
+                .into_iter()
+                .for_each(|conn| self.drop_link(engine, conn));
         }
     }
 
@@ -160,7 +179,12 @@
         command: &Command,
     ) -> Sent {
         let now = engine.now();
-        let out = Out { attempt, since: now, until, command: None };
+        let out = Out {
+            attempt,
+            since: now,
+            until,
+            command: None,
+        };
         if let Some(conn) = self.take_idle(engine, server) {
             write(engine, conn, command, until);
             self.out.insert(attempt, conn);
@@ -168,15 +192,38 @@
             return Sent::Under(None);
         }
         let not = |outcome| {
-            Sent::Ended(Ended { attempt, server, outcome, took: 0, report: Report::default(), value: None })
+            Sent::Ended(Ended {
+                attempt,
+                server,
+                outcome,
+                took: 0,
+                report: Report::default(),
+                value: None,
+            })
+        };
+        let Some(address) = self.servers.get(&server).copied() else {
+            return not(Outcome::ConnectFailed);
         };
-        let Some(address) = self.servers.get(&server).copied() else { return not(Outcome::ConnectFailed) };
         if self.links.len() >= self.most && !self.drop_longest_idle(engine) {
             return not(Outcome::Moot);
         }
-        let Ok(conn) = engine.connect_raw(address) else { return not(Outcome::ConnectFailed) };
-        let out = Some(Out { command: Some(command.clone()), ..out });
-        self.links.insert(conn, Link { server, address, bytes: BytesMut::new(), out, idle: None });
+        let Ok(conn) = engine.connect_raw(address) else {
+            return not(Outcome::ConnectFailed);
+        };
+        let out = Some(Out {
+            command: Some(command.clone()),
+            ..out
+        });
+        self.links.insert(
+            conn,
+            Link {
+                server,
+                address,
+                bytes: BytesMut::new(),
+                out,
+                idle: None,
+            },
+        );
         self.out.insert(attempt, conn);
         Sent::Under(Some(conn))
     }
@@ -188,9 +235,14 @@
             let kept = self.idle.get(&server)?;
             let settled = |c: &&ConnId| self.links.get(c).is_some_and(|l| l.idle_for(now, SETTLE));
             let conn = *kept.iter().rev().find(settled)?;
-            let old = self.links.get(&conn).is_none_or(|l| l.idle_for(now, self.keep));
+            let old = self
+                .links
+                .get(&conn)
+                .is_none_or(|l| l.idle_for(now, self.keep));
             if !old && engine.is_quiet(conn) {
-                self.idle.entry(server).and_modify(|kept| kept.retain(|c| *c != conn));
+                self.idle
+                    .entry(server)
+                    .and_modify(|kept| kept.retain(|c| *c != conn));
                 return Some(conn);
             }
             self.drop_link(engine, conn);
@@ -221,7 +273,10 @@
     /// Makes room for a connection to another backend.
     fn drop_longest_idle(&mut self, engine: &mut Engine) -> bool {
         let idle = self.links.iter().filter(|(_, l)| l.out.is_none());
-        let Some(conn) = idle.min_by_key(|(conn, l)| (l.idle, **conn)).map(|(conn, _)| *conn) else {
+        let Some(conn) = idle
+            .min_by_key(|(conn, l)| (l.idle, **conn))
+            .map(|(conn, _)| *conn)
+        else {
             return false;
         };
         self.drop_link(engine, conn);
@@ -232,8 +287,15 @@
     pub(crate) fn sweep(&mut self, engine: &mut Engine) {
         let now = engine.now();
         let old = |l: &Link| l.idle_for(now, self.keep);
-        let stale: Vec<ConnId> = self.links.iter().filter(|(_, l)| old(l)).map(|(c, _)| *c).collect();
-        stale.into_iter().for_each(|conn| self.drop_link(engine, conn));
+        let stale: Vec<ConnId> = self
+            .links
+            .iter()
+            .filter(|(_, l)| old(l))
+            .map(|(c, _)| *c)
+            .collect();
+        stale
+            .into_iter()
+            .for_each(|conn| self.drop_link(engine, conn));
     }
 
     pub(crate) fn owns(&self, conn: ConnId) -> bool {
@@ -242,14 +304,21 @@
 
     /// A connection stands.
     pub(crate) fn connected(&mut self, engine: &mut Engine, conn: ConnId) {
-        let Some(out) = self.links.get_mut(&conn).and_then(|l| l.out.as_mut()) else { return };
+        let Some(out) = self.links.get_mut(&conn).and_then(|l| l.out.as_mut()) else {
+            return;
+        };
         if let Some(command) = out.command.take() {
             write(engine, conn, &command, out.until);
         }
     }
 
     /// Bytes came.
-    pub(crate) fn bytes(&mut self, engine: &mut Engine, conn: ConnId, data: &[u8]) -> Option<Ended> {
+    pub(crate) fn bytes(
+        &mut self,
+        engine: &mut Engine,
+        conn: ConnId,
+        data: &[u8],
+    ) -> Option<Ended> {
         let link = self.links.get_mut(&conn)?;
         if link.out.is_none() {
             // Nobody asked for them.
@@ -291,11 +360,20 @@
             self.keep(now, conn);
         }
         let took = now.saturating_sub(out.since);
-        Some(Ended { attempt: out.attempt, server, outcome, took, report, value })
+        Some(Ended {
+            attempt: out.attempt,
+            server,
+            outcome,
+            took,
+            report,
+            value,
+        })
     }
 
     fn keep(&mut self, now: u64, conn: ConnId) {
-        let Some(link) = self.links.get_mut(&conn) else { return };
+        let Some(link) = self.links.get_mut(&conn) else {
+            return;
+        };
         link.idle = Some(now);
         self.idle.entry(link.server).or_default().push(conn);
     }
@@ -305,8 +383,12 @@
         let rested = self.links.get(&conn)?.rested();
         let ended = self.end(now, conn, unsent)?;
         // Guards against backends that close kept connections early and unseen: its request may have run for all that is known.
-        if let Some(rested) = rested.filter(|_| ended.outcome == Outcome::Reset && ended.took < UNSEEN) {
-            self.keep = ((rested as f64 * KEEP_CUT) as u64).max(KEEP_LEAST).min(self.keep);
+        if let Some(rested) =
+            rested.filter(|_| ended.outcome == Outcome::Reset && ended.took < UNSEEN)
+        {
+            self.keep = ((rested as f64 * KEEP_CUT) as u64)
+                .max(KEEP_LEAST)
+                .min(self.keep);
         }
         Some(ended)
     }
@@ -316,14 +398,30 @@
         let link = self.unlink(conn)?;
         let out = link.out?;
         let written = out.command.is_none() && unsent == 0;
-        let outcome = if written { Outcome::Reset } else { Outcome::ConnectFailed };
+        let outcome = if written {
+            Outcome::Reset
+        } else {
+            Outcome::ConnectFailed
+        };
         let took = now.saturating_sub(out.since);
         let (attempt, report) = (out.attempt, Report::default());
-        Some(Ended { attempt, server: link.server, outcome, took, report, value: None })
+        Some(Ended {
+            attempt,
+            server: link.server,
+            outcome,
+            took,
+            report,
+            value: None,
+        })
     }
 
     /// Gives an attempt up: its connection is closed. `how`: the end of one that was written whole.
-    pub(crate) fn give_up(&mut self, engine: &mut Engine, attempt: AttemptId, how: Outcome) -> Option<Ended> {
+    pub(crate) fn give_up(
+        &mut self,
+        engine: &mut Engine,
+        attempt: AttemptId,
+        how: Outcome,
+    ) -> Option<Ended> {
         let conn = *self.out.get(&attempt)?;
         let unsent = engine.unsent(conn);
         let mut ended = self.end(engine.now(), conn, unsent)?;
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -45,7 +45,10 @@
     Read(#[from] std::io::Error),
     /// The file is too long.
     #[error("expected at most {MOST_BYTES} bytes, found {0}")]
-    #[diagnostic(code(chalkdeck::config::too_long), help("see whether it is the right file"))]
+    #[diagnostic(
+        code(chalkdeck::config::too_long),
+        help("see whether it is the right file")
+    )]
     TooLong(u64),
     /// Not the form of a configuration.
     #[error("expected a configuration: {0}")]
@@ -68,18 +71,26 @@
     },
     /// A seed that cannot be read.
     #[error("seed: expected hex digits, found '{0}'")]
-    #[diagnostic(code(chalkdeck::config::seed), help("give at most 16 hex digits, new with each start"))]
+    #[diagnostic(
+        code(chalkdeck::config::seed),
+        help("give at most 16 hex digits, new with each start")
+    )]
     Seed(String),
     /// A setting that cannot be read.
     #[error(transparent)]
     #[diagnostic(
         code(chalkdeck::config::setting),
-        help("the place named is a path below `settings`; times are whole numbers of microseconds")
+        help(
+            "the place named is a path below `settings`; times are whole numbers of microseconds"
+        )
     )]
     Setting(#[from] WireError),
     /// A time that cannot be read.
     #[error("settings: {path}: expected a whole number of microseconds, found '{found}'")]
-    #[diagnostic(code(chalkdeck::config::time), help("times are whole numbers of microseconds"))]
+    #[diagnostic(
+        code(chalkdeck::config::time),
+        help("times are whole numbers of microseconds")
+    )]
     Time {
         /// Its path.
         path: &'static str,
@@ -115,7 +126,10 @@
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { memory_mb: default_memory(), sockets: default_sockets() }
+        Limits {
+            memory_mb: default_memory(),
+            sockets: default_sockets(),
+        }
     }
 }
 
@@ -169,13 +183,19 @@
     pub fn from_env() -> Result<Config, ConfigError> {
         match std::env::var_os(FILE) {
             Some(file) if !file.is_empty() => Config::load(Path::new(&file)),
-            _ => Err(ConfigError { place: FILE.into(), what: Fault::Variable }),
+            _ => Err(ConfigError {
+                place: FILE.into(),
+                what: Fault::Variable,
+            }),
         }
     }
 
     /// Reads a file. Errors name the field, what was expected and what was found.
     pub fn load(file: &Path) -> Result<Config, ConfigError> {
-        Config::read(file).map_err(|what| ConfigError { place: file.display().to_string(), what })
+        Config::read(file).map_err(|what| ConfigError {
+            place: file.display().to_string(),
+            what,
+        })
     }
 
     fn read(file: &Path) -> Result<Config, Fault> {
@@ -193,9 +213,16 @@
         read.settings.check()?;
         let micros = |path: &'static str, default: u64| match paths.get(path) {
             None => Ok(default),
-            Some(text) => text.parse::<u64>().map_err(|_| Fault::Time { path, found: text.clone() }),
+            Some(text) => text.parse::<u64>().map_err(|_| Fault::Time {
+                path,
+                found: text.clone(),
+            }),
         };
-        let known = told.known.as_ref().map(|k| list::read(k, &mut read.zones)).transpose();
+        let known = told
+            .known
+            .as_ref()
+            .map(|k| list::read(k, &mut read.zones))
+            .transpose();
         if let Err(e) = &known {
             tracing::warn!("known: {e}: starts with no list");
         }
@@ -204,7 +231,11 @@
             name: told.name,
             listen: address("listen", &told.listen)?,
             discovery: address("discovery", &told.discovery)?,
-            counter: told.counter.as_deref().map(|a| address("counter", a)).transpose()?,
+            counter: told
+                .counter
+                .as_deref()
+                .map(|a| address("counter", a))
+                .transpose()?,
             seed: seed(&told.seed)?,
             limits: told.limits,
             known: known.unwrap_or_default(),
@@ -222,7 +253,10 @@
 }
 
 fn address(field: &'static str, text: &str) -> Result<SocketAddr, Fault> {
-    text.parse().map_err(|_| Fault::Address { field, found: text.to_string() })
+    text.parse().map_err(|_| Fault::Address {
+        field,
+        found: text.to_string(),
+    })
 }
 
 fn seed(text: &str) -> Result<u64, Fault> {
@@ -241,15 +275,29 @@
 }
 
 fn put(paths: &mut HashMap<String, String>, path: String, value: &Value) {
-    let below = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
+    let below = |name: &str| {
+        if path.is_empty() {
+            name.to_string()
+        } else {
+            format!("{path}.{name}")
+        }
+    };
     match value {
-        Value::Object(fields) => fields.iter().for_each(|(name, v)| put(paths, below(name), v)),
+        Value::Object(fields) => fields
+            .iter()
+            .for_each(|(name, v)| put(paths, below(name), v)),
         Value::Array(items) if items.iter().any(Value::is_object) => {
             paths.insert(below("count"), items.len().to_string());
-            items.iter().enumerate().for_each(|(i, v)| put(paths, below(&i.to_string()), v));
+            items
+                .iter()
+                .enumerate()
+                .for_each(|(i, v)| put(paths, below(&i.to_string()), v));
         }
         Value::Array(items) => {
-            paths.insert(path, items.iter().filter_map(plain).collect::<Vec<_>>().join(","));
+            paths.insert(
+                path,
+                items.iter().filter_map(plain).collect::<Vec<_>>().join(","),
+            );
         }
         value => paths.extend(plain(value).map(|text| (path, text))),
     }
--- a/crates/platform/src/counter.rs
+++ b/crates/platform/src/counter.rs
@@ -21,7 +21,13 @@
 /// Connections that only wait for the ends of their calls.
 const MOST_OLD: usize = 12;
 /// What is read of an answer.
-const BOUNDS: Bounds = Bounds { words: 1, word: 1_024, line: 1_024, message: 2_048, inline: false };
+const BOUNDS: Bounds = Bounds {
+    words: 1,
+    word: 1_024,
+    line: 1_024,
+    message: 2_048,
+    inline: false,
+};
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -33,7 +39,11 @@
 
 impl Told {
     fn not(name: CountName, outcome: Outcome) -> Told {
-        Told { name, outcome, total: 0.0 }
+        Told {
+            name,
+            outcome,
+            total: 0.0,
+        }
     }
 }
 
@@ -68,7 +78,12 @@
             true => Outcome::Reset,
             false => Outcome::ConnectFailed,
         };
-        let told = self.calls.iter().skip(self.told).map(|c| Told::not(c.name, outcome(c))).collect();
+        let told = self
+            .calls
+            .iter()
+            .skip(self.told)
+            .map(|c| Told::not(c.name, outcome(c)))
+            .collect();
         *self = Link::default();
         told
     }
@@ -86,7 +101,12 @@
 impl Counter {
     /// `timeout`: a call without an answer has ended after so many microseconds.
     pub(crate) fn new(address: SocketAddr, timeout: u64) -> Counter {
-        Counter { address, links: (0..LINKS).map(|_| Link::default()).collect(), old: Vec::new(), timeout }
+        Counter {
+            address,
+            links: (0..LINKS).map(|_| Link::default()).collect(),
+            old: Vec::new(),
+            timeout,
+        }
     }
 
     /// New calls go to another address. Calls under way end at the old one, which closes by itself.
@@ -142,7 +162,13 @@
             (link.conn, dialled) = (Some(conn), Some(conn));
         }
         let command = command(name, amount, life);
-        let mut call = Call { name, sent: now, until: now + self.timeout, command: None, end: 0 };
+        let mut call = Call {
+            name,
+            sent: now,
+            until: now + self.timeout,
+            command: None,
+            end: 0,
+        };
         match link.conn.filter(|_| link.up) {
             Some(conn) => queue(engine, conn, &mut link.queued, &mut call, &command),
             None => call.command = Some(command),
@@ -162,7 +188,10 @@
     /// When the next call ends without an answer.
     pub(crate) fn next_timeout(&self) -> Option<u64> {
         let links = self.links.iter().chain(&self.old);
-        links.filter_map(|l| l.calls.get(l.told)).map(|c| c.until).min()
+        links
+            .filter_map(|l| l.calls.get(l.told))
+            .map(|c| c.until)
+            .min()
     }
 
     /// Ends the calls whose time is up. Those that wait for a connection were never sent.
@@ -173,7 +202,11 @@
         for (place, link) in self.all().enumerate() {
             while let Some(call) = link.calls.get(link.told).filter(|c| c.until <= now) {
                 let (sent, call_sent) = (call.command.is_none(), call.sent);
-                let outcome = if sent { Outcome::Timeout } else { Outcome::ConnectFailed };
+                let outcome = if sent {
+                    Outcome::Timeout
+                } else {
+                    Outcome::ConnectFailed
+                };
                 told.push(Told::not(call.name, outcome));
                 if sent {
                     link.told += 1;
@@ -187,7 +220,10 @@
             }
         }
         silent.dedup();
-        silent.into_iter().filter(|place| *place < LINKS).for_each(|place| self.retire(place));
+        silent
+            .into_iter()
+            .filter(|place| *place < LINKS)
+            .for_each(|place| self.retire(place));
         told.extend(self.let_go(engine));
         told
     }
@@ -204,7 +240,12 @@
     }
 
     /// Bytes came; none: not from the counter.
-    pub(crate) fn bytes(&mut self, engine: &mut Engine, conn: ConnId, data: &[u8]) -> Option<Vec<Told>> {
+    pub(crate) fn bytes(
+        &mut self,
+        engine: &mut Engine,
+        conn: ConnId,
+        data: &[u8],
+    ) -> Option<Vec<Told>> {
         let now = engine.now();
         let link = self.link(conn)?;
         link.heard = now;
@@ -218,7 +259,11 @@
             };
             match link.calls.pop_front() {
                 Some(_) if link.told > 0 => link.told -= 1,
-                Some(call) => told.push(Told { name: call.name, outcome, total }),
+                Some(call) => told.push(Told {
+                    name: call.name,
+                    outcome,
+                    total,
+                }),
                 // An answer that nobody asked for.
                 None => {
                     told.extend(cut(engine, link));
@@ -249,7 +294,9 @@
 }
 
 fn cut(engine: &mut Engine, link: &mut Link) -> Vec<Told> {
-    let Some(conn) = link.conn else { return Vec::new() };
+    let Some(conn) = link.conn else {
+        return Vec::new();
+    };
     let unsent = engine.unsent(conn);
     engine.close(conn);
     link.end(unsent)
@@ -265,6 +312,14 @@
     let (name, amount) = (name.0.to_string(), amount.to_string());
     let life = life.div_ceil(1_000).max(1).to_string();
     let mut out = BytesMut::new();
-    push_command(&mut out, &[&[b"ADDGET"], &[name.as_bytes()], &[amount.as_bytes()], &[life.as_bytes()]]);
+    push_command(
+        &mut out,
+        &[
+            &[b"ADDGET"],
+            &[name.as_bytes()],
+            &[amount.as_bytes()],
+            &[life.as_bytes()],
+        ],
+    );
     out.freeze()
 }
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -46,13 +46,18 @@
     Status(StatusCode),
     /// Longer than is read.
     #[error("expected an answer of at most {MAX_RESPONSE_BYTES} bytes")]
-    #[diagnostic(code(chalkdeck::discovery::too_long), help("see why the list has grown so long"))]
+    #[diagnostic(
+        code(chalkdeck::discovery::too_long),
+        help("see why the list has grown so long")
+    )]
     TooLong,
     /// No JSON.
     #[error("expected JSON: {0}")]
     #[diagnostic(
         code(chalkdeck::discovery::json),
-        help("the agent's answer is spoilt: see its log; the gateway asks for the whole list again")
+        help(
+            "the agent's answer is spoilt: see its log; the gateway asks for the whole list again"
+        )
     )]
     Json(#[from] serde_json::Error),
     /// No list.
@@ -94,7 +99,11 @@
         let poll = (grace / 4).clamp(POLL_BOUNDS.0, POLL_BOUNDS.1);
         let answer = (grace / 5).clamp(ANSWER_BOUNDS.0, ANSWER_BOUNDS.1);
         let retry_delay = (grace / 20).clamp(RETRY_BOUNDS.0, RETRY_BOUNDS.1);
-        Timing { poll, timeout: poll + answer, retry_delay }
+        Timing {
+            poll,
+            timeout: poll + answer,
+            retry_delay,
+        }
     }
 }
 
@@ -137,7 +146,16 @@
 impl Discovery {
     pub(crate) fn new(address: SocketAddr, timing: Timing) -> Discovery {
         let (bytes, body) = Default::default();
-        Discovery { address, timing, conn: None, bytes, response: None, body, held: None, call: 0 }
+        Discovery {
+            address,
+            timing,
+            conn: None,
+            bytes,
+            response: None,
+            body,
+            held: None,
+            call: 0,
+        }
     }
 
     /// Begins, or begins anew.
@@ -154,13 +172,20 @@
     }
 
     fn close(&mut self, engine: &mut Engine) {
-        self.conn.take().into_iter().for_each(|conn| engine.close(conn));
+        self.conn
+            .take()
+            .into_iter()
+            .for_each(|conn| engine.close(conn));
         self.bytes.clear();
         self.response = None;
     }
 
     /// Asks another address from here on, for the whole list first.
-    pub(crate) fn set_address(&mut self, engine: &mut Engine, address: SocketAddr) -> Option<Update> {
+    pub(crate) fn set_address(
+        &mut self,
+        engine: &mut Engine,
+        address: SocketAddr,
+    ) -> Option<Update> {
         if address == self.address {
             return None;
         }
@@ -179,7 +204,13 @@
             return None;
         }
         let asked = self.ask(engine, conn);
-        Some(asked.err().map(|why| self.failed(engine, &why)).into_iter().collect())
+        Some(
+            asked
+                .err()
+                .map(|why| self.failed(engine, &why))
+                .into_iter()
+                .collect(),
+        )
     }
 
     fn ask(&mut self, engine: &mut Engine, conn: ConnId) -> Result<(), DiscoveryError> {
@@ -215,7 +246,10 @@
             return None;
         }
         self.conn = None;
-        let delimited = self.response.take().is_some_and(|response| response.ends_with_connection());
+        let delimited = self
+            .response
+            .take()
+            .is_some_and(|response| response.ends_with_connection());
         if !delimited || *reason != CloseReason::PeerEnded {
             return Some(vec![self.retry_later()]);
         }
--- a/crates/platform/src/front.rs
+++ b/crates/platform/src/front.rs
@@ -13,8 +13,13 @@
 use session::Session;
 
 /// The largest command that is read: a body of 64 KiB beside an id, a customer and a list of names.
-const COMMAND_BOUNDS: Bounds =
-    Bounds { words: 16, word: 64 << 10, line: 0, message: 80 << 10, inline: false };
+const COMMAND_BOUNDS: Bounds = Bounds {
+    words: 16,
+    word: 64 << 10,
+    line: 0,
+    message: 80 << 10,
+    inline: false,
+};
 /// Commands of one connection whose answers are pending; at this number reading is paused.
 const MAX_PENDING_COMMANDS: usize = 64;
 /// Answer bytes that a client may leave unread; beyond this reading is paused.
@@ -47,7 +52,14 @@
 impl Front {
     pub(crate) fn new(max_sessions: usize, max_held_bytes: usize) -> Front {
         let (sessions, resumed) = Default::default();
-        Front { sessions, max_sessions, max_held_bytes, held_bytes: 0, resumed, shutdown_since: None }
+        Front {
+            sessions,
+            max_sessions,
+            max_held_bytes,
+            held_bytes: 0,
+            resumed,
+            shutdown_since: None,
+        }
     }
 
     /// A connection was accepted.
@@ -68,9 +80,13 @@
         let owed_nothing =
             |(conn, session): &(&ConnId, &Session)| **conn != new && session.answers.pending() == 0;
         let idle = self.sessions.iter().filter(owed_nothing);
-        let mut idle: Vec<_> = idle.map(|(conn, session)| (session.eviction_rank(now), *conn)).collect();
+        let mut idle: Vec<_> = idle
+            .map(|(conn, session)| (session.eviction_rank(now), *conn))
+            .collect();
         idle.sort_unstable();
-        idle.into_iter().map(|(_, conn)| conn).find(|conn| engine.is_quiet(*conn))
+        idle.into_iter()
+            .map(|(_, conn)| conn)
+            .find(|conn| engine.is_quiet(*conn))
     }
 
     pub(crate) fn owns(&self, conn: ConnId) -> bool {
@@ -80,7 +96,9 @@
     /// Bytes were received.
     pub(crate) fn bytes(&mut self, engine: &mut Engine, conn: ConnId, data: &[u8]) {
         let now = engine.now();
-        let Some(session) = self.sessions.get_mut(&conn).filter(|s| !s.read_closed) else { return };
+        let Some(session) = self.sessions.get_mut(&conn).filter(|s| !s.read_closed) else {
+            return;
+        };
         session.bytes.extend_from_slice(data);
         session.active_at = now;
         session.received_at = session.unread_since.unwrap_or(now);
@@ -92,7 +110,8 @@
         let unsent = engine.unsent(conn);
         let is_full = self.held_bytes >= self.max_held_bytes;
         let session = self.sessions.get_mut(&conn).filter(|s| !s.read_closed)?;
-        let is_bounded = session.answers.pending() >= MAX_PENDING_COMMANDS || unsent > MAX_UNSENT_BYTES;
+        let is_bounded =
+            session.answers.pending() >= MAX_PENDING_COMMANDS || unsent > MAX_UNSENT_BYTES;
         if is_bounded || is_full && !session.bytes.is_empty() {
             pause(engine, conn, session);
             return None;
@@ -105,7 +124,11 @@
             Taken::Command(words) => {
                 session.has_spoken = true;
                 let received_at = session.received_at;
-                Some(ReceivedCommand { slot: session.answers.wait(), words, received_at })
+                Some(ReceivedCommand {
+                    slot: session.answers.wait(),
+                    words,
+                    received_at,
+                })
             }
             Taken::Bad(why) => {
                 session.answers.ready(error(&why.to_string()));
@@ -146,7 +169,9 @@
 
     /// Sends the answers whose turn has come.
     pub(crate) fn flush(&mut self, engine: &mut Engine, conn: ConnId) {
-        let Some(session) = self.sessions.get_mut(&conn) else { return };
+        let Some(session) = self.sessions.get_mut(&conn) else {
+            return;
+        };
         let mut out = BytesMut::new();
         while let Some(answer) = session.answers.take() {
             encode(&mut out, &answer);
@@ -156,7 +181,13 @@
             engine.write(conn, &out);
         }
         self.resume(engine, conn);
-        let Some(session) = self.sessions.get_mut(&conn).filter(|s| s.answers.pending() == 0) else { return };
+        let Some(session) = self
+            .sessions
+            .get_mut(&conn)
+            .filter(|s| s.answers.pending() == 0)
+        else {
+            return;
+        };
         if session.read_closed && session.lingering_since.is_none() {
             session.lingering_since = Some(engine.now());
             engine.linger(conn);
@@ -167,7 +198,9 @@
     fn resume(&mut self, engine: &mut Engine, conn: ConnId) {
         let is_full = self.held_bytes >= self.max_held_bytes;
         let waits = |s: &&mut Session| s.paused && !s.read_closed && !s.is_queued_to_resume;
-        let Some(session) = self.sessions.get_mut(&conn).filter(waits) else { return };
+        let Some(session) = self.sessions.get_mut(&conn).filter(waits) else {
+            return;
+        };
         let has_room = session.answers.pending() < MAX_PENDING_COMMANDS / 2;
         if has_room && engine.unsent(conn) <= MAX_UNSENT_BYTES && !is_full {
             session.is_queued_to_resume = true;
@@ -193,7 +226,9 @@
 
     /// A connection is over; returns its requests that are still open.
     pub(crate) fn closed(&mut self, conn: ConnId) -> Vec<RequestId> {
-        let Some(session) = self.sessions.remove(&conn) else { return Vec::new() };
+        let Some(session) = self.sessions.remove(&conn) else {
+            return Vec::new();
+        };
         let mut open: Vec<RequestId> = session.open.into_iter().collect();
         open.sort_unstable();
         open
@@ -205,7 +240,9 @@
         let (mut timed_out, mut paused) = (Vec::new(), Vec::new());
         for (conn, session) in &mut self.sessions {
             session.note_written(engine.taken(*conn), engine.unsent(*conn), now);
-            if session.is_write_timed_out(now) || session.is_read_timed_out(now) && engine.is_quiet(*conn) {
+            if session.is_write_timed_out(now)
+                || session.is_read_timed_out(now) && engine.is_quiet(*conn)
+            {
                 timed_out.push(*conn);
             } else if session.paused {
                 paused.push(*conn);
@@ -215,7 +252,9 @@
         paused.sort_unstable();
         // The loop reports the end of each, and with it the end of its open requests.
         timed_out.into_iter().for_each(|conn| engine.close(conn));
-        paused.into_iter().for_each(|conn| self.resume(engine, conn));
+        paused
+            .into_iter()
+            .for_each(|conn| self.resume(engine, conn));
     }
 
     /// Begins to close connections, each once it is between two requests.
@@ -230,11 +269,18 @@
     /// During a shutdown, closes the idle connections whose turn has come. Requests that were received, or that wait unread, are
     /// answered first.
     pub(crate) fn close_idle(&mut self, engine: &mut Engine) {
-        let (Some(since), now) = (self.shutdown_since, engine.now()) else { return };
+        let (Some(since), now) = (self.shutdown_since, engine.now()) else {
+            return;
+        };
         let is_due = |conn: ConnId, session: &Session| {
-            session.is_between_requests() && !session.read_closed && session.may_close(conn, since, now)
+            session.is_between_requests()
+                && !session.read_closed
+                && session.may_close(conn, since, now)
         };
-        let due = self.sessions.iter().filter(|(conn, session)| is_due(**conn, session));
+        let due = self
+            .sessions
+            .iter()
+            .filter(|(conn, session)| is_due(**conn, session));
         let mut due: Vec<ConnId> = due.map(|(conn, _)| *conn).collect();
         due.sort_unstable();
         for conn in due {
@@ -268,7 +314,11 @@
 /// An error line. It carries no code that says that a retry is harmless.
 pub(crate) fn error(why: &str) -> Frame {
     let without_control = |c: char| if c.is_control() { ' ' } else { c };
-    let text: String = why.chars().take(MAX_ERROR_TEXT).map(without_control).collect();
+    let text: String = why
+        .chars()
+        .take(MAX_ERROR_TEXT)
+        .map(without_control)
+        .collect();
     Frame::Error(format!("ERR {text}").into())
 }
 
--- a/crates/platform/src/front/session.rs
+++ b/crates/platform/src/front/session.rs
@@ -64,7 +64,11 @@
 
 impl Session {
     pub(super) fn accepted(now: u64) -> Session {
-        Session { accepted_at: now, active_at: now, ..Session::default() }
+        Session {
+            accepted_at: now,
+            active_at: now,
+            ..Session::default()
+        }
     }
 
     /// Nothing is owed to the client, and it has not begun a command.
@@ -83,27 +87,40 @@
     /// are still to read an error.
     pub(super) fn eviction_rank(&self, now: u64) -> (bool, bool, u64) {
         let is_new = now < self.active_at + FIRST_COMMAND_GRACE;
-        (!self.is_between_requests(), self.has_spoken || is_new, self.active_at)
+        (
+            !self.is_between_requests(),
+            self.has_spoken || is_new,
+            self.active_at,
+        )
     }
 
     /// Notes how many bytes the client has accepted in all, and how many wait for it.
     pub(super) fn note_written(&mut self, accepted: u64, unsent: usize, now: u64) {
-        let known = self.blocked_write.filter(|blocked| blocked.accepted == accepted);
-        let blocked = known.unwrap_or(BlockedWrite { accepted, since: now });
+        let known = self
+            .blocked_write
+            .filter(|blocked| blocked.accepted == accepted);
+        let blocked = known.unwrap_or(BlockedWrite {
+            accepted,
+            since: now,
+        });
         self.blocked_write = (unsent > 0).then_some(blocked);
     }
 
     /// Whether the client has not read what it is owed for longer than it may.
     pub(super) fn is_write_timed_out(&self, now: u64) -> bool {
         let is_over = |since: u64, timeout: u64| now.saturating_sub(since) >= timeout;
-        self.blocked_write.is_some_and(|blocked| is_over(blocked.since, WRITE_TIMEOUT))
-            || self.lingering_since.is_some_and(|since| is_over(since, LINGER_TIMEOUT))
+        self.blocked_write
+            .is_some_and(|blocked| is_over(blocked.since, WRITE_TIMEOUT))
+            || self
+                .lingering_since
+                .is_some_and(|since| is_over(since, LINGER_TIMEOUT))
     }
 
     /// Whether a client that is owed nothing has sent nothing for longer than it may, as far as it was read.
     pub(super) fn is_read_timed_out(&self, now: u64) -> bool {
-        let is_owed =
-            self.lingering_since.is_some() || self.blocked_write.is_some() || self.answers.pending() > 0;
+        let is_owed = self.lingering_since.is_some()
+            || self.blocked_write.is_some()
+            || self.answers.pending() > 0;
         if is_owed || self.paused {
             return false;
         }
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -100,8 +100,16 @@
     if wire.endpoints.len() > MOST {
         return Err(ListError::TooMany(wire.endpoints.len()));
     }
-    let servers = wire.endpoints.iter().map(|e| server(e, zones)).collect::<Result<_, _>>()?;
-    Ok(List { index: wire.index, snapshot: wire.snapshot, servers })
+    let servers = wire
+        .endpoints
+        .iter()
+        .map(|e| server(e, zones))
+        .collect::<Result<_, _>>()?;
+    Ok(List {
+        index: wire.index,
+        snapshot: wire.snapshot,
+        servers,
+    })
 }
 
 fn server(e: &Endpoint, zones: &mut HashMap<String, u32>) -> Result<Server, ListError> {
@@ -109,10 +117,18 @@
         "ready" => Listed::InService,
         "draining" => Listed::Draining,
         "gone" => Listed::Gone,
-        other => return Err(ListError::Status { name: e.name.clone(), found: other.to_string() }),
+        other => {
+            return Err(ListError::Status {
+                name: e.name.clone(),
+                found: other.to_string(),
+            })
+        }
     };
     let Ok(address) = e.address.parse() else {
-        return Err(ListError::Address { name: e.name.clone(), found: e.address.clone() });
+        return Err(ListError::Address {
+            name: e.name.clone(),
+            found: e.address.clone(),
+        });
     };
     let entry = ServerEntry {
         server: server_id(&e.name),
--- a/crates/platform/src/outcome.rs
+++ b/crates/platform/src/outcome.rs
@@ -20,7 +20,11 @@
     match frame {
         Frame::Array(items) => served(items),
         Frame::Error(line) => {
-            let report = line.rsplit(' ').next().map(|text| report(text.as_bytes())).unwrap_or_default();
+            let report = line
+                .rsplit(' ')
+                .next()
+                .map(|text| report(text.as_bytes()))
+                .unwrap_or_default();
             match line.split(' ').next() {
                 Some("BUSY") => Answered::Not(Outcome::Full, report),
                 Some("ERR" | "NOPERM" | "SYNTAX") => Answered::Not(Outcome::Error, report),
@@ -49,9 +53,14 @@
 /// A load report; what of it cannot be read is left out.
 pub(crate) fn report(text: &[u8]) -> Report {
     let mut report = Report::default();
-    let Ok(text) = std::str::from_utf8(text) else { return report };
+    let Ok(text) = std::str::from_utf8(text) else {
+        return report;
+    };
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
-        let value = value.parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0);
+        let value = value
+            .parse::<f64>()
+            .ok()
+            .filter(|v| v.is_finite() && *v >= 0.0);
         match name {
             "inflight" => report.inflight = value,
             "queue" => report.queue = value,
@@ -67,7 +76,9 @@
 pub(crate) fn counted(frame: &Frame) -> (Outcome, f64, bool) {
     match frame {
         Frame::BulkString(text) => {
-            let total = std::str::from_utf8(text).ok().and_then(|t| t.parse::<f64>().ok());
+            let total = std::str::from_utf8(text)
+                .ok()
+                .and_then(|t| t.parse::<f64>().ok());
             match total.filter(|t| t.is_finite()) {
                 Some(total) => (Outcome::Ok, total, true),
                 None => (Outcome::Error, 0.0, false),
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -7,7 +7,9 @@
 
 /// Why a command is no request: the text is the error line that its client reads.
 #[derive(Clone, Debug, PartialEq, thiserror::Error, miette::Diagnostic)]
-#[diagnostic(help("the client's command is at fault and was not run: the client has to be mended"))]
+#[diagnostic(help(
+    "the client's command is at fault and was not run: the client has to be mended"
+))]
 pub enum RequestError {
     /// Too few or too many words.
     #[error("wrong number of arguments")]
@@ -103,7 +105,11 @@
     /// Appends the command with the time that the gateway will wait, in milliseconds.
     pub fn push(&self, out: &mut bytes::BytesMut, wait_ms: u64) {
         let (list, wait) = (&self.words[3], wait_ms.to_string());
-        let timed = [&list[..self.time.start], wait.as_bytes(), &list[self.time.end..]];
+        let timed = [
+            &list[..self.time.start],
+            wait.as_bytes(),
+            &list[self.time.end..],
+        ];
         let plain: Vec<[&[u8]; 1]> = self.words.iter().map(|w| [&w[..]]).collect();
         let mut words: Vec<&[&[u8]]> = plain.iter().map(|w| &w[..]).collect();
         words[3] = &timed;
@@ -150,7 +156,9 @@
 
 fn whole(name: &'static str, text: Option<&str>, from: u64, to: u64) -> Result<u64, RequestError> {
     let digits = text.filter(|t| !t.is_empty() && t.bytes().all(|b| b.is_ascii_digit()));
-    let number = digits.and_then(|t| t.parse().ok()).filter(|n| (from..=to).contains(n));
+    let number = digits
+        .and_then(|t| t.parse().ok())
+        .filter(|n| (from..=to).contains(n));
     number.ok_or(RequestError::Number { name, from, to })
 }
 
@@ -168,8 +176,12 @@
         (Some(b"API.READ" | b"API.WRITE"), _) => return Err(RequestError::Arguments),
         _ => return Err(RequestError::Unknown),
     };
-    let hex = std::str::from_utf8(&words[1]).ok().filter(|t| t.len() == 16 && !t.starts_with('+'));
-    let customer = hex.and_then(|t| u64::from_str_radix(t, 16).ok()).filter(|c| *c < CUSTOMERS);
+    let hex = std::str::from_utf8(&words[1])
+        .ok()
+        .filter(|t| t.len() == 16 && !t.starts_with('+'));
+    let customer = hex
+        .and_then(|t| u64::from_str_radix(t, 16).ok())
+        .filter(|c| *c < CUSTOMERS);
     let customer = customer.ok_or(RequestError::Customer)?;
     let sound = |b: &u8| b.is_ascii_graphic();
     if words[2].is_empty() || words[2].len() > MOST_ID || !words[2].iter().all(sound) {
@@ -177,8 +189,14 @@
     }
     let list = std::str::from_utf8(&words[3]).map_err(|_| RequestError::List)?;
     let f = fields(list)?;
-    let class = f.class.and_then(|c| names.classes.get(c)).ok_or(RequestError::Class)?;
-    let plan = f.plan.and_then(|t| names.plans.get(t)).ok_or(RequestError::Plan)?;
+    let class = f
+        .class
+        .and_then(|c| names.classes.get(c))
+        .ok_or(RequestError::Class)?;
+    let plan = f
+        .plan
+        .and_then(|t| names.plans.get(t))
+        .ok_or(RequestError::Plan)?;
     let kind = &set.classes[*class];
     if write == (kind.effect == Effect::Safe) {
         return Err(RequestError::Verb);
@@ -187,8 +205,13 @@
         return Err(RequestError::Key);
     }
     let time = f.time.ok_or(RequestError::Time)?;
-    let wait = whole("d", Some(time), 1, u64::MAX / 1_000)?.saturating_mul(1_000).min(kind.deadline.0);
-    let units = f.units.and_then(|u| u.parse::<f64>().ok()).filter(|u| *u > 0.0 && *u <= set.most_units);
+    let wait = whole("d", Some(time), 1, u64::MAX / 1_000)?
+        .saturating_mul(1_000)
+        .min(kind.deadline.0);
+    let units = f
+        .units
+        .and_then(|u| u.parse::<f64>().ok())
+        .filter(|u| *u > 0.0 && *u <= set.most_units);
     let units = units.ok_or(RequestError::Units(set.most_units))?;
     let gateways = u64::from(set.gateways);
     let spread = whole("spread", f.spread, 1, gateways)?;
--- a/crates/platform/src/shell.rs
+++ b/crates/platform/src/shell.rs
@@ -10,8 +10,8 @@
 use crate::request::{self, Command, RequestError};
 use bytes::Bytes;
 use chalkdeck::api::{
-    Action, AttemptEnd, Event, ListScope, Micros, Outcome, Report, RequestId, ServerId, SettingsError,
-    TimerId,
+    Action, AttemptEnd, Event, ListScope, Micros, Outcome, Report, RequestId, ServerId,
+    SettingsError, TimerId,
 };
 use chalkdeck::decisions::Decisions;
 use chalkdeck::rules::Gateway;
@@ -49,13 +49,18 @@
 pub enum StartError {
     /// The system gives no poll handle.
     #[error("no poll handle: {0}")]
-    #[diagnostic(code(chalkdeck::platform::poll), help("see the limit of descriptors (ulimit -n)"))]
+    #[diagnostic(
+        code(chalkdeck::platform::poll),
+        help("see the limit of descriptors (ulimit -n)")
+    )]
     Poll(io::Error),
     /// The clients' address cannot be listened at.
     #[error("cannot listen at {address}: {source}")]
     #[diagnostic(
         code(chalkdeck::platform::listen),
-        help("see whether another process listens there, and whether the address is this machine's")
+        help(
+            "see whether another process listens there, and whether the address is this machine's"
+        )
     )]
     Listen {
         /// The address.
@@ -65,7 +70,10 @@
     },
     /// Settings that make no sense.
     #[error("settings: {0}")]
-    #[diagnostic(code(chalkdeck::platform::settings), help("see what the platform tells its gateways"))]
+    #[diagnostic(
+        code(chalkdeck::platform::settings),
+        help("see what the platform tells its gateways")
+    )]
     Settings(#[from] SettingsError),
 }
 
@@ -123,16 +131,26 @@
     /// The same with a clock of the caller's.
     pub fn start_at(config: Config, clock: Clock) -> Result<Shell, StartError> {
         let mut engine = Engine::with_clock(clock).map_err(StartError::Poll)?;
-        let sockets = config.limits.sockets.saturating_sub(RESERVED_DESCRIPTORS).max(16);
+        let sockets = config
+            .limits
+            .sockets
+            .saturating_sub(RESERVED_DESCRIPTORS)
+            .max(16);
         let clients = sockets * CLIENT_PERCENT / 100;
         // A few beyond the bound, so that a new client can take the place of an idle one.
-        let limits = Limits { connections: clients + RESERVED_DESCRIPTORS / 4, ..Limits::default() };
+        let limits = Limits {
+            connections: clients + RESERVED_DESCRIPTORS / 4,
+            ..Limits::default()
+        };
         let address = config.listen;
         let listened = engine.listen_raw(address, limits);
-        let (listener, listen) = listened.map_err(|source| StartError::Listen { address, source })?;
+        let (listener, listen) =
+            listened.map_err(|source| StartError::Listen { address, source })?;
         let gateway = Gateway::new(config.seed, config.settings().clone())?;
         let memory = config.limits.memory_mb * 1e6;
-        let counter = config.counter.map(|a| Counter::new(a, config.settings().count_timeout.0));
+        let counter = config
+            .counter
+            .map(|a| Counter::new(a, config.settings().count_timeout.0));
         let mut shell = Shell {
             engine,
             decisions: Decisions::new(gateway),
@@ -187,7 +205,10 @@
     /// Begins to stop: serves what still comes, then ends.
     pub fn stop(&mut self) {
         if self.stop.is_none() {
-            tracing::info!(open = self.calls.len(), "stopping: serves what still comes, then ends");
+            tracing::info!(
+                open = self.calls.len(),
+                "stopping: serves what still comes, then ends"
+            );
             self.stop = Some(self.engine.now());
             self.due_in(SHUTDOWN_ACCEPTS, TimerPurpose::Shutdown);
         }
@@ -196,13 +217,20 @@
     /// Whether a stop is over: all clients are let go, or all that was taken before it must have had its answer.
     pub fn stopped(&self) -> bool {
         let Some(since) = self.stop else { return false };
-        let alone =
-            self.front.is_shutting_down() && !self.is_listening && self.engine.held_by(self.listener) == 0;
+        let alone = self.front.is_shutting_down()
+            && !self.is_listening
+            && self.engine.held_by(self.listener) == 0;
         alone || self.engine.now() >= since + KILL_DELAY + self.longest_deadline()
     }
 
     fn longest_deadline(&self) -> u64 {
-        self.config.settings().classes.iter().map(|c| c.deadline.0).max().unwrap_or(0)
+        self.config
+            .settings()
+            .classes
+            .iter()
+            .map(|c| c.deadline.0)
+            .max()
+            .unwrap_or(0)
     }
 
     /// When what comes now has to be answered at the latest: a stopping gateway does not outlive its patience.
@@ -221,7 +249,11 @@
     /// Waits for what happens, at most so many microseconds, and deals with it.
     pub fn turn(&mut self, most_wait: u64) -> io::Result<()> {
         let mut events = std::mem::take(&mut self.events);
-        let most_wait = if self.front.has_resumed() { 0 } else { most_wait };
+        let most_wait = if self.front.has_resumed() {
+            0
+        } else {
+            most_wait
+        };
         self.engine.turn(most_wait, &mut events)?;
         for event in events.drain(..) {
             self.on_event(event);
@@ -242,7 +274,12 @@
             NetEvent::Accepted { conn, .. } => self.front.accepted(&mut self.engine, conn),
             NetEvent::Connected { conn } => self.on_connected(conn),
             NetEvent::Bytes { conn, data } => self.on_bytes(conn, &data),
-            NetEvent::Closed { conn, unsent, reason, .. } => self.on_closed(conn, unsent, &reason),
+            NetEvent::Closed {
+                conn,
+                unsent,
+                reason,
+                ..
+            } => self.on_closed(conn, unsent, &reason),
             NetEvent::Timer(token) => self.on_due(token),
             // Streams are HTTP/2's, and there is no side port.
             _ => {}
@@ -250,19 +287,36 @@
     }
 
     fn on_connected(&mut self, conn: ConnId) {
-        let Shell { engine, backends, counter, discovery, .. } = self;
+        let Shell {
+            engine,
+            backends,
+            counter,
+            discovery,
+            ..
+        } = self;
         if backends.owns(conn) {
             backends.connected(engine, conn);
         } else if let Some(updates) = discovery.connected(engine, conn) {
             updates.into_iter().for_each(|n| self.on_discovery(n));
         } else {
-            counter.as_mut().into_iter().for_each(|c| c.connected(engine, conn));
+            counter
+                .as_mut()
+                .into_iter()
+                .for_each(|c| c.connected(engine, conn));
         }
     }
 
     fn on_bytes(&mut self, conn: ConnId, data: &[u8]) {
         self.engine.handled(conn);
-        let Shell { engine, backends, counter, discovery, front, config, .. } = self;
+        let Shell {
+            engine,
+            backends,
+            counter,
+            discovery,
+            front,
+            config,
+            ..
+        } = self;
         if front.owns(conn) {
             front.bytes(engine, conn, data);
             return self.commands(conn);
@@ -275,7 +329,10 @@
             return self.counted(told);
         }
         let updates = discovery.bytes(engine, conn, data, &mut config.read.zones);
-        updates.into_iter().flatten().for_each(|n| self.on_discovery(n));
+        updates
+            .into_iter()
+            .flatten()
+            .for_each(|n| self.on_discovery(n));
     }
 
     fn on_closed(&mut self, conn: ConnId, unsent: usize, reason: &CloseReason) {
@@ -290,9 +347,17 @@
         } else if let Some(told) = self.counter.as_mut().and_then(|c| c.closed(conn, unsent)) {
             self.counted(told);
         } else {
-            let Shell { engine, discovery, config, .. } = self;
+            let Shell {
+                engine,
+                discovery,
+                config,
+                ..
+            } = self;
             let updates = discovery.closed(engine, conn, reason, &mut config.read.zones);
-            updates.into_iter().flatten().for_each(|n| self.on_discovery(n));
+            updates
+                .into_iter()
+                .flatten()
+                .for_each(|n| self.on_discovery(n));
         }
     }
 
@@ -307,7 +372,14 @@
             Some(TimerPurpose::Dial(conn)) => {
                 let ended = self.backends.dial_over(&mut self.engine, conn);
                 ended.into_iter().for_each(|e| self.ended(e));
-                let Shell { engine, counter: Some(counter), .. } = self else { return };
+                let Shell {
+                    engine,
+                    counter: Some(counter),
+                    ..
+                } = self
+                else {
+                    return;
+                };
                 let told = counter.dial_over(engine, conn);
                 self.counted(told);
             }
@@ -351,16 +423,26 @@
                 self.give_up(AttemptId { request, number }, Outcome::Cancelled);
             }
             Action::Count(name, amount, life) => {
-                let Shell { engine, counter: Some(counter), .. } = self else { return };
+                let Shell {
+                    engine,
+                    counter: Some(counter),
+                    ..
+                } = self
+                else {
+                    return;
+                };
                 let (told, dialled) = counter.add(engine, name, amount, life.0);
                 let dial_timeout = self.config.dial_timeout;
-                dialled.into_iter().for_each(|conn| self.due_in(dial_timeout, TimerPurpose::Dial(conn)));
+                dialled
+                    .into_iter()
+                    .for_each(|conn| self.due_in(dial_timeout, TimerPurpose::Dial(conn)));
                 self.watch_counts();
                 self.counted(told);
             }
             Action::SetTimer(timer, after) => self.due_in(after.0, TimerPurpose::Policy(timer)),
             Action::Probe(server) => {
-                self.decisions.push(Event::Probed(server, Outcome::Moot, Report::default()));
+                self.decisions
+                    .push(Event::Probed(server, Outcome::Moot, Report::default()));
             }
             // No class of this platform leaves the work to its caller, and the list is watched in any case.
             Action::Grant(_) | Action::Subscribe | Action::FetchList => {}
@@ -368,15 +450,25 @@
     }
 
     fn send(&mut self, id: RequestId, server: ServerId, until: u64) {
-        let Some(call) = self.calls.get_mut(&id) else { return };
-        let attempt = AttemptId { request: id, number: call.attempts };
+        let Some(call) = self.calls.get_mut(&id) else {
+            return;
+        };
+        let attempt = AttemptId {
+            request: id,
+            number: call.attempts,
+        };
         call.attempts += 1;
-        match self.backends.send(&mut self.engine, attempt, server, until, &call.command) {
+        match self
+            .backends
+            .send(&mut self.engine, attempt, server, until, &call.command)
+        {
             Sent::Under(dialled) => {
                 let wait = until.saturating_sub(self.engine.now());
                 self.due_in(wait, TimerPurpose::GiveUp(attempt));
                 let dial_timeout = self.config.dial_timeout;
-                dialled.into_iter().for_each(|conn| self.due_in(dial_timeout, TimerPurpose::Dial(conn)));
+                dialled
+                    .into_iter()
+                    .for_each(|conn| self.due_in(dial_timeout, TimerPurpose::Dial(conn)));
             }
             Sent::Ended(ended) => self.ended(ended),
         }
@@ -389,8 +481,16 @@
 
     /// An attempt ended. A value goes to the client at once; all else is the decisions'.
     fn ended(&mut self, end: Ended) {
-        let Ended { attempt, server, outcome, took, report, value } = end;
-        let served = value.is_some_and(|value| self.answer(attempt.request, Frame::BulkString(value)));
+        let Ended {
+            attempt,
+            server,
+            outcome,
+            took,
+            report,
+            value,
+        } = end;
+        let served =
+            value.is_some_and(|value| self.answer(attempt.request, Frame::BulkString(value)));
         self.decisions.push(Event::AttemptEnded(AttemptEnd {
             id: attempt.request,
             attempt: attempt.number,
@@ -412,7 +512,9 @@
 
     /// The final answer of a request; whether it had none yet.
     fn answer(&mut self, id: RequestId, answer: Frame) -> bool {
-        let Some(call) = self.forget(id) else { return false };
+        let Some(call) = self.forget(id) else {
+            return false;
+        };
         self.front.answer(call.conn, call.slot, answer);
         self.front.flush(&mut self.engine, call.conn);
         true
@@ -422,7 +524,11 @@
 
     /// Takes what a connection has sent, as far as there is room for it.
     fn commands(&mut self, conn: ConnId) {
-        while let Some(ReceivedCommand { slot, words, received_at }) = self.front.next(&mut self.engine, conn)
+        while let Some(ReceivedCommand {
+            slot,
+            words,
+            received_at,
+        }) = self.front.next(&mut self.engine, conn)
         {
             if let Some(answer) = self.command(conn, slot, words, received_at) {
                 self.front.answer(conn, slot, answer);
@@ -433,7 +539,13 @@
 
     /// A command: its answer, or none when it is a request, whose answer comes later.
     /// `received_at`: when it had come, from where on its client's time counts.
-    fn command(&mut self, conn: ConnId, slot: u64, words: Vec<Bytes>, received_at: u64) -> Option<Frame> {
+    fn command(
+        &mut self,
+        conn: ConnId,
+        slot: u64,
+        words: Vec<Bytes>,
+        received_at: u64,
+    ) -> Option<Frame> {
         let name = words[0].to_ascii_uppercase();
         match &name[..] {
             b"PING" => return Some(Frame::SimpleString(Bytes::from_static(b"PONG"))),
@@ -446,7 +558,8 @@
         }
         let id = RequestId(self.next_id + 1);
         let bytes = words.iter().map(Bytes::len).sum();
-        let (command, mut arrival) = match request::read(words, id, received_at, &self.config.read) {
+        let (command, mut arrival) = match request::read(words, id, received_at, &self.config.read)
+        {
             Ok(read) => read,
             Err(why) => return Some(error(&why.to_string())),
         };
@@ -457,7 +570,16 @@
         self.next_id += 1;
         self.ids.insert(command.id().clone(), id);
         self.front.opened(conn, id, bytes);
-        self.calls.insert(id, Call { conn, slot, command, bytes, attempts: 0 });
+        self.calls.insert(
+            id,
+            Call {
+                conn,
+                slot,
+                command,
+                bytes,
+                attempts: 0,
+            },
+        );
         self.decisions.push(Event::Request(arrival));
         None
     }
@@ -465,14 +587,21 @@
     // ---- the counter ----
 
     fn counted(&mut self, told: Vec<Told>) {
-        for Told { name, outcome, total } in told {
+        for Told {
+            name,
+            outcome,
+            total,
+        } in told
+        {
             self.decisions.push(Event::Counted(name, outcome, total));
         }
     }
 
     /// All calls have the same time, so the first of them ends first and one timer serves all.
     fn watch_counts(&mut self) {
-        let Some(until) = self.counter.as_ref().and_then(Counter::next_timeout) else { return };
+        let Some(until) = self.counter.as_ref().and_then(Counter::next_timeout) else {
+            return;
+        };
         if !std::mem::replace(&mut self.counts_watched, true) {
             self.due_in(until.saturating_sub(self.engine.now()), TimerPurpose::Count);
         }
@@ -480,7 +609,14 @@
 
     fn count_times_out(&mut self) {
         self.counts_watched = false;
-        let Shell { engine, counter: Some(counter), .. } = self else { return };
+        let Shell {
+            engine,
+            counter: Some(counter),
+            ..
+        } = self
+        else {
+            return;
+        };
         let told = counter.timed_out(engine);
         self.watch_counts();
         self.counted(told);
@@ -497,7 +633,11 @@
 
     fn listed(&mut self, list: List) {
         self.backends.update(&mut self.engine, &list);
-        let scope = if list.snapshot { ListScope::Whole } else { ListScope::Changes };
+        let scope = if list.snapshot {
+            ListScope::Whole
+        } else {
+            ListScope::Changes
+        };
         let entries: Vec<_> = list.servers.into_iter().map(|s| s.entry).collect();
         if scope == ListScope::Whole || !entries.is_empty() {
             self.decisions.push(Event::Servers(scope, entries));
@@ -516,7 +656,15 @@
         tracing::info!(discovery = %new.discovery, "configuration read again");
         let updates = self.discovery.set_address(&mut self.engine, new.discovery);
         updates.into_iter().for_each(|n| self.on_discovery(n));
-        if let (Some(address), Shell { counter: Some(counter), engine, .. }) = (new.counter, &mut *self) {
+        if let (
+            Some(address),
+            Shell {
+                counter: Some(counter),
+                engine,
+                ..
+            },
+        ) = (new.counter, &mut *self)
+        {
             let told = counter.moved(engine, address);
             self.counted(told);
         }
