--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -402,14 +402,28 @@
         if self.max_attempts == 0 {
             return fail("max_attempts: expected at least 1");
         }
-        if ![self.cold_from, self.fall_multiple, self.most_units].into_iter().all(sound) {
+        if ![self.cold_from, self.fall_multiple, self.most_units]
+            .into_iter()
+            .all(sound)
+        {
             return fail("cold_from, fall_multiple, most_units: expected numbers of 0 or more");
         }
-        if !self.classes.iter().all(|c| sound(c.worth) && sound(c.late_worth) && c.deadline.0 > 0) {
+        if !self
+            .classes
+            .iter()
+            .all(|c| sound(c.worth) && sound(c.late_worth) && c.deadline.0 > 0)
+        {
             return fail("class: expected a worth of 0 or more and a deadline above 0");
         }
         for p in &self.plans {
-            let quota = [p.rate, p.burst, p.open, p.ceiling_rate, p.ceiling_burst, p.ceiling_slack];
+            let quota = [
+                p.rate,
+                p.burst,
+                p.open,
+                p.ceiling_rate,
+                p.ceiling_burst,
+                p.ceiling_slack,
+            ];
             let worth = [p.price, p.over_worth, p.over_cost];
             if !quota.into_iter().chain(worth).all(sound) {
                 return fail("plan: expected numbers of 0 or more");
--- a/crates/policy/src/decisions.rs
+++ b/crates/policy/src/decisions.rs
@@ -19,7 +19,12 @@
 impl Decisions {
     /// Queues in front of a gateway, both empty.
     pub fn new(gateway: Gateway) -> Decisions {
-        Decisions { gateway, events: VecDeque::new(), actions: VecDeque::new(), out: Vec::new() }
+        Decisions {
+            gateway,
+            events: VecDeque::new(),
+            actions: VecDeque::new(),
+            out: Vec::new(),
+        }
     }
 
     /// Queues an event.
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -104,7 +104,8 @@
 
 impl Breaker {
     fn ready(&self, now: Micros) -> bool {
-        self.opened.is_none_or(|at| !self.probing && now >= at + COOLDOWN)
+        self.opened
+            .is_none_or(|at| !self.probing && now >= at + COOLDOWN)
     }
     /// A call is made; after the cooldown it is the half-open probe.
     fn ask(&mut self) {
@@ -137,10 +138,18 @@
         set.check()?;
         let rng = fastrand::Rng::with_seed(seed);
         let (retries, ask) = (RETRY_SAVED, ask_first(&set));
-        let mut new = Gateway { set, rng, retries, ask, pass: 1.0, ..Gateway::default() };
+        let mut new = Gateway {
+            set,
+            rng,
+            retries,
+            ask,
+            pass: 1.0,
+            ..Gateway::default()
+        };
         // Goes out with the first event, whichever that is.
         new.timer(Timer::Sweep, FORGET);
-        new.out.extend(new.set.must_subscribe.then_some(Action::Subscribe));
+        new.out
+            .extend(new.set.must_subscribe.then_some(Action::Subscribe));
         Ok(new)
     }
 
@@ -152,12 +161,18 @@
             Event::Sites(shares, floor) => (self.sites, self.floor) = (shares, Some(floor)),
             Event::Request(arrival) => self.on_request(arrival),
             Event::Timer(timer) => self.on_timer(timer),
-            Event::StreamStarted(id) => {
-                self.requests.get_mut(&id).into_iter().for_each(|r| r.streaming = true)
-            }
+            Event::StreamStarted(id) => self
+                .requests
+                .get_mut(&id)
+                .into_iter()
+                .for_each(|r| r.streaming = true),
             Event::ClientGone(id) => self.finish(id, None),
             Event::Settled(id, units) => self.settle(id, units),
-            Event::BodyGone(id) => self.requests.get_mut(&id).into_iter().for_each(|r| r.body_gone = true),
+            Event::BodyGone(id) => self
+                .requests
+                .get_mut(&id)
+                .into_iter()
+                .for_each(|r| r.body_gone = true),
             Event::Probed(..) => {}
             Event::Counted(name, outcome, total) => self.on_counted(name, outcome, total),
             Event::AttemptEnded(end) => self.on_attempt(end),
@@ -173,7 +188,8 @@
         let most_out = OVERLOAD_OUT * self.calm_out * servers;
         self.flight = (self.flight + (most_out - self.out_now) * gone).min(FLIGHT_SAVED);
         if !self.overloaded() {
-            self.calm_out += (1.0 - (-gone / CALM_SPAN).exp()) * (self.out_now / servers - self.calm_out);
+            self.calm_out +=
+                (1.0 - (-gone / CALM_SPAN).exp()) * (self.out_now / servers - self.calm_out);
             self.flight = self.flight.max(0.0);
         }
     }
@@ -192,16 +208,20 @@
     fn on_timer(&mut self, id: TimerId) {
         match self.timers.remove(&id) {
             // Every request has its answer by its deadline.
-            Some(Timer::Deadline(id)) if self.requests.get(&id).is_none_or(|r| r.done || r.streaming) => {}
+            Some(Timer::Deadline(id))
+                if self.requests.get(&id).is_none_or(|r| r.done || r.streaming) => {}
             Some(Timer::Deadline(id)) => self.refuse(id),
             Some(Timer::Stray(id, attempt)) => self.stray(id, attempt),
             Some(Timer::Held) => {
                 self.hold_timer = false;
                 self.serve_held();
             }
-            Some(Timer::Resubscribe) => self.out.extend(self.set.must_subscribe.then_some(Action::Subscribe)),
+            Some(Timer::Resubscribe) => self
+                .out
+                .extend(self.set.must_subscribe.then_some(Action::Subscribe)),
             Some(Timer::Sweep) => {
-                self.customers.retain(|_, c| c.used + FORGET >= self.now || c.out > 0.0);
+                self.customers
+                    .retain(|_, c| c.used + FORGET >= self.now || c.out > 0.0);
                 self.timer(Timer::Sweep, FORGET);
             }
             None => {}
@@ -214,7 +234,10 @@
     fn window_of(&self, plan: usize) -> (Micros, f64) {
         let p = &self.set.plans[plan];
         let part = if p.ceiling_rate > 0.0 { 0.5 } else { 1.0 };
-        (Micros(((p.burst / p.rate) * part * 1e6).max(1.0) as u64), p.burst * part)
+        (
+            Micros(((p.burst / p.rate) * part * 1e6).max(1.0) as u64),
+            p.burst * part,
+        )
     }
 
     /// The current window (or epoch) of a customer; the customer's hash shifts its edges, so that not all
@@ -226,21 +249,48 @@
 
     /// Brings a customer's counts to the present window and epoch.
     fn roll(&mut self, id: CustomerId) {
-        let Some(plan) = self.customers.get(&id).map(|c| c.plan) else { return };
-        let (now, rate, burst) = (self.now, self.set.plans[plan].rate, self.set.plans[plan].burst);
-        let length = if rate > 0.0 { self.window_of(plan).0 } else { EPOCH };
+        let Some(plan) = self.customers.get(&id).map(|c| c.plan) else {
+            return;
+        };
+        let (now, rate, burst) = (
+            self.now,
+            self.set.plans[plan].rate,
+            self.set.plans[plan].burst,
+        );
+        let length = if rate > 0.0 {
+            self.window_of(plan).0
+        } else {
+            EPOCH
+        };
         let (span, epoch) = (self.span(id, length).0, self.span(id, EPOCH).0);
-        let Some(c) = self.customers.get_mut(&id) else { return };
+        let Some(c) = self.customers.get_mut(&id) else {
+            return;
+        };
         if c.window.span != span {
-            c.heard =
-                (c.heard.0 * (1.0 - CARRY) + c.window.posted, c.heard.1 * (1.0 - CARRY) + c.window.seen);
+            c.heard = (
+                c.heard.0 * (1.0 - CARRY) + c.window.posted,
+                c.heard.1 * (1.0 - CARRY) + c.window.seen,
+            );
             // The store as followed from the last window; after a gap the window's plain allowance speaks.
             let (follows, known) = (c.window.span + 1 == span, c.window.known());
-            let store = if follows { c.window.level(now, known, rate, burst) } else { burst };
-            c.window = Tally { span, store, at: now, ..Tally::default() };
+            let store = if follows {
+                c.window.level(now, known, rate, burst)
+            } else {
+                burst
+            };
+            c.window = Tally {
+                span,
+                store,
+                at: now,
+                ..Tally::default()
+            };
         }
         if c.epoch.span != epoch {
-            c.epoch = Tally { span: epoch, owed: c.out, ..Tally::default() };
+            c.epoch = Tally {
+                span: epoch,
+                owed: c.out,
+                ..Tally::default()
+            };
         }
     }
 
@@ -251,16 +301,27 @@
         }
         self.retries = (self.retries + RETRY_SHARE).min(RETRY_SAVED);
         // Before the deadline by two ticks: a timer may come one late, and the answer takes one.
-        self.timer(Timer::Deadline(id), a.deadline - now - self.set.tick - self.set.tick);
+        self.timer(
+            Timer::Deadline(id),
+            a.deadline - now - self.set.tick - self.set.tick,
+        );
         let c = self.customers.entry(customer).or_default();
         if c.used == Micros(0) {
             c.beyond.at = now; // Starts empty: an earlier life of this gateway may have spent it.
         }
         (c.plan, c.spread, c.used) = (plan, f64::from(a.spread.max(1)), now);
         // Where clients do not mark repeats: the like of what was refused here a moment ago.
-        let alike = |r: &Refusal| r.class == a.class && r.units == a.units && now < r.at + REPEAT_SPAN;
+        let alike =
+            |r: &Refusal| r.class == a.class && r.units == a.units && now < r.at + REPEAT_SPAN;
         let resent = a.resent || c.refused.as_ref().is_some_and(alike);
-        self.requests.insert(id, Request { a: Arrival { resent, ..a }, arrived: now, ..Request::default() });
+        self.requests.insert(
+            id,
+            Request {
+                a: Arrival { resent, ..a },
+                arrived: now,
+                ..Request::default()
+            },
+        );
         self.roll(customer);
         if !self.set.classes[a.class.0].by_caller && self.shed(id) {
             let wait = self.soon(a.class);
@@ -279,7 +340,9 @@
     /// Adaptive throttling before the servers: refuses by chance as many as came back late of late, those
     /// worth little first. Guards against overload where a gateway has too few attempts out to bound them.
     fn shed(&mut self, id: RequestId) -> bool {
-        let Some(r) = self.requests.get(&id) else { return false };
+        let Some(r) = self.requests.get(&id) else {
+            return false;
+        };
         let worth = self.worth(r);
         // Where sites are watched there is one order over all gateways: worth for the room it takes.
         if let Some(floor) = self.floor {
@@ -287,51 +350,83 @@
             return dense < floor.from || dense < floor.sure && self.rng.f64() >= floor.part;
         }
         self.usual_worth += SMOOTH / 3.0 * (worth - self.usual_worth);
-        let power = if worth > 0.0 { (self.usual_worth / worth).powi(2) } else { f64::MAX };
+        let power = if worth > 0.0 {
+            (self.usual_worth / worth).powi(2)
+        } else {
+            f64::MAX
+        };
         self.sparse() && self.rng.f64() > self.pass.powf(power)
     }
 
     /// When to come back after a refusal that no window ends: soon, or the answer misses the aim; spread by
     /// chance and later the more is shed, so that repeats do not arrive as one wave.
     fn soon(&mut self, class: ClassId) -> Option<Micros> {
-        let wait = self.set.classes[class.0].aim.times(HINT_PART * self.rng.f64() * (1.0 - self.pass));
-        self.set.retry_after.then_some(wait.max(self.set.tick).min(self.set.max_retry_after))
+        let wait = self.set.classes[class.0]
+            .aim
+            .times(HINT_PART * self.rng.f64() * (1.0 - self.pass));
+        self.set
+            .retry_after
+            .then_some(wait.max(self.set.tick).min(self.set.max_retry_after))
     }
 
     /// What a customer's quota has room for by a total of the shared count.
     fn room(&self, customer: CustomerId, total: f64) -> f64 {
-        let Some(c) = self.customers.get(&customer) else { return 0.0 };
+        let Some(c) = self.customers.get(&customer) else {
+            return 0.0;
+        };
         let p = &self.set.plans[c.plan];
         c.window.level(self.now, total, p.rate, p.burst)
     }
 
     /// The counter says nothing of this customer for a while: then the local bucket alone decides.
     fn silent(&self, customer: CustomerId) -> bool {
-        let own_open = self.customers.get(&customer).is_some_and(|c| c.breaker.opened.is_some());
+        let own_open = self
+            .customers
+            .get(&customer)
+            .is_some_and(|c| c.breaker.opened.is_some());
         !self.set.counter || self.breaker.opened.is_some() || own_open
     }
 
     /// For how many like it a request is to ask, with the share to this power; none: it is not to. Guards
     /// against a counter that our own calls drown, slow or near its capacity.
     fn asks(&mut self, power: f64) -> Option<f64> {
-        let chance = if self.breaker.opened.is_some() { 1.0 } else { self.ask.powf(power) };
+        let chance = if self.breaker.opened.is_some() {
+            1.0
+        } else {
+            self.ask.powf(power)
+        };
         (self.rng.f64() < chance).then_some(1.0 / chance)
     }
 
     fn may_call(&mut self, customer: CustomerId) -> bool {
         let (now, common) = (self.now, &mut self.breaker);
-        let Some(c) = self.customers.get_mut(&customer) else { return false };
+        let Some(c) = self.customers.get_mut(&customer) else {
+            return false;
+        };
         let ready = self.set.counter && common.ready(now) && c.breaker.ready(now);
-        [common, &mut c.breaker].into_iter().filter(|_| ready).for_each(Breaker::ask);
+        [common, &mut c.breaker]
+            .into_iter()
+            .filter(|_| ready)
+            .for_each(Breaker::ask);
         ready
     }
 
     /// The ordinary path: one add on the customer's window before anything is sent on.
     fn ask_window(&mut self, id: RequestId) {
-        let Some(r) = self.requests.get(&id) else { return };
-        let (customer, units, resent, worth) =
-            (r.a.customer, r.a.units, r.a.resent, self.worth(r) * r.a.units);
-        let weight = if self.usual_asked > 0.0 { SMOOTH / 3.0 } else { 1.0 };
+        let Some(r) = self.requests.get(&id) else {
+            return;
+        };
+        let (customer, units, resent, worth) = (
+            r.a.customer,
+            r.a.units,
+            r.a.resent,
+            self.worth(r) * r.a.units,
+        );
+        let weight = if self.usual_asked > 0.0 {
+            SMOOTH / 3.0
+        } else {
+            1.0
+        };
         self.usual_asked += weight * (worth - self.usual_asked);
         let c = &self.customers[&customer];
         let total = c.window.known();
@@ -352,9 +447,15 @@
     }
 
     fn ask_place(&mut self, id: RequestId) {
-        let Some(r) = self.requests.get(&id) else { return };
+        let Some(r) = self.requests.get(&id) else {
+            return;
+        };
         let customer = r.a.customer;
-        let power = if self.usual_asked > 0.0 { REPEAT_POWER } else { 1.0 }; // A place takes two calls.
+        let power = if self.usual_asked > 0.0 {
+            REPEAT_POWER
+        } else {
+            1.0
+        }; // A place takes two calls.
         if self.set.plans[r.a.plan.0].open <= 0.0 {
             self.admit(id);
         } else if self.asks(power).is_some() && self.may_call(customer) {
@@ -365,8 +466,17 @@
     }
 
     /// One add: the request's units, those `like` it that do not ask, and what we owe.
-    fn call(&mut self, purpose: Purpose, id: CustomerId, request: Option<RequestId>, units: f64, like: f64) {
-        let Some(c) = self.customers.get_mut(&id) else { return };
+    fn call(
+        &mut self,
+        purpose: Purpose,
+        id: CustomerId,
+        request: Option<RequestId>,
+        units: f64,
+        like: f64,
+    ) {
+        let Some(c) = self.customers.get_mut(&id) else {
+            return;
+        };
         let plan = c.plan;
         let (span, extra) = match purpose {
             Purpose::Window => (c.window.span, c.window.owed),
@@ -375,23 +485,54 @@
         if units + extra == 0.0 && request.is_none() {
             return;
         }
-        let tally = if purpose == Purpose::Open { &mut c.epoch } else { &mut c.window };
+        let tally = if purpose == Purpose::Open {
+            &mut c.epoch
+        } else {
+            &mut c.window
+        };
         (tally.owed, tally.posting) = (tally.owed - extra, tally.posting + extra);
-        let length = if purpose == Purpose::Open { EPOCH } else { self.window_of(plan).0 };
-        let name = CountName(mix(mix(id.0) ^ mix(span << 1 | u64::from(purpose == Purpose::Open))) >> 1);
-        let probe = request.is_some() && (self.breaker.probing || self.customers[&id].breaker.probing);
+        let length = if purpose == Purpose::Open {
+            EPOCH
+        } else {
+            self.window_of(plan).0
+        };
+        let name =
+            CountName(mix(mix(id.0) ^ mix(span << 1 | u64::from(purpose == Purpose::Open))) >> 1);
+        let probe =
+            request.is_some() && (self.breaker.probing || self.customers[&id].breaker.probing);
         let (sent, amount, customer) = (self.now, units + like + extra, id);
-        let call = Call { sent, purpose, customer, span, request, amount, extra, like, probe };
+        let call = Call {
+            sent,
+            purpose,
+            customer,
+            span,
+            request,
+            amount,
+            extra,
+            like,
+            probe,
+        };
         self.calls.entry(name).or_default().push_back(call);
-        request.and_then(|id| self.requests.get_mut(&id)).into_iter().for_each(|r| r.asking += 1);
-        self.out.push(Action::Count(name, amount, (length + length).min(Micros(60_000_000))));
+        request
+            .and_then(|id| self.requests.get_mut(&id))
+            .into_iter()
+            .for_each(|r| r.asking += 1);
+        self.out.push(Action::Count(
+            name,
+            amount,
+            (length + length).min(Micros(60_000_000)),
+        ));
     }
 
     /// A line that builds up at the counter makes asking rarer before calls fail, by half at most, once for
     /// calls that were out together. A quick answer counts for those that did not ask, too, at most fourfold.
     fn ask_by(&mut self, took: Micros) {
         let line = took.secs() - self.no_line;
-        self.no_line += if line < 0.0 || self.no_line == 0.0 { line } else { line * SMOOTH / 100.0 };
+        self.no_line += if line < 0.0 || self.no_line == 0.0 {
+            line
+        } else {
+            line * SMOOTH / 100.0
+        };
         let slow = line.max(0.0) / (self.set.count_timeout.secs() * ASK_SLOW).max(1e-9);
         let step = (1.0 + ASK_STEP * (1.0 - slow)).max(0.5);
         if slow < 1.0 {
@@ -416,20 +557,42 @@
             self.breaker.failure(now, probe);
         }
         self.last_failed = Some(customer);
-        self.customers.get_mut(&customer).into_iter().for_each(|c| c.breaker.failure(now, probe));
+        self.customers
+            .get_mut(&customer)
+            .into_iter()
+            .for_each(|c| c.breaker.failure(now, probe));
     }
 
     fn on_counted(&mut self, name: CountName, outcome: Outcome, total: f64) {
-        let Some(call) = self.calls.get_mut(&name).and_then(|queue| queue.pop_front()) else { return };
+        let Some(call) = self
+            .calls
+            .get_mut(&name)
+            .and_then(|queue| queue.pop_front())
+        else {
+            return;
+        };
         if self.calls.get(&name).is_some_and(|queue| queue.is_empty()) {
             self.calls.remove(&name);
         }
-        call.request.and_then(|id| self.requests.get_mut(&id)).into_iter().for_each(|r| r.asking -= 1);
+        call.request
+            .and_then(|id| self.requests.get_mut(&id))
+            .into_iter()
+            .for_each(|r| r.asking -= 1);
         self.roll(call.customer);
         let plan = self.customers.get(&call.customer).map_or(0, |c| c.plan);
-        let (now, rate, burst) = (self.now, self.set.plans[plan].rate, self.set.plans[plan].burst);
-        let Some(c) = self.customers.get_mut(&call.customer) else { return };
-        let tally = if call.purpose == Purpose::Window { &mut c.window } else { &mut c.epoch };
+        let (now, rate, burst) = (
+            self.now,
+            self.set.plans[plan].rate,
+            self.set.plans[plan].burst,
+        );
+        let Some(c) = self.customers.get_mut(&call.customer) else {
+            return;
+        };
+        let tally = if call.purpose == Purpose::Window {
+            &mut c.window
+        } else {
+            &mut c.epoch
+        };
         let current = tally.span == call.span;
         if current {
             tally.posting -= call.extra;
@@ -450,24 +613,45 @@
                 tally.store = tally.level(now, known, rate, burst);
                 (tally.base, tally.at) = (known, now);
             }
-            heard = Some(total - call.like + if current { tally.owed + tally.posting } else { 0.0 });
+            heard = Some(
+                total - call.like
+                    + if current {
+                        tally.owed + tally.posting
+                    } else {
+                        0.0
+                    },
+            );
             c.breaker.success(call.probe);
             if c.spread * self.set.most_units <= self.set.plans[plan].burst {
                 c.bucket = None;
             }
-            self.ask = if call.probe { ask_first(&self.set) } else { self.ask };
+            self.ask = if call.probe {
+                ask_first(&self.set)
+            } else {
+                self.ask
+            };
             self.ask_by(now - call.sent);
             (self.last_failed, self.heard_at) = (None, now);
             self.breaker.success(call.probe);
             if let Some(r) = call.request.and_then(|id| self.requests.get_mut(&id)) {
-                r.counted = (call.purpose == Purpose::Window).then_some((call.span, r.a.units + call.like));
+                r.counted =
+                    (call.purpose == Purpose::Window).then_some((call.span, r.a.units + call.like));
             }
         } else {
-            tally.owed += if current && outcome.never_ran() { call.extra } else { 0.0 };
+            tally.owed += if current && outcome.never_ran() {
+                call.extra
+            } else {
+                0.0
+            };
             self.call_failed(call.customer, outcome, call.probe);
         }
-        call.request.into_iter().for_each(|id| self.decide(id, call.purpose, heard, true));
-        let owed = self.customers.get(&call.customer).is_some_and(|c| c.window.owed > 0.5);
+        call.request
+            .into_iter()
+            .for_each(|id| self.decide(id, call.purpose, heard, true));
+        let owed = self
+            .customers
+            .get(&call.customer)
+            .is_some_and(|c| c.window.owed > 0.5);
         if owed && call.purpose == Purpose::Window && heard.is_some() {
             self.call(Purpose::Window, call.customer, None, 0.0, 0.0);
         }
@@ -476,7 +660,9 @@
 
     fn take_back(&mut self, customer: CustomerId, span: u64, units: f64) {
         self.roll(customer);
-        let Some(c) = self.customers.get_mut(&customer) else { return };
+        let Some(c) = self.customers.get_mut(&customer) else {
+            return;
+        };
         if c.window.span != span {
             return;
         }
@@ -493,10 +679,14 @@
         if purpose == Purpose::Open {
             return self.decide_place(id, heard);
         }
-        let Some(r) = self.requests.get(&id) else { return };
+        let Some(r) = self.requests.get(&id) else {
+            return;
+        };
         let (customer, units, plan) = (r.a.customer, r.a.units, r.a.plan.0);
         let (resent, done) = (r.a.resent, r.done);
-        let full = self.customers[&customer].full.is_some_and(|at| self.now < at + REMEMBER);
+        let full = self.customers[&customer]
+            .full
+            .is_some_and(|at| self.now < at + REMEMBER);
         let ok = match heard {
             _ if done => return,
             // Under a ceiling what a counter forgot is paid off first.
@@ -505,10 +695,18 @@
             Some(_) => self.beyond_take(customer, plan, units),
             // A repeat was refused a moment ago, here or elsewhere: it must be heard.
             None if resent && !self.silent(customer) => false,
-            None if !asked && !self.silent(customer) => !full && self.beyond_take(customer, plan, units),
-            None => self.beyond_take(customer, plan, units) && self.local_take(customer, plan, units),
+            None if !asked && !self.silent(customer) => {
+                !full && self.beyond_take(customer, plan, units)
+            }
+            None => {
+                self.beyond_take(customer, plan, units) && self.local_take(customer, plan, units)
+            }
         };
-        if let Some(c) = self.customers.get_mut(&customer).filter(|_| heard.is_some()) {
+        if let Some(c) = self
+            .customers
+            .get_mut(&customer)
+            .filter(|_| heard.is_some())
+        {
             c.full = (!ok).then_some(self.now);
         }
         match ok {
@@ -523,9 +721,17 @@
     /// whatever single gateways believe. May hurt one that has all the traffic.
     fn beyond_take(&mut self, customer: CustomerId, plan: usize, units: f64) -> bool {
         let (now, p) = (self.now, &self.set.plans[plan]);
-        let Some(c) = self.customers.get_mut(&customer).filter(|_| p.ceiling_rate > 0.0) else { return true };
-        (c.beyond.rate, c.beyond.depth) =
-            ((p.ceiling_rate - p.rate).max(0.0) / c.spread, (p.ceiling_burst - p.burst).max(0.0) / c.spread);
+        let Some(c) = self
+            .customers
+            .get_mut(&customer)
+            .filter(|_| p.ceiling_rate > 0.0)
+        else {
+            return true;
+        };
+        (c.beyond.rate, c.beyond.depth) = (
+            (p.ceiling_rate - p.rate).max(0.0) / c.spread,
+            (p.ceiling_burst - p.burst).max(0.0) / c.spread,
+        );
         c.beyond.take(now, units)
     }
 
@@ -534,23 +740,47 @@
     /// against refusing customers with few units, for whom a share from empty admits nothing for seconds.
     fn local_take(&mut self, customer: CustomerId, plan: usize, units: f64) -> bool {
         let (now, most_units, p) = (self.now, self.set.most_units, &self.set.plans[plan]);
-        let Some(c) = self.customers.get_mut(&customer) else { return false };
-        let left = c.window.level(now, c.window.known(), p.rate, p.burst).max(0.0);
+        let Some(c) = self.customers.get_mut(&customer) else {
+            return false;
+        };
+        let left = c
+            .window
+            .level(now, c.window.known(), p.rate, p.burst)
+            .max(0.0);
         // Half by the gateways it can come through, half by what this one was seen to carry: sums to one.
-        let carried = if c.heard.1 > 0.0 { (c.heard.0 / c.heard.1).clamp(0.0, 1.0) } else { 1.0 / c.spread };
+        let carried = if c.heard.1 > 0.0 {
+            (c.heard.0 / c.heard.1).clamp(0.0, 1.0)
+        } else {
+            1.0 / c.spread
+        };
         let share = (carried + 1.0 / c.spread) / 2.0;
         // Guards against shares of less than one request, which would refuse everything: at least that much.
-        let (level, depth) = ((left * share).max(most_units), (p.burst * share).max(most_units));
+        let (level, depth) = (
+            (left * share).max(most_units),
+            (p.burst * share).max(most_units),
+        );
         let rate = p.rate * share;
-        let ok = c.bucket.get_or_insert(TokenBucket { level, depth, rate, at: now }).take(now, units);
+        let ok = c
+            .bucket
+            .get_or_insert(TokenBucket {
+                level,
+                depth,
+                rate,
+                at: now,
+            })
+            .take(now, units);
         c.window.owed += if ok { units } else { 0.0 };
         ok
     }
 
     fn decide_place(&mut self, id: RequestId, heard: Option<f64>) {
-        let Some(r) = self.requests.get(&id) else { return };
+        let Some(r) = self.requests.get(&id) else {
+            return;
+        };
         let (customer, plan, done) = (r.a.customer, &self.set.plans[r.a.plan.0], r.done);
-        let Some(c) = self.customers.get(&customer) else { return };
+        let Some(c) = self.customers.get(&customer) else {
+            return;
+        };
         let ok = match heard {
             Some(total) => total <= plan.open,
             None if r.a.resent && !self.silent(customer) => false,
@@ -569,9 +799,16 @@
     /// for customers with few requests at a gateway; may hurt where one sends much through many at first.
     fn unheard_place(&mut self, customer: CustomerId) -> bool {
         let (now, held) = (self.now, self.latency.max(1.0) / 1e6);
-        let Some(c) = self.customers.get_mut(&customer) else { return false };
+        let Some(c) = self.customers.get_mut(&customer) else {
+            return false;
+        };
         let rate = PLACES_UNHEARD * self.set.plans[c.plan].open / c.spread / held;
-        let places = c.places.get_or_insert(TokenBucket { level: 1.0, depth: 1.0, rate, at: now });
+        let places = c.places.get_or_insert(TokenBucket {
+            level: 1.0,
+            depth: 1.0,
+            rate,
+            at: now,
+        });
         places.rate = rate;
         places.take(now, 1.0)
     }
@@ -579,7 +816,9 @@
     /// Puts the shared count of attempts out right where it says more than is out: a place let go.
     fn sync_places(&mut self, customer: CustomerId) {
         self.roll(customer);
-        let Some(c) = self.customers.get_mut(&customer) else { return };
+        let Some(c) = self.customers.get_mut(&customer) else {
+            return;
+        };
         let surplus = c.epoch.posted + c.epoch.posting + c.epoch.owed - c.out;
         if surplus > 0.5 && self.breaker.opened.is_none() {
             c.epoch.owed -= surplus;
@@ -590,10 +829,15 @@
     // ---- the life of a request ----
 
     fn admit(&mut self, id: RequestId) {
-        let Some(r) = self.requests.get_mut(&id) else { return };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
         if self.set.plans[r.a.plan.0].open > 0.0 {
             r.holds_place = true;
-            self.customers.get_mut(&r.a.customer).into_iter().for_each(|c| c.out += 1.0);
+            self.customers
+                .get_mut(&r.a.customer)
+                .into_iter()
+                .for_each(|c| c.out += 1.0);
         }
         if self.set.classes[r.a.class.0].by_caller {
             // Its units stay counted and its place held; from here on it has no deadline.
@@ -605,12 +849,21 @@
 
     /// What a granted request cost beside what was reserved goes onto the count with the next call.
     fn settle(&mut self, id: RequestId, units: f64) {
-        let Some(r) = self.requests.get_mut(&id).filter(|r| r.streaming && !r.done) else { return };
+        let Some(r) = self
+            .requests
+            .get_mut(&id)
+            .filter(|r| r.streaming && !r.done)
+        else {
+            return;
+        };
         let customer = r.a.customer;
         let units = units.clamp(0.0, self.set.most_units);
         let more = units - std::mem::replace(&mut r.a.units, units);
         self.roll(customer);
-        self.customers.get_mut(&customer).into_iter().for_each(|c| c.window.owed += more);
+        self.customers
+            .get_mut(&customer)
+            .into_iter()
+            .for_each(|c| c.window.owed += more);
     }
 
     /// Attempts out at each listed server, and the most that there may be.
@@ -625,14 +878,25 @@
         let p = &self.set.plans[plan.0];
         if p.rate <= 0.0 {
             let out = self.customers.get(&customer).map_or(0.0, |c| c.out);
-            return Standing { limit: p.open, remaining: (p.open - out).max(0.0), reset: Micros(0) };
+            return Standing {
+                limit: p.open,
+                remaining: (p.open - out).max(0.0),
+                reset: Micros(0),
+            };
         }
         let (length, quota) = self.window_of(plan.0);
         let shifted = now.0 + mix(customer.0) % length.0;
-        let known = self.customers.get(&customer).filter(|c| c.window.span == shifted / length.0);
+        let known = self
+            .customers
+            .get(&customer)
+            .filter(|c| c.window.span == shifted / length.0);
         let left = known.map_or(quota, |c| self.room(customer, c.window.known()));
         let reset = Micros(length.0 - shifted % length.0);
-        Standing { limit: quota, remaining: left.clamp(0.0, p.burst), reset }
+        Standing {
+            limit: quota,
+            remaining: left.clamp(0.0, p.burst),
+            reset,
+        }
     }
 
     /// Sends the next attempt, or holds the request until a server is free.
@@ -640,7 +904,11 @@
         if let Some(server) = self.pick(id) {
             return self.send(id, server);
         }
-        if let Some(r) = self.requests.get_mut(&id).filter(|r| r.held_since.is_none()) {
+        if let Some(r) = self
+            .requests
+            .get_mut(&id)
+            .filter(|r| r.held_since.is_none())
+        {
             r.held_since = Some(self.now);
             self.held.push(id);
         }
@@ -656,7 +924,9 @@
 
     fn send(&mut self, id: RequestId, server: ServerId) {
         let now = self.now;
-        let Some(r) = self.requests.get_mut(&id) else { return };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
         let class = &self.set.classes[r.a.class.0];
         // An attempt at a server out of line is given up while another could still meet the aim. Guards
         // against servers that fall silent. Nowhere else: given up by the clock alone is work done twice, and
@@ -666,18 +936,32 @@
             && r.attempts.len() + 1 < self.set.max_attempts
             && (class.effect == Effect::Safe || class.group == Group::All)
             && self.fail_share < CALM_SHARE
-            && self.servers.get(server).is_some_and(|s| s.trial || s.fail_share > 2.0 * self.fail_share);
+            && self
+                .servers
+                .get(server)
+                .is_some_and(|s| s.trial || s.fail_share > 2.0 * self.fail_share);
         let early = r.arrived + class.aim.times(1.0 - SPARE_PART);
-        let until = if again && early > now + class.aim.times(SPARE_PART) { early } else { r.a.deadline };
+        let until = if again && early > now + class.aim.times(SPARE_PART) {
+            early
+        } else {
+            r.a.deadline
+        };
         let s = self.servers.get(server);
         let (quick, usual) = s.map_or((0, 0.0), |s| (s.quick, s.latency));
-        r.attempts.push(Attempt { server, sent: now, out: true, may_have_run: false, quick });
+        r.attempts.push(Attempt {
+            server,
+            sent: now,
+            out: true,
+            may_have_run: false,
+            quick,
+        });
         let number = r.attempts.len() - 1;
         r.held_since = None;
         r.counted = None;
         let (units, until) = (r.a.units, until.min(r.a.deadline));
         let look = Micros((usual * STRAY_TIMES) as u64).max(class.aim.times(STRAY_PART));
-        let look = (class.effect == Effect::Safe && !class.stream && now + look < early).then_some(look);
+        let look =
+            (class.effect == Effect::Safe && !class.stream && now + look < early).then_some(look);
         self.flow.level = self.flow_rate() * FLOW_SPAN + units;
         self.flow.at = now;
         if let Some(s) = self.servers.get_mut(server) {
@@ -686,20 +970,28 @@
             s.cold_room.level -= units;
         }
         self.out.push(Action::Send(id, server, until));
-        look.into_iter().for_each(|look| self.timer(Timer::Stray(id, number), look));
+        look.into_iter()
+            .for_each(|look| self.timer(Timer::Stray(id, number), look));
     }
 
     /// Whether an attempt alone is late, not its server, which answered others quickly since it was sent.
     fn is_stray(&self, a: &Attempt) -> bool {
-        self.servers.get(a.server).is_some_and(|s| s.quick >= a.quick + QUICK_SINCE)
+        self.servers
+            .get(a.server)
+            .is_some_and(|s| s.quick >= a.quick + QUICK_SINCE)
     }
 
     /// Calls an attempt off that went astray, so that the request goes again. Guards against connections that
     /// fall silent while their servers work; never acts where all answers are late, as in a jam. May hurt
     /// one long piece of work among short ones.
     fn stray(&mut self, id: RequestId, attempt: usize) {
-        let Some(r) = self.requests.get(&id).filter(|r| !r.done && !r.streaming) else { return };
-        let astray = r.attempts.get(attempt).is_some_and(|a| a.out && self.is_stray(a));
+        let Some(r) = self.requests.get(&id).filter(|r| !r.done && !r.streaming) else {
+            return;
+        };
+        let astray = r
+            .attempts
+            .get(attempt)
+            .is_some_and(|a| a.out && self.is_stray(a));
         let room = r.attempts.len() < self.set.max_attempts && self.retries >= 1.0;
         if astray && room && self.set.may_cancel {
             self.out.push(Action::Cancel(id, attempt));
@@ -709,7 +1001,11 @@
     fn serve_held(&mut self) {
         let now = self.now;
         let mut waiting = std::mem::take(&mut self.held);
-        waiting.retain(|id| self.requests.get(id).is_some_and(|r| !r.done && r.held_since.is_some()));
+        waiting.retain(|id| {
+            self.requests
+                .get(id)
+                .is_some_and(|r| !r.done && r.held_since.is_some())
+        });
         // In overload the least worth for its work waits longest and is refused first.
         let room = |r: &Request| if self.floor.is_some() { r.a.units } else { 1.0 };
         let dense = |r: &Request| (self.worth(r) / room(r) * 1e6) as u64;
@@ -731,54 +1027,84 @@
 
     /// Refuses with a retry-after where that is allowed, or fails.
     fn refuse(&mut self, id: RequestId) {
-        let Some(class) = self.requests.get(&id).map(|r| r.a.class) else { return };
+        let Some(class) = self.requests.get(&id).map(|r| r.a.class) else {
+            return;
+        };
         let soon = self.soon(class);
         let r = &self.requests[&id];
         let (p, c) = (&self.set.plans[r.a.plan.0], &self.customers[&r.a.customer]);
         let short = r.a.units - c.window.level(self.now, c.window.known(), p.rate, p.burst);
         let refill = Micros((short.max(0.0) / p.rate * 1e6) as u64);
-        let wait = soon.filter(|_| p.rate > 0.0).map(|s| s.max(refill).min(self.set.max_retry_after));
-        let answer = if self.may_refuse(r) { Action::Refuse(id, wait) } else { Action::Fail(id) };
+        let wait = soon
+            .filter(|_| p.rate > 0.0)
+            .map(|s| s.max(refill).min(self.set.max_retry_after));
+        let answer = if self.may_refuse(r) {
+            Action::Refuse(id, wait)
+        } else {
+            Action::Fail(id)
+        };
         if let Some(c) = self.customers.get_mut(&r.a.customer) {
-            c.refused = Some(Refusal { class: r.a.class, units: r.a.units, at: self.now });
+            c.refused = Some(Refusal {
+                class: r.a.class,
+                units: r.a.units,
+                at: self.now,
+            });
         }
         self.finish(id, Some(answer));
     }
 
     /// The request has its final answer; what is still out is called off.
     fn finish(&mut self, id: RequestId, answer: Option<Action>) {
-        let Some(r) = self.requests.get_mut(&id) else { return };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
         if !r.done {
             r.done = true;
             self.out.extend(answer);
             let recall = self.set.may_cancel && !r.streaming;
-            let still_out = r.attempts.iter().enumerate().filter(|(_, a)| a.out && recall);
-            self.out.extend(still_out.map(|(i, _)| Action::Cancel(id, i)));
+            let still_out = r
+                .attempts
+                .iter()
+                .enumerate()
+                .filter(|(_, a)| a.out && recall);
+            self.out
+                .extend(still_out.map(|(i, _)| Action::Cancel(id, i)));
         }
         self.let_go(id);
     }
 
     /// Forgets a finished request once nothing of it is out, and frees its place.
     fn let_go(&mut self, id: RequestId) {
-        let Some(r) = self.requests.get_mut(&id).filter(|r| r.done && !r.is_out()) else { return };
+        let Some(r) = self.requests.get_mut(&id).filter(|r| r.done && !r.is_out()) else {
+            return;
+        };
         let customer = r.a.customer;
         let (held, counted) = (std::mem::take(&mut r.holds_place), r.counted.take());
         // A call still out needs to know whether the request went on.
         if r.asking == 0 {
             self.requests.remove(&id);
         }
-        counted.into_iter().for_each(|(span, units)| self.take_back(customer, span, units));
+        counted
+            .into_iter()
+            .for_each(|(span, units)| self.take_back(customer, span, units));
         if held {
-            self.customers.get_mut(&customer).into_iter().for_each(|c| c.out -= 1.0);
+            self.customers
+                .get_mut(&customer)
+                .into_iter()
+                .for_each(|c| c.out -= 1.0);
             self.sync_places(customer);
         }
     }
 
     fn on_attempt(&mut self, end: AttemptEnd) {
         let (id, outcome) = (end.id, end.outcome);
-        let Some(r) = self.requests.get_mut(&id) else { return };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
         let named = r.attempts.get_mut(end.attempt);
-        let Some(a) = named.filter(|a| a.out && a.server == end.server) else { return };
+        let Some(a) = named.filter(|a| a.out && a.server == end.server) else {
+            return;
+        };
         a.out = false;
         a.may_have_run = !outcome.never_ran();
         let sent = a.clone();
@@ -813,7 +1139,8 @@
 
     /// This gateway's part in the bound at one server: one where few gateways share it, else by how many do.
     fn scale(&self) -> f64 {
-        let sharing = f64::from(self.set.gateways) * self.reach() as f64 / self.ring.len().max(1) as f64;
+        let sharing =
+            f64::from(self.set.gateways) * self.reach() as f64 / self.ring.len().max(1) as f64;
         (FLEET_START / LIMIT_START / sharing.max(1e-9)).min(1.0)
     }
 
@@ -827,11 +1154,14 @@
     /// gateways in a row, through which one customer comes.
     fn own_part_first(&self) -> impl Iterator<Item = &(ServerId, Server)> + '_ {
         let (before, own) = self.ring.split_at(self.own_start());
-        own.iter().chain(before).map(|&place| self.servers.at(place))
+        own.iter()
+            .chain(before)
+            .map(|&place| self.servers.at(place))
     }
 
     fn own_start(&self) -> usize {
-        let start = (f64::from(self.set.me) * 0.618_033_988_749_895).fract() * self.ring.len() as f64;
+        let start =
+            (f64::from(self.set.me) * 0.618_033_988_749_895).fract() * self.ring.len() as f64;
         (start as usize).min(self.ring.len())
     }
 
@@ -842,7 +1172,11 @@
             return self.summed.1;
         }
         let scale = self.scale();
-        let fit = self.own_part_first().take(reach).map(|(_, s)| s).filter(|s| self.healthy(s));
+        let fit = self
+            .own_part_first()
+            .take(reach)
+            .map(|(_, s)| s)
+            .filter(|s| self.healthy(s));
         let most: f64 = fit.map(|s| s.limit * scale).sum();
         self.summed = (self.now, most);
         most
@@ -869,7 +1203,10 @@
         let mut best: Option<(f64, ServerId)> = None;
         let mut look = |at: &(ServerId, Server)| {
             let score = self.score(r, at, scale, any_healthy, salt, toward);
-            best = score.filter(|score| best.is_none_or(|(b, _)| *score < b)).map(|s| (s, at.0)).or(best);
+            best = score
+                .filter(|score| best.is_none_or(|(b, _)| *score < b))
+                .map(|s| (s, at.0))
+                .or(best);
             best.is_some()
         };
         // Of a large part some are drawn: the best of many is hardly better, and a look at all costs more
@@ -890,7 +1227,11 @@
 
     /// The zone that a request goes to first, drawn by what each should bear; none: sites are not watched.
     fn toward(&mut self) -> Option<ZoneId> {
-        let mut draw = if self.sites.is_empty() { 1.0 } else { self.rng.f64() };
+        let mut draw = if self.sites.is_empty() {
+            1.0
+        } else {
+            self.rng.f64()
+        };
         let mut drawn = self.sites.iter().skip_while(|s| {
             draw -= s.share;
             draw >= 0.0
@@ -910,11 +1251,19 @@
     ) -> Option<f64> {
         let (sid, s) = at;
         // With nothing healthy left, one at a time to whatever is listed.
-        let most = if fit { (s.limit * scale).floor().max(1.0) } else { 1.0 };
+        let most = if fit {
+            (s.limit * scale).floor().max(1.0)
+        } else {
+            1.0
+        };
         if s.out >= most || fit && !self.healthy(s) || !self.may_send(r, s) {
             return None;
         }
-        let slow = if self.latency > 0.0 { (s.latency / self.latency).clamp(0.7, 2.0) } else { 1.0 };
+        let slow = if self.latency > 0.0 {
+            (s.latency / self.latency).clamp(0.7, 2.0)
+        } else {
+            1.0
+        };
         let tried = r.attempts.iter().filter(|a| a.server == *sid).count() as f64;
         // Elsewhere than drawn only where that zone has no place, and never to one that is closed.
         let closed = || self.sites.iter().any(|z| z.zone == s.zone && !z.open);
@@ -927,7 +1276,14 @@
         let mut score = (s.out + 1.0) * slow / s.weight * (1.0 + 3.0 * s.fail_share) + 4.0 * tried;
         score *= 1.0 + 0.1 * (mix(salt ^ sid.0) as f64 / u64::MAX as f64) + far;
         // A server on trial is asked sooner, or one that failed would never be tried again.
-        Some(score * if s.trial && r.attempts.is_empty() { 0.3 } else { 1.0 })
+        Some(
+            score
+                * if s.trial && r.attempts.is_empty() {
+                    0.3
+                } else {
+                    1.0
+                },
+        )
     }
 
     fn healthy(&self, s: &Server) -> bool {
@@ -936,28 +1292,48 @@
 
     // ---- health and cold starts ----
 
-    fn judge(&mut self, server: ServerId, outcome: Outcome, took: Micros, aim: Micros, stray: bool) {
+    fn judge(
+        &mut self,
+        server: ServerId,
+        outcome: Outcome,
+        took: Micros,
+        aim: Micros,
+        stray: bool,
+    ) {
         let now = self.now;
-        let (jitter, scale, overloaded) = (0.75 + 0.5 * self.rng.f64(), self.scale(), self.overloaded());
-        let Some(s) = self.servers.get_mut(server) else { return };
+        let (jitter, scale, overloaded) =
+            (0.75 + 0.5 * self.rng.f64(), self.scale(), self.overloaded());
+        let Some(s) = self.servers.get_mut(server) else {
+            return;
+        };
         s.out = (s.out - 1.0).max(0.0);
         self.out_now = (self.out_now - 1.0).max(0.0);
         // Guards against servers that hold too much and work worse for it, by overload or by a trouble of
         // their own: the bound gives way fast and comes back slowly. May hurt just after short stalls.
         let held = took + Micros(2 * s.latency as u64);
-        let late = matches!(outcome, Outcome::Ok | Outcome::Cancelled) && held > aim.times(LATE_PART);
+        let late =
+            matches!(outcome, Outcome::Ok | Outcome::Cancelled) && held > aim.times(LATE_PART);
         let unheard = matches!(outcome, Outcome::Cancelled | Outcome::Timeout) && stray;
         let jammed = !unheard && (late || matches!(outcome, Outcome::Full | Outcome::Timeout));
         s.quick += u64::from(outcome == Outcome::Ok && took < aim.times(GROW_PART));
         // A late answer now and then is the work's own time: the more of them come, the more each one tells.
         // Guards against a throttle outlasting its cause where few answers come: good news weighs by the time
         // since the last, here and in a server's usual time.
-        let fresh = 1.0 - (-(now - std::mem::replace(&mut self.judged, now)).secs() / FLOW_SPAN).exp();
+        let fresh =
+            1.0 - (-(now - std::mem::replace(&mut self.judged, now)).secs() / FLOW_SPAN).exp();
         let news = if jammed { SMOOTH } else { SMOOTH.max(fresh) };
         self.late_share += news * (f64::from(u8::from(jammed)) - self.late_share);
         let late = (self.late_share / PASS_LATE).min(1.0);
-        let (cut, back) = (1.0 - (1.0 - PASS_CUT) * late, PASS_GROW.max(PASS_BACK * fresh * (1.0 - late)));
-        self.pass = if jammed { self.pass * cut } else { self.pass + back }.clamp(LEAST_PART, 1.0);
+        let (cut, back) = (
+            1.0 - (1.0 - PASS_CUT) * late,
+            PASS_GROW.max(PASS_BACK * fresh * (1.0 - late)),
+        );
+        self.pass = if jammed {
+            self.pass * cut
+        } else {
+            self.pass + back
+        }
+        .clamp(LEAST_PART, 1.0);
         if jammed {
             s.limit = (s.limit * LIMIT_CUT).max(LIMIT_LEAST);
         } else if outcome == Outcome::Ok
@@ -967,7 +1343,8 @@
             s.limit += LIMIT_GROW;
             self.calm_out *= if overloaded { CALM_GROW } else { 1.0 };
         }
-        let ill = !matches!(outcome, Outcome::Ok | Outcome::Cancelled | Outcome::Moot) || took > aim;
+        let ill =
+            !matches!(outcome, Outcome::Ok | Outcome::Cancelled | Outcome::Moot) || took > aim;
         // One connection may break while a request goes out: the second in a row tells of the server.
         let unmade = outcome == Outcome::ConnectFailed;
         let alone = unmade && s.unreached.is_none();
@@ -985,7 +1362,11 @@
         if outcome == Outcome::Ok {
             let sample = took.0 as f64;
             for (smooth, weight) in [(&mut s.latency, weight), (&mut self.latency, SMOOTH)] {
-                *smooth = if *smooth == 0.0 { sample } else { *smooth + weight * (sample - *smooth) };
+                *smooth = if *smooth == 0.0 {
+                    sample
+                } else {
+                    *smooth + weight * (sample - *smooth)
+                };
             }
             if !bad && std::mem::take(&mut s.trial) {
                 s.fail_share = 0.0; // The trial is passed.
@@ -994,11 +1375,19 @@
             }
             // Guards against a restart that the list has not told yet: connects failed for a while, no answer
             // between, and now it answers, so it is taken to be cold.
-            let unreached = s.unreached.take().is_some_and(|(first, last)| last - first > UNREACHED);
+            let unreached = s
+                .unreached
+                .take()
+                .is_some_and(|(first, last)| last - first > UNREACHED);
             if unreached && s.cold_since.is_none() {
                 s.cold_since = Some(now);
                 self.cold += 1;
-                s.cold_room = TokenBucket { level: 0.0, depth: 1.0, rate: 0.0, at: now };
+                s.cold_room = TokenBucket {
+                    level: 0.0,
+                    depth: 1.0,
+                    rate: 0.0,
+                    at: now,
+                };
             }
         }
         if !bad {
@@ -1033,10 +1422,25 @@
         }
         let many = self.sparse();
         let usable = |s: &&Server| s.listed && now >= s.ejected_until;
-        let warm: f64 =
-            self.servers.values().filter(usable).filter(|s| s.cold_since.is_none()).map(|s| s.weight).sum();
-        let all: f64 = self.servers.values().filter(|s| s.listed).map(|s| s.weight).sum();
-        let per_weight = self.flow_rate() / if warm * 3.0 >= all { warm } else { all.max(1e-9) };
+        let warm: f64 = self
+            .servers
+            .values()
+            .filter(usable)
+            .filter(|s| s.cold_since.is_none())
+            .map(|s| s.weight)
+            .sum();
+        let all: f64 = self
+            .servers
+            .values()
+            .filter(|s| s.listed)
+            .map(|s| s.weight)
+            .sum();
+        let per_weight = self.flow_rate()
+            / if warm * 3.0 >= all {
+                warm
+            } else {
+                all.max(1e-9)
+            };
         for s in self.servers.values_mut() {
             let Some(since) = s.cold_since else { continue };
             if now >= since + set.cold {
@@ -1044,7 +1448,8 @@
                 self.cold -= 1;
                 continue;
             }
-            let part = set.cold_from + (1.0 - set.cold_from) * ((now - since).secs() / set.cold.secs());
+            let part =
+                set.cold_from + (1.0 - set.cold_from) * ((now - since).secs() / set.cold.secs());
             s.cold_room.rate = per_weight * s.weight * part * (set.fall_multiple / 2.0).min(1.0);
             s.cold_room.fill(now);
             // Guards against hundreds of gateways that each saved up one request: unused, leave soon lapses.
@@ -1064,21 +1469,37 @@
         }
         let (now, cold, units) = (self.now, self.set.cold, self.set.most_units);
         for e in entries {
-            let new = || Server { limit: LIMIT_START, ..Server::default() };
+            let new = || Server {
+                limit: LIMIT_START,
+                ..Server::default()
+            };
             let s = self.servers.get_or_insert(e.server, new);
             let started = e.started.filter(|&at| now < at + cold);
             if started.is_some_and(|started| s.cold_since.is_none_or(|at| at < started)) {
                 // A new life: nothing held against the old one counts, and it starts slowly.
-                *s = Server { out: s.out, ..new() };
+                *s = Server {
+                    out: s.out,
+                    ..new()
+                };
                 let level = -units * (1.0 + self.rng.f64()); // Seeded: gateways do not all send at once.
-                s.cold_room = TokenBucket { level, depth: 1.0, rate: 0.0, at: now };
+                s.cold_room = TokenBucket {
+                    level,
+                    depth: 1.0,
+                    rate: 0.0,
+                    at: now,
+                };
             }
             s.cold_since = started.or(s.cold_since);
-            (s.zone, s.cell, s.weight) = (e.zone, e.cell, if e.weight > 0.0 { e.weight } else { 1.0 });
+            (s.zone, s.cell, s.weight) =
+                (e.zone, e.cell, if e.weight > 0.0 { e.weight } else { 1.0 });
             s.listed = e.listed == Listed::InService;
         }
         self.ring = self.servers.listed();
-        self.cold = self.servers.values().filter(|s| s.cold_since.is_some()).count();
+        self.cold = self
+            .servers
+            .values()
+            .filter(|s| s.cold_since.is_some())
+            .count();
         self.summed = (Micros(0), 0.0);
         self.serve_held();
     }
@@ -1086,14 +1507,18 @@
     // ---- guards of the rules: every send and every refusal passes here ----
 
     fn may_repeat(&self, id: RequestId) -> bool {
-        self.requests.get(&id).is_some_and(|r| self.servers.values().any(|s| self.may_send(r, s)))
+        self.requests
+            .get(&id)
+            .is_some_and(|r| self.servers.values().any(|s| self.may_send(r, s)))
     }
 
     /// Whether this request may go to this server now: lists and drains, effect, copies, cold servers.
     fn may_send(&self, r: &Request, s: &Server) -> bool {
         let class = &self.set.classes[r.a.class.0];
-        let over =
-            r.done || r.streaming || self.now >= r.a.deadline || r.attempts.len() >= self.set.max_attempts;
+        let over = r.done
+            || r.streaming
+            || self.now >= r.a.deadline
+            || r.attempts.len() >= self.set.max_attempts;
         let pushed = s.cold_since.is_some() && s.cold_room.level <= 0.0;
         let second = r.is_out() && !self.set.second_copies;
         // Half a body must not pass for a whole one: what is no longer held went with the first attempt.
@@ -1107,12 +1532,16 @@
             Effect::Unsafe => ran.next().is_none(),
             // The window counts from the first send that may have run; a repeat may wait for its connection.
             Effect::Keyed => ran.all(|a| {
-                self.now + self.set.tick + self.set.tick + self.set.dial_timeout < a.sent + class.window
-                    && self.servers.get(a.server).is_some_and(|first| match class.group {
-                        Group::All => true,
-                        Group::Zone => first.zone == s.zone,
-                        Group::Cell => first.cell == s.cell,
-                    })
+                self.now + self.set.tick + self.set.tick + self.set.dial_timeout
+                    < a.sent + class.window
+                    && self
+                        .servers
+                        .get(a.server)
+                        .is_some_and(|first| match class.group {
+                            Group::All => true,
+                            Group::Zone => first.zone == s.zone,
+                            Group::Cell => first.cell == s.cell,
+                        })
             }),
         }
     }
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -183,7 +183,11 @@
     pub(crate) fn get_mut(&mut self, id: ServerId) -> Option<&mut Server> {
         self.place(id).ok().map(|i| &mut self.0[i].1)
     }
-    pub(crate) fn get_or_insert(&mut self, id: ServerId, new: impl FnOnce() -> Server) -> &mut Server {
+    pub(crate) fn get_or_insert(
+        &mut self,
+        id: ServerId,
+        new: impl FnOnce() -> Server,
+    ) -> &mut Server {
         let place = self.place(id).unwrap_or_else(|place| {
             self.0.insert(place, (id, new()));
             place
--- a/crates/proto/build.rs
+++ b/crates/proto/build.rs
@@ -22,6 +22,8 @@
     let set = protox::compile(FILES, ["proto"])?;
     let out = std::path::PathBuf::from(std::env::var("OUT_DIR")?);
     std::fs::write(out.join("descriptors.bin"), set.encode_to_vec())?;
-    prost_build::Config::new().include_file("all.rs").compile_fds(set)?;
+    prost_build::Config::new()
+        .include_file("all.rs")
+        .compile_fds(set)?;
     Ok(())
 }
--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -7,4 +7,8 @@
     include!(concat!(env!("OUT_DIR"), "/all.rs"));
 }
 pub use generated::*;
+
+/// The encoded `FileDescriptorSet` of all these messages and services.
+pub const DESCRIPTORS: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/descriptors.bin"));
+
 pub mod text;
--- a/crates/proto/src/text/tests.rs
+++ b/crates/proto/src/text/tests.rs
@@ -6,7 +6,11 @@
 
 #[test]
 fn an_error_names_its_line() {
-    let wrong = ["fleet: 3\n\nflet: 4\n", "fleet: 3\nclasses {\n  aim_ms: -1\n}\n", "fleet: 3\nzone: \"a\n"];
+    let wrong = [
+        "fleet: 3\n\nflet: 4\n",
+        "fleet: 3\nclasses {\n  aim_ms: -1\n}\n",
+        "fleet: 3\nzone: \"a\n",
+    ];
     let lines = wrong.map(|text| parse::<Gateway>(NAME, text).expect_err("it is wrong").line);
     assert_eq!(lines, [3, 3, 2]);
 }
--- a/crates/resp/src/answers.rs
+++ b/crates/resp/src/answers.rs
@@ -13,7 +13,10 @@
 
 impl<T> Default for Answers<T> {
     fn default() -> Answers<T> {
-        Answers { slots: VecDeque::new(), first: 0 }
+        Answers {
+            slots: VecDeque::new(),
+            first: 0,
+        }
     }
 }
 
@@ -33,7 +36,10 @@
     }
     /// Fills a slot; one that was taken before is left alone.
     pub fn answer(&mut self, slot: u64, answer: T) {
-        if let Some(place) = slot.checked_sub(self.first).and_then(|i| self.slots.get_mut(i as usize)) {
+        if let Some(place) = slot
+            .checked_sub(self.first)
+            .and_then(|i| self.slots.get_mut(i as usize))
+        {
             *place = Some(answer);
         }
     }
--- a/crates/resp/src/command.rs
+++ b/crates/resp/src/command.rs
@@ -23,7 +23,13 @@
     while !bytes.is_empty() {
         if bytes[0] != b'*' {
             if !bounds.inline {
-                return Front::Bad(What::Mark { expected: "'*'", found: bytes[0] }.into());
+                return Front::Bad(
+                    What::Mark {
+                        expected: "'*'",
+                        found: bytes[0],
+                    }
+                    .into(),
+                );
             }
             match inline(bytes, bounds) {
                 Front::Command(words) if words.is_empty() => continue,
@@ -41,7 +47,9 @@
         let command = bytes.split_to(end).freeze();
         return match resp2::decode::decode_bytes(&command) {
             Ok(Some((Frame::Array(words), _))) if words.is_empty() => continue,
-            Ok(Some((Frame::Array(words), _))) => Front::Command(words.into_iter().map(word).collect()),
+            Ok(Some((Frame::Array(words), _))) => {
+                Front::Command(words.into_iter().map(word).collect())
+            }
             _ => Front::Bad(What::Shape("an array of bulk strings").into()),
         };
     }
@@ -66,8 +74,13 @@
         };
     };
     let line = bytes.split_to(end + 1).freeze();
-    let words = line.split(|b| b.is_ascii_whitespace()).filter(|w| !w.is_empty());
-    let words: Vec<Bytes> = words.take(bounds.words + 1).map(|w| line.slice_ref(w)).collect();
+    let words = line
+        .split(|b| b.is_ascii_whitespace())
+        .filter(|w| !w.is_empty());
+    let words: Vec<Bytes> = words
+        .take(bounds.words + 1)
+        .map(|w| line.slice_ref(w))
+        .collect();
     if words.len() > bounds.words {
         return Front::Bad(What::Words.into());
     }
--- a/crates/resp/src/guard.rs
+++ b/crates/resp/src/guard.rs
@@ -37,18 +37,28 @@
     let rest = &bytes[at..];
     let Some(end) = rest.windows(2).take(DIGITS).position(|w| w == b"\r\n") else {
         let digits = rest.strip_suffix(b"\r").unwrap_or(rest);
-        let hopeless =
-            rest.len() > DIGITS || !(b"-1".starts_with(digits) || digits.iter().all(u8::is_ascii_digit));
-        return if hopeless { Length::Bad } else { Length::Partial };
+        let hopeless = rest.len() > DIGITS
+            || !(b"-1".starts_with(digits) || digits.iter().all(u8::is_ascii_digit));
+        return if hopeless {
+            Length::Bad
+        } else {
+            Length::Partial
+        };
     };
     let (digits, next) = (&rest[..end], at + end + 2);
     if digits == b"-1" {
         return Length::Of { value: None, next };
     }
     let plain = digits.iter().all(u8::is_ascii_digit);
-    let number = std::str::from_utf8(digits).ok().filter(|_| plain).and_then(|t| t.parse::<usize>().ok());
+    let number = std::str::from_utf8(digits)
+        .ok()
+        .filter(|_| plain)
+        .and_then(|t| t.parse::<usize>().ok());
     match number.filter(|n| *n <= most) {
-        Some(value) => Length::Of { value: Some(value), next },
+        Some(value) => Length::Of {
+            value: Some(value),
+            next,
+        },
         None => Length::Bad,
     }
 }
@@ -56,7 +66,10 @@
 /// A bulk string whose mark was read; null only where it is allowed.
 fn bulk(bytes: &[u8], at: usize, bounds: &Bounds, null: bool) -> Extent {
     let end = match length(bytes, at, bounds.word) {
-        Length::Of { value: Some(value), next } => next + value + 2,
+        Length::Of {
+            value: Some(value),
+            next,
+        } => next + value + 2,
         Length::Of { value: None, next } if null => return Extent::Whole(next),
         Length::Partial => return Extent::Partial,
         _ => return Extent::Bad(What::Length("bulk")),
@@ -76,7 +89,10 @@
 /// How far a command reaches: an array of strings, each within its bounds.
 pub(crate) fn command(bytes: &[u8], bounds: &Bounds) -> Extent {
     let (words, mut at) = match length(bytes, 1, bounds.words) {
-        Length::Of { value: Some(value), next } => (value, next),
+        Length::Of {
+            value: Some(value),
+            next,
+        } => (value, next),
         Length::Partial => return Extent::Partial,
         _ => return Extent::Bad(What::Length("multibulk")),
     };
@@ -84,7 +100,12 @@
         match bytes.get(at) {
             None => return Extent::Partial,
             Some(b'$') => {}
-            Some(other) => return Extent::Bad(What::Mark { expected: "'$'", found: *other }),
+            Some(other) => {
+                return Extent::Bad(What::Mark {
+                    expected: "'$'",
+                    found: *other,
+                })
+            }
         }
         match bulk(bytes, at + 1, bounds, false) {
             Extent::Whole(end) => at = end,
@@ -114,7 +135,10 @@
         None => Extent::Partial,
         Some(b'$') => bulk(bytes, at + 1, bounds, true),
         Some(b'+' | b'-' | b':') => line(bytes, at + 1, bounds.line),
-        Some(other) => Extent::Bad(What::Mark { expected: "a reply", found: *other }),
+        Some(other) => Extent::Bad(What::Mark {
+            expected: "a reply",
+            found: *other,
+        }),
     }
 }
 
@@ -124,7 +148,10 @@
         return item(bytes, 0, bounds);
     }
     let (items, mut at) = match length(bytes, 1, bounds.words) {
-        Length::Of { value: Some(value), next } => (value, next),
+        Length::Of {
+            value: Some(value),
+            next,
+        } => (value, next),
         Length::Of { value: None, next } => return Extent::Whole(next),
         Length::Partial => return Extent::Partial,
         Length::Bad => return Extent::Bad(What::Length("array")),
--- a/crates/resp/src/reply.rs
+++ b/crates/resp/src/reply.rs
@@ -23,7 +23,9 @@
         return Reply::Partial;
     }
     let end = match guard::reply(bytes, bounds) {
-        Extent::Partial if bytes.len() > bounds.message => return Reply::Bad(What::TooBig("a reply").into()),
+        Extent::Partial if bytes.len() > bounds.message => {
+            return Reply::Bad(What::TooBig("a reply").into())
+        }
         Extent::Partial => return Reply::Partial,
         Extent::Bad(what) => return Reply::Bad(what.into()),
         Extent::Whole(end) => end,
--- a/crates/site/src/api.rs
+++ b/crates/site/src/api.rs
@@ -170,7 +170,11 @@
 
 impl Floor {
     /// All are let in.
-    pub const NONE: Floor = Floor { sure: 0.0, from: 0.0, part: 1.0 };
+    pub const NONE: Floor = Floor {
+        sure: 0.0,
+        from: 0.0,
+        part: 1.0,
+    };
 
     /// The part of the requests of that worth for each unit of room that is let in.
     pub fn admits(&self, worth: f64) -> f64 {
--- a/crates/site/src/core.rs
+++ b/crates/site/src/core.rs
@@ -65,8 +65,13 @@
                 self.offered.add(now, units);
                 self.order.offered(worth, units);
             }
-            Event::Sent(server) => self.of(server).into_iter().for_each(|s| s.sent(now, server)),
-            Event::Ended(server, how, took, aim, units) => self.on_end(now, server, how, took, aim, units),
+            Event::Sent(server) => self
+                .of(server)
+                .into_iter()
+                .for_each(|s| s.sent(now, server)),
+            Event::Ended(server, how, took, aim, units) => {
+                self.on_end(now, server, how, took, aim, units)
+            }
             Event::Places(places) => self.on_places(places),
             Event::Final(served, waited, aim) => {
                 let flow: f64 = self.sites.values().map(|s| s.room.flow(now)).sum();
@@ -90,7 +95,10 @@
         let mut new = Vec::new();
         for l in list {
             new.extend((!self.sites.contains_key(&l.site)).then_some(l.site));
-            let site = self.sites.entry(l.site).or_insert_with(|| Site::new(l.site));
+            let site = self
+                .sites
+                .entry(l.site)
+                .or_insert_with(|| Site::new(l.site));
             let server = site.servers.entry(l.server).or_default();
             if server.started != l.started && l.started.is_some() {
                 *server = Server::default();
@@ -104,10 +112,12 @@
         let named: HashMap<u64, SiteId> = list.iter().map(|l| (l.server, l.site)).collect();
         for site in self.sites.values_mut() {
             let id = site.id;
-            site.servers.retain(|server, _| named.get(server) == Some(&id));
+            site.servers
+                .retain(|server, _| named.get(server) == Some(&id));
         }
         self.site_of.retain(|server, _| named.contains_key(server));
-        let kept = |s: &Site| !s.servers.is_empty() || s.state == State::HeldOut || now < s.since + FORGET;
+        let kept =
+            |s: &Site| !s.servers.is_empty() || s.state == State::HeldOut || now < s.since + FORGET;
         self.sites.retain(|_, s| kept(s));
         new.into_iter().for_each(|site| self.begin_cold(now, site));
         self.look(now);
@@ -116,10 +126,17 @@
     /// A site that is new here, as all are to a gateway that starts, while servers of it are cold: as after a return.
     fn begin_cold(&mut self, now: u64, id: SiteId) {
         let (seed, cold) = (self.seed(id), self.set.cold);
-        let Some(site) = self.sites.get_mut(&id) else { return };
+        let Some(site) = self.sites.get_mut(&id) else {
+            return;
+        };
         let is_warm = |s: &&Server| s.started.is_none_or(|at| now >= at.saturating_add(cold));
         let all: f64 = site.servers.values().map(|s| s.weight).sum();
-        let warm: f64 = site.servers.values().filter(is_warm).map(|s| s.weight).sum();
+        let warm: f64 = site
+            .servers
+            .values()
+            .filter(is_warm)
+            .map(|s| s.weight)
+            .sum();
         if warm < all {
             site.enter(now, State::Returning);
             let mut pace = Pace::begin(now, seed, true);
@@ -140,7 +157,12 @@
         };
         // One who does not answer at all teaches nothing of room: that is what states are for.
         if matches!(how, How::Answered | How::Full) {
-            site.room.ended(now, if how == How::Full { 0.0 } else { units }, strained, even * LEARNS);
+            site.room.ended(
+                now,
+                if how == How::Full { 0.0 } else { units },
+                strained,
+                even * LEARNS,
+            );
         }
         site.pace.iter_mut().for_each(|p| p.ended(now, strained));
     }
@@ -148,14 +170,18 @@
     fn on_places(&mut self, places: &[(u64, f64, f64)]) {
         self.sites.values_mut().for_each(|s| s.places = (0.0, 0.0));
         for (server, out, most) in places {
-            let Some(site) = self.of(*server) else { continue };
+            let Some(site) = self.of(*server) else {
+                continue;
+            };
             site.places = (site.places.0 + out, site.places.1 + most);
         }
     }
 
     fn on_command(&mut self, now: u64, site: SiteId, command: Command) {
         let seed = self.seed(site);
-        let Some(site) = self.sites.get_mut(&site) else { return };
+        let Some(site) = self.sites.get_mut(&site) else {
+            return;
+        };
         match command {
             Command::Drain | Command::Hold => site.enter(now, State::HeldOut),
             Command::LetBack if site.state == State::HeldOut => {
@@ -172,11 +198,16 @@
 
     /// Moves the states on by what is known now.
     fn look(&mut self, now: u64) {
-        let verdicts: Vec<(SiteId, State)> =
-            self.sites.values().map(|s| (s.id, next(s.state, self.seen(now, s)))).collect();
+        let verdicts: Vec<(SiteId, State)> = self
+            .sites
+            .values()
+            .map(|s| (s.id, next(s.state, self.seen(now, s))))
+            .collect();
         for (id, state) in verdicts {
             let (seed, cold) = (self.seed(id), self.cold_part(now, id));
-            let Some(site) = self.sites.get_mut(&id) else { continue };
+            let Some(site) = self.sites.get_mut(&id) else {
+                continue;
+            };
             site.room.look(now);
             if state != site.state {
                 let new_loss = state.is_out() && !site.state.is_out();
@@ -194,7 +225,12 @@
             site.pace.iter_mut().for_each(|p| p.look(now, cold));
             site.size = site.sizes().1;
         }
-        self.sizes = self.sites.values().filter(|s| !s.state.is_out()).map(|s| s.size).sum();
+        self.sizes = self
+            .sites
+            .values()
+            .filter(|s| !s.state.is_out())
+            .map(|s| s.size)
+            .sum();
     }
 
     fn seen(&self, now: u64, site: &Site) -> Seen {
@@ -205,7 +241,10 @@
             hold_over: now >= site.held.until,
             heard: site.heard_since(site.since + 1),
             pacing: site.pace.is_some(),
-            paced: site.pace.as_ref().is_some_and(|p| p.done(now, self.cold_part(now, site.id))),
+            paced: site
+                .pace
+                .as_ref()
+                .is_some_and(|p| p.done(now, self.cold_part(now, site.id))),
         }
     }
 
@@ -226,19 +265,30 @@
         };
         let (all, quiet) = (others().count(), others().filter(silent).count());
         let (failed, answered) = self.counter;
-        let counter_silent = failed.is_some_and(|f| now < f + TOGETHER && answered.is_none_or(|a| a < f));
+        let counter_silent =
+            failed.is_some_and(|f| now < f + TOGETHER && answered.is_none_or(|a| a < f));
         quiet * 2 > all && all > 1 || all == 1 && counter_silent
     }
 
     /// The part of its capacity that a site has from cold servers, as all gateways see it.
     fn cold_part(&self, now: u64, id: SiteId) -> f64 {
-        let Some(site) = self.sites.get(&id) else { return 1.0 };
+        let Some(site) = self.sites.get(&id) else {
+            return 1.0;
+        };
         let (mut all, mut part) = (0.0, 0.0);
         for s in site.servers.values().filter(|s| s.in_service) {
             let age = s.started.map_or(u64::MAX, |at| now.saturating_sub(at));
-            let warm = if age >= self.set.cold { 1.0 } else { age as f64 / self.set.cold.max(1) as f64 };
+            let warm = if age >= self.set.cold {
+                1.0
+            } else {
+                age as f64 / self.set.cold.max(1) as f64
+            };
             let now_part = self.set.cold_from + (1.0 - self.set.cold_from) * warm;
-            let borne = if warm >= 1.0 { 1.0 } else { now_part * (self.set.fall_multiple / 2.0).min(1.0) };
+            let borne = if warm >= 1.0 {
+                1.0
+            } else {
+                now_part * (self.set.fall_multiple / 2.0).min(1.0)
+            };
             all += s.weight;
             part += s.weight * borne;
         }
@@ -254,7 +304,11 @@
         self.look(now);
         self.order.fade(now);
         let load = self.offered.per_second(now).max(LOAD_LEAST);
-        let parts: Vec<Part> = self.sites.values().map(|s| self.part(now, s, load)).collect();
+        let parts: Vec<Part> = self
+            .sites
+            .values()
+            .map(|s| self.part(now, s, load))
+            .collect();
         let level = self.level.0;
         let mut given = shares(load, &parts);
         self.probe(load, &mut given);
@@ -268,7 +322,11 @@
             pace: s.pace.as_ref().map_or(1.0, |p| p.part),
             places: s.places,
         });
-        Plan { sites: views.collect(), level, floor: self.order.floor(level) }
+        Plan {
+            sites: views.collect(),
+            level,
+            floor: self.order.floor(level),
+        }
     }
 
     fn part(&self, now: u64, s: &Site, load: f64) -> Part {
@@ -276,7 +334,11 @@
         let even = load * heard / self.sizes.max(1e-9);
         // With all places taken it takes what comes back from it and no more, whatever was learnt before.
         let open = s.room.most().unwrap_or(f64::INFINITY);
-        let most = if s.full() { open.min(s.room.flow(now).max(even * LEARNS)) } else { open };
+        let most = if s.full() {
+            open.min(s.room.flow(now).max(even * LEARNS))
+        } else {
+            open
+        };
         let room = match s.state {
             _ if listed <= 0.0 || s.state.is_out() => 0.0,
             State::Doubtful => most.min(even) * DOUBTFUL,
@@ -284,8 +346,16 @@
             _ => most,
         };
         // Where all is lost the list's sizes part the load, but an operator's word holds.
-        let weight = if s.state == State::HeldOut { 0.0 } else { listed.max(heard) };
-        Part { room, weight, near: s.id == self.set.own }
+        let weight = if s.state == State::HeldOut {
+            0.0
+        } else {
+            listed.max(heard)
+        };
+        Part {
+            room,
+            weight,
+            near: s.id == self.set.own,
+        }
     }
 
     /// Takes a little of the load for sites that are out, so that their return is noticed.
--- a/crates/site/src/evidence.rs
+++ b/crates/site/src/evidence.rs
@@ -62,7 +62,10 @@
 
 impl Site {
     pub(crate) fn new(id: SiteId) -> Site {
-        Site { id, ..Site::default() }
+        Site {
+            id,
+            ..Site::default()
+        }
     }
     pub(crate) fn sent(&mut self, now: u64, server: u64) {
         self.out += 1;
@@ -80,7 +83,9 @@
                 self.waits_since = (self.out > 0).then_some(now);
                 self.asked.clear();
                 self.asked_times = 0;
-                known.into_iter().for_each(|s| (s.silent, s.unreached) = (0, false));
+                known
+                    .into_iter()
+                    .for_each(|s| (s.silent, s.unreached) = (0, false));
                 if how == How::Answered {
                     let weight = if self.usual == 0.0 { 1.0 } else { SMOOTH };
                     self.usual += weight * (took as f64 - self.usual);
@@ -112,7 +117,10 @@
     /// The size of what is listed, and of what of it was not silent when last asked.
     pub(crate) fn sizes(&self) -> (f64, f64) {
         let all = self.listed().map(|s| s.weight).sum();
-        (all, self.listed().filter(|s| s.counts()).map(|s| s.weight).sum())
+        (
+            all,
+            self.listed().filter(|s| s.counts()).map(|s| s.weight).sum(),
+        )
     }
 
     /// No place is free there: more could only wait.
--- a/crates/site/src/level.rs
+++ b/crates/site/src/level.rs
@@ -32,10 +32,15 @@
         let part = waited as f64 / aim.max(1) as f64;
         let (strained, cut) = match served {
             true => (strain(waited, aim), CUT),
-            false => (((part - EASY) / (STRAINED - EASY)).clamp(0.0, 1.0), CUT_VAIN),
+            false => (
+                ((part - EASY) / (STRAINED - EASY)).clamp(0.0, 1.0),
+                CUT_VAIN,
+            ),
         };
         // A quota's refusal says nothing either way.
         let grow = if served && strained == 0.0 { GROW } else { 0.0 };
-        self.0 = (self.0 * (1.0 - cut * strained) + grow).max(BORNE * borne).clamp(LEAST, 1.0);
+        self.0 = (self.0 * (1.0 - cut * strained) + grow)
+            .max(BORNE * borne)
+            .clamp(LEAST, 1.0);
     }
 }
--- a/crates/site/src/order.rs
+++ b/crates/site/src/order.rs
@@ -59,7 +59,11 @@
         let mut left = all * level.max(0.0);
         for (&at, &units) in self.offered.iter().rev() {
             if units >= left {
-                return Floor { sure: worth(at + 1), from: worth(at), part: left / units };
+                return Floor {
+                    sure: worth(at + 1),
+                    from: worth(at),
+                    part: left / units,
+                };
             }
             left -= units;
         }
--- a/crates/site/src/pace.rs
+++ b/crates/site/src/pace.rs
@@ -47,7 +47,17 @@
     /// At the first step. `seed` tells gateways and sites apart.
     pub fn begin(now: u64, seed: u64, cold: bool) -> Pace {
         let part = if cold { FIRST } else { FIRST_WARM };
-        Pace { part, seed, steps: 0, since: now, dwell: DWELL, good: 0, doubts: 0, in_row: 0, begun: now }
+        Pace {
+            part,
+            seed,
+            steps: 0,
+            since: now,
+            dwell: DWELL,
+            good: 0,
+            doubts: 0,
+            in_row: 0,
+            begun: now,
+        }
     }
 
     /// An answer came back; `strain` 0 to 1, or 1 for none.
@@ -69,7 +79,8 @@
     /// Time passes; `most`: the part that its servers bear by now, from all gateways together.
     pub fn look(&mut self, now: u64, most: f64) {
         let offset = fastrand::Rng::with_seed(self.seed ^ self.steps).u64(..self.dwell / 2);
-        if self.good >= EARNS && now >= self.since + self.dwell * 3 / 4 + offset && self.part < most {
+        if self.good >= EARNS && now >= self.since + self.dwell * 3 / 4 + offset && self.part < most
+        {
             self.enter(now, (self.part * STEP).min(1.0));
         }
         self.part = self.part.min(most);
--- a/crates/site/src/room.rs
+++ b/crates/site/src/room.rs
@@ -79,7 +79,9 @@
         let gone = now.saturating_sub(self.looked) as f64 / 1e6;
         self.looked = now;
         let flow = self.flow(now);
-        let Some(most) = self.most.as_mut().filter(|m| flow < **m * IN_USE) else { return };
+        let Some(most) = self.most.as_mut().filter(|m| flow < **m * IN_USE) else {
+            return;
+        };
         *most *= 1.0 + IDLE_GROW * gone.min(1.0);
         if flow < *most * UNUSED {
             self.most = None;
--- a/crates/site/src/share.rs
+++ b/crates/site/src/share.rs
@@ -34,7 +34,12 @@
     // By size, as often as it takes for what one cannot bear to find another; each round fills one at the least.
     for _ in 0..parts.len() {
         let open = |g: f64, p: &Part| g < p.room;
-        let sizes: f64 = given.iter().zip(parts).filter(|(g, p)| open(**g, p)).map(|(_, p)| size(p)).sum();
+        let sizes: f64 = given
+            .iter()
+            .zip(parts)
+            .filter(|(g, p)| open(**g, p))
+            .map(|(_, p)| size(p))
+            .sum();
         if rest <= load * 1e-12 || sizes <= 0.0 {
             break;
         }
@@ -62,5 +67,8 @@
     };
     let sum: f64 = parts.iter().map(value).sum();
     let even = 1.0 / parts.len().max(1) as f64;
-    parts.iter().map(|p| if sum > 0.0 { value(p) / sum } else { even }).collect()
+    parts
+        .iter()
+        .map(|p| if sum > 0.0 { value(p) / sum } else { even })
+        .collect()
 }
