--- a/crates/wal/src/disk.rs
+++ b/crates/wal/src/disk.rs
@@ -40,14 +40,22 @@
     /// Makes the folder if there is none, and locks it. Errors: another process holds it, no permission.
     pub fn open(path: &Path) -> io::Result<Folder> {
         std::fs::create_dir_all(path)?;
-        let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join("lock"))?;
+        let lock = OpenOptions::new()
+            .create(true)
+            .truncate(false)
+            .write(true)
+            .open(path.join("lock"))?;
         lock.try_lock().map_err(|e| match e {
-            std::fs::TryLockError::WouldBlock => {
-                io::Error::new(io::ErrorKind::ResourceBusy, "another process holds this folder")
-            }
+            std::fs::TryLockError::WouldBlock => io::Error::new(
+                io::ErrorKind::ResourceBusy,
+                "another process holds this folder",
+            ),
             std::fs::TryLockError::Error(e) => e,
         })?;
-        Ok(Folder { path: path.to_path_buf(), _lock: Arc::new(lock) })
+        Ok(Folder {
+            path: path.to_path_buf(),
+            _lock: Arc::new(lock),
+        })
     }
 }
 
@@ -55,13 +63,18 @@
     type File = File;
     fn list(&self) -> io::Result<Vec<String>> {
         let entries = std::fs::read_dir(&self.path)?;
-        entries.map(|e| Ok(e?.file_name().to_string_lossy().into_owned())).collect()
+        entries
+            .map(|e| Ok(e?.file_name().to_string_lossy().into_owned()))
+            .collect()
     }
     fn read(&self, name: &str) -> io::Result<Vec<u8>> {
         std::fs::read(self.path.join(name))
     }
     fn create(&self, name: &str) -> io::Result<File> {
-        OpenOptions::new().append(true).create_new(true).open(self.path.join(name))
+        OpenOptions::new()
+            .append(true)
+            .create_new(true)
+            .open(self.path.join(name))
     }
     fn append(&self, file: &mut File, bytes: &[u8]) -> io::Result<()> {
         file.write_all(bytes)
--- a/crates/wal/src/log.rs
+++ b/crates/wal/src/log.rs
@@ -123,11 +123,18 @@
 }
 
 fn at<T>(what: impl Into<String>, result: io::Result<T>) -> Result<T, OpenError> {
-    result.map_err(|error| OpenError::Disk { what: what.into(), error })
+    result.map_err(|error| OpenError::Disk {
+        what: what.into(),
+        error,
+    })
 }
 
 fn damage(file: &str, offset: usize, expected: impl Into<String>) -> OpenError {
-    OpenError::Damage { file: file.into(), offset, expected: expected.into() }
+    OpenError::Damage {
+        file: file.into(),
+        offset,
+        expected: expected.into(),
+    }
 }
 
 fn position_in(name: &str, prefix: &str) -> Option<u64> {
@@ -167,7 +174,11 @@
     settings: &H::Settings,
     until: u64,
 ) -> Result<Replayed<H>, OpenError> {
-    let mut out = Replayed { held: H::new(settings), identity: Identity::default(), found: Found::default() };
+    let mut out = Replayed {
+        held: H::new(settings),
+        identity: Identity::default(),
+        found: Found::default(),
+    };
     newest_snapshot(disk, settings, until, &mut out)?;
     let names = at("listing the folder", segments(disk))?;
     let last = names.last().cloned();
@@ -202,7 +213,10 @@
     out: &mut Replayed<H>,
 ) -> Result<(), OpenError> {
     let names = at("listing the folder", snapshots(disk))?;
-    let usable = names.iter().rev().filter(|n| position_in(n, SNAPSHOT).is_some_and(|p| p <= until));
+    let usable = names
+        .iter()
+        .rev()
+        .filter(|n| position_in(n, SNAPSHOT).is_some_and(|p| p <= until));
     for name in usable {
         let bytes = at(name.as_str(), disk.read(name))?;
         match H::restore(&bytes, settings) {
@@ -224,23 +238,39 @@
     until: u64,
     out: &mut Replayed<H>,
 ) -> Result<usize, OpenError> {
-    let Some(head) = record::body(bytes, 0) else { return Ok(0) };
+    let Some(head) = record::body(bytes, 0) else {
+        return Ok(0);
+    };
     let mut offset = record::FRAME + head.len();
     let head = SegmentHead::decode(head).map_err(|_| damage(name, 0, "the head of a segment"))?;
     if head.version != H::VERSION {
-        return Err(damage(name, 0, format!("version {}, found {}", H::VERSION, head.version)));
+        return Err(damage(
+            name,
+            0,
+            format!("version {}, found {}", H::VERSION, head.version),
+        ));
     }
     let own = out.identity.incarnation;
     if own != 0 && head.incarnation != own {
-        return Err(damage(name, 0, format!("incarnation {own:x}, found {:x}", head.incarnation)));
+        return Err(damage(
+            name,
+            0,
+            format!("incarnation {own:x}, found {:x}", head.incarnation),
+        ));
     }
-    let gap = |held: &H, from: u64| format!("{} from {} on, found {from}", H::RECORD, held.position());
+    let gap =
+        |held: &H, from: u64| format!("{} from {} on, found {from}", H::RECORD, held.position());
     if head.position > out.held.position() {
         return Err(damage(name, 0, gap(&out.held, head.position)));
     }
-    out.identity = Identity { incarnation: head.incarnation, epoch: out.identity.epoch.max(head.epoch) };
+    out.identity = Identity {
+        incarnation: head.incarnation,
+        epoch: out.identity.epoch.max(head.epoch),
+    };
     while out.held.position() < until {
-        let Some(body) = record::body(bytes, offset) else { break };
+        let Some(body) = record::body(bytes, offset) else {
+            break;
+        };
         match out.held.replay(body) {
             Some(Applied::Changes(count)) => out.found.replayed += count,
             // What the snapshot holds is not applied again.
@@ -262,7 +292,11 @@
         incarnation: u64,
     ) -> Result<Opened<D, H>, OpenError> {
         let replayed: Replayed<H> = replay(&disk, settings, u64::MAX)?;
-        let Replayed { held, mut identity, found } = replayed;
+        let Replayed {
+            held,
+            mut identity,
+            found,
+        } = replayed;
         if let Some((name, len)) = &found.cut {
             let whole = at(name.as_str(), disk.read(name))?.len() as u64;
             if *len == whole {
@@ -279,11 +313,27 @@
         Ok(Opened { log, held, found })
     }
 
-    fn begin(disk: D, identity: Identity, version: u32, position: u64) -> Result<Log<D>, OpenError> {
+    fn begin(
+        disk: D,
+        identity: Identity,
+        version: u32,
+        position: u64,
+    ) -> Result<Log<D>, OpenError> {
         let name = segment_at(position, identity.epoch);
         let head = head_of(identity, version, position);
-        let (file, len) = at(format!("beginning {name}"), begin_segment(&disk, &name, &head))?;
-        Ok(Log { disk, file, name, len, version, closed: false, identity })
+        let (file, len) = at(
+            format!("beginning {name}"),
+            begin_segment(&disk, &name, &head),
+        )?;
+        Ok(Log {
+            disk,
+            file,
+            name,
+            len,
+            version,
+            closed: false,
+            identity,
+        })
     }
 
     /// Whether it takes no more.
@@ -327,8 +377,14 @@
         if self.closed || name == self.name {
             return Ok(());
         }
-        self.disk.sync(&mut self.file).inspect_err(|_| self.closed = true)?;
-        let begun = begin_segment(&self.disk, &name, &head_of(self.identity, self.version, position));
+        self.disk
+            .sync(&mut self.file)
+            .inspect_err(|_| self.closed = true)?;
+        let begun = begin_segment(
+            &self.disk,
+            &name,
+            &head_of(self.identity, self.version, position),
+        );
         if begun.is_err() {
             // An empty segment must not stand after one that still grows.
             self.closed = self.disk.remove(&name).is_err();
@@ -341,7 +397,12 @@
 
 fn head_of(identity: Identity, version: u32, position: u64) -> SegmentHead {
     let Identity { incarnation, epoch } = identity;
-    SegmentHead { version, incarnation, epoch, position }
+    SegmentHead {
+        version,
+        incarnation,
+        epoch,
+        position,
+    }
 }
 
 fn begin_segment<D: Disk>(disk: &D, name: &str, head: &SegmentHead) -> io::Result<(D::File, u64)> {
@@ -358,11 +419,15 @@
 /// only all segments stay, as that one might be damaged.
 pub fn trim<D: Disk>(disk: &D) -> io::Result<()> {
     let snapshots = snapshots(disk)?;
-    let Some(oldest) = snapshots.len().checked_sub(SNAPSHOTS) else { return Ok(()) };
+    let Some(oldest) = snapshots.len().checked_sub(SNAPSHOTS) else {
+        return Ok(());
+    };
     for name in &snapshots[..oldest] {
         disk.remove(name)?;
     }
-    let Some(kept) = position_in(&snapshots[oldest], SNAPSHOT) else { return Ok(()) };
+    let Some(kept) = position_in(&snapshots[oldest], SNAPSHOT) else {
+        return Ok(());
+    };
     let segments = segments(disk)?;
     for pair in segments.windows(2) {
         if position_in(&pair[1], SEGMENT).is_some_and(|next| next <= kept) {
--- a/crates/wal/src/sim.rs
+++ b/crates/wal/src/sim.rs
@@ -107,7 +107,9 @@
         self.with(|d| {
             let mut names = d.safe_names.clone();
             let kept = d.rng.usize(0..=d.unsafe_ops.len());
-            d.unsafe_ops[..kept].iter().for_each(|op| apply(&mut names, op));
+            d.unsafe_ops[..kept]
+                .iter()
+                .for_each(|op| apply(&mut names, op));
             let mut data = d.data.clone();
             for file in &mut data {
                 let kept = d.rng.usize(file.synced..=file.bytes.len());
