--- a/crates/cli/src/contract.rs
+++ b/crates/cli/src/contract.rs
@@ -3,7 +3,7 @@
 use crate::failure::Failure;
 use crate::keeper::Keepers;
 use crate::rules::{propose, read};
-use chalkdeck_keeper::registrar::version_of;
+use chalkdeck_coordinator::registrar::version_of;
 use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
 use clap::Subcommand;
 use prost::Message;
@@ -38,7 +38,7 @@
         /// Its path.
         file: String,
         /// What is wrong.
-        source: chalkdeck_keeper::registrar::ContractError,
+        source: chalkdeck_coordinator::registrar::ContractError,
     },
 }
 
--- a/crates/cli/src/failure.rs
+++ b/crates/cli/src/failure.rs
@@ -2,9 +2,9 @@
 
 use crate::contract::ContractError;
 use crate::rules::RulesError;
-use chalkdeck_keeper::ask::AskError;
-use chalkdeck_keeper::serve::KeeperError;
-use chalkdeck_keeper::settings::SettingsError;
+use chalkdeck_coordinator::ask::AskError;
+use chalkdeck_coordinator::serve::KeeperError;
+use chalkdeck_coordinator::settings::SettingsError;
 use chalkdeck_platform::{ConfigError, StartError};
 use miette::Diagnostic;
 use std::fmt::{Display, Formatter};
--- a/crates/cli/src/keeper.rs
+++ b/crates/cli/src/keeper.rs
@@ -1,10 +1,10 @@
 //! `chalkdeck keeper`: a keeper of the fleet's shared state, its status, and an operator's word on a site to all gateways.
 
 use crate::failure::Failure;
+use chalkdeck_coordinator::ask::Asking;
+use chalkdeck_coordinator::serve::Service;
+use chalkdeck_coordinator::settings::Settings;
 use chalkdeck_gateway::logs;
-use chalkdeck_keeper::ask::Asking;
-use chalkdeck_keeper::serve::Service;
-use chalkdeck_keeper::settings::Settings;
 use chalkdeck_lab::parts::process::end_with_parent;
 use chalkdeck_net::signals::Signals;
 use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
--- a/crates/cli/src/rules.rs
+++ b/crates/cli/src/rules.rs
@@ -2,9 +2,9 @@
 
 use crate::failure::Failure;
 use crate::keeper::Keepers;
-use chalkdeck_keeper::apply::{progress, Progress};
-use chalkdeck_keeper::ask::Asking;
-use chalkdeck_keeper::state::wrong_in;
+use chalkdeck_coordinator::apply::{progress, Progress};
+use chalkdeck_coordinator::ask::Asking;
+use chalkdeck_coordinator::state::wrong_in;
 use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
 use chalkdeck_proto::text;
 use clap::Subcommand;
--- a/crates/keeper/tests/sessions.rs
+++ b/crates/coordinator/tests/sessions.rs
@@ -1,6 +1,6 @@
 //! Lives of gateways in the shared state.
 
-use chalkdeck_keeper::state::{Shared, TALLY};
+use chalkdeck_coordinator::state::{Shared, TALLY};
 use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
 use wire::command::What;
 
--- a/crates/keeper/tests/world/mod.rs
+++ b/crates/coordinator/tests/world/mod.rs
@@ -6,12 +6,12 @@
 mod fleet;
 
 use chalkdeck_access::Call;
+use chalkdeck_coordinator::core::{Asker, Keeper, Out, Set, Start};
+use chalkdeck_coordinator::journal::{Begun, Journal};
+use chalkdeck_coordinator::member::{Act, Member, Set as MemberSet};
+use chalkdeck_coordinator::session::Held;
+use chalkdeck_coordinator::state::{REGISTRAR, TALLY};
 use chalkdeck_duty::{Gate, Terms, Token};
-use chalkdeck_keeper::core::{Asker, Keeper, Out, Set, Start};
-use chalkdeck_keeper::journal::{Begun, Journal};
-use chalkdeck_keeper::member::{Act, Member, Set as MemberSet};
-use chalkdeck_keeper::session::Held;
-use chalkdeck_keeper::state::{REGISTRAR, TALLY};
 use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
 use chalkdeck_wal::sim::Sim;
 use fastrand::Rng;
--- a/crates/gateway/src/base/failed.rs
+++ b/crates/gateway/src/base/failed.rs
@@ -1,7 +1,7 @@
 //! Why a gateway does not start, or does not take an operator's word.
 
 use chalkdeck_access::RegionError;
-use chalkdeck_keeper::kept::KeptError;
+use chalkdeck_coordinator::kept::KeptError;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/gateway/src/keepers.rs
+++ b/crates/gateway/src/keepers.rs
@@ -1,5 +1,5 @@
 //! The fleet's shared state at a gateway: the session with a keeper over gRPC, what is kept on disk, and what calls, streams, the
-//! server list and sites hear of it. What is decided is decided in `chalkdeck_keeper::member` and `chalkdeck_access`.
+//! server list and sites hear of it. What is decided is decided in `chalkdeck_coordinator::member` and `chalkdeck_access`.
 
 use crate::base::asked::{Asked, Rejected};
 use crate::base::failed::KeepersError;
@@ -9,9 +9,9 @@
 use crate::shell::{Due, Shell};
 use chalkdeck::api::{Listed, RequestId};
 use chalkdeck_access::{Call, Regions, Verdict};
-use chalkdeck_keeper::kept::Kept;
-use chalkdeck_keeper::member::{Act, Member, Set};
-use chalkdeck_keeper::serve::{limits, SESSION};
+use chalkdeck_coordinator::kept::Kept;
+use chalkdeck_coordinator::member::{Act, Member, Set};
+use chalkdeck_coordinator::serve::{limits, SESSION};
 use chalkdeck_net::clock::incarnation;
 use chalkdeck_net::grpc::{self, Code, Deframer};
 use chalkdeck_net::{ConnId, Engine, StreamId};
--- a/crates/lab/src/rig/keeping.rs
+++ b/crates/lab/src/rig/keeping.rs
@@ -1,8 +1,8 @@
 //! One keeper beside a fleet, for the demo: contracts and access rules to try, with nothing that outlasts its loss.
 
 use crate::parts::process::{begin, Process, Program};
-use chalkdeck_keeper::serve::Service;
-use chalkdeck_keeper::settings::Settings;
+use chalkdeck_coordinator::serve::Service;
+use chalkdeck_coordinator::settings::Settings;
 use chalkdeck_net::signals::Signals;
 use clap::Args;
 use std::net::SocketAddr;
