--- a/crates/coordinator/src/core.rs
+++ b/crates/coordinator/src/core.rs
@@ -10,7 +10,7 @@
 use crate::state::{Shared, Terms as LookTerms, SPEAKS};
 use crate::store::{encode, Configuration, Kept, Op, Shelf};
 use attached::Attached;
-use chalkdeck_duty::{Terms, Watch};
+use chalkdeck_leader_election::{Terms, Watch};
 use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
 pub use joining::Start;
 use rustc_hash::FxHashMap;
--- a/crates/coordinator/src/member.rs
+++ b/crates/coordinator/src/member.rs
@@ -6,7 +6,7 @@
 use crate::session::{Came, Changes, Held, Session};
 use crate::state::{set_of, REGISTRAR, SITE_WORDS, TALLY};
 use chalkdeck_access as access;
-use chalkdeck_duty::Terms;
+use chalkdeck_leader_election::Terms;
 use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
 use fastrand::Rng;
 use wire::command::What;
--- a/crates/coordinator/src/session.rs
+++ b/crates/coordinator/src/session.rs
@@ -1,6 +1,6 @@
 //! A gateway's side of its session, free of I/O: what goes up, what came down, what is held, and whether it may act.
 
-use chalkdeck_duty::{Lease, Terms};
+use chalkdeck_leader_election::{Lease, Terms};
 use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
 use std::collections::{BTreeMap, BTreeSet};
 use wire::up::What;
--- a/crates/coordinator/src/settings.rs
+++ b/crates/coordinator/src/settings.rs
@@ -1,6 +1,6 @@
 //! A keeper's settings from protobuf text.
 
-use chalkdeck_duty::Terms;
+use chalkdeck_leader_election::Terms;
 use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
 use chalkdeck_proto::text;
 use std::net::SocketAddr;
--- a/crates/coordinator/src/state/duties.rs
+++ b/crates/coordinator/src/state/duties.rs
@@ -1,7 +1,7 @@
 //! Duties: who holds which, under which token.
 
 use super::{done, refuse, wire, Code, Shared};
-use chalkdeck_duty::place::{move_one, taker, Candidate};
+use chalkdeck_leader_election::place::{move_one, taker, Candidate};
 
 /// Duties at once.
 pub const MOST_DUTIES: usize = 64;
--- a/crates/coordinator/tests/session.rs
+++ b/crates/coordinator/tests/session.rs
@@ -1,7 +1,7 @@
 //! A gateway's side of its session: what it says when something is missing, and what it may say that it applies.
 
 use chalkdeck_coordinator::session::{Held, Session};
-use chalkdeck_duty::Terms;
+use chalkdeck_leader_election::Terms;
 use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
 use wire::up::What;
 
--- a/crates/coordinator/tests/world/mod.rs
+++ b/crates/coordinator/tests/world/mod.rs
@@ -11,7 +11,7 @@
 use chalkdeck_coordinator::member::{Act, Member, Set as MemberSet};
 use chalkdeck_coordinator::session::Held;
 use chalkdeck_coordinator::state::{REGISTRAR, TALLY};
-use chalkdeck_duty::{Gate, Terms, Token};
+use chalkdeck_leader_election::{Gate, Terms, Token};
 use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
 use chalkdeck_wal::sim::Sim;
 use fastrand::Rng;
--- a/crates/duty/tests/model.rs
+++ b/crates/leader-election/tests/model.rs
@@ -1,7 +1,7 @@
 //! A model over the shipped lease, watch and gate: one holder that may stall anywhere, one keeper, one sink, clocks whose rates are
 //! apart. With a guard taken out the checker must find the violation; those runs are tests, too.
 
-use chalkdeck_duty::{Gate, Lease, Terms, Token, Watch};
+use chalkdeck_leader_election::{Gate, Lease, Terms, Token, Watch};
 use stateright::{Checker, Model, Property};
 
 /// A lease of four ticks of a right clock, and clocks that are a quarter from right: small, so that all orders fit.
--- a/crates/duty/tests/place.rs
+++ b/crates/leader-election/tests/place.rs
@@ -1,6 +1,6 @@
 //! Duties spread evenly and move as little as that takes.
 
-use chalkdeck_duty::place::{move_one, taker, Candidate};
+use chalkdeck_leader_election::place::{move_one, taker, Candidate};
 use proptest::prelude::*;
 
 const SITES: [&str; 3] = ["north", "middle", "south"];
