--- a/crates/door/tests/door.rs
+++ b/crates/admission-queue/tests/door.rs
@@ -1,5 +1,5 @@
 //! What the door promises: fair turns, nobody starved, no idle server with somebody waiting, bounded memory, honest times.
-use chalkdeck_door::{Door, Offer, Settings, Verdict};
+use chalkdeck_admission_queue::{Door, Offer, Settings, Verdict};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, HashMap, HashSet};
--- a/crates/gateway/src/base/settings.rs
+++ b/crates/gateway/src/base/settings.rs
@@ -99,7 +99,7 @@
     /// The second front; none: gRPC only.
     pub resp: Option<RespSettings>,
     /// The door; none: requests go to the decisions as they come.
-    pub door: Option<chalkdeck_door::Settings>,
+    pub door: Option<chalkdeck_admission_queue::Settings>,
     /// Zones are watched as sites, and what they cannot bear is refused by worth.
     pub sites: bool,
     /// See `sites`.
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -2,7 +2,7 @@
 
 use crate::shell::Shell;
 use chalkdeck::api::{Arrival, Event, Micros, RequestId};
-use chalkdeck_door::{Door, Offer, Settings, Verdict};
+use chalkdeck_admission_queue::{Door, Offer, Settings, Verdict};
 use rustc_hash::FxHashMap;
 
 /// The door and what waits at it.
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -215,15 +215,15 @@
     Ok(routes)
 }
 
-fn door(wire: wire::Door) -> Option<chalkdeck_door::Settings> {
-    let default = chalkdeck_door::Settings::default();
+fn door(wire: wire::Door) -> Option<chalkdeck_admission_queue::Settings> {
+    let default = chalkdeck_admission_queue::Settings::default();
     let or = |n: u32, default: usize| if n == 0 { default } else { n as usize };
     let longest = if wire.longest_wait_ms == 0 {
         default.longest
     } else {
         millis(wire.longest_wait_ms).0
     };
-    (!wire.off).then(|| chalkdeck_door::Settings {
+    (!wire.off).then(|| chalkdeck_admission_queue::Settings {
         inside: or(wire.inside, default.inside),
         each_turn: or(wire.each_turn, default.each_turn),
         waiting: or(wire.waiting, default.waiting),
