--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -2,8 +2,8 @@
 
 use crate::list::{self, List};
 use chalkdeck::api::{Settings, SettingsError};
-use chalkdeck_drill::fields::WireError;
-use chalkdeck_drill::settings::{self, Read};
+use chalkdeck_simulator_adapter::fields::WireError;
+use chalkdeck_simulator_adapter::settings::{self, Read};
 use serde::Deserialize;
 use serde_json::Value;
 use std::collections::HashMap;
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -1,7 +1,7 @@
 //! The list of backends as discovery tells it.
 
 use chalkdeck::api::{CellId, Listed, Micros, ServerEntry};
-use chalkdeck_drill::settings::{server_id, zone_id};
+use chalkdeck_simulator_adapter::settings::{server_id, zone_id};
 use serde::Deserialize;
 use serde_json::Value;
 use std::collections::HashMap;
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -2,8 +2,8 @@
 
 use bytes::Bytes;
 use chalkdeck::api::{Arrival, ClassId, CustomerId, Effect, Micros, PlanId, RequestId, Settings};
-use chalkdeck_drill::settings::Read;
 use chalkdeck_resp::push_command;
+use chalkdeck_simulator_adapter::settings::Read;
 
 /// Why a command is no request: the text is the error line that its client reads.
 #[derive(Clone, Debug, PartialEq, thiserror::Error, miette::Diagnostic)]
--- a/crates/drill/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,7 +1,7 @@
 //! The decisions on the drill's wire: batches on standard input, replies on standard output.
 #![forbid(unsafe_code)]
 
-use chalkdeck_drill::wire::Drill;
+use chalkdeck_simulator_adapter::wire::Drill;
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
 
--- a/crates/drill/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,5 +1,5 @@
 //! The adapter on good and bad text.
-use chalkdeck_drill::wire::Drill;
+use chalkdeck_simulator_adapter::wire::Drill;
 use std::io::Write;
 use std::process::{Command, Stdio};
 
