--- a/crates/cli/src/failure.rs
+++ b/crates/cli/src/failure.rs
@@ -5,7 +5,7 @@
 use chalkdeck_coordinator::ask::AskError;
 use chalkdeck_coordinator::serve::KeeperError;
 use chalkdeck_coordinator::settings::SettingsError;
-use chalkdeck_platform::{ConfigError, StartError};
+use chalkdeck_resp_gateway::{ConfigError, StartError};
 use miette::Diagnostic;
 use std::fmt::{Display, Formatter};
 use std::io;
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -12,7 +12,7 @@
 use chalkdeck_lab::rig::demo::DemoArgs;
 use chalkdeck_lab::rig::serve::{serve, ServeArgs};
 use chalkdeck_net::signals::Signals;
-use chalkdeck_platform::{Config, Shell};
+use chalkdeck_resp_gateway::{Config, Shell};
 use clap::{Parser, Subcommand};
 use failure::Failure;
 use std::path::PathBuf;
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/resp-gateway/tests/common/mod.rs
@@ -4,8 +4,8 @@
 use bytes::{Bytes, BytesMut};
 use chalkdeck_net::clock::{Clock, Jumps};
 use chalkdeck_net::{ConnId, Engine, Event, Limits, ListenerId};
-use chalkdeck_platform::{Config, Shell};
 use chalkdeck_resp::{push_command, take, Bounds, Front};
+use chalkdeck_resp_gateway::{Config, Shell};
 use std::collections::{HashMap, HashSet};
 use std::fmt::Write as _;
 use std::net::SocketAddr;
--- a/crates/platform/tests/orders.rs
+++ b/crates/resp-gateway/tests/orders.rs
@@ -1,5 +1,5 @@
 //! Random orders of what clients, backends, the counter, discovery and signals do, against what a gateway owes for them. A failing
-//! order names its seed: `ORDER_SEED=n cargo test -p chalkdeck-platform --test orders` plays it again, with those before it that its
+//! order names its seed: `ORDER_SEED=n cargo test -p chalkdeck-resp-gateway --test orders` plays it again, with those before it that its
 //! gateway lived through.
 
 mod common;
--- a/crates/platform/tests/peers.rs
+++ b/crates/resp-gateway/tests/peers.rs
@@ -486,8 +486,8 @@
         1,
     );
     std::fs::write(&stage.file, text).expect("the file");
-    let set = chalkdeck_platform::Config::load(&stage.file).expect("a sound configuration");
-    stage.shell = chalkdeck_platform::Shell::start(set).expect("a free port");
+    let set = chalkdeck_resp_gateway::Config::load(&stage.file).expect("a sound configuration");
+    stage.shell = chalkdeck_resp_gateway::Shell::start(set).expect("a free port");
     let client = stage.client();
     stage.round(client, "q1", VIEW, "known");
 }
--- a/crates/platform/tests/world/mod.rs
+++ b/crates/resp-gateway/tests/world/mod.rs
@@ -4,7 +4,7 @@
 
 use crate::common::{config, WIDE};
 use chalkdeck_net::clock::{Clock, Jumps};
-use chalkdeck_platform::{Config, Shell};
+use chalkdeck_resp_gateway::{Config, Shell};
 use fastrand::Rng;
 use peers::{Attempt, Client, Counter, Discovery, Server};
 use std::collections::HashMap;
