--- a/crates/cli/src/failure.rs
+++ b/crates/cli/src/failure.rs
@@ -20,7 +20,7 @@
 
 impl From<anyhow::Error> for Failure {
     fn from(error: anyhow::Error) -> Failure {
-        match error.downcast::<chalkdeck_gateway::StartError>() {
+        match error.downcast::<chalkdeck_grpc_gateway::StartError>() {
             Ok(start) => Failure::Told(Box::new(start)),
             Err(error) => Failure::Other(error),
         }
--- a/crates/cli/src/keeper.rs
+++ b/crates/cli/src/keeper.rs
@@ -4,7 +4,7 @@
 use chalkdeck_coordinator::ask::Asking;
 use chalkdeck_coordinator::serve::Service;
 use chalkdeck_coordinator::settings::Settings;
-use chalkdeck_gateway::logs;
+use chalkdeck_grpc_gateway::logs;
 use chalkdeck_lab::parts::process::end_with_parent;
 use chalkdeck_net::signals::Signals;
 use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -7,7 +7,7 @@
 mod rules;
 mod site;
 
-use chalkdeck_gateway::{logs, Settings};
+use chalkdeck_grpc_gateway::{logs, Settings};
 use chalkdeck_lab::cli::Command as Lab;
 use chalkdeck_lab::rig::demo::DemoArgs;
 use chalkdeck_lab::rig::serve::{serve, ServeArgs};
--- a/crates/cli/src/site.rs
+++ b/crates/cli/src/site.rs
@@ -1,7 +1,7 @@
 //! `chalkdeck site`: what gateways say of sites, and an operator's words to them.
 
 use anyhow::{bail, Context};
-use chalkdeck_gateway::sites::SitesStatus;
+use chalkdeck_grpc_gateway::sites::SitesStatus;
 use chalkdeck_lab::parts::control;
 use clap::{Args, Subcommand};
 use std::net::SocketAddr;
--- a/crates/cli/tests/fleet/mod.rs
+++ b/crates/cli/tests/fleet/mod.rs
@@ -1,7 +1,7 @@
 //! Keepers and gateways as processes of the program, with a relay's links between them, and a server and callers of the test's own.
 #![allow(dead_code)]
 
-use chalkdeck_gateway::keepers::KeepersStatus;
+use chalkdeck_grpc_gateway::keepers::KeepersStatus;
 use chalkdeck_lab::parts::control;
 use chalkdeck_lab::parts::process::{Process, Program};
 use chalkdeck_net::grpc::{self, Code};
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/grpc-gateway/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use bytes::Bytes;
-use chalkdeck_gateway::{Settings, Shell};
+use chalkdeck_grpc_gateway::{Settings, Shell};
 use chalkdeck_net::grpc::{self, Code, Deframer};
 use chalkdeck_net::unary::Gather;
 use chalkdeck_net::{Broken, ConnId, Engine, Event, Limits, ListenerId, StreamId};
--- a/crates/gateway/tests/life.rs
+++ b/crates/grpc-gateway/tests/life.rs
@@ -1,6 +1,6 @@
 //! Settings that are wrong, settings that are read again, and stops.
 mod common;
-use chalkdeck_gateway::Settings;
+use chalkdeck_grpc_gateway::Settings;
 use chalkdeck_net::grpc::Code;
 use chalkdeck_net::signals::Signals;
 use common::*;
--- a/crates/gateway/tests/sites.rs
+++ b/crates/grpc-gateway/tests/sites.rs
@@ -1,8 +1,8 @@
 //! Sites on the admin port of a gateway: what it shows, an operator's words, and what these do to calls.
 mod common;
 
-use chalkdeck_gateway::sites::SitesStatus;
-use chalkdeck_gateway::{Settings, Shell};
+use chalkdeck_grpc_gateway::sites::SitesStatus;
+use chalkdeck_grpc_gateway::{Settings, Shell};
 use common::*;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/lab/src/parts/process.rs
+++ b/crates/lab/src/parts/process.rs
@@ -1,7 +1,7 @@
 //! Processes of a run: started with a line of addresses, ended by their ids.
 
 use anyhow::{bail, Context};
-use chalkdeck_gateway::logs;
+use chalkdeck_grpc_gateway::logs;
 use rustix::process::{kill_process, Pid, Signal};
 use std::collections::HashMap;
 use std::fs::File;
--- a/crates/lab/src/rig/fleet.rs
+++ b/crates/lab/src/rig/fleet.rs
@@ -297,7 +297,7 @@
             }
         }
         let file = self.dir.join(format!("gateway-{number}.txtpb"));
-        let text = text::print(chalkdeck_gateway::settings::MESSAGE, &settings)
+        let text = text::print(chalkdeck_grpc_gateway::settings::MESSAGE, &settings)
             .context("expected a text form")?;
         std::fs::write(&file, text)?;
         let mut args = vec!["serve".to_string(), file.display().to_string()];
--- a/crates/lab/src/rig/serve.rs
+++ b/crates/lab/src/rig/serve.rs
@@ -1,8 +1,8 @@
 //! A gateway, and the bare relay, as processes.
 
 use crate::parts::process::{begin, end_with_parent};
-use chalkdeck_gateway::relay::Relay;
-use chalkdeck_gateway::{logs, Settings, Shell};
+use chalkdeck_grpc_gateway::relay::Relay;
+use chalkdeck_grpc_gateway::{logs, Settings, Shell};
 use chalkdeck_net::signals::Signals;
 use clap::Args;
 use std::net::SocketAddr;
--- a/crates/lab/tests/sites.rs
+++ b/crates/lab/tests/sites.rs
@@ -1,7 +1,7 @@
 //! Hard cases of whole sites, played by real processes with faults between them. Each day must break no rule; what
 //! gateways say of the sites must be what happened; that drains by hand are kept is one of the audit's rules. Those that CI leaves out: `cargo test -p chalkdeck-lab --test sites
 //! -- --ignored`.
-use chalkdeck_gateway::sites::SitesStatus;
+use chalkdeck_grpc_gateway::sites::SitesStatus;
 use chalkdeck_lab::audit::rules::{audit, Record};
 use chalkdeck_lab::parts::log::Line;
 use chalkdeck_lab::parts::process::Program;
