--- a/crates/plan/tests/plan.rs
+++ b/crates/capacity-planner/tests/plan.rs
@@ -1,6 +1,6 @@
 //! The optimum against what can be reckoned by hand, and inputs that make no sense.
-use chalkdeck_plan::read::{read, Demand, Input, Site};
-use chalkdeck_plan::{show, solve};
+use chalkdeck_capacity_planner::read::{read, Demand, Input, Site};
+use chalkdeck_capacity_planner::{show, solve};
 use proptest::prelude::*;
 
 const THREE: &str = include_str!("../examples/three-sites.txtpb");
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -55,7 +55,7 @@
     },
     /// What the loss of sites comes to, from a file of capacities and demand
     #[command(subcommand)]
-    Plan(chalkdeck_plan::command::Command),
+    Plan(chalkdeck_capacity_planner::command::Command),
     /// Commands of the laboratory
     #[command(subcommand)]
     Lab(Lab),
--- a/crates/lab/src/audit/sites.rs
+++ b/crates/lab/src/audit/sites.rs
@@ -4,9 +4,9 @@
 use crate::audit::rules::Record;
 use crate::parts::log::{End, Line};
 use anyhow::Context;
+use chalkdeck_capacity_planner::read::{Demand, Input, Site};
+use chalkdeck_capacity_planner::solve;
 use chalkdeck_grpc_gateway::sites::SitesStatus;
-use chalkdeck_plan::read::{Demand, Input, Site};
-use chalkdeck_plan::solve;
 use chalkdeck_proto::chalkdeck::lab::v1::{Day, Trouble};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
