--- a/crates/grpc-gateway/src/sites.rs
+++ b/crates/grpc-gateway/src/sites.rs
@@ -8,7 +8,7 @@
 use crate::shell::{Due, Shell};
 use crate::words::Words;
 use chalkdeck::api::{self, Arrival, Listed, Outcome, ServerId, ZoneId, ZoneShare};
-use chalkdeck_site::{Command, Core, Event, How, Plan, SiteId, State};
+use chalkdeck_site_failover::{Command, Core, Event, How, Plan, SiteId, State};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -65,7 +65,7 @@
     /// Errors: the file of an operator's words is not sound.
     pub(crate) fn new(set: &Settings) -> Result<Sites, WordsError> {
         let own = site_of(set.policy.zone);
-        let core = Core::new(chalkdeck_site::Settings {
+        let core = Core::new(chalkdeck_site_failover::Settings {
             own,
             me: set.policy.me,
             gateways: set.policy.gateways,
@@ -88,7 +88,7 @@
                 .iter()
                 .map(|s| (site_of(s.entry.zone), s.zone_name.clone())),
         );
-        let line = |s: &Server| chalkdeck_site::Listed {
+        let line = |s: &Server| chalkdeck_site_failover::Listed {
             server: s.entry.server.0,
             site: site_of(s.entry.zone),
             in_service: s.entry.listed == Listed::InService,
@@ -110,7 +110,7 @@
 
     fn status(&mut self, now: u64, set: &Settings) -> SitesStatus {
         let plan = self.core.plan(now);
-        let one = |v: &chalkdeck_site::View| SiteStatus {
+        let one = |v: &chalkdeck_site_failover::View| SiteStatus {
             site: self.name(v.site).to_string(),
             state: v.state.name().to_string(),
             for_s: now.saturating_sub(v.since) as f64 / 1e6,
@@ -269,7 +269,7 @@
         let Some(sites) = &mut self.sites else { return };
         let mut plan = sites.core.plan(now);
         if !self.set.site_floor {
-            plan.floor = chalkdeck_site::Floor::NONE;
+            plan.floor = chalkdeck_site_failover::Floor::NONE;
         }
         if sites.told.as_ref().is_some_and(|told| same(told, &plan)) {
             return;
@@ -281,7 +281,7 @@
                 tracing::info!(site = sites.name(v.site), state = v.state.name(), evidence = %v.evidence, "site");
             }
         }
-        let part = |v: &chalkdeck_site::View| ZoneShare {
+        let part = |v: &chalkdeck_site_failover::View| ZoneShare {
             zone: ZoneId(v.site.0),
             share: v.share,
             open: v.state == State::Serving,
--- a/crates/site/tests/core.rs
+++ b/crates/site-failover/tests/core.rs
@@ -1,7 +1,7 @@
 //! What the core makes of whole sites, by the hard cases of their loss.
 mod world;
 
-use chalkdeck_site::{Command, Event, SiteId, State};
+use chalkdeck_site_failover::{Command, Event, SiteId, State};
 use world::{Is, World, MS, SECOND};
 
 fn lost(w: &mut World) -> bool {
@@ -209,7 +209,7 @@
     w.run(SECOND);
     w.site_is(0, Is::Refusing);
     w.until(2 * SECOND, |w| lost(w) || w.state(0, 0) == State::Lost);
-    w.cores[0] = chalkdeck_site::Core::new(world::settings(0, 0));
+    w.cores[0] = chalkdeck_site_failover::Core::new(world::settings(0, 0));
     w.list();
     w.until(SECOND, |w| w.state(0, 0) == State::Lost);
 }
@@ -218,7 +218,7 @@
 fn a_gateway_that_starts_beside_cold_servers_begins_as_after_a_return() {
     let mut w = World::new();
     w.started[0] = Some(w.now);
-    w.cores[0] = chalkdeck_site::Core::new(world::settings(0, 0));
+    w.cores[0] = chalkdeck_site_failover::Core::new(world::settings(0, 0));
     w.list();
     let v = w.view(0, 0);
     assert!(
@@ -314,14 +314,14 @@
 fn a_site_of_warm_servers_serves_at_once_and_one_with_a_cold_one_nearly_so() {
     let mut w = World::new();
     assert_eq!(w.state(0, 0), State::Serving);
-    let line = |server: u64, started| chalkdeck_site::Listed {
+    let line = |server: u64, started| chalkdeck_site_failover::Listed {
         server,
         site: SiteId(0),
         in_service: true,
         weight: 1.0,
         started,
     };
-    let mut core = chalkdeck_site::Core::new(world::settings(0, 0));
+    let mut core = chalkdeck_site_failover::Core::new(world::settings(0, 0));
     let lines = [
         line(0, Some(w.now)),
         line(1, None),
@@ -330,7 +330,7 @@
     ];
     w.now += 9 * SECOND;
     let lines = [
-        chalkdeck_site::Listed {
+        chalkdeck_site_failover::Listed {
             started: Some(w.now),
             ..lines[0]
         },
@@ -354,19 +354,25 @@
     (0..3).for_each(|_| {
         core.on(
             now,
-            Event::Ended(0, chalkdeck_site::How::Unreached, MS, SECOND, 1.0),
+            Event::Ended(0, chalkdeck_site_failover::How::Unreached, MS, SECOND, 1.0),
         )
     });
     assert_eq!(core.plan(now).sites[0].state, State::Serving);
     core.on(
         now,
-        Event::Ended(1, chalkdeck_site::How::Unreached, MS, SECOND, 1.0),
+        Event::Ended(1, chalkdeck_site_failover::How::Unreached, MS, SECOND, 1.0),
     );
     for server in [2, 3] {
         core.on(now, Event::Sent(server));
         core.on(
             now,
-            Event::Ended(server, chalkdeck_site::How::Unreached, MS, SECOND, 1.0),
+            Event::Ended(
+                server,
+                chalkdeck_site_failover::How::Unreached,
+                MS,
+                SECOND,
+                1.0,
+            ),
         );
     }
     assert_eq!(
--- a/crates/site/tests/learning.rs
+++ b/crates/site-failover/tests/learning.rs
@@ -1,7 +1,7 @@
 //! What rooms and the level learn, and what they must not.
-use chalkdeck_site::level::Level;
-use chalkdeck_site::pace::Pace;
-use chalkdeck_site::room::{strain, Room};
+use chalkdeck_site_failover::level::Level;
+use chalkdeck_site_failover::pace::Pace;
+use chalkdeck_site_failover::room::{strain, Room};
 
 const SECOND: u64 = 1_000_000;
 const AIM: u64 = SECOND / 2;
--- a/crates/site/tests/model.rs
+++ b/crates/site-failover/tests/model.rs
@@ -1,7 +1,7 @@
 //! Every order of loss, cut, heal and looks of two gateways at one site: nobody stays with a lost site, nobody stays
 //! away from one that is back. The transitions are the shipped ones; time is a few ticks.
-use chalkdeck_site::states::{next, Seen};
-use chalkdeck_site::State;
+use chalkdeck_site_failover::states::{next, Seen};
+use chalkdeck_site_failover::State;
 use stateright::{Checker, Model, Property};
 
 /// Looks after which silence counts as doubt, and as loss; looks that a hold-out lasts, and a return.
--- a/crates/site/tests/props.rs
+++ b/crates/site-failover/tests/props.rs
@@ -1,7 +1,7 @@
 //! What must hold for any figures.
-use chalkdeck_site::order::Order;
-use chalkdeck_site::pace::{HoldOut, Pace, HOLD_MOST};
-use chalkdeck_site::share::{shares, Part};
+use chalkdeck_site_failover::order::Order;
+use chalkdeck_site_failover::pace::{HoldOut, Pace, HOLD_MOST};
+use chalkdeck_site_failover::share::{shares, Part};
 use proptest::prelude::*;
 
 fn part() -> impl Strategy<Value = Part> {
--- a/crates/site/tests/world/mod.rs
+++ b/crates/site-failover/tests/world/mod.rs
@@ -1,7 +1,7 @@
 //! A small world: gateways' cores, sites of servers that answer, are slow, refuse or are silent, a clock.
 #![allow(dead_code)]
 
-use chalkdeck_site::{Core, Event, How, Listed, Plan, Settings, SiteId, State, View};
+use chalkdeck_site_failover::{Core, Event, How, Listed, Plan, Settings, SiteId, State, View};
 use std::collections::VecDeque;
 
 pub const MS: u64 = 1_000;
