--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -8,11 +8,11 @@
 mod site;
 
 use chalkdeck_grpc_gateway::{logs, Settings};
-use chalkdeck_lab::cli::Command as Lab;
-use chalkdeck_lab::rig::demo::DemoArgs;
-use chalkdeck_lab::rig::serve::{serve, ServeArgs};
 use chalkdeck_net::signals::Signals;
 use chalkdeck_resp_gateway::{Config, Shell};
+use chalkdeck_testbed::cli::Command as Lab;
+use chalkdeck_testbed::rig::demo::DemoArgs;
+use chalkdeck_testbed::rig::serve::{serve, ServeArgs};
 use clap::{Parser, Subcommand};
 use failure::Failure;
 use std::path::PathBuf;
--- a/crates/cli/src/site.rs
+++ b/crates/cli/src/site.rs
@@ -2,7 +2,7 @@
 
 use anyhow::{bail, Context};
 use chalkdeck_grpc_gateway::sites::SitesStatus;
-use chalkdeck_lab::parts::control;
+use chalkdeck_testbed::parts::control;
 use clap::{Args, Subcommand};
 use std::net::SocketAddr;
 
--- a/crates/cli/tests/fleet/mod.rs
+++ b/crates/cli/tests/fleet/mod.rs
@@ -2,10 +2,10 @@
 #![allow(dead_code)]
 
 use chalkdeck_grpc_gateway::keepers::KeepersStatus;
-use chalkdeck_lab::parts::control;
-use chalkdeck_lab::parts::process::{Process, Program};
 use chalkdeck_net::grpc::{self, Code};
 use chalkdeck_net::{ConnId, Engine, Event, Limits, StreamId};
+use chalkdeck_testbed::parts::control;
+use chalkdeck_testbed::parts::process::{Process, Program};
 use http::{HeaderName, HeaderValue};
 use rustix::process::Signal;
 use std::collections::BTreeMap;
--- a/crates/lab/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -4,5 +4,5 @@
 use clap::Parser;
 
 fn main() -> std::process::ExitCode {
-    chalkdeck_lab::cli::exit(chalkdeck_lab::cli::Lab::parse().command.run())
+    chalkdeck_testbed::cli::exit(chalkdeck_testbed::cli::Lab::parse().command.run())
 }
--- a/crates/lab/tests/audit.rs
+++ b/crates/testbed/tests/audit.rs
@@ -1,7 +1,7 @@
 //! An audit of doctored logs: each rule's breach is found, and the log without it is sound.
-use chalkdeck_lab::audit::rules::{audit, Record};
-use chalkdeck_lab::parts::log::{End, Line};
-use chalkdeck_lab::rig::demo;
+use chalkdeck_testbed::audit::rules::{audit, Record};
+use chalkdeck_testbed::parts::log::{End, Line};
+use chalkdeck_testbed::rig::demo;
 
 const NONE: [u8; 0] = [];
 const S: u64 = 1_000_000;
--- a/crates/lab/tests/days.rs
+++ b/crates/testbed/tests/days.rs
@@ -1,11 +1,11 @@
 //! Days played by real processes, and audits that must fail when a fault is put into the carrying code.
-use chalkdeck_lab::audit::rules::{audit, Record, Verdict};
-use chalkdeck_lab::parts::process::Program;
-use chalkdeck_lab::parts::report::Summary;
-use chalkdeck_lab::parts::script;
-use chalkdeck_lab::rig::day::Ways;
-use chalkdeck_lab::rig::{day, demo};
 use chalkdeck_proto::chalkdeck::lab::v1::{Day, Trouble};
+use chalkdeck_testbed::audit::rules::{audit, Record, Verdict};
+use chalkdeck_testbed::parts::process::Program;
+use chalkdeck_testbed::parts::report::Summary;
+use chalkdeck_testbed::parts::script;
+use chalkdeck_testbed::rig::day::Ways;
+use chalkdeck_testbed::rig::{day, demo};
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, PoisonError};
 
--- a/crates/lab/tests/links.rs
+++ b/crates/testbed/tests/links.rs
@@ -1,7 +1,7 @@
 //! The relay between parties: what a network does to streams and datagrams.
-use chalkdeck_lab::parts::control;
-use chalkdeck_lab::rig::links::faults::Word;
-use chalkdeck_lab::rig::links::{Link, Relay, Wire};
+use chalkdeck_testbed::parts::control;
+use chalkdeck_testbed::rig::links::faults::Word;
+use chalkdeck_testbed::rig::links::{Link, Relay, Wire};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::sync::mpsc::{channel, Sender};
--- a/crates/lab/tests/sites.rs
+++ b/crates/testbed/tests/sites.rs
@@ -1,13 +1,13 @@
 //! Hard cases of whole sites, played by real processes with faults between them. Each day must break no rule; what
-//! gateways say of the sites must be what happened; that drains by hand are kept is one of the audit's rules. Those that CI leaves out: `cargo test -p chalkdeck-lab --test sites
+//! gateways say of the sites must be what happened; that drains by hand are kept is one of the audit's rules. Those that CI leaves out: `cargo test -p chalkdeck-testbed --test sites
 //! -- --ignored`.
 use chalkdeck_grpc_gateway::sites::SitesStatus;
-use chalkdeck_lab::audit::rules::{audit, Record};
-use chalkdeck_lab::parts::log::Line;
-use chalkdeck_lab::parts::process::Program;
-use chalkdeck_lab::parts::script;
-use chalkdeck_lab::rig::day::{self, Ways};
 use chalkdeck_proto::chalkdeck::lab::v1::{Day, Trouble};
+use chalkdeck_testbed::audit::rules::{audit, Record};
+use chalkdeck_testbed::parts::log::Line;
+use chalkdeck_testbed::parts::process::Program;
+use chalkdeck_testbed::parts::script;
+use chalkdeck_testbed::rig::day::{self, Ways};
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, PoisonError};
 
