--- a/crates/grpc-gateway/src/base/asked.rs
+++ b/crates/grpc-gateway/src/base/asked.rs
@@ -1,13 +1,13 @@
 //! A call as its head tells it.
 
-use chalkdeck::api::Arrival;
+use chalkdeck::api::IncomingRequest;
 use chalkdeck_net::grpc::Code;
 use http::uri::PathAndQuery;
 use http::HeaderMap;
 
 /// A call that can be taken.
 pub(crate) struct Asked {
-    pub(crate) arrival: Arrival,
+    pub(crate) arrival: IncomingRequest,
     /// The client's own deadline, where it gave one.
     pub(crate) client_deadline: Option<u64>,
     pub(crate) path: PathAndQuery,
--- a/crates/grpc-gateway/src/base/server.rs
+++ b/crates/grpc-gateway/src/base/server.rs
@@ -1,6 +1,6 @@
 //! A server as the list tells it, and the numbers of names.
 
-use chalkdeck::api::{ServerEntry, ZoneId};
+use chalkdeck::api::{EndpointEntry, ZoneId};
 use std::net::SocketAddr;
 
 /// One server: where it is, and what the decisions are told of it.
@@ -13,7 +13,7 @@
     /// The service and version that it tells, parted by a space; none: it tells none.
     pub contract: Option<String>,
     /// Its line of the list.
-    pub entry: ServerEntry,
+    pub entry: EndpointEntry,
 }
 
 /// The stable number of a name, equal at every gateway.
--- a/crates/grpc-gateway/src/calls.rs
+++ b/crates/grpc-gateway/src/calls.rs
@@ -3,7 +3,7 @@
 use crate::base::asked::Asked;
 use crate::body::Kept;
 use bytes::Bytes;
-use chalkdeck::api::{Arrival, RequestId, ServerId};
+use chalkdeck::api::{EndpointId, IncomingRequest, RequestId};
 use chalkdeck_net::StreamId;
 use http::uri::PathAndQuery;
 use http::{response, HeaderMap};
@@ -29,7 +29,7 @@
 
 /// One attempt at a server.
 pub(crate) struct Attempt {
-    pub(crate) server: ServerId,
+    pub(crate) server: EndpointId,
     pub(crate) stream: Option<StreamId>,
     pub(crate) sent: u64,
     pub(crate) out: bool,
@@ -47,7 +47,7 @@
 /// One call of a client.
 pub(crate) struct Call {
     pub(crate) front: StreamId,
-    pub(crate) arrival: Arrival,
+    pub(crate) arrival: IncomingRequest,
     pub(crate) arrived: u64,
     pub(crate) client_deadline: Option<u64>,
     pub(crate) path: PathAndQuery,
--- a/crates/grpc-gateway/src/carry.rs
+++ b/crates/grpc-gateway/src/carry.rs
@@ -9,7 +9,7 @@
 use crate::pool::{AttemptId, Found};
 use crate::shell::{Due, Shell};
 use bytes::Bytes;
-use chalkdeck::api::{AttemptEnd, Event, Micros, Outcome, Report, RequestId, ServerId};
+use chalkdeck::api::{AttemptResult, EndpointId, Event, LoadReport, Micros, Outcome, RequestId};
 use chalkdeck_net::grpc::{self, Code};
 use chalkdeck_net::{Broken, ConnId, StreamId};
 use http::header::TE;
@@ -69,7 +69,7 @@
         );
     }
 
-    pub(crate) fn send(&mut self, id: RequestId, server: ServerId, until: u64) {
+    pub(crate) fn send(&mut self, id: RequestId, server: EndpointId, until: u64) {
         let now = self.engine.now();
         let Some(call) = self.calls.get(id) else {
             return;
@@ -97,7 +97,7 @@
     }
 
     /// Finds a connection for an attempt. Connections that take nothing new are dropped on the way.
-    fn place(&mut self, attempt: AttemptId, server: ServerId) {
+    fn place(&mut self, attempt: AttemptId, server: EndpointId) {
         let server = self.freshest.unwrap_or(server);
         for _ in 0..=self.set.server_connections {
             match self.pool.find(&mut self.engine, server, attempt) {
@@ -111,7 +111,7 @@
                     return self.due_in(self.set.connect_timeout, Due::Connect(conn));
                 }
                 Found::Waits { fresh: None } => return,
-                Found::Full => return self.ended(attempt, Outcome::Full, false),
+                Found::Full => return self.ended(attempt, Outcome::Rejected, false),
                 Found::Unreachable => break,
             }
         }
@@ -163,7 +163,7 @@
             self.send_twin(conn, attempt);
         }
         if replay.gone {
-            self.decisions.push(Event::BodyGone(attempt.call));
+            self.decisions.push(Event::BodyDiscarded(attempt.call));
         }
         true
     }
@@ -220,7 +220,7 @@
         asked
             .into_iter()
             .for_each(|(class, units)| self.site_ended(server, outcome, took, class, units));
-        self.decisions.push(Event::AttemptEnded(AttemptEnd {
+        self.decisions.push(Event::AttemptEnded(AttemptResult {
             id: id.call,
             attempt: id.number,
             server,
@@ -228,7 +228,7 @@
             took: Micros(took),
             ended: answered || done,
             settled: None,
-            report: Report::default(),
+            report: LoadReport::default(),
         }));
         self.calls.forget_if_over(id.call);
     }
@@ -375,7 +375,7 @@
             self.engine
                 .respond(front, grpc::trailers_only(grpc::trailers(code, why)), true);
         }
-        self.decisions.push(Event::ClientGone(id));
+        self.decisions.push(Event::ClientDisconnected(id));
         self.close_call(id, End::Failed);
         last.filter(|_| started)
             .into_iter()
@@ -400,7 +400,7 @@
         }
         for attempt in self.pool.connected(conn).unwrap_or_default() {
             if self.calls.attempt(attempt).is_some() && !self.open_on(conn, attempt) {
-                self.ended(attempt, Outcome::Full, false);
+                self.ended(attempt, Outcome::Rejected, false);
             }
         }
     }
@@ -478,7 +478,7 @@
         chunks
             .into_iter()
             .for_each(|chunk| self.engine.send(front, chunk));
-        self.decisions.push(Event::StreamStarted(id));
+        self.decisions.push(Event::ResponseStarted(id));
         // A stream may last for long; the door is for what is to be answered soon.
         self.left(id);
         // From here on the decisions keep no deadline for it; the client's own stays.
@@ -535,7 +535,7 @@
             self.engine.send(back, data);
         }
         if taken.gone {
-            self.decisions.push(Event::BodyGone(id));
+            self.decisions.push(Event::BodyDiscarded(id));
         }
     }
 
@@ -670,7 +670,7 @@
             .len()
             .checked_sub(1)
             .map(|number| AttemptId { call: id, number });
-        self.decisions.push(Event::ClientGone(id));
+        self.decisions.push(Event::ClientDisconnected(id));
         self.close_call(id, End::Gone);
         // A started answer belongs to the client and ends with it.
         last.filter(|_| started)
--- a/crates/grpc-gateway/src/counter.rs
+++ b/crates/grpc-gateway/src/counter.rs
@@ -6,7 +6,7 @@
 
 use crate::counters::{News, Standing};
 use bytes::BytesMut;
-use chalkdeck::api::{CountName, Outcome};
+use chalkdeck::api::{CounterKey, Outcome};
 use chalkdeck_net::clock::incarnation;
 use chalkdeck_net::grpc::{self, Code, Deframer};
 use chalkdeck_net::{ConnId, Engine, Limits, StreamId};
@@ -25,7 +25,7 @@
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Told {
-    pub(crate) name: CountName,
+    pub(crate) name: CounterKey,
     pub(crate) outcome: Outcome,
     pub(crate) total: f64,
 }
@@ -33,11 +33,11 @@
 /// Answers of each name in the order of its calls, whatever the order in which they come.
 #[derive(Debug, Default)]
 pub(crate) struct InOrder {
-    names: FxHashMap<CountName, VecDeque<(u64, Option<Told>)>>,
+    names: FxHashMap<CounterKey, VecDeque<(u64, Option<Told>)>>,
 }
 
 impl InOrder {
-    pub(crate) fn asked(&mut self, name: CountName, call: u64) {
+    pub(crate) fn asked(&mut self, name: CounterKey, call: u64) {
         self.names.entry(name).or_default().push_back((call, None));
     }
     /// A call ended; returns what can be told now. A call that ended before is no news.
@@ -68,7 +68,7 @@
 
 /// A call that was sent or waits for the link.
 struct Open {
-    name: CountName,
+    name: CounterKey,
     sent: u64,
 }
 
@@ -123,7 +123,7 @@
     pub(crate) fn add(
         &mut self,
         engine: &mut Engine,
-        name: CountName,
+        name: CounterKey,
         amount: f64,
         life: u64,
         until: u64,
@@ -140,7 +140,7 @@
             },
         );
         if full {
-            return self.end(call, Outcome::Moot, 0.0);
+            return self.end(call, Outcome::NeverSent, 0.0);
         }
         self.until.push_back(Until { at: until, call });
         let caller = self.caller;
@@ -323,7 +323,7 @@
 fn outcome_of(answer: &AddResponse) -> Outcome {
     match Code::of(answer.status) {
         Code::Ok if answer.total.is_finite() => Outcome::Ok,
-        Code::Unavailable | Code::ResourceExhausted => Outcome::Full,
+        Code::Unavailable | Code::ResourceExhausted => Outcome::Rejected,
         _ => Outcome::Error,
     }
 }
--- a/crates/grpc-gateway/src/counter/tests.rs
+++ b/crates/grpc-gateway/src/counter/tests.rs
@@ -4,7 +4,7 @@
 
 fn told(name: u64, total: f64) -> Told {
     Told {
-        name: CountName(name),
+        name: CounterKey(name),
         outcome: Outcome::Ok,
         total,
     }
@@ -14,7 +14,7 @@
 fn answers_of_a_name_are_told_in_order_of_its_calls() {
     let mut order = InOrder::default();
     for call in 1..=4 {
-        order.asked(CountName(call % 2), call);
+        order.asked(CounterKey(call % 2), call);
     }
     assert!(
         order.ended(3, told(1, 30.0)).is_empty(),
--- a/crates/grpc-gateway/src/counters.rs
+++ b/crates/grpc-gateway/src/counters.rs
@@ -2,7 +2,7 @@
 //! the others. What each part's answers say of its counts is followed here.
 
 use crate::counter::{Counter, Told};
-use chalkdeck::api::CountName;
+use chalkdeck::api::CounterKey;
 use chalkdeck_net::{ConnId, Engine, StreamId};
 use chalkdeck_proto::chalkdeck::counter::v1::AddResponse;
 use std::net::SocketAddr;
@@ -65,7 +65,7 @@
     }
 
     /// The part that a name belongs to.
-    pub(crate) fn part_of(&mut self, name: CountName) -> &mut Counter {
+    pub(crate) fn part_of(&mut self, name: CounterKey) -> &mut Counter {
         let part = (name.0 % self.parts.len() as u64) as usize;
         &mut self.parts[part]
     }
--- a/crates/grpc-gateway/src/endpoints.rs
+++ b/crates/grpc-gateway/src/endpoints.rs
@@ -7,7 +7,7 @@
 
 pub use crate::base::server::Server;
 use crate::base::server::{number_of, zone_of};
-use chalkdeck::api::{CellId, Listed, Micros, ServerEntry, ServerId};
+use chalkdeck::api::{CellId, EndpointEntry, EndpointId, EndpointState, Micros};
 use chalkdeck_net::watch::WatchError;
 use chalkdeck_proto::envoy::config::core::v3::{address, socket_address, HealthStatus};
 use chalkdeck_proto::envoy::config::endpoint::v3::{
@@ -91,10 +91,10 @@
     let zone = locality.locality.as_ref().map_or("", |l| l.zone.as_str());
     let listed = match HealthStatus::try_from(endpoint.health_status) {
         Ok(HealthStatus::Unknown | HealthStatus::Healthy | HealthStatus::Degraded) => {
-            Listed::InService
+            EndpointState::InService
         }
         Ok(HealthStatus::Draining | HealthStatus::Unhealthy | HealthStatus::Timeout) => {
-            Listed::Draining
+            EndpointState::Draining
         }
         Err(_) => {
             return bad(format!(
@@ -120,8 +120,8 @@
         Some(Kind::StringValue(name)) => name.clone(),
         Some(_) => return bad("metadata chalkdeck.server: expected a text"),
     };
-    let entry = ServerEntry {
-        server: ServerId(number_of(&name)),
+    let entry = EndpointEntry {
+        server: EndpointId(number_of(&name)),
         zone: zone_of(zone),
         cell: CellId(number_of(&cell)),
         listed,
--- a/crates/grpc-gateway/src/entry.rs
+++ b/crates/grpc-gateway/src/entry.rs
@@ -1,14 +1,14 @@
 //! Between the fronts and the decisions: requests go through the door, in fair turns over customers.
 
 use crate::shell::Shell;
-use chalkdeck::api::{Arrival, Event, Micros, RequestId};
+use chalkdeck::api::{Event, IncomingRequest, Micros, RequestId};
 use chalkdeck_admission_queue::{Door, Offer, Settings, Verdict};
 use rustc_hash::FxHashMap;
 
 /// The door and what waits at it.
 pub(crate) struct Entry {
     door: Door,
-    arrivals: FxHashMap<RequestId, Arrival>,
+    arrivals: FxHashMap<RequestId, IncomingRequest>,
     verdicts: Vec<Verdict>,
 }
 
@@ -24,7 +24,7 @@
 
 impl Shell {
     /// A request came in at a front.
-    pub(crate) fn enter(&mut self, arrival: Arrival) {
+    pub(crate) fn enter(&mut self, arrival: IncomingRequest) {
         self.site_offered(&arrival);
         let now = self.engine.now();
         let Shell {
@@ -34,7 +34,7 @@
             ..
         } = self
         else {
-            return self.decisions.push(Event::Request(arrival));
+            return self.decisions.push(Event::RequestArrived(arrival));
         };
         let standing = decisions
             .gateway
@@ -80,7 +80,7 @@
                 let arrival = entry.arrivals.remove(&RequestId(id));
                 arrival
                     .into_iter()
-                    .for_each(|a| self.decisions.push(Event::Request(a)));
+                    .for_each(|a| self.decisions.push(Event::RequestArrived(a)));
             }
             Verdict::Refuse { id, back } => {
                 entry.arrivals.remove(&RequestId(id));
--- a/crates/grpc-gateway/src/front.rs
+++ b/crates/grpc-gateway/src/front.rs
@@ -2,7 +2,7 @@
 
 use crate::base::asked::{Asked, Rejected};
 use crate::base::settings::{Route, Settings};
-use chalkdeck::api::{Arrival, ClassId, CustomerId, Micros, RequestId};
+use chalkdeck::api::{ClassId, CustomerId, IncomingRequest, Micros, RequestId};
 use chalkdeck_net::grpc::{self, Code};
 use http::uri::PathAndQuery;
 use http::{request, HeaderMap, HeaderName};
@@ -102,7 +102,7 @@
     let tries_before = text(headers, grpc::ATTEMPTS)
         .and_then(|v| v.parse().ok())
         .unwrap_or(0);
-    let arrival = Arrival {
+    let arrival = IncomingRequest {
         id,
         class: ClassId(class),
         plan,
--- a/crates/grpc-gateway/src/keepers.rs
+++ b/crates/grpc-gateway/src/keepers.rs
@@ -7,7 +7,7 @@
 use crate::base::settings::{KeeperSettings, Settings};
 use crate::calls::Who;
 use crate::shell::{Due, Shell};
-use chalkdeck::api::{Listed, RequestId};
+use chalkdeck::api::{EndpointState, RequestId};
 use chalkdeck_access::{Call, Regions, Verdict};
 use chalkdeck_coordinator::kept::Kept;
 use chalkdeck_coordinator::member::{Act, Member, Set};
@@ -200,9 +200,12 @@
     /// Marks servers whose version was not admitted as draining: nothing new goes to them.
     fn hold_back(&mut self, servers: &mut [Server]) {
         let held = &self.member.session().held;
-        let told = servers
-            .iter()
-            .map(|s| (s.entry.listed == Listed::InService, s.contract.as_deref()));
+        let told = servers.iter().map(|s| {
+            (
+                s.entry.listed == EndpointState::InService,
+                s.contract.as_deref(),
+            )
+        });
         let back =
             chalkdeck_contract::hold_back(told, |service, version| held.admits(service, version));
         self.held_back.clear();
@@ -211,7 +214,7 @@
             .zip(&back.held)
             .filter(|(_, held)| **held)
         {
-            server.entry.listed = Listed::Draining;
+            server.entry.listed = EndpointState::Draining;
             self.held_back.push(server.address.to_string());
         }
         if back.last_resort != std::mem::replace(&mut self.last_resort, back.last_resort)
--- a/crates/grpc-gateway/src/metrics.rs
+++ b/crates/grpc-gateway/src/metrics.rs
@@ -170,25 +170,36 @@
 }
 
 fn by_outcome(family: &Family<Kind, Counter>) -> ByOutcome {
-    use Outcome::{Cancelled, ConnectFailed, Error, Full, Moot, Ok, Reset, Timeout};
-    let all = [
-        Ok,
-        Error,
-        Full,
-        Timeout,
-        ConnectFailed,
-        Reset,
-        Cancelled,
-        Moot,
-    ];
-    let counter = |o: Outcome| {
-        family
-            .get_or_create(&Kind {
-                kind: format!("{o:?}").to_lowercase(),
-            })
-            .clone()
+    let counter = |outcome: Outcome| {
+        let kind = outcome_label(outcome).to_string();
+        family.get_or_create(&Kind { kind }).clone()
     };
-    all.into_iter().map(|o| (o, counter(o))).collect()
+    ALL_OUTCOMES.into_iter().map(|o| (o, counter(o))).collect()
+}
+
+const ALL_OUTCOMES: [Outcome; 8] = [
+    Outcome::Ok,
+    Outcome::Error,
+    Outcome::Rejected,
+    Outcome::Timeout,
+    Outcome::ConnectFailed,
+    Outcome::Reset,
+    Outcome::Cancelled,
+    Outcome::NeverSent,
+];
+
+/// The value of the label `kind`. Dashboards go by it, so it stays whatever the variants are called.
+fn outcome_label(outcome: Outcome) -> &'static str {
+    match outcome {
+        Outcome::Ok => "ok",
+        Outcome::Error => "error",
+        Outcome::Rejected => "full",
+        Outcome::Timeout => "timeout",
+        Outcome::ConnectFailed => "connectfailed",
+        Outcome::Reset => "reset",
+        Outcome::Cancelled => "cancelled",
+        Outcome::NeverSent => "moot",
+    }
 }
 
 fn inc(counters: &ByOutcome, outcome: Outcome) {
--- a/crates/grpc-gateway/src/outcome.rs
+++ b/crates/grpc-gateway/src/outcome.rs
@@ -18,7 +18,7 @@
     let is = |outcome, is_answer| Ended { outcome, is_answer };
     match Code::read(trailers) {
         Some(Code::Unavailable) if trailers.get(UNPROCESSED).is_some_and(|v| v == "1") => {
-            is(Outcome::Full, false)
+            is(Outcome::Rejected, false)
         }
         Some(Code::Unavailable) | None => is(Outcome::Error, false),
         Some(Code::DeadlineExceeded) => is(Outcome::Timeout, false),
@@ -30,7 +30,7 @@
 /// By how its stream broke off.
 pub(crate) fn of_break(how: Broken) -> Outcome {
     match how {
-        Broken::Refused | Broken::GoneAway => Outcome::Full,
+        Broken::Refused | Broken::GoneAway => Outcome::Rejected,
         Broken::Reset(_) | Broken::Lost => Outcome::Reset,
     }
 }
--- a/crates/grpc-gateway/src/pool.rs
+++ b/crates/grpc-gateway/src/pool.rs
@@ -3,7 +3,7 @@
 //! Bounds: `server_connections` for a server, `server_streams` calls on each, as many again waiting for one to stand.
 
 use crate::base::server::Server;
-use chalkdeck::api::{RequestId, ServerId};
+use chalkdeck::api::{EndpointId, RequestId};
 use chalkdeck_net::{ConnId, Engine, Limits};
 use http::uri::Authority;
 use rustc_hash::FxHashMap;
@@ -52,8 +52,8 @@
 pub(crate) struct Pool {
     limits: Limits,
     most: usize,
-    places: FxHashMap<ServerId, Place>,
-    server_of: FxHashMap<ConnId, ServerId>,
+    places: FxHashMap<EndpointId, Place>,
+    server_of: FxHashMap<ConnId, EndpointId>,
     /// Connections to servers that left the list.
     leaving: Vec<ConnId>,
 }
@@ -114,16 +114,16 @@
     }
 
     /// The server's name in the heads of calls.
-    pub(crate) fn authority(&self, server: ServerId) -> Option<Authority> {
+    pub(crate) fn authority(&self, server: EndpointId) -> Option<Authority> {
         self.places.get(&server).map(|p| p.authority.clone())
     }
 
     /// Some server of the list.
-    pub(crate) fn any(&self) -> Option<ServerId> {
+    pub(crate) fn any(&self) -> Option<EndpointId> {
         self.places.keys().min().copied()
     }
 
-    pub(crate) fn address(&self, server: ServerId) -> Option<SocketAddr> {
+    pub(crate) fn address(&self, server: EndpointId) -> Option<SocketAddr> {
         self.places.get(&server).map(|p| p.address)
     }
 
@@ -131,7 +131,7 @@
     pub(crate) fn find(
         &mut self,
         engine: &mut Engine,
-        server: ServerId,
+        server: EndpointId,
         attempt: AttemptId,
     ) -> Found {
         let Some(place) = self.places.get_mut(&server) else {
--- a/crates/grpc-gateway/src/resp/mod.rs
+++ b/crates/grpc-gateway/src/resp/mod.rs
@@ -8,7 +8,7 @@
 pub use crate::base::settings::RespSettings;
 use crate::shell::{Due, Shell};
 use bytes::Bytes;
-use chalkdeck::api::{Arrival, ClassId, CustomerId, Event, Micros, PlanId, RequestId};
+use chalkdeck::api::{ClassId, CustomerId, Event, IncomingRequest, Micros, PlanId, RequestId};
 use chalkdeck_net::{ConnId, Engine, Limits, ListenerId};
 use chalkdeck_resp::{take, Front};
 use command::Command;
@@ -269,7 +269,7 @@
             },
         );
         self.metrics.resp_asks.inc();
-        self.enter(Arrival {
+        self.enter(IncomingRequest {
             id,
             class: ClassId(class),
             plan,
@@ -292,14 +292,14 @@
         let (limit, remaining) = (standing.limit as i64, standing.remaining as i64);
         let Some(lease) = ask.lease else {
             // A plain ask holds no place: what it was granted for is over for us.
-            self.decisions.push(Event::ClientGone(id));
+            self.decisions.push(Event::ClientDisconnected(id));
             let numbers = [0, limit, remaining, -1, seconds(standing.reset.0)];
             return self.resp_answer(&ask, Reply::Array(numbers.map(Reply::Integer).into()));
         };
         let secret = fastrand::u32(..);
         let Some(resp) = &mut self.resp else { return };
         let Some(session) = resp.sessions.get_mut(&ask.conn) else {
-            return self.decisions.push(Event::ClientGone(id));
+            return self.decisions.push(Event::ClientDisconnected(id));
         };
         session.tickets += 1;
         resp.tickets.insert(
@@ -367,8 +367,8 @@
         resp.drop_ticket(id);
         units
             .into_iter()
-            .for_each(|units| self.decisions.push(Event::Settled(id, units)));
-        self.decisions.push(Event::ClientGone(id));
+            .for_each(|units| self.decisions.push(Event::UnitsSettled(id, units)));
+        self.decisions.push(Event::ClientDisconnected(id));
         true
     }
 
@@ -476,7 +476,7 @@
                 resp.drop_ticket(id);
             }
             self.left(id);
-            self.decisions.push(Event::ClientGone(id));
+            self.decisions.push(Event::ClientDisconnected(id));
         }
     }
 
@@ -486,7 +486,7 @@
                 request = id.0,
                 "a ticket's lease is over: its place comes back"
             );
-            self.decisions.push(Event::ClientGone(id));
+            self.decisions.push(Event::ClientDisconnected(id));
         }
     }
 
--- a/crates/grpc-gateway/src/shell.rs
+++ b/crates/grpc-gateway/src/shell.rs
@@ -16,7 +16,8 @@
 use crate::resp::Resp;
 use crate::sites::Sites;
 use chalkdeck::api::{
-    Action, CountName, Event, ListScope, Listed, Micros, Outcome, RequestId, ServerId, TimerId,
+    Action, CounterKey, EndpointId, EndpointState, Event, Micros, Outcome, RequestId, TimerId,
+    UpdateScope,
 };
 use chalkdeck::decisions::Decisions;
 use chalkdeck::rules::Gateway;
@@ -74,7 +75,7 @@
     pub(crate) fault: Option<Fault>,
     counts_watched: bool,
     /// Where the fault of cold servers sends all.
-    pub(crate) freshest: Option<ServerId>,
+    pub(crate) freshest: Option<EndpointId>,
 }
 
 impl Shell {
@@ -294,16 +295,16 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Send(id, server, until) => self.send(id, server, until.0),
-            Action::Refuse(id, back_in) => self.refuse(id, back_in.map(|m| m.0)),
+            Action::SendAttempt(id, server, until) => self.send(id, server, until.0),
+            Action::Reject(id, back_in) => self.refuse(id, back_in.map(|m| m.0)),
             Action::Grant(id) => self.granted(id),
             Action::Fail(id) => self.fail(id),
-            Action::Cancel(call, number) => {
+            Action::CancelAttempt(call, number) => {
                 self.call_off(AttemptId { call, number }, Outcome::Cancelled)
             }
-            Action::Count(name, amount, life) => self.count(name, amount, life.0),
+            Action::AddToCounter(name, amount, life) => self.count(name, amount, life.0),
             Action::SetTimer(timer, after) => self.due_in(after.0, Due::Policy(timer)),
-            Action::FetchList => self.look(),
+            Action::FetchEndpoints => self.look(),
             // The settings allow neither probes nor subscriptions: the list is watched.
             Action::Probe(_) | Action::Subscribe => {}
         }
@@ -334,7 +335,7 @@
         }
     }
 
-    fn count(&mut self, name: CountName, amount: f64, life: u64) {
+    fn count(&mut self, name: CounterKey, amount: f64, life: u64) {
         let Shell {
             counter: Some(counter),
             engine,
@@ -398,7 +399,8 @@
         } in told
         {
             self.metrics.count(outcome);
-            self.decisions.push(Event::Counted(name, outcome, total));
+            self.decisions
+                .push(Event::CounterReplied(name, outcome, total));
         }
     }
 
@@ -437,14 +439,14 @@
         let mut entries: Vec<_> = servers.into_iter().map(|s| s.entry).collect();
         for entry in &mut entries {
             if self.fault == Some(Fault::Drains) {
-                entry.listed = Listed::InService;
+                entry.listed = EndpointState::InService;
             }
             if self.fault == Some(Fault::Cold) && entry.started.is_some() {
                 self.freshest = Some(entry.server);
             }
         }
         self.decisions
-            .push(Event::Servers(ListScope::Whole, entries));
+            .push(Event::EndpointsUpdated(UpdateScope::Complete, entries));
     }
 
     /// Takes over what can change in service; the decisions' own settings need a new start.
--- a/crates/grpc-gateway/src/sites.rs
+++ b/crates/grpc-gateway/src/sites.rs
@@ -7,7 +7,9 @@
 use crate::metrics::End;
 use crate::shell::{Due, Shell};
 use crate::words::Words;
-use chalkdeck::api::{self, Arrival, Listed, Outcome, ServerId, ZoneId, ZoneShare};
+use chalkdeck::api::{
+    self, EndpointId, EndpointState, IncomingRequest, Outcome, ZoneId, ZoneShare,
+};
 use chalkdeck_site_failover::{Command, Core, Event, How, Plan, SiteId, State};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -91,7 +93,7 @@
         let line = |s: &Server| chalkdeck_site_failover::Listed {
             server: s.entry.server.0,
             site: site_of(s.entry.zone),
-            in_service: s.entry.listed == Listed::InService,
+            in_service: s.entry.listed == EndpointState::InService,
             weight: s.entry.weight,
             started: s.entry.started.map(|at| at.0),
         };
@@ -137,10 +139,10 @@
 fn how(outcome: Outcome) -> How {
     match outcome {
         Outcome::Ok | Outcome::Error => How::Answered,
-        Outcome::Full => How::Full,
+        Outcome::Rejected => How::Full,
         Outcome::Timeout => How::Silent,
         Outcome::ConnectFailed | Outcome::Reset => How::Unreached,
-        Outcome::Cancelled | Outcome::Moot => How::CalledOff,
+        Outcome::Cancelled | Outcome::NeverSent => How::CalledOff,
     }
 }
 
@@ -165,7 +167,7 @@
     }
 
     /// Requests whose callers do the work themselves take no room here.
-    pub(crate) fn site_offered(&mut self, arrival: &Arrival) {
+    pub(crate) fn site_offered(&mut self, arrival: &IncomingRequest) {
         let Shell {
             sites: Some(sites),
             set,
@@ -184,7 +186,7 @@
             .on(self.engine.now(), Event::Offered(worth, arrival.units));
     }
 
-    pub(crate) fn site_sent(&mut self, server: ServerId) {
+    pub(crate) fn site_sent(&mut self, server: EndpointId) {
         let now = self.engine.now();
         self.sites
             .iter_mut()
@@ -193,7 +195,7 @@
 
     pub(crate) fn site_ended(
         &mut self,
-        server: ServerId,
+        server: EndpointId,
         outcome: Outcome,
         took: u64,
         class: usize,
@@ -286,7 +288,7 @@
             share: v.share,
             open: v.state == State::Serving,
         };
-        let floor = api::Floor {
+        let floor = api::SheddingThreshold {
             sure: plan.floor.sure,
             from: plan.floor.from,
             part: plan.floor.part,
@@ -296,7 +298,8 @@
             .names
             .retain(|id, _| plan.sites.iter().any(|s| s.site == *id));
         sites.told = Some(plan);
-        self.decisions.push(api::Event::Sites(shares, floor));
+        self.decisions
+            .push(api::Event::ZoneSharesChanged(shares, floor));
     }
 
     /// A word that reached the whole fleet; it counts from the first list that names its site on, and is kept like one that was
--- a/crates/policy/benches/request.rs
+++ b/crates/policy/benches/request.rs
@@ -46,7 +46,7 @@
     next: u64,
     out: Vec<Action>,
     timers: BinaryHeap<std::cmp::Reverse<(u64, u64)>>,
-    totals: HashMap<CountName, f64>,
+    totals: HashMap<CounterKey, f64>,
 }
 
 impl Rig {
@@ -61,16 +61,16 @@
             timers,
             totals: HashMap::new(),
         };
-        let entry = |i: u64| ServerEntry {
-            server: ServerId(i.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
+        let entry = |i: u64| EndpointEntry {
+            server: EndpointId(i.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
             zone: ZoneId((i % 3) as u32),
             cell: CellId(i % 3),
-            listed: Listed::InService,
+            listed: EndpointState::InService,
             weight: 1.0,
             started: None,
         };
-        rig.tell(Event::Servers(
-            ListScope::Whole,
+        rig.tell(Event::EndpointsUpdated(
+            UpdateScope::Complete,
             (0..servers).map(entry).collect(),
         ));
         (0..20_000).for_each(|_| rig.request());
@@ -88,25 +88,25 @@
             self.tell(Event::Timer(TimerId(id)));
         }
         self.next += 1;
-        let arrival = Arrival {
+        let arrival = IncomingRequest {
             id: RequestId(self.next),
             customer: CustomerId((self.next % 5_000).wrapping_mul(0x9e37_79b9_7f4a_7c15)),
             spread: 3,
             deadline: Micros(self.now + 2_000_000),
             units: 1.0,
-            ..Arrival::default()
+            ..IncomingRequest::default()
         };
-        self.tell(Event::Request(arrival));
+        self.tell(Event::RequestArrived(arrival));
         while let Some(action) = self.out.pop() {
             match action {
-                Action::Count(name, amount, _) => {
+                Action::AddToCounter(name, amount, _) => {
                     let total = self.totals.entry(name).or_default();
                     *total += amount;
                     let total = *total;
-                    self.tell(Event::Counted(name, Outcome::Ok, total));
+                    self.tell(Event::CounterReplied(name, Outcome::Ok, total));
                 }
-                Action::Send(id, server, _) => {
-                    let end = AttemptEnd {
+                Action::SendAttempt(id, server, _) => {
+                    let end = AttemptResult {
                         id,
                         attempt: 0,
                         server,
@@ -114,7 +114,7 @@
                         took: Micros(20_000),
                         ended: true,
                         settled: None,
-                        report: Report::default(),
+                        report: LoadReport::default(),
                     };
                     self.tell(Event::AttemptEnded(end));
                 }
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -44,7 +44,7 @@
 id!(/// A customer, whose quota all gateways share.
     CustomerId, u64);
 id!(/// A server of the back end; every gateway knows it by the same number.
-    ServerId, u64);
+    EndpointId, u64);
 id!(/// A place in `Settings::classes`.
     ClassId, usize);
 id!(/// A place in `Settings::plans`.
@@ -54,7 +54,7 @@
 id!(/// A group of servers that share which keys they have seen.
     CellId, u64);
 id!(/// A number kept by the counter service.
-    CountName, u64);
+    CounterKey, u64);
 id!(/// A timer, chosen by the module.
     TimerId, u64);
 
@@ -177,26 +177,26 @@
 
 /// Whether a server takes new work, as the list tells it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub enum EndpointState {
     /// It takes work.
     InService,
     /// It finishes what it has.
     Draining,
     /// It was taken away.
-    Gone,
+    Removed,
 }
 
 /// One line of the server list.
 #[derive(Clone, Debug)]
-pub struct ServerEntry {
+pub struct EndpointEntry {
     /// The server.
-    pub server: ServerId,
+    pub server: EndpointId,
     /// Its zone.
     pub zone: ZoneId,
     /// Its cell.
     pub cell: CellId,
     /// Its state.
-    pub listed: Listed,
+    pub listed: EndpointState,
     /// Its size against the others.
     pub weight: f64,
     /// When it last started; `None`: long ago.
@@ -205,13 +205,13 @@
 
 /// What a list event holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListScope {
+pub enum UpdateScope {
     /// Only entries that changed.
-    Changes,
+    Incremental,
     /// The complete list.
-    Whole,
+    Complete,
     /// A call for the list or the subscription failed; the earlier list stays.
-    Lost,
+    Unavailable,
 }
 
 /// How an attempt, a probe or a count call ended.
@@ -222,7 +222,7 @@
     /// Answered with an error; may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// No answer in time; may have run.
     Timeout,
     /// No connection was made.
@@ -232,19 +232,22 @@
     /// Called off; may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NeverSent,
 }
 
 impl Outcome {
     /// The outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+        matches!(
+            self,
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NeverSent
+        )
     }
 }
 
 /// What a server said of its load, where it did.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Requests being handled.
     pub inflight: Option<f64>,
     /// Requests waiting.
@@ -255,7 +258,7 @@
 
 /// A request that came in.
 #[derive(Clone, Debug, Default)]
-pub struct Arrival {
+pub struct IncomingRequest {
     /// Its id.
     pub id: RequestId,
     /// Its class.
@@ -276,13 +279,13 @@
 
 /// An attempt that ended.
 #[derive(Clone, Debug)]
-pub struct AttemptEnd {
+pub struct AttemptResult {
     /// The request.
     pub id: RequestId,
     /// Which of its attempts.
     pub attempt: usize,
     /// The server.
-    pub server: ServerId,
+    pub server: EndpointId,
     /// How.
     pub outcome: Outcome,
     /// How long it was out.
@@ -292,7 +295,7 @@
     /// The true units, where they are settled afterwards.
     pub settled: Option<f64>,
     /// The server's load report.
-    pub report: Report,
+    pub report: LoadReport,
 }
 
 /// What a zone should bear, where sites are watched.
@@ -308,7 +311,7 @@
 
 /// What is let in at all, by worth for each unit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Floor {
+pub struct SheddingThreshold {
     /// Worth this much or more: let in.
     pub sure: f64,
     /// Worth less than this: refused.
@@ -321,57 +324,57 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// What zones should bear and what is let in; until the first, nothing is known of zones as wholes.
-    Sites(Vec<ZoneShare>, Floor),
+    ZoneSharesChanged(Vec<ZoneShare>, SheddingThreshold),
     /// News of the server list.
-    Servers(ListScope, Vec<ServerEntry>),
+    EndpointsUpdated(UpdateScope, Vec<EndpointEntry>),
     /// A request came in.
-    Request(Arrival),
+    RequestArrived(IncomingRequest),
     /// A timer came due.
     Timer(TimerId),
     /// A streamed answer has started; the request is the client's now.
-    StreamStarted(RequestId),
+    ResponseStarted(RequestId),
     /// The client is gone.
-    ClientGone(RequestId),
+    ClientDisconnected(RequestId),
     /// A request that was granted cost so many units in truth.
-    Settled(RequestId, f64),
+    UnitsSettled(RequestId, f64),
     /// Its body is no longer held and cannot be sent again.
-    BodyGone(RequestId),
+    BodyDiscarded(RequestId),
     /// A probe ended.
-    Probed(ServerId, Outcome, Report),
+    ProbeCompleted(EndpointId, Outcome, LoadReport),
     /// A count call ended, with the total where it was answered.
-    Counted(CountName, Outcome, f64),
+    CounterReplied(CounterKey, Outcome, f64),
     /// An attempt ended.
-    AttemptEnded(AttemptEnd),
+    AttemptEnded(AttemptResult),
 }
 
 /// What a gateway does.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt, to be given up at that time.
-    Send(RequestId, ServerId, Micros),
+    SendAttempt(RequestId, EndpointId, Micros),
     /// Final answer: refused, with advice when to come back.
-    Refuse(RequestId, Option<Micros>),
+    Reject(RequestId, Option<Micros>),
     /// Leave is given: the caller does the work itself, and tells its end by `ClientGone`.
     Grant(RequestId),
     /// Final answer: failed.
     Fail(RequestId),
     /// Call off an attempt.
-    Cancel(RequestId, usize),
+    CancelAttempt(RequestId, usize),
     /// Ask a server for its load.
-    Probe(ServerId),
+    Probe(EndpointId),
     /// Add to a count that lives that long, and hear the total.
-    Count(CountName, f64, Micros),
+    AddToCounter(CounterKey, f64, Micros),
     /// Wake the module after this time.
     SetTimer(TimerId, Micros),
     /// Ask for changes of the server list.
     Subscribe,
     /// Ask for the whole server list.
-    FetchList,
+    FetchEndpoints,
 }
 
 /// How a customer stands with its quota, as far as it is known here.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Standing {
+pub struct QuotaStatus {
     /// The most units (or places) at once.
     pub limit: f64,
     /// What is left of them.
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -157,24 +157,26 @@
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.pass_time(now);
         match event {
-            Event::Servers(scope, entries) => self.on_servers(scope, entries),
-            Event::Sites(shares, floor) => (self.sites, self.floor) = (shares, Some(floor)),
-            Event::Request(arrival) => self.on_request(arrival),
+            Event::EndpointsUpdated(scope, entries) => self.on_servers(scope, entries),
+            Event::ZoneSharesChanged(shares, floor) => {
+                (self.sites, self.floor) = (shares, Some(floor))
+            }
+            Event::RequestArrived(arrival) => self.on_request(arrival),
             Event::Timer(timer) => self.on_timer(timer),
-            Event::StreamStarted(id) => self
+            Event::ResponseStarted(id) => self
                 .requests
                 .get_mut(&id)
                 .into_iter()
                 .for_each(|r| r.streaming = true),
-            Event::ClientGone(id) => self.finish(id, None),
-            Event::Settled(id, units) => self.settle(id, units),
-            Event::BodyGone(id) => self
+            Event::ClientDisconnected(id) => self.finish(id, None),
+            Event::UnitsSettled(id, units) => self.settle(id, units),
+            Event::BodyDiscarded(id) => self
                 .requests
                 .get_mut(&id)
                 .into_iter()
                 .for_each(|r| r.body_gone = true),
-            Event::Probed(..) => {}
-            Event::Counted(name, outcome, total) => self.on_counted(name, outcome, total),
+            Event::ProbeCompleted(..) => {}
+            Event::CounterReplied(name, outcome, total) => self.on_counted(name, outcome, total),
             Event::AttemptEnded(end) => self.on_attempt(end),
         }
         out.append(&mut self.out);
@@ -294,10 +296,10 @@
         }
     }
 
-    fn on_request(&mut self, a: Arrival) {
+    fn on_request(&mut self, a: IncomingRequest) {
         let (id, now, customer, plan) = (a.id, self.now, a.customer, a.plan.0);
         if a.class.0 >= self.set.classes.len() || plan >= self.set.plans.len() {
-            return self.out.push(Action::Refuse(id, None));
+            return self.out.push(Action::Reject(id, None));
         }
         self.retries = (self.retries + RETRY_SHARE).min(RETRY_SAVED);
         // Before the deadline by two ticks: a timer may come one late, and the answer takes one.
@@ -317,7 +319,7 @@
         self.requests.insert(
             id,
             Request {
-                a: Arrival { resent, ..a },
+                a: IncomingRequest { resent, ..a },
                 arrived: now,
                 ..Request::default()
             },
@@ -325,7 +327,7 @@
         self.roll(customer);
         if !self.set.classes[a.class.0].by_caller && self.shed(id) {
             let wait = self.soon(a.class);
-            return self.finish(id, Some(Action::Refuse(id, wait)));
+            return self.finish(id, Some(Action::Reject(id, wait)));
         }
         match self.set.plans[plan].rate > 0.0 {
             true => self.ask_window(id),
@@ -497,7 +499,7 @@
             self.window_of(plan).0
         };
         let name =
-            CountName(mix(mix(id.0) ^ mix(span << 1 | u64::from(purpose == Purpose::Open))) >> 1);
+            CounterKey(mix(mix(id.0) ^ mix(span << 1 | u64::from(purpose == Purpose::Open))) >> 1);
         let probe =
             request.is_some() && (self.breaker.probing || self.customers[&id].breaker.probing);
         let (sent, amount, customer) = (self.now, units + like + extra, id);
@@ -517,7 +519,7 @@
             .and_then(|id| self.requests.get_mut(&id))
             .into_iter()
             .for_each(|r| r.asking += 1);
-        self.out.push(Action::Count(
+        self.out.push(Action::AddToCounter(
             name,
             amount,
             (length + length).min(Micros(60_000_000)),
@@ -548,7 +550,7 @@
     fn call_failed(&mut self, customer: CustomerId, outcome: Outcome, probe: bool) {
         let now = self.now;
         // A call that its connection took along says nothing of a counter that answered others a moment ago.
-        let broken = !matches!(outcome, Outcome::Timeout | Outcome::Full);
+        let broken = !matches!(outcome, Outcome::Timeout | Outcome::Rejected);
         if broken && !probe && now < self.heard_at + self.set.count_timeout {
             return;
         }
@@ -563,7 +565,7 @@
             .for_each(|c| c.breaker.failure(now, probe));
     }
 
-    fn on_counted(&mut self, name: CountName, outcome: Outcome, total: f64) {
+    fn on_counted(&mut self, name: CounterKey, outcome: Outcome, total: f64) {
         let Some(call) = self
             .calls
             .get_mut(&name)
@@ -867,18 +869,18 @@
     }
 
     /// Attempts out at each listed server, and the most that there may be.
-    pub fn places(&self) -> impl Iterator<Item = (ServerId, f64, f64)> + '_ {
+    pub fn places(&self) -> impl Iterator<Item = (EndpointId, f64, f64)> + '_ {
         let scale = self.scale();
         let listed = self.ring.iter().map(|&place| self.servers.at(place));
         listed.map(move |(id, s)| (*id, s.out, s.limit * scale))
     }
 
     /// A look at a customer's quota, which changes nothing and asks nobody.
-    pub fn standing(&self, now: Micros, customer: CustomerId, plan: PlanId) -> Standing {
+    pub fn standing(&self, now: Micros, customer: CustomerId, plan: PlanId) -> QuotaStatus {
         let p = &self.set.plans[plan.0];
         if p.rate <= 0.0 {
             let out = self.customers.get(&customer).map_or(0.0, |c| c.out);
-            return Standing {
+            return QuotaStatus {
                 limit: p.open,
                 remaining: (p.open - out).max(0.0),
                 reset: Micros(0),
@@ -892,7 +894,7 @@
             .filter(|c| c.window.span == shifted / length.0);
         let left = known.map_or(quota, |c| self.room(customer, c.window.known()));
         let reset = Micros(length.0 - shifted % length.0);
-        Standing {
+        QuotaStatus {
             limit: quota,
             remaining: left.clamp(0.0, p.burst),
             reset,
@@ -922,7 +924,7 @@
         }
     }
 
-    fn send(&mut self, id: RequestId, server: ServerId) {
+    fn send(&mut self, id: RequestId, server: EndpointId) {
         let now = self.now;
         let Some(r) = self.requests.get_mut(&id) else {
             return;
@@ -969,7 +971,7 @@
             self.out_now += 1.0;
             s.cold_room.level -= units;
         }
-        self.out.push(Action::Send(id, server, until));
+        self.out.push(Action::SendAttempt(id, server, until));
         look.into_iter()
             .for_each(|look| self.timer(Timer::Stray(id, number), look));
     }
@@ -994,7 +996,7 @@
             .is_some_and(|a| a.out && self.is_stray(a));
         let room = r.attempts.len() < self.set.max_attempts && self.retries >= 1.0;
         if astray && room && self.set.may_cancel {
-            self.out.push(Action::Cancel(id, attempt));
+            self.out.push(Action::CancelAttempt(id, attempt));
         }
     }
 
@@ -1039,7 +1041,7 @@
             .filter(|_| p.rate > 0.0)
             .map(|s| s.max(refill).min(self.set.max_retry_after));
         let answer = if self.may_refuse(r) {
-            Action::Refuse(id, wait)
+            Action::Reject(id, wait)
         } else {
             Action::Fail(id)
         };
@@ -1068,7 +1070,7 @@
                 .enumerate()
                 .filter(|(_, a)| a.out && recall);
             self.out
-                .extend(still_out.map(|(i, _)| Action::Cancel(id, i)));
+                .extend(still_out.map(|(i, _)| Action::CancelAttempt(id, i)));
         }
         self.let_go(id);
     }
@@ -1096,7 +1098,7 @@
         }
     }
 
-    fn on_attempt(&mut self, end: AttemptEnd) {
+    fn on_attempt(&mut self, end: AttemptResult) {
         let (id, outcome) = (end.id, end.outcome);
         let Some(r) = self.requests.get_mut(&id) else {
             return;
@@ -1152,7 +1154,7 @@
     /// The listed servers, this gateway's own part of the fleet first. Guards against learning nothing of any
     /// server where each gateway sees few requests. The golden ratio spreads the parts evenly, also those of
     /// gateways in a row, through which one customer comes.
-    fn own_part_first(&self) -> impl Iterator<Item = &(ServerId, Server)> + '_ {
+    fn own_part_first(&self) -> impl Iterator<Item = &(EndpointId, Server)> + '_ {
         let (before, own) = self.ring.split_at(self.own_start());
         own.iter()
             .chain(before)
@@ -1183,7 +1185,7 @@
     }
 
     /// The allowed server with the least expected wait, beyond the own part only if that has none.
-    fn pick(&mut self, id: RequestId) -> Option<ServerId> {
+    fn pick(&mut self, id: RequestId) -> Option<EndpointId> {
         self.warm_up();
         let (salt, toward) = (self.rng.u64(..), self.toward());
         let (reach, scale) = (self.reach(), self.scale());
@@ -1200,8 +1202,8 @@
         if self.overloaded() && self.flight <= 0.0 {
             return None;
         }
-        let mut best: Option<(f64, ServerId)> = None;
-        let mut look = |at: &(ServerId, Server)| {
+        let mut best: Option<(f64, EndpointId)> = None;
+        let mut look = |at: &(EndpointId, Server)| {
             let score = self.score(r, at, scale, any_healthy, salt, toward);
             best = score
                 .filter(|score| best.is_none_or(|(b, _)| *score < b))
@@ -1243,7 +1245,7 @@
     fn score(
         &self,
         r: &Request,
-        at: &(ServerId, Server),
+        at: &(EndpointId, Server),
         scale: f64,
         fit: bool,
         salt: u64,
@@ -1294,7 +1296,7 @@
 
     fn judge(
         &mut self,
-        server: ServerId,
+        server: EndpointId,
         outcome: Outcome,
         took: Micros,
         aim: Micros,
@@ -1314,7 +1316,7 @@
         let late =
             matches!(outcome, Outcome::Ok | Outcome::Cancelled) && held > aim.times(LATE_PART);
         let unheard = matches!(outcome, Outcome::Cancelled | Outcome::Timeout) && stray;
-        let jammed = !unheard && (late || matches!(outcome, Outcome::Full | Outcome::Timeout));
+        let jammed = !unheard && (late || matches!(outcome, Outcome::Rejected | Outcome::Timeout));
         s.quick += u64::from(outcome == Outcome::Ok && took < aim.times(GROW_PART));
         // A late answer now and then is the work's own time: the more of them come, the more each one tells.
         // Guards against a throttle outlasting its cause where few answers come: good news weighs by the time
@@ -1343,8 +1345,10 @@
             s.limit += LIMIT_GROW;
             self.calm_out *= if overloaded { CALM_GROW } else { 1.0 };
         }
-        let ill =
-            !matches!(outcome, Outcome::Ok | Outcome::Cancelled | Outcome::Moot) || took > aim;
+        let ill = !matches!(
+            outcome,
+            Outcome::Ok | Outcome::Cancelled | Outcome::NeverSent
+        ) || took > aim;
         // One connection may break while a request goes out: the second in a row tells of the server.
         let unmade = outcome == Outcome::ConnectFailed;
         let alone = unmade && s.unreached.is_none();
@@ -1393,7 +1397,7 @@
         if !bad {
             return;
         }
-        if outcome == Outcome::Full {
+        if outcome == Outcome::Rejected {
             s.ejected_until = s.ejected_until.max(now + REST);
             return;
         }
@@ -1459,12 +1463,12 @@
         }
     }
 
-    fn on_servers(&mut self, scope: ListScope, entries: Vec<ServerEntry>) {
-        if scope == ListScope::Lost {
+    fn on_servers(&mut self, scope: UpdateScope, entries: Vec<EndpointEntry>) {
+        if scope == UpdateScope::Unavailable {
             let wait = Micros(500_000 + self.rng.u64(0..500_000));
             return self.timer(Timer::Resubscribe, wait);
         }
-        if scope == ListScope::Whole {
+        if scope == UpdateScope::Complete {
             self.servers.values_mut().for_each(|s| s.listed = false);
         }
         let (now, cold, units) = (self.now, self.set.cold, self.set.most_units);
@@ -1492,7 +1496,7 @@
             s.cold_since = started.or(s.cold_since);
             (s.zone, s.cell, s.weight) =
                 (e.zone, e.cell, if e.weight > 0.0 { e.weight } else { 1.0 });
-            s.listed = e.listed == Listed::InService;
+            s.listed = e.listed == EndpointState::InService;
         }
         self.ring = self.servers.listed();
         self.cold = self
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -113,7 +113,7 @@
 
 #[derive(Debug, Clone)]
 pub(crate) struct Attempt {
-    pub(crate) server: ServerId,
+    pub(crate) server: EndpointId,
     pub(crate) sent: Micros,
     pub(crate) out: bool,
     pub(crate) may_have_run: bool,
@@ -123,7 +123,7 @@
 
 #[derive(Debug, Default)]
 pub(crate) struct Request {
-    pub(crate) a: Arrival,
+    pub(crate) a: IncomingRequest,
     pub(crate) arrived: Micros,
     pub(crate) attempts: Vec<Attempt>,
     /// Window whose count holds what this request added, and that, until the first send.
@@ -171,21 +171,21 @@
 
 /// The servers in the order of their ids. A place holds until a server is added.
 #[derive(Default)]
-pub(crate) struct Servers(Vec<(ServerId, Server)>);
+pub(crate) struct Servers(Vec<(EndpointId, Server)>);
 
 impl Servers {
-    fn place(&self, id: ServerId) -> Result<usize, usize> {
+    fn place(&self, id: EndpointId) -> Result<usize, usize> {
         self.0.binary_search_by_key(&id, |s| s.0)
     }
-    pub(crate) fn get(&self, id: ServerId) -> Option<&Server> {
+    pub(crate) fn get(&self, id: EndpointId) -> Option<&Server> {
         self.place(id).ok().map(|i| &self.0[i].1)
     }
-    pub(crate) fn get_mut(&mut self, id: ServerId) -> Option<&mut Server> {
+    pub(crate) fn get_mut(&mut self, id: EndpointId) -> Option<&mut Server> {
         self.place(id).ok().map(|i| &mut self.0[i].1)
     }
     pub(crate) fn get_or_insert(
         &mut self,
-        id: ServerId,
+        id: EndpointId,
         new: impl FnOnce() -> Server,
     ) -> &mut Server {
         let place = self.place(id).unwrap_or_else(|place| {
@@ -194,7 +194,7 @@
         });
         &mut self.0[place].1
     }
-    pub(crate) fn at(&self, place: usize) -> &(ServerId, Server) {
+    pub(crate) fn at(&self, place: usize) -> &(EndpointId, Server) {
         &self.0[place]
     }
     pub(crate) fn values(&self) -> impl Iterator<Item = &Server> {
@@ -245,7 +245,7 @@
     pub(crate) last_failed: Option<CustomerId>,
     /// When the counter last answered.
     pub(crate) heard_at: Micros,
-    pub(crate) calls: FxHashMap<CountName, VecDeque<Call>>,
+    pub(crate) calls: FxHashMap<CounterKey, VecDeque<Call>>,
     pub(crate) customers: FxHashMap<CustomerId, Customer>,
     pub(crate) requests: FxHashMap<RequestId, Request>,
     pub(crate) servers: Servers,
@@ -276,5 +276,5 @@
     pub(crate) serial: u64,
     /// What zones should bear, and what is let in; none: sites are not watched.
     pub(crate) sites: Vec<ZoneShare>,
-    pub(crate) floor: Option<Floor>,
+    pub(crate) floor: Option<SheddingThreshold>,
 }
--- a/crates/policy/tests/breaker.rs
+++ b/crates/policy/tests/breaker.rs
@@ -8,7 +8,7 @@
     let (_, out) = rig.request(0, 0, customer, 1.0);
     let made = counts(&out);
     for (name, _) in &made {
-        rig.tell(Event::Counted(*name, Outcome::Full, 0.0));
+        rig.tell(Event::CounterReplied(*name, Outcome::Rejected, 0.0));
     }
     !made.is_empty()
 }
@@ -55,7 +55,7 @@
         counts(&rig.request(0, 0, 6, 1.0).1).is_empty(),
         "while the probe is out nobody else asks"
     );
-    rig.tell(Event::Counted(probe[0].0, Outcome::Ok, 1.0));
+    rig.tell(Event::CounterReplied(probe[0].0, Outcome::Ok, 1.0));
     let asked = (10..30)
         .filter(|c| !adds(&rig.request(0, 0, *c, 1.0).1).is_empty())
         .count();
@@ -83,7 +83,7 @@
     rig.pass(80 * MS);
     calls
         .iter()
-        .for_each(|(name, _)| drop(rig.tell(Event::Counted(*name, Outcome::Timeout, 0.0))));
+        .for_each(|(name, _)| drop(rig.tell(Event::CounterReplied(*name, Outcome::Timeout, 0.0))));
     assert!(counts(&rig.request(0, 0, 4, 1.0).1).is_empty());
 }
 
@@ -116,9 +116,9 @@
             let outcome = if amount == 0.0 || calls % 3 == 0 {
                 Outcome::Ok
             } else {
-                Outcome::Full
+                Outcome::Rejected
             };
-            rig.tell(Event::Counted(name, outcome, amount));
+            rig.tell(Event::CounterReplied(name, outcome, amount));
         }
     }
     let asked = (0..200)
@@ -138,7 +138,7 @@
     let (_, out) = rig.request(0, 0, 1, 1.0);
     let probe = adds(&out);
     assert_eq!(probe.len(), 1);
-    rig.tell(Event::Counted(probe[0].0, Outcome::Full, 0.0));
+    rig.tell(Event::CounterReplied(probe[0].0, Outcome::Rejected, 0.0));
     rig.pass(5 * S);
     assert!(failing(&mut rig, 9), "the probe was given back");
 }
@@ -159,7 +159,7 @@
                 } else {
                     (Outcome::Reset, 0.0)
                 };
-                rig.tell(Event::Counted(name, outcome, total));
+                rig.tell(Event::CounterReplied(name, outcome, total));
             }
             rig.pass(10 * MS);
         }
@@ -179,9 +179,9 @@
         for customer in 1..=400 {
             let (_, out) = rig.request(0, 0, customer, 1.0);
             rig.pass(if customer <= 100 { usual } else { later });
-            counts(&out)
-                .iter()
-                .for_each(|(name, _)| drop(rig.tell(Event::Counted(*name, Outcome::Ok, 1.0))));
+            counts(&out).iter().for_each(|(name, _)| {
+                drop(rig.tell(Event::CounterReplied(*name, Outcome::Ok, 1.0)))
+            });
             asked += counts(&out).len();
         }
         asked
@@ -208,13 +208,13 @@
         .collect();
     rig.pass(60 * MS);
     out.iter()
-        .for_each(|(name, _)| drop(rig.tell(Event::Counted(*name, Outcome::Ok, 1.0))));
+        .for_each(|(name, _)| drop(rig.tell(Event::CounterReplied(*name, Outcome::Ok, 1.0))));
     let asking = |rig: &mut Rig, customers: std::ops::Range<u64>| {
         let mut asked = 0;
         for customer in customers {
             for (name, _) in counts(&rig.request(0, 0, customer, 1.0).1) {
                 rig.pass(2 * MS);
-                rig.tell(Event::Counted(name, Outcome::Ok, 1.0));
+                rig.tell(Event::CounterReplied(name, Outcome::Ok, 1.0));
                 asked += 1;
             }
         }
@@ -226,7 +226,7 @@
         let out = counts(&rig.request(0, 0, customer, 1.0).1);
         rig.pass(60 * MS);
         out.iter()
-            .for_each(|(name, _)| drop(rig.tell(Event::Counted(*name, Outcome::Ok, 1.0))));
+            .for_each(|(name, _)| drop(rig.tell(Event::CounterReplied(*name, Outcome::Ok, 1.0))));
     }
     asking(&mut rig, 400..700);
     assert!(
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -100,9 +100,9 @@
             timers: Vec::new(),
         };
         let entries = (0..servers)
-            .map(|i| entry(i, Listed::InService, None))
+            .map(|i| entry(i, EndpointState::InService, None))
             .collect();
-        rig.tell(Event::Servers(ListScope::Whole, entries));
+        rig.tell(Event::EndpointsUpdated(UpdateScope::Complete, entries));
         rig
     }
     /// Tells one event and returns what it led to.
@@ -144,7 +144,7 @@
         self.next += 1;
         let deadline = Micros(self.now + 3 * S);
         let (class, plan, customer) = (ClassId(class), PlanId(plan), CustomerId(customer));
-        let arrival = Arrival {
+        let arrival = IncomingRequest {
             id,
             class,
             plan,
@@ -154,10 +154,10 @@
             units,
             resent: false,
         };
-        (id, self.tell(Event::Request(arrival)))
+        (id, self.tell(Event::RequestArrived(arrival)))
     }
     /// A request without quota, sent on at once; returns where it went.
-    pub fn sent(&mut self, class: usize) -> (RequestId, ServerId) {
+    pub fn sent(&mut self, class: usize) -> (RequestId, EndpointId) {
         let (id, out) = self.request(class, 3, 1, 1.0);
         (id, sends(&out).first().expect("it is sent on").1)
     }
@@ -165,7 +165,7 @@
         &mut self,
         id: RequestId,
         attempt: usize,
-        server: ServerId,
+        server: EndpointId,
         outcome: Outcome,
     ) -> Vec<Action> {
         self.ended_after(id, attempt, server, outcome, 50 * MS)
@@ -175,13 +175,13 @@
         &mut self,
         id: RequestId,
         attempt: usize,
-        server: ServerId,
+        server: EndpointId,
         outcome: Outcome,
         took: u64,
     ) -> Vec<Action> {
         let ended = matches!(outcome, Outcome::Ok | Outcome::Cancelled);
-        let (took, report) = (Micros(took), Report::default());
-        let end = AttemptEnd {
+        let (took, report) = (Micros(took), LoadReport::default());
+        let end = AttemptResult {
             id,
             attempt,
             server,
@@ -195,9 +195,9 @@
     }
 }
 
-pub fn entry(i: u32, listed: Listed, started: Option<u64>) -> ServerEntry {
-    ServerEntry {
-        server: ServerId(u64::from(i)),
+pub fn entry(i: u32, listed: EndpointState, started: Option<u64>) -> EndpointEntry {
+    EndpointEntry {
+        server: EndpointId(u64::from(i)),
         zone: ZoneId(0),
         cell: CellId(u64::from(i) / 2),
         listed,
@@ -206,10 +206,10 @@
     }
 }
 
-pub fn counts(out: &[Action]) -> Vec<(CountName, f64)> {
+pub fn counts(out: &[Action]) -> Vec<(CounterKey, f64)> {
     out.iter()
         .filter_map(|a| {
-            if let Action::Count(n, x, _) = a {
+            if let Action::AddToCounter(n, x, _) = a {
                 Some((*n, *x))
             } else {
                 None
@@ -218,13 +218,13 @@
         .collect()
 }
 /// The count calls that add or take off.
-pub fn adds(out: &[Action]) -> Vec<(CountName, f64)> {
+pub fn adds(out: &[Action]) -> Vec<(CounterKey, f64)> {
     counts(out).into_iter().filter(|(_, x)| *x != 0.0).collect()
 }
-pub fn sends(out: &[Action]) -> Vec<(RequestId, ServerId)> {
+pub fn sends(out: &[Action]) -> Vec<(RequestId, EndpointId)> {
     out.iter()
         .filter_map(|a| {
-            if let Action::Send(r, s, _) = a {
+            if let Action::SendAttempt(r, s, _) = a {
                 Some((*r, *s))
             } else {
                 None
@@ -234,7 +234,7 @@
 }
 pub fn refused(out: &[Action], id: RequestId) -> bool {
     out.iter()
-        .any(|a| matches!(a, Action::Refuse(r, _) if *r == id))
+        .any(|a| matches!(a, Action::Reject(r, _) if *r == id))
 }
 pub fn failed(out: &[Action], id: RequestId) -> bool {
     out.contains(&Action::Fail(id))
--- a/crates/policy/tests/drawn.rs
+++ b/crates/policy/tests/drawn.rs
@@ -9,15 +9,15 @@
 /// A gateway, and what is out.
 struct Load {
     rig: Rig,
-    out: VecDeque<(u64, RequestId, ServerId)>,
+    out: VecDeque<(u64, RequestId, EndpointId)>,
 }
 
 /// Four requests a millisecond, each answered after 40 ms; returns attempts by server, and how many were not sent on.
 fn drive(
     load: &mut Load,
     millis: u64,
-    bad: impl Fn(ServerId) -> bool,
-) -> (HashMap<ServerId, u32>, u32) {
+    bad: impl Fn(EndpointId) -> bool,
+) -> (HashMap<EndpointId, u32>, u32) {
     let (mut sent, mut unsent) = (HashMap::new(), 0);
     let Load { rig, out } = load;
     for _ in 0..millis {
@@ -31,7 +31,7 @@
             };
             for (id, server) in sends(&rig.ended_after(id, 0, server, outcome, 40 * MS)) {
                 *sent.entry(server).or_default() += 1;
-                rig.tell(Event::ClientGone(id));
+                rig.tell(Event::ClientDisconnected(id));
             }
         }
         for _ in 0..4 {
@@ -66,7 +66,7 @@
         "mean 20, most {most}, {unsent} not sent on"
     );
 
-    let bad = |s: ServerId| s.0.is_multiple_of(4);
+    let bad = |s: EndpointId| s.0.is_multiple_of(4);
     drive(&mut load, 1_500, bad);
     let (sent, _) = drive(&mut load, 1_000, bad);
     let all: u32 = sent.values().sum();
--- a/crates/policy/tests/recording/mod.rs
+++ b/crates/policy/tests/recording/mod.rs
@@ -68,7 +68,7 @@
 /// What happens in the world at a time of its own.
 #[derive(Clone, Debug)]
 enum Pending {
-    Arrives(Arrival),
+    Arrives(IncomingRequest),
     NextArrival,
     TimerDue(TimerId),
     AttemptEnds {
@@ -77,7 +77,7 @@
         outcome: Outcome,
     },
     CounterAnswers {
-        name: CountName,
+        name: CounterKey,
         outcome: Outcome,
         total: f64,
     },
@@ -91,13 +91,13 @@
 }
 
 struct OpenAttempt {
-    server: ServerId,
+    server: EndpointId,
     sent: u64,
     is_open: bool,
 }
 
 struct OpenRequest {
-    arrival: Arrival,
+    arrival: IncomingRequest,
     attempts: Vec<OpenAttempt>,
     is_answered: bool,
 }
@@ -146,9 +146,9 @@
             digest: Digest(0xcbf2_9ce4_8422_2325),
         };
         let entries = (0..server_count)
-            .map(|i| peers::entry(i, Listed::InService, None))
+            .map(|i| peers::entry(i, EndpointState::InService, None))
             .collect();
-        world.tell(Event::Servers(ListScope::Whole, entries));
+        world.tell(Event::EndpointsUpdated(UpdateScope::Complete, entries));
         world.schedule(0, Pending::NextArrival);
         world.schedule(2 * SECOND, Pending::ListMoves);
         world.schedule(SECOND, Pending::FaultsMove);
@@ -188,17 +188,17 @@
                 name,
                 outcome,
                 total,
-            } => self.tell(Event::Counted(name, outcome, total)),
+            } => self.tell(Event::CounterReplied(name, outcome, total)),
             Pending::ClientLeaves(id) => self.client_leaves(id),
             Pending::StreamStarts(id) => {
                 if self.requests.get(&id.0).is_some_and(|r| !r.is_answered) {
-                    self.tell(Event::StreamStarted(id));
+                    self.tell(Event::ResponseStarted(id));
                 }
             }
-            Pending::BodyDropped(id) => self.tell(Event::BodyGone(id)),
+            Pending::BodyDropped(id) => self.tell(Event::BodyDiscarded(id)),
             Pending::UnitsSettle(id) => {
                 let units = self.random.f64() * 5.0;
-                self.tell(Event::Settled(id, units));
+                self.tell(Event::UnitsSettled(id, units));
             }
             Pending::ListMoves => self.move_list(),
             Pending::SitesMove => self.move_sites(),
@@ -222,11 +222,11 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send(id, server, until) => {
+            Action::SendAttempt(id, server, until) => {
                 self.record("send", &format!("{} {} {}", id.0, server.0, until.0));
                 self.send(id, server, until.0);
             }
-            Action::Refuse(id, advice) => {
+            Action::Reject(id, advice) => {
                 self.record("refuse", &format!("{} {:?}", id.0, advice.map(|a| a.0)));
                 self.retry_later(id, advice.map_or(300 * MILLISECOND, |a| a.0));
             }
@@ -239,7 +239,7 @@
                 self.schedule(20 * MILLISECOND, Pending::UnitsSettle(id));
                 self.schedule(60 * MILLISECOND, Pending::ClientLeaves(id));
             }
-            Action::Cancel(id, attempt) => {
+            Action::CancelAttempt(id, attempt) => {
                 self.record("cancel", &format!("{} {attempt}", id.0));
                 let outcome = Outcome::Cancelled;
                 self.schedule(
@@ -251,7 +251,7 @@
                     },
                 );
             }
-            Action::Count(name, amount, lifetime) => {
+            Action::AddToCounter(name, amount, lifetime) => {
                 self.record("count", &format!("{} {amount} {}", name.0, lifetime.0));
                 let timeout = self.settings.count_timeout.0;
                 let answer = self
@@ -275,7 +275,7 @@
                 }
             }
             Action::Probe(server) => self.record("probe", &server.0.to_string()),
-            Action::FetchList => self.record("fetch", ""),
+            Action::FetchEndpoints => self.record("fetch", ""),
         }
     }
 
@@ -289,7 +289,7 @@
         } else {
             1
         };
-        let arrival = Arrival {
+        let arrival = IncomingRequest {
             id: RequestId(0),
             class,
             plan: PlanId(customer as usize % self.settings.plans.len()),
@@ -302,10 +302,10 @@
         self.arrive(arrival);
     }
 
-    fn arrive(&mut self, arrival: Arrival) {
+    fn arrive(&mut self, arrival: IncomingRequest) {
         let id = RequestId(self.next_request);
         self.next_request += 1;
-        let arrival = Arrival { id, ..arrival };
+        let arrival = IncomingRequest { id, ..arrival };
         let request = OpenRequest {
             arrival: arrival.clone(),
             attempts: Vec::new(),
@@ -319,7 +319,7 @@
         if self.random.f64() < 0.05 {
             self.schedule(30 * MILLISECOND, Pending::BodyDropped(id));
         }
-        self.tell(Event::Request(arrival));
+        self.tell(Event::RequestArrived(arrival));
     }
 
     fn retry_later(&mut self, id: RequestId, after: u64) {
@@ -335,7 +335,7 @@
         let deadline = Micros(self.now + after + self.settings.classes[again.class.0].deadline.0);
         self.schedule(
             after,
-            Pending::Arrives(Arrival {
+            Pending::Arrives(IncomingRequest {
                 resent,
                 deadline,
                 ..again
@@ -347,10 +347,10 @@
         if let Some(request) = self.requests.get_mut(&id.0) {
             request.is_answered = true;
         }
-        self.tell(Event::ClientGone(id));
+        self.tell(Event::ClientDisconnected(id));
     }
 
-    fn send(&mut self, id: RequestId, server: ServerId, until: u64) {
+    fn send(&mut self, id: RequestId, server: EndpointId, until: u64) {
         let Some(request) = self.requests.get_mut(&id.0) else {
             return;
         };
@@ -397,8 +397,8 @@
         }
         let settled =
             (outcome == Outcome::Ok && self.random.f64() < 0.1).then(|| self.random.f64() * 4.0);
-        let report = Report::default();
-        let end = AttemptEnd {
+        let report = LoadReport::default();
+        let end = AttemptResult {
             id,
             attempt,
             server,
@@ -414,7 +414,10 @@
     fn move_list(&mut self) {
         self.schedule(1_500 * MILLISECOND, Pending::ListMoves);
         if self.random.f64() < 0.1 {
-            return self.tell(Event::Servers(ListScope::Lost, Vec::new()));
+            return self.tell(Event::EndpointsUpdated(
+                UpdateScope::Unavailable,
+                Vec::new(),
+            ));
         }
         let changed: BTreeSet<u64> = (0..2)
             .map(|_| self.random.u64(..self.servers.len() as u64 + 1))
@@ -422,9 +425,9 @@
         let mut entries = Vec::new();
         for number in changed {
             let listed = match self.random.u32(..8) {
-                0 => Listed::Draining,
-                1 => Listed::Gone,
-                _ => Listed::InService,
+                0 => EndpointState::Draining,
+                1 => EndpointState::Removed,
+                _ => EndpointState::InService,
             };
             let restarted = self.random.f64() < 0.3;
             let started = restarted.then(|| self.now - self.random.u64(..SECOND));
@@ -433,7 +436,7 @@
             }
             entries.push(peers::entry(number, listed, started));
         }
-        self.tell(Event::Servers(ListScope::Changes, entries));
+        self.tell(Event::EndpointsUpdated(UpdateScope::Incremental, entries));
     }
 
     fn move_sites(&mut self) {
@@ -447,12 +450,12 @@
         let open = self.random.f64() < 0.9;
         let shares = vec![share(0, north, open), share(1, 1.0 - north, true)];
         let from = if self.random.f64() < 0.5 { 0.0 } else { 0.2 };
-        let floor = Floor {
+        let floor = SheddingThreshold {
             sure: from + 0.3,
             from,
             part: self.random.f64(),
         };
-        self.tell(Event::Sites(shares, floor));
+        self.tell(Event::ZoneSharesChanged(shares, floor));
     }
 
     fn move_faults(&mut self) {
--- a/crates/policy/tests/recording/peers.rs
+++ b/crates/policy/tests/recording/peers.rs
@@ -1,14 +1,16 @@
 //! Simulated counter and servers, with faults that come and go.
 
-use chalkdeck::api::{CellId, CountName, Listed, Micros, Outcome, ServerEntry, ServerId, ZoneId};
+use chalkdeck::api::{
+    CellId, CounterKey, EndpointEntry, EndpointId, EndpointState, Micros, Outcome, ZoneId,
+};
 use std::collections::HashMap;
 
 use super::MILLISECOND;
 
 /// The line of a server in the server list: two zones, cells of two servers.
-pub fn entry(number: u64, listed: Listed, started: Option<u64>) -> ServerEntry {
-    ServerEntry {
-        server: ServerId(number),
+pub fn entry(number: u64, listed: EndpointState, started: Option<u64>) -> EndpointEntry {
+    EndpointEntry {
+        server: EndpointId(number),
         zone: ZoneId((number % 2) as u32),
         cell: CellId(number / 2),
         listed,
@@ -67,7 +69,7 @@
             ServerFault::Slow => (Outcome::Ok, work * 6),
             ServerFault::Failing if fails => (Outcome::Error, 5 * MILLISECOND),
             ServerFault::Silent => (Outcome::Timeout, u64::MAX / 4),
-            ServerFault::Full => (Outcome::Full, 2 * MILLISECOND),
+            ServerFault::Full => (Outcome::Rejected, 2 * MILLISECOND),
             ServerFault::Unreachable => (Outcome::ConnectFailed, 100 * MILLISECOND),
             ServerFault::Resetting if fails => (Outcome::Reset, work / 2),
             _ if random.f64() < 0.005 => (Outcome::Timeout, u64::MAX / 4),
@@ -117,7 +119,7 @@
 
     pub fn add(
         &mut self,
-        name: CountName,
+        name: CounterKey,
         amount: f64,
         now: u64,
         timeout: u64,
@@ -130,7 +132,7 @@
             CounterFault::Slow if random.f64() < 0.4 => (Outcome::Timeout, timeout, true),
             CounterFault::Slow => (Outcome::Ok, timeout * 3 / 4, true),
             CounterFault::Silent => (Outcome::Timeout, timeout, random.f64() < 0.5),
-            CounterFault::Full => (Outcome::Full, quick, false),
+            CounterFault::Full => (Outcome::Rejected, quick, false),
             CounterFault::Resetting => (Outcome::Reset, quick, random.f64() < 0.5),
         };
         let total = self.totals.entry(name.0).or_insert(0.0);
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -5,7 +5,7 @@
 
 fn finals(done: &[Action], id: RequestId) -> usize {
     done.iter()
-        .filter(|a| matches!(a, Action::Refuse(r, _) | Action::Fail(r) if *r == id))
+        .filter(|a| matches!(a, Action::Reject(r, _) | Action::Fail(r) if *r == id))
         .count()
 }
 
@@ -31,7 +31,7 @@
 fn nothing_is_sent_after_the_end() {
     let mut rig = Rig::new(settings(), 4);
     let (id, server) = rig.sent(0);
-    rig.tell(Event::ClientGone(id));
+    rig.tell(Event::ClientDisconnected(id));
     let out = rig.ended(id, 0, server, Outcome::Error);
     assert!(sends(&out).is_empty() && finals(&out, id) == 0);
     assert!(
@@ -100,30 +100,30 @@
     let mut rig = Rig::new(settings(), 1);
     let (id, _) = rig.sent(0);
     let out = rig.pass(3 * S);
-    assert!(refused(&out, id) && out.contains(&Action::Cancel(id, 0)));
+    assert!(refused(&out, id) && out.contains(&Action::CancelAttempt(id, 0)));
 }
 
 #[test]
 fn nothing_goes_to_a_server_that_drains_or_is_gone() {
-    for listed in [Listed::Draining, Listed::Gone] {
+    for listed in [EndpointState::Draining, EndpointState::Removed] {
         let mut rig = Rig::new(settings(), 2);
-        rig.tell(Event::Servers(
-            ListScope::Changes,
+        rig.tell(Event::EndpointsUpdated(
+            UpdateScope::Incremental,
             vec![entry(0, listed, None)],
         ));
         for _ in 0..50 {
             let (_, server) = rig.sent(0);
-            assert_eq!(server, ServerId(1));
+            assert_eq!(server, EndpointId(1));
             rig.ended(RequestId(rig.next - 1), 0, server, Outcome::Ok);
         }
-        rig.tell(Event::Servers(
-            ListScope::Whole,
-            vec![entry(0, Listed::InService, None)],
+        rig.tell(Event::EndpointsUpdated(
+            UpdateScope::Complete,
+            vec![entry(0, EndpointState::InService, None)],
         ));
         for _ in 0..2 {
             assert_eq!(
                 rig.sent(0).1,
-                ServerId(0),
+                EndpointId(0),
                 "a server missing from a whole list is gone"
             );
         }
@@ -133,9 +133,9 @@
 #[test]
 fn all_draining_means_refusal_in_time() {
     let mut rig = Rig::new(settings(), 1);
-    rig.tell(Event::Servers(
-        ListScope::Changes,
-        vec![entry(0, Listed::Draining, None)],
+    rig.tell(Event::EndpointsUpdated(
+        UpdateScope::Incremental,
+        vec![entry(0, EndpointState::Draining, None)],
     ));
     let (id, out) = rig.request(0, 3, 1, 1.0);
     assert!(sends(&out).is_empty());
@@ -162,9 +162,9 @@
     let mut rig = Rig::new(settings(), 4);
     flow(&mut rig);
     let (now, cold) = (rig.now, 3);
-    rig.tell(Event::Servers(
-        ListScope::Changes,
-        vec![entry(cold, Listed::InService, Some(now))],
+    rig.tell(Event::EndpointsUpdated(
+        UpdateScope::Incremental,
+        vec![entry(cold, EndpointState::InService, Some(now))],
     ));
     let got = flow(&mut rig);
     let warm = got[..3].iter().sum::<u32>() / 3;
@@ -180,7 +180,7 @@
         rig.pass(10 * MS);
         let (id, server) = rig.sent(0);
         let up = rig.now > 1_010 * S;
-        let outcome = if server == ServerId(0) && !up {
+        let outcome = if server == EndpointId(0) && !up {
             Outcome::ConnectFailed
         } else {
             Outcome::Ok
@@ -189,7 +189,7 @@
         for (id, server) in sends(&out) {
             rig.ended(id, 1, server, Outcome::Ok);
         }
-        if up && server == ServerId(0) {
+        if up && server == EndpointId(0) {
             break;
         }
     }
@@ -229,14 +229,14 @@
                 let mut next = Vec::new();
                 for (name, amount) in counts(&pending) {
                     call += 1;
-                    let (mut outcome, mut heard) = (Outcome::Full, 0.0);
+                    let (mut outcome, mut heard) = (Outcome::Rejected, 0.0);
                     if let Some(kept) = answer(call, amount) {
                         totals.values_mut().for_each(|t| *t *= kept);
                         let total = totals.entry(name).or_insert(0.0);
                         *total += amount;
                         (outcome, heard) = (Outcome::Ok, *total);
                     }
-                    next.extend(rig.tell(Event::Counted(name, outcome, heard)));
+                    next.extend(rig.tell(Event::CounterReplied(name, outcome, heard)));
                 }
                 for (_, server) in sends(&pending) {
                     level -= 1.0;
@@ -300,7 +300,7 @@
         let sent = sends(&out);
         sent.iter()
             .for_each(|(_, server)| drop(rig.ended(id, 0, *server, Outcome::Ok)));
-        sent.iter().any(|(_, server)| *server == ServerId(3))
+        sent.iter().any(|(_, server)| *server == EndpointId(3))
     };
     let mut rigs: Vec<Rig> = (0..gateways)
         .map(|me| {
@@ -315,9 +315,9 @@
                 step(&mut rig);
             }
             let now = rig.now;
-            rig.tell(Event::Servers(
-                ListScope::Changes,
-                vec![entry(3, Listed::InService, Some(now))],
+            rig.tell(Event::EndpointsUpdated(
+                UpdateScope::Incremental,
+                vec![entry(3, EndpointState::InService, Some(now))],
             ));
             rig
         })
@@ -354,7 +354,7 @@
         let mut rig = Rig::new(settings(), 4);
         let (id, server) = rig.sent(0);
         if gone {
-            rig.tell(Event::BodyGone(id));
+            rig.tell(Event::BodyDiscarded(id));
         }
         let out = rig.ended(id, 0, server, Outcome::Error);
         assert_eq!((sends(&out).is_empty(), refused(&out, id)), (gone, gone));
--- a/crates/policy/tests/scale.rs
+++ b/crates/policy/tests/scale.rs
@@ -22,7 +22,7 @@
     rig.next += 1;
     let deadline = Micros(rig.now + 3 * S);
     let (class, plan, customer) = (ClassId(0), PlanId(0), CustomerId(rig.next));
-    let arrival = Arrival {
+    let arrival = IncomingRequest {
         id,
         class,
         plan,
@@ -32,7 +32,7 @@
         units: 2.0,
         resent,
     };
-    (id, rig.tell(Event::Request(arrival)))
+    (id, rig.tell(Event::RequestArrived(arrival)))
 }
 
 #[test]
@@ -92,8 +92,12 @@
         for (name, _) in counts(&out) {
             calls += 1;
             failed = calls % 3 == 0;
-            let outcome = if failed { Outcome::Full } else { Outcome::Ok };
-            out.extend(rig.tell(Event::Counted(name, outcome, 2.0)));
+            let outcome = if failed {
+                Outcome::Rejected
+            } else {
+                Outcome::Ok
+            };
+            out.extend(rig.tell(Event::CounterReplied(name, outcome, 2.0)));
         }
         let guessed = failed && !sends(&out).is_empty();
         went[usize::from(resent)] += u32::from(guessed);
@@ -117,7 +121,11 @@
         (!counts(&out).is_empty()).then_some((id, out))
     });
     let (id, out) = asked.expect("one of a hundred asks");
-    let out = rig.tell(Event::Counted(counts(&out)[0].0, Outcome::Full, 0.0));
+    let out = rig.tell(Event::CounterReplied(
+        counts(&out)[0].0,
+        Outcome::Rejected,
+        0.0,
+    ));
     assert_eq!(sends(&out).first().map(|s| s.0), Some(id));
 }
 
@@ -127,18 +135,18 @@
     rig.next += 1;
     let deadline = Micros(rig.now + 3 * S);
     let (plan, customer) = (PlanId(plan), CustomerId(9));
-    let a = Arrival {
+    let a = IncomingRequest {
         id,
         plan,
         customer,
         spread: 200,
         deadline,
         units: 1.0,
-        ..Arrival::default()
+        ..IncomingRequest::default()
     };
-    let mut out = rig.tell(Event::Request(a));
+    let mut out = rig.tell(Event::RequestArrived(a));
     for (name, _) in counts(&out) {
-        out.extend(rig.tell(Event::Counted(name, Outcome::Full, 0.0)));
+        out.extend(rig.tell(Event::CounterReplied(name, Outcome::Rejected, 0.0)));
     }
     (id, out)
 }
@@ -217,7 +225,7 @@
 #[test]
 fn in_a_jam_a_small_gateway_has_less_out_than_in_calm() {
     let mut rig = one_of(200, 3, 50);
-    let mut waiting: Vec<(u64, RequestId, ServerId)> = Vec::new();
+    let mut waiting: Vec<(u64, RequestId, EndpointId)> = Vec::new();
     let mut sent = 0;
     for step in 0..2_000u64 {
         let mut out = rig.pass(50 * MS);
@@ -260,7 +268,7 @@
             rig.pass(700 * MS);
             let (id, out) = rig.request(0, 3, 1, 1.0);
             let hint = |a: &Action| {
-                if let Action::Refuse(_, hint) = a {
+                if let Action::Reject(_, hint) = a {
                     Some(*hint)
                 } else {
                     None
--- a/crates/policy/tests/servers.rs
+++ b/crates/policy/tests/servers.rs
@@ -19,7 +19,7 @@
     for _ in 0..100 {
         rig.pass(10 * MS);
         let (id, server) = rig.sent(0);
-        let bad = server == ServerId(0);
+        let bad = server == EndpointId(0);
         hits += u32::from(bad);
         let out = rig.ended(
             id,
@@ -31,7 +31,7 @@
                 Outcome::Ok
             },
         );
-        assert!(!bad || sends(&out).iter().all(|s| s.1 == ServerId(1)));
+        assert!(!bad || sends(&out).iter().all(|s| s.1 == EndpointId(1)));
         sends(&out)
             .iter()
             .for_each(|(id, s)| drop(rig.ended(*id, 1, *s, Outcome::Ok)));
@@ -41,7 +41,7 @@
     let tried = (0..10).any(|_| {
         let (id, server) = rig.sent(0);
         rig.ended(id, 0, server, Outcome::Ok);
-        server == ServerId(0)
+        server == EndpointId(0)
     });
     assert!(tried);
 }
@@ -129,7 +129,10 @@
     set.must_subscribe = true;
     let mut rig = Rig::new(set, 1);
     assert!(rig.done.contains(&Action::Subscribe));
-    rig.tell(Event::Servers(ListScope::Lost, Vec::new()));
+    rig.tell(Event::EndpointsUpdated(
+        UpdateScope::Unavailable,
+        Vec::new(),
+    ));
     assert!(rig.pass(S).contains(&Action::Subscribe));
 }
 
@@ -141,7 +144,7 @@
             rig.pass(7 * MS);
             let (id, out) = rig.request((i % 4) as usize, (i % 3) as usize, i % 5, 1.0);
             for (name, _) in counts(&out) {
-                let out = rig.tell(Event::Counted(name, Outcome::Ok, (i % 17) as f64));
+                let out = rig.tell(Event::CounterReplied(name, Outcome::Ok, (i % 17) as f64));
                 sends(&out)
                     .iter()
                     .for_each(|(_, s)| drop(rig.ended(id, 0, *s, Outcome::Ok)));
@@ -193,7 +196,7 @@
     }
     let waits = |out: &[Action], now: u64| {
         let until = |a: &Action| {
-            if let Action::Send(_, s, until) = a {
+            if let Action::SendAttempt(_, s, until) = a {
                 Some((*s, until.0 - now))
             } else {
                 None
@@ -218,7 +221,7 @@
 
 /// Sends one request that stays out while others are answered after `took`; returns it, its server and what that led to
 /// within half a second.
-fn one_astray(took: u64) -> (Rig, RequestId, ServerId, Vec<Action>) {
+fn one_astray(took: u64) -> (Rig, RequestId, EndpointId, Vec<Action>) {
     let mut rig = Rig::new(settings(), 1);
     let (id, server) = rig.sent(0);
     let begun = rig.now;
@@ -236,9 +239,9 @@
 #[test]
 fn an_attempt_that_alone_is_late_is_called_off_and_goes_again() {
     let (mut rig, id, server, led) = one_astray(20 * MS);
-    assert!(led.contains(&Action::Cancel(id, 0)));
-    let (outcome, report, took) = (Outcome::Cancelled, Report::default(), Micros(300 * MS));
-    let end = AttemptEnd {
+    assert!(led.contains(&Action::CancelAttempt(id, 0)));
+    let (outcome, report, took) = (Outcome::Cancelled, LoadReport::default(), Micros(300 * MS));
+    let end = AttemptResult {
         id,
         attempt: 0,
         server,
@@ -260,7 +263,7 @@
 fn where_all_answers_are_late_nothing_is_called_off() {
     let (_, _, _, led) = one_astray(300 * MS);
     assert!(
-        !led.iter().any(|a| matches!(a, Action::Cancel(..))),
+        !led.iter().any(|a| matches!(a, Action::CancelAttempt(..))),
         "{led:?}"
     );
 }
@@ -275,7 +278,7 @@
             .iter()
             .filter(|(id, _)| !sent.iter().any(|s| s.0 == *id))
         {
-            rig.tell(Event::ClientGone(*id));
+            rig.tell(Event::ClientDisconnected(*id));
         }
         for (id, server) in &sent {
             rig.ended(*id, 0, *server, Outcome::Ok);
@@ -293,7 +296,7 @@
             rig.ended(other, 0, server, Outcome::Ok);
         }
         rig.pass(1_200 * MS);
-        rig.tell(Event::ClientGone(id));
+        rig.tell(Event::ClientDisconnected(id));
         rig.ended_after(id, 0, server, Outcome::Cancelled, 1_300 * MS);
     }
     assert!(out_at_once(&mut rig) >= before, "{before} before");
@@ -305,7 +308,7 @@
     let turn = |rig: &mut Rig, breaks: bool| {
         rig.pass(10 * MS);
         let (id, server) = rig.sent(0);
-        let broken = breaks && server == ServerId(0);
+        let broken = breaks && server == EndpointId(0);
         let out = rig.ended(
             id,
             0,
@@ -319,7 +322,7 @@
         sends(&out)
             .iter()
             .for_each(|(id, s)| drop(rig.ended(*id, 1, *s, Outcome::Ok)));
-        (server == ServerId(0), broken)
+        (server == EndpointId(0), broken)
     };
     for _ in 0..200 {
         turn(&mut rig, false);
--- a/crates/policy/tests/sites.rs
+++ b/crates/policy/tests/sites.rs
@@ -12,19 +12,19 @@
     let mut rig = Rig::new(settings(), 0);
     let zone = |i: u32| ZoneId(i / 4);
     let entries = (0..8)
-        .map(|i| ServerEntry {
+        .map(|i| EndpointEntry {
             zone: zone(i),
-            ..entry(i, Listed::InService, None)
+            ..entry(i, EndpointState::InService, None)
         })
         .collect();
-    rig.tell(Event::Servers(ListScope::Whole, entries));
+    rig.tell(Event::EndpointsUpdated(UpdateScope::Complete, entries));
     rig
 }
 
-fn all() -> Floor {
-    Floor {
+fn all() -> SheddingThreshold {
+    SheddingThreshold {
         part: 1.0,
-        ..Floor::default()
+        ..SheddingThreshold::default()
     }
 }
 
@@ -47,7 +47,10 @@
 #[test]
 fn requests_go_where_the_shares_say() {
     let mut rig = rig();
-    rig.tell(Event::Sites(shares((0.7, true), (0.3, true)), all()));
+    rig.tell(Event::ZoneSharesChanged(
+        shares((0.7, true), (0.3, true)),
+        all(),
+    ));
     let far = far(&mut rig, 1_000);
     assert!((230..370).contains(&far), "{far} of 1000");
 }
@@ -55,9 +58,12 @@
 #[test]
 fn nothing_overflows_into_a_closed_zone() {
     let mut rig = rig();
-    rig.tell(Event::Sites(shares((1.0, true), (0.0, false)), all()));
+    rig.tell(Event::ZoneSharesChanged(
+        shares((1.0, true), (0.0, false)),
+        all(),
+    ));
     let ids: Vec<_> = (0..40).map(|_| rig.request(0, 3, 1, 1.0)).collect();
-    let to: Vec<ServerId> = ids
+    let to: Vec<EndpointId> = ids
         .iter()
         .flat_map(|(_, out)| sends(out))
         .map(|s| s.1)
@@ -68,7 +74,10 @@
     );
     // Open, the far zone takes what the near one has no place for.
     let mut rig = self::rig();
-    rig.tell(Event::Sites(shares((1.0, true), (0.0, true)), all()));
+    rig.tell(Event::ZoneSharesChanged(
+        shares((1.0, true), (0.0, true)),
+        all(),
+    ));
     let ids: Vec<_> = (0..40).map(|_| rig.request(0, 3, 1, 1.0)).collect();
     assert!(ids
         .iter()
@@ -79,10 +88,16 @@
 #[test]
 fn a_keyed_request_that_may_have_run_in_a_closed_zone_goes_nowhere_else() {
     let mut rig = rig();
-    rig.tell(Event::Sites(shares((0.0, true), (1.0, true)), all()));
+    rig.tell(Event::ZoneSharesChanged(
+        shares((0.0, true), (1.0, true)),
+        all(),
+    ));
     let (id, server) = rig.sent(1);
     assert!(server.0 >= 4);
-    rig.tell(Event::Sites(shares((1.0, true), (0.0, false)), all()));
+    rig.tell(Event::ZoneSharesChanged(
+        shares((1.0, true), (0.0, false)),
+        all(),
+    ));
     let mut out = rig.ended(id, 0, server, Outcome::Reset);
     out.extend(rig.pass(3 * S));
     assert!(sends(&out).is_empty() && !refused(&out, id), "{out:?}");
@@ -92,9 +107,9 @@
 #[test]
 fn the_floor_lets_in_by_worth_for_each_unit() {
     let mut rig = rig();
-    rig.tell(Event::Sites(
+    rig.tell(Event::ZoneSharesChanged(
         shares((1.0, true), (0.0, true)),
-        Floor {
+        SheddingThreshold {
             sure: 0.6,
             from: 0.3,
             part: 0.5,
@@ -126,7 +141,7 @@
         share: 1.0,
         open: true,
     };
-    rig.tell(Event::Sites(vec![near], all()));
+    rig.tell(Event::ZoneSharesChanged(vec![near], all()));
     // Fill the one server; then a large request of more worth waits before a small one of less.
     let mut out = Vec::new();
     loop {
--- a/crates/policy/tests/window.rs
+++ b/crates/policy/tests/window.rs
@@ -12,7 +12,10 @@
         sends(&out).is_empty(),
         "nothing is sent on before the answer"
     );
-    (id, rig.tell(Event::Counted(add[0].0, Outcome::Ok, total)))
+    (
+        id,
+        rig.tell(Event::CounterReplied(add[0].0, Outcome::Ok, total)),
+    )
 }
 
 #[test]
@@ -20,7 +23,7 @@
     let mut rig = Rig::new(settings(), 4);
     let (id, out) = rig.request(0, 0, 1, 3.0);
     assert_eq!(adds(&out).iter().map(|a| a.1).collect::<Vec<_>>(), [3.0]);
-    let out = rig.tell(Event::Counted(adds(&out)[0].0, Outcome::Ok, 3.0));
+    let out = rig.tell(Event::CounterReplied(adds(&out)[0].0, Outcome::Ok, 3.0));
     assert_eq!(sends(&out)[0].0, id);
 }
 
@@ -36,9 +39,9 @@
     let mut rig = Rig::new(settings(), 4);
     // Far beyond what any store can hold: twice the burst and more.
     let (id, out) = with_total(&mut rig, 4.0, 43.0);
-    let Some(Action::Refuse(_, Some(wait))) = out
+    let Some(Action::Reject(_, Some(wait))) = out
         .iter()
-        .find(|a| matches!(a, Action::Refuse(r, _) if *r == id))
+        .find(|a| matches!(a, Action::Reject(r, _) if *r == id))
     else {
         panic!("refused with advice: {out:?}");
     };
@@ -60,7 +63,7 @@
 fn a_new_window_asks_again_under_a_new_name() {
     let mut rig = Rig::new(settings(), 4);
     let first = adds(&rig.request(0, 0, 1, 2.0).1)[0].0;
-    rig.tell(Event::Counted(first, Outcome::Ok, 43.0));
+    rig.tell(Event::CounterReplied(first, Outcome::Ok, 43.0));
     rig.pass(2 * S);
     let (_, out) = rig.request(0, 0, 1, 2.0);
     assert_eq!(adds(&out).len(), 1);
@@ -94,7 +97,7 @@
     with_total(&mut rig, 1.0, 20.0);
     rig.pass(2 * S); // Empty then, full now.
     let (id, out) = rig.request(0, 0, 1, 4.0);
-    let out = rig.tell(Event::Counted(adds(&out)[0].0, Outcome::Ok, 22.0));
+    let out = rig.tell(Event::CounterReplied(adds(&out)[0].0, Outcome::Ok, 22.0));
     assert!(refused(&out, id), "{out:?}");
     assert_eq!(adds(&out).iter().map(|a| a.1).collect::<Vec<_>>(), [-4.0]);
 }
@@ -116,7 +119,7 @@
             } else {
                 total + amount
             };
-            let out = rig.tell(Event::Counted(name, Outcome::Ok, total));
+            let out = rig.tell(Event::CounterReplied(name, Outcome::Ok, total));
             granted += sends(&out).len();
             sends(&out)
                 .iter()
@@ -124,9 +127,9 @@
             total += counts(&out).iter().map(|a| a.1).sum::<f64>();
             counts(&out)
                 .iter()
-                .for_each(|a| drop(rig.tell(Event::Counted(a.0, Outcome::Ok, total))));
+                .for_each(|a| drop(rig.tell(Event::CounterReplied(a.0, Outcome::Ok, total))));
         }
-        rig.tell(Event::ClientGone(id));
+        rig.tell(Event::ClientDisconnected(id));
         rig.pass(20 * MS);
     }
     // Twenty that were saved, and two seconds at ten a second.
@@ -140,7 +143,7 @@
     // Empty now: four units take 0.4 s.
     let (id, out) = rig.request(0, 0, 1, 4.0);
     let back = out.iter().find_map(|a| match a {
-        Action::Refuse(refused, back) if *refused == id => *back,
+        Action::Reject(refused, back) if *refused == id => *back,
         _ => None,
     });
     let back = back.expect("it is refused with a time").0;
@@ -152,7 +155,11 @@
     let mut rig = Rig::new(settings(), 4);
     let (_, out) = rig.request(0, 0, 1, 2.0);
     // Turned away: nothing was added, the local bucket lets it go on.
-    let out = rig.tell(Event::Counted(adds(&out)[0].0, Outcome::Full, 0.0));
+    let out = rig.tell(Event::CounterReplied(
+        adds(&out)[0].0,
+        Outcome::Rejected,
+        0.0,
+    ));
     assert_eq!(sends(&out).len(), 1);
     let next = (0..50).find_map(|_| adds(&rig.request(0, 0, 1, 1.0).1).first().map(|a| a.1));
     assert!(
@@ -186,14 +193,14 @@
     let (id, out) = rig.request(0, 2, 1, 1.0);
     let (name, one) = adds(&out)[0];
     assert_eq!(one, 1.0);
-    let out = rig.tell(Event::Counted(name, Outcome::Ok, 1.0));
+    let out = rig.tell(Event::CounterReplied(name, Outcome::Ok, 1.0));
     let server = sends(&out)[0].1;
     let out = rig.ended(id, 0, server, Outcome::Ok);
     assert_eq!(adds(&out), [(name, -1.0)]);
-    rig.tell(Event::Counted(name, Outcome::Ok, 0.0));
+    rig.tell(Event::CounterReplied(name, Outcome::Ok, 0.0));
     let (id, out) = rig.request(0, 2, 1, 1.0);
     assert_eq!(adds(&out), [(name, 1.0)]);
-    let out = rig.tell(Event::Counted(name, Outcome::Ok, 3.0));
+    let out = rig.tell(Event::CounterReplied(name, Outcome::Ok, 3.0));
     assert!(refused(&out, id), "two are out elsewhere");
     assert_eq!(adds(&out), [(name, -1.0)], "and the place goes back");
 }
@@ -202,7 +209,7 @@
 fn an_answer_to_a_call_never_made_changes_nothing() {
     let mut rig = Rig::new(settings(), 4);
     assert!(rig
-        .tell(Event::Counted(CountName(5), Outcome::Ok, 1.0))
+        .tell(Event::CounterReplied(CounterKey(5), Outcome::Ok, 1.0))
         .is_empty());
 }
 
@@ -216,7 +223,7 @@
             let (id, out) = rig.request(0, 0, 1, 4.0);
             for (name, amount) in counts(&out) {
                 let total = if amount > 0.0 { 4.0 + others } else { 0.0 };
-                let out = rig.tell(Event::Counted(name, Outcome::Ok, total));
+                let out = rig.tell(Event::CounterReplied(name, Outcome::Ok, total));
                 sends(&out)
                     .iter()
                     .for_each(|(_, s)| drop(rig.ended(id, 0, *s, Outcome::Ok)));
@@ -227,7 +234,7 @@
             rig.pass(100 * MS);
             let (id, mut out) = rig.request(0, 0, 1, 1.0);
             for (name, _) in counts(&out.clone()) {
-                out.extend(rig.tell(Event::Counted(name, Outcome::Full, 0.0)));
+                out.extend(rig.tell(Event::CounterReplied(name, Outcome::Rejected, 0.0)));
             }
             passed += sends(&out).len();
             sends(&out)
--- a/crates/resp-gateway/src/backends.rs
+++ b/crates/resp-gateway/src/backends.rs
@@ -5,7 +5,7 @@
 use crate::outcome::{answered, Answered};
 use crate::request::Command;
 use bytes::{Bytes, BytesMut};
-use chalkdeck::api::{Listed, Outcome, Report, RequestId, ServerId};
+use chalkdeck::api::{EndpointId, EndpointState, LoadReport, Outcome, RequestId};
 use chalkdeck_net::{ConnId, Engine};
 use chalkdeck_resp::{take_reply, Bounds, Reply};
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -44,10 +44,10 @@
 #[derive(Debug)]
 pub(crate) struct Ended {
     pub(crate) attempt: AttemptId,
-    pub(crate) server: ServerId,
+    pub(crate) server: EndpointId,
     pub(crate) outcome: Outcome,
     pub(crate) took: u64,
-    pub(crate) report: Report,
+    pub(crate) report: LoadReport,
     /// What a served client gets.
     pub(crate) value: Option<Bytes>,
 }
@@ -69,7 +69,7 @@
 }
 
 struct Link {
-    server: ServerId,
+    server: EndpointId,
     address: SocketAddr,
     bytes: BytesMut,
     out: Option<Out>,
@@ -90,11 +90,11 @@
 
 /// All connections to backends. Bounds: `most` of them, and `most_held` bytes of answers that are still coming in.
 pub(crate) struct Backends {
-    servers: FxHashMap<ServerId, SocketAddr>,
+    servers: FxHashMap<EndpointId, SocketAddr>,
     links: FxHashMap<ConnId, Link>,
     out: FxHashMap<AttemptId, ConnId>,
     /// Kept connections, the one used last at the end.
-    idle: FxHashMap<ServerId, Vec<ConnId>>,
+    idle: FxHashMap<EndpointId, Vec<ConnId>>,
     most: usize,
     bounds: Bounds,
     most_held: usize,
@@ -136,19 +136,19 @@
 
     /// Takes news of the list. Kept connections to what is gone, drained or moved are closed; what is under way goes on.
     pub(crate) fn update(&mut self, engine: &mut Engine, list: &List) {
-        let mut old: Vec<ServerId> = Vec::new();
+        let mut old: Vec<EndpointId> = Vec::new();
         if list.snapshot {
             old.extend(std::mem::take(&mut self.servers).into_keys());
         }
         let mut draining = FxHashSet::default();
         for Server { address, entry } in &list.servers {
             old.push(entry.server);
-            if entry.listed == Listed::Gone {
+            if entry.listed == EndpointState::Removed {
                 self.servers.remove(&entry.server);
             } else {
                 self.servers.insert(entry.server, *address);
             }
-            if entry.listed == Listed::Draining {
+            if entry.listed == EndpointState::Draining {
                 draining.insert(entry.server);
             }
         }
@@ -174,7 +174,7 @@
         &mut self,
         engine: &mut Engine,
         attempt: AttemptId,
-        server: ServerId,
+        server: EndpointId,
         until: u64,
         command: &Command,
     ) -> Sent {
@@ -197,7 +197,7 @@
                 server,
                 outcome,
                 took: 0,
-                report: Report::default(),
+                report: LoadReport::default(),
                 value: None,
             })
         };
@@ -205,7 +205,7 @@
             return not(Outcome::ConnectFailed);
         };
         if self.links.len() >= self.most && !self.drop_longest_idle(engine) {
-            return not(Outcome::Moot);
+            return not(Outcome::NeverSent);
         }
         let Ok(conn) = engine.connect_raw(address) else {
             return not(Outcome::ConnectFailed);
@@ -229,7 +229,7 @@
     }
 
     /// A kept connection that still stands and is quiet. One that ended, or that brings what nobody asked for, goes.
-    fn take_idle(&mut self, engine: &mut Engine, server: ServerId) -> Option<ConnId> {
+    fn take_idle(&mut self, engine: &mut Engine, server: EndpointId) -> Option<ConnId> {
         let now = engine.now();
         loop {
             let kept = self.idle.get(&server)?;
@@ -351,7 +351,7 @@
             Answered::Served(value, report) => (Outcome::Ok, report, Some(value)),
             Answered::Not(outcome, report) => (outcome, report, None),
             // It has run, and what it made is lost.
-            Answered::Spoilt => (Outcome::Error, Report::default(), None),
+            Answered::Spoilt => (Outcome::Error, LoadReport::default(), None),
         };
         let now = engine.now();
         if over {
@@ -404,7 +404,7 @@
             Outcome::ConnectFailed
         };
         let took = now.saturating_sub(out.since);
-        let (attempt, report) = (out.attempt, Report::default());
+        let (attempt, report) = (out.attempt, LoadReport::default());
         Some(Ended {
             attempt,
             server: link.server,
@@ -428,7 +428,7 @@
         engine.close(conn);
         ended.outcome = match (ended.outcome, how) {
             (Outcome::Reset, how) => how,
-            (_, Outcome::Cancelled) => Outcome::Moot,
+            (_, Outcome::Cancelled) => Outcome::NeverSent,
             (outcome, _) => outcome,
         };
         Some(ended)
--- a/crates/resp-gateway/src/counter.rs
+++ b/crates/resp-gateway/src/counter.rs
@@ -7,7 +7,7 @@
 
 use crate::outcome::counted;
 use bytes::{Bytes, BytesMut};
-use chalkdeck::api::{CountName, Outcome};
+use chalkdeck::api::{CounterKey, Outcome};
 use chalkdeck_net::{ConnId, Engine};
 use chalkdeck_resp::{push_command, take_reply, Bounds, Reply};
 use std::collections::VecDeque;
@@ -32,13 +32,13 @@
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Told {
-    pub(crate) name: CountName,
+    pub(crate) name: CounterKey,
     pub(crate) outcome: Outcome,
     pub(crate) total: f64,
 }
 
 impl Told {
-    fn not(name: CountName, outcome: Outcome) -> Told {
+    fn not(name: CounterKey, outcome: Outcome) -> Told {
         Told {
             name,
             outcome,
@@ -48,7 +48,7 @@
 }
 
 struct Call {
-    name: CountName,
+    name: CounterKey,
     sent: u64,
     until: u64,
     /// The command, as long as the connection does not stand.
@@ -144,7 +144,7 @@
     pub(crate) fn add(
         &mut self,
         engine: &mut Engine,
-        name: CountName,
+        name: CounterKey,
         amount: f64,
         life: u64,
     ) -> (Vec<Told>, Option<ConnId>) {
@@ -152,7 +152,7 @@
         let place = (name.0 % LINKS as u64) as usize;
         let link = &mut self.links[place];
         if link.calls.len() >= MOST_OPEN {
-            return (vec![Told::not(name, Outcome::Full)], None);
+            return (vec![Told::not(name, Outcome::Rejected)], None);
         }
         let mut dialled = None;
         if link.conn.is_none() {
@@ -308,7 +308,7 @@
     call.end = *queued;
 }
 
-fn command(name: CountName, amount: f64, life: u64) -> Bytes {
+fn command(name: CounterKey, amount: f64, life: u64) -> Bytes {
     let (name, amount) = (name.0.to_string(), amount.to_string());
     let life = life.div_ceil(1_000).max(1).to_string();
     let mut out = BytesMut::new();
--- a/crates/resp-gateway/src/list.rs
+++ b/crates/resp-gateway/src/list.rs
@@ -1,6 +1,6 @@
 //! The list of backends as discovery tells it.
 
-use chalkdeck::api::{CellId, Listed, Micros, ServerEntry};
+use chalkdeck::api::{CellId, EndpointEntry, EndpointState, Micros};
 use chalkdeck_simulator_adapter::settings::{server_id, zone_id};
 use serde::Deserialize;
 use serde_json::Value;
@@ -16,7 +16,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// Its line of the list.
-    pub entry: ServerEntry,
+    pub entry: EndpointEntry,
 }
 
 /// One answer of discovery.
@@ -114,9 +114,9 @@
 
 fn server(e: &Endpoint, zones: &mut HashMap<String, u32>) -> Result<Server, ListError> {
     let listed = match e.status.as_str() {
-        "ready" => Listed::InService,
-        "draining" => Listed::Draining,
-        "gone" => Listed::Gone,
+        "ready" => EndpointState::InService,
+        "draining" => EndpointState::Draining,
+        "gone" => EndpointState::Removed,
         other => {
             return Err(ListError::Status {
                 name: e.name.clone(),
@@ -130,7 +130,7 @@
             found: e.address.clone(),
         });
     };
-    let entry = ServerEntry {
+    let entry = EndpointEntry {
         server: server_id(&e.name),
         zone: zone_id(zones, &e.zone.replace([' ', ','], "_")),
         cell: CellId(e.group),
--- a/crates/resp-gateway/src/outcome.rs
+++ b/crates/resp-gateway/src/outcome.rs
@@ -1,16 +1,16 @@
 //! What a backend's reply, and the counter's, say.
 
 use bytes::Bytes;
-use chalkdeck::api::{Outcome, Report};
+use chalkdeck::api::{LoadReport, Outcome};
 use chalkdeck_resp::Frame;
 
 /// What came of an attempt that was answered.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Answered {
     /// Served, with the value and the load report.
-    Served(Bytes, Report),
+    Served(Bytes, LoadReport),
     /// Turned away or failed.
-    Not(Outcome, Report),
+    Not(Outcome, LoadReport),
     /// What no backend says: it has run, and the connection is of no further use.
     Spoilt,
 }
@@ -26,7 +26,7 @@
                 .map(|text| report(text.as_bytes()))
                 .unwrap_or_default();
             match line.split(' ').next() {
-                Some("BUSY") => Answered::Not(Outcome::Full, report),
+                Some("BUSY") => Answered::Not(Outcome::Rejected, report),
                 Some("ERR" | "NOPERM" | "SYNTAX") => Answered::Not(Outcome::Error, report),
                 _ => Answered::Spoilt,
             }
@@ -42,7 +42,7 @@
     }
     let said = match &items[2] {
         Frame::BulkString(text) => report(text),
-        _ => Report::default(),
+        _ => LoadReport::default(),
     };
     match items.into_iter().next() {
         Some(Frame::BulkString(value)) => Answered::Served(value, said),
@@ -51,8 +51,8 @@
 }
 
 /// A load report; what of it cannot be read is left out.
-pub(crate) fn report(text: &[u8]) -> Report {
-    let mut report = Report::default();
+pub(crate) fn report(text: &[u8]) -> LoadReport {
+    let mut report = LoadReport::default();
     let Ok(text) = std::str::from_utf8(text) else {
         return report;
     };
@@ -84,8 +84,10 @@
                 None => (Outcome::Error, 0.0, false),
             }
         }
-        Frame::Error(line) if line.split(' ').next() == Some("BUSY") => (Outcome::Full, 0.0, true),
-        Frame::Error(line) if line.starts_with("ERR") => (Outcome::Full, 0.0, true),
+        Frame::Error(line) if line.split(' ').next() == Some("BUSY") => {
+            (Outcome::Rejected, 0.0, true)
+        }
+        Frame::Error(line) if line.starts_with("ERR") => (Outcome::Rejected, 0.0, true),
         _ => (Outcome::Error, 0.0, false),
     }
 }
--- a/crates/resp-gateway/src/request.rs
+++ b/crates/resp-gateway/src/request.rs
@@ -1,7 +1,9 @@
 //! A client's command read as a request. Nothing here decides: what cannot be read is an error line.
 
 use bytes::Bytes;
-use chalkdeck::api::{Arrival, ClassId, CustomerId, Effect, Micros, PlanId, RequestId, Settings};
+use chalkdeck::api::{
+    ClassId, CustomerId, Effect, IncomingRequest, Micros, PlanId, RequestId, Settings,
+};
 use chalkdeck_resp::push_command;
 use chalkdeck_simulator_adapter::settings::Read;
 
@@ -168,7 +170,7 @@
     id: RequestId,
     now: u64,
     names: &Read,
-) -> Result<(Command, Arrival), RequestError> {
+) -> Result<(Command, IncomingRequest), RequestError> {
     let set: &Settings = &names.settings;
     let write = match (words.first().map(|w| &w[..]), words.len()) {
         (Some(b"API.READ"), 4) => false,
@@ -224,7 +226,7 @@
     // `time` is a part of the list, so its place is a difference of addresses.
     let start = time.as_ptr() as usize - list.as_ptr() as usize;
     let range = start..start + time.len();
-    let arrival = Arrival {
+    let arrival = IncomingRequest {
         id,
         class: ClassId(*class),
         plan: PlanId(*plan),
--- a/crates/resp-gateway/src/shell.rs
+++ b/crates/resp-gateway/src/shell.rs
@@ -10,8 +10,8 @@
 use crate::request::{self, Command, RequestError};
 use bytes::Bytes;
 use chalkdeck::api::{
-    Action, AttemptEnd, Event, ListScope, Micros, Outcome, Report, RequestId, ServerId,
-    SettingsError, TimerId,
+    Action, AttemptResult, EndpointId, Event, LoadReport, Micros, Outcome, RequestId,
+    SettingsError, TimerId, UpdateScope,
 };
 use chalkdeck::decisions::Decisions;
 use chalkdeck::rules::Gateway;
@@ -339,7 +339,7 @@
         if self.front.owns(conn) {
             for id in self.front.closed(conn) {
                 self.forget(id);
-                self.decisions.push(Event::ClientGone(id));
+                self.decisions.push(Event::ClientDisconnected(id));
             }
         } else if self.backends.owns(conn) {
             let ended = self.backends.closed(self.engine.now(), conn, unsent);
@@ -408,8 +408,8 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Send(id, server, until) => self.send(id, server, until.0),
-            Action::Refuse(id, back) => {
+            Action::SendAttempt(id, server, until) => self.send(id, server, until.0),
+            Action::Reject(id, back) => {
                 let line = match back {
                     Some(after) => format!("BUSY {}", after.0.div_ceil(1_000)),
                     None => "BUSY".to_string(),
@@ -419,10 +419,10 @@
             Action::Fail(id) => {
                 self.answer(id, error("failed"));
             }
-            Action::Cancel(request, number) => {
+            Action::CancelAttempt(request, number) => {
                 self.give_up(AttemptId { request, number }, Outcome::Cancelled);
             }
-            Action::Count(name, amount, life) => {
+            Action::AddToCounter(name, amount, life) => {
                 let Shell {
                     engine,
                     counter: Some(counter),
@@ -441,15 +441,18 @@
             }
             Action::SetTimer(timer, after) => self.due_in(after.0, TimerPurpose::Policy(timer)),
             Action::Probe(server) => {
-                self.decisions
-                    .push(Event::Probed(server, Outcome::Moot, Report::default()));
+                self.decisions.push(Event::ProbeCompleted(
+                    server,
+                    Outcome::NeverSent,
+                    LoadReport::default(),
+                ));
             }
             // No class of this platform leaves the work to its caller, and the list is watched in any case.
-            Action::Grant(_) | Action::Subscribe | Action::FetchList => {}
+            Action::Grant(_) | Action::Subscribe | Action::FetchEndpoints => {}
         }
     }
 
-    fn send(&mut self, id: RequestId, server: ServerId, until: u64) {
+    fn send(&mut self, id: RequestId, server: EndpointId, until: u64) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
@@ -491,7 +494,7 @@
         } = end;
         let served =
             value.is_some_and(|value| self.answer(attempt.request, Frame::BulkString(value)));
-        self.decisions.push(Event::AttemptEnded(AttemptEnd {
+        self.decisions.push(Event::AttemptEnded(AttemptResult {
             id: attempt.request,
             attempt: attempt.number,
             server,
@@ -580,7 +583,7 @@
                 attempts: 0,
             },
         );
-        self.decisions.push(Event::Request(arrival));
+        self.decisions.push(Event::RequestArrived(arrival));
         None
     }
 
@@ -593,7 +596,8 @@
             total,
         } in told
         {
-            self.decisions.push(Event::Counted(name, outcome, total));
+            self.decisions
+                .push(Event::CounterReplied(name, outcome, total));
         }
     }
 
@@ -634,13 +638,13 @@
     fn listed(&mut self, list: List) {
         self.backends.update(&mut self.engine, &list);
         let scope = if list.snapshot {
-            ListScope::Whole
+            UpdateScope::Complete
         } else {
-            ListScope::Changes
+            UpdateScope::Incremental
         };
         let entries: Vec<_> = list.servers.into_iter().map(|s| s.entry).collect();
-        if scope == ListScope::Whole || !entries.is_empty() {
-            self.decisions.push(Event::Servers(scope, entries));
+        if scope == UpdateScope::Complete || !entries.is_empty() {
+            self.decisions.push(Event::EndpointsUpdated(scope, entries));
         }
     }
 
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -1,6 +1,6 @@
 //! The name=value parts of a message, read one by one.
 
-use chalkdeck::api::{Micros, Outcome, Report};
+use chalkdeck::api::{LoadReport, Micros, Outcome};
 use std::collections::HashMap;
 use std::fmt::Display;
 use std::str::FromStr;
@@ -99,17 +99,17 @@
         Ok(match self.text("how")? {
             "200" => Outcome::Ok,
             "500" => Outcome::Error,
-            "503" => Outcome::Full,
+            "503" => Outcome::Rejected,
             "504" => Outcome::Timeout,
             "502" => Outcome::ConnectFailed,
             "598" => Outcome::Reset,
             "499" => Outcome::Cancelled,
-            "410" => Outcome::Moot,
+            "410" => Outcome::NeverSent,
             _ => return self.fail("how", "one of 200 410 499 500 502 503 504 598"),
         })
     }
-    pub(crate) fn report(&self) -> Result<Report> {
-        let mut report = Report::default();
+    pub(crate) fn report(&self) -> Result<LoadReport> {
+        let mut report = LoadReport::default();
         for pair in self
             .pairs
             .get("report")
--- a/crates/simulator-adapter/src/settings.rs
+++ b/crates/simulator-adapter/src/settings.rs
@@ -32,9 +32,9 @@
 }
 
 /// The number of a server's name, the same at every gateway: its FNV-1a hash.
-pub fn server_id(name: &str) -> ServerId {
+pub fn server_id(name: &str) -> EndpointId {
     let step = |h: u64, b| (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3);
-    ServerId(name.bytes().fold(0xcbf2_9ce4_8422_2325_u64, step))
+    EndpointId(name.bytes().fold(0xcbf2_9ce4_8422_2325_u64, step))
 }
 
 /// The number of a zone's name; a new name gets the next one.
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -17,7 +17,7 @@
     classes: HashMap<String, usize>,
     plans: HashMap<String, usize>,
     zones: HashMap<String, u32>,
-    addresses: HashMap<ServerId, String>,
+    addresses: HashMap<EndpointId, String>,
     class_list: Vec<Class>,
 }
 
@@ -43,7 +43,7 @@
             class_list,
         })
     }
-    fn server(&mut self, address: &str) -> ServerId {
+    fn server(&mut self, address: &str) -> EndpointId {
         // The next free one on a clash.
         let mut id = settings::server_id(address);
         while self
@@ -51,15 +51,15 @@
             .get(&id)
             .is_some_and(|known| known != address)
         {
-            id = ServerId(id.0.wrapping_add(1));
+            id = EndpointId(id.0.wrapping_add(1));
         }
         self.addresses
             .entry(id)
             .or_insert_with(|| address.to_string());
         id
     }
-    fn entry(&mut self, f: &Fields) -> Result<ServerEntry> {
-        Ok(ServerEntry {
+    fn entry(&mut self, f: &Fields) -> Result<EndpointEntry> {
+        Ok(EndpointEntry {
             server: self.server(f.text("backend")?),
             zone: zone_id(
                 &mut self.zones,
@@ -67,9 +67,9 @@
             ),
             cell: CellId(f.whole_or("pod", 0)?),
             listed: match f.text("status")? {
-                "in_service" => Listed::InService,
-                "terminating" => Listed::Draining,
-                "terminated" => Listed::Gone,
+                "in_service" => EndpointState::InService,
+                "terminating" => EndpointState::Draining,
+                "terminated" => EndpointState::Removed,
                 _ => return f.fail("status", "in_service, terminating or terminated"),
             },
             weight: f.real_or("heft", 1.0)?,
@@ -95,7 +95,7 @@
                 if units < 0.0 {
                     return f.fail("price_units", "a number of 0 or more");
                 }
-                Event::Request(Arrival {
+                Event::RequestArrived(IncomingRequest {
                     id: RequestId(f.whole("ref")?),
                     class: ClassId(class),
                     plan: PlanId(plan),
@@ -109,15 +109,17 @@
                 })
             }
             "RING" => Event::Timer(TimerId(f.whole("ref")?)),
-            "FIRST_BYTE" => Event::StreamStarted(RequestId(f.whole("ref")?)),
-            "TIMED_OUT_CLIENT" => Event::ClientGone(RequestId(f.whole("ref")?)),
-            "PONG" => Event::Probed(self.server(f.text("backend")?), f.outcome()?, f.report()?),
-            "COUNT_RESULT" => Event::Counted(
-                CountName(f.whole("book")?),
+            "FIRST_BYTE" => Event::ResponseStarted(RequestId(f.whole("ref")?)),
+            "TIMED_OUT_CLIENT" => Event::ClientDisconnected(RequestId(f.whole("ref")?)),
+            "PONG" => {
+                Event::ProbeCompleted(self.server(f.text("backend")?), f.outcome()?, f.report()?)
+            }
+            "COUNT_RESULT" => Event::CounterReplied(
+                CounterKey(f.whole("book")?),
                 f.outcome()?,
                 f.real_or("result_value", 0.0)?,
             ),
-            "OUTCOME" => Event::AttemptEnded(AttemptEnd {
+            "OUTCOME" => Event::AttemptEnded(AttemptResult {
                 id: RequestId(f.whole("ref")?),
                 attempt: f.whole_or("trial", 0)? as usize,
                 server: self.server(f.text("backend")?),
@@ -131,10 +133,10 @@
         }))
     }
     fn write(&self, action: &Action, out: &mut String) {
-        let name = |s: &ServerId| self.addresses.get(s).map_or("", String::as_str);
+        let name = |s: &EndpointId| self.addresses.get(s).map_or("", String::as_str);
         // Writing to a String cannot fail.
         let _ = match action {
-            Action::Send(r, s, until) => {
+            Action::SendAttempt(r, s, until) => {
                 writeln!(
                     out,
                     "ROUTE ref={} backend={} abandon_at={}",
@@ -143,14 +145,14 @@
                     until.0
                 )
             }
-            Action::Refuse(r, None) => writeln!(out, "REJECT ref={}", r.0),
-            Action::Refuse(r, Some(b)) => writeln!(out, "REJECT ref={} backoff={}", r.0, b.0),
+            Action::Reject(r, None) => writeln!(out, "REJECT ref={}", r.0),
+            Action::Reject(r, Some(b)) => writeln!(out, "REJECT ref={} backoff={}", r.0, b.0),
             // The bench has no callers that do their own work.
             Action::Grant(_) => Ok(()),
             Action::Fail(r) => writeln!(out, "FINISH_ERROR ref={}", r.0),
-            Action::Cancel(r, a) => writeln!(out, "ABANDON ref={} trial={a}", r.0),
+            Action::CancelAttempt(r, a) => writeln!(out, "ABANDON ref={} trial={a}", r.0),
             Action::Probe(s) => writeln!(out, "PROBE backend={}", name(s)),
-            Action::Count(n, amount, life) => {
+            Action::AddToCounter(n, amount, life) => {
                 writeln!(
                     out,
                     "ADD_AND_GET book={} amount={amount} lifetime={}",
@@ -159,15 +161,15 @@
             }
             Action::SetTimer(t, after) => writeln!(out, "WAKE_ME ref={} in={}", t.0, after.0),
             Action::Subscribe => writeln!(out, "LISTEN active=1"),
-            Action::FetchList => writeln!(out, "RELOAD"),
+            Action::FetchEndpoints => writeln!(out, "RELOAD"),
         };
     }
 }
 
 /// A list event whose entry lines are still coming.
 struct OpenList {
-    scope: ListScope,
-    entries: Vec<ServerEntry>,
+    scope: UpdateScope,
+    entries: Vec<EndpointEntry>,
     left: u64,
 }
 
@@ -239,9 +241,9 @@
             }
             "FLEET" => {
                 let scope = match f.text("scope")? {
-                    "incr" => ListScope::Changes,
-                    "total" | "warm_copy" => ListScope::Whole,
-                    "lost" => ListScope::Lost,
+                    "incr" => UpdateScope::Incremental,
+                    "total" | "warm_copy" => UpdateScope::Complete,
+                    "lost" => UpdateScope::Unavailable,
                     _ => return f.fail("scope", "incr, total, warm_copy or lost"),
                 };
                 let left = f.whole_or("items", 0)?;
@@ -290,7 +292,7 @@
     }
     fn close_list(&mut self) {
         if let (Some(list), Some(who)) = (self.list.take_if(|l| l.left == 0), self.current) {
-            self.tell(who, Event::Servers(list.scope, list.entries));
+            self.tell(who, Event::EndpointsUpdated(list.scope, list.entries));
         }
     }
     fn tell(&mut self, who: u32, event: Event) {
--- a/crates/testbed/src/audit/rules.rs
+++ b/crates/testbed/src/audit/rules.rs
@@ -423,7 +423,7 @@
                 unlisted.entry(target).or_insert(*t);
             }
             Line::Note { what, target, .. } if what == "listed" => {
-                drop(unlisted.remove(target.as_str()))
+                unlisted.remove(target.as_str());
             }
             Line::Arrive { t, server, id, .. } => {
                 let Some(since) = unlisted.get(server.as_str()) else {
@@ -462,7 +462,7 @@
             }
             Line::Note { t, what, target } if what == "site_held" => drop(held.insert(target, *t)),
             Line::Note { what, target, .. } if what == "site_let_back" => {
-                drop(held.remove(target.as_str()))
+                held.remove(target.as_str());
             }
             Line::Arrive { t, server, id, .. } => {
                 let Some(zone) = zone_of.get(server.as_str()) else {
