--- a/crates/cli/tests/fleet/mod.rs
+++ b/crates/cli/tests/fleet/mod.rs
@@ -71,6 +71,13 @@
 
     /// The same with keepers alone; gateways have their links.
     pub fn without_gateways(keepers: usize, gateways: usize) -> Fleet {
+        let mut fleet = Fleet::prepare(keepers, gateways);
+        (0..keepers).for_each(|k| fleet.start_keeper(k, true));
+        fleet
+    }
+
+    /// A folder and links for so many processes, none of which is started.
+    pub fn prepare(keepers: usize, gateways: usize) -> Fleet {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let id = std::process::id();
@@ -108,7 +115,7 @@
             .collect();
         let control = links.address("control").expect("its control port");
         let none = |n: usize| (0..n).map(|_| None).collect::<Vec<Option<Process>>>();
-        let mut fleet = Fleet {
+        let fleet = Fleet {
             dir,
             program,
             links,
@@ -120,7 +127,6 @@
             servers: Vec::new(),
         };
         fleet.write_list();
-        (0..keepers).for_each(|k| fleet.start_keeper(k, true));
         fleet
     }
 
--- /dev/null
+++ b/crates/cli/tests/stored_data.rs
@@ -0,0 +1,103 @@
+//! Folders and files that programs of commit d5a4349 left behind are opened by today's, go on and can be stopped and started again.
+//!
+//! Three replicas of the shared state, in their second configuration, and two gateways' cached state wrote them: sets of rules for
+//! `maize` and `beans` and six more, a subscription, and an override that drains the site `north`.
+
+mod fleet;
+
+use chalkdeck_testbed::parts::control;
+use fleet::{until, Caller, Fleet};
+use std::path::{Path, PathBuf};
+
+const REPLICAS: usize = 3;
+const GATEWAYS: usize = 2;
+
+fn stored() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/stored-d5a4349")
+}
+
+fn copy_folder(from: &Path, to: &Path) {
+    std::fs::create_dir_all(to).expect("a folder");
+    for entry in std::fs::read_dir(from).expect("a folder") {
+        let entry = entry.expect("an entry");
+        let target = to.join(entry.file_name());
+        if entry.path().is_dir() {
+            copy_folder(&entry.path(), &target);
+        } else {
+            std::fs::copy(entry.path(), target).expect("copied");
+        }
+    }
+}
+
+fn fleet_on_stored_data() -> Fleet {
+    let fleet = Fleet::prepare(REPLICAS, GATEWAYS);
+    copy_folder(&stored(), &fleet.dir);
+    fleet
+}
+
+fn start_replicas(fleet: &mut Fleet) {
+    (0..REPLICAS).for_each(|k| fleet.start_keeper(k, false));
+    until("all replicas agree", || {
+        let status = fleet.does(&["keeper", "status"]);
+        (status.matches("agrees, configuration").count() == REPLICAS).then_some(())
+    });
+}
+
+fn assert_stored_state(fleet: &Fleet) {
+    let maize = fleet.does(&["rules", "show", "maize"]);
+    assert!(
+        maize.contains("id: \"r1\"") && maize.contains("\"west\""),
+        "{maize}"
+    );
+    let beans = fleet.does(&["rules", "show", "beans"]);
+    assert!(beans.contains("otherwise: DENY"), "{beans}");
+    let in_use = fleet.does(&["contract", "spoken"]);
+    assert!(
+        in_use.contains("farm.v1.Farm v1 maize: subscribes"),
+        "{in_use}"
+    );
+}
+
+fn apply(fleet: &Fleet, customer: &str) {
+    let file = fleet.set(customer, "KEEP", "ALLOW", "");
+    let told = fleet.does(&["rules", "apply", &file, "--force", "--wait", "30"]);
+    assert!(told.contains("in force"), "{told}");
+}
+
+#[test]
+fn replicas_open_recorded_folders_go_on_and_restart() {
+    let mut fleet = fleet_on_stored_data();
+    start_replicas(&mut fleet);
+    let status = fleet.does(&["keeper", "status"]);
+    assert!(status.contains("agrees, configuration 2, version "), "{status}");
+    assert_stored_state(&fleet);
+    (0..GATEWAYS).for_each(|g| fleet.start_gateway(g));
+    apply(&fleet, "after-restart");
+    (0..REPLICAS).for_each(|k| fleet.kill_keeper(k));
+    start_replicas(&mut fleet);
+    assert_stored_state(&fleet);
+    let added = fleet.does(&["rules", "show", "after-restart"]);
+    assert!(added.contains("customer: \"after-restart\""), "{added}");
+    until("all duties are held", || {
+        (fleet.held().len() == 3).then_some(())
+    });
+    apply(&fleet, "after-second-restart");
+}
+
+#[test]
+fn a_gateway_without_replicas_goes_by_its_recorded_cache() {
+    let mut fleet = fleet_on_stored_data();
+    fleet.add_server("");
+    for _start in 0..2 {
+        fleet.start_gateway(0);
+        let mut caller = Caller::new(fleet.grpc(0));
+        assert!(!caller.admits("beans"), "denied by the cached set");
+        assert!(caller.admits("c0"), "allowed by the cached set");
+        let sites = control::get(fleet.admin(0), "/sites").expect("sites");
+        assert!(
+            sites.contains("\"site\":\"north\"") && sites.contains("held out"),
+            "{sites}"
+        );
+        fleet.end_gateway(0);
+    }
+}
