--- a/crates/cli/tests/stored_data.rs
+++ b/crates/cli/tests/stored_data.rs
@@ -69,7 +69,10 @@
     let mut fleet = fleet_on_stored_data();
     start_replicas(&mut fleet);
     let status = fleet.does(&["keeper", "status"]);
-    assert!(status.contains("agrees, configuration 2, version "), "{status}");
+    assert!(
+        status.contains("agrees, configuration 2, version "),
+        "{status}"
+    );
     assert_stored_state(&fleet);
     (0..GATEWAYS).for_each(|g| fleet.start_gateway(g));
     apply(&fleet, "after-restart");
