--- a/crates/grpc-gateway/src/carry.rs
+++ b/crates/grpc-gateway/src/carry.rs
@@ -132,7 +132,7 @@
         *head.headers_mut() = call.headers.clone();
         head.headers_mut()
             .insert(TE, HeaderValue::from_static("trailers"));
-        let stream = self.set.policy.classes[call.arrival.class.0].stream;
+        let stream = self.set.policy.classes[call.arrival.class.0].is_streaming;
         if let Some(left) = timeout_left(call, stream, now) {
             head.headers_mut()
                 .insert(grpc::TIMEOUT, grpc::timeout(left));
@@ -223,12 +223,12 @@
         self.decisions.push(Event::AttemptEnded(AttemptResult {
             id: id.call,
             attempt: id.number,
-            server,
+            endpoint: server,
             outcome,
-            took: Micros(took),
-            ended: answered || done,
-            settled: None,
-            report: LoadReport::default(),
+            elapsed: Micros(took),
+            request_finished: answered || done,
+            settled_units: None,
+            load_report: LoadReport::default(),
         }));
         self.calls.forget_if_over(id.call);
     }
@@ -294,7 +294,7 @@
         let Some(call) = self.calls.get(id) else {
             return;
         };
-        let late = now + 3 * self.set.policy.tick.0 >= call.arrival.deadline.0;
+        let late = now + 3 * self.set.policy.timer_resolution.0 >= call.arrival.deadline.0;
         let code = if late {
             Code::DeadlineExceeded
         } else {
@@ -348,7 +348,7 @@
         let Some(call) = self.calls.get(id).filter(|c| !c.is_done()) else {
             return;
         };
-        let stream = self.set.policy.classes[call.arrival.class.0].stream;
+        let stream = self.set.policy.classes[call.arrival.class.0].is_streaming;
         match call.client_deadline {
             // A stream without a deadline of its client's has none once it has started.
             None if stream => {}
@@ -453,7 +453,7 @@
             chunks: Vec::new(),
             bytes: 0,
         };
-        if self.set.policy.classes[call.arrival.class.0].stream {
+        if self.set.policy.classes[call.arrival.class.0].is_streaming {
             self.begin_stream(id.call);
         }
     }
--- a/crates/grpc-gateway/src/endpoints.rs
+++ b/crates/grpc-gateway/src/endpoints.rs
@@ -68,7 +68,7 @@
         for (k, endpoint) in locality.lb_endpoints.iter().enumerate() {
             let server = server(locality, endpoint)
                 .map_err(|e| ListError(format!("endpoints[{i}].lb_endpoints[{k}]: {e}")))?;
-            if !known.insert(server.entry.server) {
+            if !known.insert(server.entry.endpoint) {
                 return bad(format!(
                     "endpoints[{i}].lb_endpoints[{k}]: {} is listed twice",
                     server.address
@@ -121,12 +121,12 @@
         Some(_) => return bad("metadata chalkdeck.server: expected a text"),
     };
     let entry = EndpointEntry {
-        server: EndpointId(number_of(&name)),
+        endpoint: EndpointId(number_of(&name)),
         zone: zone_of(zone),
         cell: CellId(number_of(&cell)),
-        listed,
+        state: listed,
         weight: f64::from(weight),
-        started,
+        started_at: started,
     };
     let contract = match field(endpoint, "contract") {
         None => None,
--- a/crates/grpc-gateway/src/endpoints/tests.rs
+++ b/crates/grpc-gateway/src/endpoints/tests.rs
@@ -25,7 +25,7 @@
         assert_eq!(servers.len(), 1);
         let entry = &servers[0].entry;
         assert_eq!(
-            (entry.listed, entry.started),
+            (entry.state, entry.started_at),
             (EndpointState::Draining, Some(Micros(1_764_590_000_000_000)))
         );
     }
--- a/crates/grpc-gateway/src/entry.rs
+++ b/crates/grpc-gateway/src/entry.rs
@@ -40,14 +40,14 @@
             .gateway
             .standing(Micros(now), arrival.customer, arrival.plan);
         let refill = if standing.remaining < arrival.units {
-            standing.reset.0
+            standing.resets_in.0
         } else {
             0
         };
         let offer = Offer {
             id: arrival.id.0,
             studio: arrival.customer.0,
-            weight: set.policy.plans[arrival.plan.0].price,
+            weight: set.policy.plans[arrival.plan.0].priority_multiplier,
             units: arrival.units,
             deadline: arrival.deadline.0,
             refill,
@@ -86,7 +86,7 @@
                 entry.arrivals.remove(&RequestId(id));
                 self.metrics.door_refused.inc();
                 let most = self.set.policy.max_retry_after.0;
-                let back = self.set.policy.retry_after.then_some(back.min(most));
+                let back = self.set.policy.send_retry_after.then_some(back.min(most));
                 self.refuse(RequestId(id), back);
             }
         }
--- a/crates/grpc-gateway/src/front.rs
+++ b/crates/grpc-gateway/src/front.rs
@@ -82,11 +82,11 @@
     let units = match text(headers, UNITS).filter(|_| route.client_units) {
         None => route.units,
         Some(value) => match value.parse::<f64>() {
-            Ok(units) if units > 0.0 && units <= set.policy.most_units => units,
+            Ok(units) if units > 0.0 && units <= set.policy.max_request_units => units,
             _ => {
                 let what = format!(
                     "x-units: expected above 0, at most {}, found '{value}'",
-                    set.policy.most_units
+                    set.policy.max_request_units
                 );
                 return reject(Code::InvalidArgument, "bad_units", what);
             }
@@ -107,10 +107,10 @@
         class: ClassId(class),
         plan,
         customer: CustomerId(crate::base::server::number_of(customer)),
-        spread: set.spread,
+        customer_gateways: set.spread,
         deadline: Micros(now + timeout.unwrap_or(longest).min(longest)),
         units,
-        resent: tries_before > 0,
+        is_retry: tries_before > 0,
     };
     Ok(Asked {
         arrival,
--- a/crates/grpc-gateway/src/keepers.rs
+++ b/crates/grpc-gateway/src/keepers.rs
@@ -202,7 +202,7 @@
         let held = &self.member.session().held;
         let told = servers.iter().map(|s| {
             (
-                s.entry.listed == EndpointState::InService,
+                s.entry.state == EndpointState::InService,
                 s.contract.as_deref(),
             )
         });
@@ -214,7 +214,7 @@
             .zip(&back.held)
             .filter(|(_, held)| **held)
         {
-            server.entry.listed = EndpointState::Draining;
+            server.entry.state = EndpointState::Draining;
             self.held_back.push(server.address.to_string());
         }
         if back.last_resort != std::mem::replace(&mut self.last_resort, back.last_resort)
@@ -321,7 +321,7 @@
                 "denied",
                 denied(&rule, version, stale),
             )),
-            Verdict::Goes if set.policy.classes[class].stream => Ok(Some(Box::new(Who {
+            Verdict::Goes if set.policy.classes[class].is_streaming => Ok(Some(Box::new(Who {
                 customer: customer.to_string(),
                 caller,
             }))),
--- a/crates/grpc-gateway/src/pool.rs
+++ b/crates/grpc-gateway/src/pool.rs
@@ -80,11 +80,11 @@
         let mut old = std::mem::take(&mut self.places);
         for server in servers {
             let links = old
-                .remove(&server.entry.server)
+                .remove(&server.entry.endpoint)
                 .map(|p| p.links)
                 .unwrap_or_default();
             self.places.insert(
-                server.entry.server,
+                server.entry.endpoint,
                 Place {
                     address: server.address,
                     authority: authority(server.address),
--- a/crates/grpc-gateway/src/resp/mod.rs
+++ b/crates/grpc-gateway/src/resp/mod.rs
@@ -225,7 +225,10 @@
         units: f64,
         lease: Option<u64>,
     ) {
-        let (most, plan) = (self.set.policy.most_units, self.set.plan_for(customer));
+        let (most, plan) = (
+            self.set.policy.max_request_units,
+            self.set.plan_for(customer),
+        );
         let class = self.set.resp.as_ref().map_or(0, |r| r.class);
         let Some(resp) = &mut self.resp else { return };
         let Some(session) = resp.sessions.get_mut(&conn) else {
@@ -274,10 +277,10 @@
             class: ClassId(class),
             plan,
             customer,
-            spread: self.set.spread,
+            customer_gateways: self.set.spread,
             deadline: Micros(now + self.set.policy.classes[class].deadline.0),
             units,
-            resent: false,
+            is_retry: false,
         });
     }
 
@@ -293,7 +296,7 @@
         let Some(lease) = ask.lease else {
             // A plain ask holds no place: what it was granted for is over for us.
             self.decisions.push(Event::ClientDisconnected(id));
-            let numbers = [0, limit, remaining, -1, seconds(standing.reset.0)];
+            let numbers = [0, limit, remaining, -1, seconds(standing.resets_in.0)];
             return self.resp_answer(&ask, Reply::Array(numbers.map(Reply::Integer).into()));
         };
         let secret = fastrand::u32(..);
@@ -323,7 +326,7 @@
         };
         self.left(id);
         let standing = self.decisions.gateway.standing(now, ask.customer, ask.plan);
-        let back = back_in.unwrap_or(standing.reset.0);
+        let back = back_in.unwrap_or(standing.resets_in.0);
         let reply = match ask.lease {
             Some(_) => vec![
                 Reply::Integer(0),
@@ -337,7 +340,7 @@
                     limit,
                     remaining,
                     seconds(back),
-                    seconds(standing.reset.0),
+                    seconds(standing.resets_in.0),
                 ]
                 .map(Reply::Integer)
                 .into()
@@ -365,9 +368,10 @@
             return false;
         }
         resp.drop_ticket(id);
-        units
-            .into_iter()
-            .for_each(|units| self.decisions.push(Event::UnitsSettled(id, units)));
+        units.into_iter().for_each(|units| {
+            self.decisions
+                .push(Event::UnitsSettled { request: id, units })
+        });
         self.decisions.push(Event::ClientDisconnected(id));
         true
     }
@@ -385,7 +389,7 @@
         let numbers = [
             standing.limit as i64,
             standing.remaining as i64,
-            seconds(standing.reset.0),
+            seconds(standing.resets_in.0),
         ];
         Reply::Array(numbers.map(Reply::Integer).into())
     }
--- a/crates/grpc-gateway/src/settings.rs
+++ b/crates/grpc-gateway/src/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::base::server::zone_of;
 pub use crate::base::settings::{KeeperSettings, RespSettings, Route, Settings, SettingsError};
-use chalkdeck::api::{self, Effect, Group, Micros};
+use chalkdeck::api::{self, Idempotency, KeyScope, Micros};
 use chalkdeck_net::Limits;
 use chalkdeck_proto::chalkdeck::config::v1 as wire;
 use chalkdeck_proto::text;
@@ -76,14 +76,14 @@
             return at("deadline_ms: expected milliseconds above 0".to_string());
         }
         let effect = match c.effect() {
-            wire::class::Effect::Safe => Effect::Safe,
-            wire::class::Effect::Keyed => Effect::Keyed,
-            wire::class::Effect::Unsafe => Effect::Unsafe,
+            wire::class::Effect::Safe => Idempotency::Idempotent,
+            wire::class::Effect::Keyed => Idempotency::Keyed,
+            wire::class::Effect::Unsafe => Idempotency::NonIdempotent,
             wire::class::Effect::Unspecified => {
                 return at("effect: expected SAFE, KEYED or UNSAFE, found none".to_string())
             }
         };
-        if effect == Effect::Keyed && c.window_ms == 0 {
+        if effect == Idempotency::Keyed && c.window_ms == 0 {
             return at("window_ms: expected milliseconds above 0 for a KEYED class".to_string());
         }
         if c.aim_ms > c.deadline_ms {
@@ -93,23 +93,23 @@
             ));
         }
         Ok(api::Class {
-            aim: millis(if c.aim_ms == 0 {
+            latency_objective: millis(if c.aim_ms == 0 {
                 c.deadline_ms
             } else {
                 c.aim_ms
             }),
             deadline: millis(c.deadline_ms),
-            worth: if c.worth == 0.0 { 1.0 } else { c.worth },
-            late_worth: c.late_worth,
-            effect,
-            group: match c.group() {
-                wire::class::Group::All => Group::All,
-                wire::class::Group::Zone => Group::Zone,
-                wire::class::Group::Cell | wire::class::Group::Unspecified => Group::Cell,
+            priority_weight: if c.worth == 0.0 { 1.0 } else { c.worth },
+            late_priority_weight: c.late_worth,
+            idempotency: effect,
+            key_scope: match c.group() {
+                wire::class::Group::All => KeyScope::All,
+                wire::class::Group::Zone => KeyScope::Zone,
+                wire::class::Group::Cell | wire::class::Group::Unspecified => KeyScope::Cell,
             },
-            window: millis(c.window_ms),
-            stream: c.stream,
-            by_caller: false,
+            key_window: millis(c.window_ms),
+            is_streaming: c.stream,
+            admission_only: false,
         })
     }
 }
@@ -131,10 +131,10 @@
     api::Plan {
         rate: p.rate,
         burst: p.burst,
-        open: p.open,
-        price: if p.price == 0.0 { 1.0 } else { p.price },
-        over_worth: p.over_worth,
-        over_cost: p.over_cost,
+        max_concurrency: p.open,
+        priority_multiplier: if p.price == 0.0 { 1.0 } else { p.price },
+        over_quota_weight: p.over_worth,
+        over_quota_cost: p.over_cost,
         ceiling_rate: p.ceiling_rate,
         ceiling_burst: p.ceiling_burst,
         ceiling_slack: p.ceiling_slack,
@@ -245,9 +245,9 @@
     };
     let class = source.known("resp.class", &resp.class, names)?;
     let own = api::Class {
-        by_caller: true,
-        effect: Effect::Unsafe,
-        stream: false,
+        admission_only: true,
+        idempotency: Idempotency::NonIdempotent,
+        is_streaming: false,
         ..classes[class].clone()
     };
     classes.push(own);
@@ -324,10 +324,10 @@
     let routes = routes(source, wire, &class_names)?;
     let mut unkeyed: Vec<usize> = (0..classes.len()).collect();
     for i in 0..unkeyed.len() {
-        if classes[i].effect == Effect::Keyed {
+        if classes[i].idempotency == Idempotency::Keyed {
             unkeyed[i] = classes.len();
             classes.push(api::Class {
-                effect: Effect::Unsafe,
+                idempotency: Idempotency::NonIdempotent,
                 ..classes[i].clone()
             });
             class_names.push(class_names[i].clone());
@@ -386,39 +386,39 @@
     let resp = resp(source, wire, &mut classes, &mut class_names)?;
     let policy = api::Settings {
         gateways: fleet,
-        me: wire.number,
+        gateway_index: wire.number,
         zone: zone_of(&wire.zone),
         classes,
         plans: wire.plans.iter().map(plan).collect(),
         max_attempts: or(limits.attempts, 3) as usize,
-        second_copies: false,
-        may_cancel: true,
-        probes: false,
-        retry_after: limits.retry_after_ms > 0,
+        allow_hedging: false,
+        allow_cancel: true,
+        allow_probes: false,
+        send_retry_after: limits.retry_after_ms > 0,
         max_retry_after: millis(limits.retry_after_ms),
-        counter: !parts.is_empty(),
-        count_timeout: millis(or(counter.timeout_ms, 80)),
-        most_units: if limits.most_units == 0.0 {
+        use_counter: !parts.is_empty(),
+        counter_timeout: millis(or(counter.timeout_ms, 80)),
+        max_request_units: if limits.most_units == 0.0 {
             1.0
         } else {
             limits.most_units
         },
-        must_subscribe: false,
+        requires_subscription: false,
         dial_timeout: millis(or(endpoints.connect_timeout_ms, 250)),
         answer_slack: Micros(0),
-        cold_from: if start.cold_ms == 0 {
+        slow_start_min_capacity: if start.cold_ms == 0 {
             1.0
         } else {
             start.cold_from
         },
-        cold: millis(start.cold_ms),
-        fall_multiple: if start.fall_multiple == 0.0 {
+        slow_start_duration: millis(start.cold_ms),
+        overload_multiple: if start.fall_multiple == 0.0 {
             2.0
         } else {
             start.fall_multiple
         },
-        tip_after: millis(start.tip_after_ms),
-        tick: Micros(1_000),
+        overload_duration: millis(start.tip_after_ms),
+        timer_resolution: Micros(1_000),
     };
     if let Err(e) = policy.check() {
         return source.fail(e.to_string());
--- a/crates/grpc-gateway/src/shell.rs
+++ b/crates/grpc-gateway/src/shell.rs
@@ -295,15 +295,27 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::SendAttempt(id, server, until) => self.send(id, server, until.0),
-            Action::Reject(id, back_in) => self.refuse(id, back_in.map(|m| m.0)),
+            Action::SendAttempt {
+                request: id,
+                endpoint: server,
+                deadline: until,
+            } => self.send(id, server, until.0),
+            Action::Reject {
+                request: id,
+                retry_after: back_in,
+            } => self.refuse(id, back_in.map(|m| m.0)),
             Action::Grant(id) => self.granted(id),
             Action::Fail(id) => self.fail(id),
-            Action::CancelAttempt(call, number) => {
-                self.call_off(AttemptId { call, number }, Outcome::Cancelled)
-            }
-            Action::AddToCounter(name, amount, life) => self.count(name, amount, life.0),
-            Action::SetTimer(timer, after) => self.due_in(after.0, Due::Policy(timer)),
+            Action::CancelAttempt {
+                request: call,
+                attempt: number,
+            } => self.call_off(AttemptId { call, number }, Outcome::Cancelled),
+            Action::AddToCounter {
+                key: name,
+                amount,
+                time_to_live: life,
+            } => self.count(name, amount, life.0),
+            Action::SetTimer { timer, after } => self.due_in(after.0, Due::Policy(timer)),
             Action::FetchEndpoints => self.look(),
             // The settings allow neither probes nor subscriptions: the list is watched.
             Action::Probe(_) | Action::Subscribe => {}
@@ -344,7 +356,7 @@
         else {
             return;
         };
-        let until = engine.now() + self.set.policy.count_timeout.0;
+        let until = engine.now() + self.set.policy.counter_timeout.0;
         let told = counter.part_of(name).add(engine, name, amount, life, until);
         self.watch_counts();
         self.counted(told);
@@ -399,8 +411,11 @@
         } in told
         {
             self.metrics.count(outcome);
-            self.decisions
-                .push(Event::CounterReplied(name, outcome, total));
+            self.decisions.push(Event::CounterReplied {
+                key: name,
+                outcome,
+                total,
+            });
         }
     }
 
@@ -439,14 +454,16 @@
         let mut entries: Vec<_> = servers.into_iter().map(|s| s.entry).collect();
         for entry in &mut entries {
             if self.fault == Some(Fault::Drains) {
-                entry.listed = EndpointState::InService;
+                entry.state = EndpointState::InService;
             }
-            if self.fault == Some(Fault::Cold) && entry.started.is_some() {
-                self.freshest = Some(entry.server);
+            if self.fault == Some(Fault::Cold) && entry.started_at.is_some() {
+                self.freshest = Some(entry.endpoint);
             }
         }
-        self.decisions
-            .push(Event::EndpointsUpdated(UpdateScope::Complete, entries));
+        self.decisions.push(Event::EndpointsUpdated {
+            scope: UpdateScope::Complete,
+            entries,
+        });
     }
 
     /// Takes over what can change in service; the decisions' own settings need a new start.
--- a/crates/grpc-gateway/src/sites.rs
+++ b/crates/grpc-gateway/src/sites.rs
@@ -69,11 +69,11 @@
         let own = site_of(set.policy.zone);
         let core = Core::new(chalkdeck_site_failover::Settings {
             own,
-            me: set.policy.me,
+            me: set.policy.gateway_index,
             gateways: set.policy.gateways,
-            cold_from: set.policy.cold_from,
-            cold: set.policy.cold.0,
-            fall_multiple: set.policy.fall_multiple,
+            cold_from: set.policy.slow_start_min_capacity,
+            cold: set.policy.slow_start_duration.0,
+            fall_multiple: set.policy.overload_multiple,
         });
         let words = Words::read(set.site_words.as_deref())?;
         Ok(Sites {
@@ -91,11 +91,11 @@
                 .map(|s| (site_of(s.entry.zone), s.zone_name.clone())),
         );
         let line = |s: &Server| chalkdeck_site_failover::Listed {
-            server: s.entry.server.0,
+            server: s.entry.endpoint.0,
             site: site_of(s.entry.zone),
-            in_service: s.entry.listed == EndpointState::InService,
+            in_service: s.entry.state == EndpointState::InService,
             weight: s.entry.weight,
-            started: s.entry.started.map(|at| at.0),
+            started: s.entry.started_at.map(|at| at.0),
         };
         let lines: Vec<_> = servers.iter().map(line).collect();
         self.core.on(now, Event::List(&lines));
@@ -177,10 +177,11 @@
             return;
         };
         let class = &set.policy.classes[arrival.class.0];
-        if class.by_caller {
+        if class.admission_only {
             return;
         }
-        let worth = class.worth * set.policy.plans[arrival.plan.0].price / arrival.units;
+        let worth = class.priority_weight * set.policy.plans[arrival.plan.0].priority_multiplier
+            / arrival.units;
         sites
             .core
             .on(self.engine.now(), Event::Offered(worth, arrival.units));
@@ -209,7 +210,7 @@
         else {
             return;
         };
-        let aim = set.policy.classes[class].aim.0;
+        let aim = set.policy.classes[class].latency_objective.0;
         sites.core.on(
             self.engine.now(),
             Event::Ended(server.0, how(outcome), took, aim, units),
@@ -226,7 +227,7 @@
         else {
             return;
         };
-        let aim = set.policy.classes[class].aim.0;
+        let aim = set.policy.classes[class].latency_objective.0;
         if end != End::Gone {
             sites.core.on(
                 self.engine.now(),
@@ -286,20 +287,22 @@
         let part = |v: &chalkdeck_site_failover::View| ZoneShare {
             zone: ZoneId(v.site.0),
             share: v.share,
-            open: v.state == State::Serving,
+            accepts_overflow: v.state == State::Serving,
         };
         let floor = api::SheddingThreshold {
-            sure: plan.floor.sure,
-            from: plan.floor.from,
-            part: plan.floor.part,
+            admit_above: plan.floor.sure,
+            reject_below: plan.floor.from,
+            admit_fraction: plan.floor.part,
         };
         let shares = plan.sites.iter().map(part).collect();
         sites
             .names
             .retain(|id, _| plan.sites.iter().any(|s| s.site == *id));
         sites.told = Some(plan);
-        self.decisions
-            .push(api::Event::ZoneSharesChanged(shares, floor));
+        self.decisions.push(api::Event::ZoneSharesChanged {
+            shares,
+            threshold: floor,
+        });
     }
 
     /// A word that reached the whole fleet; it counts from the first list that names its site on, and is kept like one that was
--- a/crates/policy/benches/request.rs
+++ b/crates/policy/benches/request.rs
@@ -5,23 +5,23 @@
 
 fn settings() -> Settings {
     let class = Class {
-        aim: Micros(500_000),
+        latency_objective: Micros(500_000),
         deadline: Micros(2_000_000),
-        worth: 1.0,
-        late_worth: 0.0,
-        effect: Effect::Safe,
-        group: Group::All,
-        window: Micros(0),
-        stream: false,
-        by_caller: false,
+        priority_weight: 1.0,
+        late_priority_weight: 0.0,
+        idempotency: Idempotency::Idempotent,
+        key_scope: KeyScope::All,
+        key_window: Micros(0),
+        is_streaming: false,
+        admission_only: false,
     };
     let plan = Plan {
         rate: 10.0,
         burst: 20.0,
-        open: 0.0,
-        price: 1.0,
-        over_worth: 0.0,
-        over_cost: 1.0,
+        max_concurrency: 0.0,
+        priority_multiplier: 1.0,
+        over_quota_weight: 0.0,
+        over_quota_cost: 1.0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
         ceiling_slack: 0.0,
@@ -31,11 +31,11 @@
         classes: vec![class],
         plans: vec![plan],
         max_attempts: 3,
-        may_cancel: true,
-        counter: true,
-        count_timeout: Micros(80_000),
-        most_units: 1.0,
-        tick: Micros(1_000),
+        allow_cancel: true,
+        use_counter: true,
+        counter_timeout: Micros(80_000),
+        max_request_units: 1.0,
+        timer_resolution: Micros(1_000),
         ..Settings::default()
     }
 }
@@ -62,17 +62,17 @@
             totals: HashMap::new(),
         };
         let entry = |i: u64| EndpointEntry {
-            server: EndpointId(i.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
+            endpoint: EndpointId(i.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
             zone: ZoneId((i % 3) as u32),
             cell: CellId(i % 3),
-            listed: EndpointState::InService,
+            state: EndpointState::InService,
             weight: 1.0,
-            started: None,
+            started_at: None,
         };
-        rig.tell(Event::EndpointsUpdated(
-            UpdateScope::Complete,
-            (0..servers).map(entry).collect(),
-        ));
+        rig.tell(Event::EndpointsUpdated {
+            scope: UpdateScope::Complete,
+            entries: (0..servers).map(entry).collect(),
+        });
         (0..20_000).for_each(|_| rig.request());
         rig
     }
@@ -91,7 +91,7 @@
         let arrival = IncomingRequest {
             id: RequestId(self.next),
             customer: CustomerId((self.next % 5_000).wrapping_mul(0x9e37_79b9_7f4a_7c15)),
-            spread: 3,
+            customer_gateways: 3,
             deadline: Micros(self.now + 2_000_000),
             units: 1.0,
             ..IncomingRequest::default()
@@ -99,26 +99,36 @@
         self.tell(Event::RequestArrived(arrival));
         while let Some(action) = self.out.pop() {
             match action {
-                Action::AddToCounter(name, amount, _) => {
+                Action::AddToCounter {
+                    key: name, amount, ..
+                } => {
                     let total = self.totals.entry(name).or_default();
                     *total += amount;
                     let total = *total;
-                    self.tell(Event::CounterReplied(name, Outcome::Ok, total));
+                    self.tell(Event::CounterReplied {
+                        key: name,
+                        outcome: Outcome::Ok,
+                        total,
+                    });
                 }
-                Action::SendAttempt(id, server, _) => {
+                Action::SendAttempt {
+                    request: id,
+                    endpoint: server,
+                    ..
+                } => {
                     let end = AttemptResult {
                         id,
                         attempt: 0,
-                        server,
+                        endpoint: server,
                         outcome: Outcome::Ok,
-                        took: Micros(20_000),
-                        ended: true,
-                        settled: None,
-                        report: LoadReport::default(),
+                        elapsed: Micros(20_000),
+                        request_finished: true,
+                        settled_units: None,
+                        load_report: LoadReport::default(),
                     };
                     self.tell(Event::AttemptEnded(end));
                 }
-                Action::SetTimer(id, after) => self
+                Action::SetTimer { timer: id, after } => self
                     .timers
                     .push(std::cmp::Reverse((self.now + after.0, id.0))),
                 _ => {}
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -60,18 +60,18 @@
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Safe to repeat.
-    Safe,
+    Idempotent,
     /// Carries a key; the servers of one group drop a repeat within the window.
     Keyed,
     /// Must not run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// Which servers drop the repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum KeyScope {
     /// Every server.
     All,
     /// The servers of one zone.
@@ -84,23 +84,23 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     /// An answer within this time earns the full worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// How long a client waits, all tries together.
     pub deadline: Micros,
     /// What a request is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// The part of the worth that an answer after the aim earns.
-    pub late_worth: f64,
+    pub late_priority_weight: f64,
     /// Whether it may run again.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Who drops repeats, where keyed.
-    pub group: Group,
+    pub key_scope: KeyScope,
     /// How long they drop them, where keyed.
-    pub window: Micros,
+    pub key_window: Micros,
     /// The answer comes as a stream.
-    pub stream: bool,
+    pub is_streaming: bool,
     /// The caller does the work itself and asks for leave only: no server is chosen.
-    pub by_caller: bool,
+    pub admission_only: bool,
 }
 
 /// A plan. Its quota holds for each customer over all gateways together.
@@ -111,13 +111,13 @@
     /// The most units the quota's store holds.
     pub burst: f64,
     /// Attempts out at once; 0: no such cap.
-    pub open: f64,
+    pub max_concurrency: f64,
     /// Multiplies the worth.
-    pub price: f64,
+    pub priority_multiplier: f64,
     /// Part of the worth earned beyond the quota.
-    pub over_worth: f64,
+    pub over_quota_weight: f64,
     /// Part of the worth lost by sending on beyond the quota.
-    pub over_cost: f64,
+    pub over_quota_cost: f64,
     /// Units a second of the hard ceiling; 0: none.
     pub ceiling_rate: f64,
     /// The most units the ceiling's store holds.
@@ -132,7 +132,7 @@
     /// Number of gateways.
     pub gateways: u32,
     /// This gateway's number among them.
-    pub me: u32,
+    pub gateway_index: u32,
     /// This gateway's zone.
     pub zone: ZoneId,
     /// The classes of requests.
@@ -142,37 +142,37 @@
     /// The most attempts for one request.
     pub max_attempts: usize,
     /// Two attempts of one request may be out together.
-    pub second_copies: bool,
+    pub allow_hedging: bool,
     /// Attempts may be called off.
-    pub may_cancel: bool,
+    pub allow_cancel: bool,
     /// Servers may be probed.
-    pub probes: bool,
+    pub allow_probes: bool,
     /// Clients receive a retry-after.
-    pub retry_after: bool,
+    pub send_retry_after: bool,
     /// The longest retry-after that a client follows.
     pub max_retry_after: Micros,
     /// The counter service may be called.
-    pub counter: bool,
+    pub use_counter: bool,
     /// A count call ends unanswered after this.
-    pub count_timeout: Micros,
+    pub counter_timeout: Micros,
     /// The largest request in units.
-    pub most_units: f64,
+    pub max_request_units: f64,
     /// List changes must be asked for.
-    pub must_subscribe: bool,
+    pub requires_subscription: bool,
     /// A connection to a server that does not stand by then has failed: an attempt reaches its server that much later at most.
     pub dial_timeout: Micros,
     /// How long past its deadline a final answer still counts.
     pub answer_slack: Micros,
     /// A server starts at no less than this part of its capacity.
-    pub cold_from: f64,
+    pub slow_start_min_capacity: f64,
     /// A server is warm after this.
-    pub cold: Micros,
+    pub slow_start_duration: Micros,
     /// A cold server falls over when sent this many times its present capacity,
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// for this long.
-    pub tip_after: Micros,
+    pub overload_duration: Micros,
     /// The shortest gap between two calls of the module.
-    pub tick: Micros,
+    pub timer_resolution: Micros,
 }
 
 /// Whether a server takes new work, as the list tells it.
@@ -190,17 +190,17 @@
 #[derive(Clone, Debug)]
 pub struct EndpointEntry {
     /// The server.
-    pub server: EndpointId,
+    pub endpoint: EndpointId,
     /// Its zone.
     pub zone: ZoneId,
     /// Its cell.
     pub cell: CellId,
     /// Its state.
-    pub listed: EndpointState,
+    pub state: EndpointState,
     /// Its size against the others.
     pub weight: f64,
     /// When it last started; `None`: long ago.
-    pub started: Option<Micros>,
+    pub started_at: Option<Micros>,
 }
 
 /// What a list event holds.
@@ -249,11 +249,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Requests being handled.
-    pub inflight: Option<f64>,
+    pub in_flight: Option<f64>,
     /// Requests waiting.
-    pub queue: Option<f64>,
+    pub queued: Option<f64>,
     /// Part of its cores in use.
-    pub busy: Option<f64>,
+    pub utilization: Option<f64>,
 }
 
 /// A request that came in.
@@ -268,13 +268,13 @@
     /// Its customer.
     pub customer: CustomerId,
     /// Through how many gateways this customer's requests come.
-    pub spread: u32,
+    pub customer_gateways: u32,
     /// The client gives up then.
     pub deadline: Micros,
     /// Its units.
     pub units: f64,
     /// The client repeats a try that was refused, failed or given up (where clients say so).
-    pub resent: bool,
+    pub is_retry: bool,
 }
 
 /// An attempt that ended.
@@ -285,17 +285,17 @@
     /// Which of its attempts.
     pub attempt: usize,
     /// The server.
-    pub server: EndpointId,
+    pub endpoint: EndpointId,
     /// How.
     pub outcome: Outcome,
     /// How long it was out.
-    pub took: Micros,
+    pub elapsed: Micros,
     /// The request has had its final answer.
-    pub ended: bool,
+    pub request_finished: bool,
     /// The true units, where they are settled afterwards.
-    pub settled: Option<f64>,
+    pub settled_units: Option<f64>,
     /// The server's load report.
-    pub report: LoadReport,
+    pub load_report: LoadReport,
 }
 
 /// What a zone should bear, where sites are watched.
@@ -306,27 +306,37 @@
     /// Part of the requests that go there first. Over all zones they sum to one.
     pub share: f64,
     /// Others' requests may go there where their own zone has no place.
-    pub open: bool,
+    pub accepts_overflow: bool,
 }
 
 /// What is let in at all, by worth for each unit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SheddingThreshold {
     /// Worth this much or more: let in.
-    pub sure: f64,
+    pub admit_above: f64,
     /// Worth less than this: refused.
-    pub from: f64,
+    pub reject_below: f64,
     /// Part of those between that is let in.
-    pub part: f64,
+    pub admit_fraction: f64,
 }
 
 /// What a gateway is told.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// What zones should bear and what is let in; until the first, nothing is known of zones as wholes.
-    ZoneSharesChanged(Vec<ZoneShare>, SheddingThreshold),
+    ZoneSharesChanged {
+        /// Every zone.
+        shares: Vec<ZoneShare>,
+        /// What is admitted at all.
+        threshold: SheddingThreshold,
+    },
     /// News of the server list.
-    EndpointsUpdated(UpdateScope, Vec<EndpointEntry>),
+    EndpointsUpdated {
+        /// What the entries stand for.
+        scope: UpdateScope,
+        /// The lines of the list.
+        entries: Vec<EndpointEntry>,
+    },
     /// A request came in.
     RequestArrived(IncomingRequest),
     /// A timer came due.
@@ -336,13 +346,32 @@
     /// The client is gone.
     ClientDisconnected(RequestId),
     /// A request that was granted cost so many units in truth.
-    UnitsSettled(RequestId, f64),
+    UnitsSettled {
+        /// The granted request.
+        request: RequestId,
+        /// Its true units.
+        units: f64,
+    },
     /// Its body is no longer held and cannot be sent again.
     BodyDiscarded(RequestId),
     /// A probe ended.
-    ProbeCompleted(EndpointId, Outcome, LoadReport),
+    ProbeCompleted {
+        /// The probed endpoint.
+        endpoint: EndpointId,
+        /// How the probe ended.
+        outcome: Outcome,
+        /// What the endpoint said of its load.
+        load_report: LoadReport,
+    },
     /// A count call ended, with the total where it was answered.
-    CounterReplied(CounterKey, Outcome, f64),
+    CounterReplied {
+        /// The counter that was added to.
+        key: CounterKey,
+        /// How the call ended.
+        outcome: Outcome,
+        /// The total after the add; meaningful with [`Outcome::Ok`] only.
+        total: f64,
+    },
     /// An attempt ended.
     AttemptEnded(AttemptResult),
 }
@@ -351,21 +380,50 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt, to be given up at that time.
-    SendAttempt(RequestId, EndpointId, Micros),
+    SendAttempt {
+        /// The request.
+        request: RequestId,
+        /// Where it goes.
+        endpoint: EndpointId,
+        /// When the attempt is given up.
+        deadline: Micros,
+    },
     /// Final answer: refused, with advice when to come back.
-    Reject(RequestId, Option<Micros>),
+    Reject {
+        /// The request.
+        request: RequestId,
+        /// When the client may come back.
+        retry_after: Option<Micros>,
+    },
     /// Leave is given: the caller does the work itself, and tells its end by `ClientGone`.
     Grant(RequestId),
     /// Final answer: failed.
     Fail(RequestId),
     /// Call off an attempt.
-    CancelAttempt(RequestId, usize),
+    CancelAttempt {
+        /// The request.
+        request: RequestId,
+        /// Which of its attempts, from 0.
+        attempt: usize,
+    },
     /// Ask a server for its load.
     Probe(EndpointId),
     /// Add to a count that lives that long, and hear the total.
-    AddToCounter(CounterKey, f64, Micros),
+    AddToCounter {
+        /// The counter.
+        key: CounterKey,
+        /// What is added; may be negative.
+        amount: f64,
+        /// How long the counter lives from its first add.
+        time_to_live: Micros,
+    },
     /// Wake the module after this time.
-    SetTimer(TimerId, Micros),
+    SetTimer {
+        /// The timer to raise.
+        timer: TimerId,
+        /// How long from now.
+        after: Micros,
+    },
     /// Ask for changes of the server list.
     Subscribe,
     /// Ask for the whole server list.
@@ -380,7 +438,7 @@
     /// What is left of them.
     pub remaining: f64,
     /// When all of it is there again.
-    pub reset: Micros,
+    pub resets_in: Micros,
 }
 
 /// Settings that make no sense.
@@ -399,22 +457,26 @@
     pub fn check(&self) -> Result<(), SettingsError> {
         let fail = |what: &str| Err(SettingsError(what.to_string()));
         let sound = |v: f64| v.is_finite() && v >= 0.0;
-        if self.gateways == 0 || self.me >= self.gateways {
+        if self.gateways == 0 || self.gateway_index >= self.gateways {
             return fail("gateways: expected at least one, and this one's number below it");
         }
         if self.max_attempts == 0 {
             return fail("max_attempts: expected at least 1");
         }
-        if ![self.cold_from, self.fall_multiple, self.most_units]
-            .into_iter()
-            .all(sound)
+        if ![
+            self.slow_start_min_capacity,
+            self.overload_multiple,
+            self.max_request_units,
+        ]
+        .into_iter()
+        .all(sound)
         {
             return fail("cold_from, fall_multiple, most_units: expected numbers of 0 or more");
         }
         if !self
             .classes
             .iter()
-            .all(|c| sound(c.worth) && sound(c.late_worth) && c.deadline.0 > 0)
+            .all(|c| sound(c.priority_weight) && sound(c.late_priority_weight) && c.deadline.0 > 0)
         {
             return fail("class: expected a worth of 0 or more and a deadline above 0");
         }
@@ -422,12 +484,16 @@
             let quota = [
                 p.rate,
                 p.burst,
-                p.open,
+                p.max_concurrency,
                 p.ceiling_rate,
                 p.ceiling_burst,
                 p.ceiling_slack,
             ];
-            let worth = [p.price, p.over_worth, p.over_cost];
+            let worth = [
+                p.priority_multiplier,
+                p.over_quota_weight,
+                p.over_quota_cost,
+            ];
             if !quota.into_iter().chain(worth).all(sound) {
                 return fail("plan: expected numbers of 0 or more");
             }
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -149,7 +149,7 @@
         // Goes out with the first event, whichever that is.
         new.timer(Timer::Sweep, FORGET);
         new.out
-            .extend(new.set.must_subscribe.then_some(Action::Subscribe));
+            .extend(new.set.requires_subscription.then_some(Action::Subscribe));
         Ok(new)
     }
 
@@ -157,10 +157,11 @@
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.pass_time(now);
         match event {
-            Event::EndpointsUpdated(scope, entries) => self.on_servers(scope, entries),
-            Event::ZoneSharesChanged(shares, floor) => {
-                (self.sites, self.floor) = (shares, Some(floor))
-            }
+            Event::EndpointsUpdated { scope, entries } => self.on_servers(scope, entries),
+            Event::ZoneSharesChanged {
+                shares,
+                threshold: floor,
+            } => (self.sites, self.floor) = (shares, Some(floor)),
             Event::RequestArrived(arrival) => self.on_request(arrival),
             Event::Timer(timer) => self.on_timer(timer),
             Event::ResponseStarted(id) => self
@@ -169,14 +170,18 @@
                 .into_iter()
                 .for_each(|r| r.streaming = true),
             Event::ClientDisconnected(id) => self.finish(id, None),
-            Event::UnitsSettled(id, units) => self.settle(id, units),
+            Event::UnitsSettled { request: id, units } => self.settle(id, units),
             Event::BodyDiscarded(id) => self
                 .requests
                 .get_mut(&id)
                 .into_iter()
                 .for_each(|r| r.body_gone = true),
-            Event::ProbeCompleted(..) => {}
-            Event::CounterReplied(name, outcome, total) => self.on_counted(name, outcome, total),
+            Event::ProbeCompleted { .. } => {}
+            Event::CounterReplied {
+                key: name,
+                outcome,
+                total,
+            } => self.on_counted(name, outcome, total),
             Event::AttemptEnded(end) => self.on_attempt(end),
         }
         out.append(&mut self.out);
@@ -204,7 +209,7 @@
         self.serial += 1;
         let id = TimerId(self.serial);
         self.timers.insert(id, timer);
-        self.out.push(Action::SetTimer(id, after));
+        self.out.push(Action::SetTimer { timer: id, after });
     }
 
     fn on_timer(&mut self, id: TimerId) {
@@ -220,7 +225,7 @@
             }
             Some(Timer::Resubscribe) => self
                 .out
-                .extend(self.set.must_subscribe.then_some(Action::Subscribe)),
+                .extend(self.set.requires_subscription.then_some(Action::Subscribe)),
             Some(Timer::Sweep) => {
                 self.customers
                     .retain(|_, c| c.used + FORGET >= self.now || c.out > 0.0);
@@ -299,35 +304,47 @@
     fn on_request(&mut self, a: IncomingRequest) {
         let (id, now, customer, plan) = (a.id, self.now, a.customer, a.plan.0);
         if a.class.0 >= self.set.classes.len() || plan >= self.set.plans.len() {
-            return self.out.push(Action::Reject(id, None));
+            return self.out.push(Action::Reject {
+                request: id,
+                retry_after: None,
+            });
         }
         self.retries = (self.retries + RETRY_SHARE).min(RETRY_SAVED);
         // Before the deadline by two ticks: a timer may come one late, and the answer takes one.
         self.timer(
             Timer::Deadline(id),
-            a.deadline - now - self.set.tick - self.set.tick,
+            a.deadline - now - self.set.timer_resolution - self.set.timer_resolution,
         );
         let c = self.customers.entry(customer).or_default();
         if c.used == Micros(0) {
             c.beyond.at = now; // Starts empty: an earlier life of this gateway may have spent it.
         }
-        (c.plan, c.spread, c.used) = (plan, f64::from(a.spread.max(1)), now);
+        (c.plan, c.spread, c.used) = (plan, f64::from(a.customer_gateways.max(1)), now);
         // Where clients do not mark repeats: the like of what was refused here a moment ago.
         let alike =
             |r: &Refusal| r.class == a.class && r.units == a.units && now < r.at + REPEAT_SPAN;
-        let resent = a.resent || c.refused.as_ref().is_some_and(alike);
+        let resent = a.is_retry || c.refused.as_ref().is_some_and(alike);
         self.requests.insert(
             id,
             Request {
-                a: IncomingRequest { resent, ..a },
+                a: IncomingRequest {
+                    is_retry: resent,
+                    ..a
+                },
                 arrived: now,
                 ..Request::default()
             },
         );
         self.roll(customer);
-        if !self.set.classes[a.class.0].by_caller && self.shed(id) {
+        if !self.set.classes[a.class.0].admission_only && self.shed(id) {
             let wait = self.soon(a.class);
-            return self.finish(id, Some(Action::Reject(id, wait)));
+            return self.finish(
+                id,
+                Some(Action::Reject {
+                    request: id,
+                    retry_after: wait,
+                }),
+            );
         }
         match self.set.plans[plan].rate > 0.0 {
             true => self.ask_window(id),
@@ -336,7 +353,8 @@
     }
 
     fn worth(&self, r: &Request) -> f64 {
-        self.set.classes[r.a.class.0].worth * self.set.plans[r.a.plan.0].price
+        self.set.classes[r.a.class.0].priority_weight
+            * self.set.plans[r.a.plan.0].priority_multiplier
     }
 
     /// Adaptive throttling before the servers: refuses by chance as many as came back late of late, those
@@ -349,7 +367,8 @@
         // Where sites are watched there is one order over all gateways: worth for the room it takes.
         if let Some(floor) = self.floor {
             let dense = worth / r.a.units;
-            return dense < floor.from || dense < floor.sure && self.rng.f64() >= floor.part;
+            return dense < floor.reject_below
+                || dense < floor.admit_above && self.rng.f64() >= floor.admit_fraction;
         }
         self.usual_worth += SMOOTH / 3.0 * (worth - self.usual_worth);
         let power = if worth > 0.0 {
@@ -364,11 +383,12 @@
     /// chance and later the more is shed, so that repeats do not arrive as one wave.
     fn soon(&mut self, class: ClassId) -> Option<Micros> {
         let wait = self.set.classes[class.0]
-            .aim
+            .latency_objective
             .times(HINT_PART * self.rng.f64() * (1.0 - self.pass));
-        self.set
-            .retry_after
-            .then_some(wait.max(self.set.tick).min(self.set.max_retry_after))
+        self.set.send_retry_after.then_some(
+            wait.max(self.set.timer_resolution)
+                .min(self.set.max_retry_after),
+        )
     }
 
     /// What a customer's quota has room for by a total of the shared count.
@@ -386,7 +406,7 @@
             .customers
             .get(&customer)
             .is_some_and(|c| c.breaker.opened.is_some());
-        !self.set.counter || self.breaker.opened.is_some() || own_open
+        !self.set.use_counter || self.breaker.opened.is_some() || own_open
     }
 
     /// For how many like it a request is to ask, with the share to this power; none: it is not to. Guards
@@ -405,7 +425,7 @@
         let Some(c) = self.customers.get_mut(&customer) else {
             return false;
         };
-        let ready = self.set.counter && common.ready(now) && c.breaker.ready(now);
+        let ready = self.set.use_counter && common.ready(now) && c.breaker.ready(now);
         [common, &mut c.breaker]
             .into_iter()
             .filter(|_| ready)
@@ -421,7 +441,7 @@
         let (customer, units, resent, worth) = (
             r.a.customer,
             r.a.units,
-            r.a.resent,
+            r.a.is_retry,
             self.worth(r) * r.a.units,
         );
         let weight = if self.usual_asked > 0.0 {
@@ -458,7 +478,7 @@
         } else {
             1.0
         }; // A place takes two calls.
-        if self.set.plans[r.a.plan.0].open <= 0.0 {
+        if self.set.plans[r.a.plan.0].max_concurrency <= 0.0 {
             self.admit(id);
         } else if self.asks(power).is_some() && self.may_call(customer) {
             self.call(Purpose::Open, customer, Some(id), 1.0, 0.0);
@@ -519,11 +539,11 @@
             .and_then(|id| self.requests.get_mut(&id))
             .into_iter()
             .for_each(|r| r.asking += 1);
-        self.out.push(Action::AddToCounter(
-            name,
+        self.out.push(Action::AddToCounter {
+            key: name,
             amount,
-            (length + length).min(Micros(60_000_000)),
-        ));
+            time_to_live: (length + length).min(Micros(60_000_000)),
+        });
     }
 
     /// A line that builds up at the counter makes asking rarer before calls fail, by half at most, once for
@@ -535,11 +555,11 @@
         } else {
             line * SMOOTH / 100.0
         };
-        let slow = line.max(0.0) / (self.set.count_timeout.secs() * ASK_SLOW).max(1e-9);
+        let slow = line.max(0.0) / (self.set.counter_timeout.secs() * ASK_SLOW).max(1e-9);
         let step = (1.0 + ASK_STEP * (1.0 - slow)).max(0.5);
         if slow < 1.0 {
             self.ask *= step.powf(1.0 / self.ask).min(4.0);
-        } else if self.now >= self.ask_cut + self.set.count_timeout {
+        } else if self.now >= self.ask_cut + self.set.counter_timeout {
             (self.ask, self.ask_cut) = (self.ask * step, self.now);
         }
         self.ask = self.ask.clamp(LEAST_PART, 1.0);
@@ -551,10 +571,10 @@
         let now = self.now;
         // A call that its connection took along says nothing of a counter that answered others a moment ago.
         let broken = !matches!(outcome, Outcome::Timeout | Outcome::Rejected);
-        if broken && !probe && now < self.heard_at + self.set.count_timeout {
+        if broken && !probe && now < self.heard_at + self.set.counter_timeout {
             return;
         }
-        self.ask_by(self.set.count_timeout);
+        self.ask_by(self.set.counter_timeout);
         if self.last_failed != Some(customer) || probe {
             self.breaker.failure(now, probe);
         }
@@ -624,7 +644,7 @@
                     },
             );
             c.breaker.success(call.probe);
-            if c.spread * self.set.most_units <= self.set.plans[plan].burst {
+            if c.spread * self.set.max_request_units <= self.set.plans[plan].burst {
                 c.bucket = None;
             }
             self.ask = if call.probe {
@@ -685,7 +705,7 @@
             return;
         };
         let (customer, units, plan) = (r.a.customer, r.a.units, r.a.plan.0);
-        let (resent, done) = (r.a.resent, r.done);
+        let (resent, done) = (r.a.is_retry, r.done);
         let full = self.customers[&customer]
             .full
             .is_some_and(|at| self.now < at + REMEMBER);
@@ -741,7 +761,7 @@
     /// part of what the store was last known to hold; under a ceiling `beyond_take` stands before it. Guards
     /// against refusing customers with few units, for whom a share from empty admits nothing for seconds.
     fn local_take(&mut self, customer: CustomerId, plan: usize, units: f64) -> bool {
-        let (now, most_units, p) = (self.now, self.set.most_units, &self.set.plans[plan]);
+        let (now, most_units, p) = (self.now, self.set.max_request_units, &self.set.plans[plan]);
         let Some(c) = self.customers.get_mut(&customer) else {
             return false;
         };
@@ -784,9 +804,11 @@
             return;
         };
         let ok = match heard {
-            Some(total) => total <= plan.open,
-            None if r.a.resent && !self.silent(customer) => false,
-            None if plan.open >= c.spread => c.out < (plan.open / c.spread).floor(),
+            Some(total) => total <= plan.max_concurrency,
+            None if r.a.is_retry && !self.silent(customer) => false,
+            None if plan.max_concurrency >= c.spread => {
+                c.out < (plan.max_concurrency / c.spread).floor()
+            }
             None => self.unheard_place(customer),
         };
         match ok && !done {
@@ -804,7 +826,7 @@
         let Some(c) = self.customers.get_mut(&customer) else {
             return false;
         };
-        let rate = PLACES_UNHEARD * self.set.plans[c.plan].open / c.spread / held;
+        let rate = PLACES_UNHEARD * self.set.plans[c.plan].max_concurrency / c.spread / held;
         let places = c.places.get_or_insert(TokenBucket {
             level: 1.0,
             depth: 1.0,
@@ -834,14 +856,14 @@
         let Some(r) = self.requests.get_mut(&id) else {
             return;
         };
-        if self.set.plans[r.a.plan.0].open > 0.0 {
+        if self.set.plans[r.a.plan.0].max_concurrency > 0.0 {
             r.holds_place = true;
             self.customers
                 .get_mut(&r.a.customer)
                 .into_iter()
                 .for_each(|c| c.out += 1.0);
         }
-        if self.set.classes[r.a.class.0].by_caller {
+        if self.set.classes[r.a.class.0].admission_only {
             // Its units stay counted and its place held; from here on it has no deadline.
             (r.streaming, r.counted) = (true, None);
             return self.out.push(Action::Grant(id));
@@ -859,7 +881,7 @@
             return;
         };
         let customer = r.a.customer;
-        let units = units.clamp(0.0, self.set.most_units);
+        let units = units.clamp(0.0, self.set.max_request_units);
         let more = units - std::mem::replace(&mut r.a.units, units);
         self.roll(customer);
         self.customers
@@ -881,9 +903,9 @@
         if p.rate <= 0.0 {
             let out = self.customers.get(&customer).map_or(0.0, |c| c.out);
             return QuotaStatus {
-                limit: p.open,
-                remaining: (p.open - out).max(0.0),
-                reset: Micros(0),
+                limit: p.max_concurrency,
+                remaining: (p.max_concurrency - out).max(0.0),
+                resets_in: Micros(0),
             };
         }
         let (length, quota) = self.window_of(plan.0);
@@ -897,7 +919,7 @@
         QuotaStatus {
             limit: quota,
             remaining: left.clamp(0.0, p.burst),
-            reset,
+            resets_in: reset,
         }
     }
 
@@ -933,17 +955,17 @@
         // An attempt at a server out of line is given up while another could still meet the aim. Guards
         // against servers that fall silent. Nowhere else: given up by the clock alone is work done twice, and
         // that tips a full fleet into a jam. May hurt the first request at each silent server: it waits.
-        let again = class.effect != Effect::Unsafe
-            && !class.stream
+        let again = class.idempotency != Idempotency::NonIdempotent
+            && !class.is_streaming
             && r.attempts.len() + 1 < self.set.max_attempts
-            && (class.effect == Effect::Safe || class.group == Group::All)
+            && (class.idempotency == Idempotency::Idempotent || class.key_scope == KeyScope::All)
             && self.fail_share < CALM_SHARE
             && self
                 .servers
                 .get(server)
                 .is_some_and(|s| s.trial || s.fail_share > 2.0 * self.fail_share);
-        let early = r.arrived + class.aim.times(1.0 - SPARE_PART);
-        let until = if again && early > now + class.aim.times(SPARE_PART) {
+        let early = r.arrived + class.latency_objective.times(1.0 - SPARE_PART);
+        let until = if again && early > now + class.latency_objective.times(SPARE_PART) {
             early
         } else {
             r.a.deadline
@@ -961,9 +983,12 @@
         r.held_since = None;
         r.counted = None;
         let (units, until) = (r.a.units, until.min(r.a.deadline));
-        let look = Micros((usual * STRAY_TIMES) as u64).max(class.aim.times(STRAY_PART));
         let look =
-            (class.effect == Effect::Safe && !class.stream && now + look < early).then_some(look);
+            Micros((usual * STRAY_TIMES) as u64).max(class.latency_objective.times(STRAY_PART));
+        let look = (class.idempotency == Idempotency::Idempotent
+            && !class.is_streaming
+            && now + look < early)
+            .then_some(look);
         self.flow.level = self.flow_rate() * FLOW_SPAN + units;
         self.flow.at = now;
         if let Some(s) = self.servers.get_mut(server) {
@@ -971,7 +996,11 @@
             self.out_now += 1.0;
             s.cold_room.level -= units;
         }
-        self.out.push(Action::SendAttempt(id, server, until));
+        self.out.push(Action::SendAttempt {
+            request: id,
+            endpoint: server,
+            deadline: until,
+        });
         look.into_iter()
             .for_each(|look| self.timer(Timer::Stray(id, number), look));
     }
@@ -995,8 +1024,11 @@
             .get(attempt)
             .is_some_and(|a| a.out && self.is_stray(a));
         let room = r.attempts.len() < self.set.max_attempts && self.retries >= 1.0;
-        if astray && room && self.set.may_cancel {
-            self.out.push(Action::CancelAttempt(id, attempt));
+        if astray && room && self.set.allow_cancel {
+            self.out.push(Action::CancelAttempt {
+                request: id,
+                attempt,
+            });
         }
     }
 
@@ -1014,7 +1046,9 @@
         waiting.sort_by_key(|id| (std::cmp::Reverse(dense(&self.requests[id])), *id));
         for id in waiting {
             let r = &self.requests[&id];
-            let longest = self.set.classes[r.a.class.0].aim.times(HOLD_PART);
+            let longest = self.set.classes[r.a.class.0]
+                .latency_objective
+                .times(HOLD_PART);
             let overdue = r.held_since.is_some_and(|at| now >= at + longest);
             if let Some(server) = self.pick(id) {
                 self.send(id, server);
@@ -1041,7 +1075,10 @@
             .filter(|_| p.rate > 0.0)
             .map(|s| s.max(refill).min(self.set.max_retry_after));
         let answer = if self.may_refuse(r) {
-            Action::Reject(id, wait)
+            Action::Reject {
+                request: id,
+                retry_after: wait,
+            }
         } else {
             Action::Fail(id)
         };
@@ -1063,14 +1100,17 @@
         if !r.done {
             r.done = true;
             self.out.extend(answer);
-            let recall = self.set.may_cancel && !r.streaming;
+            let recall = self.set.allow_cancel && !r.streaming;
             let still_out = r
                 .attempts
                 .iter()
                 .enumerate()
                 .filter(|(_, a)| a.out && recall);
             self.out
-                .extend(still_out.map(|(i, _)| Action::CancelAttempt(id, i)));
+                .extend(still_out.map(|(i, _)| Action::CancelAttempt {
+                    request: id,
+                    attempt: i,
+                }));
         }
         self.let_go(id);
     }
@@ -1104,21 +1144,23 @@
             return;
         };
         let named = r.attempts.get_mut(end.attempt);
-        let Some(a) = named.filter(|a| a.out && a.server == end.server) else {
+        let Some(a) = named.filter(|a| a.out && a.server == end.endpoint) else {
             return;
         };
         a.out = false;
         a.may_have_run = !outcome.never_ran();
         let sent = a.clone();
-        let (aim, was_done) = (self.set.classes[r.a.class.0].aim, r.done);
-        r.done |= end.ended || outcome == Outcome::Ok;
+        let (aim, was_done) = (self.set.classes[r.a.class.0].latency_objective, r.done);
+        r.done |= end.request_finished || outcome == Outcome::Ok;
         let (answered, in_time) = (r.done, self.now < r.arrived + aim);
-        let settled = end.settled.filter(|_| outcome == Outcome::Ok && !was_done);
+        let settled = end
+            .settled_units
+            .filter(|_| outcome == Outcome::Ok && !was_done);
         if let (Some(units), Some(c)) = (settled, self.customers.get_mut(&r.a.customer)) {
             c.window.owed += units - r.a.units;
         }
         let stray = outcome != Outcome::Ok && self.is_stray(&sent);
-        self.judge(end.server, outcome, end.took, aim, stray);
+        self.judge(end.endpoint, outcome, end.elapsed, aim, stray);
         if answered {
             self.let_go(id);
         } else if in_time && self.may_repeat(id) && self.retries >= 1.0 {
@@ -1162,15 +1204,15 @@
     }
 
     fn own_start(&self) -> usize {
-        let start =
-            (f64::from(self.set.me) * 0.618_033_988_749_895).fract() * self.ring.len() as f64;
+        let start = (f64::from(self.set.gateway_index) * 0.618_033_988_749_895).fract()
+            * self.ring.len() as f64;
         (start as usize).min(self.ring.len())
     }
 
     /// The sum of the bounds of the own part's healthy servers. Over a large part it is looked at again with
     /// each tick only, as it moves by one answer among hundreds.
     fn most_out(&mut self, reach: usize) -> f64 {
-        if reach > DRAWN && self.now < self.summed.0 + self.set.tick {
+        if reach > DRAWN && self.now < self.summed.0 + self.set.timer_resolution {
             return self.summed.1;
         }
         let scale = self.scale();
@@ -1268,7 +1310,11 @@
         };
         let tried = r.attempts.iter().filter(|a| a.server == *sid).count() as f64;
         // Elsewhere than drawn only where that zone has no place, and never to one that is closed.
-        let closed = || self.sites.iter().any(|z| z.zone == s.zone && !z.open);
+        let closed = || {
+            self.sites
+                .iter()
+                .any(|z| z.zone == s.zone && !z.accepts_overflow)
+        };
         let far = match toward {
             None => f64::from(u8::from(s.zone != self.set.zone)) * 0.05 * scale,
             Some(zone) if zone == s.zone => 0.0,
@@ -1447,18 +1493,20 @@
             };
         for s in self.servers.values_mut() {
             let Some(since) = s.cold_since else { continue };
-            if now >= since + set.cold {
+            if now >= since + set.slow_start_duration {
                 s.cold_since = None;
                 self.cold -= 1;
                 continue;
             }
-            let part =
-                set.cold_from + (1.0 - set.cold_from) * ((now - since).secs() / set.cold.secs());
-            s.cold_room.rate = per_weight * s.weight * part * (set.fall_multiple / 2.0).min(1.0);
+            let part = set.slow_start_min_capacity
+                + (1.0 - set.slow_start_min_capacity)
+                    * ((now - since).secs() / set.slow_start_duration.secs());
+            s.cold_room.rate =
+                per_weight * s.weight * part * (set.overload_multiple / 2.0).min(1.0);
             s.cold_room.fill(now);
             // Guards against hundreds of gateways that each saved up one request: unused, leave soon lapses.
             if many && s.cold_room.level > s.cold_room.rate * COLD_LEAVE.secs() {
-                s.cold_room.level = -set.most_units;
+                s.cold_room.level = -set.max_request_units;
             }
         }
     }
@@ -1471,14 +1519,18 @@
         if scope == UpdateScope::Complete {
             self.servers.values_mut().for_each(|s| s.listed = false);
         }
-        let (now, cold, units) = (self.now, self.set.cold, self.set.most_units);
+        let (now, cold, units) = (
+            self.now,
+            self.set.slow_start_duration,
+            self.set.max_request_units,
+        );
         for e in entries {
             let new = || Server {
                 limit: LIMIT_START,
                 ..Server::default()
             };
-            let s = self.servers.get_or_insert(e.server, new);
-            let started = e.started.filter(|&at| now < at + cold);
+            let s = self.servers.get_or_insert(e.endpoint, new);
+            let started = e.started_at.filter(|&at| now < at + cold);
             if started.is_some_and(|started| s.cold_since.is_none_or(|at| at < started)) {
                 // A new life: nothing held against the old one counts, and it starts slowly.
                 *s = Server {
@@ -1496,7 +1548,7 @@
             s.cold_since = started.or(s.cold_since);
             (s.zone, s.cell, s.weight) =
                 (e.zone, e.cell, if e.weight > 0.0 { e.weight } else { 1.0 });
-            s.listed = e.listed == EndpointState::InService;
+            s.listed = e.state == EndpointState::InService;
         }
         self.ring = self.servers.listed();
         self.cold = self
@@ -1524,27 +1576,30 @@
             || self.now >= r.a.deadline
             || r.attempts.len() >= self.set.max_attempts;
         let pushed = s.cold_since.is_some() && s.cold_room.level <= 0.0;
-        let second = r.is_out() && !self.set.second_copies;
+        let second = r.is_out() && !self.set.allow_hedging;
         // Half a body must not pass for a whole one: what is no longer held went with the first attempt.
         let bodiless = r.body_gone && !r.attempts.is_empty();
         if over || pushed || second || bodiless || !s.listed {
             return false;
         }
         let mut ran = r.attempts.iter().filter(|a| a.out || a.may_have_run);
-        match class.effect {
-            Effect::Safe => true,
-            Effect::Unsafe => ran.next().is_none(),
+        match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => ran.next().is_none(),
             // The window counts from the first send that may have run; a repeat may wait for its connection.
-            Effect::Keyed => ran.all(|a| {
-                self.now + self.set.tick + self.set.tick + self.set.dial_timeout
-                    < a.sent + class.window
+            Idempotency::Keyed => ran.all(|a| {
+                self.now
+                    + self.set.timer_resolution
+                    + self.set.timer_resolution
+                    + self.set.dial_timeout
+                    < a.sent + class.key_window
                     && self
                         .servers
                         .get(a.server)
-                        .is_some_and(|first| match class.group {
-                            Group::All => true,
-                            Group::Zone => first.zone == s.zone,
-                            Group::Cell => first.cell == s.cell,
+                        .is_some_and(|first| match class.key_scope {
+                            KeyScope::All => true,
+                            KeyScope::Zone => first.zone == s.zone,
+                            KeyScope::Cell => first.cell == s.cell,
                         })
             }),
         }
@@ -1555,10 +1610,10 @@
         let class = &self.set.classes[r.a.class.0];
         let ran = r.attempts.iter().any(|a| a.out || a.may_have_run);
         !r.streaming
-            && match class.effect {
-                Effect::Safe => true,
-                Effect::Keyed => !ran || class.group == Group::All,
-                Effect::Unsafe => !ran,
+            && match class.idempotency {
+                Idempotency::Idempotent => true,
+                Idempotency::Keyed => !ran || class.key_scope == KeyScope::All,
+                Idempotency::NonIdempotent => !ran,
             }
     }
 }
--- a/crates/policy/tests/asks.rs
+++ b/crates/policy/tests/asks.rs
@@ -7,11 +7,11 @@
 fn one_of_many(seed: u64) -> Rig {
     let mut set = Settings {
         gateways: 300,
-        me: 3,
+        gateway_index: 3,
         ..settings()
     };
     set.classes[1] = Class {
-        worth: 4.0,
+        priority_weight: 4.0,
         ..set.classes[0].clone()
     };
     Rig::seeded(seed, set, 50)
@@ -46,7 +46,11 @@
         let out = told(rig, 0, customer, 1.0);
         rig.pass(if customer < 10_100 { 2 * MS } else { 40 * MS });
         for (name, amount) in counts(&out) {
-            for (id, server) in sends(&rig.tell(Event::CounterReplied(name, Outcome::Ok, amount))) {
+            for (id, server) in sends(&rig.tell(Event::CounterReplied {
+                key: name,
+                outcome: Outcome::Ok,
+                total: amount,
+            })) {
                 rig.ended(id, 0, server, Outcome::Ok);
             }
         }
@@ -79,7 +83,11 @@
         for (name, _) in counts(&told(&mut rig, class, 20_000 + i, 1.0)) {
             asked[class] += 1;
             rig.pass(40 * MS);
-            for (id, server) in sends(&rig.tell(Event::CounterReplied(name, Outcome::Ok, 1.0))) {
+            for (id, server) in sends(&rig.tell(Event::CounterReplied {
+                key: name,
+                outcome: Outcome::Ok,
+                total: 1.0,
+            })) {
                 rig.ended(id, 0, server, Outcome::Ok);
             }
         }
@@ -102,9 +110,11 @@
             for (name, amount) in counts(&out) {
                 counted += amount;
                 assert!(amount <= 20.0, "never more than a burst");
-                for (id, server) in
-                    sends(&rig.tell(Event::CounterReplied(name, Outcome::Ok, amount)))
-                {
+                for (id, server) in sends(&rig.tell(Event::CounterReplied {
+                    key: name,
+                    outcome: Outcome::Ok,
+                    total: amount,
+                })) {
                     rig.ended(id, 0, server, Outcome::Ok);
                 }
             }
@@ -127,7 +137,11 @@
     };
     assert!(went(&mut rig), "nothing was heard of the customer yet");
     let (id, name, amount) = asking(&mut rig, 1, 0.5);
-    let out = rig.tell(Event::CounterReplied(name, Outcome::Ok, amount + 20.0));
+    let out = rig.tell(Event::CounterReplied {
+        key: name,
+        outcome: Outcome::Ok,
+        total: amount + 20.0,
+    });
     assert!(refused(&out, id));
     rig.pass(2 * S + 500 * MS); // Another window, of which nothing is known.
     assert!(!went(&mut rig), "over its quota a moment ago");
@@ -142,11 +156,19 @@
     let (id, name, amount) = asking(&mut rig, 1, 1.0);
     assert!(amount > 4.0, "it stands for others: {amount}");
     // Nineteen units of others and its own one fit; those that it stands for would not.
-    let out = rig.tell(Event::CounterReplied(name, Outcome::Ok, amount + 19.0));
+    let out = rig.tell(Event::CounterReplied {
+        key: name,
+        outcome: Outcome::Ok,
+        total: amount + 19.0,
+    });
     assert_eq!(sends(&out).first().map(|s| s.0), Some(id), "{out:?}");
 
     let (id, name, amount) = asking(&mut rig, 2, 4.0);
-    let out = rig.tell(Event::CounterReplied(name, Outcome::Ok, amount + 17.0));
+    let out = rig.tell(Event::CounterReplied {
+        key: name,
+        outcome: Outcome::Ok,
+        total: amount + 17.0,
+    });
     assert!(refused(&out, id), "{out:?}");
     assert_eq!(
         adds(&out).iter().map(|a| a.1).collect::<Vec<_>>(),
@@ -158,7 +180,11 @@
 fn what_waits_to_be_taken_back_is_reckoned_once() {
     let mut rig = Rig::new(settings(), 4);
     let (_, out) = rig.request(0, 0, 1, 4.0);
-    let out = rig.tell(Event::CounterReplied(adds(&out)[0].0, Outcome::Ok, 23.5));
+    let out = rig.tell(Event::CounterReplied {
+        key: adds(&out)[0].0,
+        outcome: Outcome::Ok,
+        total: 23.5,
+    });
     assert!(
         adds(&out).is_empty(),
         "half a unit of room is left: it goes back with the next call"
--- a/crates/policy/tests/breaker.rs
+++ b/crates/policy/tests/breaker.rs
@@ -8,7 +8,11 @@
     let (_, out) = rig.request(0, 0, customer, 1.0);
     let made = counts(&out);
     for (name, _) in &made {
-        rig.tell(Event::CounterReplied(*name, Outcome::Rejected, 0.0));
+        rig.tell(Event::CounterReplied {
+            key: *name,
+            outcome: Outcome::Rejected,
+            total: 0.0,
+        });
     }
     !made.is_empty()
 }
@@ -55,7 +59,11 @@
         counts(&rig.request(0, 0, 6, 1.0).1).is_empty(),
         "while the probe is out nobody else asks"
     );
-    rig.tell(Event::CounterReplied(probe[0].0, Outcome::Ok, 1.0));
+    rig.tell(Event::CounterReplied {
+        key: probe[0].0,
+        outcome: Outcome::Ok,
+        total: 1.0,
+    });
     let asked = (10..30)
         .filter(|c| !adds(&rig.request(0, 0, *c, 1.0).1).is_empty())
         .count();
@@ -81,9 +89,13 @@
         .flat_map(|c| counts(&rig.request(0, 0, c, 1.0).1))
         .collect();
     rig.pass(80 * MS);
-    calls
-        .iter()
-        .for_each(|(name, _)| drop(rig.tell(Event::CounterReplied(*name, Outcome::Timeout, 0.0))));
+    calls.iter().for_each(|(name, _)| {
+        drop(rig.tell(Event::CounterReplied {
+            key: *name,
+            outcome: Outcome::Timeout,
+            total: 0.0,
+        }))
+    });
     assert!(counts(&rig.request(0, 0, 4, 1.0).1).is_empty());
 }
 
@@ -118,7 +130,11 @@
             } else {
                 Outcome::Rejected
             };
-            rig.tell(Event::CounterReplied(name, outcome, amount));
+            rig.tell(Event::CounterReplied {
+                key: name,
+                outcome,
+                total: amount,
+            });
         }
     }
     let asked = (0..200)
@@ -138,7 +154,11 @@
     let (_, out) = rig.request(0, 0, 1, 1.0);
     let probe = adds(&out);
     assert_eq!(probe.len(), 1);
-    rig.tell(Event::CounterReplied(probe[0].0, Outcome::Rejected, 0.0));
+    rig.tell(Event::CounterReplied {
+        key: probe[0].0,
+        outcome: Outcome::Rejected,
+        total: 0.0,
+    });
     rig.pass(5 * S);
     assert!(failing(&mut rig, 9), "the probe was given back");
 }
@@ -159,7 +179,11 @@
                 } else {
                     (Outcome::Reset, 0.0)
                 };
-                rig.tell(Event::CounterReplied(name, outcome, total));
+                rig.tell(Event::CounterReplied {
+                    key: name,
+                    outcome,
+                    total,
+                });
             }
             rig.pass(10 * MS);
         }
@@ -180,7 +204,11 @@
             let (_, out) = rig.request(0, 0, customer, 1.0);
             rig.pass(if customer <= 100 { usual } else { later });
             counts(&out).iter().for_each(|(name, _)| {
-                drop(rig.tell(Event::CounterReplied(*name, Outcome::Ok, 1.0)))
+                drop(rig.tell(Event::CounterReplied {
+                    key: *name,
+                    outcome: Outcome::Ok,
+                    total: 1.0,
+                }))
             });
             asked += counts(&out).len();
         }
@@ -207,14 +235,23 @@
         .flat_map(|c| counts(&rig.request(0, 0, c, 1.0).1))
         .collect();
     rig.pass(60 * MS);
-    out.iter()
-        .for_each(|(name, _)| drop(rig.tell(Event::CounterReplied(*name, Outcome::Ok, 1.0))));
+    out.iter().for_each(|(name, _)| {
+        drop(rig.tell(Event::CounterReplied {
+            key: *name,
+            outcome: Outcome::Ok,
+            total: 1.0,
+        }))
+    });
     let asking = |rig: &mut Rig, customers: std::ops::Range<u64>| {
         let mut asked = 0;
         for customer in customers {
             for (name, _) in counts(&rig.request(0, 0, customer, 1.0).1) {
                 rig.pass(2 * MS);
-                rig.tell(Event::CounterReplied(name, Outcome::Ok, 1.0));
+                rig.tell(Event::CounterReplied {
+                    key: name,
+                    outcome: Outcome::Ok,
+                    total: 1.0,
+                });
                 asked += 1;
             }
         }
@@ -225,8 +262,13 @@
     for customer in 200..300 {
         let out = counts(&rig.request(0, 0, customer, 1.0).1);
         rig.pass(60 * MS);
-        out.iter()
-            .for_each(|(name, _)| drop(rig.tell(Event::CounterReplied(*name, Outcome::Ok, 1.0))));
+        out.iter().for_each(|(name, _)| {
+            drop(rig.tell(Event::CounterReplied {
+                key: *name,
+                outcome: Outcome::Ok,
+                total: 1.0,
+            }))
+        });
     }
     asking(&mut rig, 400..700);
     assert!(
--- a/crates/policy/tests/caller.rs
+++ b/crates/policy/tests/caller.rs
@@ -7,10 +7,10 @@
 
 fn rig() -> Rig {
     let mut set = settings();
-    set.counter = false;
+    set.use_counter = false;
     set.classes.push(Class {
-        by_caller: true,
-        ..class(Effect::Unsafe, Group::All)
+        admission_only: true,
+        ..class(Idempotency::NonIdempotent, KeyScope::All)
     });
     Rig::new(set, 0)
 }
@@ -26,9 +26,9 @@
     for _ in 0..200 {
         let (id, out) = rig.request(OWN, 0, 5, 1.0);
         granted_in_all += usize::from(granted(&out, id));
-        assert!(out.iter().all(|a| !matches!(a, Action::SendAttempt(..))));
+        assert!(out.iter().all(|a| !matches!(a, Action::SendAttempt { .. })));
         assert!(
-            granted(&out, id) || out.iter().any(|a| matches!(a, Action::Reject(..))),
+            granted(&out, id) || out.iter().any(|a| matches!(a, Action::Reject { .. })),
             "answered at once"
         );
     }
@@ -44,7 +44,7 @@
     assert!(
         rig.pass(20 * S)
             .iter()
-            .all(|x| !matches!(x, Action::Reject(id, _) if *id == a)),
+            .all(|x| !matches!(x, Action::Reject { request: id, .. } if *id == a)),
         "no deadline"
     );
     let (b, out) = rig.request(OWN, 2, 5, 1.0);
@@ -58,13 +58,16 @@
 fn what_is_settled_is_put_on_the_shared_count_with_the_next_call() {
     let mut set = settings();
     set.classes.push(Class {
-        by_caller: true,
-        ..class(Effect::Unsafe, Group::All)
+        admission_only: true,
+        ..class(Idempotency::NonIdempotent, KeyScope::All)
     });
     let mut rig = Rig::new(set, 0);
     let count = |out: &[Action]| {
         out.iter().find_map(|a| {
-            if let Action::AddToCounter(name, amount, _) = a {
+            if let Action::AddToCounter {
+                key: name, amount, ..
+            } = a
+            {
                 Some((*name, *amount))
             } else {
                 None
@@ -74,13 +77,20 @@
     let (a, out) = rig.request(OWN, 0, 5, 4.0);
     let (name, amount) = count(&out).expect("it asks");
     assert_eq!(amount, 4.0);
-    let out = rig.tell(Event::CounterReplied(name, Outcome::Ok, 4.0));
+    let out = rig.tell(Event::CounterReplied {
+        key: name,
+        outcome: Outcome::Ok,
+        total: 4.0,
+    });
     assert!(granted(&out, a));
     let standing = rig
         .gateway
         .standing(Micros(rig.now), CustomerId(5), PlanId(0));
     assert_eq!((standing.limit, standing.remaining), (20.0, 16.0));
-    rig.tell(Event::UnitsSettled(a, 1.0));
+    rig.tell(Event::UnitsSettled {
+        request: a,
+        units: 1.0,
+    });
     rig.tell(Event::ClientDisconnected(a));
     let standing = rig
         .gateway
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -7,17 +7,17 @@
 pub const MS: u64 = 1_000;
 pub const S: u64 = 1_000_000;
 
-pub fn class(effect: Effect, group: Group) -> Class {
+pub fn class(effect: Idempotency, group: KeyScope) -> Class {
     Class {
-        aim: Micros(800 * MS),
+        latency_objective: Micros(800 * MS),
         deadline: Micros(3 * S),
-        worth: 1.0,
-        late_worth: 0.0,
-        effect,
-        group,
-        window: Micros(S),
-        stream: false,
-        by_caller: false,
+        priority_weight: 1.0,
+        late_priority_weight: 0.0,
+        idempotency: effect,
+        key_scope: group,
+        key_window: Micros(S),
+        is_streaming: false,
+        admission_only: false,
     }
 }
 
@@ -25,10 +25,10 @@
     Plan {
         rate,
         burst,
-        open: 0.0,
-        price: 1.0,
-        over_worth: 0.0,
-        over_cost: 1.0,
+        max_concurrency: 0.0,
+        priority_multiplier: 1.0,
+        over_quota_weight: 0.0,
+        over_quota_cost: 1.0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
         ceiling_slack: 0.0,
@@ -47,33 +47,33 @@
     Settings {
         gateways: 2,
         classes: vec![
-            class(Effect::Safe, Group::All),
-            class(Effect::Keyed, Group::Cell),
-            class(Effect::Unsafe, Group::All),
-            class(Effect::Keyed, Group::All),
+            class(Idempotency::Idempotent, KeyScope::All),
+            class(Idempotency::Keyed, KeyScope::Cell),
+            class(Idempotency::NonIdempotent, KeyScope::All),
+            class(Idempotency::Keyed, KeyScope::All),
         ],
         plans: vec![
             plan(10.0, 20.0),
             ceiling,
             Plan {
-                open: 2.0,
+                max_concurrency: 2.0,
                 ..plan(0.0, 0.0)
             },
             plan(0.0, 0.0),
         ],
         max_attempts: 4,
-        may_cancel: true,
-        retry_after: true,
+        allow_cancel: true,
+        send_retry_after: true,
         max_retry_after: Micros(2 * S),
-        counter: true,
-        count_timeout: Micros(80 * MS),
-        most_units: 4.0,
+        use_counter: true,
+        counter_timeout: Micros(80 * MS),
+        max_request_units: 4.0,
         answer_slack: Micros(8 * MS),
-        cold_from: 0.2,
-        cold: Micros(10 * S),
-        fall_multiple: 2.0,
-        tip_after: Micros(S),
-        tick: Micros(2 * MS),
+        slow_start_min_capacity: 0.2,
+        slow_start_duration: Micros(10 * S),
+        overload_multiple: 2.0,
+        overload_duration: Micros(S),
+        timer_resolution: Micros(2 * MS),
         ..Settings::default()
     }
 }
@@ -102,7 +102,10 @@
         let entries = (0..servers)
             .map(|i| entry(i, EndpointState::InService, None))
             .collect();
-        rig.tell(Event::EndpointsUpdated(UpdateScope::Complete, entries));
+        rig.tell(Event::EndpointsUpdated {
+            scope: UpdateScope::Complete,
+            entries,
+        });
         rig
     }
     /// Tells one event and returns what it led to.
@@ -110,7 +113,7 @@
         let mut out = Vec::new();
         self.gateway.handle(Micros(self.now), event, &mut out);
         for action in &out {
-            if let Action::SetTimer(id, after) = action {
+            if let Action::SetTimer { timer: id, after } = action {
                 self.timers.push((self.now + after.0, *id));
             }
         }
@@ -149,10 +152,10 @@
             class,
             plan,
             customer,
-            spread: 2,
+            customer_gateways: 2,
             deadline,
             units,
-            resent: false,
+            is_retry: false,
         };
         (id, self.tell(Event::RequestArrived(arrival)))
     }
@@ -184,12 +187,12 @@
         let end = AttemptResult {
             id,
             attempt,
-            server,
+            endpoint: server,
             outcome,
-            took,
-            ended,
-            settled: None,
-            report,
+            elapsed: took,
+            request_finished: ended,
+            settled_units: None,
+            load_report: report,
         };
         self.tell(Event::AttemptEnded(end))
     }
@@ -197,19 +200,22 @@
 
 pub fn entry(i: u32, listed: EndpointState, started: Option<u64>) -> EndpointEntry {
     EndpointEntry {
-        server: EndpointId(u64::from(i)),
+        endpoint: EndpointId(u64::from(i)),
         zone: ZoneId(0),
         cell: CellId(u64::from(i) / 2),
-        listed,
+        state: listed,
         weight: 1.0,
-        started: started.map(Micros),
+        started_at: started.map(Micros),
     }
 }
 
 pub fn counts(out: &[Action]) -> Vec<(CounterKey, f64)> {
     out.iter()
         .filter_map(|a| {
-            if let Action::AddToCounter(n, x, _) = a {
+            if let Action::AddToCounter {
+                key: n, amount: x, ..
+            } = a
+            {
                 Some((*n, *x))
             } else {
                 None
@@ -224,7 +230,12 @@
 pub fn sends(out: &[Action]) -> Vec<(RequestId, EndpointId)> {
     out.iter()
         .filter_map(|a| {
-            if let Action::SendAttempt(r, s, _) = a {
+            if let Action::SendAttempt {
+                request: r,
+                endpoint: s,
+                ..
+            } = a
+            {
                 Some((*r, *s))
             } else {
                 None
@@ -234,7 +245,7 @@
 }
 pub fn refused(out: &[Action], id: RequestId) -> bool {
     out.iter()
-        .any(|a| matches!(a, Action::Reject(r, _) if *r == id))
+        .any(|a| matches!(a, Action::Reject { request: r, .. } if *r == id))
 }
 pub fn failed(out: &[Action], id: RequestId) -> bool {
     out.contains(&Action::Fail(id))
--- a/crates/policy/tests/recording/mod.rs
+++ b/crates/policy/tests/recording/mod.rs
@@ -148,7 +148,10 @@
         let entries = (0..server_count)
             .map(|i| peers::entry(i, EndpointState::InService, None))
             .collect();
-        world.tell(Event::EndpointsUpdated(UpdateScope::Complete, entries));
+        world.tell(Event::EndpointsUpdated {
+            scope: UpdateScope::Complete,
+            entries,
+        });
         world.schedule(0, Pending::NextArrival);
         world.schedule(2 * SECOND, Pending::ListMoves);
         world.schedule(SECOND, Pending::FaultsMove);
@@ -188,7 +191,11 @@
                 name,
                 outcome,
                 total,
-            } => self.tell(Event::CounterReplied(name, outcome, total)),
+            } => self.tell(Event::CounterReplied {
+                key: name,
+                outcome,
+                total,
+            }),
             Pending::ClientLeaves(id) => self.client_leaves(id),
             Pending::StreamStarts(id) => {
                 if self.requests.get(&id.0).is_some_and(|r| !r.is_answered) {
@@ -198,7 +205,7 @@
             Pending::BodyDropped(id) => self.tell(Event::BodyDiscarded(id)),
             Pending::UnitsSettle(id) => {
                 let units = self.random.f64() * 5.0;
-                self.tell(Event::UnitsSettled(id, units));
+                self.tell(Event::UnitsSettled { request: id, units });
             }
             Pending::ListMoves => self.move_list(),
             Pending::SitesMove => self.move_sites(),
@@ -222,11 +229,18 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::SendAttempt(id, server, until) => {
+            Action::SendAttempt {
+                request: id,
+                endpoint: server,
+                deadline: until,
+            } => {
                 self.record("send", &format!("{} {} {}", id.0, server.0, until.0));
                 self.send(id, server, until.0);
             }
-            Action::Reject(id, advice) => {
+            Action::Reject {
+                request: id,
+                retry_after: advice,
+            } => {
                 self.record("refuse", &format!("{} {:?}", id.0, advice.map(|a| a.0)));
                 self.retry_later(id, advice.map_or(300 * MILLISECOND, |a| a.0));
             }
@@ -239,7 +253,10 @@
                 self.schedule(20 * MILLISECOND, Pending::UnitsSettle(id));
                 self.schedule(60 * MILLISECOND, Pending::ClientLeaves(id));
             }
-            Action::CancelAttempt(id, attempt) => {
+            Action::CancelAttempt {
+                request: id,
+                attempt,
+            } => {
                 self.record("cancel", &format!("{} {attempt}", id.0));
                 let outcome = Outcome::Cancelled;
                 self.schedule(
@@ -251,9 +268,13 @@
                     },
                 );
             }
-            Action::AddToCounter(name, amount, lifetime) => {
+            Action::AddToCounter {
+                key: name,
+                amount,
+                time_to_live: lifetime,
+            } => {
                 self.record("count", &format!("{} {amount} {}", name.0, lifetime.0));
-                let timeout = self.settings.count_timeout.0;
+                let timeout = self.settings.counter_timeout.0;
                 let answer = self
                     .counter
                     .add(name, amount, self.now, timeout, &mut self.random);
@@ -264,7 +285,7 @@
                 };
                 self.schedule_at(answer.at, what);
             }
-            Action::SetTimer(id, after) => {
+            Action::SetTimer { timer: id, after } => {
                 self.record("timer", &format!("{} {}", id.0, after.0));
                 self.schedule(after.0, Pending::TimerDue(id));
             }
@@ -294,10 +315,10 @@
             class,
             plan: PlanId(customer as usize % self.settings.plans.len()),
             customer: CustomerId(customer),
-            spread,
+            customer_gateways: spread,
             deadline: Micros(self.now + self.settings.classes[class.0].deadline.0),
             units: f64::from(self.random.u32(1..=4)),
-            resent: false,
+            is_retry: false,
         };
         self.arrive(arrival);
     }
@@ -328,7 +349,7 @@
         };
         request.is_answered = true;
         let again = request.arrival.clone();
-        if again.resent || self.random.f64() < 0.5 {
+        if again.is_retry || self.random.f64() < 0.5 {
             return;
         }
         let resent = self.random.f64() < 0.7;
@@ -336,7 +357,7 @@
         self.schedule(
             after,
             Pending::Arrives(IncomingRequest {
-                resent,
+                is_retry: resent,
                 deadline,
                 ..again
             }),
@@ -360,7 +381,7 @@
             is_open: true,
         });
         let attempt = request.attempts.len() - 1;
-        let is_stream = self.settings.classes[request.arrival.class.0].stream;
+        let is_stream = self.settings.classes[request.arrival.class.0].is_streaming;
         let state = self.servers.entry(server.0).or_default();
         let (outcome, took) = state.serve(self.now, &mut self.random);
         let (outcome, at) = if self.now + took >= until {
@@ -401,12 +422,12 @@
         let end = AttemptResult {
             id,
             attempt,
-            server,
+            endpoint: server,
             outcome,
-            took,
-            ended,
-            settled,
-            report,
+            elapsed: took,
+            request_finished: ended,
+            settled_units: settled,
+            load_report: report,
         };
         self.tell(Event::AttemptEnded(end));
     }
@@ -414,10 +435,10 @@
     fn move_list(&mut self) {
         self.schedule(1_500 * MILLISECOND, Pending::ListMoves);
         if self.random.f64() < 0.1 {
-            return self.tell(Event::EndpointsUpdated(
-                UpdateScope::Unavailable,
-                Vec::new(),
-            ));
+            return self.tell(Event::EndpointsUpdated {
+                scope: UpdateScope::Unavailable,
+                entries: Vec::new(),
+            });
         }
         let changed: BTreeSet<u64> = (0..2)
             .map(|_| self.random.u64(..self.servers.len() as u64 + 1))
@@ -436,7 +457,10 @@
             }
             entries.push(peers::entry(number, listed, started));
         }
-        self.tell(Event::EndpointsUpdated(UpdateScope::Incremental, entries));
+        self.tell(Event::EndpointsUpdated {
+            scope: UpdateScope::Incremental,
+            entries,
+        });
     }
 
     fn move_sites(&mut self) {
@@ -445,17 +469,20 @@
         let share = |zone: u32, share: f64, open: bool| ZoneShare {
             zone: ZoneId(zone),
             share,
-            open,
+            accepts_overflow: open,
         };
         let open = self.random.f64() < 0.9;
         let shares = vec![share(0, north, open), share(1, 1.0 - north, true)];
         let from = if self.random.f64() < 0.5 { 0.0 } else { 0.2 };
         let floor = SheddingThreshold {
-            sure: from + 0.3,
-            from,
-            part: self.random.f64(),
+            admit_above: from + 0.3,
+            reject_below: from,
+            admit_fraction: self.random.f64(),
         };
-        self.tell(Event::ZoneSharesChanged(shares, floor));
+        self.tell(Event::ZoneSharesChanged {
+            shares,
+            threshold: floor,
+        });
     }
 
     fn move_faults(&mut self) {
--- a/crates/policy/tests/recording/peers.rs
+++ b/crates/policy/tests/recording/peers.rs
@@ -10,12 +10,12 @@
 /// The line of a server in the server list: two zones, cells of two servers.
 pub fn entry(number: u64, listed: EndpointState, started: Option<u64>) -> EndpointEntry {
     EndpointEntry {
-        server: EndpointId(number),
+        endpoint: EndpointId(number),
         zone: ZoneId((number % 2) as u32),
         cell: CellId(number / 2),
-        listed,
+        state: listed,
         weight: 1.0 + (number % 3) as f64 * 0.5,
-        started: started.map(Micros),
+        started_at: started.map(Micros),
     }
 }
 
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -5,7 +5,7 @@
 
 fn finals(done: &[Action], id: RequestId) -> usize {
     done.iter()
-        .filter(|a| matches!(a, Action::Reject(r, _) | Action::Fail(r) if *r == id))
+        .filter(|a| matches!(a, Action::Reject { request: r, .. } | Action::Fail(r) if *r == id))
         .count()
 }
 
@@ -70,7 +70,7 @@
 #[test]
 fn a_keyed_request_is_not_repeated_after_its_window_and_not_refused() {
     let mut set = settings();
-    set.classes[1].window = Micros(100 * MS);
+    set.classes[1].key_window = Micros(100 * MS);
     let mut rig = Rig::new(set, 8);
     let (id, server) = rig.sent(1);
     rig.pass(100 * MS);
@@ -82,7 +82,7 @@
 fn a_keyed_request_is_not_repeated_where_its_connection_could_come_up_after_the_window() {
     for (after, again) in [(100, true), (160, false)] {
         let mut set = settings();
-        (set.classes[1].window, set.dial_timeout) = (Micros(400 * MS), Micros(250 * MS));
+        (set.classes[1].key_window, set.dial_timeout) = (Micros(400 * MS), Micros(250 * MS));
         let mut rig = Rig::new(set, 8);
         let (id, server) = rig.sent(1);
         rig.pass(after * MS);
@@ -100,26 +100,32 @@
     let mut rig = Rig::new(settings(), 1);
     let (id, _) = rig.sent(0);
     let out = rig.pass(3 * S);
-    assert!(refused(&out, id) && out.contains(&Action::CancelAttempt(id, 0)));
+    assert!(
+        refused(&out, id)
+            && out.contains(&Action::CancelAttempt {
+                request: id,
+                attempt: 0
+            })
+    );
 }
 
 #[test]
 fn nothing_goes_to_a_server_that_drains_or_is_gone() {
     for listed in [EndpointState::Draining, EndpointState::Removed] {
         let mut rig = Rig::new(settings(), 2);
-        rig.tell(Event::EndpointsUpdated(
-            UpdateScope::Incremental,
-            vec![entry(0, listed, None)],
-        ));
+        rig.tell(Event::EndpointsUpdated {
+            scope: UpdateScope::Incremental,
+            entries: vec![entry(0, listed, None)],
+        });
         for _ in 0..50 {
             let (_, server) = rig.sent(0);
             assert_eq!(server, EndpointId(1));
             rig.ended(RequestId(rig.next - 1), 0, server, Outcome::Ok);
         }
-        rig.tell(Event::EndpointsUpdated(
-            UpdateScope::Complete,
-            vec![entry(0, EndpointState::InService, None)],
-        ));
+        rig.tell(Event::EndpointsUpdated {
+            scope: UpdateScope::Complete,
+            entries: vec![entry(0, EndpointState::InService, None)],
+        });
         for _ in 0..2 {
             assert_eq!(
                 rig.sent(0).1,
@@ -133,10 +139,10 @@
 #[test]
 fn all_draining_means_refusal_in_time() {
     let mut rig = Rig::new(settings(), 1);
-    rig.tell(Event::EndpointsUpdated(
-        UpdateScope::Incremental,
-        vec![entry(0, EndpointState::Draining, None)],
-    ));
+    rig.tell(Event::EndpointsUpdated {
+        scope: UpdateScope::Incremental,
+        entries: vec![entry(0, EndpointState::Draining, None)],
+    });
     let (id, out) = rig.request(0, 3, 1, 1.0);
     assert!(sends(&out).is_empty());
     rig.pass(3 * S);
@@ -162,10 +168,10 @@
     let mut rig = Rig::new(settings(), 4);
     flow(&mut rig);
     let (now, cold) = (rig.now, 3);
-    rig.tell(Event::EndpointsUpdated(
-        UpdateScope::Incremental,
-        vec![entry(cold, EndpointState::InService, Some(now))],
-    ));
+    rig.tell(Event::EndpointsUpdated {
+        scope: UpdateScope::Incremental,
+        entries: vec![entry(cold, EndpointState::InService, Some(now))],
+    });
     let got = flow(&mut rig);
     let warm = got[..3].iter().sum::<u32>() / 3;
     // From a fifth to three fifths of its capacity over these seconds.
@@ -211,9 +217,9 @@
 ) -> f64 {
     let mut totals = std::collections::BTreeMap::new();
     let mut set = settings();
-    set.plans[1].over_worth = 0.5;
+    set.plans[1].over_quota_weight = 0.5;
     (set.plans[1].ceiling_rate, set.plans[1].ceiling_burst) = (18.0, 36.0);
-    set.plans[1].over_cost = 0.0;
+    set.plans[1].over_quota_cost = 0.0;
     let mut rigs = [Rig::new(set.clone(), 8), Rig::new(set, 8)];
     let (mut level, mut lowest, mut call) = (36.0f64, 36.0f64, 0);
     for step in 0..3_000 {
@@ -236,7 +242,11 @@
                         *total += amount;
                         (outcome, heard) = (Outcome::Ok, *total);
                     }
-                    next.extend(rig.tell(Event::CounterReplied(name, outcome, heard)));
+                    next.extend(rig.tell(Event::CounterReplied {
+                        key: name,
+                        outcome,
+                        total: heard,
+                    }));
                 }
                 for (_, server) in sends(&pending) {
                     level -= 1.0;
@@ -303,22 +313,22 @@
         sent.iter().any(|(_, server)| *server == EndpointId(3))
     };
     let mut rigs: Vec<Rig> = (0..gateways)
-        .map(|me| {
+        .map(|gateway_index| {
             let set = Settings {
                 gateways,
-                me,
-                most_units: 1.0,
+                gateway_index,
+                max_request_units: 1.0,
                 ..settings()
             };
-            let mut rig = Rig::seeded(u64::from(me), set, servers);
+            let mut rig = Rig::seeded(u64::from(gateway_index), set, servers);
             for _ in 0..20 {
                 step(&mut rig);
             }
             let now = rig.now;
-            rig.tell(Event::EndpointsUpdated(
-                UpdateScope::Incremental,
-                vec![entry(3, EndpointState::InService, Some(now))],
-            ));
+            rig.tell(Event::EndpointsUpdated {
+                scope: UpdateScope::Incremental,
+                entries: vec![entry(3, EndpointState::InService, Some(now))],
+            });
             rig
         })
         .collect();
--- a/crates/policy/tests/scale.rs
+++ b/crates/policy/tests/scale.rs
@@ -4,12 +4,12 @@
 use common::*;
 use std::collections::BTreeMap;
 
-fn one_of(gateways: u32, me: u32, servers: u32) -> Rig {
+fn one_of(gateways: u32, gateway_index: u32, servers: u32) -> Rig {
     Rig::seeded(
-        u64::from(me),
+        u64::from(gateway_index),
         Settings {
             gateways,
-            me,
+            gateway_index,
             ..settings()
         },
         servers,
@@ -27,10 +27,10 @@
         class,
         plan,
         customer,
-        spread: 200,
+        customer_gateways: 200,
         deadline,
         units: 2.0,
-        resent,
+        is_retry: resent,
     };
     (id, rig.tell(Event::RequestArrived(arrival)))
 }
@@ -97,7 +97,11 @@
             } else {
                 Outcome::Ok
             };
-            out.extend(rig.tell(Event::CounterReplied(name, outcome, 2.0)));
+            out.extend(rig.tell(Event::CounterReplied {
+                key: name,
+                outcome,
+                total: 2.0,
+            }));
         }
         let guessed = failed && !sends(&out).is_empty();
         went[usize::from(resent)] += u32::from(guessed);
@@ -121,11 +125,11 @@
         (!counts(&out).is_empty()).then_some((id, out))
     });
     let (id, out) = asked.expect("one of a hundred asks");
-    let out = rig.tell(Event::CounterReplied(
-        counts(&out)[0].0,
-        Outcome::Rejected,
-        0.0,
-    ));
+    let out = rig.tell(Event::CounterReplied {
+        key: counts(&out)[0].0,
+        outcome: Outcome::Rejected,
+        total: 0.0,
+    });
     assert_eq!(sends(&out).first().map(|s| s.0), Some(id));
 }
 
@@ -139,14 +143,18 @@
         id,
         plan,
         customer,
-        spread: 200,
+        customer_gateways: 200,
         deadline,
         units: 1.0,
         ..IncomingRequest::default()
     };
     let mut out = rig.tell(Event::RequestArrived(a));
     for (name, _) in counts(&out) {
-        out.extend(rig.tell(Event::CounterReplied(name, Outcome::Rejected, 0.0)));
+        out.extend(rig.tell(Event::CounterReplied {
+            key: name,
+            outcome: Outcome::Rejected,
+            total: 0.0,
+        }));
     }
     (id, out)
 }
@@ -259,8 +267,8 @@
     for retry_after in [true, false] {
         let set = Settings {
             gateways: 200,
-            me: 3,
-            retry_after,
+            gateway_index: 3,
+            send_retry_after: retry_after,
             ..settings()
         };
         let (mut rig, mut hints) = (Rig::seeded(3, set, 50), Vec::new());
@@ -268,7 +276,10 @@
             rig.pass(700 * MS);
             let (id, out) = rig.request(0, 3, 1, 1.0);
             let hint = |a: &Action| {
-                if let Action::Reject(_, hint) = a {
+                if let Action::Reject {
+                    retry_after: hint, ..
+                } = a
+                {
                     Some(*hint)
                 } else {
                     None
--- a/crates/policy/tests/servers.rs
+++ b/crates/policy/tests/servers.rs
@@ -112,7 +112,7 @@
 #[test]
 fn a_held_request_goes_when_a_server_is_free_and_the_dearest_first() {
     let mut set = settings();
-    set.classes[3].worth = 5.0;
+    set.classes[3].priority_weight = 5.0;
     let mut rig = Rig::new(set, 1);
     let (first, server) = rig.sent(0);
     rig.sent(0);
@@ -126,13 +126,13 @@
 #[test]
 fn a_lost_subscription_is_renewed() {
     let mut set = settings();
-    set.must_subscribe = true;
+    set.requires_subscription = true;
     let mut rig = Rig::new(set, 1);
     assert!(rig.done.contains(&Action::Subscribe));
-    rig.tell(Event::EndpointsUpdated(
-        UpdateScope::Unavailable,
-        Vec::new(),
-    ));
+    rig.tell(Event::EndpointsUpdated {
+        scope: UpdateScope::Unavailable,
+        entries: Vec::new(),
+    });
     assert!(rig.pass(S).contains(&Action::Subscribe));
 }
 
@@ -144,7 +144,11 @@
             rig.pass(7 * MS);
             let (id, out) = rig.request((i % 4) as usize, (i % 3) as usize, i % 5, 1.0);
             for (name, _) in counts(&out) {
-                let out = rig.tell(Event::CounterReplied(name, Outcome::Ok, (i % 17) as f64));
+                let out = rig.tell(Event::CounterReplied {
+                    key: name,
+                    outcome: Outcome::Ok,
+                    total: (i % 17) as f64,
+                });
                 sends(&out)
                     .iter()
                     .for_each(|(_, s)| drop(rig.ended(id, 0, *s, Outcome::Ok)));
@@ -163,9 +167,9 @@
         chalkdeck::rules::Gateway::new(1, set).is_err()
     };
     assert!(bad(|s| s.gateways = 0));
-    assert!(bad(|s| s.me = 2));
+    assert!(bad(|s| s.gateway_index = 2));
     assert!(bad(|s| s.plans[0].rate = -1.0));
-    assert!(bad(|s| s.plans[0].price = f64::NAN));
+    assert!(bad(|s| s.plans[0].priority_multiplier = f64::NAN));
     assert!(bad(|s| s.plans[0].burst = 0.0));
     assert!(!bad(|_| ()));
 }
@@ -196,7 +200,12 @@
     }
     let waits = |out: &[Action], now: u64| {
         let until = |a: &Action| {
-            if let Action::SendAttempt(_, s, until) = a {
+            if let Action::SendAttempt {
+                endpoint: s,
+                deadline: until,
+                ..
+            } = a
+            {
                 Some((*s, until.0 - now))
             } else {
                 None
@@ -239,17 +248,20 @@
 #[test]
 fn an_attempt_that_alone_is_late_is_called_off_and_goes_again() {
     let (mut rig, id, server, led) = one_astray(20 * MS);
-    assert!(led.contains(&Action::CancelAttempt(id, 0)));
+    assert!(led.contains(&Action::CancelAttempt {
+        request: id,
+        attempt: 0
+    }));
     let (outcome, report, took) = (Outcome::Cancelled, LoadReport::default(), Micros(300 * MS));
     let end = AttemptResult {
         id,
         attempt: 0,
-        server,
+        endpoint: server,
         outcome,
-        took,
-        ended: false,
-        settled: None,
-        report,
+        elapsed: took,
+        request_finished: false,
+        settled_units: None,
+        load_report: report,
     };
     let out = rig.tell(Event::AttemptEnded(end));
     assert_eq!(
@@ -263,7 +275,8 @@
 fn where_all_answers_are_late_nothing_is_called_off() {
     let (_, _, _, led) = one_astray(300 * MS);
     assert!(
-        !led.iter().any(|a| matches!(a, Action::CancelAttempt(..))),
+        !led.iter()
+            .any(|a| matches!(a, Action::CancelAttempt { .. })),
         "{led:?}"
     );
 }
--- a/crates/policy/tests/sites.rs
+++ b/crates/policy/tests/sites.rs
@@ -17,19 +17,26 @@
             ..entry(i, EndpointState::InService, None)
         })
         .collect();
-    rig.tell(Event::EndpointsUpdated(UpdateScope::Complete, entries));
+    rig.tell(Event::EndpointsUpdated {
+        scope: UpdateScope::Complete,
+        entries,
+    });
     rig
 }
 
 fn all() -> SheddingThreshold {
     SheddingThreshold {
-        part: 1.0,
+        admit_fraction: 1.0,
         ..SheddingThreshold::default()
     }
 }
 
 fn shares(near: (f64, bool), far: (f64, bool)) -> Vec<ZoneShare> {
-    let of = |zone, (share, open)| ZoneShare { zone, share, open };
+    let of = |zone, (share, open)| ZoneShare {
+        zone,
+        share,
+        accepts_overflow: open,
+    };
     vec![of(NEAR, near), of(FAR, far)]
 }
 
@@ -47,10 +54,10 @@
 #[test]
 fn requests_go_where_the_shares_say() {
     let mut rig = rig();
-    rig.tell(Event::ZoneSharesChanged(
-        shares((0.7, true), (0.3, true)),
-        all(),
-    ));
+    rig.tell(Event::ZoneSharesChanged {
+        shares: shares((0.7, true), (0.3, true)),
+        threshold: all(),
+    });
     let far = far(&mut rig, 1_000);
     assert!((230..370).contains(&far), "{far} of 1000");
 }
@@ -58,10 +65,10 @@
 #[test]
 fn nothing_overflows_into_a_closed_zone() {
     let mut rig = rig();
-    rig.tell(Event::ZoneSharesChanged(
-        shares((1.0, true), (0.0, false)),
-        all(),
-    ));
+    rig.tell(Event::ZoneSharesChanged {
+        shares: shares((1.0, true), (0.0, false)),
+        threshold: all(),
+    });
     let ids: Vec<_> = (0..40).map(|_| rig.request(0, 3, 1, 1.0)).collect();
     let to: Vec<EndpointId> = ids
         .iter()
@@ -74,10 +81,10 @@
     );
     // Open, the far zone takes what the near one has no place for.
     let mut rig = self::rig();
-    rig.tell(Event::ZoneSharesChanged(
-        shares((1.0, true), (0.0, true)),
-        all(),
-    ));
+    rig.tell(Event::ZoneSharesChanged {
+        shares: shares((1.0, true), (0.0, true)),
+        threshold: all(),
+    });
     let ids: Vec<_> = (0..40).map(|_| rig.request(0, 3, 1, 1.0)).collect();
     assert!(ids
         .iter()
@@ -88,16 +95,16 @@
 #[test]
 fn a_keyed_request_that_may_have_run_in_a_closed_zone_goes_nowhere_else() {
     let mut rig = rig();
-    rig.tell(Event::ZoneSharesChanged(
-        shares((0.0, true), (1.0, true)),
-        all(),
-    ));
+    rig.tell(Event::ZoneSharesChanged {
+        shares: shares((0.0, true), (1.0, true)),
+        threshold: all(),
+    });
     let (id, server) = rig.sent(1);
     assert!(server.0 >= 4);
-    rig.tell(Event::ZoneSharesChanged(
-        shares((1.0, true), (0.0, false)),
-        all(),
-    ));
+    rig.tell(Event::ZoneSharesChanged {
+        shares: shares((1.0, true), (0.0, false)),
+        threshold: all(),
+    });
     let mut out = rig.ended(id, 0, server, Outcome::Reset);
     out.extend(rig.pass(3 * S));
     assert!(sends(&out).is_empty() && !refused(&out, id), "{out:?}");
@@ -107,14 +114,14 @@
 #[test]
 fn the_floor_lets_in_by_worth_for_each_unit() {
     let mut rig = rig();
-    rig.tell(Event::ZoneSharesChanged(
-        shares((1.0, true), (0.0, true)),
-        SheddingThreshold {
-            sure: 0.6,
-            from: 0.3,
-            part: 0.5,
+    rig.tell(Event::ZoneSharesChanged {
+        shares: shares((1.0, true), (0.0, true)),
+        threshold: SheddingThreshold {
+            admit_above: 0.6,
+            reject_below: 0.3,
+            admit_fraction: 0.5,
         },
-    ));
+    });
     let mut let_in = |units: f64| {
         let one = |rig: &mut Rig| {
             let (id, out) = rig.request(0, 3, 1, units);
@@ -134,14 +141,17 @@
 #[test]
 fn of_those_that_wait_the_worthiest_for_its_room_goes_first() {
     let mut set = settings();
-    set.classes[0].worth = 3.0;
+    set.classes[0].priority_weight = 3.0;
     let mut rig = Rig::new(set, 1);
     let near = ZoneShare {
         zone: NEAR,
         share: 1.0,
-        open: true,
+        accepts_overflow: true,
     };
-    rig.tell(Event::ZoneSharesChanged(vec![near], all()));
+    rig.tell(Event::ZoneSharesChanged {
+        shares: vec![near],
+        threshold: all(),
+    });
     // Fill the one server; then a large request of more worth waits before a small one of less.
     let mut out = Vec::new();
     loop {
--- a/crates/policy/tests/window.rs
+++ b/crates/policy/tests/window.rs
@@ -14,7 +14,11 @@
     );
     (
         id,
-        rig.tell(Event::CounterReplied(add[0].0, Outcome::Ok, total)),
+        rig.tell(Event::CounterReplied {
+            key: add[0].0,
+            outcome: Outcome::Ok,
+            total,
+        }),
     )
 }
 
@@ -23,7 +27,11 @@
     let mut rig = Rig::new(settings(), 4);
     let (id, out) = rig.request(0, 0, 1, 3.0);
     assert_eq!(adds(&out).iter().map(|a| a.1).collect::<Vec<_>>(), [3.0]);
-    let out = rig.tell(Event::CounterReplied(adds(&out)[0].0, Outcome::Ok, 3.0));
+    let out = rig.tell(Event::CounterReplied {
+        key: adds(&out)[0].0,
+        outcome: Outcome::Ok,
+        total: 3.0,
+    });
     assert_eq!(sends(&out)[0].0, id);
 }
 
@@ -39,9 +47,12 @@
     let mut rig = Rig::new(settings(), 4);
     // Far beyond what any store can hold: twice the burst and more.
     let (id, out) = with_total(&mut rig, 4.0, 43.0);
-    let Some(Action::Reject(_, Some(wait))) = out
+    let Some(Action::Reject {
+        retry_after: Some(wait),
+        ..
+    }) = out
         .iter()
-        .find(|a| matches!(a, Action::Reject(r, _) if *r == id))
+        .find(|a| matches!(a, Action::Reject { request: r, .. } if *r == id))
     else {
         panic!("refused with advice: {out:?}");
     };
@@ -63,7 +74,11 @@
 fn a_new_window_asks_again_under_a_new_name() {
     let mut rig = Rig::new(settings(), 4);
     let first = adds(&rig.request(0, 0, 1, 2.0).1)[0].0;
-    rig.tell(Event::CounterReplied(first, Outcome::Ok, 43.0));
+    rig.tell(Event::CounterReplied {
+        key: first,
+        outcome: Outcome::Ok,
+        total: 43.0,
+    });
     rig.pass(2 * S);
     let (_, out) = rig.request(0, 0, 1, 2.0);
     assert_eq!(adds(&out).len(), 1);
@@ -73,7 +88,7 @@
 #[test]
 fn gateways_agree_on_the_name() {
     let mut other = settings();
-    other.me = 1;
+    other.gateway_index = 1;
     let (mut a, mut b) = (Rig::new(settings(), 4), Rig::new(other, 2));
     assert_eq!(
         adds(&a.request(0, 0, 1, 2.0).1)[0].0,
@@ -97,7 +112,11 @@
     with_total(&mut rig, 1.0, 20.0);
     rig.pass(2 * S); // Empty then, full now.
     let (id, out) = rig.request(0, 0, 1, 4.0);
-    let out = rig.tell(Event::CounterReplied(adds(&out)[0].0, Outcome::Ok, 22.0));
+    let out = rig.tell(Event::CounterReplied {
+        key: adds(&out)[0].0,
+        outcome: Outcome::Ok,
+        total: 22.0,
+    });
     assert!(refused(&out, id), "{out:?}");
     assert_eq!(adds(&out).iter().map(|a| a.1).collect::<Vec<_>>(), [-4.0]);
 }
@@ -119,15 +138,23 @@
             } else {
                 total + amount
             };
-            let out = rig.tell(Event::CounterReplied(name, Outcome::Ok, total));
+            let out = rig.tell(Event::CounterReplied {
+                key: name,
+                outcome: Outcome::Ok,
+                total,
+            });
             granted += sends(&out).len();
             sends(&out)
                 .iter()
                 .for_each(|(id, s)| drop(rig.ended(*id, 0, *s, Outcome::Ok)));
             total += counts(&out).iter().map(|a| a.1).sum::<f64>();
-            counts(&out)
-                .iter()
-                .for_each(|a| drop(rig.tell(Event::CounterReplied(a.0, Outcome::Ok, total))));
+            counts(&out).iter().for_each(|a| {
+                drop(rig.tell(Event::CounterReplied {
+                    key: a.0,
+                    outcome: Outcome::Ok,
+                    total,
+                }))
+            });
         }
         rig.tell(Event::ClientDisconnected(id));
         rig.pass(20 * MS);
@@ -143,7 +170,10 @@
     // Empty now: four units take 0.4 s.
     let (id, out) = rig.request(0, 0, 1, 4.0);
     let back = out.iter().find_map(|a| match a {
-        Action::Reject(refused, back) if *refused == id => *back,
+        Action::Reject {
+            request: refused,
+            retry_after: back,
+        } if *refused == id => *back,
         _ => None,
     });
     let back = back.expect("it is refused with a time").0;
@@ -155,11 +185,11 @@
     let mut rig = Rig::new(settings(), 4);
     let (_, out) = rig.request(0, 0, 1, 2.0);
     // Turned away: nothing was added, the local bucket lets it go on.
-    let out = rig.tell(Event::CounterReplied(
-        adds(&out)[0].0,
-        Outcome::Rejected,
-        0.0,
-    ));
+    let out = rig.tell(Event::CounterReplied {
+        key: adds(&out)[0].0,
+        outcome: Outcome::Rejected,
+        total: 0.0,
+    });
     assert_eq!(sends(&out).len(), 1);
     let next = (0..50).find_map(|_| adds(&rig.request(0, 0, 1, 1.0).1).first().map(|a| a.1));
     assert!(
@@ -171,7 +201,7 @@
 #[test]
 fn without_a_counter_the_share_decides() {
     let mut set = settings();
-    set.counter = false;
+    set.use_counter = false;
     let mut rig = Rig::new(set, 8);
     let mut through = 0;
     for _ in 0..400 {
@@ -193,14 +223,26 @@
     let (id, out) = rig.request(0, 2, 1, 1.0);
     let (name, one) = adds(&out)[0];
     assert_eq!(one, 1.0);
-    let out = rig.tell(Event::CounterReplied(name, Outcome::Ok, 1.0));
+    let out = rig.tell(Event::CounterReplied {
+        key: name,
+        outcome: Outcome::Ok,
+        total: 1.0,
+    });
     let server = sends(&out)[0].1;
     let out = rig.ended(id, 0, server, Outcome::Ok);
     assert_eq!(adds(&out), [(name, -1.0)]);
-    rig.tell(Event::CounterReplied(name, Outcome::Ok, 0.0));
+    rig.tell(Event::CounterReplied {
+        key: name,
+        outcome: Outcome::Ok,
+        total: 0.0,
+    });
     let (id, out) = rig.request(0, 2, 1, 1.0);
     assert_eq!(adds(&out), [(name, 1.0)]);
-    let out = rig.tell(Event::CounterReplied(name, Outcome::Ok, 3.0));
+    let out = rig.tell(Event::CounterReplied {
+        key: name,
+        outcome: Outcome::Ok,
+        total: 3.0,
+    });
     assert!(refused(&out, id), "two are out elsewhere");
     assert_eq!(adds(&out), [(name, -1.0)], "and the place goes back");
 }
@@ -209,7 +251,11 @@
 fn an_answer_to_a_call_never_made_changes_nothing() {
     let mut rig = Rig::new(settings(), 4);
     assert!(rig
-        .tell(Event::CounterReplied(CounterKey(5), Outcome::Ok, 1.0))
+        .tell(Event::CounterReplied {
+            key: CounterKey(5),
+            outcome: Outcome::Ok,
+            total: 1.0
+        })
         .is_empty());
 }
 
@@ -223,7 +269,11 @@
             let (id, out) = rig.request(0, 0, 1, 4.0);
             for (name, amount) in counts(&out) {
                 let total = if amount > 0.0 { 4.0 + others } else { 0.0 };
-                let out = rig.tell(Event::CounterReplied(name, Outcome::Ok, total));
+                let out = rig.tell(Event::CounterReplied {
+                    key: name,
+                    outcome: Outcome::Ok,
+                    total,
+                });
                 sends(&out)
                     .iter()
                     .for_each(|(_, s)| drop(rig.ended(id, 0, *s, Outcome::Ok)));
@@ -234,7 +284,11 @@
             rig.pass(100 * MS);
             let (id, mut out) = rig.request(0, 0, 1, 1.0);
             for (name, _) in counts(&out.clone()) {
-                out.extend(rig.tell(Event::CounterReplied(name, Outcome::Rejected, 0.0)));
+                out.extend(rig.tell(Event::CounterReplied {
+                    key: name,
+                    outcome: Outcome::Rejected,
+                    total: 0.0,
+                }));
             }
             passed += sends(&out).len();
             sends(&out)
--- a/crates/resp-gateway/src/backends.rs
+++ b/crates/resp-gateway/src/backends.rs
@@ -142,14 +142,14 @@
         }
         let mut draining = FxHashSet::default();
         for Server { address, entry } in &list.servers {
-            old.push(entry.server);
-            if entry.listed == EndpointState::Removed {
-                self.servers.remove(&entry.server);
+            old.push(entry.endpoint);
+            if entry.state == EndpointState::Removed {
+                self.servers.remove(&entry.endpoint);
             } else {
-                self.servers.insert(entry.server, *address);
+                self.servers.insert(entry.endpoint, *address);
             }
-            if entry.listed == EndpointState::Draining {
-                draining.insert(entry.server);
+            if entry.state == EndpointState::Draining {
+                draining.insert(entry.endpoint);
             }
         }
         for id in old {
--- a/crates/resp-gateway/src/config/tests.rs
+++ b/crates/resp-gateway/src/config/tests.rs
@@ -21,11 +21,20 @@
         Config::parse(Path::new("c.json"), file(SETTINGS).as_bytes()).expect("it is sound");
     let set = config.settings();
     assert_eq!(
-        (set.gateways, set.me, set.max_attempts, set.second_copies),
+        (
+            set.gateways,
+            set.gateway_index,
+            set.max_attempts,
+            set.allow_hedging
+        ),
         (3, 1, 6, true)
     );
     assert_eq!(
-        (set.plans[0].rate, set.classes[0].worth, set.cold.0),
+        (
+            set.plans[0].rate,
+            set.classes[0].priority_weight,
+            set.slow_start_duration.0
+        ),
         (3.5, 2.0, 18_000_000)
     );
     assert_eq!(
--- a/crates/resp-gateway/src/list.rs
+++ b/crates/resp-gateway/src/list.rs
@@ -131,12 +131,12 @@
         });
     };
     let entry = EndpointEntry {
-        server: server_id(&e.name),
+        endpoint: server_id(&e.name),
         zone: zone_id(zones, &e.zone.replace([' ', ','], "_")),
         cell: CellId(e.group),
-        listed,
+        state: listed,
         weight: e.weight.filter(|w| w.is_finite()).unwrap_or(1.0),
-        started: (e.since_ms > 0).then(|| Micros(e.since_ms.saturating_mul(1_000))),
+        started_at: (e.since_ms > 0).then(|| Micros(e.since_ms.saturating_mul(1_000))),
     };
     Ok(Server { address, entry })
 }
--- a/crates/resp-gateway/src/outcome.rs
+++ b/crates/resp-gateway/src/outcome.rs
@@ -62,9 +62,9 @@
             .ok()
             .filter(|v| v.is_finite() && *v >= 0.0);
         match name {
-            "inflight" => report.inflight = value,
-            "queue" => report.queue = value,
-            "util" => report.busy = value,
+            "in_flight" => report.in_flight = value,
+            "queue" => report.queued = value,
+            "util" => report.utilization = value,
             _ => {}
         }
     }
--- a/crates/resp-gateway/src/request.rs
+++ b/crates/resp-gateway/src/request.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use chalkdeck::api::{
-    ClassId, CustomerId, Effect, IncomingRequest, Micros, PlanId, RequestId, Settings,
+    ClassId, CustomerId, Idempotency, IncomingRequest, Micros, PlanId, RequestId, Settings,
 };
 use chalkdeck_resp::push_command;
 use chalkdeck_simulator_adapter::settings::Read;
@@ -200,10 +200,10 @@
         .and_then(|t| names.plans.get(t))
         .ok_or(RequestError::Plan)?;
     let kind = &set.classes[*class];
-    if write == (kind.effect == Effect::Safe) {
+    if write == (kind.idempotency == Idempotency::Idempotent) {
         return Err(RequestError::Verb);
     }
-    if kind.effect == Effect::Keyed && f.key.is_none_or(str::is_empty) {
+    if kind.idempotency == Idempotency::Keyed && f.key.is_none_or(str::is_empty) {
         return Err(RequestError::Key);
     }
     let time = f.time.ok_or(RequestError::Time)?;
@@ -213,8 +213,8 @@
     let units = f
         .units
         .and_then(|u| u.parse::<f64>().ok())
-        .filter(|u| *u > 0.0 && *u <= set.most_units);
-    let units = units.ok_or(RequestError::Units(set.most_units))?;
+        .filter(|u| *u > 0.0 && *u <= set.max_request_units);
+    let units = units.ok_or(RequestError::Units(set.max_request_units))?;
     let gateways = u64::from(set.gateways);
     let spread = whole("spread", f.spread, 1, gateways)?;
     whole("first", f.first, 0, gateways - 1)?;
@@ -231,10 +231,10 @@
         class: ClassId(*class),
         plan: PlanId(*plan),
         customer: CustomerId(customer),
-        spread: spread as u32,
+        customer_gateways: spread as u32,
         deadline: Micros(now + wait),
         units,
-        resent,
+        is_retry: resent,
     };
     Ok((Command { words, time: range }, arrival))
 }
--- a/crates/resp-gateway/src/shell.rs
+++ b/crates/resp-gateway/src/shell.rs
@@ -150,7 +150,7 @@
         let memory = config.limits.memory_mb * 1e6;
         let counter = config
             .counter
-            .map(|a| Counter::new(a, config.settings().count_timeout.0));
+            .map(|a| Counter::new(a, config.settings().counter_timeout.0));
         let mut shell = Shell {
             engine,
             decisions: Decisions::new(gateway),
@@ -408,8 +408,15 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::SendAttempt(id, server, until) => self.send(id, server, until.0),
-            Action::Reject(id, back) => {
+            Action::SendAttempt {
+                request: id,
+                endpoint: server,
+                deadline: until,
+            } => self.send(id, server, until.0),
+            Action::Reject {
+                request: id,
+                retry_after: back,
+            } => {
                 let line = match back {
                     Some(after) => format!("BUSY {}", after.0.div_ceil(1_000)),
                     None => "BUSY".to_string(),
@@ -419,10 +426,17 @@
             Action::Fail(id) => {
                 self.answer(id, error("failed"));
             }
-            Action::CancelAttempt(request, number) => {
+            Action::CancelAttempt {
+                request,
+                attempt: number,
+            } => {
                 self.give_up(AttemptId { request, number }, Outcome::Cancelled);
             }
-            Action::AddToCounter(name, amount, life) => {
+            Action::AddToCounter {
+                key: name,
+                amount,
+                time_to_live: life,
+            } => {
                 let Shell {
                     engine,
                     counter: Some(counter),
@@ -439,13 +453,13 @@
                 self.watch_counts();
                 self.counted(told);
             }
-            Action::SetTimer(timer, after) => self.due_in(after.0, TimerPurpose::Policy(timer)),
+            Action::SetTimer { timer, after } => self.due_in(after.0, TimerPurpose::Policy(timer)),
             Action::Probe(server) => {
-                self.decisions.push(Event::ProbeCompleted(
-                    server,
-                    Outcome::NeverSent,
-                    LoadReport::default(),
-                ));
+                self.decisions.push(Event::ProbeCompleted {
+                    endpoint: server,
+                    outcome: Outcome::NeverSent,
+                    load_report: LoadReport::default(),
+                });
             }
             // No class of this platform leaves the work to its caller, and the list is watched in any case.
             Action::Grant(_) | Action::Subscribe | Action::FetchEndpoints => {}
@@ -497,12 +511,12 @@
         self.decisions.push(Event::AttemptEnded(AttemptResult {
             id: attempt.request,
             attempt: attempt.number,
-            server,
+            endpoint: server,
             outcome,
-            took: Micros(took),
-            ended: served,
-            settled: None,
-            report,
+            elapsed: Micros(took),
+            request_finished: served,
+            settled_units: None,
+            load_report: report,
         }));
     }
 
@@ -596,8 +610,11 @@
             total,
         } in told
         {
-            self.decisions
-                .push(Event::CounterReplied(name, outcome, total));
+            self.decisions.push(Event::CounterReplied {
+                key: name,
+                outcome,
+                total,
+            });
         }
     }
 
@@ -644,7 +661,8 @@
         };
         let entries: Vec<_> = list.servers.into_iter().map(|s| s.entry).collect();
         if scope == UpdateScope::Complete || !entries.is_empty() {
-            self.decisions.push(Event::EndpointsUpdated(scope, entries));
+            self.decisions
+                .push(Event::EndpointsUpdated { scope, entries });
         }
     }
 
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -120,9 +120,9 @@
                 .split_once(':')
                 .and_then(|(k, v)| Some((k, v.parse::<f64>().ok()?)));
             match value {
-                Some(("concurrent", v)) => report.inflight = Some(v),
-                Some(("depth", v)) => report.queue = Some(v),
-                Some(("load_share", v)) => report.busy = Some(v),
+                Some(("concurrent", v)) => report.in_flight = Some(v),
+                Some(("depth", v)) => report.queued = Some(v),
+                Some(("load_share", v)) => report.utilization = Some(v),
                 Some(_) => {}
                 None if pair.is_empty() => {}
                 None => return self.fail("report", "name:number pairs"),
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -60,20 +60,20 @@
     }
     fn entry(&mut self, f: &Fields) -> Result<EndpointEntry> {
         Ok(EndpointEntry {
-            server: self.server(f.text("backend")?),
+            endpoint: self.server(f.text("backend")?),
             zone: zone_id(
                 &mut self.zones,
                 f.pairs.get("rack_zone").copied().unwrap_or(""),
             ),
             cell: CellId(f.whole_or("pod", 0)?),
-            listed: match f.text("status")? {
+            state: match f.text("status")? {
                 "in_service" => EndpointState::InService,
                 "terminating" => EndpointState::Draining,
                 "terminated" => EndpointState::Removed,
                 _ => return f.fail("status", "in_service, terminating or terminated"),
             },
             weight: f.real_or("heft", 1.0)?,
-            started: Some(f.micros_or("last_start", 0)?).filter(|s| s.0 > 0),
+            started_at: Some(f.micros_or("last_start", 0)?).filter(|s| s.0 > 0),
         })
     }
     fn event(&mut self, f: &Fields, now: Micros) -> Result<Option<Event>> {
@@ -100,34 +100,36 @@
                     class: ClassId(class),
                     plan: PlanId(plan),
                     customer: CustomerId(customer),
-                    spread: f.real_or("doors", 1.0)?.clamp(1.0, 1e6) as u32,
+                    customer_gateways: f.real_or("doors", 1.0)?.clamp(1.0, 1e6) as u32,
                     deadline: f
                         .read("drop_dead", "a clock time")?
                         .map_or(now + longest, Micros),
                     units,
-                    resent: f.flag_or("resent", false)?,
+                    is_retry: f.flag_or("resent", false)?,
                 })
             }
             "RING" => Event::Timer(TimerId(f.whole("ref")?)),
             "FIRST_BYTE" => Event::ResponseStarted(RequestId(f.whole("ref")?)),
             "TIMED_OUT_CLIENT" => Event::ClientDisconnected(RequestId(f.whole("ref")?)),
-            "PONG" => {
-                Event::ProbeCompleted(self.server(f.text("backend")?), f.outcome()?, f.report()?)
-            }
-            "COUNT_RESULT" => Event::CounterReplied(
-                CounterKey(f.whole("book")?),
-                f.outcome()?,
-                f.real_or("result_value", 0.0)?,
-            ),
+            "PONG" => Event::ProbeCompleted {
+                endpoint: self.server(f.text("backend")?),
+                outcome: f.outcome()?,
+                load_report: f.report()?,
+            },
+            "COUNT_RESULT" => Event::CounterReplied {
+                key: CounterKey(f.whole("book")?),
+                outcome: f.outcome()?,
+                total: f.real_or("result_value", 0.0)?,
+            },
             "OUTCOME" => Event::AttemptEnded(AttemptResult {
                 id: RequestId(f.whole("ref")?),
                 attempt: f.whole_or("trial", 0)? as usize,
-                server: self.server(f.text("backend")?),
+                endpoint: self.server(f.text("backend")?),
                 outcome: f.outcome()?,
-                took: f.micros_or("took", 0)?,
-                ended: f.flag_or("ended", false)?,
-                settled: Some(f.real_or("settled", 0.0)?).filter(|s| *s > 0.0),
-                report: f.report()?,
+                elapsed: f.micros_or("took", 0)?,
+                request_finished: f.flag_or("ended", false)?,
+                settled_units: Some(f.real_or("settled", 0.0)?).filter(|s| *s > 0.0),
+                load_report: f.report()?,
             }),
             _ => return Ok(None),
         }))
@@ -136,7 +138,11 @@
         let name = |s: &EndpointId| self.addresses.get(s).map_or("", String::as_str);
         // Writing to a String cannot fail.
         let _ = match action {
-            Action::SendAttempt(r, s, until) => {
+            Action::SendAttempt {
+                request: r,
+                endpoint: s,
+                deadline: until,
+            } => {
                 writeln!(
                     out,
                     "ROUTE ref={} backend={} abandon_at={}",
@@ -145,21 +151,36 @@
                     until.0
                 )
             }
-            Action::Reject(r, None) => writeln!(out, "REJECT ref={}", r.0),
-            Action::Reject(r, Some(b)) => writeln!(out, "REJECT ref={} backoff={}", r.0, b.0),
+            Action::Reject {
+                request: r,
+                retry_after: None,
+            } => writeln!(out, "REJECT ref={}", r.0),
+            Action::Reject {
+                request: r,
+                retry_after: Some(b),
+            } => writeln!(out, "REJECT ref={} backoff={}", r.0, b.0),
             // The bench has no callers that do their own work.
             Action::Grant(_) => Ok(()),
             Action::Fail(r) => writeln!(out, "FINISH_ERROR ref={}", r.0),
-            Action::CancelAttempt(r, a) => writeln!(out, "ABANDON ref={} trial={a}", r.0),
+            Action::CancelAttempt {
+                request: r,
+                attempt: a,
+            } => writeln!(out, "ABANDON ref={} trial={a}", r.0),
             Action::Probe(s) => writeln!(out, "PROBE backend={}", name(s)),
-            Action::AddToCounter(n, amount, life) => {
+            Action::AddToCounter {
+                key: n,
+                amount,
+                time_to_live: life,
+            } => {
                 writeln!(
                     out,
                     "ADD_AND_GET book={} amount={amount} lifetime={}",
                     n.0, life.0
                 )
             }
-            Action::SetTimer(t, after) => writeln!(out, "WAKE_ME ref={} in={}", t.0, after.0),
+            Action::SetTimer { timer: t, after } => {
+                writeln!(out, "WAKE_ME ref={} in={}", t.0, after.0)
+            }
             Action::Subscribe => writeln!(out, "LISTEN active=1"),
             Action::FetchEndpoints => writeln!(out, "RELOAD"),
         };
@@ -292,7 +313,13 @@
     }
     fn close_list(&mut self) {
         if let (Some(list), Some(who)) = (self.list.take_if(|l| l.left == 0), self.current) {
-            self.tell(who, Event::EndpointsUpdated(list.scope, list.entries));
+            self.tell(
+                who,
+                Event::EndpointsUpdated {
+                    scope: list.scope,
+                    entries: list.entries,
+                },
+            );
         }
     }
     fn tell(&mut self, who: u32, event: Event) {
