--- a/crates/grpc-gateway/src/carry.rs
+++ b/crates/grpc-gateway/src/carry.rs
@@ -9,7 +9,7 @@
 use crate::pool::{AttemptId, Found};
 use crate::shell::{Due, Shell};
 use bytes::Bytes;
-use chalkdeck::api::{AttemptResult, EndpointId, Event, LoadReport, Micros, Outcome, RequestId};
+use chalkdeck::api::{AttemptResult, EndpointId, Event, LoadReport, Outcome, RequestId, TimeDelta};
 use chalkdeck_net::grpc::{self, Code};
 use chalkdeck_net::{Broken, ConnId, StreamId};
 use http::header::TE;
@@ -86,7 +86,7 @@
             skip: 0,
         });
         call.answer = Answer::None;
-        let call_deadline = call.arrival.deadline.0;
+        let call_deadline = call.arrival.deadline.as_micros();
         tracing::debug!(call = id.0, attempt = attempt.number, server = ?self.pool.address(server), "sent on");
         // At the deadline itself the decisions end the call, and with it what is out.
         if until < call_deadline {
@@ -225,7 +225,7 @@
             attempt: id.number,
             endpoint: server,
             outcome,
-            elapsed: Micros(took),
+            elapsed: TimeDelta::from_micros(took),
             request_finished: answered || done,
             settled_units: None,
             load_report: LoadReport::default(),
@@ -294,7 +294,8 @@
         let Some(call) = self.calls.get(id) else {
             return;
         };
-        let late = now + 3 * self.set.policy.timer_resolution.0 >= call.arrival.deadline.0;
+        let late = now + 3 * self.set.policy.timer_resolution.as_micros()
+            >= call.arrival.deadline.as_micros();
         let code = if late {
             Code::DeadlineExceeded
         } else {
@@ -472,7 +473,7 @@
             return;
         };
         call.answer_skip = bytes;
-        let (front, call_deadline) = (call.front, call.arrival.deadline.0);
+        let (front, call_deadline) = (call.front, call.arrival.deadline.as_micros());
         self.engine
             .respond(front, http::Response::from_parts(*head, ()), false);
         chunks
@@ -692,7 +693,7 @@
     let until = if stream {
         call.client_deadline?
     } else {
-        call.arrival.deadline.0
+        call.arrival.deadline.as_micros()
     };
     Some(until.saturating_sub(now).max(1))
 }
--- a/crates/grpc-gateway/src/endpoints.rs
+++ b/crates/grpc-gateway/src/endpoints.rs
@@ -7,7 +7,7 @@
 
 pub use crate::base::server::Server;
 use crate::base::server::{number_of, zone_of};
-use chalkdeck::api::{CellId, EndpointEntry, EndpointId, EndpointState, Micros};
+use chalkdeck::api::{CellId, EndpointEntry, EndpointId, EndpointState, Timestamp};
 use chalkdeck_net::watch::WatchError;
 use chalkdeck_proto::envoy::config::core::v3::{address, socket_address, HealthStatus};
 use chalkdeck_proto::envoy::config::endpoint::v3::{
@@ -112,7 +112,9 @@
     };
     let started = match field(endpoint, "started_ms") {
         None => None,
-        Some(Kind::NumberValue(ms)) if *ms >= 0.0 && *ms < 1e15 => Some(Micros((ms * 1e3) as u64)),
+        Some(Kind::NumberValue(ms)) if *ms >= 0.0 && *ms < 1e15 => {
+            Some(Timestamp::from_micros((ms * 1e3) as u64))
+        }
         Some(_) => return bad("metadata chalkdeck.started_ms: expected Unix milliseconds"),
     };
     let name = match field(endpoint, "server") {
--- a/crates/grpc-gateway/src/endpoints/tests.rs
+++ b/crates/grpc-gateway/src/endpoints/tests.rs
@@ -26,7 +26,10 @@
         let entry = &servers[0].entry;
         assert_eq!(
             (entry.state, entry.started_at),
-            (EndpointState::Draining, Some(Micros(1_764_590_000_000_000)))
+            (
+                EndpointState::Draining,
+                Some(Timestamp::from_micros(1_764_590_000_000_000))
+            )
         );
     }
 }
--- a/crates/grpc-gateway/src/entry.rs
+++ b/crates/grpc-gateway/src/entry.rs
@@ -1,7 +1,7 @@
 //! Between the fronts and the decisions: requests go through the door, in fair turns over customers.
 
 use crate::shell::Shell;
-use chalkdeck::api::{Event, IncomingRequest, Micros, RequestId};
+use chalkdeck::api::{Event, IncomingRequest, RequestId, Timestamp};
 use chalkdeck_admission_queue::{Door, Offer, Settings, Verdict};
 use rustc_hash::FxHashMap;
 
@@ -36,11 +36,12 @@
         else {
             return self.decisions.push(Event::RequestArrived(arrival));
         };
-        let standing = decisions
-            .gateway
-            .standing(Micros(now), arrival.customer, arrival.plan);
+        let standing =
+            decisions
+                .gateway
+                .standing(Timestamp::from_micros(now), arrival.customer, arrival.plan);
         let refill = if standing.remaining < arrival.units {
-            standing.resets_in.0
+            standing.resets_in.as_micros()
         } else {
             0
         };
@@ -49,7 +50,7 @@
             studio: arrival.customer.0,
             weight: set.policy.plans[arrival.plan.0].priority_multiplier,
             units: arrival.units,
-            deadline: arrival.deadline.0,
+            deadline: arrival.deadline.as_micros(),
             refill,
         };
         entry.arrivals.insert(arrival.id, arrival);
@@ -85,7 +86,7 @@
             Verdict::Refuse { id, back } => {
                 entry.arrivals.remove(&RequestId(id));
                 self.metrics.door_refused.inc();
-                let most = self.set.policy.max_retry_after.0;
+                let most = self.set.policy.max_retry_after.as_micros();
                 let back = self.set.policy.send_retry_after.then_some(back.min(most));
                 self.refuse(RequestId(id), back);
             }
--- a/crates/grpc-gateway/src/front.rs
+++ b/crates/grpc-gateway/src/front.rs
@@ -2,7 +2,7 @@
 
 use crate::base::asked::{Asked, Rejected};
 use crate::base::settings::{Route, Settings};
-use chalkdeck::api::{ClassId, CustomerId, IncomingRequest, Micros, RequestId};
+use chalkdeck::api::{ClassId, CustomerId, IncomingRequest, RequestId, Timestamp};
 use chalkdeck_net::grpc::{self, Code};
 use http::uri::PathAndQuery;
 use http::{request, HeaderMap, HeaderName};
@@ -98,7 +98,7 @@
     } else {
         set.unkeyed[route.class]
     };
-    let longest = set.policy.classes[class].deadline.0;
+    let longest = set.policy.classes[class].deadline.as_micros();
     let tries_before = text(headers, grpc::ATTEMPTS)
         .and_then(|v| v.parse().ok())
         .unwrap_or(0);
@@ -108,7 +108,7 @@
         plan,
         customer: CustomerId(crate::base::server::number_of(customer)),
         customer_gateways: set.spread,
-        deadline: Micros(now + timeout.unwrap_or(longest).min(longest)),
+        deadline: Timestamp::from_micros(now + timeout.unwrap_or(longest).min(longest)),
         units,
         is_retry: tries_before > 0,
     };
--- a/crates/grpc-gateway/src/resp/mod.rs
+++ b/crates/grpc-gateway/src/resp/mod.rs
@@ -8,7 +8,7 @@
 pub use crate::base::settings::RespSettings;
 use crate::shell::{Due, Shell};
 use bytes::Bytes;
-use chalkdeck::api::{ClassId, CustomerId, Event, IncomingRequest, Micros, PlanId, RequestId};
+use chalkdeck::api::{ClassId, CustomerId, Event, IncomingRequest, PlanId, RequestId, Timestamp};
 use chalkdeck_net::{ConnId, Engine, Limits, ListenerId};
 use chalkdeck_resp::{take, Front};
 use command::Command;
@@ -278,7 +278,9 @@
             plan,
             customer,
             customer_gateways: self.set.spread,
-            deadline: Micros(now + self.set.policy.classes[class].deadline.0),
+            deadline: Timestamp::from_micros(
+                now + self.set.policy.classes[class].deadline.as_micros(),
+            ),
             units,
             is_retry: false,
         });
@@ -286,7 +288,7 @@
 
     /// Leave is given.
     pub(crate) fn granted(&mut self, id: RequestId) {
-        let now = Micros(self.engine.now());
+        let now = Timestamp::from_micros(self.engine.now());
         self.left(id);
         let Some(ask) = self.resp.as_mut().and_then(|r| r.asks.remove(&id)) else {
             return;
@@ -296,7 +298,13 @@
         let Some(lease) = ask.lease else {
             // A plain ask holds no place: what it was granted for is over for us.
             self.decisions.push(Event::ClientDisconnected(id));
-            let numbers = [0, limit, remaining, -1, seconds(standing.resets_in.0)];
+            let numbers = [
+                0,
+                limit,
+                remaining,
+                -1,
+                seconds(standing.resets_in.as_micros()),
+            ];
             return self.resp_answer(&ask, Reply::Array(numbers.map(Reply::Integer).into()));
         };
         let secret = fastrand::u32(..);
@@ -320,13 +328,13 @@
 
     /// Whether it was a request of this front; it is refused, to come back after that time.
     pub(crate) fn resp_refused(&mut self, id: RequestId, back_in: Option<u64>) -> bool {
-        let now = Micros(self.engine.now());
+        let now = Timestamp::from_micros(self.engine.now());
         let Some(ask) = self.resp.as_mut().and_then(|r| r.asks.remove(&id)) else {
             return false;
         };
         self.left(id);
         let standing = self.decisions.gateway.standing(now, ask.customer, ask.plan);
-        let back = back_in.unwrap_or(standing.resets_in.0);
+        let back = back_in.unwrap_or(standing.resets_in.as_micros());
         let reply = match ask.lease {
             Some(_) => vec![
                 Reply::Integer(0),
@@ -340,7 +348,7 @@
                     limit,
                     remaining,
                     seconds(back),
-                    seconds(standing.resets_in.0),
+                    seconds(standing.resets_in.as_micros()),
                 ]
                 .map(Reply::Integer)
                 .into()
@@ -380,7 +388,7 @@
         let Some(plan) = self.set.plan_for(customer) else {
             return Reply::Error("NOPLAN this customer has no plan".into());
         };
-        let now = Micros(self.engine.now());
+        let now = Timestamp::from_micros(self.engine.now());
         let standing = self.decisions.gateway.standing(
             now,
             CustomerId(crate::base::server::number_of(customer)),
@@ -389,7 +397,7 @@
         let numbers = [
             standing.limit as i64,
             standing.remaining as i64,
-            seconds(standing.resets_in.0),
+            seconds(standing.resets_in.as_micros()),
         ];
         Reply::Array(numbers.map(Reply::Integer).into())
     }
--- a/crates/grpc-gateway/src/settings.rs
+++ b/crates/grpc-gateway/src/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::base::server::zone_of;
 pub use crate::base::settings::{KeeperSettings, RespSettings, Route, Settings, SettingsError};
-use chalkdeck::api::{self, Idempotency, KeyScope, Micros};
+use chalkdeck::api::{self, Idempotency, KeyScope, TimeDelta};
 use chalkdeck_net::Limits;
 use chalkdeck_proto::chalkdeck::config::v1 as wire;
 use chalkdeck_proto::text;
@@ -114,8 +114,8 @@
     }
 }
 
-fn millis(ms: u32) -> Micros {
-    Micros(u64::from(ms) * 1_000)
+fn millis(ms: u32) -> TimeDelta {
+    TimeDelta::from_micros(u64::from(ms) * 1_000)
 }
 
 /// Zero means that nothing was said.
@@ -221,7 +221,7 @@
     let longest = if wire.longest_wait_ms == 0 {
         default.longest
     } else {
-        millis(wire.longest_wait_ms).0
+        millis(wire.longest_wait_ms).as_micros()
     };
     (!wire.off).then(|| chalkdeck_admission_queue::Settings {
         inside: or(wire.inside, default.inside),
@@ -405,7 +405,7 @@
         },
         requires_subscription: false,
         dial_timeout: millis(or(endpoints.connect_timeout_ms, 250)),
-        answer_slack: Micros(0),
+        answer_slack: TimeDelta::from_micros(0),
         slow_start_min_capacity: if start.cold_ms == 0 {
             1.0
         } else {
@@ -418,7 +418,7 @@
             start.fall_multiple
         },
         overload_duration: millis(start.tip_after_ms),
-        timer_resolution: Micros(1_000),
+        timer_resolution: TimeDelta::from_micros(1_000),
     };
     if let Err(e) = policy.check() {
         return source.fail(e.to_string());
--- a/crates/grpc-gateway/src/shell.rs
+++ b/crates/grpc-gateway/src/shell.rs
@@ -16,7 +16,7 @@
 use crate::resp::Resp;
 use crate::sites::Sites;
 use chalkdeck::api::{
-    Action, CounterKey, EndpointId, EndpointState, Event, Micros, Outcome, RequestId, TimerId,
+    Action, CounterKey, EndpointId, EndpointState, Event, Outcome, RequestId, TimerId, Timestamp,
     UpdateScope,
 };
 use chalkdeck::decisions::Decisions;
@@ -190,7 +190,7 @@
             .policy
             .classes
             .iter()
-            .map(|c| c.deadline.0)
+            .map(|c| c.deadline.as_micros())
             .max()
             .unwrap_or(0);
         self.stop_by = Some(self.engine.now() + longest);
@@ -288,7 +288,10 @@
 
     /// Tells the decisions what happened and carries out what follows, until nothing follows.
     fn settle(&mut self) {
-        while let Some(action) = self.decisions.next_action(Micros(self.engine.now())) {
+        while let Some(action) = self
+            .decisions
+            .next_action(Timestamp::from_micros(self.engine.now()))
+        {
             self.act(action);
         }
     }
@@ -299,11 +302,11 @@
                 request: id,
                 endpoint: server,
                 deadline: until,
-            } => self.send(id, server, until.0),
+            } => self.send(id, server, until.as_micros()),
             Action::Reject {
                 request: id,
                 retry_after: back_in,
-            } => self.refuse(id, back_in.map(|m| m.0)),
+            } => self.refuse(id, back_in.map(|m| m.as_micros())),
             Action::Grant(id) => self.granted(id),
             Action::Fail(id) => self.fail(id),
             Action::CancelAttempt {
@@ -314,8 +317,8 @@
                 key: name,
                 amount,
                 time_to_live: life,
-            } => self.count(name, amount, life.0),
-            Action::SetTimer { timer, after } => self.due_in(after.0, Due::Policy(timer)),
+            } => self.count(name, amount, life.as_micros()),
+            Action::SetTimer { timer, after } => self.due_in(after.as_micros(), Due::Policy(timer)),
             Action::FetchEndpoints => self.look(),
             // The settings allow neither probes nor subscriptions: the list is watched.
             Action::Probe(_) | Action::Subscribe => {}
@@ -356,7 +359,7 @@
         else {
             return;
         };
-        let until = engine.now() + self.set.policy.counter_timeout.0;
+        let until = engine.now() + self.set.policy.counter_timeout.as_micros();
         let told = counter.part_of(name).add(engine, name, amount, life, until);
         self.watch_counts();
         self.counted(told);
--- a/crates/grpc-gateway/src/sites.rs
+++ b/crates/grpc-gateway/src/sites.rs
@@ -72,7 +72,7 @@
             me: set.policy.gateway_index,
             gateways: set.policy.gateways,
             cold_from: set.policy.slow_start_min_capacity,
-            cold: set.policy.slow_start_duration.0,
+            cold: set.policy.slow_start_duration.as_micros(),
             fall_multiple: set.policy.overload_multiple,
         });
         let words = Words::read(set.site_words.as_deref())?;
@@ -95,7 +95,7 @@
             site: site_of(s.entry.zone),
             in_service: s.entry.state == EndpointState::InService,
             weight: s.entry.weight,
-            started: s.entry.started_at.map(|at| at.0),
+            started: s.entry.started_at.map(|at| at.as_micros()),
         };
         let lines: Vec<_> = servers.iter().map(line).collect();
         self.core.on(now, Event::List(&lines));
@@ -210,7 +210,7 @@
         else {
             return;
         };
-        let aim = set.policy.classes[class].latency_objective.0;
+        let aim = set.policy.classes[class].latency_objective.as_micros();
         sites.core.on(
             self.engine.now(),
             Event::Ended(server.0, how(outcome), took, aim, units),
@@ -227,7 +227,7 @@
         else {
             return;
         };
-        let aim = set.policy.classes[class].latency_objective.0;
+        let aim = set.policy.classes[class].latency_objective.as_micros();
         if end != End::Gone {
             sites.core.on(
                 self.engine.now(),
--- a/crates/policy/benches/request.rs
+++ b/crates/policy/benches/request.rs
@@ -5,13 +5,13 @@
 
 fn settings() -> Settings {
     let class = Class {
-        latency_objective: Micros(500_000),
-        deadline: Micros(2_000_000),
+        latency_objective: TimeDelta::from_micros(500_000),
+        deadline: TimeDelta::from_micros(2_000_000),
         priority_weight: 1.0,
         late_priority_weight: 0.0,
         idempotency: Idempotency::Idempotent,
         key_scope: KeyScope::All,
-        key_window: Micros(0),
+        key_window: TimeDelta::from_micros(0),
         is_streaming: false,
         admission_only: false,
     };
@@ -33,9 +33,9 @@
         max_attempts: 3,
         allow_cancel: true,
         use_counter: true,
-        counter_timeout: Micros(80_000),
+        counter_timeout: TimeDelta::from_micros(80_000),
         max_request_units: 1.0,
-        timer_resolution: Micros(1_000),
+        timer_resolution: TimeDelta::from_micros(1_000),
         ..Settings::default()
     }
 }
@@ -77,7 +77,8 @@
         rig
     }
     fn tell(&mut self, event: Event) {
-        self.gateway.handle(Micros(self.now), event, &mut self.out);
+        self.gateway
+            .handle(Timestamp::from_micros(self.now), event, &mut self.out);
     }
     fn request(&mut self) {
         self.now += 200;
@@ -92,7 +93,7 @@
             id: RequestId(self.next),
             customer: CustomerId((self.next % 5_000).wrapping_mul(0x9e37_79b9_7f4a_7c15)),
             customer_gateways: 3,
-            deadline: Micros(self.now + 2_000_000),
+            deadline: Timestamp::from_micros(self.now + 2_000_000),
             units: 1.0,
             ..IncomingRequest::default()
         };
@@ -121,7 +122,7 @@
                         attempt: 0,
                         endpoint: server,
                         outcome: Outcome::Ok,
-                        elapsed: Micros(20_000),
+                        elapsed: TimeDelta::from_micros(20_000),
                         request_finished: true,
                         settled_units: None,
                         load_report: LoadReport::default(),
@@ -130,7 +131,7 @@
                 }
                 Action::SetTimer { timer: id, after } => self
                     .timers
-                    .push(std::cmp::Reverse((self.now + after.0, id.0))),
+                    .push(std::cmp::Reverse((self.now + after.as_micros(), id.0))),
                 _ => {}
             }
         }
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -2,35 +2,7 @@
 //!
 //! Nothing here decides. Ids carry no meaning beyond equality and order.
 
-use std::ops::{Add, Sub};
-
-/// A point in time or a span, in microseconds.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Micros(pub u64);
-
-impl Micros {
-    /// The span in seconds.
-    pub fn secs(self) -> f64 {
-        self.0 as f64 / 1e6
-    }
-    /// The span scaled by `k` (never below zero).
-    pub fn times(self, k: f64) -> Micros {
-        Micros((self.0 as f64 * k).max(0.0) as u64)
-    }
-}
-impl Add for Micros {
-    type Output = Micros;
-    fn add(self, o: Micros) -> Micros {
-        Micros(self.0.saturating_add(o.0))
-    }
-}
-impl Sub for Micros {
-    type Output = Micros;
-    /// Stops at zero.
-    fn sub(self, o: Micros) -> Micros {
-        Micros(self.0.saturating_sub(o.0))
-    }
-}
+pub use chalkdeck_time::{TimeDelta, Timestamp};
 
 macro_rules! id {
     ($(#[$doc:meta])* $name:ident, $inner:ty) => {
@@ -84,9 +56,9 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     /// An answer within this time earns the full worth.
-    pub latency_objective: Micros,
+    pub latency_objective: TimeDelta,
     /// How long a client waits, all tries together.
-    pub deadline: Micros,
+    pub deadline: TimeDelta,
     /// What a request is worth.
     pub priority_weight: f64,
     /// The part of the worth that an answer after the aim earns.
@@ -96,7 +68,7 @@
     /// Who drops repeats, where keyed.
     pub key_scope: KeyScope,
     /// How long they drop them, where keyed.
-    pub key_window: Micros,
+    pub key_window: TimeDelta,
     /// The answer comes as a stream.
     pub is_streaming: bool,
     /// The caller does the work itself and asks for leave only: no server is chosen.
@@ -150,29 +122,29 @@
     /// Clients receive a retry-after.
     pub send_retry_after: bool,
     /// The longest retry-after that a client follows.
-    pub max_retry_after: Micros,
+    pub max_retry_after: TimeDelta,
     /// The counter service may be called.
     pub use_counter: bool,
     /// A count call ends unanswered after this.
-    pub counter_timeout: Micros,
+    pub counter_timeout: TimeDelta,
     /// The largest request in units.
     pub max_request_units: f64,
     /// List changes must be asked for.
     pub requires_subscription: bool,
     /// A connection to a server that does not stand by then has failed: an attempt reaches its server that much later at most.
-    pub dial_timeout: Micros,
+    pub dial_timeout: TimeDelta,
     /// How long past its deadline a final answer still counts.
-    pub answer_slack: Micros,
+    pub answer_slack: TimeDelta,
     /// A server starts at no less than this part of its capacity.
     pub slow_start_min_capacity: f64,
     /// A server is warm after this.
-    pub slow_start_duration: Micros,
+    pub slow_start_duration: TimeDelta,
     /// A cold server falls over when sent this many times its present capacity,
     pub overload_multiple: f64,
     /// for this long.
-    pub overload_duration: Micros,
+    pub overload_duration: TimeDelta,
     /// The shortest gap between two calls of the module.
-    pub timer_resolution: Micros,
+    pub timer_resolution: TimeDelta,
 }
 
 /// Whether a server takes new work, as the list tells it.
@@ -200,7 +172,7 @@
     /// Its size against the others.
     pub weight: f64,
     /// When it last started; `None`: long ago.
-    pub started_at: Option<Micros>,
+    pub started_at: Option<Timestamp>,
 }
 
 /// What a list event holds.
@@ -270,7 +242,7 @@
     /// Through how many gateways this customer's requests come.
     pub customer_gateways: u32,
     /// The client gives up then.
-    pub deadline: Micros,
+    pub deadline: Timestamp,
     /// Its units.
     pub units: f64,
     /// The client repeats a try that was refused, failed or given up (where clients say so).
@@ -289,7 +261,7 @@
     /// How.
     pub outcome: Outcome,
     /// How long it was out.
-    pub elapsed: Micros,
+    pub elapsed: TimeDelta,
     /// The request has had its final answer.
     pub request_finished: bool,
     /// The true units, where they are settled afterwards.
@@ -386,14 +358,14 @@
         /// Where it goes.
         endpoint: EndpointId,
         /// When the attempt is given up.
-        deadline: Micros,
+        deadline: Timestamp,
     },
     /// Final answer: refused, with advice when to come back.
     Reject {
         /// The request.
         request: RequestId,
         /// When the client may come back.
-        retry_after: Option<Micros>,
+        retry_after: Option<TimeDelta>,
     },
     /// Leave is given: the caller does the work itself, and tells its end by `ClientGone`.
     Grant(RequestId),
@@ -415,14 +387,14 @@
         /// What is added; may be negative.
         amount: f64,
         /// How long the counter lives from its first add.
-        time_to_live: Micros,
+        time_to_live: TimeDelta,
     },
     /// Wake the module after this time.
     SetTimer {
         /// The timer to raise.
         timer: TimerId,
         /// How long from now.
-        after: Micros,
+        after: TimeDelta,
     },
     /// Ask for changes of the server list.
     Subscribe,
@@ -438,7 +410,7 @@
     /// What is left of them.
     pub remaining: f64,
     /// When all of it is there again.
-    pub resets_in: Micros,
+    pub resets_in: TimeDelta,
 }
 
 /// Settings that make no sense.
@@ -473,11 +445,11 @@
         {
             return fail("cold_from, fall_multiple, most_units: expected numbers of 0 or more");
         }
-        if !self
-            .classes
-            .iter()
-            .all(|c| sound(c.priority_weight) && sound(c.late_priority_weight) && c.deadline.0 > 0)
-        {
+        if !self.classes.iter().all(|c| {
+            sound(c.priority_weight)
+                && sound(c.late_priority_weight)
+                && c.deadline > TimeDelta::ZERO
+        }) {
             return fail("class: expected a worth of 0 or more and a deadline above 0");
         }
         for p in &self.plans {
--- a/crates/policy/src/decisions.rs
+++ b/crates/policy/src/decisions.rs
@@ -1,7 +1,7 @@
 //! Queue between carrying code and the decision module: events are handled one by one, and the actions that follow are handed out
 //! one by one. Nothing is decided here.
 
-use crate::api::{Action, Event, Micros};
+use crate::api::{Action, Event, Timestamp};
 use crate::rules::Gateway;
 use std::collections::VecDeque;
 
@@ -34,7 +34,7 @@
 
     /// The next action to carry out, or none once all events have been handled. All actions on one event come before the next
     /// event is handled.
-    pub fn next_action(&mut self, now: Micros) -> Option<Action> {
+    pub fn next_action(&mut self, now: Timestamp) -> Option<Action> {
         loop {
             if let Some(action) = self.actions.pop_front() {
                 return Some(action);
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -8,7 +8,7 @@
 
 /// The source's breaker: failures in a row that open it, and its cooldown.
 const FAILURES_TO_OPEN: f64 = 3.0;
-const COOLDOWN: Micros = Micros(5_000_000);
+const COOLDOWN: TimeDelta = TimeDelta::from_micros(5_000_000);
 /// Share of requests that ask: at first, and when a probe was answered, so many over the gateways; the least.
 /// Answers `ASK_SLOW` of the calls' time later than usual leave it; none, or twice that, move it `ASK_STEP`.
 const ASK_FIRST: f64 = 30.0;
@@ -16,16 +16,16 @@
 const ASK_SLOW: f64 = 0.12;
 const ASK_STEP: f64 = 0.2;
 /// How long a customer that was heard to be over its quota counts as such for requests that don't ask.
-const REMEMBER: Micros = Micros(15_000_000);
+const REMEMBER: TimeDelta = TimeDelta::from_micros(15_000_000);
 /// The share of repeats that ask is the share of first tries to this power.
 const REPEAT_POWER: f64 = 3.0;
 /// How long after a refusal the like of it counts as its repeat.
-const REPEAT_SPAN: Micros = Micros(1_000_000);
+const REPEAT_SPAN: TimeDelta = TimeDelta::from_micros(1_000_000);
 /// Part of a cap's places that unheard starts may fill: heard ones need the others, and starts bunch.
 const PLACES_UNHEARD: f64 = 0.5;
 /// Life of one count of attempts out, so that what a killed gateway held is forgotten; of idle customers.
-const EPOCH: Micros = Micros(5_000_000);
-const FORGET: Micros = Micros(120_000_000);
+const EPOCH: TimeDelta = TimeDelta::from_micros(5_000_000);
+const FORGET: TimeDelta = TimeDelta::from_micros(120_000_000);
 /// Weights of the newest sample, and window, in smoothed figures; time over which flow is averaged.
 const SMOOTH: f64 = 0.1;
 const CARRY: f64 = 0.3;
@@ -70,14 +70,14 @@
 const CALM_SHARE: f64 = 0.15;
 /// Outlier ejection: share of failures (one passes after seconds unseen, else four), first rest, doublings.
 const EJECT_SHARE: f64 = 0.3;
-const EJECT_FIRST: Micros = Micros(1_000_000);
+const EJECT_FIRST: TimeDelta = TimeDelta::from_micros(1_000_000);
 const EJECT_DOUBLINGS: u32 = 3;
 /// Connects to a server that fail for longer than this, with no answer between, tell of a restart.
-const UNREACHED: Micros = Micros(700_000);
+const UNREACHED: TimeDelta = TimeDelta::from_micros(700_000);
 /// A server that turned a request away is left alone for this long.
-const REST: Micros = Micros(100_000);
+const REST: TimeDelta = TimeDelta::from_micros(100_000);
 /// How long leave to send to a cold server holds where many gateways share it.
-const COLD_LEAVE: Micros = Micros(250_000);
+const COLD_LEAVE: TimeDelta = TimeDelta::from_micros(250_000);
 /// Retry budget: further attempts earned by each request, and the most saved up.
 const RETRY_SHARE: f64 = 0.2;
 const RETRY_SAVED: f64 = 20.0;
@@ -92,18 +92,18 @@
 const ELSEWHERE: f64 = 4.0;
 /// Longest wait for a free server, as part of the aim, and how often held requests are looked at.
 const HOLD_PART: f64 = 0.3;
-const HOLD_STEP: Micros = Micros(10_000);
+const HOLD_STEP: TimeDelta = TimeDelta::from_micros(10_000);
 
 /// A breaker over one way to the counter.
 #[derive(Debug, Default)]
 pub(crate) struct Breaker {
     streak: f64,
-    opened: Option<Micros>,
+    opened: Option<Timestamp>,
     probing: bool,
 }
 
 impl Breaker {
-    fn ready(&self, now: Micros) -> bool {
+    fn ready(&self, now: Timestamp) -> bool {
         self.opened
             .is_none_or(|at| !self.probing && now >= at + COOLDOWN)
     }
@@ -111,7 +111,7 @@
     fn ask(&mut self) {
         self.probing |= self.opened.is_some();
     }
-    fn failure(&mut self, now: Micros, probe: bool) {
+    fn failure(&mut self, now: Timestamp, probe: bool) {
         self.streak += 1.0;
         if (self.opened.is_none() && self.streak >= FAILURES_TO_OPEN) || (probe && self.probing) {
             (self.opened, self.probing) = (Some(now), false);
@@ -154,7 +154,7 @@
     }
 
     /// Takes one event and appends what is to be done.
-    pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Timestamp, event: Event, out: &mut Vec<Action>) {
         self.pass_time(now);
         match event {
             Event::EndpointsUpdated { scope, entries } => self.on_servers(scope, entries),
@@ -188,8 +188,8 @@
     }
 
     /// Keeps the mean of attempts out in calm, and the budget of time in flight that overload leaves of it.
-    fn pass_time(&mut self, now: Micros) {
-        let gone = (now - self.now).secs();
+    fn pass_time(&mut self, now: Timestamp) {
+        let gone = (now - self.now).as_secs_f64();
         self.now = self.now.max(now);
         let servers = self.ring.len().max(1) as f64;
         let most_out = OVERLOAD_OUT * self.calm_out * servers;
@@ -205,7 +205,7 @@
         self.pass < OVERLOAD_PASS && self.sparse() && self.floor.is_none()
     }
 
-    fn timer(&mut self, timer: Timer, after: Micros) {
+    fn timer(&mut self, timer: Timer, after: TimeDelta) {
         self.serial += 1;
         let id = TimerId(self.serial);
         self.timers.insert(id, timer);
@@ -238,20 +238,23 @@
     // ---- admission ----
 
     /// Window length and what it admits: one burst in the burst's time; under a ceiling halves of both.
-    fn window_of(&self, plan: usize) -> (Micros, f64) {
+    fn window_of(&self, plan: usize) -> (TimeDelta, f64) {
         let p = &self.set.plans[plan];
         let part = if p.ceiling_rate > 0.0 { 0.5 } else { 1.0 };
         (
-            Micros(((p.burst / p.rate) * part * 1e6).max(1.0) as u64),
+            TimeDelta::from_micros(((p.burst / p.rate) * part * 1e6).max(1.0) as u64),
             p.burst * part,
         )
     }
 
     /// The current window (or epoch) of a customer; the customer's hash shifts its edges, so that not all
     /// windows end at once.
-    fn span(&self, customer: CustomerId, length: Micros) -> (u64, Micros) {
-        let shifted = self.now.0 + mix(customer.0) % length.0;
-        (shifted / length.0, Micros(length.0 - shifted % length.0))
+    fn span(&self, customer: CustomerId, length: TimeDelta) -> (u64, TimeDelta) {
+        let shifted = self.now.as_micros() + mix(customer.0) % length.as_micros();
+        (
+            shifted / length.as_micros(),
+            TimeDelta::from_micros(length.as_micros() - shifted % length.as_micros()),
+        )
     }
 
     /// Brings a customer's counts to the present window and epoch.
@@ -316,7 +319,7 @@
             a.deadline - now - self.set.timer_resolution - self.set.timer_resolution,
         );
         let c = self.customers.entry(customer).or_default();
-        if c.used == Micros(0) {
+        if c.used == Timestamp::ZERO {
             c.beyond.at = now; // Starts empty: an earlier life of this gateway may have spent it.
         }
         (c.plan, c.spread, c.used) = (plan, f64::from(a.customer_gateways.max(1)), now);
@@ -381,10 +384,10 @@
 
     /// When to come back after a refusal that no window ends: soon, or the answer misses the aim; spread by
     /// chance and later the more is shed, so that repeats do not arrive as one wave.
-    fn soon(&mut self, class: ClassId) -> Option<Micros> {
+    fn soon(&mut self, class: ClassId) -> Option<TimeDelta> {
         let wait = self.set.classes[class.0]
             .latency_objective
-            .times(HINT_PART * self.rng.f64() * (1.0 - self.pass));
+            .mul_f64(HINT_PART * self.rng.f64() * (1.0 - self.pass));
         self.set.send_retry_after.then_some(
             wait.max(self.set.timer_resolution)
                 .min(self.set.max_retry_after),
@@ -542,20 +545,20 @@
         self.out.push(Action::AddToCounter {
             key: name,
             amount,
-            time_to_live: (length + length).min(Micros(60_000_000)),
+            time_to_live: (length + length).min(TimeDelta::from_micros(60_000_000)),
         });
     }
 
     /// A line that builds up at the counter makes asking rarer before calls fail, by half at most, once for
     /// calls that were out together. A quick answer counts for those that did not ask, too, at most fourfold.
-    fn ask_by(&mut self, took: Micros) {
-        let line = took.secs() - self.no_line;
+    fn ask_by(&mut self, took: TimeDelta) {
+        let line = took.as_secs_f64() - self.no_line;
         self.no_line += if line < 0.0 || self.no_line == 0.0 {
             line
         } else {
             line * SMOOTH / 100.0
         };
-        let slow = line.max(0.0) / (self.set.counter_timeout.secs() * ASK_SLOW).max(1e-9);
+        let slow = line.max(0.0) / (self.set.counter_timeout.as_secs_f64() * ASK_SLOW).max(1e-9);
         let step = (1.0 + ASK_STEP * (1.0 - slow)).max(0.5);
         if slow < 1.0 {
             self.ask *= step.powf(1.0 / self.ask).min(4.0);
@@ -898,24 +901,24 @@
     }
 
     /// A look at a customer's quota, which changes nothing and asks nobody.
-    pub fn standing(&self, now: Micros, customer: CustomerId, plan: PlanId) -> QuotaStatus {
+    pub fn standing(&self, now: Timestamp, customer: CustomerId, plan: PlanId) -> QuotaStatus {
         let p = &self.set.plans[plan.0];
         if p.rate <= 0.0 {
             let out = self.customers.get(&customer).map_or(0.0, |c| c.out);
             return QuotaStatus {
                 limit: p.max_concurrency,
                 remaining: (p.max_concurrency - out).max(0.0),
-                resets_in: Micros(0),
+                resets_in: TimeDelta::from_micros(0),
             };
         }
         let (length, quota) = self.window_of(plan.0);
-        let shifted = now.0 + mix(customer.0) % length.0;
+        let shifted = now.as_micros() + mix(customer.0) % length.as_micros();
         let known = self
             .customers
             .get(&customer)
-            .filter(|c| c.window.span == shifted / length.0);
+            .filter(|c| c.window.span == shifted / length.as_micros());
         let left = known.map_or(quota, |c| self.room(customer, c.window.known()));
-        let reset = Micros(length.0 - shifted % length.0);
+        let reset = TimeDelta::from_micros(length.as_micros() - shifted % length.as_micros());
         QuotaStatus {
             limit: quota,
             remaining: left.clamp(0.0, p.burst),
@@ -964,8 +967,8 @@
                 .servers
                 .get(server)
                 .is_some_and(|s| s.trial || s.fail_share > 2.0 * self.fail_share);
-        let early = r.arrived + class.latency_objective.times(1.0 - SPARE_PART);
-        let until = if again && early > now + class.latency_objective.times(SPARE_PART) {
+        let early = r.arrived + class.latency_objective.mul_f64(1.0 - SPARE_PART);
+        let until = if again && early > now + class.latency_objective.mul_f64(SPARE_PART) {
             early
         } else {
             r.a.deadline
@@ -983,8 +986,8 @@
         r.held_since = None;
         r.counted = None;
         let (units, until) = (r.a.units, until.min(r.a.deadline));
-        let look =
-            Micros((usual * STRAY_TIMES) as u64).max(class.latency_objective.times(STRAY_PART));
+        let look = TimeDelta::from_micros((usual * STRAY_TIMES) as u64)
+            .max(class.latency_objective.mul_f64(STRAY_PART));
         let look = (class.idempotency == Idempotency::Idempotent
             && !class.is_streaming
             && now + look < early)
@@ -1048,7 +1051,7 @@
             let r = &self.requests[&id];
             let longest = self.set.classes[r.a.class.0]
                 .latency_objective
-                .times(HOLD_PART);
+                .mul_f64(HOLD_PART);
             let overdue = r.held_since.is_some_and(|at| now >= at + longest);
             if let Some(server) = self.pick(id) {
                 self.send(id, server);
@@ -1070,7 +1073,7 @@
         let r = &self.requests[&id];
         let (p, c) = (&self.set.plans[r.a.plan.0], &self.customers[&r.a.customer]);
         let short = r.a.units - c.window.level(self.now, c.window.known(), p.rate, p.burst);
-        let refill = Micros((short.max(0.0) / p.rate * 1e6) as u64);
+        let refill = TimeDelta::from_micros((short.max(0.0) / p.rate * 1e6) as u64);
         let wait = soon
             .filter(|_| p.rate > 0.0)
             .map(|s| s.max(refill).min(self.set.max_retry_after));
@@ -1344,8 +1347,8 @@
         &mut self,
         server: EndpointId,
         outcome: Outcome,
-        took: Micros,
-        aim: Micros,
+        took: TimeDelta,
+        aim: TimeDelta,
         stray: bool,
     ) {
         let now = self.now;
@@ -1358,17 +1361,17 @@
         self.out_now = (self.out_now - 1.0).max(0.0);
         // Guards against servers that hold too much and work worse for it, by overload or by a trouble of
         // their own: the bound gives way fast and comes back slowly. May hurt just after short stalls.
-        let held = took + Micros(2 * s.latency as u64);
+        let held = took + TimeDelta::from_micros(2 * s.latency as u64);
         let late =
-            matches!(outcome, Outcome::Ok | Outcome::Cancelled) && held > aim.times(LATE_PART);
+            matches!(outcome, Outcome::Ok | Outcome::Cancelled) && held > aim.mul_f64(LATE_PART);
         let unheard = matches!(outcome, Outcome::Cancelled | Outcome::Timeout) && stray;
         let jammed = !unheard && (late || matches!(outcome, Outcome::Rejected | Outcome::Timeout));
-        s.quick += u64::from(outcome == Outcome::Ok && took < aim.times(GROW_PART));
+        s.quick += u64::from(outcome == Outcome::Ok && took < aim.mul_f64(GROW_PART));
         // A late answer now and then is the work's own time: the more of them come, the more each one tells.
         // Guards against a throttle outlasting its cause where few answers come: good news weighs by the time
         // since the last, here and in a server's usual time.
-        let fresh =
-            1.0 - (-(now - std::mem::replace(&mut self.judged, now)).secs() / FLOW_SPAN).exp();
+        let fresh = 1.0
+            - (-(now - std::mem::replace(&mut self.judged, now)).as_secs_f64() / FLOW_SPAN).exp();
         let news = if jammed { SMOOTH } else { SMOOTH.max(fresh) };
         self.late_share += news * (f64::from(u8::from(jammed)) - self.late_share);
         let late = (self.late_share / PASS_LATE).min(1.0);
@@ -1386,7 +1389,7 @@
             s.limit = (s.limit * LIMIT_CUT).max(LIMIT_LEAST);
         } else if outcome == Outcome::Ok
             && s.out + 1.0 >= (s.limit * scale).floor()
-            && took < aim.times(GROW_PART)
+            && took < aim.mul_f64(GROW_PART)
         {
             s.limit += LIMIT_GROW;
             self.calm_out *= if overloaded { CALM_GROW } else { 1.0 };
@@ -1406,11 +1409,11 @@
         // Guards against jams at single servers that nobody notices: late answers count as failures do, and
         // the longer ago the last evidence, the more the newest weighs, so a gateway that sees a server once
         // in seconds puts it aside at once. May hurt one after a long piece of work: it rests for a second.
-        let weight = SMOOTH.max(1.0 - (-(now - s.judged).secs() / FLOW_SPAN).exp());
+        let weight = SMOOTH.max(1.0 - (-(now - s.judged).as_secs_f64() / FLOW_SPAN).exp());
         s.judged = now;
         s.fail_share += weight * (f64::from(u8::from(bad)) - s.fail_share);
         if outcome == Outcome::Ok {
-            let sample = took.0 as f64;
+            let sample = took.as_micros() as f64;
             for (smooth, weight) in [(&mut s.latency, weight), (&mut self.latency, SMOOTH)] {
                 *smooth = if *smooth == 0.0 {
                     sample
@@ -1451,7 +1454,7 @@
         // of line only against the others, or overload would eject them one by one.
         let out_of_line = unmade || s.fail_share > EJECT_SHARE.max(2.0 * self.fail_share);
         if now >= s.ejected_until && (out_of_line || s.trial) {
-            s.ejected_until = now + EJECT_FIRST.times(f64::from(1 << s.ejections) * jitter);
+            s.ejected_until = now + EJECT_FIRST.mul_f64(f64::from(1 << s.ejections) * jitter);
             s.ejections = (s.ejections + 1).min(EJECT_DOUBLINGS);
             s.trial = true;
         }
@@ -1459,7 +1462,7 @@
 
     /// Units a second that this gateway sends on, over the last moments.
     fn flow_rate(&self) -> f64 {
-        self.flow.level / FLOW_SPAN * (-(self.now - self.flow.at).secs() / FLOW_SPAN).exp()
+        self.flow.level / FLOW_SPAN * (-(self.now - self.flow.at).as_secs_f64() / FLOW_SPAN).exp()
     }
 
     /// Guards against pushing over a cold server: it is given the work that a warm one of its size gets from
@@ -1500,12 +1503,12 @@
             }
             let part = set.slow_start_min_capacity
                 + (1.0 - set.slow_start_min_capacity)
-                    * ((now - since).secs() / set.slow_start_duration.secs());
+                    * ((now - since).as_secs_f64() / set.slow_start_duration.as_secs_f64());
             s.cold_room.rate =
                 per_weight * s.weight * part * (set.overload_multiple / 2.0).min(1.0);
             s.cold_room.fill(now);
             // Guards against hundreds of gateways that each saved up one request: unused, leave soon lapses.
-            if many && s.cold_room.level > s.cold_room.rate * COLD_LEAVE.secs() {
+            if many && s.cold_room.level > s.cold_room.rate * COLD_LEAVE.as_secs_f64() {
                 s.cold_room.level = -set.max_request_units;
             }
         }
@@ -1513,7 +1516,7 @@
 
     fn on_servers(&mut self, scope: UpdateScope, entries: Vec<EndpointEntry>) {
         if scope == UpdateScope::Unavailable {
-            let wait = Micros(500_000 + self.rng.u64(0..500_000));
+            let wait = TimeDelta::from_micros(500_000 + self.rng.u64(0..500_000));
             return self.timer(Timer::Resubscribe, wait);
         }
         if scope == UpdateScope::Complete {
@@ -1556,7 +1559,7 @@
             .values()
             .filter(|s| s.cold_since.is_some())
             .count();
-        self.summed = (Micros(0), 0.0);
+        self.summed = (Timestamp::ZERO, 0.0);
         self.serve_held();
     }
 
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -11,15 +11,15 @@
     pub(crate) level: f64,
     pub(crate) depth: f64,
     pub(crate) rate: f64,
-    pub(crate) at: Micros,
+    pub(crate) at: Timestamp,
 }
 
 impl TokenBucket {
-    pub(crate) fn fill(&mut self, now: Micros) {
-        self.level = (self.level + self.rate * (now - self.at).secs()).min(self.depth);
+    pub(crate) fn fill(&mut self, now: Timestamp) {
+        self.level = (self.level + self.rate * (now - self.at).as_secs_f64()).min(self.depth);
         self.at = now.max(self.at);
     }
-    pub(crate) fn take(&mut self, now: Micros, units: f64) -> bool {
+    pub(crate) fn take(&mut self, now: Timestamp, units: f64) -> bool {
         self.fill(now);
         let enough = self.level >= units;
         if enough {
@@ -39,7 +39,7 @@
 /// One call to the counter whose answer is still to come.
 #[derive(Debug)]
 pub(crate) struct Call {
-    pub(crate) sent: Micros,
+    pub(crate) sent: Timestamp,
     pub(crate) purpose: Purpose,
     pub(crate) customer: CustomerId,
     pub(crate) span: u64,
@@ -67,7 +67,7 @@
     /// The customer's store when the total was `base`, at that time.
     pub(crate) store: f64,
     pub(crate) base: f64,
-    pub(crate) at: Micros,
+    pub(crate) at: Timestamp,
 }
 
 impl Tally {
@@ -76,8 +76,8 @@
         self.seen + self.owed + self.posting
     }
     /// The store by a total, filled at `rate` up to `burst` since it was last looked at.
-    pub(crate) fn level(&self, now: Micros, total: f64, rate: f64, burst: f64) -> f64 {
-        (self.store + rate * (now - self.at).secs()).min(burst) - (total - self.base)
+    pub(crate) fn level(&self, now: Timestamp, total: f64, rate: f64, burst: f64) -> f64 {
+        (self.store + rate * (now - self.at).as_secs_f64()).min(burst) - (total - self.base)
     }
 }
 
@@ -86,14 +86,14 @@
 pub(crate) struct Refusal {
     pub(crate) class: ClassId,
     pub(crate) units: f64,
-    pub(crate) at: Micros,
+    pub(crate) at: Timestamp,
 }
 
 #[derive(Debug, Default)]
 pub(crate) struct Customer {
     pub(crate) refused: Option<Refusal>,
     /// When it was last heard to be over its quota, if it was at the last total heard.
-    pub(crate) full: Option<Micros>,
+    pub(crate) full: Option<Timestamp>,
     pub(crate) plan: usize,
     pub(crate) spread: f64,
     pub(crate) window: Tally,
@@ -108,13 +108,13 @@
     pub(crate) breaker: Breaker,
     /// Own attempts out (of a plan that caps them).
     pub(crate) out: f64,
-    pub(crate) used: Micros,
+    pub(crate) used: Timestamp,
 }
 
 #[derive(Debug, Clone)]
 pub(crate) struct Attempt {
     pub(crate) server: EndpointId,
-    pub(crate) sent: Micros,
+    pub(crate) sent: Timestamp,
     pub(crate) out: bool,
     pub(crate) may_have_run: bool,
     /// Quick answers of its server when it was sent.
@@ -124,7 +124,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Request {
     pub(crate) a: IncomingRequest,
-    pub(crate) arrived: Micros,
+    pub(crate) arrived: Timestamp,
     pub(crate) attempts: Vec<Attempt>,
     /// Window whose count holds what this request added, and that, until the first send.
     pub(crate) counted: Option<(u64, f64)>,
@@ -132,7 +132,7 @@
     pub(crate) holds_place: bool,
     /// Count calls made for it whose answers are still to come.
     pub(crate) asking: u32,
-    pub(crate) held_since: Option<Micros>,
+    pub(crate) held_since: Option<Timestamp>,
     pub(crate) streaming: bool,
     /// Its body went with the first attempt.
     pub(crate) body_gone: bool,
@@ -157,15 +157,15 @@
     pub(crate) limit: f64,
     pub(crate) fail_share: f64,
     /// When its share of failures was last brought up to date.
-    pub(crate) judged: Micros,
-    pub(crate) ejected_until: Micros,
+    pub(crate) judged: Timestamp,
+    pub(crate) ejected_until: Timestamp,
     pub(crate) ejections: u32,
     pub(crate) trial: bool,
     /// Its answers early against the aim.
     pub(crate) quick: u64,
     /// The first and the last of the failed connects since it answered.
-    pub(crate) unreached: Option<(Micros, Micros)>,
-    pub(crate) cold_since: Option<Micros>,
+    pub(crate) unreached: Option<(Timestamp, Timestamp)>,
+    pub(crate) cold_since: Option<Timestamp>,
     pub(crate) cold_room: TokenBucket,
 }
 
@@ -232,7 +232,7 @@
 pub struct Gateway {
     pub(crate) set: Settings,
     pub(crate) rng: fastrand::Rng,
-    pub(crate) now: Micros,
+    pub(crate) now: Timestamp,
     pub(crate) out: Vec<Action>,
     pub(crate) breaker: Breaker,
     /// Share of requests of usual worth that ask the counter, and that worth.
@@ -241,10 +241,10 @@
     /// What the counter takes with no line before it, in seconds.
     pub(crate) no_line: f64,
     /// When that share was last cut.
-    pub(crate) ask_cut: Micros,
+    pub(crate) ask_cut: Timestamp,
     pub(crate) last_failed: Option<CustomerId>,
     /// When the counter last answered.
-    pub(crate) heard_at: Micros,
+    pub(crate) heard_at: Timestamp,
     pub(crate) calls: FxHashMap<CounterKey, VecDeque<Call>>,
     pub(crate) customers: FxHashMap<CustomerId, Customer>,
     pub(crate) requests: FxHashMap<RequestId, Request>,
@@ -252,7 +252,7 @@
     /// Servers that may be cold.
     pub(crate) cold: usize,
     /// When the bounds of the own part were last summed, and their sum.
-    pub(crate) summed: (Micros, f64),
+    pub(crate) summed: (Timestamp, f64),
     /// Places of the listed servers, in an order that all gateways share.
     pub(crate) ring: Vec<usize>,
     pub(crate) timers: FxHashMap<TimerId, Timer>,
@@ -269,7 +269,7 @@
     pub(crate) fail_share: f64,
     pub(crate) late_share: f64,
     /// When the last attempt was judged.
-    pub(crate) judged: Micros,
+    pub(crate) judged: Timestamp,
     /// Part of the requests of usual worth that the servers can take, and the usual worth.
     pub(crate) pass: f64,
     pub(crate) usual_worth: f64,
--- a/crates/policy/tests/caller.rs
+++ b/crates/policy/tests/caller.rs
@@ -85,7 +85,7 @@
     assert!(granted(&out, a));
     let standing = rig
         .gateway
-        .standing(Micros(rig.now), CustomerId(5), PlanId(0));
+        .standing(Timestamp::from_micros(rig.now), CustomerId(5), PlanId(0));
     assert_eq!((standing.limit, standing.remaining), (20.0, 16.0));
     rig.tell(Event::UnitsSettled {
         request: a,
@@ -94,7 +94,7 @@
     rig.tell(Event::ClientDisconnected(a));
     let standing = rig
         .gateway
-        .standing(Micros(rig.now), CustomerId(5), PlanId(0));
+        .standing(Timestamp::from_micros(rig.now), CustomerId(5), PlanId(0));
     assert_eq!(standing.remaining, 19.0);
     let (_, out) = rig.request(OWN, 0, 5, 2.0);
     assert_eq!(
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -9,13 +9,13 @@
 
 pub fn class(effect: Idempotency, group: KeyScope) -> Class {
     Class {
-        latency_objective: Micros(800 * MS),
-        deadline: Micros(3 * S),
+        latency_objective: TimeDelta::from_micros(800 * MS),
+        deadline: TimeDelta::from_micros(3 * S),
         priority_weight: 1.0,
         late_priority_weight: 0.0,
         idempotency: effect,
         key_scope: group,
-        key_window: Micros(S),
+        key_window: TimeDelta::from_micros(S),
         is_streaming: false,
         admission_only: false,
     }
@@ -64,16 +64,16 @@
         max_attempts: 4,
         allow_cancel: true,
         send_retry_after: true,
-        max_retry_after: Micros(2 * S),
+        max_retry_after: TimeDelta::from_micros(2 * S),
         use_counter: true,
-        counter_timeout: Micros(80 * MS),
+        counter_timeout: TimeDelta::from_micros(80 * MS),
         max_request_units: 4.0,
-        answer_slack: Micros(8 * MS),
+        answer_slack: TimeDelta::from_micros(8 * MS),
         slow_start_min_capacity: 0.2,
-        slow_start_duration: Micros(10 * S),
+        slow_start_duration: TimeDelta::from_micros(10 * S),
         overload_multiple: 2.0,
-        overload_duration: Micros(S),
-        timer_resolution: Micros(2 * MS),
+        overload_duration: TimeDelta::from_micros(S),
+        timer_resolution: TimeDelta::from_micros(2 * MS),
         ..Settings::default()
     }
 }
@@ -111,10 +111,11 @@
     /// Tells one event and returns what it led to.
     pub fn tell(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        self.gateway.handle(Micros(self.now), event, &mut out);
+        self.gateway
+            .handle(Timestamp::from_micros(self.now), event, &mut out);
         for action in &out {
             if let Action::SetTimer { timer: id, after } = action {
-                self.timers.push((self.now + after.0, *id));
+                self.timers.push((self.now + after.as_micros(), *id));
             }
         }
         self.done.extend(out.iter().cloned());
@@ -145,7 +146,7 @@
     ) -> (RequestId, Vec<Action>) {
         let id = RequestId(self.next);
         self.next += 1;
-        let deadline = Micros(self.now + 3 * S);
+        let deadline = Timestamp::from_micros(self.now + 3 * S);
         let (class, plan, customer) = (ClassId(class), PlanId(plan), CustomerId(customer));
         let arrival = IncomingRequest {
             id,
@@ -183,7 +184,7 @@
         took: u64,
     ) -> Vec<Action> {
         let ended = matches!(outcome, Outcome::Ok | Outcome::Cancelled);
-        let (took, report) = (Micros(took), LoadReport::default());
+        let (took, report) = (TimeDelta::from_micros(took), LoadReport::default());
         let end = AttemptResult {
             id,
             attempt,
@@ -205,7 +206,7 @@
         cell: CellId(u64::from(i) / 2),
         state: listed,
         weight: 1.0,
-        started_at: started.map(Micros),
+        started_at: started.map(Timestamp::from_micros),
     }
 }
 
--- a/crates/policy/tests/recording/mod.rs
+++ b/crates/policy/tests/recording/mod.rs
@@ -216,7 +216,8 @@
     fn tell(&mut self, event: Event) {
         self.count("events");
         let mut actions = Vec::new();
-        self.gateway.handle(Micros(self.now), event, &mut actions);
+        self.gateway
+            .handle(Timestamp::from_micros(self.now), event, &mut actions);
         for action in actions {
             self.carry_out(action);
         }
@@ -234,15 +235,21 @@
                 endpoint: server,
                 deadline: until,
             } => {
-                self.record("send", &format!("{} {} {}", id.0, server.0, until.0));
-                self.send(id, server, until.0);
+                self.record(
+                    "send",
+                    &format!("{} {} {}", id.0, server.0, until.as_micros()),
+                );
+                self.send(id, server, until.as_micros());
             }
             Action::Reject {
                 request: id,
                 retry_after: advice,
             } => {
-                self.record("refuse", &format!("{} {:?}", id.0, advice.map(|a| a.0)));
-                self.retry_later(id, advice.map_or(300 * MILLISECOND, |a| a.0));
+                self.record(
+                    "refuse",
+                    &format!("{} {:?}", id.0, advice.map(|a| a.as_micros())),
+                );
+                self.retry_later(id, advice.map_or(300 * MILLISECOND, |a| a.as_micros()));
             }
             Action::Fail(id) => {
                 self.record("fail", &id.0.to_string());
@@ -273,8 +280,11 @@
                 amount,
                 time_to_live: lifetime,
             } => {
-                self.record("count", &format!("{} {amount} {}", name.0, lifetime.0));
-                let timeout = self.settings.counter_timeout.0;
+                self.record(
+                    "count",
+                    &format!("{} {amount} {}", name.0, lifetime.as_micros()),
+                );
+                let timeout = self.settings.counter_timeout.as_micros();
                 let answer = self
                     .counter
                     .add(name, amount, self.now, timeout, &mut self.random);
@@ -286,8 +296,8 @@
                 self.schedule_at(answer.at, what);
             }
             Action::SetTimer { timer: id, after } => {
-                self.record("timer", &format!("{} {}", id.0, after.0));
-                self.schedule(after.0, Pending::TimerDue(id));
+                self.record("timer", &format!("{} {}", id.0, after.as_micros()));
+                self.schedule(after.as_micros(), Pending::TimerDue(id));
             }
             Action::Subscribe => {
                 self.record("subscribe", "");
@@ -316,7 +326,9 @@
             plan: PlanId(customer as usize % self.settings.plans.len()),
             customer: CustomerId(customer),
             customer_gateways: spread,
-            deadline: Micros(self.now + self.settings.classes[class.0].deadline.0),
+            deadline: Timestamp::from_micros(
+                self.now + self.settings.classes[class.0].deadline.as_micros(),
+            ),
             units: f64::from(self.random.u32(1..=4)),
             is_retry: false,
         };
@@ -353,7 +365,9 @@
             return;
         }
         let resent = self.random.f64() < 0.7;
-        let deadline = Micros(self.now + after + self.settings.classes[again.class.0].deadline.0);
+        let deadline = Timestamp::from_micros(
+            self.now + after + self.settings.classes[again.class.0].deadline.as_micros(),
+        );
         self.schedule(
             after,
             Pending::Arrives(IncomingRequest {
@@ -410,7 +424,7 @@
             return;
         };
         open.is_open = false;
-        let (server, took) = (open.server, Micros(self.now - open.sent));
+        let (server, took) = (open.server, TimeDelta::from_micros(self.now - open.sent));
         request.is_answered |= outcome == Outcome::Ok;
         let ended = request.is_answered;
         if let Some(state) = self.servers.get_mut(&server.0) {
--- a/crates/policy/tests/recording/peers.rs
+++ b/crates/policy/tests/recording/peers.rs
@@ -1,7 +1,7 @@
 //! Simulated counter and servers, with faults that come and go.
 
 use chalkdeck::api::{
-    CellId, CounterKey, EndpointEntry, EndpointId, EndpointState, Micros, Outcome, ZoneId,
+    CellId, CounterKey, EndpointEntry, EndpointId, EndpointState, Outcome, Timestamp, ZoneId,
 };
 use std::collections::HashMap;
 
@@ -15,7 +15,7 @@
         cell: CellId(number / 2),
         state: listed,
         weight: 1.0 + (number % 3) as f64 * 0.5,
-        started_at: started.map(Micros),
+        started_at: started.map(Timestamp::from_micros),
     }
 }
 
--- a/crates/policy/tests/recording/settings.rs
+++ b/crates/policy/tests/recording/settings.rs
@@ -7,13 +7,13 @@
 fn class(effect: Idempotency, group: KeyScope, random: &mut fastrand::Rng) -> Class {
     let aim = random.u64(200..900) * MILLISECOND;
     Class {
-        latency_objective: Micros(aim),
-        deadline: Micros(aim * random.u64(2..5)),
+        latency_objective: TimeDelta::from_micros(aim),
+        deadline: TimeDelta::from_micros(aim * random.u64(2..5)),
         priority_weight: 0.2 + random.f64() * 3.0,
         late_priority_weight: random.f64() * 0.3,
         idempotency: effect,
         key_scope: group,
-        key_window: Micros(random.u64(300..3_000) * MILLISECOND),
+        key_window: TimeDelta::from_micros(random.u64(300..3_000) * MILLISECOND),
         is_streaming: false,
         admission_only: false,
     }
@@ -87,17 +87,17 @@
         allow_cancel: random.f64() < 0.8,
         allow_probes: random.bool(),
         send_retry_after: random.f64() < 0.8,
-        max_retry_after: Micros(2 * SECOND),
+        max_retry_after: TimeDelta::from_micros(2 * SECOND),
         use_counter: random.f64() < 0.85,
-        counter_timeout: Micros(80 * MILLISECOND),
+        counter_timeout: TimeDelta::from_micros(80 * MILLISECOND),
         max_request_units: 4.0,
         requires_subscription: random.bool(),
-        dial_timeout: Micros(random.u64(..200) * MILLISECOND),
-        answer_slack: Micros(8 * MILLISECOND),
+        dial_timeout: TimeDelta::from_micros(random.u64(..200) * MILLISECOND),
+        answer_slack: TimeDelta::from_micros(8 * MILLISECOND),
         slow_start_min_capacity: 0.2,
-        slow_start_duration: Micros(random.u64(2..10) * SECOND),
+        slow_start_duration: TimeDelta::from_micros(random.u64(2..10) * SECOND),
         overload_multiple: 2.0,
-        overload_duration: Micros(SECOND),
-        timer_resolution: Micros(2 * MILLISECOND),
+        overload_duration: TimeDelta::from_micros(SECOND),
+        timer_resolution: TimeDelta::from_micros(2 * MILLISECOND),
     }
 }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -70,7 +70,7 @@
 #[test]
 fn a_keyed_request_is_not_repeated_after_its_window_and_not_refused() {
     let mut set = settings();
-    set.classes[1].key_window = Micros(100 * MS);
+    set.classes[1].key_window = TimeDelta::from_micros(100 * MS);
     let mut rig = Rig::new(set, 8);
     let (id, server) = rig.sent(1);
     rig.pass(100 * MS);
@@ -82,7 +82,10 @@
 fn a_keyed_request_is_not_repeated_where_its_connection_could_come_up_after_the_window() {
     for (after, again) in [(100, true), (160, false)] {
         let mut set = settings();
-        (set.classes[1].key_window, set.dial_timeout) = (Micros(400 * MS), Micros(250 * MS));
+        (set.classes[1].key_window, set.dial_timeout) = (
+            TimeDelta::from_micros(400 * MS),
+            TimeDelta::from_micros(250 * MS),
+        );
         let mut rig = Rig::new(set, 8);
         let (id, server) = rig.sent(1);
         rig.pass(after * MS);
--- a/crates/policy/tests/scale.rs
+++ b/crates/policy/tests/scale.rs
@@ -20,7 +20,7 @@
 fn wide(rig: &mut Rig, resent: bool) -> (RequestId, Vec<Action>) {
     let id = RequestId(rig.next);
     rig.next += 1;
-    let deadline = Micros(rig.now + 3 * S);
+    let deadline = Timestamp::from_micros(rig.now + 3 * S);
     let (class, plan, customer) = (ClassId(0), PlanId(0), CustomerId(rig.next));
     let arrival = IncomingRequest {
         id,
@@ -137,7 +137,7 @@
 fn unheard(rig: &mut Rig, plan: usize) -> (RequestId, Vec<Action>) {
     let id = RequestId(rig.next);
     rig.next += 1;
-    let deadline = Micros(rig.now + 3 * S);
+    let deadline = Timestamp::from_micros(rig.now + 3 * S);
     let (plan, customer) = (PlanId(plan), CustomerId(9));
     let a = IncomingRequest {
         id,
@@ -296,11 +296,11 @@
             hints.len()
         );
         assert!(hints.iter().all(|h| h.is_some() == retry_after));
-        let mut waits: Vec<Micros> = hints.into_iter().flatten().collect();
+        let mut waits: Vec<TimeDelta> = hints.into_iter().flatten().collect();
         assert!(
             waits
                 .iter()
-                .all(|w| *w > Micros(0) && *w < Micros(240 * MS)),
+                .all(|w| *w > TimeDelta::from_micros(0) && *w < TimeDelta::from_micros(240 * MS)),
             "well within the aim"
         );
         waits.dedup();
--- a/crates/policy/tests/servers.rs
+++ b/crates/policy/tests/servers.rs
@@ -206,7 +206,7 @@
                 ..
             } = a
             {
-                Some((*s, until.0 - now))
+                Some((*s, until.as_micros() - now))
             } else {
                 None
             }
@@ -252,7 +252,11 @@
         request: id,
         attempt: 0
     }));
-    let (outcome, report, took) = (Outcome::Cancelled, LoadReport::default(), Micros(300 * MS));
+    let (outcome, report, took) = (
+        Outcome::Cancelled,
+        LoadReport::default(),
+        TimeDelta::from_micros(300 * MS),
+    );
     let end = AttemptResult {
         id,
         attempt: 0,
--- a/crates/policy/tests/window.rs
+++ b/crates/policy/tests/window.rs
@@ -56,7 +56,7 @@
     else {
         panic!("refused with advice: {out:?}");
     };
-    assert!(wait.0 > 0 && wait.0 <= 2 * S);
+    assert!(wait.as_micros() > 0 && wait.as_micros() <= 2 * S);
     assert!(sends(&out).is_empty());
     // Nobody could use what the add takes up: it goes back with the next call, no call is spent on it.
     assert!(adds(&out).is_empty());
@@ -176,7 +176,7 @@
         } if *refused == id => *back,
         _ => None,
     });
-    let back = back.expect("it is refused with a time").0;
+    let back = back.expect("it is refused with a time").as_micros();
     assert!((380 * MS..=400 * MS).contains(&back), "{back}");
 }
 
--- a/crates/resp-gateway/src/config/tests.rs
+++ b/crates/resp-gateway/src/config/tests.rs
@@ -33,7 +33,7 @@
         (
             set.plans[0].rate,
             set.classes[0].priority_weight,
-            set.slow_start_duration.0
+            set.slow_start_duration.as_micros()
         ),
         (3.5, 2.0, 18_000_000)
     );
--- a/crates/resp-gateway/src/list.rs
+++ b/crates/resp-gateway/src/list.rs
@@ -1,6 +1,6 @@
 //! The list of backends as discovery tells it.
 
-use chalkdeck::api::{CellId, EndpointEntry, EndpointState, Micros};
+use chalkdeck::api::{CellId, EndpointEntry, EndpointState, Timestamp};
 use chalkdeck_simulator_adapter::settings::{server_id, zone_id};
 use serde::Deserialize;
 use serde_json::Value;
@@ -136,7 +136,8 @@
         cell: CellId(e.group),
         state: listed,
         weight: e.weight.filter(|w| w.is_finite()).unwrap_or(1.0),
-        started_at: (e.since_ms > 0).then(|| Micros(e.since_ms.saturating_mul(1_000))),
+        started_at: (e.since_ms > 0)
+            .then(|| Timestamp::from_micros(e.since_ms.saturating_mul(1_000))),
     };
     Ok(Server { address, entry })
 }
--- a/crates/resp-gateway/src/request.rs
+++ b/crates/resp-gateway/src/request.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use chalkdeck::api::{
-    ClassId, CustomerId, Idempotency, IncomingRequest, Micros, PlanId, RequestId, Settings,
+    ClassId, CustomerId, Idempotency, IncomingRequest, PlanId, RequestId, Settings, Timestamp,
 };
 use chalkdeck_resp::push_command;
 use chalkdeck_simulator_adapter::settings::Read;
@@ -209,7 +209,7 @@
     let time = f.time.ok_or(RequestError::Time)?;
     let wait = whole("d", Some(time), 1, u64::MAX / 1_000)?
         .saturating_mul(1_000)
-        .min(kind.deadline.0);
+        .min(kind.deadline.as_micros());
     let units = f
         .units
         .and_then(|u| u.parse::<f64>().ok())
@@ -232,7 +232,7 @@
         plan: PlanId(*plan),
         customer: CustomerId(customer),
         customer_gateways: spread as u32,
-        deadline: Micros(now + wait),
+        deadline: Timestamp::from_micros(now + wait),
         units,
         is_retry: resent,
     };
--- a/crates/resp-gateway/src/shell.rs
+++ b/crates/resp-gateway/src/shell.rs
@@ -10,8 +10,8 @@
 use crate::request::{self, Command, RequestError};
 use bytes::Bytes;
 use chalkdeck::api::{
-    Action, AttemptResult, EndpointId, Event, LoadReport, Micros, Outcome, RequestId,
-    SettingsError, TimerId, UpdateScope,
+    Action, AttemptResult, EndpointId, Event, LoadReport, Outcome, RequestId, SettingsError,
+    TimeDelta, TimerId, Timestamp, UpdateScope,
 };
 use chalkdeck::decisions::Decisions;
 use chalkdeck::rules::Gateway;
@@ -150,7 +150,7 @@
         let memory = config.limits.memory_mb * 1e6;
         let counter = config
             .counter
-            .map(|a| Counter::new(a, config.settings().counter_timeout.0));
+            .map(|a| Counter::new(a, config.settings().counter_timeout.as_micros()));
         let mut shell = Shell {
             engine,
             decisions: Decisions::new(gateway),
@@ -228,7 +228,7 @@
             .settings()
             .classes
             .iter()
-            .map(|c| c.deadline.0)
+            .map(|c| c.deadline.as_micros())
             .max()
             .unwrap_or(0)
     }
@@ -401,7 +401,10 @@
     // ---- between the decisions and the sockets ----
 
     fn settle(&mut self) {
-        while let Some(action) = self.decisions.next_action(Micros(self.engine.now())) {
+        while let Some(action) = self
+            .decisions
+            .next_action(Timestamp::from_micros(self.engine.now()))
+        {
             self.act(action);
         }
     }
@@ -412,13 +415,13 @@
                 request: id,
                 endpoint: server,
                 deadline: until,
-            } => self.send(id, server, until.0),
+            } => self.send(id, server, until.as_micros()),
             Action::Reject {
                 request: id,
                 retry_after: back,
             } => {
                 let line = match back {
-                    Some(after) => format!("BUSY {}", after.0.div_ceil(1_000)),
+                    Some(after) => format!("BUSY {}", after.as_micros().div_ceil(1_000)),
                     None => "BUSY".to_string(),
                 };
                 self.answer(id, Frame::Error(line.into()));
@@ -445,7 +448,7 @@
                 else {
                     return;
                 };
-                let (told, dialled) = counter.add(engine, name, amount, life.0);
+                let (told, dialled) = counter.add(engine, name, amount, life.as_micros());
                 let dial_timeout = self.config.dial_timeout;
                 dialled
                     .into_iter()
@@ -453,7 +456,9 @@
                 self.watch_counts();
                 self.counted(told);
             }
-            Action::SetTimer { timer, after } => self.due_in(after.0, TimerPurpose::Policy(timer)),
+            Action::SetTimer { timer, after } => {
+                self.due_in(after.as_micros(), TimerPurpose::Policy(timer))
+            }
             Action::Probe(server) => {
                 self.decisions.push(Event::ProbeCompleted {
                     endpoint: server,
@@ -513,7 +518,7 @@
             attempt: attempt.number,
             endpoint: server,
             outcome,
-            elapsed: Micros(took),
+            elapsed: TimeDelta::from_micros(took),
             request_finished: served,
             settled_units: None,
             load_report: report,
@@ -580,7 +585,7 @@
             Ok(read) => read,
             Err(why) => return Some(error(&why.to_string())),
         };
-        arrival.deadline.0 = arrival.deadline.0.min(self.ends_by());
+        arrival.deadline = arrival.deadline.min(Timestamp::from_micros(self.ends_by()));
         if self.ids.contains_key(command.id()) {
             return Some(error(&RequestError::IdTaken.to_string()));
         }
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -1,6 +1,6 @@
 //! The name=value parts of a message, read one by one.
 
-use chalkdeck::api::{LoadReport, Micros, Outcome};
+use chalkdeck::api::{LoadReport, Outcome, TimeDelta};
 use std::collections::HashMap;
 use std::fmt::Display;
 use std::str::FromStr;
@@ -78,8 +78,8 @@
             v => Ok(v.unwrap_or(default)),
         }
     }
-    pub(crate) fn micros_or(&self, name: &str, default: u64) -> Result<Micros> {
-        self.whole_or(name, default).map(Micros)
+    pub(crate) fn micros_or(&self, name: &str, default: u64) -> Result<TimeDelta> {
+        self.whole_or(name, default).map(TimeDelta::from_micros)
     }
     pub(crate) fn flag_or(&self, name: &str, default: bool) -> Result<bool> {
         match self.pairs.get(name) {
--- a/crates/simulator-adapter/src/settings.rs
+++ b/crates/simulator-adapter/src/settings.rs
@@ -56,9 +56,9 @@
     for i in 0..list("classes")? {
         let key = |k: &str| format!("classes.{i}.{k}");
         classes.insert(f.text(&key("name"))?.to_string(), i);
-        let deadline = Micros(f.whole(&key("deadline"))?);
+        let deadline = TimeDelta::from_micros(f.whole(&key("deadline"))?);
         class_list.push(Class {
-            latency_objective: f.micros_or(&key("on_time"), deadline.0)?,
+            latency_objective: f.micros_or(&key("on_time"), deadline.as_micros())?,
             deadline,
             priority_weight: f.real_or(&key("credit"), 1.0)?,
             late_priority_weight: f.real_or(&key("late_share"), 0.0)?,
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -73,10 +73,11 @@
                 _ => return f.fail("status", "in_service, terminating or terminated"),
             },
             weight: f.real_or("heft", 1.0)?,
-            started_at: Some(f.micros_or("last_start", 0)?).filter(|s| s.0 > 0),
+            started_at: Some(Timestamp::from_micros(f.whole_or("last_start", 0)?))
+                .filter(|at| *at > Timestamp::ZERO),
         })
     }
-    fn event(&mut self, f: &Fields, now: Micros) -> Result<Option<Event>> {
+    fn event(&mut self, f: &Fields, now: Timestamp) -> Result<Option<Event>> {
         Ok(Some(match f.message {
             "KNOCK" => {
                 let class = *self
@@ -103,7 +104,7 @@
                     customer_gateways: f.real_or("doors", 1.0)?.clamp(1.0, 1e6) as u32,
                     deadline: f
                         .read("drop_dead", "a clock time")?
-                        .map_or(now + longest, Micros),
+                        .map_or(now + longest, Timestamp::from_micros),
                     units,
                     is_retry: f.flag_or("resent", false)?,
                 })
@@ -148,7 +149,7 @@
                     "ROUTE ref={} backend={} abandon_at={}",
                     r.0,
                     name(s),
-                    until.0
+                    until.as_micros()
                 )
             }
             Action::Reject {
@@ -158,7 +159,7 @@
             Action::Reject {
                 request: r,
                 retry_after: Some(b),
-            } => writeln!(out, "REJECT ref={} backoff={}", r.0, b.0),
+            } => writeln!(out, "REJECT ref={} backoff={}", r.0, b.as_micros()),
             // The bench has no callers that do their own work.
             Action::Grant(_) => Ok(()),
             Action::Fail(r) => writeln!(out, "FINISH_ERROR ref={}", r.0),
@@ -175,11 +176,12 @@
                 writeln!(
                     out,
                     "ADD_AND_GET book={} amount={amount} lifetime={}",
-                    n.0, life.0
+                    n.0,
+                    life.as_micros()
                 )
             }
             Action::SetTimer { timer: t, after } => {
-                writeln!(out, "WAKE_ME ref={} in={}", t.0, after.0)
+                writeln!(out, "WAKE_ME ref={} in={}", t.0, after.as_micros())
             }
             Action::Subscribe => writeln!(out, "LISTEN active=1"),
             Action::FetchEndpoints => writeln!(out, "RELOAD"),
@@ -199,7 +201,7 @@
 pub struct Drill {
     instances: BTreeMap<u32, Instance>,
     current: Option<u32>,
-    now: Micros,
+    now: Timestamp,
     line: u64,
     in_batch: bool,
     list: Option<OpenList>,
@@ -229,7 +231,7 @@
         }
         match f.message {
             "TICK" => {
-                let now = Micros(f.whole("now")?);
+                let now = Timestamp::from_micros(f.whole("now")?);
                 if self.in_batch || now < self.now {
                     return f.fail("now", "a batch's end first, and a clock that moves forward");
                 }
