--- a/crates/grpc-gateway/src/entry.rs
+++ b/crates/grpc-gateway/src/entry.rs
@@ -36,10 +36,11 @@
         else {
             return self.decisions.push(Event::RequestArrived(arrival));
         };
-        let standing =
-            decisions
-                .gateway
-                .standing(Timestamp::from_micros(now), arrival.customer, arrival.plan);
+        let standing = decisions.engine.quota_status(
+            Timestamp::from_micros(now),
+            arrival.customer,
+            arrival.plan,
+        );
         let refill = if standing.remaining < arrival.units {
             standing.resets_in.as_micros()
         } else {
--- a/crates/grpc-gateway/src/resp/mod.rs
+++ b/crates/grpc-gateway/src/resp/mod.rs
@@ -293,7 +293,10 @@
         let Some(ask) = self.resp.as_mut().and_then(|r| r.asks.remove(&id)) else {
             return;
         };
-        let standing = self.decisions.gateway.standing(now, ask.customer, ask.plan);
+        let standing = self
+            .decisions
+            .engine
+            .quota_status(now, ask.customer, ask.plan);
         let (limit, remaining) = (standing.limit as i64, standing.remaining as i64);
         let Some(lease) = ask.lease else {
             // A plain ask holds no place: what it was granted for is over for us.
@@ -333,7 +336,10 @@
             return false;
         };
         self.left(id);
-        let standing = self.decisions.gateway.standing(now, ask.customer, ask.plan);
+        let standing = self
+            .decisions
+            .engine
+            .quota_status(now, ask.customer, ask.plan);
         let back = back_in.unwrap_or(standing.resets_in.as_micros());
         let reply = match ask.lease {
             Some(_) => vec![
@@ -389,7 +395,7 @@
             return Reply::Error("NOPLAN this customer has no plan".into());
         };
         let now = Timestamp::from_micros(self.engine.now());
-        let standing = self.decisions.gateway.standing(
+        let standing = self.decisions.engine.quota_status(
             now,
             CustomerId(crate::base::server::number_of(customer)),
             plan,
--- a/crates/grpc-gateway/src/shell.rs
+++ b/crates/grpc-gateway/src/shell.rs
@@ -19,8 +19,8 @@
     Action, CounterKey, EndpointId, EndpointState, Event, Outcome, RequestId, TimerId, Timestamp,
     UpdateScope,
 };
-use chalkdeck::decisions::Decisions;
-use chalkdeck::rules::Gateway;
+use chalkdeck::DecisionEngine;
+use chalkdeck::Decisions;
 use chalkdeck_net::due::Dues;
 use chalkdeck_net::grpc::Code;
 use chalkdeck_net::signals::Signals;
@@ -97,7 +97,7 @@
             Some(address) => Some(bind(address, true)?.1),
             None => None,
         };
-        let policy = Gateway::new(seed, set.policy.clone())?;
+        let policy = DecisionEngine::new(seed, set.policy.clone())?;
         let resp = set.resp.as_ref().map(|r| {
             let failed = |source| StartError::Listen {
                 address: r.listen,
--- a/crates/grpc-gateway/src/sites.rs
+++ b/crates/grpc-gateway/src/sites.rs
@@ -259,9 +259,9 @@
             return;
         };
         let places: Vec<_> = decisions
-            .gateway
-            .places()
-            .map(|(id, out, most)| (id.0, out, most))
+            .engine
+            .endpoint_concurrency()
+            .map(|e| (e.endpoint.0, e.in_flight, e.limit))
             .collect();
         sites.core.on(engine.now(), Event::Places(&places));
         self.site_plan();
--- a/crates/policy/benches/request.rs
+++ b/crates/policy/benches/request.rs
@@ -1,6 +1,6 @@
 //! What one request costs the module: add, answer, send, end; 5,000 requests a second from 5,000 customers.
 use chalkdeck::api::*;
-use chalkdeck::rules::Gateway;
+use chalkdeck::DecisionEngine;
 use std::collections::{BinaryHeap, HashMap};
 
 fn settings() -> Settings {
@@ -41,7 +41,7 @@
 }
 
 struct Rig {
-    gateway: Gateway,
+    gateway: DecisionEngine,
     now: u64,
     next: u64,
     out: Vec<Action>,
@@ -51,7 +51,7 @@
 
 impl Rig {
     fn new(servers: u64) -> Rig {
-        let gateway = Gateway::new(1, settings()).expect("sound settings");
+        let gateway = DecisionEngine::new(1, settings()).expect("sound settings");
         let timers = BinaryHeap::new();
         let mut rig = Rig {
             gateway,
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -413,66 +413,100 @@
     pub resets_in: TimeDelta,
 }
 
+/// Attempts in flight at one endpoint, and how many there may be.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct EndpointConcurrency {
+    /// The endpoint.
+    pub endpoint: EndpointId,
+    /// Attempts of this gateway in flight there.
+    pub in_flight: f64,
+    /// This gateway's part of the endpoint's concurrency limit.
+    pub limit: f64,
+}
+
 /// Settings that make no sense.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SettingsError(pub String);
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum SettingsError {
+    /// No gateways, or an index that is not below their number.
+    #[error("gateways: expected at least one, and this one's number below it")]
+    Gateways,
+    /// No attempt is allowed.
+    #[error("max_attempts: expected at least 1")]
+    MaxAttempts,
+    /// A number about slow start or request sizes is negative or not finite. The text has the names of the settings files.
+    #[error("cold_from, fall_multiple, most_units: expected numbers of 0 or more")]
+    Capacity,
+    /// A class with a weight that is negative or not finite, or without a deadline.
+    #[error("class: expected a worth of 0 or more and a deadline above 0")]
+    Class,
+    /// A plan with a number that is negative or not finite.
+    #[error("plan: expected numbers of 0 or more")]
+    Plan,
+    /// A plan with a rate but no burst.
+    #[error("plan: expected a burst above 0 where there is a rate")]
+    Burst,
+}
+
+/// Whether a number may stand for an amount: finite and not negative.
+fn is_amount(value: f64) -> bool {
+    value.is_finite() && value >= 0.0
+}
+
+impl Class {
+    fn check(&self) -> Result<(), SettingsError> {
+        let has_sound_weights =
+            is_amount(self.priority_weight) && is_amount(self.late_priority_weight);
+        if has_sound_weights && self.deadline > TimeDelta::ZERO {
+            Ok(())
+        } else {
+            Err(SettingsError::Class)
+        }
+    }
+}
 
-impl std::fmt::Display for SettingsError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(&self.0)
+impl Plan {
+    fn check(&self) -> Result<(), SettingsError> {
+        let amounts = [
+            self.rate,
+            self.burst,
+            self.max_concurrency,
+            self.ceiling_rate,
+            self.ceiling_burst,
+            self.ceiling_slack,
+            self.priority_multiplier,
+            self.over_quota_weight,
+            self.over_quota_cost,
+        ];
+        if !amounts.into_iter().all(is_amount) {
+            return Err(SettingsError::Plan);
+        }
+        let quota_lacks_burst = self.rate > 0.0 && self.burst <= 0.0;
+        let ceiling_lacks_burst = self.ceiling_rate > 0.0 && self.ceiling_burst <= 0.0;
+        if quota_lacks_burst || ceiling_lacks_burst {
+            return Err(SettingsError::Burst);
+        }
+        Ok(())
     }
 }
-impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Whether these settings make sense.
+    /// Whether these settings make sense; the first that does not is the error.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let fail = |what: &str| Err(SettingsError(what.to_string()));
-        let sound = |v: f64| v.is_finite() && v >= 0.0;
         if self.gateways == 0 || self.gateway_index >= self.gateways {
-            return fail("gateways: expected at least one, and this one's number below it");
+            return Err(SettingsError::Gateways);
         }
         if self.max_attempts == 0 {
-            return fail("max_attempts: expected at least 1");
+            return Err(SettingsError::MaxAttempts);
         }
-        if ![
+        let amounts = [
             self.slow_start_min_capacity,
             self.overload_multiple,
             self.max_request_units,
-        ]
-        .into_iter()
-        .all(sound)
-        {
-            return fail("cold_from, fall_multiple, most_units: expected numbers of 0 or more");
-        }
-        if !self.classes.iter().all(|c| {
-            sound(c.priority_weight)
-                && sound(c.late_priority_weight)
-                && c.deadline > TimeDelta::ZERO
-        }) {
-            return fail("class: expected a worth of 0 or more and a deadline above 0");
+        ];
+        if !amounts.into_iter().all(is_amount) {
+            return Err(SettingsError::Capacity);
         }
-        for p in &self.plans {
-            let quota = [
-                p.rate,
-                p.burst,
-                p.max_concurrency,
-                p.ceiling_rate,
-                p.ceiling_burst,
-                p.ceiling_slack,
-            ];
-            let worth = [
-                p.priority_multiplier,
-                p.over_quota_weight,
-                p.over_quota_cost,
-            ];
-            if !quota.into_iter().chain(worth).all(sound) {
-                return fail("plan: expected numbers of 0 or more");
-            }
-            if p.rate > 0.0 && p.burst <= 0.0 || p.ceiling_rate > 0.0 && p.ceiling_burst <= 0.0 {
-                return fail("plan: expected a burst above 0 where there is a rate");
-            }
-        }
-        Ok(())
+        self.classes.iter().try_for_each(Class::check)?;
+        self.plans.iter().try_for_each(Plan::check)
     }
 }
--- a/crates/policy/src/decisions.rs
+++ b/crates/policy/src/decisions.rs
@@ -2,14 +2,14 @@
 //! one by one. Nothing is decided here.
 
 use crate::api::{Action, Event, Timestamp};
-use crate::rules::Gateway;
+use crate::rules::DecisionEngine;
 use std::collections::VecDeque;
 
 /// A gateway's decision module with the events that it has not handled yet and the actions that have not been carried out. Both
 /// queues are empty between two turns of a loop that takes actions until none is left.
 pub struct Decisions {
     /// The decision module.
-    pub gateway: Gateway,
+    pub engine: DecisionEngine,
     events: VecDeque<Event>,
     actions: VecDeque<Action>,
     /// Buffer for the actions on one event.
@@ -17,10 +17,10 @@
 }
 
 impl Decisions {
-    /// Queues in front of a gateway, both empty.
-    pub fn new(gateway: Gateway) -> Decisions {
+    /// Queues in front of an engine, both empty.
+    pub fn new(engine: DecisionEngine) -> Decisions {
         Decisions {
-            gateway,
+            engine,
             events: VecDeque::new(),
             actions: VecDeque::new(),
             out: Vec::new(),
@@ -40,7 +40,7 @@
                 return Some(action);
             }
             let event = self.events.pop_front()?;
-            self.gateway.handle(now, event, &mut self.out);
+            self.engine.handle(now, event, &mut self.out);
             self.actions.extend(self.out.drain(..));
         }
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -3,6 +3,9 @@
 #![warn(missing_docs)]
 
 pub mod api;
-pub mod decisions;
-pub mod rules;
+mod decisions;
+mod rules;
 mod state;
+
+pub use decisions::Decisions;
+pub use rules::DecisionEngine;
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -3,7 +3,7 @@
 //! Order: constants, admission, the life of a request, choice of a server, health, guards of the rules.
 
 use crate::api::*;
-pub use crate::state::Gateway;
+pub use crate::state::DecisionEngine;
 use crate::state::*;
 
 /// The source's breaker: failures in a row that open it, and its cooldown.
@@ -132,19 +132,19 @@
     (ASK_FIRST / f64::from(set.gateways)).min(1.0)
 }
 
-impl Gateway {
+impl DecisionEngine {
     /// A gateway as it starts, knowing nothing but its settings.
-    pub fn new(seed: u64, set: Settings) -> Result<Gateway, SettingsError> {
+    pub fn new(seed: u64, set: Settings) -> Result<DecisionEngine, SettingsError> {
         set.check()?;
         let rng = fastrand::Rng::with_seed(seed);
         let (retries, ask) = (RETRY_SAVED, ask_first(&set));
-        let mut new = Gateway {
+        let mut new = DecisionEngine {
             set,
             rng,
             retries,
             ask,
             pass: 1.0,
-            ..Gateway::default()
+            ..DecisionEngine::default()
         };
         // Goes out with the first event, whichever that is.
         new.timer(Timer::Sweep, FORGET);
@@ -894,14 +894,18 @@
     }
 
     /// Attempts out at each listed server, and the most that there may be.
-    pub fn places(&self) -> impl Iterator<Item = (EndpointId, f64, f64)> + '_ {
+    pub fn endpoint_concurrency(&self) -> impl Iterator<Item = EndpointConcurrency> + '_ {
         let scale = self.scale();
         let listed = self.ring.iter().map(|&place| self.servers.at(place));
-        listed.map(move |(id, s)| (*id, s.out, s.limit * scale))
+        listed.map(move |(id, s)| EndpointConcurrency {
+            endpoint: *id,
+            in_flight: s.out,
+            limit: s.limit * scale,
+        })
     }
 
     /// A look at a customer's quota, which changes nothing and asks nobody.
-    pub fn standing(&self, now: Timestamp, customer: CustomerId, plan: PlanId) -> QuotaStatus {
+    pub fn quota_status(&self, now: Timestamp, customer: CustomerId, plan: PlanId) -> QuotaStatus {
         let p = &self.set.plans[plan.0];
         if p.rate <= 0.0 {
             let out = self.customers.get(&customer).map_or(0.0, |c| c.out);
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -229,7 +229,7 @@
 
 /// One gateway. It shares nothing with others but what the counter tells.
 #[derive(Default)]
-pub struct Gateway {
+pub struct DecisionEngine {
     pub(crate) set: Settings,
     pub(crate) rng: fastrand::Rng,
     pub(crate) now: Timestamp,
--- a/crates/policy/tests/caller.rs
+++ b/crates/policy/tests/caller.rs
@@ -83,18 +83,18 @@
         total: 4.0,
     });
     assert!(granted(&out, a));
-    let standing = rig
-        .gateway
-        .standing(Timestamp::from_micros(rig.now), CustomerId(5), PlanId(0));
+    let standing =
+        rig.gateway
+            .quota_status(Timestamp::from_micros(rig.now), CustomerId(5), PlanId(0));
     assert_eq!((standing.limit, standing.remaining), (20.0, 16.0));
     rig.tell(Event::UnitsSettled {
         request: a,
         units: 1.0,
     });
     rig.tell(Event::ClientDisconnected(a));
-    let standing = rig
-        .gateway
-        .standing(Timestamp::from_micros(rig.now), CustomerId(5), PlanId(0));
+    let standing =
+        rig.gateway
+            .quota_status(Timestamp::from_micros(rig.now), CustomerId(5), PlanId(0));
     assert_eq!(standing.remaining, 19.0);
     let (_, out) = rig.request(OWN, 0, 5, 2.0);
     assert_eq!(
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use chalkdeck::api::*;
-use chalkdeck::rules::Gateway;
+use chalkdeck::DecisionEngine;
 
 pub const MS: u64 = 1_000;
 pub const S: u64 = 1_000_000;
@@ -79,7 +79,7 @@
 }
 
 pub struct Rig {
-    pub gateway: Gateway,
+    pub gateway: DecisionEngine,
     pub now: u64,
     pub done: Vec<Action>,
     pub next: u64,
@@ -91,7 +91,7 @@
         Rig::seeded(7, settings, servers)
     }
     pub fn seeded(seed: u64, settings: Settings, servers: u32) -> Rig {
-        let gateway = Gateway::new(seed, settings).expect("sound settings");
+        let gateway = DecisionEngine::new(seed, settings).expect("sound settings");
         let mut rig = Rig {
             gateway,
             now: 1_000 * S,
--- a/crates/policy/tests/recording/mod.rs
+++ b/crates/policy/tests/recording/mod.rs
@@ -4,7 +4,7 @@
 mod settings;
 
 use chalkdeck::api::*;
-use chalkdeck::rules::Gateway;
+use chalkdeck::DecisionEngine;
 use peers::{CounterState, ServerState};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fmt::{self, Display};
@@ -103,7 +103,7 @@
 }
 
 pub struct World {
-    gateway: Gateway,
+    gateway: DecisionEngine,
     settings: Settings,
     random: fastrand::Rng,
     now: u64,
@@ -124,7 +124,7 @@
     fn new(seed: u64) -> World {
         let mut random = fastrand::Rng::with_seed(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let settings = settings::draw(&mut random);
-        let gateway = Gateway::new(seed, settings.clone()).expect("sound settings");
+        let gateway = DecisionEngine::new(seed, settings.clone()).expect("sound settings");
         let server_count = [3, 12, 60, 200][random.usize(..4)];
         let mut world = World {
             gateway,
--- a/crates/policy/tests/servers.rs
+++ b/crates/policy/tests/servers.rs
@@ -164,7 +164,7 @@
     let bad = |change: fn(&mut Settings)| {
         let mut set = settings();
         change(&mut set);
-        chalkdeck::rules::Gateway::new(1, set).is_err()
+        chalkdeck::DecisionEngine::new(1, set).is_err()
     };
     assert!(bad(|s| s.gateways = 0));
     assert!(bad(|s| s.gateway_index = 2));
--- a/crates/resp-gateway/src/shell.rs
+++ b/crates/resp-gateway/src/shell.rs
@@ -13,8 +13,8 @@
     Action, AttemptResult, EndpointId, Event, LoadReport, Outcome, RequestId, SettingsError,
     TimeDelta, TimerId, Timestamp, UpdateScope,
 };
-use chalkdeck::decisions::Decisions;
-use chalkdeck::rules::Gateway;
+use chalkdeck::DecisionEngine;
+use chalkdeck::Decisions;
 use chalkdeck_net::clock::Clock;
 use chalkdeck_net::due::Dues;
 use chalkdeck_net::signals::Signals;
@@ -146,7 +146,7 @@
         let listened = engine.listen_raw(address, limits);
         let (listener, listen) =
             listened.map_err(|source| StartError::Listen { address, source })?;
-        let gateway = Gateway::new(config.seed, config.settings().clone())?;
+        let gateway = DecisionEngine::new(config.seed, config.settings().clone())?;
         let memory = config.limits.memory_mb * 1e6;
         let counter = config
             .counter
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -3,7 +3,7 @@
 use crate::fields::Fields;
 use crate::settings::{self, zone_id, Read};
 use chalkdeck::api::*;
-use chalkdeck::rules::Gateway;
+use chalkdeck::DecisionEngine;
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
 
@@ -13,7 +13,7 @@
 
 /// One gateway with the names by which the wire knows what it is told of.
 struct Instance {
-    gateway: Gateway,
+    gateway: DecisionEngine,
     classes: HashMap<String, usize>,
     plans: HashMap<String, usize>,
     zones: HashMap<String, u32>,
@@ -31,7 +31,7 @@
             zones,
         } = settings::read(f)?;
         let class_list = settings.classes.clone();
-        let gateway = Gateway::new(seed, settings)
+        let gateway = DecisionEngine::new(seed, settings)
             .map_err(|e| WireError(format!("line {}: START: settings: {e}", f.at)))?;
         let addresses = HashMap::new();
         Ok(Instance {
