--- a/crates/client/src/driver.rs
+++ b/crates/client/src/driver.rs
@@ -99,7 +99,7 @@
                 .next_wake()
                 .map_or(LONGEST_WAIT, |at| at.saturating_sub(now).min(LONGEST_WAIT));
             if let Err(e) = self.engine.turn(wait, &mut events) {
-                tracing::error!("the client's loop ends: {e}");
+                tracing::error!(error = %e, "client event loop stopped");
                 break;
             }
             while let Ok(command) = self.inbox.try_recv() {
@@ -216,7 +216,11 @@
         {
             Ok(addresses) => self.relist(addresses),
             Err(why) => {
-                tracing::error!(file = %watch.path().display(), "the last good list of gateways stays: {why}")
+                tracing::error!(
+                    file = %watch.path().display(),
+                    error = %why,
+                    "gateway list not readable: keeping the last good one"
+                )
             }
         }
     }
@@ -265,7 +269,7 @@
             .ended(outcome, self.engine.now().saturating_sub(open.begun));
         self.stats.open.set(self.open.len() as i64);
         open.span.record("outcome", tracing::field::debug(outcome));
-        tracing::debug!(parent: &open.span, tries = open.tries, "ended");
+        tracing::debug!(parent: &open.span, attempts = open.tries, "call completed");
         let message = open.gather.message().filter(|_| answered).cloned();
         let reply = Reply {
             outcome,
@@ -320,14 +324,14 @@
             // It never left: the gateway is going away or takes no more.
             self.todo.push(Event::Ended(id, number, TryEnd::NeverRan));
             if let Some(conn) = self.conns[place].take() {
-                tracing::debug!(?conn, "takes nothing new");
+                tracing::debug!(?conn, "gateway is draining its connection");
                 self.todo.push(Event::Lost(place));
             }
             return;
         };
         open.tries = number + 1;
         self.stats.tried();
-        tracing::debug!(parent: &open.span, number, place, left, "sent");
+        tracing::debug!(parent: &open.span, attempt = number, gateway = place, time_left_us = left, "attempt sent");
         open.stream = Some(stream);
         self.engine.send(stream, grpc::frame(&open.call.message));
         if let Caller::Stream(live) = &mut open.done {
--- a/crates/grpc-gateway/src/carry.rs
+++ b/crates/grpc-gateway/src/carry.rs
@@ -50,7 +50,7 @@
     }
 
     fn reject(&mut self, front: StreamId, id: RequestId, why: Rejected) {
-        tracing::info!(call = id.0, kind = why.kind, "not taken: {}", why.what);
+        tracing::info!(call = id.0, kind = why.kind, reason = %why.what, "call rejected as invalid");
         self.metrics
             .rejected
             .get_or_create(&metrics::Kind {
@@ -87,7 +87,7 @@
         });
         call.answer = Answer::None;
         let call_deadline = call.arrival.deadline.0;
-        tracing::debug!(call = id.0, attempt = attempt.number, server = ?self.pool.address(server), "sent on");
+        tracing::debug!(call = id.0, attempt = attempt.number, endpoint = ?self.pool.address(server), "attempt forwarded");
         // At the deadline itself the decisions end the call, and with it what is out.
         if until < call_deadline {
             self.due_in(until.saturating_sub(now), Due::GiveUp(attempt));
@@ -335,7 +335,7 @@
         let (front, took) = (call.front, now.saturating_sub(call.arrived));
         let (class, plan) = (call.arrival.class.0, call.arrival.plan.0);
         self.calls.unbind_front(front);
-        tracing::debug!(call = id.0, ?end, took, "ended");
+        tracing::debug!(call = id.0, ?end, duration_us = took, "call completed");
         self.metrics.ended(class, plan, end);
         self.metrics.took.observe(took as f64 / 1e6);
         self.metrics.open.dec();
@@ -410,7 +410,7 @@
             return;
         }
         if let Some(told) = self.counter.as_mut().and_then(|c| c.closed(conn)) {
-            tracing::warn!(why, "counter connection over");
+            tracing::warn!(reason = why, "counter connection closed");
             return self.counted(told);
         }
         self.drop_link(conn);
--- a/crates/grpc-gateway/src/keepers.rs
+++ b/crates/grpc-gateway/src/keepers.rs
@@ -190,7 +190,7 @@
             }
             Err(e) => {
                 if self.keep_at.is_none() {
-                    tracing::error!("{e}");
+                    tracing::error!(error = %e, "cached state not persisted");
                 }
                 self.keep_at = Some(now + KEEP_AGAIN);
             }
@@ -221,7 +221,7 @@
             && back.last_resort
         {
             tracing::error!(
-                "no server in service is of an admitted version: they are used as a last resort"
+                "no endpoint in service has an admitted contract version: using all of them"
             );
         }
     }
--- a/crates/grpc-gateway/src/resp/mod.rs
+++ b/crates/grpc-gateway/src/resp/mod.rs
@@ -443,7 +443,12 @@
         let half = !session.bytes.is_empty() && !session.paused;
         let still = session.heard + STALLED <= now;
         if still && (half || unread > UNREAD) {
-            tracing::info!(?conn, half, unread, "a RESP client stands still: closed");
+            tracing::info!(
+                ?conn,
+                half,
+                unread,
+                "closing a RESP client that makes no progress"
+            );
             self.engine.close(conn);
         } else if session.paused {
             self.resp_resume(conn);
@@ -484,7 +489,7 @@
         if self.resp.as_mut().is_some_and(|r| r.drop_ticket(id)) {
             tracing::info!(
                 request = id.0,
-                "a ticket's lease is over: its place comes back"
+                "ticket lease expired: its concurrency slot is free again"
             );
             self.decisions.push(Event::ClientDisconnected(id));
         }
--- a/crates/grpc-gateway/src/shell.rs
+++ b/crates/grpc-gateway/src/shell.rs
@@ -143,7 +143,10 @@
 
     /// Puts a fault into the carrying code, for audits.
     pub fn inject(&mut self, fault: Fault) {
-        tracing::warn!(?fault, "a fault was asked for: rules will be broken");
+        tracing::warn!(
+            ?fault,
+            "fault injection is on: safety rules will be violated"
+        );
         self.fault = Some(fault);
     }
     /// Where calls come in.
@@ -200,7 +203,7 @@
         self.keeper_resigns();
         tracing::info!(
             open = self.calls.open,
-            "stopping: takes no calls, finishes what it holds"
+            "graceful shutdown: rejecting new calls, finishing open ones"
         );
     }
 
@@ -385,10 +388,10 @@
             self.metrics.counter_news(news);
             match news {
                 News::Recovered => {
-                    tracing::info!("the counter was started again and has its counts")
+                    tracing::info!("counter restarted with its counts")
                 }
-                News::Emptied => tracing::warn!("the counter has lost its counts"),
-                News::WentBack => tracing::warn!("the counter has an earlier state of its counts"),
+                News::Emptied => tracing::warn!("counter lost its counts"),
+                News::WentBack => tracing::warn!("counter went back to an earlier state"),
             }
         }
         self.site_counted(&told);
@@ -416,13 +419,17 @@
         let list = |b: Vec<u8>| endpoints::read(self.watch.path(), &b).map_err(LookError::from);
         match bytes.map_err(LookError::from).and_then(list) {
             Ok(servers) => {
-                tracing::info!(servers = servers.len(), "server list read");
+                tracing::info!(endpoints = servers.len(), "endpoint list read");
                 self.metrics.servers.set(servers.len() as i64);
                 self.take_list(servers);
             }
             Err(why) => {
                 self.metrics.list_failures.inc();
-                tracing::error!(file = %self.watch.path().display(), "the last good server list stays: {why}");
+                tracing::error!(
+                    file = %self.watch.path().display(),
+                    error = %why,
+                    "endpoint list not readable: keeping the last good one"
+                );
             }
         }
         self.settle();
@@ -454,7 +461,9 @@
         let Some(file) = &self.file else { return };
         let new = match Settings::load(file) {
             Ok(new) => new,
-            Err(e) => return tracing::error!("the earlier settings stay: {e}"),
+            Err(error) => {
+                return tracing::error!(%error, "reload rejected: keeping the previous settings")
+            }
         };
         let fixed = |s: &Settings| {
             (
@@ -467,7 +476,7 @@
         };
         if fixed(&new) != fixed(&self.set) {
             tracing::error!(
-                "the earlier settings stay: classes, plans, fleet, limits and addresses need a new start"
+                "reload rejected: classes, plans, fleet, limits and addresses need a restart"
             );
             return;
         }
@@ -475,7 +484,7 @@
             self.watch = Watch::new(new.endpoints.clone());
         }
         self.set = new;
-        tracing::info!("settings read again");
+        tracing::info!("settings reloaded");
     }
 
     fn on_get(&mut self, conn: ConnId, path: &str) {
--- a/crates/grpc-gateway/src/sites.rs
+++ b/crates/grpc-gateway/src/sites.rs
@@ -280,7 +280,7 @@
         for v in &plan.sites {
             let before = known.iter().find(|k| k.site == v.site).map(|k| k.state);
             if before != Some(v.state) {
-                tracing::info!(site = sites.name(v.site), state = v.state.name(), evidence = %v.evidence, "site");
+                tracing::info!(site = sites.name(v.site), state = v.state.name(), evidence = %v.evidence, "site state changed");
             }
         }
         let part = |v: &chalkdeck_site_failover::View| ZoneShare {
@@ -315,11 +315,16 @@
         if let Err(e) = sites.words.keep(name, command != Command::LetBack) {
             tracing::error!(
                 site = name,
-                word,
-                "the word could not be kept and lasts until this gateway ends: {e}"
+                site_override = word,
+                error = %e,
+                "site override not persisted: it lasts until this gateway restarts"
             );
         }
-        tracing::warn!(site = name, word, "an operator's word to the fleet");
+        tracing::warn!(
+            site = name,
+            site_override = word,
+            "site override received from the coordinator"
+        );
         sites
             .core
             .on(now, Event::Command(site_of(zone_of(name)), command));
@@ -356,7 +361,11 @@
                 });
             }
             sites.words.keep(name, command != Command::LetBack)?;
-            tracing::warn!(site = name, word, "an operator's word");
+            tracing::warn!(
+                site = name,
+                site_override = word,
+                "site override received from an operator"
+            );
             sites.core.on(now, Event::Command(site, command));
         } else if path != "/sites" {
             return Err(AskedError::Path);
--- a/crates/net/src/engine.rs
+++ b/crates/net/src/engine.rs
@@ -477,7 +477,7 @@
         if conn.resets > conn.limits.resets && conn.listener.is_some() {
             tracing::warn!(
                 resets = conn.resets,
-                "a client resets too many streams: its connection is closed"
+                "closing the connection of a client that resets too many streams"
             );
             self.close_for(ConnId(key), h2::Reason::ENHANCE_YOUR_CALM);
         }
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -169,7 +169,7 @@
             match accepted {
                 Accepted::Connection(stream, from) => self.take_in(key, stream, from),
                 Accepted::Failed(error) => {
-                    return tracing::warn!(%error, "a connection could not be taken in, tried again soon");
+                    return tracing::warn!(%error, "accept failed: retrying");
                 }
                 Accepted::None | Accepted::Full => return,
             }
--- a/crates/testbed/src/parts/log.rs
+++ b/crates/testbed/src/parts/log.rs
@@ -107,7 +107,7 @@
         let Some(out) = &mut self.out else { return };
         let written = serde_json::to_writer(&mut *out, line).map_err(std::io::Error::from);
         if let Err(e) = written.and_then(|()| out.write_all(b"\n")) {
-            tracing::error!("log: {e}");
+            tracing::error!(error = %e, "event log not writable: logging stopped");
             self.out = None;
         }
     }
--- a/crates/testbed/src/parts/process.rs
+++ b/crates/testbed/src/parts/process.rs
@@ -139,7 +139,7 @@
 /// Asks the system to end this process with its parent.
 pub fn end_with_parent() {
     if let Err(e) = rustix::process::set_parent_process_death_signal(Some(Signal::TERM)) {
-        tracing::warn!("it may outlive its parent: {e}");
+        tracing::warn!(error = %e, "process may outlive its parent");
     }
 }
 
--- a/crates/testbed/src/rig/links/command.rs
+++ b/crates/testbed/src/rig/links/command.rs
@@ -89,7 +89,7 @@
 fn listen(control: &TcpListener, words: &Sender<Asked>, waker: &Arc<Waker>) {
     for stream in control.incoming().flatten() {
         if let Err(e) = answer(stream, words, waker) {
-            tracing::warn!("control: {e}");
+            tracing::warn!(error = %e, "control request failed");
         }
     }
 }
