--- /dev/null
+++ b/crates/site-failover/tests/recording/mod.rs
@@ -0,0 +1,325 @@
+//! One gateway in a closed loop with simulated sites; the plans that it makes are digested.
+
+mod sites;
+
+use chalkdeck_site_failover::{Command, Core, Event, How, Plan, Settings, SiteId, State};
+use fastrand::Rng;
+use sites::{Condition, SimulatedSites};
+use std::collections::BTreeMap;
+use std::fmt::{self, Display};
+
+/// Events that one seed plays.
+pub const EVENTS_PER_SEED: u64 = 6_000;
+/// Texts of all states, as operators read them.
+pub const STATES: [&str; 6] = [
+    "serving",
+    "doubtful",
+    "lost",
+    "cut off from here",
+    "returning",
+    "held out",
+];
+pub const MILLISECOND: u64 = 1_000;
+pub const SECOND: u64 = 1_000_000;
+/// The latency objective of every request.
+const OBJECTIVE: u64 = 500 * MILLISECOND;
+/// A plan is taken and digested after so many events.
+const EVENTS_PER_PLAN: u64 = 4;
+/// A server and a site that no list names.
+const UNKNOWN: u32 = 999;
+
+/// What one seed came to, as one line of the recorded file.
+pub struct Summary {
+    seed: u64,
+    events: u64,
+    plans: u64,
+    counts: BTreeMap<String, u64>,
+    digest: u64,
+}
+
+impl Display for Summary {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(
+            f,
+            "seed={} events={} plans={}",
+            self.seed, self.events, self.plans
+        )?;
+        let kinds = STATES.iter().copied().chain(["shedding", "limited"]);
+        for kind in kinds {
+            let count = self.counts.get(kind).copied().unwrap_or(0);
+            write!(f, " {}={count}", kind.replace(' ', "-"))?;
+        }
+        write!(f, " digest={:016x}", self.digest)
+    }
+}
+
+/// Plays a seed and returns what it came to.
+pub fn play(seed: u64) -> Summary {
+    let mut player = Player::new(seed);
+    while player.events < EVENTS_PER_SEED {
+        player.step();
+    }
+    Summary {
+        seed,
+        events: player.events,
+        plans: player.plans,
+        counts: player.counts,
+        digest: player.digest.0,
+    }
+}
+
+/// FNV-1a over the numbers of all plans.
+struct Digest(u64);
+
+impl Digest {
+    fn add_bytes(&mut self, bytes: &[u8]) {
+        for byte in bytes {
+            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3);
+        }
+    }
+    fn add(&mut self, number: u64) {
+        self.add_bytes(&number.to_le_bytes());
+    }
+    fn add_f64(&mut self, number: f64) {
+        self.add(number.to_bits());
+    }
+}
+
+/// An attempt without its outcome yet.
+struct OpenAttempt {
+    server: u64,
+    how: How,
+    took: u64,
+    units: f64,
+}
+
+struct Player {
+    random: Rng,
+    core: Core,
+    now: u64,
+    sites: SimulatedSites,
+    /// By the time of their ends and a number.
+    open: BTreeMap<(u64, u64), OpenAttempt>,
+    next_attempt: u64,
+    counter_answers: bool,
+    events: u64,
+    plans: u64,
+    counts: BTreeMap<String, u64>,
+    digest: Digest,
+}
+
+impl Player {
+    fn new(seed: u64) -> Player {
+        let mut random = Rng::with_seed(seed);
+        let settings = Settings {
+            own: SiteId(0),
+            me: random.u32(0..20),
+            gateways: random.u32(1..120),
+            cold_from: 0.1 + random.f64() * 0.5,
+            cold: random.u64(1..8) * SECOND,
+            fall_multiple: 1.0 + random.f64() * 2.0,
+        };
+        let now = SECOND;
+        let sites = SimulatedSites::new(&mut random);
+        let mut player = Player {
+            random,
+            core: Core::new(settings),
+            now,
+            sites,
+            open: BTreeMap::new(),
+            next_attempt: 0,
+            counter_answers: true,
+            events: 0,
+            plans: 0,
+            counts: BTreeMap::new(),
+            digest: Digest(0xcbf2_9ce4_8422_2325),
+        };
+        player.list();
+        player
+    }
+
+    fn tell(&mut self, at: u64, event: Event) {
+        self.core.on(at, event);
+        self.events += 1;
+        if self.events.is_multiple_of(EVENTS_PER_PLAN) {
+            self.plan(at);
+        }
+    }
+
+    fn plan(&mut self, at: u64) -> Plan {
+        let plan = self.core.plan(at);
+        self.plans += 1;
+        self.digest_plan(&plan);
+        plan
+    }
+
+    fn step(&mut self) {
+        self.advance();
+        match self.random.u32(0..1_000) {
+            0..700 => self.request(),
+            700..790 => self.report_places(),
+            790..890 => self.final_answer(),
+            890..930 => self.ask_counter(),
+            930..955 => self.list(),
+            955..962 => self.operator_override(),
+            962..967 => self.counter_answers = !self.counter_answers,
+            967..970 => self.sites.remove_or_add(&mut self.random),
+            _ => self.sites.change(&mut self.random, self.now),
+        }
+    }
+
+    /// Moves the clock on and delivers the outcomes that are due.
+    fn advance(&mut self) {
+        self.now += match self.random.u32(0..2_000) {
+            0 => 700 * SECOND,
+            1..6 => self.random.u64(1..150) * SECOND,
+            6..60 => self.random.u64(1..2_000) * MILLISECOND,
+            _ => self.random.u64(0..30) * MILLISECOND,
+        };
+        while let Some(entry) = self.open.first_entry().filter(|e| e.key().0 <= self.now) {
+            let (at, _) = *entry.key();
+            let attempt = entry.remove();
+            let OpenAttempt {
+                server,
+                how,
+                took,
+                units,
+            } = attempt;
+            self.tell(at, Event::Ended(server, how, took, OBJECTIVE, units));
+        }
+    }
+
+    fn request(&mut self) {
+        let worth = match self.random.u32(0..20) {
+            0 => 0.0,
+            n => f64::from(n) * self.random.f64() * 10.0,
+        };
+        let units = 0.5 + self.random.f64() * 4.0;
+        self.tell(self.now, Event::Offered(worth, units));
+        let plan = self.plan(self.now);
+        if self.random.f64() >= plan.floor.admits(worth) {
+            return self.tell(self.now, Event::Final(false, OBJECTIVE / 4, OBJECTIVE));
+        }
+        let server = match self.random.u32(0..100) {
+            0 => u64::from(UNKNOWN),
+            1..25 => self.sites.any_server(&mut self.random),
+            _ => self.server_by_share(&plan),
+        };
+        self.tell(self.now, Event::Sent(server));
+        let (took, how) = self.outcome(server);
+        let attempt = OpenAttempt {
+            server,
+            how,
+            took,
+            units,
+        };
+        self.next_attempt += 1;
+        self.open
+            .insert((self.now + took, self.next_attempt), attempt);
+    }
+
+    fn server_by_share(&mut self, plan: &Plan) -> u64 {
+        let mut draw = self.random.f64();
+        let site = plan.sites.iter().find(|view| {
+            draw -= view.share;
+            draw < 0.0
+        });
+        match site {
+            Some(view) => self.sites.server_of(view.site.0, &mut self.random),
+            None => self.sites.any_server(&mut self.random),
+        }
+    }
+
+    fn outcome(&mut self, server: u64) -> (u64, How) {
+        if self.random.u32(0..60) == 0 {
+            return (self.random.u64(1..OBJECTIVE), How::CalledOff);
+        }
+        match self.sites.condition(server) {
+            Condition::Answers { latency } => {
+                let took = latency / 2 + self.random.u64(0..latency);
+                (took, How::Answered)
+            }
+            Condition::Full => (2 * MILLISECOND, How::Full),
+            Condition::Silent => (OBJECTIVE, How::Silent),
+            Condition::Refuses => (MILLISECOND, How::Unreached),
+        }
+    }
+
+    fn report_places(&mut self) {
+        let mut open: BTreeMap<u64, f64> = BTreeMap::new();
+        for attempt in self.open.values() {
+            *open.entry(attempt.server).or_default() += 1.0;
+        }
+        let most = f64::from(self.random.u32(1..12));
+        let places: Vec<(u64, f64, f64)> = open.iter().map(|(s, out)| (*s, *out, most)).collect();
+        self.tell(self.now, Event::Places(&places));
+    }
+
+    fn final_answer(&mut self) {
+        let most = match self.random.u32(0..6) {
+            0 => OBJECTIVE * 6 / 5,
+            _ => OBJECTIVE / 3,
+        };
+        let waited = self.random.u64(0..most);
+        let served = self.random.u32(0..10) > 0;
+        self.tell(self.now, Event::Final(served, waited, OBJECTIVE));
+    }
+
+    fn ask_counter(&mut self) {
+        let answers = self.counter_answers;
+        self.tell(self.now, Event::Counter(answers));
+    }
+
+    fn list(&mut self) {
+        let lines = self.sites.list(self.now);
+        self.tell(self.now, Event::List(&lines));
+    }
+
+    fn operator_override(&mut self) {
+        let site = match self.random.u32(0..20) {
+            0 => UNKNOWN,
+            _ => self.sites.any_site(&mut self.random),
+        };
+        let command = match self.random.u32(0..8) {
+            0 => Command::Drain,
+            1 => Command::Hold,
+            _ => Command::LetBack,
+        };
+        self.tell(self.now, Event::Command(SiteId(site), command));
+    }
+
+    fn count(&mut self, kind: &str) {
+        *self.counts.entry(kind.to_string()).or_default() += 1;
+    }
+
+    fn digest_plan(&mut self, plan: &Plan) {
+        self.digest.add_f64(plan.level);
+        self.digest.add_f64(plan.floor.sure);
+        self.digest.add_f64(plan.floor.from);
+        self.digest.add_f64(plan.floor.part);
+        if plan.floor.sure > 0.0 {
+            self.count("shedding");
+        }
+        if plan.sites.iter().any(|view| view.room.is_some()) {
+            self.count("limited");
+        }
+        for view in &plan.sites {
+            self.count(view.state.name());
+            self.digest.add(u64::from(view.site.0));
+            self.digest.add_bytes(view.state.name().as_bytes());
+            self.digest.add(u64::from(view.state == State::Serving));
+            self.digest.add(view.since);
+            self.digest.add(view.evidence.listed as u64);
+            self.digest.add(view.evidence.silent as u64);
+            self.digest.add(view.evidence.quiet);
+            self.digest.add(u64::from(view.evidence.losses));
+            self.digest.add(view.evidence.held_until);
+            self.digest.add_bytes(view.evidence.to_string().as_bytes());
+            self.digest.add_f64(view.share);
+            self.digest.add_f64(view.room.unwrap_or(-1.0));
+            self.digest.add_f64(view.pace);
+            self.digest.add_f64(view.places.0);
+            self.digest.add_f64(view.places.1);
+        }
+    }
+}
