--- a/crates/cli/tests/peers/mod.rs
+++ b/crates/cli/tests/peers/mod.rs
@@ -1,7 +1,7 @@
 //! What stands round gateways of the platform: backends, counter and discovery, a thread a connection, on loopback sockets.
 
 use bytes::{Bytes, BytesMut};
-use chalkdeck_resp::{take, Bounds, Front};
+use chalkdeck_resp::{take_command, MessageLimits, ParsedCommand};
 use std::collections::HashMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,12 +10,12 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-pub const BOUNDS: Bounds = Bounds {
-    words: 16,
-    word: 1 << 20,
-    line: 0,
-    message: 2 << 20,
-    inline: true,
+pub const LIMITS: MessageLimits = MessageLimits {
+    max_elements: 16,
+    max_element_bytes: 1 << 20,
+    max_line_bytes: 0,
+    max_message_bytes: 2 << 20,
+    accepts_inline: true,
 };
 
 /// Serves connections, each in a thread of its own, until the test ends.
@@ -37,7 +37,7 @@
 fn commands(mut stream: TcpStream, mut answer: impl FnMut(Vec<Bytes>) -> String) {
     let (mut held, mut some) = (BytesMut::new(), [0; 4096]);
     loop {
-        while let Front::Command(words) = take(&mut held, &BOUNDS) {
+        while let ParsedCommand::Complete(words) = take_command(&mut held, &LIMITS) {
             if stream.write_all(answer(words).as_bytes()).is_err() {
                 return;
             }
--- a/crates/grpc-gateway/src/resp/mod.rs
+++ b/crates/grpc-gateway/src/resp/mod.rs
@@ -10,13 +10,13 @@
 use bytes::Bytes;
 use chalkdeck::api::{ClassId, CustomerId, Event, IncomingRequest, Micros, PlanId, RequestId};
 use chalkdeck_net::{ConnId, Engine, Limits, ListenerId};
-use chalkdeck_resp::{take, Front};
+use chalkdeck_resp::{take_command, ParsedCommand, ReplySlot};
 use command::Command;
 use rustc_hash::FxHashMap;
 use session::Session;
 use std::io;
 use std::net::SocketAddr;
-use wire::{Reply, BOUNDS};
+use wire::{Reply, LIMITS};
 
 /// Commands of one connection whose answers are still to come; beyond, nothing is read from it.
 const MOST_PENDING: usize = 1_024;
@@ -30,7 +30,7 @@
 /// A request of this front that waits for its decision.
 struct Ask {
     conn: ConnId,
-    slot: u64,
+    slot: ReplySlot,
     customer: CustomerId,
     plan: PlanId,
     /// A plain ask, or one that gets a ticket for so long.
@@ -142,18 +142,18 @@
                 session.paused = true;
                 break;
             }
-            match take(&mut session.bytes, &BOUNDS) {
-                Front::Partial => {
+            match take_command(&mut session.bytes, &LIMITS) {
+                ParsedCommand::Incomplete => {
                     if !session.bytes.is_empty() {
                         self.resp_watch(conn);
                     }
                     break;
                 }
-                Front::Bad(why) => {
+                ParsedCommand::Invalid(why) => {
                     self.resp_end(conn, Reply::Error(format!("ERR {why}")));
                     break;
                 }
-                Front::Command(words) => self.resp_command(conn, &words),
+                ParsedCommand::Complete(words) => self.resp_command(conn, &words),
             }
         }
         self.resp_flush(conn);
--- a/crates/grpc-gateway/src/resp/session.rs
+++ b/crates/grpc-gateway/src/resp/session.rs
@@ -3,7 +3,7 @@
 use super::command::Command;
 use super::wire::{encode, Reply};
 use bytes::BytesMut;
-use chalkdeck_resp::Answers;
+use chalkdeck_resp::{ReplyQueue, ReplySlot};
 
 /// A connection's state.
 #[derive(Default)]
@@ -21,7 +21,7 @@
     pub(crate) tickets: usize,
     resp3: bool,
     known: bool,
-    answers: Answers<Reply>,
+    answers: ReplyQueue<Reply>,
 }
 
 impl Session {
@@ -31,19 +31,19 @@
     }
     /// An answer at once.
     pub(crate) fn ready(&mut self, reply: Reply) {
-        self.answers.ready(reply);
+        self.answers.push(reply);
     }
     /// An answer to come; returns its slot.
-    pub(crate) fn wait(&mut self) -> u64 {
-        self.answers.wait()
+    pub(crate) fn wait(&mut self) -> ReplySlot {
+        self.answers.reserve()
     }
-    pub(crate) fn answer(&mut self, slot: u64, reply: Reply) {
-        self.answers.answer(slot, reply);
+    pub(crate) fn answer(&mut self, slot: ReplySlot, reply: Reply) {
+        self.answers.fill(slot, reply);
     }
     /// The answers that can be sent.
     pub(crate) fn take_ready(&mut self) -> BytesMut {
         let mut out = BytesMut::new();
-        while let Some(reply) = self.answers.take() {
+        while let Some(reply) = self.answers.pop_ready() {
             encode(&mut out, reply, self.resp3);
         }
         out
--- a/crates/grpc-gateway/src/resp/wire.rs
+++ b/crates/grpc-gateway/src/resp/wire.rs
@@ -1,17 +1,17 @@
 //! RESP as this front writes it; commands are read by `chalkdeck-resp`.
 
 use bytes::{Bytes, BytesMut};
-use chalkdeck_resp::Bounds;
+use chalkdeck_resp::MessageLimits;
 use redis_protocol::resp2::{self, types::BytesFrame};
 use redis_protocol::resp3;
 
 /// What is read of a command.
-pub(crate) const BOUNDS: Bounds = Bounds {
-    words: 64,
-    word: 4 << 10,
-    line: 0,
-    message: 64 << 10,
-    inline: true,
+pub(crate) const LIMITS: MessageLimits = MessageLimits {
+    max_elements: 64,
+    max_element_bytes: 4 << 10,
+    max_line_bytes: 0,
+    max_message_bytes: 64 << 10,
+    accepts_inline: true,
 };
 
 /// An answer.
--- a/crates/resp-gateway/src/backends.rs
+++ b/crates/resp-gateway/src/backends.rs
@@ -7,7 +7,7 @@
 use bytes::{Bytes, BytesMut};
 use chalkdeck::api::{EndpointId, EndpointState, LoadReport, Outcome, RequestId};
 use chalkdeck_net::{ConnId, Engine};
-use chalkdeck_resp::{take_reply, Bounds, Reply};
+use chalkdeck_resp::{take_reply, MessageLimits, ParsedReply};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::net::SocketAddr;
 
@@ -96,7 +96,7 @@
     /// Kept connections, the one used last at the end.
     idle: FxHashMap<EndpointId, Vec<ConnId>>,
     most: usize,
-    bounds: Bounds,
+    limits: MessageLimits,
     most_held: usize,
     held: usize,
     /// How long a connection is kept unused: at most, and as resets have taught.
@@ -120,12 +120,12 @@
             out: FxHashMap::default(),
             idle: FxHashMap::default(),
             most,
-            bounds: Bounds {
-                words: ITEMS,
-                word,
-                line: LINE,
-                message: word + (8 << 10),
-                inline: false,
+            limits: MessageLimits {
+                max_elements: ITEMS,
+                max_element_bytes: word,
+                max_line_bytes: LINE,
+                max_message_bytes: word + (8 << 10),
+                accepts_inline: false,
             },
             most_held: (memory * VALUES_PART) as usize,
             held: 0,
@@ -327,14 +327,14 @@
         }
         link.bytes.extend_from_slice(data);
         let before = link.bytes.len() - data.len();
-        let said = match take_reply(&mut link.bytes, &self.bounds) {
-            Reply::Partial if self.held + data.len() <= self.most_held => {
+        let said = match take_reply(&mut link.bytes, &self.limits) {
+            ParsedReply::Incomplete if self.held + data.len() <= self.most_held => {
                 self.held += data.len();
                 return None;
             }
-            Reply::Partial => Answered::Spoilt,
-            Reply::Whole(frame) => answered(frame),
-            Reply::Bad(_) => Answered::Spoilt,
+            ParsedReply::Incomplete => Answered::Spoilt,
+            ParsedReply::Complete(frame) => answered(frame),
+            ParsedReply::Invalid(_) => Answered::Spoilt,
         };
         self.held -= before.min(self.held);
         // More than one answer, or bytes that no backend sends: of no further use.
--- a/crates/resp-gateway/src/counter.rs
+++ b/crates/resp-gateway/src/counter.rs
@@ -9,7 +9,7 @@
 use bytes::{Bytes, BytesMut};
 use chalkdeck::api::{CounterKey, Outcome};
 use chalkdeck_net::{ConnId, Engine};
-use chalkdeck_resp::{push_command, take_reply, Bounds, Reply};
+use chalkdeck_resp::{encode_command, take_reply, MessageLimits, ParsedReply};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
@@ -21,12 +21,12 @@
 /// Connections that only wait for the ends of their calls.
 const MOST_OLD: usize = 12;
 /// What is read of an answer.
-const BOUNDS: Bounds = Bounds {
-    words: 1,
-    word: 1_024,
-    line: 1_024,
-    message: 2_048,
-    inline: false,
+const LIMITS: MessageLimits = MessageLimits {
+    max_elements: 1,
+    max_element_bytes: 1_024,
+    max_line_bytes: 1_024,
+    max_message_bytes: 2_048,
+    accepts_inline: false,
 };
 
 /// How a call ended.
@@ -252,10 +252,10 @@
         link.bytes.extend_from_slice(data);
         let mut told = Vec::new();
         loop {
-            let (outcome, total, sound) = match take_reply(&mut link.bytes, &BOUNDS) {
-                Reply::Partial => return Some(told),
-                Reply::Whole(frame) => counted(&frame),
-                Reply::Bad(_) => (Outcome::Error, 0.0, false),
+            let (outcome, total, sound) = match take_reply(&mut link.bytes, &LIMITS) {
+                ParsedReply::Incomplete => return Some(told),
+                ParsedReply::Complete(frame) => counted(&frame),
+                ParsedReply::Invalid(_) => (Outcome::Error, 0.0, false),
             };
             match link.calls.pop_front() {
                 Some(_) if link.told > 0 => link.told -= 1,
@@ -312,7 +312,7 @@
     let (name, amount) = (name.0.to_string(), amount.to_string());
     let life = life.div_ceil(1_000).max(1).to_string();
     let mut out = BytesMut::new();
-    push_command(
+    encode_command(
         &mut out,
         &[
             &[b"ADDGET"],
--- a/crates/resp-gateway/src/front.rs
+++ b/crates/resp-gateway/src/front.rs
@@ -8,17 +8,17 @@
 use bytes::{Bytes, BytesMut};
 use chalkdeck::api::RequestId;
 use chalkdeck_net::{ConnId, Engine};
-use chalkdeck_resp::{encode, take, Bounds, Frame, Front as Taken};
+use chalkdeck_resp::{encode_reply, take_command, Frame, MessageLimits, ParsedCommand, ReplySlot};
 use rustc_hash::FxHashMap;
 use session::Session;
 
 /// The largest command that is read: a body of 64 KiB beside an id, a customer and a list of names.
-const COMMAND_BOUNDS: Bounds = Bounds {
-    words: 16,
-    word: 64 << 10,
-    line: 0,
-    message: 80 << 10,
-    inline: false,
+const COMMAND_LIMITS: MessageLimits = MessageLimits {
+    max_elements: 16,
+    max_element_bytes: 64 << 10,
+    max_line_bytes: 0,
+    max_message_bytes: 80 << 10,
+    accepts_inline: false,
 };
 /// Commands of one connection whose answers are pending; at this number reading is paused.
 const MAX_PENDING_COMMANDS: usize = 64;
@@ -29,7 +29,7 @@
 
 /// A command that was received, with the slot of its answer.
 pub(crate) struct ReceivedCommand {
-    pub(crate) slot: u64,
+    pub(crate) slot: ReplySlot,
     pub(crate) words: Vec<Bytes>,
     /// The time from which on its deadline counts: it was received no later.
     pub(crate) received_at: u64,
@@ -116,22 +116,22 @@
             pause(engine, conn, session);
             return None;
         }
-        match take(&mut session.bytes, &COMMAND_BOUNDS) {
-            Taken::Partial => {
+        match take_command(&mut session.bytes, &COMMAND_LIMITS) {
+            ParsedCommand::Incomplete => {
                 unpause(engine, conn, session);
                 None
             }
-            Taken::Command(words) => {
+            ParsedCommand::Complete(words) => {
                 session.has_spoken = true;
                 let received_at = session.received_at;
                 Some(ReceivedCommand {
-                    slot: session.answers.wait(),
+                    slot: session.answers.reserve(),
                     words,
                     received_at,
                 })
             }
-            Taken::Bad(why) => {
-                session.answers.ready(error(&why.to_string()));
+            ParsedCommand::Invalid(why) => {
+                session.answers.push(error(&why.to_string()));
                 (session.read_closed, session.bytes) = (true, BytesMut::new());
                 None
             }
@@ -154,9 +154,9 @@
         }
     }
 
-    pub(crate) fn answer(&mut self, conn: ConnId, slot: u64, answer: Frame) {
+    pub(crate) fn answer(&mut self, conn: ConnId, slot: ReplySlot, answer: Frame) {
         if let Some(session) = self.sessions.get_mut(&conn) {
-            session.answers.answer(slot, answer);
+            session.answers.fill(slot, answer);
         }
     }
 
@@ -173,8 +173,8 @@
             return;
         };
         let mut out = BytesMut::new();
-        while let Some(answer) = session.answers.take() {
-            encode(&mut out, &answer);
+        while let Some(answer) = session.answers.pop_ready() {
+            encode_reply(&mut out, &answer);
         }
         if !out.is_empty() {
             session.active_at = engine.now();
--- a/crates/resp-gateway/src/front/session.rs
+++ b/crates/resp-gateway/src/front/session.rs
@@ -3,7 +3,7 @@
 use bytes::BytesMut;
 use chalkdeck::api::RequestId;
 use chalkdeck_net::ConnId;
-use chalkdeck_resp::{Answers, Frame};
+use chalkdeck_resp::{Frame, ReplyQueue};
 use rustc_hash::FxHashSet;
 
 /// A connection that has not sent its first whole command by then is closed, as is one that sends nothing for so long within a
@@ -37,7 +37,7 @@
     /// Bytes received and not parsed yet.
     pub(super) bytes: BytesMut,
     /// Answers in the order of their commands.
-    pub(super) answers: Answers<Frame>,
+    pub(super) answers: ReplyQueue<Frame>,
     /// Requests without a final answer.
     pub(super) open: FxHashSet<RequestId>,
     /// Reading is paused; `bytes` may still hold whole commands.
--- a/crates/resp-gateway/src/front/stops.rs
+++ b/crates/resp-gateway/src/front/stops.rs
@@ -60,7 +60,7 @@
     front: Front,
     clients: FxHashMap<ConnId, Client>,
     /// Commands without their answer.
-    open: Vec<(ConnId, u64)>,
+    open: Vec<(ConnId, ReplySlot)>,
 }
 
 impl Play {
--- a/crates/resp-gateway/src/front/tests.rs
+++ b/crates/resp-gateway/src/front/tests.rs
@@ -116,7 +116,7 @@
         stand.conn,
         &b"*1\r\n$4\r\nPING\r\n".repeat(7),
     );
-    let mut slots: Vec<u64> = Vec::new();
+    let mut slots: Vec<ReplySlot> = Vec::new();
     while let Some(ReceivedCommand { slot, .. }) = stand.front.next(&mut stand.engine, stand.conn) {
         slots.push(slot);
     }
--- a/crates/resp-gateway/src/request.rs
+++ b/crates/resp-gateway/src/request.rs
@@ -4,7 +4,7 @@
 use chalkdeck::api::{
     ClassId, CustomerId, Effect, IncomingRequest, Micros, PlanId, RequestId, Settings,
 };
-use chalkdeck_resp::push_command;
+use chalkdeck_resp::encode_command;
 use chalkdeck_simulator_adapter::settings::Read;
 
 /// Why a command is no request: the text is the error line that its client reads.
@@ -115,7 +115,7 @@
         let plain: Vec<[&[u8]; 1]> = self.words.iter().map(|w| [&w[..]]).collect();
         let mut words: Vec<&[&[u8]]> = plain.iter().map(|w| &w[..]).collect();
         words[3] = &timed;
-        push_command(out, &words);
+        encode_command(out, &words);
     }
 }
 
--- a/crates/resp-gateway/src/shell.rs
+++ b/crates/resp-gateway/src/shell.rs
@@ -19,7 +19,7 @@
 use chalkdeck_net::due::Dues;
 use chalkdeck_net::signals::Signals;
 use chalkdeck_net::{CloseReason, ConnId, Engine, Event as NetEvent, Limits, ListenerId};
-use chalkdeck_resp::Frame;
+use chalkdeck_resp::{Frame, ReplySlot};
 use rustc_hash::FxHashMap;
 use std::io;
 use std::net::SocketAddr;
@@ -91,7 +91,7 @@
 /// A request without its final answer.
 struct Call {
     conn: ConnId,
-    slot: u64,
+    slot: ReplySlot,
     command: Command,
     bytes: usize,
     attempts: usize,
@@ -545,7 +545,7 @@
     fn command(
         &mut self,
         conn: ConnId,
-        slot: u64,
+        slot: ReplySlot,
         words: Vec<Bytes>,
         received_at: u64,
     ) -> Option<Frame> {
--- a/crates/resp-gateway/tests/common/mod.rs
+++ b/crates/resp-gateway/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use bytes::{Bytes, BytesMut};
 use chalkdeck_net::clock::{Clock, Jumps};
 use chalkdeck_net::{ConnId, Engine, Event, Limits, ListenerId};
-use chalkdeck_resp::{push_command, take, Bounds, Front};
+use chalkdeck_resp::{encode_command, take_command, MessageLimits, ParsedCommand};
 use chalkdeck_resp_gateway::{Config, Shell};
 use std::collections::{HashMap, HashSet};
 use std::fmt::Write as _;
@@ -15,12 +15,12 @@
 use std::time::{Duration, Instant};
 
 const PATIENCE: Duration = Duration::from_secs(20);
-const BOUNDS: Bounds = Bounds {
-    words: 16,
-    word: 1 << 20,
-    line: 0,
-    message: 2 << 20,
-    inline: true,
+const LIMITS: MessageLimits = MessageLimits {
+    max_elements: 16,
+    max_element_bytes: 1 << 20,
+    max_line_bytes: 0,
+    max_message_bytes: 2 << 20,
+    accepts_inline: true,
 };
 pub const SECOND: i64 = 1_000_000;
 
@@ -301,14 +301,14 @@
         words.extend([&name[..], &customer[..], &id[..], &list[..]]);
         words.extend(body);
         let mut out = BytesMut::new();
-        push_command(&mut out, &words);
+        encode_command(&mut out, &words);
         self.engine.write(conn, &out);
     }
 
     /// The next whole command on a connection.
     pub fn command(&mut self, conn: ConnId) -> Option<Vec<Bytes>> {
-        match take(self.heard.get_mut(&conn)?, &BOUNDS) {
-            Front::Command(words) => Some(words),
+        match take_command(self.heard.get_mut(&conn)?, &LIMITS) {
+            ParsedCommand::Complete(words) => Some(words),
             _ => None,
         }
     }
--- a/crates/resp-gateway/tests/world/peers.rs
+++ b/crates/resp-gateway/tests/world/peers.rs
@@ -2,18 +2,20 @@
 
 use super::Class;
 use bytes::BytesMut;
-use chalkdeck_resp::{push_command, take, take_reply, Bounds, Frame, Front, Reply};
+use chalkdeck_resp::{
+    encode_command, take_command, take_reply, Frame, MessageLimits, ParsedCommand, ParsedReply,
+};
 use fastrand::Rng;
 use std::collections::VecDeque;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 
-const BOUNDS: Bounds = Bounds {
-    words: 16,
-    word: 1 << 20,
-    line: 1_024,
-    message: 2 << 20,
-    inline: false,
+const LIMITS: MessageLimits = MessageLimits {
+    max_elements: 16,
+    max_element_bytes: 1 << 20,
+    max_line_bytes: 1_024,
+    max_message_bytes: 2 << 20,
+    accepts_inline: false,
 };
 
 fn listen() -> TcpListener {
@@ -100,7 +102,7 @@
         let words: Vec<&[&[u8]]> = words.iter().map(|word| &word[..]).collect();
         let count = if class == Class::View { 4 } else { 5 };
         let mut command = BytesMut::new();
-        push_command(&mut command, &words[..count]);
+        encode_command(&mut command, &words[..count]);
         self.waits.push_back(id.to_string());
         if in_part {
             let rest = command.split_off(command.len() / 2);
@@ -132,12 +134,12 @@
         let open = read(&mut self.stream, &mut self.heard);
         let mut answers = Vec::new();
         while self.unreadable.is_none() {
-            let answer = match take_reply(&mut self.heard, &BOUNDS) {
-                Reply::Partial => break,
-                Reply::Whole(Frame::BulkString(value)) => {
+            let answer = match take_reply(&mut self.heard, &LIMITS) {
+                ParsedReply::Incomplete => break,
+                ParsedReply::Complete(Frame::BulkString(value)) => {
                     format!("served {}", String::from_utf8_lossy(&value))
                 }
-                Reply::Whole(Frame::Error(line)) => line.to_string(),
+                ParsedReply::Complete(Frame::Error(line)) => line.to_string(),
                 other => {
                     self.unreadable = Some(format!("a client cannot read {other:?}"));
                     break;
@@ -226,7 +228,8 @@
         let mut attempts = Vec::new();
         for connection in &mut self.connections {
             read(&mut connection.stream, &mut connection.bytes);
-            while let Front::Command(words) = take(&mut connection.bytes, &BOUNDS) {
+            while let ParsedCommand::Complete(words) = take_command(&mut connection.bytes, &LIMITS)
+            {
                 let id = String::from_utf8_lossy(&words[2]).into_owned();
                 attempts.push(Attempt {
                     id,
@@ -314,7 +317,7 @@
         }
         self.connections.retain_mut(|(stream, bytes, calls)| {
             let open = read(stream, bytes);
-            while let Front::Command(_) = take(bytes, &BOUNDS) {
+            while let ParsedCommand::Complete(_) = take_command(bytes, &LIMITS) {
                 *calls += 1;
             }
             open
--- a/crates/resp/src/command.rs
+++ b/crates/resp/src/command.rs
@@ -1,88 +1,92 @@
-//! Commands as a server reads them.
+//! Commands as a server parses them.
 
-use crate::error::{Unreadable, What};
-use crate::guard::{self, Bounds, Extent};
+use crate::error::{ProtocolError, ProtocolErrorKind};
+use crate::extent::{command_extent, Extent};
+use crate::limits::MessageLimits;
 use crate::Frame;
 use bytes::{Bytes, BytesMut};
 use redis_protocol::resp2;
 
-/// What stands at the front of the bytes that came.
+/// What the received bytes begin with.
 #[derive(Debug, PartialEq)]
-pub enum Front {
-    /// Not a whole command yet.
-    Partial,
-    /// Its words.
-    Command(Vec<Bytes>),
-    /// Bytes that cannot be read on from, and why.
-    Bad(Unreadable),
+pub enum ParsedCommand {
+    /// A command that has not been received whole.
+    Incomplete,
+    /// The words of a command.
+    Complete(Vec<Bytes>),
+    /// Bytes after which nothing more can be parsed, and why.
+    Invalid(ProtocolError),
 }
 
-/// Takes the next command off the bytes that came. An empty line, where lines may come, and an empty array are none and are
-/// passed over.
-pub fn take(bytes: &mut BytesMut, bounds: &Bounds) -> Front {
-    while !bytes.is_empty() {
-        if bytes[0] != b'*' {
-            if !bounds.inline {
-                return Front::Bad(
-                    What::Mark {
-                        expected: "'*'",
-                        found: bytes[0],
-                    }
-                    .into(),
-                );
-            }
-            match inline(bytes, bounds) {
-                Front::Command(words) if words.is_empty() => continue,
-                front => return front,
-            }
-        }
-        let end = match guard::command(bytes, bounds) {
-            Extent::Partial if bytes.len() > bounds.message => {
-                return Front::Bad(What::TooBig("a request").into())
-            }
-            Extent::Partial => return Front::Partial,
-            Extent::Bad(what) => return Front::Bad(what.into()),
-            Extent::Whole(end) => end,
-        };
-        let command = bytes.split_to(end).freeze();
-        return match resp2::decode::decode_bytes(&command) {
-            Ok(Some((Frame::Array(words), _))) if words.is_empty() => continue,
-            Ok(Some((Frame::Array(words), _))) => {
-                Front::Command(words.into_iter().map(word).collect())
-            }
-            _ => Front::Bad(What::Shape("an array of bulk strings").into()),
+impl From<ProtocolErrorKind> for ParsedCommand {
+    fn from(kind: ProtocolErrorKind) -> ParsedCommand {
+        ParsedCommand::Invalid(kind.into())
+    }
+}
+
+/// Takes the next command off the received bytes. Empty arrays, and empty lines where inline commands are accepted, are skipped.
+pub fn take_command(buffer: &mut BytesMut, limits: &MessageLimits) -> ParsedCommand {
+    while let Some(first) = buffer.first().copied() {
+        let parsed = match first {
+            b'*' => take_array(buffer, limits),
+            _ if limits.accepts_inline => take_inline(buffer, limits),
+            found => ParsedCommand::from(ProtocolErrorKind::UnexpectedByte {
+                expected: "'*'",
+                found,
+            }),
         };
+        let is_empty = matches!(&parsed, ParsedCommand::Complete(words) if words.is_empty());
+        if !is_empty {
+            return parsed;
+        }
+    }
+    ParsedCommand::Incomplete
+}
+
+/// A command as an array of bulk strings.
+fn take_array(buffer: &mut BytesMut, limits: &MessageLimits) -> ParsedCommand {
+    let end = match command_extent(buffer, limits) {
+        Extent::Incomplete if buffer.len() > limits.max_message_bytes => {
+            return ProtocolErrorKind::TooLarge("a request").into()
+        }
+        Extent::Incomplete => return ParsedCommand::Incomplete,
+        Extent::Invalid(kind) => return kind.into(),
+        Extent::Complete(end) => end,
+    };
+    match resp2::decode::decode_bytes(&buffer.split_to(end).freeze()) {
+        Ok(Some((Frame::Array(words), _))) => {
+            ParsedCommand::Complete(words.into_iter().map(word).collect())
+        }
+        _ => ProtocolErrorKind::UnexpectedShape("an array of bulk strings").into(),
     }
-    Front::Partial
 }
 
 fn word(frame: Frame) -> Bytes {
     match frame {
         Frame::BulkString(bytes) => bytes,
-        // The guard lets nothing else through.
+        // `command_extent` accepts bulk strings only.
         _ => Bytes::new(),
     }
 }
 
 /// A command as a line of words.
-fn inline(bytes: &mut BytesMut, bounds: &Bounds) -> Front {
-    let Some(end) = bytes.iter().position(|b| *b == b'\n') else {
-        return if bytes.len() > bounds.word {
-            Front::Bad(What::TooBig("inline request").into())
+fn take_inline(buffer: &mut BytesMut, limits: &MessageLimits) -> ParsedCommand {
+    let Some(end) = buffer.iter().position(|byte| *byte == b'\n') else {
+        return if buffer.len() > limits.max_element_bytes {
+            ProtocolErrorKind::TooLarge("inline request").into()
         } else {
-            Front::Partial
+            ParsedCommand::Incomplete
         };
     };
-    let line = bytes.split_to(end + 1).freeze();
-    let words = line
-        .split(|b| b.is_ascii_whitespace())
-        .filter(|w| !w.is_empty());
-    let words: Vec<Bytes> = words
-        .take(bounds.words + 1)
-        .map(|w| line.slice_ref(w))
+    let line = buffer.split_to(end + 1).freeze();
+    let words: Vec<Bytes> = line
+        .split(u8::is_ascii_whitespace)
+        .filter(|word| !word.is_empty())
+        .take(limits.max_elements + 1)
+        .map(|word| line.slice_ref(word))
         .collect();
-    if words.len() > bounds.words {
-        return Front::Bad(What::Words.into());
+    if words.len() > limits.max_elements {
+        return ProtocolErrorKind::TooManyWords.into();
     }
-    Front::Command(words)
+    ParsedCommand::Complete(words)
 }
--- a/crates/resp/src/error.rs
+++ b/crates/resp/src/error.rs
@@ -1,50 +1,50 @@
-//! What cannot be read on from.
+//! Errors of the protocol. Their texts are sent to clients, so they are part of the wire.
 
-/// Why the bytes of a connection cannot be read any further.
+/// Why the bytes of a connection cannot be parsed any further.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
-#[error("Protocol error: {what}")]
+#[error("Protocol error: {kind}")]
 #[diagnostic(
     code(chalkdeck::resp::unreadable),
     help("the peer does not speak RESP2 as it is expected here: see what it is and which port it was given")
 )]
-pub struct Unreadable {
-    /// What stood there, or how far it went beyond its bound.
-    pub what: What,
+pub struct ProtocolError {
+    /// What is wrong.
+    pub kind: ProtocolErrorKind,
 }
 
-/// The kinds of bytes that cannot be read on from.
+/// The kinds of protocol errors.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum What {
-    /// A length that is no number, is negative where it may not be, or goes beyond its bound.
+pub enum ProtocolErrorKind {
+    /// A length that is not a number, is negative where it must not be, or exceeds its limit.
     #[error("invalid {0} length")]
-    Length(&'static str),
-    /// A bulk string that is longer than it says.
+    InvalidLength(&'static str),
+    /// A bulk string that is longer than its stated length.
     #[error("expected CRLF after a bulk string")]
-    Tail,
-    /// Another mark than the one that has to stand there.
+    MissingCrlf,
+    /// Another type byte than the protocol allows at this place.
     #[error("expected {expected}, got '{}'", found.escape_ascii())]
-    Mark {
-        /// What may stand there.
+    UnexpectedByte {
+        /// What is allowed.
         expected: &'static str,
-        /// What does.
+        /// What was received.
         found: u8,
     },
-    /// A message beyond its bound.
+    /// A message that exceeds its limit.
     #[error("too big {0}")]
-    TooBig(&'static str),
-    /// A line that has no end within its bound, or ends in something else.
+    TooLarge(&'static str),
+    /// A line that does not end within its limit, or ends in something else than CRLF.
     #[error("{0}")]
-    Line(&'static str),
-    /// More words than are read.
+    InvalidLine(&'static str),
+    /// More words than the limit allows.
     #[error("too many words")]
-    Words,
-    /// Something nested, or of another kind than expected.
+    TooManyWords,
+    /// Something nested, or of another type than expected.
     #[error("expected {0}")]
-    Shape(&'static str),
+    UnexpectedShape(&'static str),
 }
 
-impl From<What> for Unreadable {
-    fn from(what: What) -> Unreadable {
-        Unreadable { what }
+impl From<ProtocolErrorKind> for ProtocolError {
+    fn from(kind: ProtocolErrorKind) -> ProtocolError {
+        ProtocolError { kind }
     }
 }
--- a/crates/resp/src/reply.rs
+++ b/crates/resp/src/reply.rs
@@ -1,54 +1,38 @@
-//! Replies as a client reads them, and both kinds as they are written.
+//! Replies as a client parses them.
 
-use crate::error::{Unreadable, What};
-use crate::guard::{self, Bounds, Extent};
+use crate::error::{ProtocolError, ProtocolErrorKind};
+use crate::extent::{reply_extent, Extent};
+use crate::limits::MessageLimits;
 use crate::Frame;
 use bytes::BytesMut;
 use redis_protocol::resp2;
 
-/// What stands at the front of the bytes that came.
+/// What the received bytes begin with.
 #[derive(Debug, PartialEq)]
-pub enum Reply {
-    /// Not a whole reply yet.
-    Partial,
+pub enum ParsedReply {
+    /// A reply that has not been received whole.
+    Incomplete,
     /// A reply.
-    Whole(Frame),
-    /// Bytes that cannot be read on from, and why.
-    Bad(Unreadable),
+    Complete(Frame),
+    /// Bytes after which nothing more can be parsed, and why.
+    Invalid(ProtocolError),
 }
 
-/// Takes the next reply off the bytes that came. A nested array is not read.
-pub fn take_reply(bytes: &mut BytesMut, bounds: &Bounds) -> Reply {
-    if bytes.is_empty() {
-        return Reply::Partial;
+/// Takes the next reply off the received bytes. A nested array is invalid.
+pub fn take_reply(buffer: &mut BytesMut, limits: &MessageLimits) -> ParsedReply {
+    if buffer.is_empty() {
+        return ParsedReply::Incomplete;
     }
-    let end = match guard::reply(bytes, bounds) {
-        Extent::Partial if bytes.len() > bounds.message => {
-            return Reply::Bad(What::TooBig("a reply").into())
+    let end = match reply_extent(buffer, limits) {
+        Extent::Incomplete if buffer.len() > limits.max_message_bytes => {
+            return ParsedReply::Invalid(ProtocolErrorKind::TooLarge("a reply").into())
         }
-        Extent::Partial => return Reply::Partial,
-        Extent::Bad(what) => return Reply::Bad(what.into()),
-        Extent::Whole(end) => end,
+        Extent::Incomplete => return ParsedReply::Incomplete,
+        Extent::Invalid(kind) => return ParsedReply::Invalid(kind.into()),
+        Extent::Complete(end) => end,
     };
-    match resp2::decode::decode_bytes(&bytes.split_to(end).freeze()) {
-        Ok(Some((frame, _))) => Reply::Whole(frame),
-        _ => Reply::Bad(What::Shape("a reply").into()),
-    }
-}
-
-/// Appends a reply.
-pub fn encode(out: &mut BytesMut, frame: &Frame) {
-    // The buffer grows, so it does not fail.
-    let _ = resp2::encode::extend_encode(out, frame, false);
-}
-
-/// Appends a command. Each word is given in pieces, which spares joining them first.
-pub fn push_command(out: &mut BytesMut, words: &[&[&[u8]]]) {
-    out.extend_from_slice(format!("*{}\r\n", words.len()).as_bytes());
-    for word in words {
-        let length: usize = word.iter().map(|piece| piece.len()).sum();
-        out.extend_from_slice(format!("${length}\r\n").as_bytes());
-        word.iter().for_each(|piece| out.extend_from_slice(piece));
-        out.extend_from_slice(b"\r\n");
+    match resp2::decode::decode_bytes(&buffer.split_to(end).freeze()) {
+        Ok(Some((frame, _))) => ParsedReply::Complete(frame),
+        _ => ParsedReply::Invalid(ProtocolErrorKind::UnexpectedShape("a reply").into()),
     }
 }
--- a/crates/resp/tests/commands.rs
+++ b/crates/resp/tests/commands.rs
@@ -1,19 +1,19 @@
-//! Commands: pieces, pipelines, lengths that lie, any bytes.
+//! Parsing of commands: split input, pipelines, false lengths, arbitrary bytes.
 
 use bytes::BytesMut;
-use chalkdeck_resp::{take, Bounds, Front};
+use chalkdeck_resp::{take_command, MessageLimits, ParsedCommand};
 
-const BOUNDS: Bounds = Bounds {
-    words: 64,
-    word: 4 << 10,
-    line: 0,
-    message: 64 << 10,
-    inline: true,
+const LIMITS: MessageLimits = MessageLimits {
+    max_elements: 64,
+    max_element_bytes: 4 << 10,
+    max_line_bytes: 0,
+    max_message_bytes: 64 << 10,
+    accepts_inline: true,
 };
 
-fn words(front: Front) -> Vec<String> {
-    let Front::Command(words) = front else {
-        panic!("expected a command, found {front:?}")
+fn words(command: ParsedCommand) -> Vec<String> {
+    let ParsedCommand::Complete(words) = command else {
+        panic!("expected a command, found {command:?}")
     };
     words
         .iter()
@@ -22,15 +22,15 @@
 }
 
 #[test]
-fn commands_come_in_pieces_in_pipelines_and_by_hand() {
+fn commands_in_pieces_in_pipelines_or_inline_then_parsed_whole() {
     let mut bytes = BytesMut::new();
     let whole = b"*2\r\n$4\r\nPING\r\n$2\r\nhi\r\nPING  there\r\n\r\n*0\r\n*1\r\n$4\r\nQUIT\r\n";
     let mut seen = Vec::new();
     for byte in whole {
         bytes.extend_from_slice(&[*byte]);
-        match take(&mut bytes, &BOUNDS) {
-            Front::Partial => {}
-            front => seen.push(words(front)),
+        match take_command(&mut bytes, &LIMITS) {
+            ParsedCommand::Incomplete => {}
+            command => seen.push(words(command)),
         }
     }
     assert_eq!(
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn lengths_that_lie_and_nested_arrays_are_told_at_once() {
+fn false_length_or_nested_array_then_rejected_at_once() {
     for (bytes, why) in [
         (&b"*1000000\r\n"[..], "multibulk"),
         (b"*-5\r\n", "multibulk"),
@@ -51,12 +51,13 @@
         (b"*1\r\n:5\r\n", "expected '$'"),
         (b"*1\r\n$2\r\nabcd", "expected CRLF"),
     ] {
-        let Front::Bad(text) = take(&mut BytesMut::from(bytes), &BOUNDS) else {
+        let ParsedCommand::Invalid(text) = take_command(&mut BytesMut::from(bytes), &LIMITS) else {
             panic!("{bytes:?} was taken")
         };
         assert!(text.to_string().contains(why), "{text}");
     }
-    let Front::Bad(_) = take(&mut BytesMut::from(&[b'x'; 5_000][..]), &BOUNDS) else {
+    let ParsedCommand::Invalid(_) = take_command(&mut BytesMut::from(&[b'x'; 5_000][..]), &LIMITS)
+    else {
         panic!("a line without end")
     };
 }
@@ -64,16 +65,16 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// All fronts of some bytes that come in pieces, until the first that cannot be read on from.
-fn fronts(pieces: &[&[u8]]) -> Vec<Front> {
+/// All commands in a sequence of pieces, up to the first protocol error.
+fn commands(pieces: &[&[u8]]) -> Vec<ParsedCommand> {
     let (mut bytes, mut out) = (BytesMut::new(), Vec::new());
     for piece in pieces {
         bytes.extend_from_slice(piece);
         loop {
-            match take(&mut bytes, &BOUNDS) {
-                Front::Partial => break,
-                Front::Bad(_) => return out,
-                front => out.push(front),
+            match take_command(&mut bytes, &LIMITS) {
+                ParsedCommand::Incomplete => break,
+                ParsedCommand::Invalid(_) => return out,
+                command => out.push(command),
             }
         }
     }
@@ -85,7 +86,7 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn any_bytes_end_well_and_pieces_do_not_matter(
+    fn arbitrary_bytes_in_any_pieces_then_same_result(
         parts in proptest::collection::vec(
             prop_oneof![
                 any::<Vec<u8>>(),
@@ -101,13 +102,13 @@
     ) {
         let bytes = parts.concat();
         let cut = cut.index(bytes.len() + 1);
-        let whole = fronts(&[&bytes]);
-        prop_assert_eq!(&whole, &fronts(&[&bytes[..cut], &bytes[cut..]]));
+        let whole = commands(&[&bytes]);
+        prop_assert_eq!(&whole, &commands(&[&bytes[..cut], &bytes[cut..]]));
         let single: Vec<&[u8]> = bytes.chunks(1).collect();
-        prop_assert_eq!(&whole, &fronts(&single));
-        for front in whole {
-            let Front::Command(words) = front else { unreachable!("only commands are kept") };
-            prop_assert!(words.len() <= BOUNDS.words && words.iter().all(|w| w.len() <= BOUNDS.word + 1));
+        prop_assert_eq!(&whole, &commands(&single));
+        for command in whole {
+            let ParsedCommand::Complete(words) = command else { unreachable!("only commands are kept") };
+            prop_assert!(words.len() <= LIMITS.max_elements && words.iter().all(|w| w.len() <= LIMITS.max_element_bytes + 1));
         }
     }
 }
--- a/crates/resp/tests/replies.rs
+++ b/crates/resp/tests/replies.rs
@@ -1,34 +1,35 @@
-//! Replies: any split, lengths that lie, what was written is read back.
+//! Parsing of replies: split input, false lengths, what was encoded is parsed back.
 
 use bytes::{Bytes, BytesMut};
 use chalkdeck_resp::{
-    encode, push_command, take, take_reply, Answers, Bounds, Frame, Front, Reply,
+    encode_command, encode_reply, take_command, take_reply, Frame, MessageLimits, ParsedCommand,
+    ParsedReply, ReplyQueue,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const BOUNDS: Bounds = Bounds {
-    words: 4,
-    word: 64,
-    line: 64,
-    message: 256,
-    inline: false,
+const LIMITS: MessageLimits = MessageLimits {
+    max_elements: 4,
+    max_element_bytes: 64,
+    max_line_bytes: 64,
+    max_message_bytes: 256,
+    accepts_inline: false,
 };
 
-/// All replies of some bytes that come in pieces, and whether the rest can be read on from.
+/// All replies in a sequence of pieces, and whether they ended without a protocol error.
 fn replies(pieces: &[&[u8]]) -> (Vec<Frame>, bool) {
     let (mut bytes, mut out) = (BytesMut::new(), Vec::new());
     for piece in pieces {
         bytes.extend_from_slice(piece);
         loop {
-            match take_reply(&mut bytes, &BOUNDS) {
-                Reply::Partial => break,
-                Reply::Bad(_) => return (out, false),
-                Reply::Whole(frame) => out.push(frame),
+            match take_reply(&mut bytes, &LIMITS) {
+                ParsedReply::Incomplete => break,
+                ParsedReply::Invalid(_) => return (out, false),
+                ParsedReply::Complete(frame) => out.push(frame),
             }
         }
         assert!(
-            bytes.len() <= BOUNDS.message + piece.len(),
+            bytes.len() <= LIMITS.max_message_bytes + piece.len(),
             "no more is held than a message"
         );
     }
@@ -36,7 +37,7 @@
 }
 
 #[test]
-fn what_cannot_be_a_reply_is_told_at_once_and_never_waited_for() {
+fn invalid_reply_then_rejected_at_once() {
     for bytes in [
         &b"$3000000000\r\n"[..],
         b"$-2\r\n",
@@ -52,7 +53,7 @@
     ] {
         let mut held = BytesMut::from(bytes);
         assert!(
-            matches!(take_reply(&mut held, &BOUNDS), Reply::Bad(_)),
+            matches!(take_reply(&mut held, &LIMITS), ParsedReply::Invalid(_)),
             "{}",
             bytes.escape_ascii()
         );
@@ -60,43 +61,43 @@
     let mut endless = BytesMut::from(&[b'x'; 80][..]);
     endless[0] = b'-';
     assert!(
-        matches!(take_reply(&mut endless, &BOUNDS), Reply::Bad(_)),
+        matches!(take_reply(&mut endless, &LIMITS), ParsedReply::Invalid(_)),
         "a line without end"
     );
 }
 
 #[test]
-fn a_command_written_in_pieces_is_read_back_whole() {
+fn command_encoded_from_pieces_then_parsed_whole() {
     let mut bytes = BytesMut::new();
-    push_command(
+    encode_command(
         &mut bytes,
         &[&[b"API.READ"], &[b"c=view,d=", b"480", b",units=2"], &[]],
     );
-    let Front::Command(words) = take(&mut bytes, &BOUNDS) else {
+    let ParsedCommand::Complete(words) = take_command(&mut bytes, &LIMITS) else {
         panic!("expected a command")
     };
     assert_eq!(words, [&b"API.READ"[..], b"c=view,d=480,units=2", b""]);
 }
 
 #[test]
-fn answers_keep_the_order_of_their_commands() {
-    let mut answers = Answers::default();
-    let (a, b) = (answers.wait(), answers.wait());
-    answers.ready(3);
-    answers.answer(b, 2);
-    assert_eq!((answers.take(), answers.pending()), (None, 3));
-    answers.answer(a, 1);
+fn replies_filled_out_of_order_then_taken_in_command_order() {
+    let mut queue = ReplyQueue::default();
+    let (a, b) = (queue.reserve(), queue.reserve());
+    queue.push(3);
+    queue.fill(b, 2);
+    assert_eq!((queue.pop_ready(), queue.pending()), (None, 3));
+    queue.fill(a, 1);
     assert_eq!(
         [
-            answers.take(),
-            answers.take(),
-            answers.take(),
-            answers.take()
+            queue.pop_ready(),
+            queue.pop_ready(),
+            queue.pop_ready(),
+            queue.pop_ready()
         ],
         [Some(1), Some(2), Some(3), None]
     );
-    answers.answer(a, 9);
-    assert_eq!(answers.pending(), 0, "a slot that was taken stays so");
+    queue.fill(a, 9);
+    assert_eq!(queue.pending(), 0, "a slot that was taken stays empty");
 }
 
 fn frame() -> impl Strategy<Value = Frame> {
@@ -119,16 +120,16 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_is_written_is_read_back_over_every_split(frames in proptest::collection::vec(frame(), 1..4)) {
+    fn encoded_replies_split_anywhere_then_parsed_back(frames in proptest::collection::vec(frame(), 1..4)) {
         let mut bytes = BytesMut::new();
-        frames.iter().for_each(|f| encode(&mut bytes, f));
+        frames.iter().for_each(|f| encode_reply(&mut bytes, f));
         for cut in 0..=bytes.len() {
             prop_assert_eq!(&replies(&[&bytes[..cut], &bytes[cut..]]), &(frames.clone(), true));
         }
     }
 
     #[test]
-    fn any_bytes_end_well_and_pieces_do_not_matter(
+    fn arbitrary_bytes_in_any_pieces_then_same_result(
         parts in proptest::collection::vec(
             prop_oneof![
                 any::<Vec<u8>>(),
