--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -10,7 +10,7 @@
 use chalkdeck_grpc_gateway::{logs, Settings};
 use chalkdeck_net::signals::Signals;
 use chalkdeck_resp_gateway::{Config, Shell};
-use chalkdeck_testbed::cli::Command as Lab;
+use chalkdeck_testbed::cli::Command as Testbed;
 use chalkdeck_testbed::rig::demo::DemoArgs;
 use chalkdeck_testbed::rig::serve::{serve, ServeArgs};
 use clap::{Parser, Subcommand};
@@ -56,9 +56,9 @@
     /// What the loss of sites comes to, from a file of capacities and demand
     #[command(subcommand)]
     Plan(chalkdeck_capacity_planner::command::Command),
-    /// Commands of the laboratory
-    #[command(subcommand)]
-    Lab(Lab),
+    /// Stand-ins, load, faults, audits and measurements on this machine
+    #[command(subcommand, alias = "lab")]
+    Testbed(Testbed),
 }
 
 fn platform() -> Result<(), Failure> {
@@ -77,14 +77,14 @@
             Settings::load(&config).map_err(anyhow::Error::from)?;
             println!("{}: ok", config.display());
         }
-        Command::Demo(args) => Lab::Demo(args).run_as(&["lab"])?,
+        Command::Demo(args) => Testbed::Demo(args).run_as(&["testbed"])?,
         Command::Counter(command) => command.run()?,
         Command::Keeper(command) => keeper::run(&command)?,
         Command::Rules(command) => rules::run(&command)?,
         Command::Contract(command) => contract::run(&command)?,
         Command::Site { word } => site::run(&word)?,
         Command::Plan(command) => command.run()?,
-        Command::Lab(command) => command.run_as(&["lab"])?,
+        Command::Testbed(command) => command.run_as(&["testbed"])?,
     }
     Ok(())
 }
