--- a/crates/coordinator/src/journal.rs
+++ b/crates/coordinator/src/journal.rs
@@ -2,9 +2,11 @@
 
 use crate::store::Kept;
 use chalkdeck_wal::disk::Disk;
-use chalkdeck_wal::held::{Held, Identity};
-use chalkdeck_wal::log::{self, Failed, Found, Log, OpenError, Opened};
-use chalkdeck_wal::snapshot;
+use chalkdeck_wal::error::{AppendError, OpenError};
+use chalkdeck_wal::log::{Log, OpenedLog};
+use chalkdeck_wal::recovery::RecoveryReport;
+use chalkdeck_wal::state::{Identity, ReplayableState};
+use chalkdeck_wal::{retention, snapshot};
 use std::io;
 
 /// Bytes of log after which a snapshot is made.
@@ -29,7 +31,7 @@
     /// Whose disk it is, and starts on it so far.
     pub identity: Identity,
     /// How it was found.
-    pub found: Found,
+    pub found: RecoveryReport,
 }
 
 /// Why a record is not on the disk. The keeper must say nothing of that turn and end.
@@ -41,7 +43,7 @@
         code(chalkdeck::keeper::log),
         help("see the disk's room and health; the others go on as long as a majority of them is up; start this keeper again")
     )]
-    Record(#[from] Failed),
+    Record(#[from] AppendError),
     /// No snapshot was made.
     #[error("snapshot: {0}")]
     #[diagnostic(
@@ -54,13 +56,13 @@
 impl<D: Disk> Journal<D> {
     /// Reads a folder. `incarnation`: of one that holds nothing. Errors: the disk, or damage.
     pub fn open(disk: D, incarnation: u64) -> Result<Begun<D>, OpenError> {
-        let opened: Opened<D, Kept> = Log::open(disk.clone(), &(), incarnation)?;
-        let Opened {
+        let opened: OpenedLog<D, Kept> = Log::open(disk.clone(), &(), incarnation)?;
+        let OpenedLog {
             log,
-            held: kept,
-            found,
+            state: kept,
+            report: found,
         } = opened;
-        let (position, identity) = (kept.position(), log.identity);
+        let (position, identity) = (kept.position(), log.identity());
         let journal = Journal {
             disk,
             log,
@@ -94,8 +96,8 @@
     /// Makes a snapshot of what is kept at this moment, and removes what it makes needless.
     pub fn snapshot(&mut self, kept: &Kept) -> Result<(), JournalError> {
         self.log.roll(kept.position())?;
-        snapshot::write(&self.disk, kept, self.log.identity)?;
-        log::trim(&self.disk)?;
+        snapshot::write(&self.disk, kept, self.log.identity())?;
+        retention::remove_superseded(&self.disk)?;
         self.grown = 0;
         Ok(())
     }
--- a/crates/coordinator/src/kept.rs
+++ b/crates/coordinator/src/kept.rs
@@ -69,15 +69,15 @@
             ),
         }
         let (mut held, mut at) = (Held::default(), 0);
-        while let Some(body) = record::body(&bytes, at) {
+        while let Some(body) = record::body_at(&bytes, at) {
             let news = wire::News::decode(body).map_err(|_| KeptError::Form {
                 file: path.to_path_buf(),
             })?;
             held.apply(&news);
-            at += record::FRAME + body.len();
+            at += record::HEADER_LEN + body.len();
         }
         // Only the last record may be torn.
-        if at < bytes.len() && (at == 0 || record::any_after(&bytes, at + 1)) {
+        if at < bytes.len() && (at == 0 || record::exists_from(&bytes, at + 1)) {
             return Err(KeptError::Form {
                 file: path.to_path_buf(),
             });
@@ -100,7 +100,7 @@
             Some(file) if self.changes < LEAST.max(self.whole) && !news.whole => {
                 let mut out = Vec::new();
                 // News between that had nothing to be kept are no gap.
-                record::push(
+                record::append_message(
                     &mut out,
                     &wire::News {
                         since: self.version,
@@ -108,7 +108,7 @@
                     },
                 );
                 self.changes += out.len() as u64;
-                let fits = out.len() <= record::MOST;
+                let fits = out.len() <= record::MAX_BODY_LEN;
                 if fits {
                     file.write_all(&out).and_then(|()| file.sync_data())
                 } else {
@@ -132,7 +132,7 @@
         let mut news = held.to_news();
         let sets = std::mem::take(&mut news.rules);
         let mut out = Vec::new();
-        record::push(&mut out, &news);
+        record::append_message(&mut out, &news);
         let part = wire::News {
             version: news.version,
             since: news.version,
@@ -140,7 +140,7 @@
             ..wire::News::default()
         };
         for rules in sets.chunks(SETS) {
-            record::push(
+            record::append_message(
                 &mut out,
                 &wire::News {
                     rules: rules.to_vec(),
--- a/crates/coordinator/src/serve.rs
+++ b/crates/coordinator/src/serve.rs
@@ -14,7 +14,7 @@
 use chalkdeck_net::{ConnId, Engine, Event, Limits, ListenerId, StreamId};
 use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
 use chalkdeck_wal::disk::Folder;
-use chalkdeck_wal::log::OpenError;
+use chalkdeck_wal::error::OpenError;
 use peers::Peers;
 use prost::Message;
 use rustc_hash::FxHashMap;
--- a/crates/coordinator/src/store.rs
+++ b/crates/coordinator/src/store.rs
@@ -1,7 +1,7 @@
 //! What the agreement's core keeps: in memory for the core, and as operations for the log, which replays to the same.
 
-use chalkdeck_wal::held::{Applied, Damage, Held, Identity};
 use chalkdeck_wal::record;
+use chalkdeck_wal::state::{Identity, MalformedRecord, ReplayableState, Replayed, SnapshotDamage};
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::storage::{
     Entry as EntryTrait, Snapshot, StopSign, Storage, StorageOp, StorageResult,
@@ -186,17 +186,17 @@
     // Its own types always have a form.
     let body = postcard::to_stdvec(&(position, ops)).unwrap_or_default();
     let mut out = Vec::new();
-    record::push_bytes(&mut out, &body);
+    record::append_bytes(&mut out, &body);
     out
 }
 
 /// Version of the form of log and snapshots.
 pub const VERSION: u32 = 1;
 
-impl Held for Kept {
+impl ReplayableState for Kept {
     type Settings = ();
     const VERSION: u32 = VERSION;
-    const RECORD: &'static str = "changes";
+    const RECORD_CONTENT: &'static str = "changes";
 
     fn new((): &()) -> Kept {
         Kept::default()
@@ -204,49 +204,52 @@
     fn position(&self) -> u64 {
         self.ops
     }
-    fn replay(&mut self, body: &[u8]) -> Option<Applied> {
-        let (position, ops): (u64, Vec<Op>) = postcard::from_bytes(body).ok()?;
+    fn replay(&mut self, body: &[u8]) -> Result<Replayed, MalformedRecord> {
+        let (position, ops): (u64, Vec<Op>) =
+            postcard::from_bytes(body).map_err(|_| MalformedRecord)?;
         if position != self.ops {
-            return Some(if position > self.ops {
-                Applied::Gap(position)
+            return Ok(if position > self.ops {
+                Replayed::Gap {
+                    record_position: position,
+                }
             } else {
-                Applied::Held
+                Replayed::AlreadyApplied
             });
         }
         let count = ops.len() as u64;
         ops.into_iter().for_each(|op| self.apply(op));
-        Some(Applied::Changes(count))
+        Ok(Replayed::Changes(count))
     }
     fn snapshot(&self, identity: Identity) -> Vec<u8> {
         let body = postcard::to_stdvec(&(VERSION, identity.incarnation, identity.epoch, self))
             .unwrap_or_default();
         // Parts, as one record is bounded.
         let mut out = Vec::new();
-        for part in body.chunks(record::MOST / 2) {
-            record::push_bytes(&mut out, part);
+        for part in body.chunks(record::MAX_BODY_LEN / 2) {
+            record::append_bytes(&mut out, part);
         }
         out
     }
-    fn restore(bytes: &[u8], (): &()) -> Result<(Kept, Identity), Damage> {
+    fn restore(bytes: &[u8], (): &()) -> Result<(Kept, Identity), SnapshotDamage> {
         let (mut whole, mut at) = (Vec::new(), 0);
         while at < bytes.len() {
-            let Some(body) = record::body(bytes, at) else {
-                return Err(Damage {
+            let Some(body) = record::body_at(bytes, at) else {
+                return Err(SnapshotDamage {
                     offset: at,
                     expected: "a sound record".into(),
                 });
             };
             whole.extend_from_slice(body);
-            at += record::FRAME + body.len();
+            at += record::HEADER_LEN + body.len();
         }
         let read: Result<(u32, u64, u64, Kept), _> = postcard::from_bytes(&whole);
         match read {
             Ok((VERSION, incarnation, epoch, kept)) => Ok((kept, Identity { incarnation, epoch })),
-            Ok((other, ..)) => Err(Damage {
+            Ok((other, ..)) => Err(SnapshotDamage {
                 offset: 0,
                 expected: format!("version {VERSION}, found {other}"),
             }),
-            Err(e) => Err(Damage {
+            Err(e) => Err(SnapshotDamage {
                 offset: 0,
                 expected: format!("what a keeper keeps: {e}"),
             }),
--- a/crates/coordinator/tests/world/faults.rs
+++ b/crates/coordinator/tests/world/faults.rs
@@ -27,7 +27,7 @@
             Fault::LoseDisk(k) => {
                 let node = &mut self.keepers[k];
                 (node.core, node.journal) = (None, None);
-                node.disk = Sim::new(self.rng.u64(..));
+                node.disk = SimulatedDisk::new(self.rng.u64(..));
             }
             Fault::CopyDisk(k) => self.keepers[k].copy = Some(self.keepers[k].disk.after_crash()),
             Fault::OldDisk(k) => {
@@ -55,7 +55,7 @@
                     self.befall(Fault::KillGateway(g));
                 }
             }
-            Fault::DiskFull(k) => self.keepers[k].disk.fill(),
+            Fault::DiskFull(k) => self.keepers[k].disk.fail_next_append(),
         }
     }
 
--- a/crates/coordinator/tests/world/mod.rs
+++ b/crates/coordinator/tests/world/mod.rs
@@ -13,7 +13,7 @@
 use chalkdeck_coordinator::state::{REGISTRAR, TALLY};
 use chalkdeck_leader_election::{Gate, Terms, Token};
 use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
-use chalkdeck_wal::sim::Sim;
+use chalkdeck_wal::simulated_disk::SimulatedDisk;
 use fastrand::Rng;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -94,13 +94,13 @@
 
 struct KeeperNode {
     core: Option<Keeper>,
-    journal: Option<Journal<Sim>>,
-    disk: Sim,
+    journal: Option<Journal<SimulatedDisk>>,
+    disk: SimulatedDisk,
     clock: Clock,
     stalled: u64,
     starts: u64,
     /// A copy of the disk from earlier.
-    copy: Option<Sim>,
+    copy: Option<SimulatedDisk>,
     /// Which stream is which gateway's, and which asker's.
     streams: BTreeMap<Asker, (Node, u64)>,
 }
@@ -222,7 +222,7 @@
             rng: rng.fork(),
         };
         for k in 0..keepers {
-            let disk = Sim::new(seed.wrapping_mul(31) + k as u64);
+            let disk = SimulatedDisk::new(seed.wrapping_mul(31) + k as u64);
             let clock = world.clock();
             let node = KeeperNode {
                 core: None,
--- a/crates/counter/src/cli.rs
+++ b/crates/counter/src/cli.rs
@@ -9,8 +9,9 @@
 use chalkdeck_net::signals::Signals;
 use chalkdeck_proto::chalkdeck::counter::v1::Batch;
 use chalkdeck_wal::disk::{Disk, Folder};
-use chalkdeck_wal::log::SegmentHead;
-use chalkdeck_wal::record;
+use chalkdeck_wal::recovery::TornTail;
+use chalkdeck_wal::segment::SegmentHead;
+use chalkdeck_wal::{file_names, record, retention};
 use clap::{Args, Subcommand};
 use prost::Message;
 use std::io::{Read, Write};
@@ -115,10 +116,10 @@
                 writeln!(
                     out,
                     "# position {} time {}",
-                    replayed.held.position(),
-                    replayed.held.time()
+                    replayed.state.position(),
+                    replayed.state.time()
                 )?;
-                for t in replayed.held.all() {
+                for t in replayed.state.all() {
                     writeln!(out, "{:016x} {} until {}", t.name, t.total, t.until)?;
                 }
                 Ok(())
@@ -126,9 +127,9 @@
             LogCommand::Compact(args) => {
                 let folder = args.open()?;
                 let opened = log::open(folder.clone(), Limits::default(), 0)?;
-                snapshot::write(&folder, &opened.held, opened.log.identity)?;
-                log::trim(&folder)?;
-                writeln!(out, "snapshot at {}", opened.held.position())?;
+                snapshot::write(&folder, &opened.state, opened.log.identity())?;
+                retention::remove_superseded(&folder)?;
+                writeln!(out, "snapshot at {}", opened.state.position())?;
                 Ok(())
             }
         }
@@ -137,7 +138,7 @@
 
 fn verify(folder: &Folder, out: &mut impl Write) -> anyhow::Result<()> {
     let replayed = log::replay(folder, Limits::default(), u64::MAX)?;
-    let (counts, found) = (&replayed.held, &replayed.found);
+    let (counts, found) = (&replayed.state, &replayed.report);
     writeln!(
         out,
         "sound: incarnation {:x} epoch {} position {} names {}; snapshot at {}, {} adds replayed",
@@ -145,13 +146,13 @@
         replayed.identity.epoch,
         counts.position(),
         counts.names(),
-        found.snapshot,
-        found.replayed
+        found.snapshot_position,
+        found.replayed_changes
     )?;
-    for snapshot in &found.bad_snapshots {
+    for snapshot in &found.damaged_snapshots {
         writeln!(out, "damaged, passed over: {snapshot}")?;
     }
-    if let Some((file, bytes)) = &found.cut {
+    if let Some(TornTail { file, len: bytes }) = &found.torn_tail {
         writeln!(
             out,
             "a start would cut {bytes} bytes off {file}: torn by a crash, never answered as counted"
@@ -161,17 +162,17 @@
 }
 
 fn dump(folder: &Folder, out: &mut impl Write) -> anyhow::Result<()> {
-    for name in log::segments(folder)? {
+    for name in file_names::list_segments(folder)? {
         let bytes = folder.read(&name)?;
         writeln!(out, "# {name}, {} bytes", bytes.len())?;
         let mut at = 0;
-        while let Some(body) = record::body(&bytes, at) {
+        while let Some(body) = record::body_at(&bytes, at) {
             if at == 0 {
                 writeln!(out, "{:?}", SegmentHead::decode(body)?)?;
             } else {
                 dump_batch(at, &Batch::decode(body)?, out)?;
             }
-            at += record::FRAME + body.len();
+            at += record::HEADER_LEN + body.len();
         }
         if at < bytes.len() {
             writeln!(out, "offset {at}: no sound record")?;
--- a/crates/counter/src/log.rs
+++ b/crates/counter/src/log.rs
@@ -5,19 +5,23 @@
 use chalkdeck_proto::chalkdeck::counter::v1::Batch;
 pub use chalkdeck_wal::disk;
 use chalkdeck_wal::disk::Disk;
-use chalkdeck_wal::held::{Applied, Damage, Held, Identity};
-pub use chalkdeck_wal::log::{segments, snapshots, trim, Failed, Found, Log, OpenError};
+pub use chalkdeck_wal::error::{AppendError, OpenError};
+use chalkdeck_wal::log::{Log, OpenedLog};
 pub use chalkdeck_wal::record;
+use chalkdeck_wal::recovery::{self, RecoveredState};
+use chalkdeck_wal::state::{
+    Identity, MalformedRecord, ReplayableState, Replayed as ReplayedRecord, SnapshotDamage,
+};
 use prost::Message;
 
 /// A log with its counts.
-pub type Opened<D> = chalkdeck_wal::log::Opened<D, Counts>;
+pub type Opened<D> = OpenedLog<D, Counts>;
 /// What a folder held.
-pub type Replayed = chalkdeck_wal::log::Replayed<Counts>;
+pub type Replayed = RecoveredState<Counts>;
 
 /// Reads a folder without changing it, up to a position. Errors: the disk, or damage before the torn tail.
 pub fn replay<D: Disk>(disk: &D, limits: Limits, until: u64) -> Result<Replayed, OpenError> {
-    chalkdeck_wal::log::replay(disk, &limits, until)
+    recovery::recover(disk, &limits, until)
 }
 
 /// Reads a folder, cuts a torn tail and begins a new segment in a new epoch. `incarnation`: of a folder that holds nothing.
@@ -37,7 +41,7 @@
         callers: adds.iter().map(|a| a.caller).collect(),
         numbers: adds.iter().map(|a| a.number).collect(),
     };
-    record::push(out, &batch);
+    record::append_message(out, &batch);
 }
 
 /// The adds of a batch; none if its columns differ in length.
@@ -62,10 +66,10 @@
     Some((0..len).map(add).collect())
 }
 
-impl Held for Counts {
+impl ReplayableState for Counts {
     type Settings = Limits;
     const VERSION: u32 = snapshot::VERSION;
-    const RECORD: &'static str = "adds";
+    const RECORD_CONTENT: &'static str = "adds";
 
     fn new(limits: &Limits) -> Counts {
         Counts::new(*limits)
@@ -73,24 +77,26 @@
     fn position(&self) -> u64 {
         self.position
     }
-    fn replay(&mut self, body: &[u8]) -> Option<Applied> {
-        let batch = Batch::decode(body).ok()?;
-        let adds = adds_of(&batch)?;
-        Some(match batch.position {
-            from if from > self.position => Applied::Gap(from),
-            from if from < self.position => Applied::Held,
+    fn replay(&mut self, body: &[u8]) -> Result<ReplayedRecord, MalformedRecord> {
+        let batch = Batch::decode(body).map_err(|_| MalformedRecord)?;
+        let adds = adds_of(&batch).ok_or(MalformedRecord)?;
+        Ok(match batch.position {
+            from if from > self.position => ReplayedRecord::Gap {
+                record_position: from,
+            },
+            from if from < self.position => ReplayedRecord::AlreadyApplied,
             _ => {
                 for add in &adds {
                     self.apply(batch.time, add);
                 }
-                Applied::Changes(adds.len() as u64)
+                ReplayedRecord::Changes(adds.len() as u64)
             }
         })
     }
     fn snapshot(&self, identity: Identity) -> Vec<u8> {
         snapshot::encode(self, identity)
     }
-    fn restore(bytes: &[u8], limits: &Limits) -> Result<(Counts, Identity), Damage> {
+    fn restore(bytes: &[u8], limits: &Limits) -> Result<(Counts, Identity), SnapshotDamage> {
         snapshot::decode(bytes, *limits).map(|d| (d.counts, d.identity))
     }
 }
--- a/crates/counter/src/meters.rs
+++ b/crates/counter/src/meters.rs
@@ -2,7 +2,7 @@
 
 use crate::state::Counts;
 use chalkdeck_net::grpc::Code;
-use chalkdeck_wal::held::Identity;
+use chalkdeck_wal::state::Identity;
 use prometheus_client::encoding::{text, EncodeLabelSet};
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
--- a/crates/counter/src/serve.rs
+++ b/crates/counter/src/serve.rs
@@ -1,6 +1,6 @@
 //! One part of the counter on sockets: adds in, batches to the log, answers out.
 
-use crate::log::{self, Failed, Found, Opened};
+use crate::log::{self, AppendError, Opened};
 use crate::settings::{Part, Settings};
 use crate::state::{Add, Counts, Refusal};
 use crate::top::Top;
@@ -14,7 +14,9 @@
 use chalkdeck_net::{ConnId, Engine, Event, Limits, ListenerId, StreamId};
 use chalkdeck_proto::chalkdeck::counter::v1::{self as wire, AddRequest, AddResponse};
 use chalkdeck_wal::disk::Folder;
-use chalkdeck_wal::held::Identity;
+use chalkdeck_wal::recovery::{RecoveryReport, TornTail};
+use chalkdeck_wal::retention;
+use chalkdeck_wal::state::Identity;
 use prost::Message;
 use rustc_hash::FxHashMap;
 use std::net::SocketAddr;
@@ -94,11 +96,11 @@
                 .map_err(|e| anyhow::anyhow!("folder {}: {e}", path.display()))?;
             let Opened {
                 log,
-                held: found_counts,
-                found,
+                state: found_counts,
+                report: found,
             } = opened;
-            say(path, &found, &found_counts, log.identity);
-            (counts, identity) = (found_counts, log.identity);
+            say(path, &found, &found_counts, log.identity());
+            (counts, identity) = (found_counts, log.identity());
             let promise = match settings.promise {
                 wire::Promise::Write => Promise::Write,
                 _ => Promise::Sync,
@@ -338,13 +340,13 @@
         }
     }
 
-    fn on_failed(&mut self, failed: &Failed) {
+    fn on_failed(&mut self, failed: &AppendError) {
         let code = match failed {
-            Failed::NotKept(_) | Failed::Closed => Code::Unavailable,
-            Failed::MayBeKept(_) => Code::DataLoss,
+            AppendError::NotWritten(_) | AppendError::Closed => Code::Unavailable,
+            AppendError::OutcomeUnknown(_) => Code::DataLoss,
         };
         tracing::error!("{failed}");
-        self.closed |= !matches!(failed, Failed::NotKept(_));
+        self.closed |= !matches!(failed, AppendError::NotWritten(_));
         self.meters.closed(self.closed);
         for asked in std::mem::take(&mut self.out) {
             self.answer(asked.stream, asked.add.number, 0.0, code);
@@ -374,7 +376,7 @@
         // Ends the writer, which syncs what it wrote.
         self.writer = None;
         snapshot::write(&disk, &self.counts, self.identity)?;
-        log::trim(&disk)?;
+        retention::remove_superseded(&disk)?;
         tracing::info!(position = self.counts.position(), "stopped with a snapshot");
         Ok(())
     }
@@ -465,12 +467,12 @@
     }
 }
 
-fn say(path: &std::path::Path, found: &Found, counts: &Counts, identity: Identity) {
+fn say(path: &std::path::Path, found: &RecoveryReport, counts: &Counts, identity: Identity) {
     found
-        .bad_snapshots
+        .damaged_snapshots
         .iter()
         .for_each(|s| tracing::error!("a damaged snapshot was passed over: {s}"));
-    if let Some((file, bytes)) = &found.cut {
+    if let Some(TornTail { file, len: bytes }) = &found.torn_tail {
         tracing::warn!(
             file,
             bytes,
@@ -483,8 +485,8 @@
         epoch = identity.epoch,
         position = counts.position(),
         names = counts.names(),
-        snapshot = found.snapshot,
-        replayed = found.replayed,
+        snapshot = found.snapshot_position,
+        replayed = found.replayed_changes,
         "recovered"
     );
 }
--- a/crates/counter/src/snapshot.rs
+++ b/crates/counter/src/snapshot.rs
@@ -2,9 +2,9 @@
 
 use crate::state::{Caller, Counts, Limits, Name, Seen};
 use chalkdeck_proto::chalkdeck::counter::v1::{CallerState, SnapshotHead, SnapshotPart};
-use chalkdeck_wal::held::{Damage, Identity};
 use chalkdeck_wal::record;
 pub use chalkdeck_wal::snapshot::write;
+use chalkdeck_wal::state::{Identity, SnapshotDamage};
 use prost::Message;
 
 /// Version of the format; others are refused.
@@ -19,7 +19,7 @@
     let mut callers: Vec<(&u64, &Caller)> = counts.callers.iter().collect();
     callers.sort_unstable_by_key(|c| c.0);
     let mut out = Vec::new();
-    record::push(
+    record::append_message(
         &mut out,
         &SnapshotHead {
             version: VERSION,
@@ -39,7 +39,7 @@
             untils: chunk.iter().map(|n| n.1.until).collect(),
             callers: Vec::new(),
         };
-        record::push(&mut out, &part);
+        record::append_message(&mut out, &part);
     }
     for (&id, caller) in callers {
         push_caller(&mut out, id, caller);
@@ -63,7 +63,7 @@
             totals: chunk.iter().map(|s| s.total).collect(),
             times: chunk.iter().map(|s| s.at).collect(),
         };
-        record::push(
+        record::append_message(
             out,
             &SnapshotPart {
                 callers: vec![state],
@@ -83,13 +83,13 @@
 }
 
 /// Reads a snapshot, whole or not at all.
-pub fn decode(bytes: &[u8], limits: Limits) -> Result<Decoded, Damage> {
-    let damage = |offset, expected: &str| Damage {
+pub fn decode(bytes: &[u8], limits: Limits) -> Result<Decoded, SnapshotDamage> {
+    let damage = |offset, expected: &str| SnapshotDamage {
         offset,
         expected: expected.into(),
     };
-    let head = record::body(bytes, 0).ok_or_else(|| damage(0, "a sound record"))?;
-    let mut at = record::FRAME + head.len();
+    let head = record::body_at(bytes, 0).ok_or_else(|| damage(0, "a sound record"))?;
+    let mut at = record::HEADER_LEN + head.len();
     let head = SnapshotHead::decode(head).map_err(|_| damage(0, "the head of a snapshot"))?;
     if head.version != VERSION {
         return Err(damage(
@@ -100,10 +100,10 @@
     let mut counts = Counts::new(limits);
     (counts.position, counts.time, counts.forgotten) = (head.position, head.time, head.forgotten);
     while at < bytes.len() {
-        let body = record::body(bytes, at).ok_or_else(|| damage(at, "a sound record"))?;
+        let body = record::body_at(bytes, at).ok_or_else(|| damage(at, "a sound record"))?;
         let part = SnapshotPart::decode(body).map_err(|_| damage(at, "a part of a snapshot"))?;
         take(&mut counts, part).ok_or_else(|| damage(at, "as many totals and ends as names"))?;
-        at += record::FRAME + body.len();
+        at += record::HEADER_LEN + body.len();
     }
     if (counts.names.len() as u64, counts.callers.len() as u64) != (head.names, head.callers) {
         let expected = format!("{} names and {} callers", head.names, head.callers);
--- a/crates/counter/src/writer.rs
+++ b/crates/counter/src/writer.rs
@@ -1,10 +1,12 @@
 //! The log on a thread of its own, so that the loop takes the next adds while the disk works: one batch at a time.
 
-use crate::log::{self, Failed, Log};
+use crate::log::{self, AppendError};
 use crate::snapshot;
 use crate::state::{Add, Counts};
 use chalkdeck_net::engine::LoopWaker;
 use chalkdeck_wal::disk::Disk;
+use chalkdeck_wal::log::Log;
+use chalkdeck_wal::retention;
 use std::io;
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError, Sender};
 use std::sync::Arc;
@@ -37,7 +39,7 @@
 /// How a batch went.
 pub struct Written {
     /// Whether it is as safe as the promise says.
-    pub result: Result<(), Failed>,
+    pub result: Result<(), AppendError>,
     /// How long it took.
     pub took: Duration,
     /// Its bytes in the log.
@@ -74,12 +76,12 @@
         let (snaps, snap_inbox) = channel();
         let (tell, done) = channel();
         let waker = Arc::new(waker);
-        let identity = log.identity;
+        let identity = log.identity();
         let (snap_tell, snap_waker) = (tell.clone(), waker.clone());
         let snapshots = move || {
             while let Ok(counts) = snap_inbox.recv() {
-                let written =
-                    snapshot::write(&disk, &counts, identity).and_then(|()| log::trim(&disk));
+                let written = snapshot::write(&disk, &counts, identity)
+                    .and_then(|()| retention::remove_superseded(&disk));
                 let _ = snap_tell.send(Done::Snapshot(written));
                 let _ = snap_waker.wake();
             }
--- a/crates/counter/tests/common/mod.rs
+++ b/crates/counter/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! What the tests of the log share.
 #![allow(dead_code)]
 use chalkdeck_counter::state::Add;
-pub use chalkdeck_wal::sim::Sim;
+pub use chalkdeck_wal::simulated_disk::SimulatedDisk;
 
 pub const FOREVER: u64 = u64::MAX / 2;
 
--- a/crates/counter/tests/crash.rs
+++ b/crates/counter/tests/crash.rs
@@ -1,10 +1,14 @@
 //! Every crash point: a disk that stops at any call, and what gateways were told before against what stands after.
 mod common;
-use chalkdeck_counter::log::{self, encode, Failed, Log, OpenError, Opened};
+use chalkdeck_counter::log::{self, encode, AppendError, OpenError, Opened};
 use chalkdeck_counter::snapshot;
 use chalkdeck_counter::state::{Add, Counts, Limits};
 use chalkdeck_wal::disk::Disk;
-use common::{add, Sim};
+use chalkdeck_wal::file_names::{list_segments, list_snapshots};
+use chalkdeck_wal::log::Log;
+use chalkdeck_wal::recovery::TornTail;
+use chalkdeck_wal::retention::remove_superseded;
+use common::{add, SimulatedDisk};
 use std::collections::BTreeMap;
 
 const NAMES: u64 = 5;
@@ -75,11 +79,11 @@
 }
 
 fn count(
-    log: &mut Log<Sim>,
+    log: &mut Log<SimulatedDisk>,
     counts: &mut Counts,
     adds: &[Add],
     time: u64,
-) -> Result<Vec<f64>, Failed> {
+) -> Result<Vec<f64>, AppendError> {
     let mut record = Vec::new();
     encode(&mut record, counts.position(), time, adds);
     log.append(&record)?;
@@ -87,22 +91,26 @@
     Ok(adds.iter().map(|a| counts.apply(time, a)).collect())
 }
 
-fn snap(log: &mut Log<Sim>, counts: &Counts, disk: &Sim) -> std::io::Result<()> {
+fn snap(
+    log: &mut Log<SimulatedDisk>,
+    counts: &Counts,
+    disk: &SimulatedDisk,
+) -> std::io::Result<()> {
     log.roll(counts.position())?;
-    snapshot::write(disk, counts, log.identity)?;
-    log::trim(disk)
+    snapshot::write(disk, counts, log.identity())?;
+    remove_superseded(disk)
 }
 
 /// Works until the disk stops.
 fn live(
-    disk: &Sim,
+    disk: &SimulatedDisk,
     ledger: &mut Ledger,
     rng: &mut fastrand::Rng,
     rounds: usize,
 ) -> Result<(), OpenError> {
     let Opened {
         mut log,
-        held: mut counts,
+        state: mut counts,
         ..
     } = log::open(disk.clone(), Limits::default(), OWN)?;
     for round in 0..rounds {
@@ -118,17 +126,17 @@
     Ok(())
 }
 
-fn open(disk: &Sim) -> Opened<Sim> {
+fn open(disk: &SimulatedDisk) -> Opened<SimulatedDisk> {
     log::open(disk.clone(), Limits::default(), OWN)
         .unwrap_or_else(|e| panic!("a crash is no damage: {e}"))
 }
 
 fn history(seed: u64, stop: u64) {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let (mut disk, mut ledger) = (Sim::new(seed), Ledger::default());
+    let (mut disk, mut ledger) = (SimulatedDisk::new(seed), Ledger::default());
     let mut epoch = 0;
     for life in 0..4 {
-        disk.stop_in(if life == 0 { stop } else { rng.u64(1..60) });
+        disk.stop_after(if life == 0 { stop } else { rng.u64(1..60) });
         match live(&disk, &mut ledger, &mut rng, 12) {
             Err(e @ OpenError::Damage { .. }) => panic!("seed {seed}: a crash is no damage: {e}"),
             // The start itself was stopped.
@@ -136,11 +144,14 @@
         }
         disk = disk.after_crash();
         let opened = open(&disk);
-        ledger.check(&opened.held, seed);
-        assert!(opened.log.identity.epoch > epoch, "each start is an epoch");
-        epoch = opened.log.identity.epoch;
+        ledger.check(&opened.state, seed);
+        assert!(
+            opened.log.identity().epoch > epoch,
+            "each start is an epoch"
+        );
+        epoch = opened.log.identity().epoch;
         // What was never heard arrives again, and counts once whether or not it had.
-        let (mut log, mut counts) = (opened.log, opened.held);
+        let (mut log, mut counts) = (opened.log, opened.state);
         for add in std::mem::take(&mut ledger.unheard) {
             let totals = count(&mut log, &mut counts, &[add], 0).expect("the disk works");
             ledger.hear(&[add], &totals);
@@ -158,7 +169,7 @@
 fn every_call_to_the_disk_may_be_the_last() {
     let mut all = 0;
     for seed in 0..8 {
-        let disk = Sim::new(seed);
+        let disk = SimulatedDisk::new(seed);
         live(
             &disk,
             &mut Ledger::default(),
@@ -177,11 +188,11 @@
 }
 
 /// A folder with two snapshots and several segments.
-fn folder(seed: u64) -> (Sim, Counts, f64) {
-    let disk = Sim::new(seed);
+fn folder(seed: u64) -> (SimulatedDisk, Counts, f64) {
+    let disk = SimulatedDisk::new(seed);
     let Opened {
         mut log,
-        held: mut counts,
+        state: mut counts,
         ..
     } = open(&disk);
     let mut last = 0.0;
@@ -218,11 +229,11 @@
             Err(e) => panic!("{e}"),
             Ok(opened) => {
                 let sum = |c: &Counts| c.all().iter().map(|t| t.total).sum::<f64>();
-                let lost = sum(&counts) - sum(&opened.held);
-                let found = &opened.found;
-                skipped += usize::from(!found.bad_snapshots.is_empty());
-                cut += usize::from(found.cut.is_some());
-                let told = if found.cut.is_some() { last } else { 0.0 };
+                let lost = sum(&counts) - sum(&opened.state);
+                let found = &opened.report;
+                skipped += usize::from(!found.damaged_snapshots.is_empty());
+                cut += usize::from(found.torn_tail.is_some());
+                let told = if found.torn_tail.is_some() { last } else { 0.0 };
                 assert!(
                     (0.0..=told).contains(&lost),
                     "{name} bit {bit}: {lost} lost, found {found:?}"
@@ -239,7 +250,7 @@
 #[test]
 fn torn_tails_are_cut_and_damage_before_them_stops_the_start() {
     let (disk, counts, _) = folder(1);
-    let newest = log::segments(&disk)
+    let newest = list_segments(&disk)
         .expect("a list")
         .pop()
         .expect("a segment");
@@ -255,10 +266,13 @@
         let replayed =
             log::replay(&disk, Limits::default(), u64::MAX).expect("a torn tail is no damage");
         assert_eq!(
-            replayed.found.cut,
-            Some((newest.clone(), tail.len() as u64))
+            replayed.report.torn_tail,
+            Some(TornTail {
+                file: newest.clone(),
+                len: tail.len() as u64,
+            })
         );
-        assert_eq!(replayed.held.all(), counts.all());
+        assert_eq!(replayed.state.all(), counts.all());
     }
     let mut bytes = whole.clone();
     bytes.extend([0; 100]);
@@ -275,9 +289,9 @@
     );
     disk.put(&newest, whole);
 
-    let oldest = log::segments(&disk).expect("a list").remove(0);
+    let oldest = list_segments(&disk).expect("a list").remove(0);
     disk.remove(&oldest).expect("a removal");
-    log::snapshots(&disk)
+    list_snapshots(&disk)
         .expect("a list")
         .iter()
         .for_each(|s| disk.remove(s).expect("a removal"));
@@ -292,37 +306,40 @@
 
 #[test]
 fn a_disk_that_fails_never_gives_a_wrong_yes() {
-    let disk = Sim::new(3);
+    let disk = SimulatedDisk::new(3);
     let Opened {
         mut log,
-        held: mut counts,
+        state: mut counts,
         ..
     } = open(&disk);
     count(&mut log, &mut counts, &[add(1, 1, 0)], 1).expect("a sound disk");
-    disk.fill();
+    disk.fail_next_append();
     let full = count(&mut log, &mut counts, &[add(1, 2, 0)], 2).expect_err("full");
-    assert!(matches!(full, Failed::NotKept(_)), "{full}");
+    assert!(matches!(full, AppendError::NotWritten(_)), "{full}");
     assert_eq!(
         count(&mut log, &mut counts, &[add(1, 3, 0)], 3).expect("room again"),
         [2.0]
     );
 
-    disk.break_sync();
+    disk.fail_syncs();
     let bad = count(&mut log, &mut counts, &[add(1, 4, 0)], 4).expect_err("no sync");
-    assert!(matches!(bad, Failed::MayBeKept(_)), "{bad}");
+    assert!(matches!(bad, AppendError::OutcomeUnknown(_)), "{bad}");
     let after = count(&mut log, &mut counts, &[add(1, 5, 0)], 5).expect_err("closed");
-    assert!(matches!(after, Failed::Closed) && log.closed(), "{after}");
-    let total = open(&disk.after_crash()).held.total(0);
+    assert!(
+        matches!(after, AppendError::Closed) && log.is_closed(),
+        "{after}"
+    );
+    let total = open(&disk.after_crash()).state.total(0);
     assert!(total == Some(2.0) || total == Some(3.0), "{total:?}");
 
-    let disk = Sim::new(4);
+    let disk = SimulatedDisk::new(4);
     let mut opened = open(&disk);
-    disk.break_cut();
-    disk.fill();
-    let bad =
-        count(&mut opened.log, &mut opened.held, &[add(1, 1, 0)], 1).expect_err("read-only by now");
+    disk.fail_truncations();
+    disk.fail_next_append();
+    let bad = count(&mut opened.log, &mut opened.state, &[add(1, 1, 0)], 1)
+        .expect_err("read-only by now");
     assert!(
-        matches!(bad, Failed::MayBeKept(_)) && opened.log.closed(),
+        matches!(bad, AppendError::OutcomeUnknown(_)) && opened.log.is_closed(),
         "{bad}"
     );
 }
@@ -332,11 +349,11 @@
     let (disk, counts, _) = folder(5);
     let replayed = log::replay(&disk, Limits::default(), u64::MAX).expect("sound");
     let whole = snapshot::encode(&counts, replayed.identity);
-    assert_eq!(snapshot::encode(&replayed.held, replayed.identity), whole);
+    assert_eq!(snapshot::encode(&replayed.state, replayed.identity), whole);
     let decoded = snapshot::decode(&whole, Limits::default()).expect("sound");
     assert_eq!(snapshot::encode(&decoded.counts, decoded.identity), whole);
     let part = log::replay(&disk, Limits::default(), 16).expect("sound");
-    assert_eq!(part.held.position(), 16, "a replay stops where it is told");
+    assert_eq!(part.state.position(), 16, "a replay stops where it is told");
 }
 
 #[test]
@@ -346,18 +363,18 @@
         .map_err(|e| e.to_string())
         .expect("sound");
     assert_eq!(
-        (again.log.identity.incarnation, again.log.identity.epoch),
+        (again.log.identity().incarnation, again.log.identity().epoch),
         (OWN, 2)
     );
-    assert_eq!(again.held.position(), counts.position());
-    let empty = log::open(Sim::new(7), Limits::default(), 99)
+    assert_eq!(again.state.position(), counts.position());
+    let empty = log::open(SimulatedDisk::new(7), Limits::default(), 99)
         .map_err(|e| e.to_string())
         .expect("empty");
     assert_eq!(
         (
-            empty.log.identity.incarnation,
-            empty.log.identity.epoch,
-            empty.held.position()
+            empty.log.identity().incarnation,
+            empty.log.identity().epoch,
+            empty.state.position()
         ),
         (99, 1, 0)
     );
--- a/crates/counter/tests/fuzz.rs
+++ b/crates/counter/tests/fuzz.rs
@@ -3,9 +3,9 @@
 use chalkdeck_counter::state::Limits;
 use chalkdeck_counter::{log, snapshot};
 use chalkdeck_proto::chalkdeck::counter::v1::{Batch, SnapshotHead, SnapshotPart};
-use chalkdeck_wal::log::SegmentHead;
 use chalkdeck_wal::record;
-use common::Sim;
+use chalkdeck_wal::segment::SegmentHead;
+use common::SimulatedDisk;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -28,7 +28,7 @@
     fn noise(bytes in proptest::collection::vec(any::<u8>(), 0..400), bodies in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..60), 0..6)) {
         for bytes in [bytes, framed(&bodies)] {
             let _ = snapshot::decode(&bytes, Limits::default());
-            let disk = Sim::new(1);
+            let disk = SimulatedDisk::new(1);
             disk.put("segment-00000000000000000000-0000000001", bytes.clone());
             disk.put("snapshot-00000000000000000000", bytes);
             let _ = log::replay(&disk, Limits::default(), u64::MAX);
@@ -39,17 +39,17 @@
     fn odd_messages(position in 0..3_u64, names in proptest::collection::vec(0..4_u64, 0..6), amounts in proptest::collection::vec(any::<f64>(), 0..6),
         lifetimes in proptest::collection::vec(any::<u64>(), 0..6), callers in proptest::collection::vec(0..3_u64, 0..6), numbers in proptest::collection::vec(0..9_u64, 0..6)) {
         let mut segment = Vec::new();
-        record::push(&mut segment, &SegmentHead { version: 1, incarnation: 5, epoch: 1, position: 0 });
-        record::push(&mut segment, &Batch { position, time: 1, names: names.clone(), amounts: amounts.clone(), lifetimes: lifetimes.clone(), callers, numbers });
-        let disk = Sim::new(1);
+        record::append_message(&mut segment, &SegmentHead { version: 1, incarnation: 5, epoch: 1, position: 0 });
+        record::append_message(&mut segment, &Batch { position, time: 1, names: names.clone(), amounts: amounts.clone(), lifetimes: lifetimes.clone(), callers, numbers });
+        let disk = SimulatedDisk::new(1);
         disk.put("segment-00000000000000000000-0000000001", segment);
         let replayed = log::replay(&disk, Limits::default(), u64::MAX);
         if let Ok(replayed) = replayed {
-            prop_assert!(replayed.held.all().iter().all(|t| t.total.is_finite()));
+            prop_assert!(replayed.state.all().iter().all(|t| t.total.is_finite()));
         }
         let mut bytes = Vec::new();
-        record::push(&mut bytes, &SnapshotHead { version: 1, names: names.len() as u64, ..SnapshotHead::default() });
-        record::push(&mut bytes, &SnapshotPart { names, totals: amounts, untils: lifetimes, callers: Vec::new() });
+        record::append_message(&mut bytes, &SnapshotHead { version: 1, names: names.len() as u64, ..SnapshotHead::default() });
+        record::append_message(&mut bytes, &SnapshotPart { names, totals: amounts, untils: lifetimes, callers: Vec::new() });
         let _ = snapshot::decode(&bytes, Limits::default());
     }
 }
--- a/crates/counter/tests/kill.rs
+++ b/crates/counter/tests/kill.rs
@@ -299,7 +299,7 @@
             "name {name}"
         );
         assert_eq!(
-            replayed.held.total(name).unwrap_or(0.0),
+            replayed.state.total(name).unwrap_or(0.0),
             totals.len() as f64,
             "name {name}"
         );
--- a/crates/counter/tests/stored_data.rs
+++ b/crates/counter/tests/stored_data.rs
@@ -55,10 +55,10 @@
         u64::MAX,
     );
     let replayed = replayed.expect("a sound log");
-    assert_eq!(replayed.held.position(), WHOLE_INCREMENTS);
+    assert_eq!(replayed.state.position(), WHOLE_INCREMENTS);
     for name in 0..NAMES {
         assert_eq!(
-            replayed.held.total(name),
+            replayed.state.total(name),
             Some(expected_total(name)),
             "name {name}"
         );
--- a/crates/wal/src/lib.rs
+++ b/crates/wal/src/lib.rs
@@ -1,13 +1,21 @@
-//! A log of records with snapshots that survives crashes, for any state that can be replayed: the counter's and the keepers'.
+//! A write-ahead log with snapshots that survives crashes, for any state that can be replayed.
 //!
-//! [`held::Held`] is what the state gives; [`log::Log`] and [`snapshot`] keep it on a [`disk::Disk`].
+//! A state implements [`state::ReplayableState`]. [`log::Log`] appends its records to segments on a [`disk::Disk`],
+//! [`snapshot`] writes all of it at once, and [`recovery`] restores it from both. [`retention`] removes files that a
+//! newer snapshot has made superfluous.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod disk;
-pub mod held;
+pub mod error;
+pub mod file_names;
 pub mod log;
 pub mod record;
-#[cfg(feature = "sim")]
-pub mod sim;
+pub mod recovery;
+pub mod retention;
+pub mod segment;
+#[cfg(any(test, feature = "sim"))]
+pub mod simulated_disk;
 pub mod snapshot;
+pub mod state;
+#[cfg(test)]
+mod test_state;
--- a/crates/wal/src/record.rs
+++ b/crates/wal/src/record.rs
@@ -1,48 +1,104 @@
-//! Records on disk: length and CRC32C (32 bit, little endian), then a message.
+//! Framing of records on disk: length and CRC32C (32 bits each, little endian), then the body.
 
 use prost::Message;
 
-/// The longest record that is written or believed.
-pub const MOST: usize = 4 << 20;
-/// Bytes before each message.
-pub const FRAME: usize = 8;
+/// The longest body that is written or accepted, in bytes.
+pub const MAX_BODY_LEN: usize = 4 << 20;
+/// Length of the header before each body, in bytes.
+pub const HEADER_LEN: usize = 8;
+/// Offset of the checksum within the header.
+const CHECKSUM_OFFSET: usize = 4;
 
-/// The check of a body.
+/// The checksum of a body.
 pub fn checksum(body: &[u8]) -> u32 {
     crc32c::crc32c(body)
 }
 
 /// Appends a message as a record.
-pub fn push(out: &mut Vec<u8>, message: &impl Message) {
-    let at = out.len();
-    out.extend([0; FRAME]);
+pub fn append_message(out: &mut Vec<u8>, message: &impl Message) {
+    let start = out.len();
+    out.extend([0; HEADER_LEN]);
     message.encode(out).expect("a vector grows");
-    let body = &out[at + FRAME..];
-    let (len, crc) = (body.len() as u32, checksum(body));
-    out[at..at + 4].copy_from_slice(&len.to_le_bytes());
-    out[at + 4..at + FRAME].copy_from_slice(&crc.to_le_bytes());
+    let body = &out[start + HEADER_LEN..];
+    let len = body.len() as u32;
+    let crc = checksum(body);
+    out[start..start + CHECKSUM_OFFSET].copy_from_slice(&len.to_le_bytes());
+    out[start + CHECKSUM_OFFSET..start + HEADER_LEN].copy_from_slice(&crc.to_le_bytes());
 }
 
-/// Appends bytes as a record; they may not be empty.
-pub fn push_bytes(out: &mut Vec<u8>, body: &[u8]) {
+/// Appends bytes, which must not be empty, as a record.
+pub fn append_bytes(out: &mut Vec<u8>, body: &[u8]) {
     out.extend((body.len() as u32).to_le_bytes());
     out.extend(checksum(body).to_le_bytes());
     out.extend_from_slice(body);
 }
 
-/// The body of the record at `at`, if a whole and sound one stands there.
-pub fn body(bytes: &[u8], at: usize) -> Option<&[u8]> {
-    let word = |at: usize| Some(u32::from_le_bytes(bytes.get(at..at + 4)?.try_into().ok()?));
-    let (len, crc) = (word(at)? as usize, word(at + 4)?);
+/// The body of the record at an offset; `None` if there is no complete record with the right checksum.
+pub fn body_at(bytes: &[u8], offset: usize) -> Option<&[u8]> {
+    let len = read_u32(bytes, offset)? as usize;
+    let crc = read_u32(bytes, offset + CHECKSUM_OFFSET)?;
     // A record is never empty: a tail of zeros would read as one.
-    if len == 0 || len > MOST {
+    if len == 0 || len > MAX_BODY_LEN {
         return None;
     }
-    let body = bytes.get(at + FRAME..at + FRAME + len)?;
+    let body = bytes.get(offset + HEADER_LEN..offset + HEADER_LEN + len)?;
     (checksum(body) == crc).then_some(body)
 }
 
-/// Whether a sound record begins anywhere from `at` on.
-pub fn any_after(bytes: &[u8], at: usize) -> bool {
-    (at..bytes.len().saturating_sub(FRAME)).any(|at| body(bytes, at).is_some())
+fn read_u32(bytes: &[u8], offset: usize) -> Option<u32> {
+    let word = bytes.get(offset..offset + size_of::<u32>())?;
+    Some(u32::from_le_bytes(word.try_into().ok()?))
 }
+
+/// Whether a valid record begins at this offset or anywhere after it.
+pub fn exists_from(bytes: &[u8], offset: usize) -> bool {
+    let end = bytes.len().saturating_sub(HEADER_LEN);
+    (offset..end).any(|candidate| body_at(bytes, candidate).is_some())
+}
+
+/// A record and its place.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Record<'a> {
+    /// Offset of its header in bytes.
+    pub offset: usize,
+    /// Its body.
+    pub body: &'a [u8],
+}
+
+/// Reads valid records one after the other and stops before the first that is not.
+#[derive(Clone, Debug)]
+pub struct RecordReader<'a> {
+    bytes: &'a [u8],
+    offset: usize,
+}
+
+impl<'a> RecordReader<'a> {
+    /// Reads from the first byte on.
+    pub fn new(bytes: &'a [u8]) -> RecordReader<'a> {
+        RecordReader { bytes, offset: 0 }
+    }
+
+    /// Offset behind the last record that was read.
+    pub fn offset(&self) -> usize {
+        self.offset
+    }
+
+    /// Whether all bytes were read.
+    pub fn is_at_end(&self) -> bool {
+        self.offset >= self.bytes.len()
+    }
+}
+
+impl<'a> Iterator for RecordReader<'a> {
+    type Item = Record<'a>;
+
+    fn next(&mut self) -> Option<Record<'a>> {
+        let offset = self.offset;
+        let body = body_at(self.bytes, offset)?;
+        self.offset += HEADER_LEN + body.len();
+        Some(Record { offset, body })
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/wal/src/record/tests.rs
@@ -0,0 +1,48 @@
+//! Tests of `record`.
+
+use super::*;
+
+fn two_records() -> Vec<u8> {
+    let mut bytes = Vec::new();
+    append_bytes(&mut bytes, b"first");
+    append_bytes(&mut bytes, b"second");
+    bytes
+}
+
+#[test]
+fn records_are_read_in_order() {
+    let bytes = two_records();
+    let mut reader = RecordReader::new(&bytes);
+    let bodies: Vec<&[u8]> = reader.by_ref().map(|record| record.body).collect();
+    assert_eq!(bodies, [&b"first"[..], b"second"]);
+    assert!(reader.is_at_end());
+}
+
+#[test]
+fn bytes_are_cut_anywhere_then_only_whole_records_are_read() {
+    let bytes = two_records();
+    let first_len = HEADER_LEN + b"first".len();
+    for len in 0..bytes.len() {
+        let mut reader = RecordReader::new(&bytes[..len]);
+        assert_eq!(reader.by_ref().count(), usize::from(len >= first_len));
+        assert_eq!(reader.is_at_end(), len == 0 || len == first_len);
+    }
+}
+
+#[test]
+fn bit_is_flipped_then_record_is_not_read() {
+    let sound = two_records();
+    let first_len = HEADER_LEN + b"first".len();
+    for bit in 0..first_len * 8 {
+        let mut bytes = sound.clone();
+        bytes[bit / 8] ^= 1 << (bit % 8);
+        assert_eq!(body_at(&bytes, 0), None, "bit {bit}");
+        assert!(exists_from(&bytes, 1), "the second record is found");
+    }
+}
+
+#[test]
+fn zeros_are_no_record() {
+    assert_eq!(body_at(&[0; 64], 0), None);
+    assert!(!exists_from(&[0; 64], 0));
+}
