--- a/crates/grpc-gateway/src/carry.rs
+++ b/crates/grpc-gateway/src/carry.rs
@@ -50,7 +50,7 @@
     }
 
     fn reject(&mut self, front: StreamId, id: RequestId, why: Rejected) {
-        tracing::info!(call = id.0, kind = why.kind, "not taken: {}", why.what);
+        tracing::info!(call = id.0, kind = why.kind, reason = %why.what, "call rejected as invalid");
         self.metrics
             .rejected
             .get_or_create(&metrics::Kind {
@@ -87,7 +87,7 @@
         });
         call.answer = Answer::None;
         let call_deadline = call.arrival.deadline.0;
-        tracing::debug!(call = id.0, attempt = attempt.number, server = ?self.pool.address(server), "sent on");
+        tracing::debug!(call = id.0, attempt = attempt.number, endpoint = ?self.pool.address(server), "attempt forwarded");
         // At the deadline itself the decisions end the call, and with it what is out.
         if until < call_deadline {
             self.due_in(until.saturating_sub(now), Due::GiveUp(attempt));
@@ -132,7 +132,7 @@
         *head.headers_mut() = call.headers.clone();
         head.headers_mut()
             .insert(TE, HeaderValue::from_static("trailers"));
-        let stream = self.set.policy.classes[call.arrival.class.0].stream;
+        let stream = self.set.policy.classes[call.arrival.class.0].is_streaming;
         if let Some(left) = timeout_left(call, stream, now) {
             head.headers_mut()
                 .insert(grpc::TIMEOUT, grpc::timeout(left));
@@ -223,12 +223,12 @@
         self.decisions.push(Event::AttemptEnded(AttemptResult {
             id: id.call,
             attempt: id.number,
-            server,
+            endpoint: server,
             outcome,
-            took: Micros(took),
-            ended: answered || done,
-            settled: None,
-            report: LoadReport::default(),
+            elapsed: Micros(took),
+            request_finished: answered || done,
+            settled_units: None,
+            load_report: LoadReport::default(),
         }));
         self.calls.forget_if_over(id.call);
     }
@@ -294,7 +294,7 @@
         let Some(call) = self.calls.get(id) else {
             return;
         };
-        let late = now + 3 * self.set.policy.tick.0 >= call.arrival.deadline.0;
+        let late = now + 3 * self.set.policy.timer_resolution.0 >= call.arrival.deadline.0;
         let code = if late {
             Code::DeadlineExceeded
         } else {
@@ -335,7 +335,7 @@
         let (front, took) = (call.front, now.saturating_sub(call.arrived));
         let (class, plan) = (call.arrival.class.0, call.arrival.plan.0);
         self.calls.unbind_front(front);
-        tracing::debug!(call = id.0, ?end, took, "ended");
+        tracing::debug!(call = id.0, ?end, duration_us = took, "call completed");
         self.metrics.ended(class, plan, end);
         self.metrics.took.observe(took as f64 / 1e6);
         self.metrics.open.dec();
@@ -348,7 +348,7 @@
         let Some(call) = self.calls.get(id).filter(|c| !c.is_done()) else {
             return;
         };
-        let stream = self.set.policy.classes[call.arrival.class.0].stream;
+        let stream = self.set.policy.classes[call.arrival.class.0].is_streaming;
         match call.client_deadline {
             // A stream without a deadline of its client's has none once it has started.
             None if stream => {}
@@ -410,7 +410,7 @@
             return;
         }
         if let Some(told) = self.counter.as_mut().and_then(|c| c.closed(conn)) {
-            tracing::warn!(why, "counter connection over");
+            tracing::warn!(reason = why, "counter connection closed");
             return self.counted(told);
         }
         self.drop_link(conn);
@@ -453,7 +453,7 @@
             chunks: Vec::new(),
             bytes: 0,
         };
-        if self.set.policy.classes[call.arrival.class.0].stream {
+        if self.set.policy.classes[call.arrival.class.0].is_streaming {
             self.begin_stream(id.call);
         }
     }
--- a/crates/grpc-gateway/src/shell.rs
+++ b/crates/grpc-gateway/src/shell.rs
@@ -143,7 +143,10 @@
 
     /// Puts a fault into the carrying code, for audits.
     pub fn inject(&mut self, fault: Fault) {
-        tracing::warn!(?fault, "a fault was asked for: rules will be broken");
+        tracing::warn!(
+            ?fault,
+            "fault injection is on: safety rules will be violated"
+        );
         self.fault = Some(fault);
     }
     /// Where calls come in.
@@ -200,7 +203,7 @@
         self.keeper_resigns();
         tracing::info!(
             open = self.calls.open,
-            "stopping: takes no calls, finishes what it holds"
+            "graceful shutdown: rejecting new calls, finishing open ones"
         );
     }
 
@@ -295,15 +298,27 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::SendAttempt(id, server, until) => self.send(id, server, until.0),
-            Action::Reject(id, back_in) => self.refuse(id, back_in.map(|m| m.0)),
+            Action::SendAttempt {
+                request: id,
+                endpoint: server,
+                deadline: until,
+            } => self.send(id, server, until.0),
+            Action::Reject {
+                request: id,
+                retry_after: back_in,
+            } => self.refuse(id, back_in.map(|m| m.0)),
             Action::Grant(id) => self.granted(id),
             Action::Fail(id) => self.fail(id),
-            Action::CancelAttempt(call, number) => {
-                self.call_off(AttemptId { call, number }, Outcome::Cancelled)
-            }
-            Action::AddToCounter(name, amount, life) => self.count(name, amount, life.0),
-            Action::SetTimer(timer, after) => self.due_in(after.0, Due::Policy(timer)),
+            Action::CancelAttempt {
+                request: call,
+                attempt: number,
+            } => self.call_off(AttemptId { call, number }, Outcome::Cancelled),
+            Action::AddToCounter {
+                key: name,
+                amount,
+                time_to_live: life,
+            } => self.count(name, amount, life.0),
+            Action::SetTimer { timer, after } => self.due_in(after.0, Due::Policy(timer)),
             Action::FetchEndpoints => self.look(),
             // The settings allow neither probes nor subscriptions: the list is watched.
             Action::Probe(_) | Action::Subscribe => {}
@@ -344,7 +359,7 @@
         else {
             return;
         };
-        let until = engine.now() + self.set.policy.count_timeout.0;
+        let until = engine.now() + self.set.policy.counter_timeout.0;
         let told = counter.part_of(name).add(engine, name, amount, life, until);
         self.watch_counts();
         self.counted(told);
@@ -385,10 +400,10 @@
             self.metrics.counter_news(news);
             match news {
                 News::Recovered => {
-                    tracing::info!("the counter was started again and has its counts")
+                    tracing::info!("counter restarted with its counts")
                 }
-                News::Emptied => tracing::warn!("the counter has lost its counts"),
-                News::WentBack => tracing::warn!("the counter has an earlier state of its counts"),
+                News::Emptied => tracing::warn!("counter lost its counts"),
+                News::WentBack => tracing::warn!("counter went back to an earlier state"),
             }
         }
         self.site_counted(&told);
@@ -399,8 +414,11 @@
         } in told
         {
             self.metrics.count(outcome);
-            self.decisions
-                .push(Event::CounterReplied(name, outcome, total));
+            self.decisions.push(Event::CounterReplied {
+                key: name,
+                outcome,
+                total,
+            });
         }
     }
 
@@ -416,13 +434,17 @@
         let list = |b: Vec<u8>| endpoints::read(self.watch.path(), &b).map_err(LookError::from);
         match bytes.map_err(LookError::from).and_then(list) {
             Ok(servers) => {
-                tracing::info!(servers = servers.len(), "server list read");
+                tracing::info!(endpoints = servers.len(), "endpoint list read");
                 self.metrics.servers.set(servers.len() as i64);
                 self.take_list(servers);
             }
             Err(why) => {
                 self.metrics.list_failures.inc();
-                tracing::error!(file = %self.watch.path().display(), "the last good server list stays: {why}");
+                tracing::error!(
+                    file = %self.watch.path().display(),
+                    error = %why,
+                    "endpoint list not readable: keeping the last good one"
+                );
             }
         }
         self.settle();
@@ -439,14 +461,16 @@
         let mut entries: Vec<_> = servers.into_iter().map(|s| s.entry).collect();
         for entry in &mut entries {
             if self.fault == Some(Fault::Drains) {
-                entry.listed = EndpointState::InService;
+                entry.state = EndpointState::InService;
             }
-            if self.fault == Some(Fault::Cold) && entry.started.is_some() {
-                self.freshest = Some(entry.server);
+            if self.fault == Some(Fault::Cold) && entry.started_at.is_some() {
+                self.freshest = Some(entry.endpoint);
             }
         }
-        self.decisions
-            .push(Event::EndpointsUpdated(UpdateScope::Complete, entries));
+        self.decisions.push(Event::EndpointsUpdated {
+            scope: UpdateScope::Complete,
+            entries,
+        });
     }
 
     /// Takes over what can change in service; the decisions' own settings need a new start.
@@ -454,7 +478,9 @@
         let Some(file) = &self.file else { return };
         let new = match Settings::load(file) {
             Ok(new) => new,
-            Err(e) => return tracing::error!("the earlier settings stay: {e}"),
+            Err(error) => {
+                return tracing::error!(%error, "reload rejected: keeping the previous settings")
+            }
         };
         let fixed = |s: &Settings| {
             (
@@ -467,7 +493,7 @@
         };
         if fixed(&new) != fixed(&self.set) {
             tracing::error!(
-                "the earlier settings stay: classes, plans, fleet, limits and addresses need a new start"
+                "reload rejected: classes, plans, fleet, limits and addresses need a restart"
             );
             return;
         }
@@ -475,7 +501,7 @@
             self.watch = Watch::new(new.endpoints.clone());
         }
         self.set = new;
-        tracing::info!("settings read again");
+        tracing::info!("settings reloaded");
     }
 
     fn on_get(&mut self, conn: ConnId, path: &str) {
