--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -2,7 +2,11 @@
 //! line of an error.
 #![forbid(unsafe_code)]
 
-#[allow(clippy::all, missing_docs)]
+#[allow(
+    clippy::all,
+    missing_docs,
+    reason = "generated from the .proto files, whose comments are the documentation"
+)]
 mod generated {
     include!(concat!(env!("OUT_DIR"), "/all.rs"));
 }
