--- a/crates/resp-gateway/src/lib.rs
+++ b/crates/resp-gateway/src/lib.rs
@@ -3,13 +3,15 @@
 #![warn(missing_docs)]
 
 mod backends;
+mod client_replies;
+mod clock;
 pub mod config;
 mod counter;
 pub mod discovery;
-mod front;
 pub mod list;
 mod outcome;
 pub mod request;
+mod sessions;
 mod shell;
 
 pub use config::{Config, ConfigError};
--- /dev/null
+++ b/crates/resp-gateway/src/sessions/test_support.rs
@@ -0,0 +1,48 @@
+//! What the tests of client sessions share: a loop whose clock they lead, and connections to it.
+
+use chalkdeck_net::clock::{Clock, Jumps};
+use chalkdeck_net::{ConnId, Engine, Event, Limits};
+use std::net::{SocketAddr, TcpStream};
+use std::sync::Arc;
+
+/// A loop that listens on a free port, with its clock in hand.
+pub(super) struct TestLoop {
+    pub(super) engine: Engine,
+    pub(super) jumps: Arc<Jumps>,
+    address: SocketAddr,
+}
+
+impl TestLoop {
+    pub(super) fn new() -> TestLoop {
+        let jumps = Arc::<Jumps>::default();
+        let mut engine = Engine::with_clock(Clock::jumping(jumps.clone())).expect("a poll handle");
+        let any = SocketAddr::from(([127, 0, 0, 1], 0));
+        let (_, address) = engine
+            .listen_raw(any, Limits::default())
+            .expect("a free port");
+        TestLoop {
+            engine,
+            jumps,
+            address,
+        }
+    }
+
+    /// Connects a client and turns the loop until it has accepted it.
+    pub(super) fn connect(&mut self) -> (TcpStream, ConnId) {
+        let stream = TcpStream::connect(self.address).expect("a connection");
+        loop {
+            let mut events = Vec::new();
+            self.engine.turn(10_000, &mut events).expect("a turn");
+            if let Some(conn) = events.iter().find_map(accepted) {
+                return (stream, conn);
+            }
+        }
+    }
+}
+
+fn accepted(event: &Event) -> Option<ConnId> {
+    match event {
+        Event::Accepted { conn, .. } => Some(*conn),
+        _ => None,
+    }
+}
--- /dev/null
+++ b/crates/resp-gateway/src/sessions/tests.rs
@@ -0,0 +1,164 @@
+//! Tests of client sessions: time-outs, and clients that read slowly.
+
+use super::test_support::TestLoop;
+use super::*;
+use chalkdeck_net::Event;
+use std::io::{Read, Write};
+use std::net::TcpStream;
+
+const SECOND: i64 = 1_000_000;
+const PING: &[u8] = b"*1\r\n$4\r\nPING\r\n";
+
+/// The sessions of a gateway with one client, and the clock in hand.
+struct Fixture {
+    test_loop: TestLoop,
+    sessions: Sessions,
+    client: TcpStream,
+    conn: ConnId,
+    is_closed: bool,
+}
+
+impl Fixture {
+    fn new() -> Fixture {
+        let mut test_loop = TestLoop::new();
+        let (client, conn) = test_loop.connect();
+        let mut sessions = Sessions::new(8, 1 << 20);
+        sessions.on_accepted(&mut test_loop.engine, conn);
+        Fixture {
+            test_loop,
+            sessions,
+            client,
+            conn,
+            is_closed: false,
+        }
+    }
+
+    fn turn(&mut self) {
+        let mut events = Vec::new();
+        self.test_loop.engine.turn(0, &mut events).expect("a turn");
+        self.is_closed |= events
+            .iter()
+            .any(|event| matches!(event, Event::Closed { .. }));
+    }
+
+    fn receive(&mut self, bytes: &[u8]) {
+        self.sessions
+            .on_bytes(&mut self.test_loop.engine, self.conn, bytes);
+    }
+
+    fn next_slot(&mut self) -> Option<ReplySlot> {
+        let command = self
+            .sessions
+            .next_command(&mut self.test_loop.engine, self.conn)?;
+        Some(command.slot)
+    }
+
+    /// Queues a value of this length as the reply.
+    fn reply(&mut self, slot: ReplySlot, value_bytes: usize) {
+        let value = Frame::BulkString(vec![b'v'; value_bytes].into());
+        self.sessions.reply(self.conn, slot, value);
+        self.sessions.flush(&mut self.test_loop.engine, self.conn);
+    }
+
+    /// A command is received and answered; the reply is queued.
+    fn answer_one(&mut self, value_bytes: usize) {
+        self.receive(PING);
+        let slot = self.next_slot().expect("a whole command");
+        self.reply(slot, value_bytes);
+    }
+
+    /// Whether the connection is closed by a sweep after so many microseconds.
+    fn is_closed_by_sweep_after(&mut self, micros: i64) -> bool {
+        self.test_loop.jumps.jump(micros);
+        self.sessions.sweep(&mut self.test_loop.engine);
+        self.turn();
+        self.is_closed
+    }
+}
+
+#[test]
+fn reply_queued_in_this_turn_then_not_counted_as_unread() {
+    let mut fixture = Fixture::new();
+    fixture.answer_one(4);
+    assert!(
+        !fixture.is_closed_by_sweep_after(0),
+        "closed over its first reply"
+    );
+    let mut received = [0; 10];
+    fixture
+        .client
+        .read_exact(&mut received)
+        .expect("the whole reply");
+    assert_eq!(&received, b"$4\r\nvvvv\r\n");
+}
+
+#[test]
+fn client_accepts_no_bytes_then_write_timeout_counts_from_the_last_one_accepted() {
+    let mut fixture = Fixture::new();
+    assert!(!fixture.is_closed_by_sweep_after(0));
+    fixture.test_loop.jumps.jump(9 * SECOND);
+    fixture.answer_one(32 << 20);
+    fixture.turn();
+    assert!(
+        !fixture.is_closed_by_sweep_after(2 * SECOND),
+        "the last sweep before was long ago"
+    );
+    assert!(!fixture.is_closed_by_sweep_after(9 * SECOND));
+    assert!(
+        fixture.is_closed_by_sweep_after(2 * SECOND),
+        "it never accepted a byte"
+    );
+}
+
+#[test]
+fn client_reads_more_slowly_than_it_sends_then_not_timed_out() {
+    let mut fixture = Fixture::new();
+    fixture.client.set_nonblocking(true).expect("a socket");
+    fixture.receive(&PING.repeat(7));
+    let mut slots: Vec<ReplySlot> = Vec::new();
+    while let Some(slot) = fixture.next_slot() {
+        slots.push(slot);
+    }
+    for slot in slots {
+        fixture.reply(slot, 8 << 20);
+        let mut buffer = vec![0; 4 << 20];
+        let mut read = 0;
+        while read < 1 << 20 {
+            fixture.turn();
+            read += fixture.client.read(&mut buffer).unwrap_or(0);
+        }
+        assert!(
+            !fixture.is_closed_by_sweep_after(4 * SECOND),
+            "it read {read} bytes since the last sweep"
+        );
+    }
+}
+
+#[test]
+fn bytes_wait_unread_while_the_loop_stood_still_then_client_not_timed_out() {
+    let mut fixture = Fixture::new();
+    fixture.client.write_all(PING).expect("it is sent");
+    while fixture.test_loop.engine.is_quiet(fixture.conn) {}
+    assert!(
+        !fixture.is_closed_by_sweep_after(3 * SECOND),
+        "closed with a command waiting"
+    );
+    let mut silent = Fixture::new();
+    assert!(
+        silent.is_closed_by_sweep_after(3 * SECOND),
+        "it never sent a byte"
+    );
+}
+
+#[test]
+fn first_command_trickles_in_then_closed_after_the_command_timeout() {
+    let mut fixture = Fixture::new();
+    for byte in b"*1" {
+        assert!(!fixture.is_closed_by_sweep_after(900_000));
+        fixture.receive(&[*byte]);
+    }
+    assert!(
+        fixture.is_closed_by_sweep_after(300_000),
+        "its first command is still incomplete"
+    );
+}
--- a/crates/resp-gateway/src/shell.rs
+++ b/crates/resp-gateway/src/shell.rs
@@ -2,12 +2,14 @@
 //! carried out. Nothing is sent, refused, failed, repeated or called off here that was not decided there.
 
 use crate::backends::{AttemptId, Backends, Ended, Sent};
+use crate::client_replies;
+use crate::clock;
 use crate::config::{Config, ConfigError};
 use crate::counter::{Counter, Told};
 use crate::discovery::{Discovery, Timing, Update};
-use crate::front::{error, Front, ReceivedCommand};
 use crate::list::List;
 use crate::request::{self, Command, RequestError};
+use crate::sessions::{ReceivedCommand, Sessions};
 use bytes::Bytes;
 use chalkdeck::api::{
     Action, AttemptResult, EndpointId, Event, LoadReport, Micros, Outcome, RequestId,
@@ -20,6 +22,7 @@
 use chalkdeck_net::signals::Signals;
 use chalkdeck_net::{CloseReason, ConnId, Engine, Event as NetEvent, Limits, ListenerId};
 use chalkdeck_resp::{Frame, ReplySlot};
+use chalkdeck_time::TimeDelta;
 use rustc_hash::FxHashMap;
 use std::io;
 use std::net::SocketAddr;
@@ -107,7 +110,7 @@
     is_listening: bool,
     listen: SocketAddr,
     dues: Dues<TimerPurpose>,
-    front: Front,
+    sessions: Sessions,
     calls: FxHashMap<RequestId, Call>,
     /// Open requests by the ids that clients gave them.
     ids: FxHashMap<Bytes, RequestId>,
@@ -158,7 +161,7 @@
             is_listening: true,
             listen,
             dues: Dues::default(),
-            front: Front::new(clients, (memory * HELD_BYTES_SHARE) as usize),
+            sessions: Sessions::new(clients, (memory * HELD_BYTES_SHARE) as usize),
             calls: FxHashMap::default(),
             ids: FxHashMap::default(),
             next_id: 0,
@@ -217,7 +220,7 @@
     /// Whether a stop is over: all clients are let go, or all that was taken before it must have had its answer.
     pub fn stopped(&self) -> bool {
         let Some(since) = self.stop else { return false };
-        let alone = self.front.is_shutting_down()
+        let alone = self.sessions.is_shutting_down()
             && !self.is_listening
             && self.engine.held_by(self.listener) == 0;
         alone || self.engine.now() >= since + KILL_DELAY + self.longest_deadline()
@@ -242,14 +245,14 @@
     /// No new connections come any more: those that stand are let go.
     fn continue_shutdown(&mut self) {
         self.is_listening &= !self.engine.unlisten_if_empty(self.listener);
-        self.front.shut_down(self.engine.now());
+        self.sessions.shut_down(clock::now(&self.engine));
         self.due_in(SHUTDOWN_INTERVAL, TimerPurpose::Shutdown);
     }
 
     /// Waits for what happens, at most so many microseconds, and deals with it.
     pub fn turn(&mut self, most_wait: u64) -> io::Result<()> {
         let mut events = std::mem::take(&mut self.events);
-        let most_wait = if self.front.has_resumed() {
+        let most_wait = if self.sessions.has_resumed() {
             0
         } else {
             most_wait
@@ -261,17 +264,17 @@
         }
         self.events = events;
         // Once a turn, so that a long pipeline does not keep the others waiting.
-        for conn in self.front.take_resumed() {
+        for conn in self.sessions.take_resumed() {
             self.commands(conn);
             self.settle();
         }
-        self.front.close_idle(&mut self.engine);
+        self.sessions.close_idle(&mut self.engine);
         Ok(())
     }
 
     fn on_event(&mut self, event: NetEvent) {
         match event {
-            NetEvent::Accepted { conn, .. } => self.front.accepted(&mut self.engine, conn),
+            NetEvent::Accepted { conn, .. } => self.sessions.on_accepted(&mut self.engine, conn),
             NetEvent::Connected { conn } => self.on_connected(conn),
             NetEvent::Bytes { conn, data } => self.on_bytes(conn, &data),
             NetEvent::Closed {
@@ -313,12 +316,12 @@
             backends,
             counter,
             discovery,
-            front,
+            sessions,
             config,
             ..
         } = self;
-        if front.owns(conn) {
-            front.bytes(engine, conn, data);
+        if sessions.owns(conn) {
+            sessions.on_bytes(engine, conn, data);
             return self.commands(conn);
         }
         if backends.owns(conn) {
@@ -336,8 +339,8 @@
     }
 
     fn on_closed(&mut self, conn: ConnId, unsent: usize, reason: &CloseReason) {
-        if self.front.owns(conn) {
-            for id in self.front.closed(conn) {
+        if self.sessions.owns(conn) {
+            for id in self.sessions.on_closed(conn) {
                 self.forget(id);
                 self.decisions.push(Event::ClientDisconnected(id));
             }
@@ -392,7 +395,7 @@
             Some(TimerPurpose::Sweep) => {
                 self.due_in(SWEEP_INTERVAL, TimerPurpose::Sweep);
                 self.backends.sweep(&mut self.engine);
-                self.front.sweep(&mut self.engine);
+                self.sessions.sweep(&mut self.engine);
             }
             None => {}
         }
@@ -410,14 +413,11 @@
         match action {
             Action::SendAttempt(id, server, until) => self.send(id, server, until.0),
             Action::Reject(id, back) => {
-                let line = match back {
-                    Some(after) => format!("BUSY {}", after.0.div_ceil(1_000)),
-                    None => "BUSY".to_string(),
-                };
-                self.answer(id, Frame::Error(line.into()));
+                let retry_after = back.map(|after| TimeDelta::from_micros(after.0));
+                self.answer(id, client_replies::busy(retry_after));
             }
             Action::Fail(id) => {
-                self.answer(id, error("failed"));
+                self.answer(id, client_replies::error("failed"));
             }
             Action::CancelAttempt(request, number) => {
                 self.give_up(AttemptId { request, number }, Outcome::Cancelled);
@@ -509,7 +509,7 @@
     fn forget(&mut self, id: RequestId) -> Option<Call> {
         let call = self.calls.remove(&id)?;
         self.ids.remove(call.command.id());
-        self.front.ended(call.conn, id, call.bytes);
+        self.sessions.on_request_ended(call.conn, id, call.bytes);
         Some(call)
     }
 
@@ -518,8 +518,8 @@
         let Some(call) = self.forget(id) else {
             return false;
         };
-        self.front.answer(call.conn, call.slot, answer);
-        self.front.flush(&mut self.engine, call.conn);
+        self.sessions.reply(call.conn, call.slot, answer);
+        self.sessions.flush(&mut self.engine, call.conn);
         true
     }
 
@@ -531,13 +531,13 @@
             slot,
             words,
             received_at,
-        }) = self.front.next(&mut self.engine, conn)
+        }) = self.sessions.next_command(&mut self.engine, conn)
         {
-            if let Some(answer) = self.command(conn, slot, words, received_at) {
-                self.front.answer(conn, slot, answer);
+            if let Some(answer) = self.command(conn, slot, words, received_at.as_micros()) {
+                self.sessions.reply(conn, slot, answer);
             }
         }
-        self.front.flush(&mut self.engine, conn);
+        self.sessions.flush(&mut self.engine, conn);
     }
 
     /// A command: its answer, or none when it is a request, whose answer comes later.
@@ -551,11 +551,11 @@
     ) -> Option<Frame> {
         let name = words[0].to_ascii_uppercase();
         match &name[..] {
-            b"PING" => return Some(Frame::SimpleString(Bytes::from_static(b"PONG"))),
-            b"CLIENT" | b"SELECT" => return Some(Frame::SimpleString(Bytes::from_static(b"OK"))),
+            b"PING" => return Some(client_replies::pong()),
+            b"CLIENT" | b"SELECT" => return Some(client_replies::ok()),
             b"QUIT" => {
-                self.front.quit(conn);
-                return Some(Frame::SimpleString(Bytes::from_static(b"OK")));
+                self.sessions.close_reading(conn);
+                return Some(client_replies::ok());
             }
             _ => {}
         }
@@ -564,15 +564,15 @@
         let (command, mut arrival) = match request::read(words, id, received_at, &self.config.read)
         {
             Ok(read) => read,
-            Err(why) => return Some(error(&why.to_string())),
+            Err(why) => return Some(client_replies::error(&why.to_string())),
         };
         arrival.deadline.0 = arrival.deadline.0.min(self.ends_by());
         if self.ids.contains_key(command.id()) {
-            return Some(error(&RequestError::IdTaken.to_string()));
+            return Some(client_replies::error(&RequestError::IdTaken.to_string()));
         }
         self.next_id += 1;
         self.ids.insert(command.id().clone(), id);
-        self.front.opened(conn, id, bytes);
+        self.sessions.on_request_opened(conn, id, bytes);
         self.calls.insert(
             id,
             Call {
