--- a/crates/grpc-gateway/src/sites.rs
+++ b/crates/grpc-gateway/src/sites.rs
@@ -10,7 +10,12 @@
 use chalkdeck::api::{
     self, EndpointId, EndpointState, IncomingRequest, Outcome, ZoneId, ZoneShare,
 };
-use chalkdeck_site_failover::{Command, Core, Event, How, Plan, SiteId, State};
+use chalkdeck_site_failover::{
+    self as failover, AttemptEvidence, CompletedRequest, EndedAttempt, EndpointConcurrency, Event,
+    FailoverCore, FailoverPlan, FailoverSettings, FinalAnswer, SheddingThreshold, SiteId,
+    SiteOverride, SiteState,
+};
+use chalkdeck_time::{TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -21,9 +26,9 @@
 
 /// The site core with the names of its sites.
 pub(crate) struct Sites {
-    core: Core,
+    core: FailoverCore,
     names: BTreeMap<SiteId, String>,
-    told: Option<Plan>,
+    told: Option<FailoverPlan>,
     words: Words,
 }
 
@@ -67,13 +72,13 @@
     /// Errors: the file of an operator's words is not sound.
     pub(crate) fn new(set: &Settings) -> Result<Sites, WordsError> {
         let own = site_of(set.policy.zone);
-        let core = Core::new(chalkdeck_site_failover::Settings {
-            own,
-            me: set.policy.me,
+        let core = FailoverCore::new(FailoverSettings {
+            own_site: own,
+            gateway_index: set.policy.me,
             gateways: set.policy.gateways,
-            cold_from: set.policy.cold_from,
-            cold: set.policy.cold.0,
-            fall_multiple: set.policy.fall_multiple,
+            cold_capacity: set.policy.cold_from,
+            warm_up: TimeDelta::from_micros(set.policy.cold.0),
+            overload_factor: set.policy.fall_multiple,
         });
         let words = Words::read(set.site_words.as_deref())?;
         Ok(Sites {
@@ -90,43 +95,54 @@
                 .iter()
                 .map(|s| (site_of(s.entry.zone), s.zone_name.clone())),
         );
-        let line = |s: &Server| chalkdeck_site_failover::Listed {
-            server: s.entry.server.0,
+        let line = |s: &Server| failover::EndpointEntry {
+            endpoint: failover::EndpointId(s.entry.server.0),
             site: site_of(s.entry.zone),
             in_service: s.entry.listed == EndpointState::InService,
             weight: s.entry.weight,
-            started: s.entry.started.map(|at| at.0),
+            started: s.entry.started.map(|at| Timestamp::from_micros(at.0)),
         };
         let lines: Vec<_> = servers.iter().map(line).collect();
-        self.core.on(now, Event::List(&lines));
+        self.on(now, Event::EndpointsListed(&lines));
         // Words of an earlier life count from the first list that names their site on.
         for held in self.words.held() {
-            self.core
-                .on(now, Event::Command(site_of(zone_of(held)), Command::Hold));
+            let event = Event::OverrideSet {
+                site: site_of(zone_of(held)),
+                site_override: SiteOverride::HoldOut,
+            };
+            self.core.on(Timestamp::from_micros(now), event);
         }
     }
 
+    fn on(&mut self, now: u64, event: Event) {
+        self.core.on(Timestamp::from_micros(now), event);
+    }
+
+    fn plan(&mut self, now: u64) -> FailoverPlan {
+        self.core.plan(Timestamp::from_micros(now))
+    }
+
     fn name(&self, site: SiteId) -> &str {
         self.names.get(&site).map_or("", |n| n)
     }
 
     fn status(&mut self, now: u64, set: &Settings) -> SitesStatus {
-        let plan = self.core.plan(now);
-        let one = |v: &chalkdeck_site_failover::View| SiteStatus {
+        let plan = self.plan(now);
+        let one = |v: &failover::SitePlan| SiteStatus {
             site: self.name(v.site).to_string(),
             state: v.state.name().to_string(),
-            for_s: now.saturating_sub(v.since) as f64 / 1e6,
+            for_s: (Timestamp::from_micros(now) - v.since).as_secs_f64(),
             evidence: v.evidence.to_string(),
             share: v.share,
-            room: v.room,
-            pace: v.pace,
-            out: v.places.0,
-            places: v.places.1,
+            room: v.capacity,
+            pace: v.ramp,
+            out: v.concurrency.in_flight,
+            places: v.concurrency.limit,
         };
         SitesStatus {
             own: set.zone_name.clone(),
-            level: plan.level,
-            floor: plan.floor.from,
+            level: plan.admission,
+            floor: plan.threshold.admit_some_from,
             sites: plan.sites.iter().map(one).collect(),
         }
     }
@@ -136,27 +152,27 @@
     SiteId(zone.0)
 }
 
-fn how(outcome: Outcome) -> How {
+fn evidence_of(outcome: Outcome) -> AttemptEvidence {
     match outcome {
-        Outcome::Ok | Outcome::Error => How::Answered,
-        Outcome::Rejected => How::Full,
-        Outcome::Timeout => How::Silent,
-        Outcome::ConnectFailed | Outcome::Reset => How::Unreached,
-        Outcome::Cancelled | Outcome::NeverSent => How::CalledOff,
+        Outcome::Ok | Outcome::Error => AttemptEvidence::Answered,
+        Outcome::Rejected => AttemptEvidence::Rejected,
+        Outcome::Timeout => AttemptEvidence::TimedOut,
+        Outcome::ConnectFailed | Outcome::Reset => AttemptEvidence::Unreachable,
+        Outcome::Cancelled | Outcome::NeverSent => AttemptEvidence::Cancelled,
     }
 }
 
 /// Whether the decisions need not hear of the new plan.
-fn same(a: &Plan, b: &Plan) -> bool {
+fn same(a: &FailoverPlan, b: &FailoverPlan) -> bool {
     let near = |a: f64, b: f64| (a - b).abs() <= MOVED * a.abs().max(b.abs()).max(0.05);
     a.sites.len() == b.sites.len()
         && a.sites
             .iter()
             .zip(&b.sites)
             .all(|(a, b)| a.site == b.site && a.state == b.state && near(a.share, b.share))
-        && a.floor.sure == b.floor.sure
-        && a.floor.from == b.floor.from
-        && near(a.floor.part, b.floor.part)
+        && a.threshold.admit_all_from == b.threshold.admit_all_from
+        && a.threshold.admit_some_from == b.threshold.admit_some_from
+        && near(a.threshold.admitted_part, b.threshold.admitted_part)
 }
 
 impl Shell {
@@ -181,16 +197,18 @@
             return;
         }
         let worth = class.worth * set.policy.plans[arrival.plan.0].price / arrival.units;
-        sites
-            .core
-            .on(self.engine.now(), Event::Offered(worth, arrival.units));
+        let offered = Event::RequestOffered {
+            value_per_unit: worth,
+            units: arrival.units,
+        };
+        sites.on(self.engine.now(), offered);
     }
 
     pub(crate) fn site_sent(&mut self, server: EndpointId) {
         let now = self.engine.now();
-        self.sites
-            .iter_mut()
-            .for_each(|s| s.core.on(now, Event::Sent(server.0)));
+        if let Some(sites) = &mut self.sites {
+            sites.on(now, Event::AttemptSent(failover::EndpointId(server.0)));
+        }
     }
 
     pub(crate) fn site_ended(
@@ -210,10 +228,14 @@
             return;
         };
         let aim = set.policy.classes[class].aim.0;
-        sites.core.on(
-            self.engine.now(),
-            Event::Ended(server.0, how(outcome), took, aim, units),
-        );
+        let ended = EndedAttempt {
+            endpoint: failover::EndpointId(server.0),
+            evidence: evidence_of(outcome),
+            latency: TimeDelta::from_micros(took),
+            objective: TimeDelta::from_micros(aim),
+            units,
+        };
+        sites.on(self.engine.now(), Event::AttemptEnded(ended));
     }
 
     /// A call of that class had its final answer after so long.
@@ -227,22 +249,29 @@
             return;
         };
         let aim = set.policy.classes[class].aim.0;
-        if end != End::Gone {
-            sites.core.on(
-                self.engine.now(),
-                Event::Final(end == End::Served, waited, aim),
-            );
-        }
+        let answer = match end {
+            End::Gone => return,
+            End::Served => FinalAnswer::Served,
+            End::Refused | End::Failed => FinalAnswer::Rejected,
+        };
+        let completed = CompletedRequest {
+            answer,
+            latency: TimeDelta::from_micros(waited),
+            objective: TimeDelta::from_micros(aim),
+        };
+        sites.on(self.engine.now(), Event::RequestCompleted(completed));
     }
 
     pub(crate) fn site_counted(&mut self, told: &[Told]) {
         let (Some(sites), Some(last)) = (&mut self.sites, told.last()) else {
             return;
         };
-        sites.core.on(
-            self.engine.now(),
-            Event::Counter(last.outcome == Outcome::Ok),
-        );
+        let event = if last.outcome == Outcome::Ok {
+            Event::CounterAnswered
+        } else {
+            Event::CounterFailed
+        };
+        sites.on(self.engine.now(), event);
     }
 
     /// Looks at the plan again and tells the decisions what moved.
@@ -257,21 +286,25 @@
         else {
             return;
         };
-        let places: Vec<_> = decisions
+        let reported: Vec<EndpointConcurrency> = decisions
             .gateway
             .places()
-            .map(|(id, out, most)| (id.0, out, most))
+            .map(|(id, in_flight, limit)| EndpointConcurrency {
+                endpoint: failover::EndpointId(id.0),
+                in_flight,
+                limit,
+            })
             .collect();
-        sites.core.on(engine.now(), Event::Places(&places));
+        sites.on(engine.now(), Event::ConcurrencyReported(&reported));
         self.site_plan();
     }
 
     fn site_plan(&mut self) {
         let now = self.engine.now();
         let Some(sites) = &mut self.sites else { return };
-        let mut plan = sites.core.plan(now);
+        let mut plan = sites.plan(now);
         if !self.set.site_floor {
-            plan.floor = chalkdeck_site_failover::Floor::NONE;
+            plan.threshold = SheddingThreshold::ADMIT_ALL;
         }
         if sites.told.as_ref().is_some_and(|told| same(told, &plan)) {
             return;
@@ -283,15 +316,15 @@
                 tracing::info!(site = sites.name(v.site), state = v.state.name(), evidence = %v.evidence, "site");
             }
         }
-        let part = |v: &chalkdeck_site_failover::View| ZoneShare {
+        let part = |v: &failover::SitePlan| ZoneShare {
             zone: ZoneId(v.site.0),
             share: v.share,
-            open: v.state == State::Serving,
+            open: v.state == SiteState::Serving,
         };
         let floor = api::SheddingThreshold {
-            sure: plan.floor.sure,
-            from: plan.floor.from,
-            part: plan.floor.part,
+            sure: plan.threshold.admit_all_from,
+            from: plan.threshold.admit_some_from,
+            part: plan.threshold.admitted_part,
         };
         let shares = plan.sites.iter().map(part).collect();
         sites
@@ -307,12 +340,15 @@
     pub(crate) fn site_word(&mut self, name: &str, word: &str) {
         let now = self.engine.now();
         let Some(sites) = &mut self.sites else { return };
-        let command = match word {
-            "drain" => Command::Drain,
-            "hold" => Command::Hold,
-            _ => Command::LetBack,
+        let site_override = match word {
+            "drain" => SiteOverride::Drain,
+            "hold" => SiteOverride::HoldOut,
+            _ => SiteOverride::Restore,
         };
-        if let Err(e) = sites.words.keep(name, command != Command::LetBack) {
+        if let Err(e) = sites
+            .words
+            .keep(name, site_override != SiteOverride::Restore)
+        {
             tracing::error!(
                 site = name,
                 word,
@@ -320,9 +356,11 @@
             );
         }
         tracing::warn!(site = name, word, "an operator's word to the fleet");
-        sites
-            .core
-            .on(now, Event::Command(site_of(zone_of(name)), command));
+        let event = Event::OverrideSet {
+            site: site_of(zone_of(name)),
+            site_override,
+        };
+        sites.on(now, event);
         self.site_plan();
     }
 
@@ -341,10 +379,10 @@
             .strip_prefix("/sites/")
             .and_then(|rest| rest.split_once('/'))
         {
-            let command = match word {
-                "drain" => Command::Drain,
-                "hold" => Command::Hold,
-                "let-back" => Command::LetBack,
+            let site_override = match word {
+                "drain" => SiteOverride::Drain,
+                "hold" => SiteOverride::HoldOut,
+                "let-back" => SiteOverride::Restore,
                 _ => return Err(AskedError::Word(word.to_string())),
             };
             let site = site_of(zone_of(name));
@@ -355,9 +393,15 @@
                     found: name.to_string(),
                 });
             }
-            sites.words.keep(name, command != Command::LetBack)?;
+            sites
+                .words
+                .keep(name, site_override != SiteOverride::Restore)?;
             tracing::warn!(site = name, word, "an operator's word");
-            sites.core.on(now, Event::Command(site, command));
+            let event = Event::OverrideSet {
+                site,
+                site_override,
+            };
+            sites.on(now, event);
         } else if path != "/sites" {
             return Err(AskedError::Path);
         }
--- a/crates/site-failover/src/lib.rs
+++ b/crates/site-failover/src/lib.rs
@@ -1,20 +1,30 @@
-//! What a gateway makes of whole sites: whether one is lost or only out of reach from here, which part of the load each
-//! should bear, what is refused first when the rest cannot bear all, and how fast a site that came back gets its part.
+//! What a gateway makes of whole sites: whether a site is lost or only unreachable from here, which part of the load each site
+//! should bear, what is shed first when the remaining sites cannot bear all of it, and how fast a recovered site gets its part back.
 //!
-//! Free of I/O: events with their times go in, a [`Plan`] comes out. Same events, same plan. Nothing here sends or
-//! refuses a request; the plan reaches the module that does as figures. `docs/site-loss.md` has the reasons.
+//! Free of I/O: [`Event`]s with their times go into a [`FailoverCore`], a [`FailoverPlan`] comes out. The same events give the same
+//! plan. Nothing here sends or rejects a request; the caller hands the plan to the module that does. `docs/site-loss.md` has the
+//! reasons for the rules and their constants.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
-pub mod api;
+pub mod admission;
+pub mod capacity;
 mod core;
-mod evidence;
-pub mod level;
-pub mod order;
-pub mod pace;
-pub mod room;
-pub mod share;
-pub mod states;
+pub mod distribution;
+mod event;
+pub mod hold_out;
+mod plan;
+pub mod ramp;
+mod settings;
+pub mod shedding;
+mod site;
+pub mod state;
 
-pub use api::*;
-pub use core::Core;
+pub use core::FailoverCore;
+pub use event::{
+    AttemptEvidence, CompletedRequest, EndedAttempt, EndpointConcurrency, EndpointEntry,
+    EndpointId, Event, FinalAnswer, SiteId, SiteOverride,
+};
+pub use plan::{Concurrency, FailoverPlan, SiteEvidence, SitePlan};
+pub use settings::FailoverSettings;
+pub use shedding::SheddingThreshold;
+pub use state::SiteState;
--- /dev/null
+++ b/crates/site-failover/tests/fleet/mod.rs
@@ -0,0 +1,222 @@
+//! A small simulated fleet: the cores of three gateways, three sites of four endpoints each, and a clock.
+#![allow(
+    dead_code,
+    reason = "each test program that includes this module uses a part of it"
+)]
+
+use chalkdeck_site_failover::{
+    AttemptEvidence, EndedAttempt, EndpointEntry, EndpointId, Event, FailoverCore, FailoverPlan,
+    FailoverSettings, SiteId, SitePlan, SiteState,
+};
+use chalkdeck_time::{TimeDelta, Timestamp};
+use std::collections::VecDeque;
+
+pub const SECOND: TimeDelta = TimeDelta::from_secs(1);
+pub const OBJECTIVE: TimeDelta = millis(500);
+/// The latency of an endpoint without trouble.
+pub const USUAL: Behavior = Behavior::Answers(millis(40));
+/// Sites, and gateways, one in each site.
+const SITES: usize = 3;
+const ENDPOINTS_PER_SITE: usize = 4;
+/// Time between two requests of a gateway.
+const REQUEST_INTERVAL: TimeDelta = millis(10);
+/// Multiples of it, without their whole part, are spread evenly over 0 to 1.
+const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
+
+pub const fn millis(millis: u64) -> TimeDelta {
+    TimeDelta::from_millis(millis)
+}
+
+/// How an endpoint behaves towards a gateway.
+#[derive(Clone, Copy, PartialEq)]
+pub enum Behavior {
+    Answers(TimeDelta),
+    Silent,
+    Refuses,
+}
+
+/// An attempt whose end lies ahead.
+struct PendingEnd {
+    at: Timestamp,
+    gateway: usize,
+    attempt: EndedAttempt,
+}
+
+pub struct Fleet {
+    pub now: Timestamp,
+    /// By gateway.
+    pub cores: Vec<FailoverCore>,
+    /// By gateway, site and endpoint.
+    pub behavior: Vec<Vec<[Behavior; ENDPOINTS_PER_SITE]>>,
+    /// When the endpoints of each site started.
+    pub started: Vec<Option<Timestamp>>,
+    /// Whether the list names the endpoints of each site.
+    pub is_listed: Vec<bool>,
+    /// Requests by gateway and site.
+    pub sent: Vec<Vec<u64>>,
+    pending: VecDeque<PendingEnd>,
+    requests: u64,
+}
+
+pub fn settings(site: u32) -> FailoverSettings {
+    FailoverSettings {
+        own_site: SiteId(site),
+        gateway_index: site,
+        gateways: SITES as u32,
+        cold_capacity: 0.25,
+        warm_up: TimeDelta::from_secs(3),
+        overload_factor: 2.0,
+    }
+}
+
+pub fn listed_endpoint(endpoint: u64, site: u32, started: Option<Timestamp>) -> EndpointEntry {
+    EndpointEntry {
+        endpoint: EndpointId(endpoint),
+        site: SiteId(site),
+        in_service: true,
+        weight: 1.0,
+        started,
+    }
+}
+
+impl Fleet {
+    pub fn new() -> Fleet {
+        let mut fleet = Fleet {
+            now: Timestamp::ZERO + SECOND,
+            cores: (0..SITES as u32)
+                .map(|site| FailoverCore::new(settings(site)))
+                .collect(),
+            behavior: vec![vec![[USUAL; ENDPOINTS_PER_SITE]; SITES]; SITES],
+            started: vec![None; SITES],
+            is_listed: vec![true; SITES],
+            sent: vec![vec![0; SITES]; SITES],
+            pending: VecDeque::new(),
+            requests: 0,
+        };
+        fleet.publish_list();
+        fleet
+    }
+
+    /// Gives all gateways the endpoint list.
+    pub fn publish_list(&mut self) {
+        let mut entries = Vec::new();
+        for site in (0..SITES).filter(|&site| self.is_listed[site]) {
+            for endpoint in 0..ENDPOINTS_PER_SITE {
+                let id = (site * ENDPOINTS_PER_SITE + endpoint) as u64;
+                entries.push(listed_endpoint(id, site as u32, self.started[site]));
+            }
+        }
+        for core in &mut self.cores {
+            core.on(self.now, Event::EndpointsListed(&entries));
+        }
+    }
+
+    /// Gives all endpoints of a site the same behavior towards all gateways.
+    pub fn set_behavior(&mut self, site: usize, behavior: Behavior) {
+        for seen_from_gateway in &mut self.behavior {
+            seen_from_gateway[site] = [behavior; ENDPOINTS_PER_SITE];
+        }
+    }
+
+    pub fn plan(&mut self, gateway: usize) -> FailoverPlan {
+        self.cores[gateway].plan(self.now)
+    }
+
+    pub fn site(&mut self, gateway: usize, site: usize) -> SitePlan {
+        self.plan(gateway).sites[site].clone()
+    }
+
+    pub fn state(&mut self, gateway: usize, site: usize) -> SiteState {
+        self.site(gateway, site).state
+    }
+
+    /// Tells one gateway of an event that happens now.
+    pub fn tell(&mut self, gateway: usize, event: Event) {
+        self.cores[gateway].on(self.now, event);
+    }
+
+    /// Sends requests to where the plans say, for that time.
+    pub fn run(&mut self, span: TimeDelta) {
+        let end = self.now + span;
+        while self.now < end {
+            self.now = self.now + REQUEST_INTERVAL;
+            self.deliver_ends();
+            for gateway in 0..self.cores.len() {
+                self.send_request(gateway);
+            }
+            self.pending
+                .make_contiguous()
+                .sort_by_key(|pending| pending.at);
+        }
+    }
+
+    /// Runs until the condition holds and returns how long that took. Panics after `most`.
+    pub fn run_until(
+        &mut self,
+        most: TimeDelta,
+        mut holds: impl FnMut(&mut Fleet) -> bool,
+    ) -> TimeDelta {
+        let begin = self.now;
+        while !holds(self) {
+            assert!(
+                self.now < begin + most,
+                "the condition does not hold within {most:?}"
+            );
+            self.run(REQUEST_INTERVAL);
+        }
+        self.now - begin
+    }
+
+    fn deliver_ends(&mut self) {
+        while let Some(pending) = self.pending.pop_front() {
+            if pending.at > self.now {
+                self.pending.push_front(pending);
+                return;
+            }
+            let event = Event::AttemptEnded(pending.attempt);
+            self.cores[pending.gateway].on(pending.at, event);
+        }
+    }
+
+    fn send_request(&mut self, gateway: usize) {
+        self.requests += 1;
+        let plan = self.plan(gateway);
+        let offered = Event::RequestOffered {
+            value_per_unit: 1.0,
+            units: 1.0,
+        };
+        self.tell(gateway, offered);
+        // The draws are spread evenly and are the same in each run.
+        let mut draw = (self.requests as f64 * GOLDEN_RATIO).fract();
+        let site = plan.sites.iter().position(|site| {
+            draw -= site.share;
+            draw < 0.0
+        });
+        if let Some(site) = site {
+            self.send_attempt(gateway, site);
+        }
+    }
+
+    fn send_attempt(&mut self, gateway: usize, site: usize) {
+        let endpoint = (self.requests / SITES as u64) as usize % ENDPOINTS_PER_SITE;
+        let id = EndpointId((site * ENDPOINTS_PER_SITE + endpoint) as u64);
+        self.sent[gateway][site] += 1;
+        self.tell(gateway, Event::AttemptSent(id));
+        let (latency, evidence) = match self.behavior[gateway][site][endpoint] {
+            Behavior::Answers(latency) => (latency, AttemptEvidence::Answered),
+            Behavior::Silent => (OBJECTIVE, AttemptEvidence::TimedOut),
+            Behavior::Refuses => (millis(1), AttemptEvidence::Unreachable),
+        };
+        self.pending.push_back(PendingEnd {
+            at: self.now + latency,
+            gateway,
+            attempt: EndedAttempt {
+                endpoint: id,
+                evidence,
+                latency,
+                objective: OBJECTIVE,
+                units: 1.0,
+            },
+        });
+    }
+}
--- a/crates/site-failover/tests/learning.rs
+++ b/crates/site-failover/tests/learning.rs
@@ -1,146 +1,223 @@
-//! What rooms and the level learn, and what they must not.
-use chalkdeck_site_failover::level::Level;
-use chalkdeck_site_failover::pace::Pace;
-use chalkdeck_site_failover::room::{strain, Room};
-
-const SECOND: u64 = 1_000_000;
-const AIM: u64 = SECOND / 2;
-
-/// So many answers a second for so long, each of one unit.
-fn answers(
-    room: &mut Room,
-    from: u64,
+//! What the capacity, the admission level and the ramp learn from answers, and what they must not.
+use chalkdeck_site_failover::admission::AdmissionLevel;
+use chalkdeck_site_failover::capacity::{strain, LearnedCapacity};
+use chalkdeck_site_failover::ramp::{RampStart, RecoveryRamp};
+use chalkdeck_site_failover::{CompletedRequest, FinalAnswer};
+use chalkdeck_time::{TimeDelta, Timestamp};
+
+const SECOND: TimeDelta = TimeDelta::from_secs(1);
+const OBJECTIVE: TimeDelta = TimeDelta::from_millis(500);
+/// A limit is not learnt from less than this, in units a second.
+const MIN_LIMIT: f64 = 5.0;
+
+/// A stream of answers of one unit each.
+struct Answers {
     seconds: u64,
-    a_second: u64,
-    strained: f64,
-    least: f64,
-) -> u64 {
-    for i in 0..seconds * a_second {
-        let now = from + i * SECOND / a_second;
-        room.look(now);
-        room.ended(now, 1.0, strained, least);
+    per_second: u64,
+    strain: f64,
+}
+
+impl Answers {
+    /// Gives them to the capacity from `start` on and returns their end.
+    fn record(&self, capacity: &mut LearnedCapacity, start: Timestamp) -> Timestamp {
+        let interval = TimeDelta::from_micros(SECOND.as_micros() / self.per_second);
+        for number in 0..self.seconds * self.per_second {
+            let now = start + interval * number;
+            capacity.advance(now);
+            capacity.record_answer(now, 1.0, self.strain, MIN_LIMIT);
+        }
+        start + SECOND * self.seconds
     }
-    from + seconds * SECOND
+}
+
+fn at(span: TimeDelta) -> Timestamp {
+    Timestamp::ZERO + span
+}
+
+/// The part of the objective that this many tenths are.
+fn tenths_of_objective(tenths: u64) -> TimeDelta {
+    TimeDelta::from_micros(OBJECTIVE.as_micros() * tenths / 10)
+}
+
+fn complete(level: &mut AdmissionLevel, answer: FinalAnswer, latency: TimeDelta, borne: f64) {
+    let request = CompletedRequest {
+        answer,
+        latency,
+        objective: OBJECTIVE,
+    };
+    level.record_completion(request, borne);
 }
 
 #[test]
-fn a_room_is_learnt_from_strain_and_stays_near_what_came_back() {
-    let mut room = Room::default();
-    let now = answers(&mut room, SECOND, 4, 50, 0.0, 5.0);
-    assert_eq!(room.most(), None, "no bound was met");
-    answers(&mut room, now, 4, 50, 1.0, 5.0);
-    let most = room.most().expect("a bound was met");
+fn strained_answers_set_a_limit_near_the_throughput() {
+    let mut capacity = LearnedCapacity::default();
+    let calm = Answers {
+        seconds: 4,
+        per_second: 50,
+        strain: 0.0,
+    };
+    let now = calm.record(&mut capacity, at(SECOND));
+    assert_eq!(capacity.limit(), None, "no limit was met");
+    let strained = Answers {
+        strain: 1.0,
+        ..calm
+    };
+    strained.record(&mut capacity, now);
+    let limit = capacity.limit().expect("a limit was met");
     assert!(
-        (40.0..50.0).contains(&most),
-        "{most} with 50 a second coming back"
+        (40.0..50.0).contains(&limit),
+        "{limit} with 50 answers a second"
     );
 }
 
 #[test]
-fn strain_on_a_trickle_is_others_doing() {
-    let mut room = Room::default();
-    answers(&mut room, SECOND, 4, 2, 1.0, 5.0);
-    assert_eq!(room.most(), None);
+fn strain_on_a_small_throughput_sets_no_limit() {
+    let mut capacity = LearnedCapacity::default();
+    let trickle = Answers {
+        seconds: 4,
+        per_second: 2,
+        strain: 1.0,
+    };
+    trickle.record(&mut capacity, at(SECOND));
+    assert_eq!(capacity.limit(), None);
 }
 
 #[test]
-fn a_bound_that_is_not_met_opens_and_is_forgotten() {
-    let mut room = Room::default();
-    let now = answers(&mut room, SECOND, 4, 50, 1.0, 5.0);
-    answers(&mut room, now, 60, 5, 0.0, 5.0);
-    assert_eq!(room.most(), None);
+fn limit_that_is_not_met_grows_and_is_forgotten() {
+    let mut capacity = LearnedCapacity::default();
+    let strained = Answers {
+        seconds: 4,
+        per_second: 50,
+        strain: 1.0,
+    };
+    let now = strained.record(&mut capacity, at(SECOND));
+    let trickle = Answers {
+        seconds: 60,
+        per_second: 5,
+        strain: 0.0,
+    };
+    trickle.record(&mut capacity, now);
+    assert_eq!(capacity.limit(), None);
 }
 
 #[test]
-fn a_jam_of_a_second_does_not_shut_out_what_is_borne() {
-    let mut level = Level::default();
-    (0..200).for_each(|_| level.ended(true, AIM, AIM, 0.8));
+fn short_congestion_does_not_shed_what_is_borne() {
+    let mut level = AdmissionLevel::default();
+    for _ in 0..200 {
+        complete(&mut level, FinalAnswer::Served, OBJECTIVE, 0.8);
+    }
     assert!((0.7..0.75).contains(&level.0), "{}", level.0);
-    (0..200).for_each(|_| level.ended(true, AIM / 10, AIM, 0.8));
+    for _ in 0..200 {
+        let early = tenths_of_objective(1);
+        complete(&mut level, FinalAnswer::Served, early, 0.8);
+    }
     assert_eq!(level.0, 1.0);
 }
 
 #[test]
-fn a_wait_in_vain_tells_more_than_a_late_answer_and_a_quotas_refusal_nothing() {
-    let after = |served: bool, waited: u64| {
-        let mut level = Level(0.9);
-        level.ended(served, waited, AIM, 0.0);
+fn wait_in_vain_lowers_admission_more_than_a_late_answer_and_an_early_rejection_not_at_all() {
+    let level_after = |answer: FinalAnswer, latency: TimeDelta| {
+        let mut level = AdmissionLevel(0.9);
+        complete(&mut level, answer, latency, 0.0);
         level.0
     };
-    assert!(after(false, AIM * 4 / 10) < after(true, AIM));
-    assert!(after(true, AIM) < 0.9 && after(true, AIM / 10) > 0.9);
-    assert_eq!(after(false, AIM / 10), 0.9);
+    let late_answer = level_after(FinalAnswer::Served, OBJECTIVE);
+    assert!(level_after(FinalAnswer::Rejected, tenths_of_objective(4)) < late_answer);
+    assert!(late_answer < 0.9 && level_after(FinalAnswer::Served, tenths_of_objective(1)) > 0.9);
+    assert_eq!(
+        level_after(FinalAnswer::Rejected, tenths_of_objective(1)),
+        0.9
+    );
 }
 
 #[test]
-fn strain_is_the_part_of_the_time_that_an_answer_took() {
-    assert_eq!((strain(AIM / 4, AIM), strain(AIM, AIM)), (0.0, 1.0));
-    assert!((strain(AIM * 6 / 10, AIM) - 0.5).abs() < 1e-6);
+fn strain_grows_with_the_part_of_the_objective_that_an_answer_took() {
+    let quarter = TimeDelta::from_micros(OBJECTIVE.as_micros() / 4);
+    assert_eq!(
+        (strain(quarter, OBJECTIVE), strain(OBJECTIVE, OBJECTIVE)),
+        (0.0, 1.0)
+    );
+    assert!((strain(tenths_of_objective(6), OBJECTIVE) - 0.5).abs() < 1e-6);
 }
 
-/// So many answers, then a look after a second.
-fn step(pace: &mut Pace, now: &mut u64, good: u32, doubtful: u32) -> f64 {
-    (0..good).for_each(|_| pace.ended(*now, 0.0));
-    (0..doubtful).for_each(|_| pace.ended(*now, 1.0));
-    *now += SECOND;
-    pace.look(*now, 1.0);
-    pace.part
+/// Gives a ramp answers at `now`, lets a second pass, and returns its part.
+fn part_after(ramp: &mut RecoveryRamp, now: &mut Timestamp, in_time: u32, late: u32) -> f64 {
+    for _ in 0..in_time {
+        ramp.record_answer(*now, 0.0);
+    }
+    for _ in 0..late {
+        ramp.record_answer(*now, 1.0);
+    }
+    *now = *now + SECOND;
+    ramp.advance(*now, 1.0);
+    ramp.part()
 }
 
 #[test]
-fn a_step_is_earned_by_answers_in_time_and_undone_by_doubts() {
-    let (mut pace, mut now) = (Pace::begin(0, 7, true), 0);
-    let first = pace.part;
+fn answers_in_time_earn_a_step_and_late_ones_undo_it() {
+    let mut now = Timestamp::ZERO;
+    let mut ramp = RecoveryRamp::new(now, 7, RampStart::Cold);
+    let first = ramp.part();
     assert_eq!(
-        step(&mut pace, &mut now, 2, 0),
+        part_after(&mut ramp, &mut now, 2, 0),
         first,
         "two answers earn nothing"
     );
-    let second = step(&mut pace, &mut now, 2, 0);
+    let second = part_after(&mut ramp, &mut now, 2, 0);
     assert!(second > first);
     assert_eq!(
-        step(&mut pace, &mut now, 0, 1),
+        part_after(&mut ramp, &mut now, 0, 1),
         second,
-        "one late answer is none"
+        "one late answer undoes nothing"
     );
     assert!(
-        step(&mut pace, &mut now, 0, 1) < second,
+        part_after(&mut ramp, &mut now, 0, 1) < second,
         "two are a step back"
     );
-    let low = pace.part;
+    let low = ramp.part();
     assert!(
-        step(&mut pace, &mut now, 9, 2) >= low,
-        "doubts among many undo nothing"
+        part_after(&mut ramp, &mut now, 9, 2) >= low,
+        "a few late answers among many undo nothing"
     );
 }
 
 #[test]
-fn a_return_that_nobody_needs_ends_with_warm_servers_and_answers_in_time() {
-    let mut pace = Pace::begin(0, 7, false);
-    (0..4).for_each(|_| pace.ended(SECOND, 0.0));
+fn recovery_that_no_load_needs_ends_with_warm_endpoints_and_answers_in_time() {
+    let mut ramp = RecoveryRamp::new(Timestamp::ZERO, 7, RampStart::Warm);
+    for _ in 0..4 {
+        ramp.record_answer(at(SECOND), 0.0);
+    }
+    assert!(
+        !ramp.is_complete(at(SECOND * 9), 1.0)
+            && !ramp.is_complete(at(SECOND * 11), 0.9)
+            && ramp.is_complete(at(SECOND * 11), 1.0)
+    );
+    ramp.record_answer(at(SECOND * 12), 1.0);
     assert!(
-        !pace.done(9 * SECOND, 1.0) && !pace.done(11 * SECOND, 0.9) && pace.done(11 * SECOND, 1.0)
+        !ramp.is_complete(at(SECOND * 13), 1.0),
+        "a late answer begins the row anew"
     );
-    pace.ended(12 * SECOND, 1.0);
-    assert!(!pace.done(13 * SECOND, 1.0), "a doubt begins the row anew");
 }
 
 #[test]
 fn gateways_take_their_steps_at_different_moments() {
-    let stepped = |seed: u64| {
-        let mut pace = Pace::begin(0, seed, true);
-        (0..3).for_each(|_| pace.ended(0, 0.0));
-        let first = pace.part;
-        (0..1_000).map(|ms| ms * 1_000).find(|&now| {
-            pace.look(now, 1.0);
-            pace.part > first
+    let first_step = |seed: u64| {
+        let mut ramp = RecoveryRamp::new(Timestamp::ZERO, seed, RampStart::Cold);
+        for _ in 0..3 {
+            ramp.record_answer(Timestamp::ZERO, 0.0);
+        }
+        let first = ramp.part();
+        (0..1_000).map(Timestamp::from_millis).find(|&now| {
+            ramp.advance(now, 1.0);
+            ramp.part() > first
         })
     };
-    let mut moments: Vec<u64> = (0..12).filter_map(stepped).collect();
+    let mut moments: Vec<Timestamp> = (0..12).filter_map(first_step).collect();
     assert_eq!(moments.len(), 12);
     moments.sort_unstable();
     assert!(
-        moments[0] >= 300_000 && moments[11] - moments[0] > 100_000,
+        moments[0] >= Timestamp::from_millis(300)
+            && moments[11] - moments[0] > TimeDelta::from_millis(100),
         "{moments:?}"
     );
 }
--- /dev/null
+++ b/crates/site-failover/tests/properties.rs
@@ -0,0 +1,99 @@
+//! What must hold for any numbers.
+use chalkdeck_site_failover::distribution::{distribute, SiteCapacity};
+use chalkdeck_site_failover::hold_out::{HoldOut, MAX_HOLD_OUT};
+use chalkdeck_site_failover::ramp::{RampStart, RecoveryRamp};
+use chalkdeck_site_failover::shedding::OfferHistogram;
+use chalkdeck_time::{TimeDelta, Timestamp};
+use proptest::prelude::*;
+
+/// Values that differ by less than this, as a logarithm to the base 2, may count as equal.
+const BUCKET_WIDTH: f64 = 0.13;
+
+fn any_site() -> impl Strategy<Value = SiteCapacity> {
+    let capacity = prop_oneof![Just(0.0), Just(f64::INFINITY), 0.1..1e4];
+    (capacity, 0.0..100.0, any::<bool>()).prop_map(|(capacity, weight, is_near)| SiteCapacity {
+        capacity,
+        weight,
+        is_near,
+    })
+}
+
+proptest! {
+    #[test]
+    fn shares_sum_to_one_and_stay_within_capacities_unless_all_are_full(
+        load in 0.0..1e5,
+        sites in prop::collection::vec(any_site(), 1..8),
+    ) {
+        let shares = distribute(load, &sites);
+        let sum: f64 = shares.iter().sum();
+        prop_assert!((sum - 1.0).abs() < 1e-6, "{shares:?}");
+        prop_assert!(shares.iter().all(|share| *share >= 0.0));
+        let total: f64 = sites.iter().map(|site| site.capacity).sum();
+        if load <= total {
+            for (share, site) in shares.iter().zip(&sites) {
+                prop_assert!(
+                    share * load <= site.capacity * (1.0 + 1e-6) + 1e-9,
+                    "{shares:?} of {load} to {site:?}"
+                );
+            }
+        }
+    }
+
+    #[test]
+    fn more_admission_never_sheds_more_and_valuable_requests_are_never_shed_before_others(
+        offered in prop::collection::vec((0.01..1e3f64, 0.1..10.0f64), 1..40),
+        admission in 0.0..1.0f64, other_admission in 0.0..1.0f64,
+        value in 0.01..1e3f64, other_value in 0.01..1e3f64,
+    ) {
+        let mut offers = OfferHistogram::default();
+        for (value, units) in &offered {
+            offers.record(*value, *units);
+        }
+        let lower = offers.threshold(admission.min(other_admission));
+        let higher = offers.threshold(admission.max(other_admission));
+        prop_assert!(lower.admitted(value) <= higher.admitted(value) + 1e-9);
+        let (least, most) = (value.min(other_value), value.max(other_value));
+        prop_assert!(lower.admitted(least) <= lower.admitted(most) + 1e-9);
+        let total: f64 = offered.iter().map(|(_, units)| units).sum();
+        let admitted: f64 = offered.iter().map(|(value, units)| units * higher.admitted(*value)).sum();
+        // The units of one bucket, whose values count as equal.
+        let units_near = |value: f64| -> f64 {
+            let is_near = |other: f64| (other / value).log2().abs() < BUCKET_WIDTH;
+            offered.iter().filter(|(other, _)| is_near(*other)).map(|(_, units)| units).sum()
+        };
+        let widest = offered.iter().map(|(value, _)| units_near(*value)).fold(0.0, f64::max);
+        let expected = total * admission.max(other_admission);
+        prop_assert!((admitted - expected).abs() <= widest + 1e-6);
+    }
+
+    #[test]
+    fn recovery_never_exceeds_what_cold_endpoints_bear(
+        answers in prop::collection::vec((0.0..1.0f64, 0u64..300_000, 0.05..1.0f64), 1..300), seed: u64,
+    ) {
+        let mut now = Timestamp::ZERO;
+        let mut ramp = RecoveryRamp::new(now, seed, RampStart::Cold);
+        for (strain, elapsed, bearable) in answers {
+            let before = ramp.part();
+            now = now + TimeDelta::from_micros(elapsed);
+            ramp.record_answer(now, strain);
+            ramp.advance(now, bearable);
+            prop_assert!(ramp.part() <= bearable && ramp.part() <= before * 1.6 + 1e-9);
+        }
+    }
+
+    #[test]
+    fn losses_are_never_closer_than_the_hold_outs_allow(gaps in prop::collection::vec(0u64..5_000_000, 1..40)) {
+        let mut hold_out = HoldOut::default();
+        let mut now = Timestamp::ZERO;
+        let mut losses = 0u32;
+        for gap in &gaps {
+            now = hold_out.until() + TimeDelta::from_micros(*gap);
+            hold_out.record_loss(now);
+            losses += 1;
+            prop_assert!(hold_out.until() - now <= MAX_HOLD_OUT);
+        }
+        // 1, 2, 4, 8, 16, 32 seconds and so on: the stated rate.
+        let least_seconds: u64 = (1..losses).map(|loss| 1 << (loss - 1).min(5)).sum();
+        prop_assert!(now - Timestamp::ZERO >= TimeDelta::from_secs(least_seconds));
+    }
+}
--- a/crates/site-failover/tests/recording/mod.rs
+++ b/crates/site-failover/tests/recording/mod.rs
@@ -2,7 +2,11 @@
 
 mod sites;
 
-use chalkdeck_site_failover::{Command, Core, Event, How, Plan, Settings, SiteId, State};
+use chalkdeck_site_failover::{
+    AttemptEvidence, CompletedRequest, EndedAttempt, EndpointConcurrency, EndpointId, Event,
+    FailoverCore, FailoverPlan, FailoverSettings, FinalAnswer, SiteId, SiteOverride, SiteState,
+};
+use chalkdeck_time::{TimeDelta, Timestamp};
 use fastrand::Rng;
 use sites::{Condition, SimulatedSites};
 use std::collections::BTreeMap;
@@ -88,14 +92,14 @@
 /// An attempt without its outcome yet.
 struct OpenAttempt {
     server: u64,
-    how: How,
+    evidence: AttemptEvidence,
     took: u64,
     units: f64,
 }
 
 struct Player {
     random: Rng,
-    core: Core,
+    core: FailoverCore,
     now: u64,
     sites: SimulatedSites,
     /// By the time of their ends and a number.
@@ -111,19 +115,19 @@
 impl Player {
     fn new(seed: u64) -> Player {
         let mut random = Rng::with_seed(seed);
-        let settings = Settings {
-            own: SiteId(0),
-            me: random.u32(0..20),
+        let settings = FailoverSettings {
+            own_site: SiteId(0),
+            gateway_index: random.u32(0..20),
             gateways: random.u32(1..120),
-            cold_from: 0.1 + random.f64() * 0.5,
-            cold: random.u64(1..8) * SECOND,
-            fall_multiple: 1.0 + random.f64() * 2.0,
+            cold_capacity: 0.1 + random.f64() * 0.5,
+            warm_up: TimeDelta::from_secs(random.u64(1..8)),
+            overload_factor: 1.0 + random.f64() * 2.0,
         };
         let now = SECOND;
         let sites = SimulatedSites::new(&mut random);
         let mut player = Player {
             random,
-            core: Core::new(settings),
+            core: FailoverCore::new(settings),
             now,
             sites,
             open: BTreeMap::new(),
@@ -139,15 +143,15 @@
     }
 
     fn tell(&mut self, at: u64, event: Event) {
-        self.core.on(at, event);
+        self.core.on(Timestamp::from_micros(at), event);
         self.events += 1;
         if self.events.is_multiple_of(EVENTS_PER_PLAN) {
             self.plan(at);
         }
     }
 
-    fn plan(&mut self, at: u64) -> Plan {
-        let plan = self.core.plan(at);
+    fn plan(&mut self, at: u64) -> FailoverPlan {
+        let plan = self.core.plan(Timestamp::from_micros(at));
         self.plans += 1;
         self.digest_plan(&plan);
         plan
@@ -179,13 +183,14 @@
         while let Some(entry) = self.open.first_entry().filter(|e| e.key().0 <= self.now) {
             let (at, _) = *entry.key();
             let attempt = entry.remove();
-            let OpenAttempt {
-                server,
-                how,
-                took,
-                units,
-            } = attempt;
-            self.tell(at, Event::Ended(server, how, took, OBJECTIVE, units));
+            let ended = EndedAttempt {
+                endpoint: EndpointId(attempt.server),
+                evidence: attempt.evidence,
+                latency: TimeDelta::from_micros(attempt.took),
+                objective: TimeDelta::from_micros(OBJECTIVE),
+                units: attempt.units,
+            };
+            self.tell(at, Event::AttemptEnded(ended));
         }
     }
 
@@ -195,21 +200,25 @@
             n => f64::from(n) * self.random.f64() * 10.0,
         };
         let units = 0.5 + self.random.f64() * 4.0;
-        self.tell(self.now, Event::Offered(worth, units));
+        let offered = Event::RequestOffered {
+            value_per_unit: worth,
+            units,
+        };
+        self.tell(self.now, offered);
         let plan = self.plan(self.now);
-        if self.random.f64() >= plan.floor.admits(worth) {
-            return self.tell(self.now, Event::Final(false, OBJECTIVE / 4, OBJECTIVE));
+        if self.random.f64() >= plan.threshold.admitted(worth) {
+            return self.complete(FinalAnswer::Rejected, OBJECTIVE / 4);
         }
         let server = match self.random.u32(0..100) {
             0 => u64::from(UNKNOWN),
             1..25 => self.sites.any_server(&mut self.random),
             _ => self.server_by_share(&plan),
         };
-        self.tell(self.now, Event::Sent(server));
-        let (took, how) = self.outcome(server);
+        self.tell(self.now, Event::AttemptSent(EndpointId(server)));
+        let (took, evidence) = self.outcome(server);
         let attempt = OpenAttempt {
             server,
-            how,
+            evidence,
             took,
             units,
         };
@@ -218,7 +227,7 @@
             .insert((self.now + took, self.next_attempt), attempt);
     }
 
-    fn server_by_share(&mut self, plan: &Plan) -> u64 {
+    fn server_by_share(&mut self, plan: &FailoverPlan) -> u64 {
         let mut draw = self.random.f64();
         let site = plan.sites.iter().find(|view| {
             draw -= view.share;
@@ -230,18 +239,18 @@
         }
     }
 
-    fn outcome(&mut self, server: u64) -> (u64, How) {
+    fn outcome(&mut self, server: u64) -> (u64, AttemptEvidence) {
         if self.random.u32(0..60) == 0 {
-            return (self.random.u64(1..OBJECTIVE), How::CalledOff);
+            return (self.random.u64(1..OBJECTIVE), AttemptEvidence::Cancelled);
         }
         match self.sites.condition(server) {
             Condition::Answers { latency } => {
                 let took = latency / 2 + self.random.u64(0..latency);
-                (took, How::Answered)
+                (took, AttemptEvidence::Answered)
             }
-            Condition::Full => (2 * MILLISECOND, How::Full),
-            Condition::Silent => (OBJECTIVE, How::Silent),
-            Condition::Refuses => (MILLISECOND, How::Unreached),
+            Condition::Full => (2 * MILLISECOND, AttemptEvidence::Rejected),
+            Condition::Silent => (OBJECTIVE, AttemptEvidence::TimedOut),
+            Condition::Refuses => (MILLISECOND, AttemptEvidence::Unreachable),
         }
     }
 
@@ -251,8 +260,15 @@
             *open.entry(attempt.server).or_default() += 1.0;
         }
         let most = f64::from(self.random.u32(1..12));
-        let places: Vec<(u64, f64, f64)> = open.iter().map(|(s, out)| (*s, *out, most)).collect();
-        self.tell(self.now, Event::Places(&places));
+        let reported: Vec<EndpointConcurrency> = open
+            .iter()
+            .map(|(server, in_flight)| EndpointConcurrency {
+                endpoint: EndpointId(*server),
+                in_flight: *in_flight,
+                limit: most,
+            })
+            .collect();
+        self.tell(self.now, Event::ConcurrencyReported(&reported));
     }
 
     fn final_answer(&mut self) {
@@ -261,18 +277,34 @@
             _ => OBJECTIVE / 3,
         };
         let waited = self.random.u64(0..most);
-        let served = self.random.u32(0..10) > 0;
-        self.tell(self.now, Event::Final(served, waited, OBJECTIVE));
+        let answer = match self.random.u32(0..10) {
+            0 => FinalAnswer::Rejected,
+            _ => FinalAnswer::Served,
+        };
+        self.complete(answer, waited);
+    }
+
+    fn complete(&mut self, answer: FinalAnswer, waited: u64) {
+        let completed = CompletedRequest {
+            answer,
+            latency: TimeDelta::from_micros(waited),
+            objective: TimeDelta::from_micros(OBJECTIVE),
+        };
+        self.tell(self.now, Event::RequestCompleted(completed));
     }
 
     fn ask_counter(&mut self) {
-        let answers = self.counter_answers;
-        self.tell(self.now, Event::Counter(answers));
+        let event = if self.counter_answers {
+            Event::CounterAnswered
+        } else {
+            Event::CounterFailed
+        };
+        self.tell(self.now, event);
     }
 
     fn list(&mut self) {
         let lines = self.sites.list(self.now);
-        self.tell(self.now, Event::List(&lines));
+        self.tell(self.now, Event::EndpointsListed(&lines));
     }
 
     fn operator_override(&mut self) {
@@ -280,46 +312,50 @@
             0 => UNKNOWN,
             _ => self.sites.any_site(&mut self.random),
         };
-        let command = match self.random.u32(0..8) {
-            0 => Command::Drain,
-            1 => Command::Hold,
-            _ => Command::LetBack,
+        let site_override = match self.random.u32(0..8) {
+            0 => SiteOverride::Drain,
+            1 => SiteOverride::HoldOut,
+            _ => SiteOverride::Restore,
+        };
+        let event = Event::OverrideSet {
+            site: SiteId(site),
+            site_override,
         };
-        self.tell(self.now, Event::Command(SiteId(site), command));
+        self.tell(self.now, event);
     }
 
     fn count(&mut self, kind: &str) {
         *self.counts.entry(kind.to_string()).or_default() += 1;
     }
 
-    fn digest_plan(&mut self, plan: &Plan) {
-        self.digest.add_f64(plan.level);
-        self.digest.add_f64(plan.floor.sure);
-        self.digest.add_f64(plan.floor.from);
-        self.digest.add_f64(plan.floor.part);
-        if plan.floor.sure > 0.0 {
+    fn digest_plan(&mut self, plan: &FailoverPlan) {
+        self.digest.add_f64(plan.admission);
+        self.digest.add_f64(plan.threshold.admit_all_from);
+        self.digest.add_f64(plan.threshold.admit_some_from);
+        self.digest.add_f64(plan.threshold.admitted_part);
+        if plan.threshold.admit_all_from > 0.0 {
             self.count("shedding");
         }
-        if plan.sites.iter().any(|view| view.room.is_some()) {
+        if plan.sites.iter().any(|view| view.capacity.is_some()) {
             self.count("limited");
         }
         for view in &plan.sites {
             self.count(view.state.name());
             self.digest.add(u64::from(view.site.0));
             self.digest.add_bytes(view.state.name().as_bytes());
-            self.digest.add(u64::from(view.state == State::Serving));
-            self.digest.add(view.since);
+            self.digest.add(u64::from(view.state == SiteState::Serving));
+            self.digest.add(view.since.as_micros());
             self.digest.add(view.evidence.listed as u64);
             self.digest.add(view.evidence.silent as u64);
-            self.digest.add(view.evidence.quiet);
+            self.digest.add(view.evidence.quiet.as_micros());
             self.digest.add(u64::from(view.evidence.losses));
-            self.digest.add(view.evidence.held_until);
+            self.digest.add(view.evidence.held_out_until.as_micros());
             self.digest.add_bytes(view.evidence.to_string().as_bytes());
             self.digest.add_f64(view.share);
-            self.digest.add_f64(view.room.unwrap_or(-1.0));
-            self.digest.add_f64(view.pace);
-            self.digest.add_f64(view.places.0);
-            self.digest.add_f64(view.places.1);
+            self.digest.add_f64(view.capacity.unwrap_or(-1.0));
+            self.digest.add_f64(view.ramp);
+            self.digest.add_f64(view.concurrency.in_flight);
+            self.digest.add_f64(view.concurrency.limit);
         }
     }
 }
--- a/crates/site-failover/tests/recording/sites.rs
+++ b/crates/site-failover/tests/recording/sites.rs
@@ -1,7 +1,8 @@
 //! Sites of servers whose condition changes in the course of a stream.
 
 use super::{MILLISECOND, SECOND};
-use chalkdeck_site_failover::{Listed, SiteId};
+use chalkdeck_site_failover::{EndpointEntry, EndpointId, SiteId};
+use chalkdeck_time::Timestamp;
 use fastrand::Rng;
 
 /// How a server behaves towards the gateway.
@@ -120,14 +121,14 @@
     }
 
     /// The lines of the server list.
-    pub fn list(&self, now: u64) -> Vec<Listed> {
+    pub fn list(&self, now: u64) -> Vec<EndpointEntry> {
         let listed = self.servers.iter().filter(|server| server.is_listed);
-        let line = |server: &Server| Listed {
-            server: server.id,
+        let line = |server: &Server| EndpointEntry {
+            endpoint: EndpointId(server.id),
             site: SiteId(server.site),
             in_service: server.in_service,
             weight: server.weight,
-            started: server.started.map(|at| at.min(now)),
+            started: server.started.map(|at| Timestamp::from_micros(at.min(now))),
         };
         listed.map(line).collect()
     }
--- /dev/null
+++ b/crates/site-failover/tests/state_model.rs
@@ -0,0 +1,208 @@
+//! Every order of loss, partition, repair and updates of two gateways and one site: no gateway stays with a lost site, none stays
+//! away from one that is back. The transitions are the shipped ones; time is a few ticks.
+use chalkdeck_site_failover::state::{next_state, Observations};
+use chalkdeck_site_failover::SiteState;
+use stateright::{Checker, Model, Property};
+
+/// Updates after which silence makes a site doubtful.
+const DOUBTFUL_AFTER: u8 = 1;
+/// Updates after which silence makes it lost.
+const LOST_AFTER: u8 = 2;
+/// Updates that a hold-out lasts.
+const HOLD_OUT: u8 = 2;
+/// Steps of a recovery ramp.
+const RAMP_STEPS: u8 = 2;
+/// Losses, partitions and repairs that the model goes through at most.
+const MAX_FAULTS: u8 = 5;
+
+/// What one gateway knows of the site.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+struct GatewayView {
+    state: SiteState,
+    quiet: u8,
+    hold_out: u8,
+    has_answered: bool,
+    ramp_steps: u8,
+}
+
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+struct World {
+    is_site_down: bool,
+    is_partitioned: [bool; 2],
+    views: [GatewayView; 2],
+    faults: u8,
+}
+
+impl World {
+    fn is_reachable_from(&self, gateway: usize) -> bool {
+        !self.is_site_down && !self.is_partitioned[gateway]
+    }
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+enum Step {
+    SiteFails,
+    SiteRecovers,
+    Partition(usize),
+    Repair(usize),
+    Update(usize),
+}
+
+struct SiteModel;
+
+impl SiteModel {
+    /// One gateway sends what its state lets it, gets an answer or not, and updates the state.
+    fn update(world: &World, gateway: usize) -> GatewayView {
+        let mut view = world.views[gateway].clone();
+        let answers = world.is_reachable_from(gateway);
+        view.quiet = if answers {
+            0
+        } else {
+            (view.quiet + 1).min(LOST_AFTER)
+        };
+        view.has_answered |= answers && view.state.is_out();
+        view.hold_out = view.hold_out.saturating_sub(1);
+        let earns_step = answers && view.state == SiteState::Returning;
+        view.ramp_steps = (view.ramp_steps + u8::from(earns_step)).min(RAMP_STEPS);
+        let seen = Observations {
+            is_silent: view.quiet >= LOST_AFTER,
+            is_doubtful: view.quiet >= DOUBTFUL_AFTER,
+            is_partitioned: world.is_partitioned[gateway],
+            is_hold_out_over: view.hold_out == 0,
+            has_answered: view.has_answered,
+            is_ramping: view.ramp_steps > 0,
+            is_ramp_complete: view.ramp_steps >= RAMP_STEPS,
+        };
+        let before = view.state;
+        view.state = next_state(before, seen);
+        if view.state.is_out() && !before.is_out() {
+            view.hold_out = HOLD_OUT;
+            view.has_answered = false;
+            view.ramp_steps = 0;
+        }
+        if view.state == SiteState::Serving {
+            view.ramp_steps = 0;
+        }
+        view
+    }
+
+    /// The world after both gateways updated their states often enough, with no further fault.
+    fn settled(world: &World) -> World {
+        let mut settled = world.clone();
+        for _ in 0..(LOST_AFTER + HOLD_OUT + RAMP_STEPS + 3) {
+            settled.views = [
+                SiteModel::update(&settled, 0),
+                SiteModel::update(&settled, 1),
+            ];
+        }
+        settled
+    }
+}
+
+impl Model for SiteModel {
+    type State = World;
+    type Action = Step;
+
+    fn init_states(&self) -> Vec<World> {
+        vec![World::default()]
+    }
+
+    fn actions(&self, world: &World, steps: &mut Vec<Step>) {
+        steps.extend([Step::Update(0), Step::Update(1)]);
+        if world.faults >= MAX_FAULTS {
+            return;
+        }
+        steps.push(if world.is_site_down {
+            Step::SiteRecovers
+        } else {
+            Step::SiteFails
+        });
+        for gateway in 0..2 {
+            steps.push(if world.is_partitioned[gateway] {
+                Step::Repair(gateway)
+            } else {
+                Step::Partition(gateway)
+            });
+        }
+    }
+
+    fn next_state(&self, world: &World, step: Step) -> Option<World> {
+        let mut next = world.clone();
+        if !matches!(step, Step::Update(_)) {
+            next.faults += 1;
+        }
+        match step {
+            Step::Update(gateway) => next.views[gateway] = SiteModel::update(world, gateway),
+            Step::SiteFails => next.is_site_down = true,
+            Step::SiteRecovers => next.is_site_down = false,
+            Step::Partition(gateway) => next.is_partitioned[gateway] = true,
+            Step::Repair(gateway) => next.is_partitioned[gateway] = false,
+        }
+        Some(next)
+    }
+
+    fn properties(&self) -> Vec<Property<SiteModel>> {
+        vec![
+            Property::always(
+                "no gateway stays with a site that does not answer it",
+                |_, world: &World| {
+                    let settled = SiteModel::settled(world);
+                    (0..2).all(|gateway| {
+                        world.is_reachable_from(gateway) || settled.views[gateway].state.is_out()
+                    })
+                },
+            ),
+            Property::always(
+                "every gateway goes back to a site that answers it",
+                |_, world: &World| {
+                    let settled = SiteModel::settled(world);
+                    (0..2).all(|gateway| {
+                        !world.is_reachable_from(gateway)
+                            || settled.views[gateway].state == SiteState::Serving
+                    })
+                },
+            ),
+            Property::always("no update skips the recovery", |_, world: &World| {
+                (0..2).all(|gateway| {
+                    let before = world.views[gateway].state;
+                    let after = SiteModel::update(world, gateway).state;
+                    let is_in_at_once = matches!(after, SiteState::Serving | SiteState::Doubtful);
+                    !(before.is_out() && is_in_at_once)
+                })
+            }),
+            Property::always(
+                "a recovery waits for an answer and the end of the hold-out",
+                |_, world: &World| {
+                    (0..2).all(|gateway| {
+                        let before = &world.views[gateway];
+                        let after = SiteModel::update(world, gateway);
+                        let starts = before.state.is_out() && after.state == SiteState::Returning;
+                        !starts || after.has_answered && after.hold_out == 0
+                    })
+                },
+            ),
+            Property::sometimes("a partition is told from a loss", |_, world: &World| {
+                world.views[0].state == SiteState::CutOff && world.views[1].state == SiteState::Lost
+            }),
+            Property::sometimes(
+                "a recovery is under way at one gateway and over at the other",
+                |_, world: &World| {
+                    world.views[0].state == SiteState::Returning
+                        && world.views[1].state == SiteState::Serving
+                        && world.faults > 1
+                },
+            ),
+        ]
+    }
+}
+
+#[test]
+fn no_gateway_stays_with_a_lost_site_or_away_from_one_that_is_back() {
+    let checker = SiteModel.checker().spawn_bfs().join();
+    checker.assert_properties();
+    assert!(
+        checker.unique_state_count() > 1_000,
+        "{} states",
+        checker.unique_state_count()
+    );
+}
