--- a/crates/grpc-gateway/src/sites.rs
+++ b/crates/grpc-gateway/src/sites.rs
@@ -74,11 +74,11 @@
         let own = site_of(set.policy.zone);
         let core = FailoverCore::new(FailoverSettings {
             own_site: own,
-            gateway_index: set.policy.me,
+            gateway_index: set.policy.gateway_index,
             gateways: set.policy.gateways,
-            cold_capacity: set.policy.cold_from,
-            warm_up: TimeDelta::from_micros(set.policy.cold.0),
-            overload_factor: set.policy.fall_multiple,
+            cold_capacity: set.policy.slow_start_min_capacity,
+            warm_up: TimeDelta::from_micros(set.policy.slow_start_duration.0),
+            overload_factor: set.policy.overload_multiple,
         });
         let words = Words::read(set.site_words.as_deref())?;
         Ok(Sites {
@@ -96,11 +96,11 @@
                 .map(|s| (site_of(s.entry.zone), s.zone_name.clone())),
         );
         let line = |s: &Server| failover::EndpointEntry {
-            endpoint: failover::EndpointId(s.entry.server.0),
+            endpoint: failover::EndpointId(s.entry.endpoint.0),
             site: site_of(s.entry.zone),
-            in_service: s.entry.listed == EndpointState::InService,
+            in_service: s.entry.state == EndpointState::InService,
             weight: s.entry.weight,
-            started: s.entry.started.map(|at| Timestamp::from_micros(at.0)),
+            started: s.entry.started_at.map(|at| Timestamp::from_micros(at.0)),
         };
         let lines: Vec<_> = servers.iter().map(line).collect();
         self.on(now, Event::EndpointsListed(&lines));
@@ -193,10 +193,11 @@
             return;
         };
         let class = &set.policy.classes[arrival.class.0];
-        if class.by_caller {
+        if class.admission_only {
             return;
         }
-        let worth = class.worth * set.policy.plans[arrival.plan.0].price / arrival.units;
+        let worth = class.priority_weight * set.policy.plans[arrival.plan.0].priority_multiplier
+            / arrival.units;
         let offered = Event::RequestOffered {
             value_per_unit: worth,
             units: arrival.units,
@@ -227,7 +228,7 @@
         else {
             return;
         };
-        let aim = set.policy.classes[class].aim.0;
+        let aim = set.policy.classes[class].latency_objective.0;
         let ended = EndedAttempt {
             endpoint: failover::EndpointId(server.0),
             evidence: evidence_of(outcome),
@@ -248,7 +249,7 @@
         else {
             return;
         };
-        let aim = set.policy.classes[class].aim.0;
+        let aim = set.policy.classes[class].latency_objective.0;
         let answer = match end {
             End::Gone => return,
             End::Served => FinalAnswer::Served,
@@ -313,26 +314,28 @@
         for v in &plan.sites {
             let before = known.iter().find(|k| k.site == v.site).map(|k| k.state);
             if before != Some(v.state) {
-                tracing::info!(site = sites.name(v.site), state = v.state.name(), evidence = %v.evidence, "site");
+                tracing::info!(site = sites.name(v.site), state = v.state.name(), evidence = %v.evidence, "site state changed");
             }
         }
         let part = |v: &failover::SitePlan| ZoneShare {
             zone: ZoneId(v.site.0),
             share: v.share,
-            open: v.state == SiteState::Serving,
+            accepts_overflow: v.state == SiteState::Serving,
         };
         let floor = api::SheddingThreshold {
-            sure: plan.threshold.admit_all_from,
-            from: plan.threshold.admit_some_from,
-            part: plan.threshold.admitted_part,
+            admit_above: plan.threshold.admit_all_from,
+            reject_below: plan.threshold.admit_some_from,
+            admit_fraction: plan.threshold.admitted_part,
         };
         let shares = plan.sites.iter().map(part).collect();
         sites
             .names
             .retain(|id, _| plan.sites.iter().any(|s| s.site == *id));
         sites.told = Some(plan);
-        self.decisions
-            .push(api::Event::ZoneSharesChanged(shares, floor));
+        self.decisions.push(api::Event::ZoneSharesChanged {
+            shares,
+            threshold: floor,
+        });
     }
 
     /// A word that reached the whole fleet; it counts from the first list that names its site on, and is kept like one that was
@@ -351,11 +354,16 @@
         {
             tracing::error!(
                 site = name,
-                word,
-                "the word could not be kept and lasts until this gateway ends: {e}"
+                site_override = word,
+                error = %e,
+                "site override not persisted: it lasts until this gateway restarts"
             );
         }
-        tracing::warn!(site = name, word, "an operator's word to the fleet");
+        tracing::warn!(
+            site = name,
+            site_override = word,
+            "site override received from the coordinator"
+        );
         let event = Event::OverrideSet {
             site: site_of(zone_of(name)),
             site_override,
@@ -396,7 +404,11 @@
             sites
                 .words
                 .keep(name, site_override != SiteOverride::Restore)?;
-            tracing::warn!(site = name, word, "an operator's word");
+            tracing::warn!(
+                site = name,
+                site_override = word,
+                "site override received from an operator"
+            );
             let event = Event::OverrideSet {
                 site,
                 site_override,
