--- /dev/null
+++ b/crates/policy/src/counter/sampling.rs
@@ -0,0 +1,113 @@
+//! Sampling: the part of the requests that calls the counter, so that our own calls don't overload
+//! it.
+
+use crate::api::{TimeDelta, Timestamp};
+use crate::smoothing::{smooth, SAMPLE_WEIGHT, SHARED_SAMPLE_WEIGHT};
+
+/// At first, and when a probe was answered, as many requests call as all requests of this many
+/// gateways: more at once may overload a counter that just came back.
+const INITIAL_GATEWAYS: f64 = 30.0;
+/// The least sample rate, so that recovery is noticed.
+const MIN_SAMPLE_RATE: f64 = 0.05;
+/// Queueing time at the counter, as part of a call's time-out, that leaves the rate as it is.
+const NEUTRAL_QUEUEING: f64 = 0.12;
+/// What no queueing adds to the rate, as part of it, and twice the neutral queueing takes off.
+const RATE_STEP: f64 = 0.2;
+/// The most that one answer, late or failed, takes off the rate, as what it leaves.
+const MIN_RATE_FACTOR: f64 = 0.5;
+/// The most that one quick answer multiplies the rate with, for the requests since the last one.
+const MAX_RATE_FACTOR: f64 = 4.0;
+/// How much less than usual an answer counts that is slower than the base latency.
+const SLOWER_ANSWER_DIVISOR: f64 = 100.0;
+/// Shortest time-out that queueing is measured by, in seconds; against a division by zero.
+const MIN_NEUTRAL_SECONDS: f64 = 1e-9;
+/// The largest exponent that a request of little value gets.
+const MAX_EXPONENT: f64 = 100.0;
+
+/// The sample rate and what it is learnt from.
+#[derive(Debug)]
+pub(crate) struct CounterSampler {
+    /// Part of the requests of usual value that call the counter.
+    rate: f64,
+    /// Smoothed value (priority weight times units) of the requests with a quota.
+    usual_value: f64,
+    /// Seconds that the counter takes without a queue.
+    base_latency: f64,
+    /// When the rate was last reduced.
+    reduced_at: Timestamp,
+}
+
+impl CounterSampler {
+    /// A sampler at the start of one of so many gateways.
+    pub(crate) fn new(gateways: u32) -> CounterSampler {
+        CounterSampler {
+            rate: initial_rate(gateways),
+            usual_value: 0.0,
+            base_latency: 0.0,
+            reduced_at: Timestamp::ZERO,
+        }
+    }
+
+    /// Whether a request with a quota was seen yet.
+    pub(crate) fn has_seen_value(&self) -> bool {
+        self.usual_value > 0.0
+    }
+
+    /// Takes the value of a request with a quota into the usual value.
+    pub(crate) fn observe_value(&mut self, value: f64) {
+        let weight = if self.has_seen_value() {
+            SHARED_SAMPLE_WEIGHT
+        } else {
+            1.0
+        };
+        smooth(&mut self.usual_value, weight, value);
+    }
+
+    /// The power of the sample rate for a request of that value: those worth most for a call are
+    /// sampled first, as a call costs the same for all.
+    pub(crate) fn exponent(&self, value: f64) -> f64 {
+        (self.usual_value / value.max(f64::MIN_POSITIVE)).min(MAX_EXPONENT)
+    }
+
+    /// The chance that a request calls the counter.
+    pub(crate) fn chance(&self, exponent: f64) -> f64 {
+        self.rate.powf(exponent)
+    }
+
+    /// A probe was answered: the rate starts again.
+    pub(crate) fn restart(&mut self, gateways: u32) {
+        self.rate = initial_rate(gateways);
+    }
+
+    /// Learns from the time that a call took; a failed one took its time-out. A queue that builds
+    /// up at the counter reduces the rate before calls fail, once for calls that were in flight
+    /// together. A quick answer counts for the requests that did not call, too.
+    pub(crate) fn observe_latency(
+        &mut self,
+        now: Timestamp,
+        latency: TimeDelta,
+        timeout: TimeDelta,
+    ) {
+        let queueing = latency.as_secs_f64() - self.base_latency;
+        self.base_latency += if queueing < 0.0 || self.base_latency == 0.0 {
+            queueing
+        } else {
+            // Slower answers move it little: it follows the fastest ones.
+            queueing * SAMPLE_WEIGHT / SLOWER_ANSWER_DIVISOR
+        };
+        let neutral = (timeout.as_secs_f64() * NEUTRAL_QUEUEING).max(MIN_NEUTRAL_SECONDS);
+        let slowness = queueing.max(0.0) / neutral;
+        let factor = (1.0 + RATE_STEP * (1.0 - slowness)).max(MIN_RATE_FACTOR);
+        if slowness < 1.0 {
+            self.rate *= factor.powf(1.0 / self.rate).min(MAX_RATE_FACTOR);
+        } else if now >= self.reduced_at + timeout {
+            self.rate *= factor;
+            self.reduced_at = now;
+        }
+        self.rate = self.rate.clamp(MIN_SAMPLE_RATE, 1.0);
+    }
+}
+
+fn initial_rate(gateways: u32) -> f64 {
+    (INITIAL_GATEWAYS / f64::from(gateways)).min(1.0)
+}
--- a/crates/policy/src/decisions.rs
+++ b/crates/policy/src/decisions.rs
@@ -1,12 +1,13 @@
-//! Queue between carrying code and the decision module: events are handled one by one, and the actions that follow are handed out
-//! one by one. Nothing is decided here.
+//! Queue between carrying code and the decision module: events are handled one by one, and the
+//! actions that follow are handed out one by one. Nothing is decided here.
 
 use crate::api::{Action, Event, Timestamp};
-use crate::rules::DecisionEngine;
+use crate::engine::DecisionEngine;
 use std::collections::VecDeque;
 
-/// A gateway's decision module with the events that it has not handled yet and the actions that have not been carried out. Both
-/// queues are empty between two turns of a loop that takes actions until none is left.
+/// A gateway's decision module with the events that it has not handled yet and the actions that
+/// have not been carried out. Both queues are empty between two turns of a loop that takes actions
+/// until none is left.
 pub struct Decisions {
     /// The decision module.
     pub engine: DecisionEngine,
@@ -32,8 +33,8 @@
         self.events.push_back(event);
     }
 
-    /// The next action to carry out, or none once all events have been handled. All actions on one event come before the next
-    /// event is handled.
+    /// The next action to carry out, or none once all events have been handled. All actions on one
+    /// event come before the next event is handled.
     pub fn next_action(&mut self, now: Timestamp) -> Option<Action> {
         loop {
             if let Some(action) = self.actions.pop_front() {
--- /dev/null
+++ b/crates/policy/src/endpoint/fleet.rs
@@ -0,0 +1,65 @@
+//! Figures over all endpoints, which single endpoints are compared with.
+
+use crate::api::Timestamp;
+use crate::smoothing::{as_share, smooth, AVERAGING_SECONDS, SAMPLE_WEIGHT, SHARED_SAMPLE_WEIGHT};
+
+/// Share of failed or late attempts over all endpoints below which trouble lies with single
+/// endpoints.
+const CALM_FAILURE_SHARE: f64 = 0.15;
+
+/// Smoothed over all endpoints.
+#[derive(Debug, Default)]
+pub(crate) struct FleetHealth {
+    /// Time to answer in microseconds; 0: not known.
+    pub(crate) latency: f64,
+    /// Share of attempts that failed or were late.
+    pub(crate) failure_share: f64,
+}
+
+impl FleetHealth {
+    /// Whether the fleet as a whole is well.
+    pub(crate) fn is_calm(&self) -> bool {
+        self.failure_share < CALM_FAILURE_SHARE
+    }
+
+    /// Takes the end of an attempt.
+    pub(crate) fn observe_result(&mut self, is_failure: bool) {
+        let sample = as_share(is_failure);
+        smooth(&mut self.failure_share, SHARED_SAMPLE_WEIGHT, sample);
+    }
+
+    /// Takes the time to an answer, in microseconds.
+    pub(crate) fn observe_latency(&mut self, micros: f64) {
+        smooth_latency(&mut self.latency, SAMPLE_WEIGHT, micros);
+    }
+}
+
+/// Moves a smoothed latency to a sample; the first sample is taken as it is.
+pub(crate) fn smooth_latency(latency: &mut f64, weight: f64, micros: f64) {
+    if *latency == 0.0 {
+        *latency = micros;
+    } else {
+        smooth(latency, weight, micros);
+    }
+}
+
+/// Units that this gateway sends on, over the last moments.
+#[derive(Debug, Default)]
+pub(crate) struct SendRate {
+    units: f64,
+    updated_at: Timestamp,
+}
+
+impl SendRate {
+    /// Units a second.
+    pub(crate) fn per_second(&self, now: Timestamp) -> f64 {
+        let elapsed = (now - self.updated_at).as_secs_f64();
+        self.units / AVERAGING_SECONDS * (-elapsed / AVERAGING_SECONDS).exp()
+    }
+
+    /// Units are sent now.
+    pub(crate) fn record(&mut self, now: Timestamp, units: f64) {
+        self.units = self.per_second(now) * AVERAGING_SECONDS + units;
+        self.updated_at = now;
+    }
+}
--- /dev/null
+++ b/crates/policy/src/endpoint/table.rs
@@ -0,0 +1,105 @@
+//! All endpoints in the order of their ids.
+
+use super::Endpoint;
+use crate::api::{EndpointId, Timestamp};
+
+/// An endpoint and its id.
+pub(crate) type TableEntry = (EndpointId, Endpoint);
+
+/// The endpoints, and which of them are in service.
+#[derive(Debug, Default)]
+pub(crate) struct EndpointTable {
+    entries: Vec<TableEntry>,
+    /// Positions of the endpoints in service, in an order that all gateways share.
+    in_service: Vec<usize>,
+    /// Number of endpoints in slow start.
+    pub(crate) slow_starts: usize,
+    /// Attempts in flight at all endpoints.
+    pub(crate) in_flight: f64,
+    /// The sum of concurrency limits that was taken last.
+    pub(crate) limit_sum: LimitSum,
+}
+
+/// A sum of concurrency limits and when it was taken.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct LimitSum {
+    pub(crate) taken_at: Timestamp,
+    pub(crate) limit: f64,
+}
+
+impl EndpointTable {
+    fn position(&self, id: EndpointId) -> Result<usize, usize> {
+        self.entries.binary_search_by_key(&id, |entry| entry.0)
+    }
+
+    /// An endpoint by its id.
+    pub(crate) fn get(&self, id: EndpointId) -> Option<&Endpoint> {
+        let position = self.position(id).ok()?;
+        Some(&self.entries[position].1)
+    }
+
+    /// An endpoint by its id, to change.
+    pub(crate) fn get_mut(&mut self, id: EndpointId) -> Option<&mut Endpoint> {
+        let position = self.position(id).ok()?;
+        Some(&mut self.entries[position].1)
+    }
+
+    /// An endpoint by its id, new if it is not known. [`EndpointTable::refresh`] has to follow.
+    pub(crate) fn get_or_insert(&mut self, id: EndpointId) -> &mut Endpoint {
+        let position = match self.position(id) {
+            Ok(position) => position,
+            Err(position) => {
+                self.entries.insert(position, (id, Endpoint::new()));
+                position
+            }
+        };
+        &mut self.entries[position].1
+    }
+
+    /// All endpoints.
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &Endpoint> {
+        self.entries.iter().map(|entry| &entry.1)
+    }
+
+    /// All endpoints, to change.
+    pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Endpoint> {
+        self.entries.iter_mut().map(|entry| &mut entry.1)
+    }
+
+    /// Number of endpoints in service.
+    pub(crate) fn in_service_count(&self) -> usize {
+        self.in_service.len()
+    }
+
+    /// The endpoint in service at a place of their shared order.
+    pub(crate) fn in_service_at(&self, place: usize) -> &TableEntry {
+        &self.entries[self.in_service[place]]
+    }
+
+    /// The endpoints in service in their shared order.
+    pub(crate) fn in_service(&self) -> impl Iterator<Item = &TableEntry> {
+        self.in_service
+            .iter()
+            .map(|&position| &self.entries[position])
+    }
+
+    /// The endpoints in service from a place of their shared order on, around to the one before it.
+    pub(crate) fn in_service_from(&self, start: usize) -> impl Iterator<Item = &TableEntry> {
+        let (before, own) = self.in_service.split_at(start);
+        own.iter()
+            .chain(before)
+            .map(|&position| &self.entries[position])
+    }
+
+    /// Brings everything up to date that depends on which endpoints there are.
+    pub(crate) fn refresh(&mut self) {
+        self.in_service = (0..self.entries.len())
+            .filter(|&position| self.entries[position].1.is_in_service)
+            .collect();
+        self.slow_starts = self
+            .iter()
+            .filter(|endpoint| endpoint.slow_start_since.is_some())
+            .count();
+        self.limit_sum = LimitSum::default();
+    }
+}
--- /dev/null
+++ b/crates/policy/src/engine/arrival.rs
@@ -0,0 +1,63 @@
+//! A request arrives, and its deadline.
+
+use super::DecisionEngine;
+use crate::api::{Action, IncomingRequest, RequestId};
+use crate::request::OpenRequest;
+use crate::timers::TimerPurpose;
+
+impl DecisionEngine {
+    /// Takes a request and decides it, or asks the counter first.
+    pub(super) fn on_request(&mut self, incoming: IncomingRequest) {
+        let id = incoming.id;
+        let class = incoming.class;
+        let plan = incoming.plan;
+        let customer_id = incoming.customer;
+        if class.0 >= self.settings.classes.len() || plan.0 >= self.settings.plans.len() {
+            self.actions.push(Action::Reject {
+                request: id,
+                retry_after: None,
+            });
+            return;
+        }
+        self.retry_budget.earn();
+        // Before the deadline by two ticks: a timer may fire one late, and the answer takes one.
+        let tick = self.settings.timer_resolution;
+        let until_deadline = incoming.deadline - self.now - tick - tick;
+        self.set_timer(TimerPurpose::RequestDeadline(id), until_deadline);
+        let customer = self.customers.entry(customer_id).or_default();
+        customer.observe_request(self.now, &incoming);
+        let is_retry = incoming.is_retry || customer.repeats_rejection(self.now, &incoming);
+        let incoming = IncomingRequest {
+            is_retry,
+            ..incoming
+        };
+        self.requests
+            .insert(id, OpenRequest::new(self.now, incoming));
+        self.roll_windows(customer_id);
+        let uses_endpoint = !self.settings.classes[class.0].admission_only;
+        if uses_endpoint && self.is_shed(id) {
+            let retry_after = self.draw_retry_after(class);
+            let answer = Action::Reject {
+                request: id,
+                retry_after,
+            };
+            return self.finish(id, Some(answer));
+        }
+        if self.settings.plans[plan.0].rate > 0.0 {
+            self.admit_by_quota(id);
+        } else {
+            self.admit_by_concurrency(id);
+        }
+    }
+
+    /// Every request has its answer by its deadline.
+    pub(super) fn on_request_deadline(&mut self, id: RequestId) {
+        let is_unanswered = self
+            .requests
+            .get(&id)
+            .is_some_and(|request| !request.is_done && !request.is_streaming);
+        if is_unanswered {
+            self.reject_or_fail(id);
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy/src/engine/attempt_results.rs
@@ -0,0 +1,172 @@
+//! The end of an attempt: what it tells of its endpoint and of the fleet, and what becomes of the
+//! request.
+
+use super::DecisionEngine;
+use crate::api::{AttemptResult, EndpointId, Outcome, TimeDelta, Timestamp};
+use crate::endpoint::Endpoint;
+use crate::request::Attempt;
+
+/// An answer that takes, with twice its endpoint's usual time, more than this part of the objective
+/// tells of congestion.
+const LATE_OBJECTIVE_PART: f64 = 0.85;
+/// Usual times of the endpoint that count into it.
+const LATE_USUAL_TIMES: u64 = 2;
+/// An answer within this part of the objective is quick.
+const QUICK_OBJECTIVE_PART: f64 = 0.25;
+/// Connects that fail for longer than this, with no answer between, tell of a restart.
+const RESTART_CONNECT_FAILURES: TimeDelta = TimeDelta::from_millis(700);
+/// The least factor of chance for the length of an ejection.
+const MIN_EJECTION_JITTER: f64 = 0.75;
+/// The spread of that factor.
+const EJECTION_JITTER_SPREAD: f64 = 0.5;
+
+/// What the end of one attempt tells of its endpoint.
+struct AttemptEvidence {
+    endpoint: EndpointId,
+    outcome: Outcome,
+    elapsed: TimeDelta,
+    /// The class's latency objective.
+    objective: TimeDelta,
+    /// The attempt was late alone, and its endpoint answered others.
+    is_straggler: bool,
+}
+
+impl AttemptEvidence {
+    /// Whether it tells nothing of the endpoint, as a straggler that was given up.
+    fn is_void(&self) -> bool {
+        self.is_straggler && matches!(self.outcome, Outcome::Cancelled | Outcome::Timeout)
+    }
+
+    /// Whether the endpoint holds too much. Trade-off: just after a short stall it looks so, too.
+    fn is_congested(&self, endpoint: &Endpoint) -> bool {
+        let usual = TimeDelta::from_micros(LATE_USUAL_TIMES * endpoint.latency as u64);
+        let is_late = matches!(self.outcome, Outcome::Ok | Outcome::Cancelled)
+            && self.elapsed + usual > self.objective.mul_f64(LATE_OBJECTIVE_PART);
+        let has_no_room = matches!(self.outcome, Outcome::Rejected | Outcome::Timeout);
+        !self.is_void() && (is_late || has_no_room)
+    }
+
+    /// Whether the endpoint could hold more.
+    fn is_quick_answer(&self) -> bool {
+        let quick = self.objective.mul_f64(QUICK_OBJECTIVE_PART);
+        self.outcome == Outcome::Ok && self.elapsed < quick
+    }
+
+    /// Whether it failed or missed its objective.
+    fn is_failed_or_late(&self) -> bool {
+        let is_error = !matches!(
+            self.outcome,
+            Outcome::Ok | Outcome::Cancelled | Outcome::NeverSent
+        );
+        is_error || self.elapsed > self.objective
+    }
+}
+
+impl DecisionEngine {
+    /// Takes the end of an attempt: the request goes on, is sent again, or is rejected.
+    pub(super) fn on_attempt_ended(&mut self, result: &AttemptResult) {
+        let Some(attempt) = self.close_attempt(result) else {
+            return;
+        };
+        let id = result.id;
+        let outcome = result.outcome;
+        let request = &self.requests[&id];
+        let objective = request.class(&self.settings).latency_objective;
+        let is_answered = request.is_done;
+        let is_within_objective = self.now < request.arrived_at + objective;
+        self.record_evidence(&AttemptEvidence {
+            endpoint: result.endpoint,
+            outcome,
+            elapsed: result.elapsed,
+            objective,
+            is_straggler: outcome != Outcome::Ok && self.is_straggler(&attempt),
+        });
+        if is_answered {
+            self.forget_if_finished(id);
+        } else if is_within_objective && self.may_retry(id) && self.retry_budget.has_retry() {
+            self.retry_budget.spend();
+            self.dispatch(id);
+        } else if !self.requests[&id].is_in_flight() {
+            self.reject_or_fail(id);
+        }
+        if !self.pending.is_empty() {
+            self.send_pending();
+        }
+    }
+
+    /// Notes that an attempt is no longer in flight; none if it is not known, or ended before.
+    fn close_attempt(&mut self, result: &AttemptResult) -> Option<Attempt> {
+        let request = self.requests.get_mut(&result.id)?;
+        let attempt = request.attempts.get_mut(result.attempt)?;
+        if !attempt.is_in_flight || attempt.endpoint != result.endpoint {
+            return None;
+        }
+        attempt.is_in_flight = false;
+        attempt.may_have_run = !result.outcome.never_ran();
+        let attempt = attempt.clone();
+        let is_first_answer = result.outcome == Outcome::Ok && !request.is_done;
+        request.is_done |= result.request_finished || result.outcome == Outcome::Ok;
+        let reserved_units = request.incoming.units;
+        if let Some(units) = result.settled_units.filter(|_| is_first_answer) {
+            if let Some(customer) = self.customers.get_mut(&request.incoming.customer) {
+                customer.window.unposted += units - reserved_units;
+            }
+        }
+        Some(attempt)
+    }
+
+    /// Learns from the end of an attempt: limits, accept rate, shares of failures, latencies,
+    /// ejections.
+    fn record_evidence(&mut self, evidence: &AttemptEvidence) {
+        let now = self.now;
+        let jitter = MIN_EJECTION_JITTER + EJECTION_JITTER_SPREAD * self.rng.f64();
+        let limit_share = self.limit_share();
+        let is_overloaded = self.is_overloaded();
+        let Some(endpoint) = self.endpoints.get_mut(evidence.endpoint) else {
+            return;
+        };
+        endpoint.in_flight = (endpoint.in_flight - 1.0).max(0.0);
+        let is_congested = evidence.is_congested(endpoint);
+        if evidence.is_quick_answer() {
+            endpoint.quick_answers += 1;
+        }
+        self.shedder.observe_result(now, is_congested);
+        if is_congested {
+            endpoint.decrease_limit();
+        } else if evidence.is_quick_answer() && endpoint.was_at_limit(limit_share) {
+            endpoint.increase_limit();
+            if is_overloaded {
+                self.overload.raise();
+            }
+        }
+        let is_connect_failure = evidence.outcome == Outcome::ConnectFailed;
+        let is_first_connect_failure = is_connect_failure && endpoint.observe_connect_failure(now);
+        let is_failure =
+            evidence.is_failed_or_late() && !evidence.is_void() && !is_first_connect_failure;
+        self.fleet.observe_result(is_failure);
+        let weight = endpoint.observe_result(now, is_failure);
+        let mut has_restarted = false;
+        if evidence.outcome == Outcome::Ok {
+            let micros = evidence.elapsed.as_micros() as f64;
+            endpoint.observe_answer(micros, weight, is_failure);
+            self.fleet.observe_latency(micros);
+            has_restarted = begin_slow_start_after_restart(endpoint, now);
+        }
+        if is_failure {
+            endpoint.eject_if_outlier(now, evidence.outcome, &self.fleet, jitter);
+        }
+        self.endpoints.slow_starts += usize::from(has_restarted);
+        self.endpoints.in_flight = (self.endpoints.in_flight - 1.0).max(0.0);
+    }
+}
+
+/// An endpoint answers: if connects to it failed for a while before, it has restarted without the
+/// list telling it, and is taken to be in slow start. Returns whether one began.
+fn begin_slow_start_after_restart(endpoint: &mut Endpoint, now: Timestamp) -> bool {
+    let was_unreachable = endpoint.end_connect_failures(RESTART_CONNECT_FAILURES);
+    if !was_unreachable || endpoint.slow_start_since.is_some() {
+        return false;
+    }
+    endpoint.begin_slow_start(now, now, 0.0);
+    true
+}
--- /dev/null
+++ b/crates/policy/src/engine/completion.rs
@@ -0,0 +1,106 @@
+//! The end of a request: its final answer, and forgetting it.
+
+use super::DecisionEngine;
+use crate::api::{Action, RequestId, TimeDelta};
+use crate::customer::Rejection;
+use crate::request::OpenRequest;
+
+/// Microseconds in a second.
+const MICROS_PER_SECOND: f64 = 1e6;
+
+impl DecisionEngine {
+    /// Rejects a request, with the time to come back where that is allowed; fails it where a retry
+    /// could do harm.
+    pub(super) fn reject_or_fail(&mut self, id: RequestId) {
+        let Some(class) = self.requests.get(&id).map(|request| request.incoming.class) else {
+            return;
+        };
+        let load_retry_after = self.draw_retry_after(class);
+        let request = &self.requests[&id];
+        let answer = if request.is_safe_to_reject(&self.settings.classes[class.0]) {
+            Action::Reject {
+                request: id,
+                retry_after: self.quota_retry_after(request, load_retry_after),
+            }
+        } else {
+            Action::Fail(id)
+        };
+        let rejection = Rejection {
+            class,
+            units: request.incoming.units,
+            at: self.now,
+        };
+        if let Some(customer) = self.customers.get_mut(&request.incoming.customer) {
+            customer.last_rejection = Some(rejection);
+        }
+        self.finish(id, Some(answer));
+    }
+
+    /// Time to come back after a rejection under a quota: when the quota has the request's units,
+    /// and not before endpoints that are short of room should get it again.
+    fn quota_retry_after(
+        &self,
+        request: &OpenRequest,
+        load_retry_after: Option<TimeDelta>,
+    ) -> Option<TimeDelta> {
+        let plan = &self.settings.plans[request.incoming.plan.0];
+        if plan.rate <= 0.0 {
+            return None;
+        }
+        let window = &self.customers[&request.incoming.customer].window;
+        let available = window.available(self.now, window.known_total(), plan);
+        let missing = request.incoming.units - available;
+        let refill_micros = missing.max(0.0) / plan.rate * MICROS_PER_SECOND;
+        let refill = TimeDelta::from_micros(refill_micros as u64);
+        load_retry_after.map(|wait| wait.max(refill).min(self.settings.max_retry_after))
+    }
+
+    /// The request has its final answer, or none if its client is gone; what is still in flight is
+    /// cancelled.
+    pub(super) fn finish(&mut self, id: RequestId, answer: Option<Action>) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        if !request.is_done {
+            request.is_done = true;
+            self.actions.extend(answer);
+            if self.settings.allow_cancel && !request.is_streaming {
+                let attempts = request.attempts.iter().enumerate();
+                let in_flight = attempts.filter(|(_, attempt)| attempt.is_in_flight);
+                let cancels = in_flight.map(|(attempt, _)| Action::CancelAttempt {
+                    request: id,
+                    attempt,
+                });
+                self.actions.extend(cancels);
+            }
+        }
+        self.forget_if_finished(id);
+    }
+
+    /// Forgets a finished request once nothing of it is in flight, gives its units back if it was
+    /// never sent, and frees its slot.
+    pub(super) fn forget_if_finished(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        if !request.is_done || request.is_in_flight() {
+            return;
+        }
+        let customer_id = request.incoming.customer;
+        let held_slot = std::mem::take(&mut request.holds_slot);
+        let counted = request.counted.take();
+        // A call of the counter in flight needs to know whether the request went on.
+        if request.counter_calls == 0 {
+            self.requests.remove(&id);
+        }
+        if let Some(counted) = counted {
+            self.give_back(customer_id, counted);
+        }
+        if held_slot {
+            if let Some(customer) = self.customers.get_mut(&customer_id) {
+                customer.in_flight -= 1.0;
+            }
+            self.post_surplus_slots(customer_id);
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy/src/engine/concurrency_slots.rs
@@ -0,0 +1,139 @@
+//! Admission by a plan's concurrency limit: one slot for each request until it has ended, counted
+//! over all gateways.
+
+use super::quota::{CounterAnswer, RETRY_EXPONENT};
+use super::DecisionEngine;
+use crate::api::{Action, CustomerId, Plan, PlanId, RequestId};
+use crate::counter::calls::{CounterAdd, CounterPurpose};
+use crate::token_bucket::TokenBucket;
+use crate::window::UNITS_TOLERANCE;
+
+/// Part of a plan's slots that starts without an answer of the counter may fill: those with one
+/// need the others, and starts come in bursts.
+const UNCOUNTED_SLOTS_PART: f64 = 0.5;
+/// The shortest time that a slot is taken to be held, in microseconds.
+const MIN_HOLD_MICROS: f64 = 1.0;
+/// Microseconds in a second.
+const MICROS_PER_SECOND: f64 = 1e6;
+
+impl DecisionEngine {
+    /// Calls the counter for a slot if the request is sampled, and decides it otherwise.
+    pub(super) fn admit_by_concurrency(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        let customer = request.incoming.customer;
+        // A slot takes two calls, so where quotas are counted, too, slots are sampled last.
+        let exponent = if self.counter.sampler.has_seen_value() {
+            RETRY_EXPONENT
+        } else {
+            1.0
+        };
+        if self.settings.plans[request.incoming.plan.0].max_concurrency <= 0.0 {
+            self.admit(id);
+        } else if self.draw_sample(exponent).is_some() && self.try_reserve_call(customer) {
+            self.add_to_counter(CounterAdd {
+                purpose: CounterPurpose::Concurrency,
+                customer,
+                request: Some(id),
+                units: 1.0,
+                unsampled_units: 0.0,
+            });
+        } else {
+            self.decide_by_concurrency(id, CounterAnswer::Unavailable);
+        }
+    }
+
+    /// Decides a request by the total of slots in use, or by this gateway's share of them.
+    pub(super) fn decide_by_concurrency(&mut self, id: RequestId, answer: CounterAnswer) {
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        let customer = request.incoming.customer;
+        let plan = request.incoming.plan;
+        let is_retry = request.incoming.is_retry;
+        let is_done = request.is_done;
+        if !self.customers.contains_key(&customer) {
+            return;
+        }
+        let has_slot = match answer {
+            CounterAnswer::Total(total) => total <= self.settings.plans[plan.0].max_concurrency,
+            _ if is_retry && !self.is_counter_unavailable(customer) => false,
+            _ => self.has_uncounted_slot(customer, plan),
+        };
+        if has_slot && !is_done {
+            self.admit(id);
+        } else {
+            self.reject_or_fail(id);
+        }
+        self.post_surplus_slots(customer);
+    }
+
+    fn has_uncounted_slot(&mut self, customer_id: CustomerId, plan: PlanId) -> bool {
+        let customer = &self.customers[&customer_id];
+        let max_concurrency = self.settings.plans[plan.0].max_concurrency;
+        if max_concurrency >= customer.gateways {
+            customer.in_flight < (max_concurrency / customer.gateways).floor()
+        } else {
+            self.try_start_uncounted(customer_id)
+        }
+    }
+
+    /// Paces starts where a gateway's share is below one slot: all gateways together fill a part of
+    /// the slots at the present time to answer, in place of one slot each. The bucket starts full,
+    /// for customers with few requests at a gateway. Trade-off: one that sends much through many
+    /// gateways starts too many at first.
+    fn try_start_uncounted(&mut self, customer: CustomerId) -> bool {
+        let now = self.now;
+        let hold_seconds = self.fleet.latency.max(MIN_HOLD_MICROS) / MICROS_PER_SECOND;
+        let Some(customer) = self.customers.get_mut(&customer) else {
+            return false;
+        };
+        let plan: &Plan = &self.settings.plans[customer.plan.0];
+        let rate = UNCOUNTED_SLOTS_PART * plan.max_concurrency / customer.gateways / hold_seconds;
+        let bucket = customer.slot_bucket.get_or_insert(TokenBucket {
+            level: 1.0,
+            capacity: 1.0,
+            rate,
+            refilled_at: now,
+        });
+        bucket.rate = rate;
+        bucket.try_take(now, 1.0)
+    }
+
+    /// Takes off the shared count what it has above this gateway's attempts in flight.
+    pub(super) fn post_surplus_slots(&mut self, customer_id: CustomerId) {
+        self.roll_windows(customer_id);
+        let Some(customer) = self.customers.get_mut(&customer_id) else {
+            return;
+        };
+        let epoch = &mut customer.epoch;
+        let surplus = epoch.posted + epoch.posting + epoch.unposted - customer.in_flight;
+        if surplus > UNITS_TOLERANCE && !self.counter.breaker.is_open() {
+            epoch.unposted -= surplus;
+            self.post_unposted(customer_id, CounterPurpose::Concurrency);
+        }
+    }
+
+    /// The request goes on: to an endpoint, or back to the caller that does the work.
+    fn admit(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let has_limit = self.settings.plans[request.incoming.plan.0].max_concurrency > 0.0;
+        if has_limit {
+            request.holds_slot = true;
+            if let Some(customer) = self.customers.get_mut(&request.incoming.customer) {
+                customer.in_flight += 1.0;
+            }
+        }
+        if self.settings.classes[request.incoming.class.0].admission_only {
+            // Its units stay counted and its slot held; from here on it has no deadline.
+            request.is_streaming = true;
+            request.counted = None;
+            self.actions.push(Action::Grant(id));
+            return;
+        }
+        self.dispatch(id);
+    }
+}
--- /dev/null
+++ b/crates/policy/src/engine/counter_replies.rs
@@ -0,0 +1,139 @@
+//! Answers of the counter: what a total or a failure changes, and who goes on because of it.
+
+use super::quota::CounterAnswer;
+use super::DecisionEngine;
+use crate::api::{CounterKey, Outcome};
+use crate::counter::calls::{CounterCall, CounterPurpose};
+use crate::request::CountedUnits;
+use crate::window::UNITS_TOLERANCE;
+
+impl DecisionEngine {
+    /// Takes the answer to the oldest call for a key.
+    pub(crate) fn on_counter_reply(&mut self, key: CounterKey, outcome: Outcome, total: f64) {
+        let Some(call) = self.counter.calls.pop(key) else {
+            return;
+        };
+        if let Some(request) = call.request.and_then(|id| self.requests.get_mut(&id)) {
+            request.counter_calls -= 1;
+        }
+        self.roll_windows(call.customer);
+        if !self.customers.contains_key(&call.customer) {
+            return;
+        }
+        let answer = if outcome == Outcome::Ok {
+            CounterAnswer::Total(self.apply_total(&call, total))
+        } else {
+            self.apply_failed_call(&call, outcome);
+            CounterAnswer::Unavailable
+        };
+        if let Some(request) = call.request {
+            self.decide(request, call.purpose, answer);
+        }
+        if call.purpose == CounterPurpose::Quota && outcome == Outcome::Ok {
+            self.post_remaining_units(&call);
+        }
+        if let Some(request) = call.request {
+            self.forget_if_finished(request);
+        }
+    }
+
+    /// Takes a total into the customer's counter. Returns the total that decides the request:
+    /// without the units of unsampled requests, with those that are not posted.
+    fn apply_total(&mut self, call: &CounterCall, total: f64) -> f64 {
+        let now = self.now;
+        let Some(customer) = self.customers.get_mut(&call.customer) else {
+            return total;
+        };
+        let plan = &self.settings.plans[customer.plan.0];
+        let mut deciding_total = total - call.unsampled_units;
+        let counter = customer.counter_mut(call.purpose);
+        if counter.index == call.window {
+            counter.end_posting(call.posted_late);
+            let lost = counter.confirm_add(call.amount, total, call.purpose);
+            counter.observe_total(now, total, plan);
+            deciding_total += counter.unconfirmed();
+            // What the counter lost may be used again by others: under a ceiling that is paid for.
+            customer.ceiling_bucket.level -= lost;
+        }
+        customer.breaker.record_success(call.is_probe);
+        let share_holds_a_request =
+            customer.gateways * self.settings.max_request_units <= plan.burst;
+        if share_holds_a_request {
+            customer.local_bucket = None;
+        }
+        self.record_counter_success(call);
+        deciding_total
+    }
+
+    fn record_counter_success(&mut self, call: &CounterCall) {
+        let now = self.now;
+        let counter = &mut self.counter;
+        if call.is_probe {
+            counter.sampler.restart(self.settings.gateways);
+        }
+        let timeout = self.settings.counter_timeout;
+        counter
+            .sampler
+            .observe_latency(now, now - call.sent_at, timeout);
+        counter.last_failed_customer = None;
+        counter.last_reply_at = now;
+        counter.breaker.record_success(call.is_probe);
+        if let Some(request) = call.request.and_then(|id| self.requests.get_mut(&id)) {
+            let units = request.incoming.units + call.unsampled_units;
+            let window = call.window;
+            request.counted = match call.purpose {
+                CounterPurpose::Quota => Some(CountedUnits { window, units }),
+                CounterPurpose::Concurrency => None,
+            };
+        }
+    }
+
+    /// A failed call that surely was not counted leaves its late units unposted; then the failure
+    /// counts.
+    fn apply_failed_call(&mut self, call: &CounterCall, outcome: Outcome) {
+        if let Some(customer) = self.customers.get_mut(&call.customer) {
+            let counter = customer.counter_mut(call.purpose);
+            if counter.index == call.window {
+                counter.end_posting(call.posted_late);
+                if outcome.never_ran() {
+                    counter.unposted += call.posted_late;
+                }
+            }
+        }
+        self.record_counter_failure(call, outcome);
+    }
+
+    /// Failures of the same customer in a row count once for the common breaker, while that
+    /// customer's own breaker opens: one busy key that fills its part of the counter must not cut
+    /// off all customers.
+    fn record_counter_failure(&mut self, call: &CounterCall, outcome: Outcome) {
+        let now = self.now;
+        let timeout = self.settings.counter_timeout;
+        let counter = &mut self.counter;
+        // A call that its connection took along tells nothing of a counter that answered others a
+        // moment ago.
+        let is_connection_failure = !matches!(outcome, Outcome::Timeout | Outcome::Rejected);
+        let replied_recently = now < counter.last_reply_at + timeout;
+        if is_connection_failure && !call.is_probe && replied_recently {
+            return;
+        }
+        counter.sampler.observe_latency(now, timeout, timeout);
+        if counter.last_failed_customer != Some(call.customer) || call.is_probe {
+            counter.breaker.record_failure(now, call.is_probe);
+        }
+        counter.last_failed_customer = Some(call.customer);
+        if let Some(customer) = self.customers.get_mut(&call.customer) {
+            customer.breaker.record_failure(now, call.is_probe);
+        }
+    }
+
+    fn post_remaining_units(&mut self, call: &CounterCall) {
+        let has_unposted = self
+            .customers
+            .get(&call.customer)
+            .is_some_and(|customer| customer.window.unposted > UNITS_TOLERANCE);
+        if has_unposted {
+            self.post_unposted(call.customer, CounterPurpose::Quota);
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy/src/engine/dispatch.rs
@@ -0,0 +1,126 @@
+//! Sending an attempt, or keeping the request until an endpoint is free.
+
+use super::stragglers::straggler_check_after;
+use super::DecisionEngine;
+use crate::api::{Action, EndpointId, Idempotency, KeyScope, RequestId, TimeDelta, Timestamp};
+use crate::request::{Attempt, OpenRequest};
+use crate::timers::TimerPurpose;
+
+/// Part of the latency objective that is left for a further attempt when the first is given up
+/// early, and that the first has at the least.
+const SPARE_OBJECTIVE_PART: f64 = 0.3;
+
+/// Deadlines of an attempt that is sent now.
+struct AttemptDeadlines {
+    /// When it is given up.
+    until: Timestamp,
+    /// After what time it is checked for being a straggler; none: it is not.
+    straggler_check: Option<TimeDelta>,
+}
+
+impl DecisionEngine {
+    /// Sends the next attempt, or keeps the request until an endpoint is free.
+    pub(super) fn dispatch(&mut self, id: RequestId) {
+        match self.select_endpoint(id) {
+            Some(endpoint) => self.send(id, endpoint),
+            None => self.keep_pending(id),
+        }
+    }
+
+    /// Sends an attempt to an endpoint.
+    pub(super) fn send(&mut self, id: RequestId, endpoint_id: EndpointId) {
+        let now = self.now;
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        let units = request.incoming.units;
+        let deadlines = self.attempt_deadlines(request, endpoint_id);
+        let quick_answers_before = self
+            .endpoints
+            .get(endpoint_id)
+            .map_or(0, |endpoint| endpoint.quick_answers);
+        let attempt = self.record_attempt(
+            id,
+            Attempt {
+                endpoint: endpoint_id,
+                sent_at: now,
+                is_in_flight: true,
+                may_have_run: false,
+                quick_answers_before,
+            },
+        );
+        self.send_rate.record(now, units);
+        if let Some(endpoint) = self.endpoints.get_mut(endpoint_id) {
+            endpoint.in_flight += 1.0;
+            endpoint.slow_start_bucket.level -= units;
+            self.endpoints.in_flight += 1.0;
+        }
+        self.actions.push(Action::SendAttempt {
+            request: id,
+            endpoint: endpoint_id,
+            deadline: deadlines.until,
+        });
+        if let Some(after) = deadlines.straggler_check {
+            let request = id;
+            self.set_timer(TimerPurpose::StragglerCheck { request, attempt }, after);
+        }
+    }
+
+    /// Notes an attempt that is sent, and returns its number.
+    fn record_attempt(&mut self, id: RequestId, attempt: Attempt) -> usize {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return 0;
+        };
+        request.attempts.push(attempt);
+        request.pending_since = None;
+        request.counted = None;
+        request.attempts.len() - 1
+    }
+
+    fn attempt_deadlines(&self, request: &OpenRequest, endpoint: EndpointId) -> AttemptDeadlines {
+        let now = self.now;
+        let class = request.class(&self.settings);
+        let objective = class.latency_objective;
+        let early = request.arrived_at + objective.mul_f64(1.0 - SPARE_OBJECTIVE_PART);
+        let is_early_enough = early > now + objective.mul_f64(SPARE_OBJECTIVE_PART);
+        let until = if self.may_give_up_early(request, endpoint) && is_early_enough {
+            early
+        } else {
+            request.incoming.deadline
+        };
+        let usual_latency = self
+            .endpoints
+            .get(endpoint)
+            .map_or(0.0, |endpoint| endpoint.latency);
+        let check_after = straggler_check_after(usual_latency, objective);
+        let is_checked = class.idempotency == Idempotency::Idempotent
+            && !class.is_streaming
+            && now + check_after < early;
+        AttemptDeadlines {
+            until: until.min(request.incoming.deadline),
+            straggler_check: is_checked.then_some(check_after),
+        }
+    }
+
+    /// Whether an attempt may be given up while another could still meet the objective: only at an
+    /// endpoint out of line, against endpoints that fall silent, and only while the fleet is calm.
+    /// Given up by the clock alone, work is done twice, which tips a full fleet into congestion.
+    /// Trade-off: the first request at each silent endpoint waits.
+    fn may_give_up_early(&self, request: &OpenRequest, endpoint: EndpointId) -> bool {
+        let class = request.class(&self.settings);
+        let is_repeatable_anywhere = match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed => class.key_scope == KeyScope::All,
+            Idempotency::NonIdempotent => false,
+        };
+        let is_suspect = self
+            .endpoints
+            .get(endpoint)
+            .is_some_and(|endpoint| endpoint.is_on_trial || endpoint.is_outlier(&self.fleet));
+        is_repeatable_anywhere
+            && !class.is_streaming
+            && request.attempts.len() + 1 < self.settings.max_attempts
+            && self.fleet.is_calm()
+            && is_suspect
+    }
+}
--- /dev/null
+++ b/crates/policy/src/engine/mod.rs
@@ -0,0 +1,177 @@
+//! The decision engine: one event in, the actions that follow out.
+//!
+//! The engine holds the parts that each keep one concern's state; the modules below hold the steps
+//! that need several of them.
+
+mod arrival;
+mod attempt_results;
+mod completion;
+mod concurrency_slots;
+mod counter_calls;
+mod counter_replies;
+mod dispatch;
+mod endpoint_updates;
+mod local_quota;
+mod pending;
+mod quota;
+mod retries;
+mod selection;
+mod shedding;
+mod slow_start;
+mod status;
+mod stragglers;
+mod subset;
+
+use crate::api::{
+    Action, CustomerId, Event, RequestId, Settings, SettingsError, TimeDelta, TimerId, Timestamp,
+    ZoneShare,
+};
+use crate::counter::CounterState;
+use crate::customer::{Customer, CUSTOMER_EXPIRY};
+use crate::endpoint::fleet::{FleetHealth, SendRate};
+use crate::endpoint::table::EndpointTable;
+use crate::pending_requests::PendingRequests;
+use crate::request::OpenRequest;
+use crate::retry_budget::RetryBudget;
+use crate::shedding::overload::OverloadBudget;
+use crate::shedding::LoadShedder;
+use crate::timers::{TimerPurpose, Timers};
+use rustc_hash::FxHashMap;
+
+/// The decisions of one gateway. It shares nothing with others but what the counter answers.
+pub struct DecisionEngine {
+    settings: Settings,
+    rng: fastrand::Rng,
+    /// The time of the present event.
+    now: Timestamp,
+    /// Actions that have not been handed out.
+    actions: Vec<Action>,
+    timers: Timers,
+    counter: CounterState,
+    customers: FxHashMap<CustomerId, Customer>,
+    requests: FxHashMap<RequestId, OpenRequest>,
+    pending: PendingRequests,
+    retry_budget: RetryBudget,
+    endpoints: EndpointTable,
+    fleet: FleetHealth,
+    send_rate: SendRate,
+    shedder: LoadShedder,
+    overload: OverloadBudget,
+    /// What zones should bear; empty: sites are not watched.
+    zone_shares: Vec<ZoneShare>,
+}
+
+impl DecisionEngine {
+    /// An engine as it starts, knowing nothing but its settings. The seed is the source of all
+    /// chance.
+    ///
+    /// # Errors
+    ///
+    /// The settings make no sense.
+    pub fn new(seed: u64, settings: Settings) -> Result<DecisionEngine, SettingsError> {
+        settings.check()?;
+        let mut engine = DecisionEngine {
+            rng: fastrand::Rng::with_seed(seed),
+            now: Timestamp::ZERO,
+            actions: Vec::new(),
+            timers: Timers::default(),
+            counter: CounterState::new(settings.gateways),
+            customers: FxHashMap::default(),
+            requests: FxHashMap::default(),
+            pending: PendingRequests::default(),
+            retry_budget: RetryBudget::new(),
+            endpoints: EndpointTable::default(),
+            fleet: FleetHealth::default(),
+            send_rate: SendRate::default(),
+            shedder: LoadShedder::new(),
+            overload: OverloadBudget::default(),
+            zone_shares: Vec::new(),
+            settings,
+        };
+        // These go out with the first event, whichever that is.
+        engine.set_timer(TimerPurpose::CustomerExpiry, CUSTOMER_EXPIRY);
+        engine.subscribe();
+        Ok(engine)
+    }
+
+    /// Takes one event and appends the actions on it. Time never goes back: an earlier `now` counts
+    /// as the latest one.
+    pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
+        self.advance_clock(now);
+        match event {
+            Event::EndpointsUpdated { scope, entries } => self.on_endpoints_updated(scope, entries),
+            Event::ZoneSharesChanged { shares, threshold } => {
+                self.zone_shares = shares;
+                self.shedder.threshold = Some(threshold);
+            }
+            Event::RequestArrived(incoming) => self.on_request(incoming),
+            Event::Timer(timer) => self.on_timer(timer),
+            Event::ResponseStarted(id) => {
+                if let Some(request) = self.requests.get_mut(&id) {
+                    request.is_streaming = true;
+                }
+            }
+            Event::ClientDisconnected(id) => self.finish(id, None),
+            Event::UnitsSettled { request, units } => self.settle_units(request, units),
+            Event::BodyDiscarded(id) => {
+                if let Some(request) = self.requests.get_mut(&id) {
+                    request.is_body_discarded = true;
+                }
+            }
+            Event::ProbeCompleted { .. } => {}
+            Event::CounterReplied {
+                key,
+                outcome,
+                total,
+            } => self.on_counter_reply(key, outcome, total),
+            Event::AttemptEnded(result) => self.on_attempt_ended(&result),
+        }
+        actions.append(&mut self.actions);
+    }
+
+    /// Moves the time on, with what depends on how long so many attempts were in flight.
+    fn advance_clock(&mut self, now: Timestamp) {
+        let elapsed = (now - self.now).as_secs_f64();
+        self.now = self.now.max(now);
+        let endpoints = self.endpoints.in_service_count().max(1) as f64;
+        let in_flight = self.endpoints.in_flight;
+        self.overload.accrue(elapsed, in_flight, endpoints);
+        if !self.is_overloaded() {
+            self.overload.observe_calm(elapsed, in_flight, endpoints);
+        }
+    }
+
+    fn set_timer(&mut self, purpose: TimerPurpose, after: TimeDelta) {
+        let timer = self.timers.register(purpose);
+        self.actions.push(Action::SetTimer { timer, after });
+    }
+
+    fn on_timer(&mut self, timer: TimerId) {
+        match self.timers.take(timer) {
+            Some(TimerPurpose::RequestDeadline(id)) => self.on_request_deadline(id),
+            Some(TimerPurpose::StragglerCheck { request, attempt }) => {
+                self.cancel_if_straggler(request, attempt);
+            }
+            Some(TimerPurpose::PendingRequests) => {
+                self.pending.is_timer_set = false;
+                self.send_pending();
+            }
+            Some(TimerPurpose::Resubscribe) => self.subscribe(),
+            Some(TimerPurpose::CustomerExpiry) => self.expire_customers(),
+            None => {}
+        }
+    }
+
+    fn subscribe(&mut self) {
+        if self.settings.requires_subscription {
+            self.actions.push(Action::Subscribe);
+        }
+    }
+
+    fn expire_customers(&mut self) {
+        let now = self.now;
+        self.customers
+            .retain(|_, customer| !customer.is_expired(now));
+        self.set_timer(TimerPurpose::CustomerExpiry, CUSTOMER_EXPIRY);
+    }
+}
--- /dev/null
+++ b/crates/policy/src/engine/pending.rs
@@ -0,0 +1,76 @@
+//! Requests that wait for an endpoint.
+
+use super::DecisionEngine;
+use crate::api::{RequestId, TimeDelta};
+use crate::request::OpenRequest;
+use crate::timers::TimerPurpose;
+use std::cmp::Reverse;
+
+/// Longest wait for an endpoint, as part of the latency objective: later the answer would miss it.
+const MAX_WAIT_PART: f64 = 0.3;
+/// How often waiting requests are tried.
+const RETRY_INTERVAL: TimeDelta = TimeDelta::from_millis(10);
+/// Steps of a priority density that are told apart when requests are sorted.
+const DENSITY_STEPS: f64 = 1e6;
+
+impl DecisionEngine {
+    /// Keeps a request until an endpoint is free.
+    pub(super) fn keep_pending(&mut self, id: RequestId) {
+        if let Some(request) = self.requests.get_mut(&id) {
+            if request.pending_since.is_none() {
+                request.pending_since = Some(self.now);
+                self.pending.push(id);
+            }
+        }
+        self.set_pending_timer();
+    }
+
+    fn set_pending_timer(&mut self) {
+        if !self.pending.is_empty() && !self.pending.is_timer_set {
+            self.pending.is_timer_set = true;
+            self.set_timer(TimerPurpose::PendingRequests, RETRY_INTERVAL);
+        }
+    }
+
+    /// Tries all waiting requests, those of most weight first, and rejects those that waited for
+    /// too long.
+    pub(super) fn send_pending(&mut self) {
+        let mut waiting = self.pending.take_all();
+        waiting.retain(|id| {
+            self.requests
+                .get(id)
+                .is_some_and(|request| !request.is_done && request.pending_since.is_some())
+        });
+        waiting.sort_by_key(|id| (Reverse(self.density(&self.requests[id])), *id));
+        for id in waiting {
+            let is_overdue = self.has_waited_too_long(&self.requests[&id]);
+            if let Some(endpoint) = self.select_endpoint(id) {
+                self.send(id, endpoint);
+            } else if is_overdue {
+                self.reject_or_fail(id);
+            } else {
+                self.pending.push(id);
+            }
+        }
+        self.set_pending_timer();
+    }
+
+    /// Priority weight of a request; where sites are watched, for each unit of capacity that it
+    /// takes.
+    fn density(&self, request: &OpenRequest) -> u64 {
+        let capacity = if self.shedder.threshold.is_some() {
+            request.incoming.units
+        } else {
+            1.0
+        };
+        (request.priority_weight(&self.settings) / capacity * DENSITY_STEPS) as u64
+    }
+
+    fn has_waited_too_long(&self, request: &OpenRequest) -> bool {
+        let objective = request.class(&self.settings).latency_objective;
+        let longest = objective.mul_f64(MAX_WAIT_PART);
+        request
+            .pending_since
+            .is_some_and(|since| self.now >= since + longest)
+    }
+}
--- /dev/null
+++ b/crates/policy/src/engine/quota.rs
@@ -0,0 +1,187 @@
+//! Admission by a customer's quota: one add to the shared count of the window before anything is
+//! sent on.
+
+use super::DecisionEngine;
+use crate::api::{CustomerId, RequestId};
+use crate::counter::calls::{CounterAdd, CounterPurpose};
+use crate::request::CountedUnits;
+use crate::window::{QuotaWindow, WindowPosition, CONCURRENCY_EPOCH};
+
+/// Retries are sampled with the sample rate to this power: they were rejected a moment ago, so they
+/// come last.
+pub(super) const RETRY_EXPONENT: f64 = 3.0;
+/// Units from which on somebody could use them: fewer are given back with the next call only.
+const USABLE_UNITS: f64 = 1.0;
+
+/// What the counter told for a request.
+#[derive(Clone, Copy, Debug)]
+pub(super) enum CounterAnswer {
+    /// The total over all gateways, with this request.
+    Total(f64),
+    /// The request was not sampled: the last total decides.
+    NotSampled,
+    /// The counter cannot be asked, or the call failed.
+    Unavailable,
+}
+
+impl DecisionEngine {
+    /// Brings a customer's counts to the present window and epoch.
+    pub(super) fn roll_windows(&mut self, id: CustomerId) {
+        let now = self.now;
+        let Some(customer) = self.customers.get_mut(&id) else {
+            return;
+        };
+        let plan = &self.settings.plans[customer.plan.0];
+        let length = if plan.rate > 0.0 {
+            QuotaWindow::of(plan).length
+        } else {
+            CONCURRENCY_EPOCH
+        };
+        customer.roll_window(now, WindowPosition::at(now, id, length).index, plan);
+        customer.roll_epoch(WindowPosition::at(now, id, CONCURRENCY_EPOCH).index);
+    }
+
+    /// Units that a customer's quota has room for by a total of its shared count.
+    pub(super) fn available_units(&self, customer: CustomerId, total: f64) -> f64 {
+        let Some(customer) = self.customers.get(&customer) else {
+            return 0.0;
+        };
+        let plan = &self.settings.plans[customer.plan.0];
+        customer.window.available(self.now, total, plan)
+    }
+
+    /// Calls the counter for a request if it is sampled, and decides it otherwise.
+    pub(super) fn admit_by_quota(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        let customer = request.incoming.customer;
+        let units = request.incoming.units;
+        let is_retry = request.incoming.is_retry;
+        let value = request.priority_weight(&self.settings) * units;
+        self.counter.sampler.observe_value(value);
+        let total = self.customers[&customer].window.known_total();
+        let is_known_full = self.available_units(customer, total) < units && total > 0.0;
+        if is_known_full && !self.counter.breaker.is_open() {
+            // A call could only tell the same.
+            return self.reject_or_fail(id);
+        }
+        let retry_factor = if is_retry { RETRY_EXPONENT } else { 1.0 };
+        let exponent = self.counter.sampler.exponent(value) * retry_factor;
+        match self.draw_sample(exponent) {
+            Some(represented) if self.try_reserve_call(customer) => {
+                self.add_to_counter(CounterAdd {
+                    purpose: CounterPurpose::Quota,
+                    customer,
+                    request: Some(id),
+                    units,
+                    unsampled_units: self.unsampled_units(customer, units, represented),
+                });
+            }
+            Some(_) => self.decide_by_quota(id, CounterAnswer::Unavailable),
+            None => self.decide_by_quota(id, CounterAnswer::NotSampled),
+        }
+    }
+
+    /// Units by which a sampled request stands in the count for those like it that are not sampled,
+    /// up to a burst in all.
+    fn unsampled_units(&self, customer: CustomerId, units: f64, represented: f64) -> f64 {
+        let burst = self.settings.plans[self.customers[&customer].plan.0].burst;
+        ((represented - 1.0) * units).min(burst - units).max(0.0)
+    }
+
+    /// Decides a request by what the counter told.
+    pub(super) fn decide(&mut self, id: RequestId, purpose: CounterPurpose, answer: CounterAnswer) {
+        match purpose {
+            CounterPurpose::Quota => self.decide_by_quota(id, answer),
+            CounterPurpose::Concurrency => self.decide_by_concurrency(id, answer),
+        }
+    }
+
+    fn decide_by_quota(&mut self, id: RequestId, answer: CounterAnswer) {
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        if request.is_done {
+            return;
+        }
+        let customer = request.incoming.customer;
+        let is_within_quota = self.is_within_quota(id, answer);
+        if let CounterAnswer::Total(_) = answer {
+            if let Some(customer) = self.customers.get_mut(&customer) {
+                customer.over_quota_at = (!is_within_quota).then_some(self.now);
+            }
+        }
+        if is_within_quota {
+            self.admit_by_concurrency(id);
+        } else {
+            self.reject_or_fail(id);
+        }
+    }
+
+    fn is_within_quota(&mut self, id: RequestId, answer: CounterAnswer) -> bool {
+        let request = &self.requests[&id].incoming;
+        let customer = request.customer;
+        let units = request.units;
+        let is_retry = request.is_retry;
+        let plan = request.plan;
+        match answer {
+            CounterAnswer::Total(total) => {
+                // Under a ceiling, units that the counter lost are paid off before anything else
+                // goes on.
+                if self.available_units(customer, total) < 0.0 {
+                    return false;
+                }
+                let allowance = QuotaWindow::of(&self.settings.plans[plan.0]).allowance;
+                let beyond_window = if total <= allowance { 0.0 } else { units };
+                self.try_take_ceiling(customer, plan, beyond_window)
+            }
+            // A retry was rejected a moment ago, here or elsewhere: the counter must admit it.
+            _ if is_retry && !self.is_counter_unavailable(customer) => false,
+            CounterAnswer::NotSampled if !self.is_counter_unavailable(customer) => {
+                let was_over_quota = self.customers[&customer].was_over_quota(self.now);
+                !was_over_quota && self.try_take_ceiling(customer, plan, units)
+            }
+            CounterAnswer::NotSampled | CounterAnswer::Unavailable => {
+                self.try_take_ceiling(customer, plan, units)
+                    && self.try_take_local(customer, plan, units)
+            }
+        }
+    }
+
+    /// Gives back what a request that was never sent had added to a window's count.
+    pub(super) fn give_back(&mut self, customer_id: CustomerId, counted: CountedUnits) {
+        self.roll_windows(customer_id);
+        let Some(customer) = self.customers.get_mut(&customer_id) else {
+            return;
+        };
+        if customer.window.index != counted.window {
+            return;
+        }
+        customer.window.unposted -= counted.units;
+        let total = customer.window.known_total();
+        let is_usable = self.available_units(customer_id, total) >= USABLE_UNITS;
+        if is_usable && !self.counter.breaker.is_open() {
+            self.post_unposted(customer_id, CounterPurpose::Quota);
+        }
+    }
+
+    /// Takes the true units of a granted request: what they differ from the reserved ones is posted
+    /// with the next call.
+    pub(super) fn settle_units(&mut self, id: RequestId, units: f64) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        if !request.is_streaming || request.is_done {
+            return;
+        }
+        let customer = request.incoming.customer;
+        let units = units.clamp(0.0, self.settings.max_request_units);
+        let difference = units - request.incoming.units;
+        request.incoming.units = units;
+        self.roll_windows(customer);
+        if let Some(customer) = self.customers.get_mut(&customer) {
+            customer.window.unposted += difference;
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy/src/engine/retries.rs
@@ -0,0 +1,66 @@
+//! Whether an endpoint may get an attempt of a request. Every attempt, also the first, passes this
+//! check.
+
+use super::DecisionEngine;
+use crate::api::{Class, Idempotency, KeyScope, RequestId};
+use crate::endpoint::Endpoint;
+use crate::request::{Attempt, OpenRequest};
+
+impl DecisionEngine {
+    /// Whether any endpoint may get another attempt of the request.
+    pub(super) fn may_retry(&self, id: RequestId) -> bool {
+        let Some(request) = self.requests.get(&id) else {
+            return false;
+        };
+        self.endpoints
+            .iter()
+            .any(|endpoint| self.may_send(request, endpoint))
+    }
+
+    /// Whether this request may go to this endpoint now: by the list, its idempotency, hedging and
+    /// slow start.
+    pub(super) fn may_send(&self, request: &OpenRequest, endpoint: &Endpoint) -> bool {
+        let class = request.class(&self.settings);
+        let is_over = request.is_done
+            || request.is_streaming
+            || self.now >= request.incoming.deadline
+            || request.attempts.len() >= self.settings.max_attempts;
+        let is_forbidden_hedge = request.is_in_flight() && !self.settings.allow_hedging;
+        // Half a body must not pass for a whole one: what was discarded went with the first
+        // attempt.
+        let lacks_body = request.is_body_discarded && !request.attempts.is_empty();
+        if is_over
+            || endpoint.is_held_by_slow_start()
+            || is_forbidden_hedge
+            || lacks_body
+            || !endpoint.is_in_service
+        {
+            return false;
+        }
+        let mut may_run = request.attempts_that_may_run();
+        match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => may_run.next().is_none(),
+            Idempotency::Keyed => {
+                may_run.all(|attempt| self.is_deduplicated(class, attempt, endpoint))
+            }
+        }
+    }
+
+    /// Whether an endpoint would still know the key of an attempt that may have run. The key's
+    /// window counts from that attempt; a retry may wait for its connection.
+    fn is_deduplicated(&self, class: &Class, attempt: &Attempt, endpoint: &Endpoint) -> bool {
+        let tick = self.settings.timer_resolution;
+        let arrives_by = self.now + tick + tick + self.settings.dial_timeout;
+        let is_in_window = arrives_by < attempt.sent_at + class.key_window;
+        let Some(earlier) = self.endpoints.get(attempt.endpoint) else {
+            return false;
+        };
+        let shares_keys = match class.key_scope {
+            KeyScope::All => true,
+            KeyScope::Zone => earlier.zone == endpoint.zone,
+            KeyScope::Cell => earlier.cell == endpoint.cell,
+        };
+        is_in_window && shares_keys
+    }
+}
--- /dev/null
+++ b/crates/policy/src/engine/slow_start.rs
@@ -0,0 +1,83 @@
+//! Slow start: an endpoint that just started gets a growing part of a warm one's work.
+//!
+//! It is given the work that a warm one of its weight gets from this gateway, times the part of its
+//! capacity that it must have by now. Warm endpoints bear that load, and each gateway scales its
+//! own, so the sum stays in proportion.
+
+use super::DecisionEngine;
+use crate::api::{TimeDelta, Timestamp};
+use crate::endpoint::Endpoint;
+
+/// How long leave to send to an endpoint in slow start holds unused where many gateways share it:
+/// hundreds of gateways that each saved up one request would push it over.
+const UNUSED_LEAVE_SPAN: TimeDelta = TimeDelta::from_millis(250);
+/// Part of the load that topples an endpoint which it may get: half, up to the load of a warm one.
+const SAFE_OVERLOAD_PART: f64 = 0.5;
+/// Warm endpoints are the measure while all have at most this many times their weight.
+const MAX_WEIGHT_PER_WARM: f64 = 3.0;
+/// The least total weight; against a division by zero.
+const MIN_WEIGHT: f64 = 1e-9;
+
+impl DecisionEngine {
+    /// Brings the buckets of all endpoints in slow start up to date, and ends those slow starts
+    /// that have lasted long enough.
+    pub(super) fn advance_slow_starts(&mut self) {
+        if self.endpoints.slow_starts == 0 {
+            return;
+        }
+        let now = self.now;
+        let are_limits_fractional = self.are_limits_fractional();
+        let rate_per_weight = self.units_rate_per_weight();
+        let settings = &self.settings;
+        let safe_part = (settings.overload_multiple * SAFE_OVERLOAD_PART).min(1.0);
+        let mut ended = 0;
+        for endpoint in self.endpoints.iter_mut() {
+            let Some(since) = endpoint.slow_start_since else {
+                continue;
+            };
+            if now >= since + settings.slow_start_duration {
+                endpoint.slow_start_since = None;
+                ended += 1;
+                continue;
+            }
+            let least = settings.slow_start_min_capacity;
+            let progress = (now - since).as_secs_f64() / settings.slow_start_duration.as_secs_f64();
+            let capacity = least + (1.0 - least) * progress;
+            let bucket = &mut endpoint.slow_start_bucket;
+            bucket.rate = rate_per_weight * endpoint.weight * capacity * safe_part;
+            bucket.refill(now);
+            let unused_limit = bucket.rate * UNUSED_LEAVE_SPAN.as_secs_f64();
+            if are_limits_fractional && bucket.level > unused_limit {
+                bucket.level = -settings.max_request_units;
+            }
+        }
+        self.endpoints.slow_starts -= ended;
+    }
+
+    /// Units a second that an endpoint of weight one gets from this gateway.
+    fn units_rate_per_weight(&self) -> f64 {
+        let now = self.now;
+        let is_warm = |endpoint: &&Endpoint| {
+            endpoint.is_in_service
+                && is_not_ejected(endpoint, now)
+                && endpoint.slow_start_since.is_none()
+        };
+        let weights = self.endpoints.iter().filter(is_warm);
+        let warm_weight: f64 = weights.map(|endpoint| endpoint.weight).sum();
+        let in_service = self.endpoints.iter();
+        let total_weight: f64 = in_service
+            .filter(|endpoint| endpoint.is_in_service)
+            .map(|endpoint| endpoint.weight)
+            .sum();
+        let weight = if warm_weight * MAX_WEIGHT_PER_WARM >= total_weight {
+            warm_weight
+        } else {
+            total_weight.max(MIN_WEIGHT)
+        };
+        self.send_rate.per_second(now) / weight
+    }
+}
+
+fn is_not_ejected(endpoint: &Endpoint, now: Timestamp) -> bool {
+    now >= endpoint.ejected_until
+}
--- /dev/null
+++ b/crates/policy/src/engine/status.rs
@@ -0,0 +1,57 @@
+//! What can be read off the engine between events. Nothing here changes it.
+
+use super::DecisionEngine;
+use crate::api::{
+    CustomerId, EndpointConcurrency, Plan, PlanId, QuotaStatus, TimeDelta, Timestamp,
+};
+use crate::window::{QuotaWindow, WindowPosition};
+
+impl DecisionEngine {
+    /// Attempts in flight at each endpoint in service, and this gateway's part of its concurrency
+    /// limit.
+    pub fn endpoint_concurrency(&self) -> impl Iterator<Item = EndpointConcurrency> + '_ {
+        let limit_share = self.limit_share();
+        self.endpoints
+            .in_service()
+            .map(move |(id, endpoint)| EndpointConcurrency {
+                endpoint: *id,
+                in_flight: endpoint.in_flight,
+                limit: endpoint.limit * limit_share,
+            })
+    }
+
+    /// How a customer stands with its quota, or with its concurrency limit where the plan has no
+    /// rate. Asks nobody.
+    pub fn quota_status(&self, now: Timestamp, customer: CustomerId, plan: PlanId) -> QuotaStatus {
+        let plan = &self.settings.plans[plan.0];
+        if plan.rate <= 0.0 {
+            return self.concurrency_status(customer, plan);
+        }
+        let window = QuotaWindow::of(plan);
+        let position = WindowPosition::at(now, customer, window.length);
+        let known = self
+            .customers
+            .get(&customer)
+            .filter(|known| known.window.index == position.index);
+        let available = known.map_or(window.allowance, |known| {
+            self.available_units(customer, known.window.known_total())
+        });
+        QuotaStatus {
+            limit: window.allowance,
+            remaining: available.clamp(0.0, plan.burst),
+            resets_in: position.remaining,
+        }
+    }
+
+    fn concurrency_status(&self, customer: CustomerId, plan: &Plan) -> QuotaStatus {
+        let in_flight = self
+            .customers
+            .get(&customer)
+            .map_or(0.0, |customer| customer.in_flight);
+        QuotaStatus {
+            limit: plan.max_concurrency,
+            remaining: (plan.max_concurrency - in_flight).max(0.0),
+            resets_in: TimeDelta::ZERO,
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy/src/engine/subset.rs
@@ -0,0 +1,89 @@
+//! Deterministic subsetting: each gateway uses a part of the fleet first, and concurrency limits
+//! are scaled to its share.
+//!
+//! A gateway that sees few requests would learn nothing of any endpoint if it spread them over a
+//! large fleet.
+
+use super::DecisionEngine;
+use crate::endpoint::table::{LimitSum, TableEntry};
+use crate::endpoint::{Endpoint, INITIAL_LIMIT};
+
+/// Endpoints in a gateway's subset at the least. More spreads its load better, fewer lets it learn
+/// of each in a second or two.
+const MIN_SUBSET: f64 = 8.0;
+/// Endpoints more for each unit a second that the gateway sends on.
+const SUBSET_PER_UNIT_RATE: f64 = 1.0;
+/// Subsets start apart by this part of the fleet, the golden ratio: it spreads them evenly, also
+/// those of gateways in a row, through which one customer comes.
+const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
+/// Attempts that all gateways together may have in flight at one endpoint when learning starts.
+/// Low: a limit that must first be cut costs late answers.
+const INITIAL_FLEET_LIMIT: f64 = 6.0;
+/// Endpoints that one selection looks at where the subset is larger.
+pub(super) const MAX_CANDIDATES: usize = 48;
+/// The fewest gateways for an endpoint; against a division by zero.
+const MIN_SHARING: f64 = 1e-9;
+
+impl DecisionEngine {
+    /// Number of endpoints in this gateway's subset.
+    pub(super) fn subset_size(&self) -> usize {
+        let rate = self.send_rate.per_second(self.now);
+        let size = MIN_SUBSET + SUBSET_PER_UNIT_RATE * rate;
+        size.min(self.endpoints.in_service_count() as f64) as usize
+    }
+
+    /// Place of the subset's first endpoint in the fleet.
+    pub(super) fn subset_start(&self) -> usize {
+        let endpoints = self.endpoints.in_service_count();
+        let place = (f64::from(self.settings.gateway_index) * GOLDEN_RATIO).fract();
+        let start = place * endpoints as f64;
+        (start as usize).min(endpoints)
+    }
+
+    /// The endpoints in service, this gateway's subset first.
+    pub(super) fn subset_first(&self) -> impl Iterator<Item = &TableEntry> + '_ {
+        self.endpoints.in_service_from(self.subset_start())
+    }
+
+    /// This gateway's share of the concurrency limit of one endpoint: one where few gateways use
+    /// it, else by how many do.
+    pub(super) fn limit_share(&self) -> f64 {
+        let endpoints = self.endpoints.in_service_count().max(1) as f64;
+        let sharing = f64::from(self.settings.gateways) * self.subset_size() as f64 / endpoints;
+        (INITIAL_FLEET_LIMIT / INITIAL_LIMIT / sharing.max(MIN_SHARING)).min(1.0)
+    }
+
+    /// Whether so many gateways share the endpoints that limits start below one attempt and tell
+    /// little.
+    pub(super) fn are_limits_fractional(&self) -> bool {
+        INITIAL_LIMIT * self.limit_share() < 1.0
+    }
+
+    /// Whether an endpoint may be used now as far as outlier detection tells.
+    pub(super) fn is_healthy(&self, endpoint: &Endpoint) -> bool {
+        endpoint.is_healthy(self.now)
+    }
+
+    /// The sum of the limits of the subset's healthy endpoints. Over a large subset it is taken
+    /// anew with each tick only, as one answer among hundreds moves it little.
+    pub(super) fn subset_limit(&mut self, subset_size: usize) -> f64 {
+        let known = self.endpoints.limit_sum;
+        let is_recent = self.now < known.taken_at + self.settings.timer_resolution;
+        if subset_size > MAX_CANDIDATES && is_recent {
+            return known.limit;
+        }
+        let limit_share = self.limit_share();
+        let limit = self
+            .subset_first()
+            .take(subset_size)
+            .map(|entry| &entry.1)
+            .filter(|endpoint| self.is_healthy(endpoint))
+            .map(|endpoint| endpoint.limit * limit_share)
+            .sum();
+        self.endpoints.limit_sum = LimitSum {
+            taken_at: self.now,
+            limit,
+        };
+        limit
+    }
+}
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,11 +1,21 @@
 #![doc = include_str!("../README.md")]
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod api;
+mod counter;
+mod customer;
 mod decisions;
-mod rules;
-mod state;
+mod endpoint;
+mod engine;
+mod hash;
+mod pending_requests;
+mod request;
+mod retry_budget;
+mod shedding;
+mod smoothing;
+mod timers;
+mod token_bucket;
+mod window;
 
 pub use decisions::Decisions;
-pub use rules::DecisionEngine;
+pub use engine::DecisionEngine;
--- /dev/null
+++ b/crates/policy/src/request.rs
@@ -0,0 +1,88 @@
+//! An open request and its attempts.
+
+use crate::api::{Class, EndpointId, Idempotency, IncomingRequest, KeyScope, Settings, Timestamp};
+
+/// One attempt of a request.
+#[derive(Clone, Debug)]
+pub(crate) struct Attempt {
+    pub(crate) endpoint: EndpointId,
+    pub(crate) sent_at: Timestamp,
+    pub(crate) is_in_flight: bool,
+    pub(crate) may_have_run: bool,
+    /// Quick answers of its endpoint when it was sent.
+    pub(crate) quick_answers_before: u64,
+}
+
+/// Units that a request added to a window's count.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct CountedUnits {
+    pub(crate) window: u64,
+    pub(crate) units: f64,
+}
+
+/// A request that is not forgotten yet.
+#[derive(Debug, Default)]
+pub(crate) struct OpenRequest {
+    pub(crate) incoming: IncomingRequest,
+    pub(crate) arrived_at: Timestamp,
+    pub(crate) attempts: Vec<Attempt>,
+    /// What is given back if it is never sent.
+    pub(crate) counted: Option<CountedUnits>,
+    /// It holds one of the customer's concurrency slots.
+    pub(crate) holds_slot: bool,
+    /// Counter calls made for it whose answers are still to come.
+    pub(crate) counter_calls: u32,
+    /// Since when it waits for an endpoint.
+    pub(crate) pending_since: Option<Timestamp>,
+    /// Its response has started, or it was granted: nothing can be sent again.
+    pub(crate) is_streaming: bool,
+    /// Its body went with the first attempt.
+    pub(crate) is_body_discarded: bool,
+    /// It has its final answer.
+    pub(crate) is_done: bool,
+}
+
+impl OpenRequest {
+    /// A request that arrives now.
+    pub(crate) fn new(now: Timestamp, incoming: IncomingRequest) -> OpenRequest {
+        OpenRequest {
+            incoming,
+            arrived_at: now,
+            ..OpenRequest::default()
+        }
+    }
+
+    /// Its class.
+    pub(crate) fn class<'a>(&self, settings: &'a Settings) -> &'a Class {
+        &settings.classes[self.incoming.class.0]
+    }
+
+    /// What it is worth: its class's weight by its plan's multiplier.
+    pub(crate) fn priority_weight(&self, settings: &Settings) -> f64 {
+        let plan = &settings.plans[self.incoming.plan.0];
+        self.class(settings).priority_weight * plan.priority_multiplier
+    }
+
+    /// Whether an attempt of it is in flight.
+    pub(crate) fn is_in_flight(&self) -> bool {
+        self.attempts.iter().any(|attempt| attempt.is_in_flight)
+    }
+
+    /// Attempts that may have run or still run.
+    pub(crate) fn attempts_that_may_run(&self) -> impl Iterator<Item = &Attempt> {
+        self.attempts
+            .iter()
+            .filter(|attempt| attempt.is_in_flight || attempt.may_have_run)
+    }
+
+    /// Whether the client may safely send it again, so that it can be rejected in place of failed.
+    pub(crate) fn is_safe_to_reject(&self, class: &Class) -> bool {
+        let may_have_run = self.attempts_that_may_run().next().is_some();
+        let is_retry_harmless = match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed => !may_have_run || class.key_scope == KeyScope::All,
+            Idempotency::NonIdempotent => !may_have_run,
+        };
+        !self.is_streaming && is_retry_harmless
+    }
+}
