--- a/crates/grpc-gateway/src/sites.rs
+++ b/crates/grpc-gateway/src/sites.rs
@@ -288,12 +288,12 @@
             return;
         };
         let reported: Vec<EndpointConcurrency> = decisions
-            .gateway
-            .places()
-            .map(|(id, in_flight, limit)| EndpointConcurrency {
-                endpoint: failover::EndpointId(id.0),
-                in_flight,
-                limit,
+            .engine
+            .endpoint_concurrency()
+            .map(|reported| EndpointConcurrency {
+                endpoint: failover::EndpointId(reported.endpoint.0),
+                in_flight: reported.in_flight,
+                limit: reported.limit,
             })
             .collect();
         sites.on(engine.now(), Event::ConcurrencyReported(&reported));
