--- a/crates/resp-gateway/src/backends.rs
+++ b/crates/resp-gateway/src/backends.rs
@@ -1,13 +1,14 @@
 //! Connections to the backends, one request on each at a time: giving an attempt up closes its connection, and with it
 //! whatever else waits there. The one fact that counts of a broken one: whether the last byte of its request was written.
 
-use crate::list::{List, Server};
+use crate::endpoint_list::{EndpointList, ListedEndpoint};
 use crate::outcome::{answered, Answered};
 use crate::request::Command;
 use bytes::{Bytes, BytesMut};
-use chalkdeck::api::{EndpointId, EndpointState, LoadReport, Outcome, RequestId};
+use chalkdeck::api::{EndpointId, EndpointState, LoadReport, Outcome, RequestId, UpdateScope};
 use chalkdeck_net::{ConnId, Engine};
 use chalkdeck_resp::{take_reply, MessageLimits, ParsedReply};
+use chalkdeck_time::TimeDelta;
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::net::SocketAddr;
 
@@ -106,14 +107,11 @@
 
 impl Backends {
     /// `memory`: bytes granted. `idle`: when a backend closes a connection that is not used; 0: never.
-    pub(crate) fn new(most: usize, memory: f64, idle: u64) -> Backends {
+    pub(crate) fn new(most: usize, memory: f64, idle_timeout: Option<TimeDelta>) -> Backends {
         let word = (memory * VALUE_PART) as usize;
-        let most_keep = if idle > 0 {
-            (idle as f64 * IDLE_PART) as u64
-        } else {
-            IDLE_MOST
-        }
-        .min(IDLE_MOST);
+        let most_keep = idle_timeout.map_or(IDLE_MOST, |idle| {
+            idle.mul_f64(IDLE_PART).as_micros().min(IDLE_MOST)
+        });
         Backends {
             servers: FxHashMap::default(),
             links: FxHashMap::default(),
@@ -135,13 +133,13 @@
     }
 
     /// Takes news of the list. Kept connections to what is gone, drained or moved are closed; what is under way goes on.
-    pub(crate) fn update(&mut self, engine: &mut Engine, list: &List) {
+    pub(crate) fn update(&mut self, engine: &mut Engine, list: &EndpointList) {
         let mut old: Vec<EndpointId> = Vec::new();
-        if list.snapshot {
+        if list.scope == UpdateScope::Complete {
             old.extend(std::mem::take(&mut self.servers).into_keys());
         }
         let mut draining = FxHashSet::default();
-        for Server { address, entry } in &list.servers {
+        for ListedEndpoint { address, entry } in &list.endpoints {
             old.push(entry.endpoint);
             if entry.state == EndpointState::Removed {
                 self.servers.remove(&entry.endpoint);
--- a/crates/resp-gateway/src/config.rs
+++ b/crates/resp-gateway/src/config.rs
@@ -1,141 +1,54 @@
-//! What the platform tells a gateway: variables and one JSON file. The settings go through the drill's own reader.
+//! The configuration of a gateway on the users' platform: one environment variable and one JSON file. Its settings have the names of
+//! the operators' wire and are parsed by the adapter of that wire.
 
-use crate::list::{self, List};
-use chalkdeck::api::{Settings, SettingsError};
-use chalkdeck_simulator_adapter::fields::WireError;
+mod error;
+mod setting_paths;
+
+pub use error::{ConfigError, ConfigErrorKind};
+
+use crate::endpoint_list::{self, EndpointList};
+use chalkdeck::api::Settings;
 use chalkdeck_simulator_adapter::settings::{self, Read};
+use chalkdeck_time::TimeDelta;
 use serde::Deserialize;
 use serde_json::Value;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The variable that names the file.
-pub const FILE: &str = "ROUTER_CONFIG";
+/// The environment variable that names the file.
+pub const CONFIG_VARIABLE: &str = "ROUTER_CONFIG";
 /// The longest file that is read.
-const MOST_BYTES: u64 = 16 << 20;
-
-/// What is wrong with a configuration, and where.
-#[derive(Debug, thiserror::Error, miette::Diagnostic)]
-#[error("{place}: {what}")]
-pub struct ConfigError {
-    /// The variable or the file.
-    pub place: String,
-    /// What was found there and what was expected.
-    #[diagnostic_source]
-    pub what: Fault,
-}
-
-/// What is wrong with a configuration.
-#[derive(Debug, thiserror::Error, miette::Diagnostic)]
-pub enum Fault {
-    /// The variable is not there.
-    #[error("expected the path of the configuration")]
-    #[diagnostic(
-        code(chalkdeck::config::variable),
-        help("set ROUTER_CONFIG to the path of the gateway's JSON file")
-    )]
-    Variable,
-    /// The file is not given by the system.
-    #[error("cannot be read: {0}")]
-    #[diagnostic(
-        code(chalkdeck::config::read),
-        help("see that the file is there and that this user may read it")
-    )]
-    Read(#[from] std::io::Error),
-    /// The file is too long.
-    #[error("expected at most {MOST_BYTES} bytes, found {0}")]
-    #[diagnostic(
-        code(chalkdeck::config::too_long),
-        help("see whether it is the right file")
-    )]
-    TooLong(u64),
-    /// Not the form of a configuration.
-    #[error("expected a configuration: {0}")]
-    #[diagnostic(
-        code(chalkdeck::config::shape),
-        help("the file is JSON with at least `listen`, `discovery` and `settings`; after SIGHUP the earlier one stays in force")
-    )]
-    Shape(#[from] serde_json::Error),
-    /// An address that cannot be read.
-    #[error("{field}: expected ip:port, found '{found}'")]
-    #[diagnostic(
-        code(chalkdeck::config::address),
-        help("give an address and a port, not a name: there is no DNS here")
-    )]
-    Address {
-        /// Its field.
-        field: &'static str,
-        /// What stood there.
-        found: String,
-    },
-    /// A seed that cannot be read.
-    #[error("seed: expected hex digits, found '{0}'")]
-    #[diagnostic(
-        code(chalkdeck::config::seed),
-        help("give at most 16 hex digits, new with each start")
-    )]
-    Seed(String),
-    /// A setting that cannot be read.
-    #[error(transparent)]
-    #[diagnostic(
-        code(chalkdeck::config::setting),
-        help(
-            "the place named is a path below `settings`; times are whole numbers of microseconds"
-        )
-    )]
-    Setting(#[from] WireError),
-    /// A time that cannot be read.
-    #[error("settings: {path}: expected a whole number of microseconds, found '{found}'")]
-    #[diagnostic(
-        code(chalkdeck::config::time),
-        help("times are whole numbers of microseconds")
-    )]
-    Time {
-        /// Its path.
-        path: &'static str,
-        /// What stood there.
-        found: String,
-    },
-    /// Settings that make no sense together.
-    #[error("settings: {0}")]
-    #[diagnostic(
-        code(chalkdeck::config::settings),
-        help("what is named goes against another setting or against sense: see what the platform tells its gateways")
-    )]
-    Settings(#[from] SettingsError),
-}
+const MAX_FILE_BYTES: u64 = 16 << 20;
+/// The defaults of what the platform grants.
+const DEFAULT_MEMORY_MB: f64 = 192.0;
+const DEFAULT_SOCKETS: usize = 1_024;
+/// The defaults of the times that the settings may leave out.
+const DEFAULT_DIAL_TIMEOUT: TimeDelta = TimeDelta::from_millis(250);
+const DEFAULT_DRAIN_GRACE: TimeDelta = TimeDelta::from_secs(2);
 
 /// What the platform grants a gateway.
 #[derive(Clone, Copy, Debug, Deserialize)]
-pub struct Limits {
+#[serde(default)]
+pub struct ResourceLimits {
     /// Memory in MB; beyond, the gateway is killed.
-    #[serde(default = "default_memory")]
     pub memory_mb: f64,
     /// File descriptors.
-    #[serde(default = "default_sockets")]
     pub sockets: usize,
 }
 
-fn default_memory() -> f64 {
-    192.0
-}
-fn default_sockets() -> usize {
-    1024
-}
-
-impl Default for Limits {
-    fn default() -> Limits {
-        Limits {
-            memory_mb: default_memory(),
-            sockets: default_sockets(),
+impl Default for ResourceLimits {
+    fn default() -> ResourceLimits {
+        ResourceLimits {
+            memory_mb: DEFAULT_MEMORY_MB,
+            sockets: DEFAULT_SOCKETS,
         }
     }
 }
 
-/// The file as it stands.
+/// The file as it is written.
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     #[serde(default)]
     name: String,
     listen: String,
@@ -144,171 +57,148 @@
     #[serde(default)]
     seed: String,
     #[serde(default)]
-    limits: Limits,
-    known: Option<Value>,
+    limits: ResourceLimits,
+    #[serde(rename = "known")]
+    initial_endpoints: Option<Value>,
     settings: Value,
 }
 
-/// A checked configuration.
+/// A valid configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Where it was read, and where it is read again.
+    /// The file it was read from, and from which it is reloaded.
     pub file: PathBuf,
     /// The gateway's name.
     pub name: String,
     /// Where clients connect.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// Where discovery listens.
     pub discovery: SocketAddr,
-    /// Where the counter answers; none: there is none.
+    /// Where the counter listens, if there is one.
     pub counter: Option<SocketAddr>,
     /// The seed of random numbers.
     pub seed: u64,
     /// What the platform grants.
-    pub limits: Limits,
-    /// The backends as this gateway last had them; none: the list could not be read.
-    pub known: Option<List>,
-    /// What the decisions take, and the names in it.
-    pub read: Read,
-    /// A connection to a backend or the counter not made by then has failed, in microseconds.
-    pub dial_timeout: u64,
-    /// A backend closes a connection that was idle for so long, in microseconds; 0: never.
-    pub idle: u64,
-    /// A drain has to be heard and followed within this after it was told, in microseconds.
-    pub grace: u64,
+    pub limits: ResourceLimits,
+    /// The endpoints as this gateway last had them; none where they are not stated or the list is invalid.
+    pub initial_endpoints: Option<EndpointList>,
+    /// The settings of the decision module, and the names in them.
+    pub named_settings: Read,
+    /// After this time a connection to an endpoint or the counter that is not established has failed.
+    pub dial_timeout: TimeDelta,
+    /// An endpoint closes a connection that was idle for so long; none: it never does.
+    pub endpoint_idle_timeout: Option<TimeDelta>,
+    /// After it was published, a drain has to take effect within this time.
+    pub drain_grace: TimeDelta,
 }
 
 impl Config {
-    /// Reads the file that the environment names. Errors: the variable is missing; see `load`.
+    /// Loads the file that the environment names.
+    ///
+    /// # Errors
+    /// The variable is not set, or [`Config::load`] fails.
     pub fn from_env() -> Result<Config, ConfigError> {
-        match std::env::var_os(FILE) {
+        match std::env::var_os(CONFIG_VARIABLE) {
             Some(file) if !file.is_empty() => Config::load(Path::new(&file)),
             _ => Err(ConfigError {
-                place: FILE.into(),
-                what: Fault::Variable,
+                location: CONFIG_VARIABLE.into(),
+                kind: ConfigErrorKind::Variable,
             }),
         }
     }
 
-    /// Reads a file. Errors name the field, what was expected and what was found.
+    /// Loads a file.
+    ///
+    /// # Errors
+    /// The file cannot be read or is invalid: the error names the field, what was expected and what was found.
     pub fn load(file: &Path) -> Result<Config, ConfigError> {
-        Config::read(file).map_err(|what| ConfigError {
-            place: file.display().to_string(),
-            what,
+        Config::read(file).map_err(|kind| ConfigError {
+            location: file.display().to_string(),
+            kind,
         })
     }
 
-    fn read(file: &Path) -> Result<Config, Fault> {
+    fn read(file: &Path) -> Result<Config, ConfigErrorKind> {
         let size = std::fs::metadata(file)?.len();
-        if size > MOST_BYTES {
-            return Err(Fault::TooLong(size));
+        if size > MAX_FILE_BYTES {
+            return Err(ConfigErrorKind::TooLong(size));
         }
         Config::parse(file, &std::fs::read(file)?)
     }
 
-    fn parse(file: &Path, text: &[u8]) -> Result<Config, Fault> {
-        let told: File = serde_json::from_slice(text)?;
-        let paths = flatten(&told.settings);
-        let mut read = settings::read_paths(&paths)?;
-        read.settings.check()?;
-        let micros = |path: &'static str, default: u64| match paths.get(path) {
-            None => Ok(default),
-            Some(text) => text.parse::<u64>().map_err(|_| Fault::Time {
-                path,
-                found: text.clone(),
-            }),
-        };
-        let known = told
-            .known
-            .as_ref()
-            .map(|k| list::read(k, &mut read.zones))
-            .transpose();
-        if let Err(e) = &known {
-            tracing::warn!("known: {e}: starts with no list");
-        }
+    fn parse(file: &Path, text: &[u8]) -> Result<Config, ConfigErrorKind> {
+        let content: ConfigFile = serde_json::from_slice(text)?;
+        let paths = setting_paths::flatten(&content.settings);
+        let mut named_settings = settings::read_paths(&paths)?;
+        named_settings.settings.check()?;
+        let initial_endpoints = parse_initial_endpoints(&content, &mut named_settings);
+        let counter = content.counter.as_deref();
+        let endpoint_idle_timeout = parse_time(&paths, "bounds.conn_idle", TimeDelta::ZERO);
         Ok(Config {
             file: file.to_path_buf(),
-            name: told.name,
-            listen: address("listen", &told.listen)?,
-            discovery: address("discovery", &told.discovery)?,
-            counter: told
-                .counter
-                .as_deref()
-                .map(|a| address("counter", a))
+            listen: parse_address("listen", &content.listen)?,
+            discovery: parse_address("discovery", &content.discovery)?,
+            counter: counter
+                .map(|text| parse_address("counter", text))
                 .transpose()?,
-            seed: seed(&told.seed)?,
-            limits: told.limits,
-            known: known.unwrap_or_default(),
-            dial_timeout: micros("bounds.dial_timeout", 250_000)?,
-            idle: micros("bounds.conn_idle", 0)?,
-            grace: micros("rules.stop_sending_within", 2_000_000)?,
-            read,
+            seed: parse_seed(&content.seed)?,
+            limits: content.limits,
+            initial_endpoints,
+            dial_timeout: parse_time(&paths, "bounds.dial_timeout", DEFAULT_DIAL_TIMEOUT)?,
+            endpoint_idle_timeout: Some(endpoint_idle_timeout?).filter(|time| !time.is_zero()),
+            drain_grace: parse_time(&paths, "rules.stop_sending_within", DEFAULT_DRAIN_GRACE)?,
+            named_settings,
+            name: content.name,
         })
     }
 
-    /// What the decisions take.
+    /// The settings of the decision module.
     pub fn settings(&self) -> &Settings {
-        &self.read.settings
+        &self.named_settings.settings
     }
 }
 
-fn address(field: &'static str, text: &str) -> Result<SocketAddr, Fault> {
-    text.parse().map_err(|_| Fault::Address {
+/// The endpoints to begin with. An invalid list is no reason not to start: discovery gives a valid one.
+fn parse_initial_endpoints(content: &ConfigFile, names: &mut Read) -> Option<EndpointList> {
+    let list = content.initial_endpoints.as_ref()?;
+    match endpoint_list::parse(list, &mut names.zones) {
+        Ok(list) => Some(list),
+        Err(error) => {
+            tracing::warn!(%error, "initial endpoint list is invalid; starting without endpoints");
+            None
+        }
+    }
+}
+
+fn parse_address(field: &'static str, text: &str) -> Result<SocketAddr, ConfigErrorKind> {
+    text.parse().map_err(|_| ConfigErrorKind::Address {
         field,
         found: text.to_string(),
     })
 }
 
-fn seed(text: &str) -> Result<u64, Fault> {
-    match text {
-        "" => Ok(0),
-        text => u64::from_str_radix(text, 16).map_err(|_| Fault::Seed(text.to_string())),
+/// An empty text stands for zero.
+fn parse_seed(text: &str) -> Result<u64, ConfigErrorKind> {
+    if text.is_empty() {
+        return Ok(0);
     }
+    u64::from_str_radix(text, 16).map_err(|_| ConfigErrorKind::Seed(text.to_string()))
 }
 
-/// Nested JSON as the paths that the drill's wire has: a list of objects puts its length under `.count`, plain lists are joined
-/// with commas, and spaces and commas inside a text turn into `_`.
-fn flatten(settings: &Value) -> HashMap<String, String> {
-    let mut paths = HashMap::new();
-    put(&mut paths, String::new(), settings);
-    paths
-}
-
-fn put(paths: &mut HashMap<String, String>, path: String, value: &Value) {
-    let below = |name: &str| {
-        if path.is_empty() {
-            name.to_string()
-        } else {
-            format!("{path}.{name}")
-        }
+fn parse_time(
+    paths: &HashMap<String, String>,
+    path: &'static str,
+    default: TimeDelta,
+) -> Result<TimeDelta, ConfigErrorKind> {
+    let Some(text) = paths.get(path) else {
+        return Ok(default);
     };
-    match value {
-        Value::Object(fields) => fields
-            .iter()
-            .for_each(|(name, v)| put(paths, below(name), v)),
-        Value::Array(items) if items.iter().any(Value::is_object) => {
-            paths.insert(below("count"), items.len().to_string());
-            items
-                .iter()
-                .enumerate()
-                .for_each(|(i, v)| put(paths, below(&i.to_string()), v));
-        }
-        Value::Array(items) => {
-            paths.insert(
-                path,
-                items.iter().filter_map(plain).collect::<Vec<_>>().join(","),
-            );
-        }
-        value => paths.extend(plain(value).map(|text| (path, text))),
-    }
-}
-
-fn plain(value: &Value) -> Option<String> {
-    match value {
-        Value::String(text) => Some(text.replace([' ', ','], "_")),
-        Value::Number(n) => Some(n.to_string()),
-        Value::Bool(b) => Some(b.to_string()),
-        _ => None,
+    match text.parse() {
+        Ok(micros) => Ok(TimeDelta::from_micros(micros)),
+        Err(_) => Err(ConfigErrorKind::Time {
+            path,
+            found: text.clone(),
+        }),
     }
 }
 
--- /dev/null
+++ b/crates/resp-gateway/src/config/setting_paths.rs
@@ -0,0 +1,55 @@
+//! Nested JSON settings as the flat paths of the operators' wire (`classes.count`, `classes.0.name`).
+
+use serde_json::Value;
+use std::collections::HashMap;
+
+/// Flattens nested settings. A list of objects puts its length under `.count`, the items of other lists are joined with commas, and
+/// spaces and commas inside a text become `_`.
+pub(super) fn flatten(settings: &Value) -> HashMap<String, String> {
+    let mut paths = HashMap::new();
+    insert(&mut paths, String::new(), settings);
+    paths
+}
+
+fn insert(paths: &mut HashMap<String, String>, path: String, value: &Value) {
+    match value {
+        Value::Object(fields) => {
+            for (name, field) in fields {
+                insert(paths, child_path(&path, name), field);
+            }
+        }
+        Value::Array(items) if items.iter().any(Value::is_object) => {
+            paths.insert(child_path(&path, "count"), items.len().to_string());
+            for (index, item) in items.iter().enumerate() {
+                insert(paths, child_path(&path, &index.to_string()), item);
+            }
+        }
+        Value::Array(items) => {
+            let texts: Vec<String> = items.iter().filter_map(scalar_text).collect();
+            paths.insert(path, texts.join(","));
+        }
+        scalar => {
+            if let Some(text) = scalar_text(scalar) {
+                paths.insert(path, text);
+            }
+        }
+    }
+}
+
+fn child_path(path: &str, name: &str) -> String {
+    if path.is_empty() {
+        name.to_string()
+    } else {
+        format!("{path}.{name}")
+    }
+}
+
+/// The text of a value that is neither a list nor an object nor null.
+fn scalar_text(value: &Value) -> Option<String> {
+    match value {
+        Value::String(text) => Some(text.replace([' ', ','], "_")),
+        Value::Number(number) => Some(number.to_string()),
+        Value::Bool(flag) => Some(flag.to_string()),
+        _ => None,
+    }
+}
--- a/crates/resp-gateway/src/config/tests.rs
+++ b/crates/resp-gateway/src/config/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of `config`.
+//! Tests of the configuration: the names of its settings, and the texts of its errors.
 
 use super::*;
 
-fn file(settings: &str) -> String {
+fn config_text(settings: &str) -> String {
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","counter":"127.0.0.1:3","seed":"ff",
             "limits":{{"cores":1.0,"memory_mb":32,"sockets":256}},
@@ -16,9 +16,9 @@
         "plans":[{"name":"mbegu","per_second":3.5,"peak_units":12.0}],"rules":{"cold":18000000}}"#;
 
 #[test]
-fn settings_are_read_under_the_names_of_the_drills_wire() {
+fn settings_under_the_names_of_the_operators_wire_then_parsed() {
     let config =
-        Config::parse(Path::new("c.json"), file(SETTINGS).as_bytes()).expect("it is sound");
+        Config::parse(Path::new("c.json"), config_text(SETTINGS).as_bytes()).expect("it is valid");
     let set = config.settings();
     assert_eq!(
         (
@@ -38,34 +38,44 @@
         (3.5, 2.0, 18_000_000)
     );
     assert_eq!(
-        (config.seed, config.limits.sockets, config.idle),
-        (255, 256, 30_000_000)
+        (
+            config.seed,
+            config.limits.sockets,
+            config.endpoint_idle_timeout
+        ),
+        (255, 256, Some(TimeDelta::from_micros(30_000_000)))
+    );
+    let initial = config
+        .initial_endpoints
+        .as_ref()
+        .expect("the list is valid");
+    let zone = config.named_settings.zones["south_hall"];
+    assert_eq!(
+        (initial.version, initial.endpoints[0].entry.zone.0),
+        (4, zone)
     );
-    let known = config.known.as_ref().expect("the list is sound");
-    let zone = config.read.zones["south_hall"];
-    assert_eq!((known.index, known.servers[0].entry.zone.0), (4, zone));
-    assert_eq!(set.zone.0, config.read.zones["north_hall"]);
+    assert_eq!(set.zone.0, config.named_settings.zones["north_hall"]);
 }
 
 #[test]
-fn errors_name_the_field_and_what_was_expected() {
+fn invalid_configuration_then_error_names_the_field_and_what_was_expected() {
     let load = |text: &str| Config::parse(Path::new("c.json"), text.as_bytes()).map(|_| ());
     for (text, want) in [
         ("{", "expected a configuration"),
         (
-            &file("{\"balancers\":\"x\"}"),
+            &config_text("{\"balancers\":\"x\"}"),
             "settings: balancers: expected a whole number, found 'x'",
         ),
         (
-            &file("{\"balancers\":0}"),
+            &config_text("{\"balancers\":0}"),
             "settings: gateways: expected at least one",
         ),
         (
-            &file(SETTINGS).replace("127.0.0.1:2", "nowhere"),
+            &config_text(SETTINGS).replace("127.0.0.1:2", "nowhere"),
             "discovery: expected ip:port, found 'nowhere'",
         ),
         (
-            &file(SETTINGS).replace("\"ff\"", "\"zz\""),
+            &config_text(SETTINGS).replace("\"ff\"", "\"zz\""),
             "seed: expected hex digits",
         ),
     ] {
--- /dev/null
+++ b/crates/resp-gateway/src/discovery/http_exchange.rs
@@ -0,0 +1,162 @@
+//! One HTTP/1.1 call after another on a connection. The protocol is `ureq-proto`'s, which does no I/O: it is given what was received
+//! and says what to write.
+
+use super::error::DiscoveryError;
+use bytes::{Buf, BytesMut};
+use http::{Request, StatusCode};
+use ureq_proto::client::state::{RecvBody, RecvResponse, SendRequest};
+use ureq_proto::client::{Call, RecvBodyResult, RecvResponseResult, SendRequestResult};
+use ureq_proto::BodyMode;
+
+/// The longest response.
+pub(super) const MAX_RESPONSE_BYTES: usize = 8 << 20;
+/// What is decoded of a body at a time.
+const DECODE_BYTES: usize = 16 << 10;
+/// The longest head of a request.
+const MAX_REQUEST_BYTES: usize = 1 << 10;
+
+/// What becomes of the connection after a complete response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ConnectionReuse {
+    KeepAlive,
+    Close,
+}
+
+impl ConnectionReuse {
+    fn from_must_close(must_close: bool) -> ConnectionReuse {
+        if must_close {
+            ConnectionReuse::Close
+        } else {
+            ConnectionReuse::KeepAlive
+        }
+    }
+}
+
+/// How far a response has been received.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Progress {
+    Incomplete,
+    /// Its body can be read by `HttpExchange::body`.
+    Complete(ConnectionReuse),
+}
+
+/// The part of a response that is being received.
+enum Response {
+    Head(Call<RecvResponse>),
+    Body(Call<RecvBody>),
+}
+
+/// The calls of one connection.
+#[derive(Default)]
+pub(super) struct HttpExchange {
+    /// Bytes received and not parsed yet.
+    received: BytesMut,
+    /// None: no response is awaited.
+    response: Option<Response>,
+    /// The body of the last response, as far as it was received.
+    body: Vec<u8>,
+}
+
+impl HttpExchange {
+    /// Forgets what belongs to a connection that was closed.
+    pub(super) fn reset(&mut self) {
+        self.received.clear();
+        self.response = None;
+    }
+
+    /// Begins a call; returns the bytes of its request.
+    pub(super) fn begin_get(&mut self, uri: &str) -> Result<Vec<u8>, DiscoveryError> {
+        let request = Request::get(uri).body(())?;
+        let mut call: Call<SendRequest> = Call::new(request)?.proceed();
+        let mut head = vec![0; MAX_REQUEST_BYTES];
+        let length = call.write(&mut head)?;
+        head.truncate(length);
+        self.body.clear();
+        self.response = match call.proceed()? {
+            Some(SendRequestResult::RecvResponse(call)) => Some(Response::Head(call)),
+            // A GET has no body to be sent or waited for.
+            _ => None,
+        };
+        Ok(head)
+    }
+
+    /// Takes received bytes and parses the response as far as they reach.
+    pub(super) fn receive(&mut self, data: &[u8]) -> Result<Progress, DiscoveryError> {
+        self.received.extend_from_slice(data);
+        match self.response.take() {
+            None => Ok(Progress::Incomplete),
+            Some(Response::Head(call)) => self.receive_head(call),
+            Some(Response::Body(call)) => self.receive_body(call),
+        }
+    }
+
+    fn receive_head(&mut self, mut call: Call<RecvResponse>) -> Result<Progress, DiscoveryError> {
+        let (used, head) = call.try_response(&self.received, false)?;
+        self.received.advance(used);
+        let Some(head) = head else {
+            self.response = Some(Response::Head(call));
+            self.check_length()?;
+            return Ok(Progress::Incomplete);
+        };
+        if head.status() != StatusCode::OK {
+            return Err(DiscoveryError::Status(head.status()));
+        }
+        match call.proceed() {
+            Some(RecvResponseResult::RecvBody(call)) => self.receive_body(call),
+            Some(RecvResponseResult::Cleanup(call)) => Ok(Progress::Complete(
+                ConnectionReuse::from_must_close(call.must_close_connection()),
+            )),
+            _ => Err(DiscoveryError::Status(head.status())),
+        }
+    }
+
+    fn receive_body(&mut self, mut call: Call<RecvBody>) -> Result<Progress, DiscoveryError> {
+        let ends_with_connection = is_close_delimited(&call);
+        let mut decoded = [0; DECODE_BYTES];
+        loop {
+            let (used, length) = call.read(&self.received, &mut decoded)?;
+            self.received.advance(used);
+            self.body.extend_from_slice(&decoded[..length]);
+            self.check_length()?;
+            if call.can_proceed() && !ends_with_connection {
+                break;
+            }
+            if used == 0 && length == 0 {
+                self.response = Some(Response::Body(call));
+                return Ok(Progress::Incomplete);
+            }
+        }
+        let must_close = match call.proceed() {
+            Some(RecvBodyResult::Cleanup(call)) => call.must_close_connection(),
+            _ => true,
+        };
+        Ok(Progress::Complete(ConnectionReuse::from_must_close(
+            must_close,
+        )))
+    }
+
+    fn check_length(&self) -> Result<(), DiscoveryError> {
+        if self.received.len() + self.body.len() > MAX_RESPONSE_BYTES {
+            return Err(DiscoveryError::TooLong);
+        }
+        Ok(())
+    }
+
+    /// The connection has ended. Returns whether a response was awaited whose body has no stated length, so that an orderly end of the
+    /// connection completes it.
+    pub(super) fn end(&mut self) -> bool {
+        match self.response.take() {
+            Some(Response::Body(call)) => is_close_delimited(&call),
+            _ => false,
+        }
+    }
+
+    /// The body of the last response.
+    pub(super) fn body(&self) -> &[u8] {
+        &self.body
+    }
+}
+
+fn is_close_delimited(call: &Call<RecvBody>) -> bool {
+    matches!(call.body_mode(), BodyMode::CloseDelimited)
+}
--- a/crates/resp-gateway/src/discovery/tests.rs
+++ b/crates/resp-gateway/src/discovery/tests.rs
@@ -1,4 +1,4 @@
-//! The watch against an agent that falls silent in every way, under a clock in hand: how long after a change was told it is heard.
+//! Discovery against an agent that falls silent in every way, with the clock in hand: how long after a change is published it is applied.
 
 use super::*;
 use chalkdeck_net::clock::{Clock, Jumps};
@@ -12,33 +12,51 @@
 
 /// What the agent does.
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum Mood {
-    Answers,
-    /// Takes calls and says nothing; it will not come back to them.
+enum AgentMode {
+    Responds,
+    /// Takes calls and never responds to them.
     Silent,
-    /// Says half an answer and no more.
+    /// Sends half a response and no more.
     Half,
     /// Refuses connections.
     Refuses,
 }
 
+/// A long poll that waits at the agent.
+#[derive(Clone, Copy)]
+struct WaitingPoll {
+    conn: ConnId,
+    /// The version that the caller holds.
+    held: u64,
+    /// The agent responds by then in any case.
+    until: u64,
+}
+
+/// A timer of a call.
+#[derive(Clone, Copy)]
+struct CallTimer {
+    at: u64,
+    call: CallId,
+}
+
 struct World {
     engine: Engine,
     jumps: Arc<Jumps>,
     discovery: Discovery,
     listener: ListenerId,
     address: SocketAddr,
-    mood: Mood,
+    mode: AgentMode,
     index: u64,
-    /// How the agent writes its answers.
+    /// How the agent writes its responses.
     form: fn(&str) -> String,
-    /// Calls that wait for updates: on which connection, for which version, until when.
-    waiting: Vec<(ConnId, u64, u64)>,
-    heard: HashMap<ConnId, Vec<u8>>,
-    ours: Vec<ConnId>,
-    looks: Vec<(u64, u64)>,
-    /// The last version that was taken over, and how many lists were.
+    waiting: Vec<WaitingPoll>,
+    received: HashMap<ConnId, Vec<u8>>,
+    /// The agent's side of the connections.
+    agent_conns: Vec<ConnId>,
+    call_timers: Vec<CallTimer>,
+    /// The last version that was applied.
     held: u64,
+    /// How many lists were applied.
     lists: usize,
     zones: HashMap<String, u32>,
 }
@@ -51,62 +69,66 @@
 }
 
 impl World {
-    fn new(mood: Mood, form: fn(&str) -> String) -> World {
+    fn new(mode: AgentMode, form: fn(&str) -> String) -> World {
         let jumps = Arc::<Jumps>::default();
         let mut engine = Engine::with_clock(Clock::jumping(jumps.clone())).expect("a poll handle");
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let (listener, address) = engine
             .listen_raw(any, Limits::default())
             .expect("a free port");
-        let discovery = Discovery::new(address, Timing::new(GRACE));
-        let (waiting, heard, ours, looks, zones) = Default::default();
-        let (held, lists, index) = (0, 0, 1);
+        let discovery = Discovery::new(address, timing());
         let mut world = World {
             engine,
             jumps,
             discovery,
             listener,
             address,
-            mood,
-            index,
+            mode,
+            index: 1,
             form,
-            waiting,
-            heard,
-            ours,
-            looks,
-            held,
-            lists,
-            zones,
+            waiting: Vec::new(),
+            received: HashMap::new(),
+            agent_conns: Vec::new(),
+            call_timers: Vec::new(),
+            held: 0,
+            lists: 0,
+            zones: HashMap::new(),
         };
-        let updates = world.discovery.dial(&mut world.engine);
-        world.updates(vec![updates]);
+        let action = world.discovery.connect(&mut world.engine);
+        world.carry_out([action]);
         world
     }
 
-    fn updates(&mut self, updates: Vec<Update>) {
-        for updates in updates {
-            match updates {
-                Update::List(list) if list.snapshot || !list.servers.is_empty() => {
-                    (self.held, self.lists) = (list.index, self.lists + 1);
-                }
-                Update::List(_) => {}
-                Update::CheckCall(after, call) => {
-                    self.looks.push((self.engine.now() + after, call))
+    fn carry_out(&mut self, actions: impl IntoIterator<Item = DiscoveryAction>) {
+        for action in actions {
+            match action {
+                DiscoveryAction::UpdateEndpoints(list) => {
+                    if list.scope == UpdateScope::Complete || !list.endpoints.is_empty() {
+                        self.held = list.version;
+                        self.lists += 1;
+                    }
                 }
+                DiscoveryAction::CheckCall { after, call } => self.call_timers.push(CallTimer {
+                    at: self.engine.now() + after.as_micros(),
+                    call,
+                }),
             }
         }
     }
 
-    fn event(&mut self, event: Event) {
+    fn on_event(&mut self, event: Event) {
         match event {
-            Event::Accepted { conn, .. } => self.ours.push(conn),
+            Event::Accepted { conn, .. } => self.agent_conns.push(conn),
             Event::Connected { conn } => {
-                let updates = self.discovery.connected(&mut self.engine, conn);
-                self.updates(updates.unwrap_or_default());
+                let action = self.discovery.on_connected(&mut self.engine, conn);
+                self.carry_out(action);
             }
-            Event::Bytes { conn, data } if self.ours.contains(&conn) => {
-                self.heard.entry(conn).or_default().extend_from_slice(&data);
-                self.asked(conn);
+            Event::Bytes { conn, data } if self.agent_conns.contains(&conn) => {
+                self.received
+                    .entry(conn)
+                    .or_default()
+                    .extend_from_slice(&data);
+                self.on_request(conn);
             }
             Event::Bytes { conn, data } => {
                 let World {
@@ -115,8 +137,8 @@
                     zones,
                     ..
                 } = self;
-                let updates = discovery.bytes(engine, conn, &data, zones);
-                self.updates(updates.unwrap_or_default());
+                let actions = discovery.on_bytes(engine, conn, &data, zones);
+                self.carry_out(actions);
             }
             Event::Closed { conn, reason, .. } => {
                 let World {
@@ -125,20 +147,20 @@
                     zones,
                     ..
                 } = self;
-                let updates = discovery.closed(engine, conn, &reason, zones);
-                self.updates(updates.unwrap_or_default());
+                let actions = discovery.on_closed(engine, conn, &reason, zones);
+                self.carry_out(actions);
             }
             _ => {}
         }
     }
 
-    /// A call came, or a part of it.
-    fn asked(&mut self, conn: ConnId) {
-        let text = String::from_utf8_lossy(&self.heard[&conn]).into_owned();
+    /// A request, or a part of one, was received.
+    fn on_request(&mut self, conn: ConnId) {
+        let text = String::from_utf8_lossy(&self.received[&conn]).into_owned();
         if !text.ends_with("\r\n\r\n") {
             return;
         }
-        self.heard.remove(&conn);
+        self.received.remove(&conn);
         let number = |name: &str| {
             let rest = text.split_once(name)?.1;
             rest.split(|c: char| !c.is_ascii_digit())
@@ -146,27 +168,27 @@
                 .parse::<u64>()
                 .ok()
         };
-        match (self.mood, number("since=")) {
-            (Mood::Silent | Mood::Refuses, _) => {}
-            (Mood::Half, _) => self.answer(conn, true),
-            (Mood::Answers, None) => self.answer(conn, true),
-            (Mood::Answers, Some(held)) => {
+        match (self.mode, number("since=")) {
+            (AgentMode::Silent | AgentMode::Refuses, _) => {}
+            (AgentMode::Half, _) => self.respond(conn, true),
+            (AgentMode::Responds, None) => self.respond(conn, true),
+            (AgentMode::Responds, Some(held)) => {
                 let until = self.engine.now()
                     + number("timeout_ms=").expect("how long it may wait") * 1_000;
-                self.waiting.push((conn, held, until));
+                self.waiting.push(WaitingPoll { conn, held, until });
             }
         }
     }
 
-    fn answer(&mut self, conn: ConnId, whole: bool) {
+    fn respond(&mut self, conn: ConnId, is_complete: bool) {
         let entry = r#"{"name":"s-1","address":"127.0.0.1:9","status":"ready"}"#;
-        let entries = if whole { entry } else { "" };
+        let entries = if is_complete { entry } else { "" };
         let body = format!(
-            r#"{{"index":{},"snapshot":{whole},"endpoints":[{entries}]}}"#,
+            r#"{{"index":{},"snapshot":{is_complete},"endpoints":[{entries}]}}"#,
             self.index
         );
         let text = (self.form)(&body);
-        let length = if self.mood == Mood::Half {
+        let length = if self.mode == AgentMode::Half {
             text.len() / 2
         } else {
             text.len()
@@ -178,27 +200,34 @@
     fn step(&mut self) {
         self.jumps.jump(STEP as i64);
         let now = self.engine.now();
-        if self.mood == Mood::Answers {
+        if self.mode == AgentMode::Responds {
             let index = self.index;
-            let due = |w: &(ConnId, u64, u64)| index > w.1 || now >= w.2;
-            let (due, rest) = self.waiting.drain(..).partition(due);
-            self.waiting = rest;
-            let due: Vec<(ConnId, u64, u64)> = due;
-            due.into_iter().for_each(|w| self.answer(w.0, index > w.1));
+            let (ended, waiting): (Vec<_>, Vec<_>) = self
+                .waiting
+                .drain(..)
+                .partition(|poll| index > poll.held || now >= poll.until);
+            self.waiting = waiting;
+            for poll in ended {
+                self.respond(poll.conn, index > poll.held);
+            }
         } else {
             self.waiting.clear();
         }
-        let (due, rest) = self.looks.drain(..).partition(|l| l.0 <= now);
-        self.looks = rest;
-        let due: Vec<(u64, u64)> = due;
-        for (_, call) in due {
-            let updates = self.discovery.call_timed_out(&mut self.engine, call);
-            self.updates(updates.into_iter().collect());
+        let (fired, waiting): (Vec<_>, Vec<_>) = self
+            .call_timers
+            .drain(..)
+            .partition(|timer| timer.at <= now);
+        self.call_timers = waiting;
+        for timer in fired {
+            let action = self.discovery.on_call_timeout(&mut self.engine, timer.call);
+            self.carry_out(action);
         }
         for _ in 0..8 {
             let mut events = Vec::new();
             self.engine.turn(0, &mut events).expect("a turn");
-            events.into_iter().for_each(|e| self.event(e));
+            for event in events {
+                self.on_event(event);
+            }
         }
     }
 
@@ -206,46 +235,55 @@
         (0..micros / STEP).for_each(|_| self.step());
     }
 
-    fn mood(&mut self, mood: Mood) {
-        if self.mood == Mood::Refuses {
+    fn set_mode(&mut self, mode: AgentMode) {
+        if self.mode == AgentMode::Refuses {
             let (listener, _) = self
                 .engine
                 .listen_raw(self.address, Limits::default())
                 .expect("its port");
             self.listener = listener;
         }
-        if mood == Mood::Refuses {
+        if mode == AgentMode::Refuses {
             self.engine.unlisten(self.listener);
-            std::mem::take(&mut self.ours)
-                .into_iter()
-                .for_each(|c| self.engine.close(c));
+            for conn in std::mem::take(&mut self.agent_conns) {
+                self.engine.close(conn);
+            }
         }
-        self.mood = mood;
+        self.mode = mode;
     }
 
-    /// A change is told to the agent now; how long until it was taken over.
+    /// A change is published at the agent now; returns how long until it was applied.
     fn delay(&mut self) -> u64 {
         self.index += 1;
-        self.until_heard()
+        self.until_applied()
     }
 
-    fn until_heard(&mut self) -> u64 {
+    fn until_applied(&mut self) -> u64 {
         let begun = self.engine.now();
         while self.held != self.index {
             self.step();
-            let gone = self.engine.now() - begun;
-            assert!(gone < 20 * GRACE, "never heard");
+            let elapsed = self.engine.now() - begun;
+            assert!(elapsed < 20 * GRACE, "never applied");
         }
         self.engine.now() - begun
     }
 }
 
+fn timing() -> Timing {
+    Timing::new(TimeDelta::from_micros(GRACE))
+}
+
+/// The time-out of a call, in microseconds.
+fn call_timeout() -> u64 {
+    timing().timeout.as_micros()
+}
+
 /// The worst delay over all moments at which the fault may begin, in steps of 30 ms.
 fn worst(form: fn(&str) -> String, fault: impl Fn(&mut World) -> u64) -> u64 {
-    let timing = Timing::new(GRACE);
-    let moments = (0..timing.poll + timing.timeout).step_by(30_000);
+    let poll = timing().poll.as_micros();
+    let moments = (0..poll + call_timeout()).step_by(30_000);
     let delays = moments.map(|moment| {
-        let mut world = World::new(Mood::Answers, form);
+        let mut world = World::new(AgentMode::Responds, form);
         world.pass(100_000 + moment);
         assert_eq!(world.held, world.index, "it is well before the fault");
         fault(&mut world)
@@ -257,82 +295,79 @@
 const NOISE: u64 = 100_000;
 
 #[test]
-fn a_change_that_is_told_to_a_watch_is_heard_at_once() {
+fn change_while_a_poll_waits_then_applied_at_once() {
     assert!(worst(plain, World::delay) <= 2 * STEP + NOISE);
 }
 
 #[test]
-fn a_watch_that_falls_silent_is_opened_anew_within_a_known_time() {
-    let timing = Timing::new(GRACE);
-    for mood in [Mood::Silent, Mood::Half] {
+fn connection_falls_silent_then_replaced_within_the_call_timeout() {
+    for mode in [AgentMode::Silent, AgentMode::Half] {
         // Silent on that connection alone: the agent answers on the next.
         let once = worst(plain, |w| {
-            w.mood(mood);
+            w.set_mode(mode);
             w.step();
             // Calls that were under way are not come back to.
             w.waiting.clear();
-            w.mood(Mood::Answers);
+            w.set_mode(AgentMode::Responds);
             w.delay()
         });
         assert!(
-            once <= timing.timeout + 3 * STEP + NOISE,
-            "{mood:?} once: {once}"
+            once <= call_timeout() + 3 * STEP + NOISE,
+            "{mode:?} once: {once}"
         );
         // And on the next connections as well.
         let thrice = worst(plain, |w| {
-            w.mood(mood);
+            w.set_mode(mode);
             w.index += 1;
             let begun = w.engine.now();
-            w.pass(2 * timing.timeout);
-            w.mood(Mood::Answers);
-            w.until_heard();
+            w.pass(2 * call_timeout());
+            w.set_mode(AgentMode::Responds);
+            w.until_applied();
             w.engine.now() - begun
         });
         assert!(
-            thrice <= 3 * timing.timeout + 4 * STEP + NOISE,
-            "{mood:?} thrice: {thrice}"
+            thrice <= 3 * call_timeout() + 4 * STEP + NOISE,
+            "{mode:?} thrice: {thrice}"
         );
     }
 }
 
 #[test]
-fn what_discovery_holds_at_its_return_is_heard_well_within_the_grace() {
-    let timing = Timing::new(GRACE);
-    for (mood, bound) in [
-        (Mood::Silent, timing.timeout),
-        (Mood::Refuses, timing.retry_delay),
+fn agent_returns_after_an_outage_then_its_list_applied_within_half_of_the_grace() {
+    for (mode, bound) in [
+        (AgentMode::Silent, call_timeout()),
+        (AgentMode::Refuses, timing().retry_delay.as_micros()),
     ] {
         let back = worst(plain, |w| {
-            w.mood(mood);
+            w.set_mode(mode);
             w.pass(8 * GRACE / 2);
-            w.mood(Mood::Answers);
+            w.set_mode(AgentMode::Responds);
             w.delay()
         });
-        assert!(back <= bound + 3 * STEP + NOISE, "{mood:?}: {back}");
+        assert!(back <= bound + 3 * STEP + NOISE, "{mode:?}: {back}");
         assert!(
             back < GRACE / 2 + NOISE,
-            "{mood:?}: {back} of a grace of {GRACE}"
+            "{mode:?}: {back} of a grace of {GRACE}"
         );
     }
 }
 
 #[test]
-fn a_new_process_hears_what_the_agent_holds_also_where_its_first_call_is_lost() {
-    let timing = Timing::new(GRACE);
-    let mut world = World::new(Mood::Silent, plain);
+fn first_call_of_a_process_lost_then_list_applied_within_the_call_timeout() {
+    let mut world = World::new(AgentMode::Silent, plain);
     world.pass(50_000);
-    world.mood(Mood::Answers);
-    let begun = world.until_heard();
-    assert!(begun <= timing.timeout + 3 * STEP + NOISE, "{begun}");
-    let mut world = World::new(Mood::Answers, plain);
+    world.set_mode(AgentMode::Responds);
+    let begun = world.until_applied();
+    assert!(begun <= call_timeout() + 3 * STEP + NOISE, "{begun}");
+    let mut world = World::new(AgentMode::Responds, plain);
     assert!(
-        world.until_heard() <= 2 * STEP + NOISE,
+        world.until_applied() <= 2 * STEP + NOISE,
         "from the first moment"
     );
 }
 
 #[test]
-fn a_connection_that_never_comes_up_is_given_up_as_a_silent_one() {
+fn connection_never_established_then_replaced_like_a_silent_one() {
     // A listener with a full queue lets further connections hang.
     let full =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
@@ -350,47 +385,47 @@
     {
         fills.push(one);
     }
-    let timing = Timing::new(GRACE);
-    let mut world = World::new(Mood::Answers, plain);
+    let mut world = World::new(AgentMode::Responds, plain);
     world.pass(100_000);
-    let updates = world.discovery.set_address(&mut world.engine, address);
-    world.updates(updates.into_iter().collect());
-    world.pass(timing.timeout / 2);
+    let action = world.discovery.set_address(&mut world.engine, address);
+    world.carry_out(action);
+    world.pass(call_timeout() / 2);
     // SIGHUP moves it back to one that answers; the whole list is asked for there.
     let (lists, own) = (world.lists, world.address);
     world.discovery.address = own;
     let begun = world.engine.now();
     while world.lists == lists {
         world.step();
-        assert!(world.engine.now() - begun < GRACE, "never heard");
+        assert!(world.engine.now() - begun < GRACE, "never applied");
     }
-    let gone = world.engine.now() - begun;
-    assert!(gone <= timing.timeout + 3 * STEP + NOISE, "{gone}");
+    let elapsed = world.engine.now() - begun;
+    assert!(elapsed <= call_timeout() + 3 * STEP + NOISE, "{elapsed}");
     assert!(fills.len() < 10);
 }
 
 #[test]
-fn a_watch_that_falls_silent_right_after_it_was_moved_is_opened_anew() {
-    let timing = Timing::new(GRACE);
-    let mut world = World::new(Mood::Answers, plain);
+fn agent_silent_right_after_a_new_address_then_connected_again() {
+    let mut world = World::new(AgentMode::Responds, plain);
     world.pass(300_000);
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let (listener, address) = world
         .engine
         .listen_raw(any, Limits::default())
         .expect("a free port");
-    (world.listener, world.address, world.mood) = (listener, address, Mood::Silent);
-    let updates = world.discovery.set_address(&mut world.engine, address);
-    world.updates(updates.into_iter().collect());
+    world.listener = listener;
+    world.address = address;
+    world.mode = AgentMode::Silent;
+    let action = world.discovery.set_address(&mut world.engine, address);
+    world.carry_out(action);
     world.pass(20_000);
-    world.mood(Mood::Answers);
+    world.set_mode(AgentMode::Responds);
     world.index = 40;
-    let gone = world.until_heard();
-    assert!(gone <= timing.timeout + 3 * STEP + NOISE, "{gone}");
+    let elapsed = world.until_applied();
+    assert!(elapsed <= call_timeout() + 3 * STEP + NOISE, "{elapsed}");
 }
 
 #[test]
-fn answers_come_indented_in_chunks_and_in_pieces() {
+fn response_indented_or_chunked_then_applied() {
     let indented = |body: &str| plain(&body.replace(',', " ,\r\n\t  ").replace('{', "\n {\n "));
     let chunked = |body: &str| {
         let (one, two) = body.split_at(body.len() / 3);
@@ -402,7 +437,7 @@
     };
     let forms: [fn(&str) -> String; 2] = [indented, chunked];
     for form in forms {
-        let mut world = World::new(Mood::Answers, form);
+        let mut world = World::new(AgentMode::Responds, form);
         for _ in 0..5 {
             world.pass(700_000);
             assert!(world.delay() <= 2 * STEP + NOISE);
@@ -411,7 +446,7 @@
 }
 
 #[test]
-fn answers_that_cannot_be_read_leave_the_last_list_and_the_whole_one_is_asked_for() {
+fn invalid_response_then_last_list_stays_and_the_complete_one_is_requested() {
     let spoilt: [fn(&str) -> String; 8] = [
         |_| "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".into(),
         |_| "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n".into(),
@@ -426,9 +461,8 @@
         |_| "HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n".into(),
         |_| "HTTP/1.1 301 Moved\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n".into(),
     ];
-    let timing = Timing::new(GRACE);
     for (i, form) in spoilt.into_iter().enumerate() {
-        let mut world = World::new(Mood::Answers, plain);
+        let mut world = World::new(AgentMode::Responds, plain);
         world.pass(100_000);
         let (lists, held) = (world.lists, world.held);
         world.form = form;
@@ -436,20 +470,23 @@
         world.pass(400_000);
         assert_eq!((world.lists, world.held), (lists, held), "form {i}");
         world.form = plain;
-        let gone = world.until_heard();
+        let elapsed = world.until_applied();
         assert!(
-            gone <= timing.timeout + 3 * STEP + NOISE,
-            "form {i}: {gone}"
+            elapsed <= call_timeout() + 3 * STEP + NOISE,
+            "form {i}: {elapsed}"
         );
-        assert_eq!(world.discovery.held, Some(world.index), "form {i}");
+        assert_eq!(world.discovery.held_version, Some(world.index), "form {i}");
     }
 }
 
 #[test]
-fn times_follow_the_grace() {
+fn times_follow_the_drain_grace() {
     for grace in [100_000, 250_000, 1_000_000, 2_000_000, 5_000_000] {
-        let timing = Timing::new(grace);
-        assert!(timing.timeout <= grace / 2, "{timing:?} of {grace}");
+        let timing = Timing::new(TimeDelta::from_micros(grace));
+        assert!(
+            timing.timeout.as_micros() <= grace / 2,
+            "{timing:?} of {grace}"
+        );
         assert!(
             timing.retry_delay < timing.poll && timing.poll < timing.timeout,
             "{timing:?}"
@@ -489,7 +526,7 @@
 }
 
 #[test]
-fn an_answer_without_a_length_is_whole_at_an_end_in_order_and_never_at_a_reset() {
+fn response_without_a_length_then_complete_at_an_orderly_end_and_never_at_a_reset() {
     let body = r#"{"index":7,"snapshot":true,"endpoints":[{"name":"s-1","address":"127.0.0.1:9","status":"draining"}]}"#;
     let whole = format!("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n{body}");
     let half = &whole[..whole.len() - 20];
@@ -502,11 +539,11 @@
         let agent = std::net::TcpListener::bind(("127.0.0.1", 0)).expect("a free port");
         agent.set_nonblocking(true).expect("a socket");
         let address = agent.local_addr().expect("its address");
-        let mut world = World::new(Mood::Answers, plain);
+        let mut world = World::new(AgentMode::Responds, plain);
         world.pass(300_000);
         let lists = world.lists;
-        let updates = world.discovery.set_address(&mut world.engine, address);
-        world.updates(updates.into_iter().collect());
+        let action = world.discovery.set_address(&mut world.engine, address);
+        world.carry_out(action);
         answer_and_close(&mut world, &agent, answer.as_bytes(), close);
         assert_eq!(
             world.lists > lists,
--- /dev/null
+++ b/crates/resp-gateway/src/endpoint_list.rs
@@ -0,0 +1,169 @@
+//! The list of endpoints as discovery and the configuration state it.
+
+use chalkdeck::api::{CellId, EndpointEntry, EndpointState, Micros, UpdateScope};
+use chalkdeck_simulator_adapter::settings::{server_id, zone_id};
+use serde::Deserialize;
+use serde_json::Value;
+use std::collections::HashMap;
+use std::net::SocketAddr;
+
+/// The most endpoints of one list.
+pub const MAX_ENDPOINTS: usize = 10_000;
+/// The weight of an endpoint that states none.
+const DEFAULT_WEIGHT: f64 = 1.0;
+
+/// One endpoint: where this gateway reaches it, and what the decision module is told of it.
+#[derive(Clone, Debug)]
+pub struct ListedEndpoint {
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// Its line of the list.
+    pub entry: EndpointEntry,
+}
+
+/// One answer of discovery.
+#[derive(Clone, Debug)]
+pub struct EndpointList {
+    /// Its version.
+    pub version: u64,
+    /// Whether it is the complete list or only what changed.
+    pub scope: UpdateScope,
+    /// Its endpoints.
+    pub endpoints: Vec<ListedEndpoint>,
+}
+
+/// Why a list is rejected.
+#[derive(Debug, thiserror::Error, miette::Diagnostic)]
+pub enum EndpointListError {
+    /// Not the form of a list.
+    #[error("expected a list of endpoints: {0}")]
+    #[diagnostic(
+        code(chalkdeck::list::shape),
+        help("each endpoint has a name, an address and a status; see what wrote the list")
+    )]
+    Shape(#[from] serde_json::Error),
+    /// More endpoints than [`MAX_ENDPOINTS`].
+    #[error("endpoints: expected at most {MAX_ENDPOINTS}, found {0}")]
+    #[diagnostic(
+        code(chalkdeck::list::too_many),
+        help("give this gateway the backends of its own part of the fleet")
+    )]
+    TooMany(usize),
+    /// A status that is not known.
+    #[error("{name}: status: expected ready, draining or gone, found '{found}'")]
+    #[diagnostic(
+        code(chalkdeck::list::status),
+        help("the whole list is left out until each status is known here: see whether the list is of a later version")
+    )]
+    Status {
+        /// The endpoint.
+        name: String,
+        /// The status that was found.
+        found: String,
+    },
+    /// An address that is not `ip:port`.
+    #[error("{name}: address: expected ip:port, found '{found}'")]
+    #[diagnostic(
+        code(chalkdeck::list::address),
+        help("the list has to give addresses, not names: there is no DNS here")
+    )]
+    Address {
+        /// The endpoint.
+        name: String,
+        /// The address that was found.
+        found: String,
+    },
+}
+
+#[derive(Deserialize)]
+struct WireList {
+    #[serde(rename = "index")]
+    version: u64,
+    #[serde(rename = "snapshot")]
+    is_complete: bool,
+    endpoints: Vec<WireEndpoint>,
+}
+
+#[derive(Deserialize)]
+struct WireEndpoint {
+    name: String,
+    address: String,
+    #[serde(default)]
+    zone: String,
+    #[serde(default, rename = "group")]
+    cell: u64,
+    status: String,
+    weight: Option<f64>,
+    /// When it last started, in milliseconds; 0: long ago.
+    #[serde(default, rename = "since_ms")]
+    started_at_ms: u64,
+}
+
+/// Parses a list. One with a single line that is invalid is rejected as a whole: the last valid list is the better guess.
+/// `zones` numbers the names of zones; new names are added to it.
+///
+/// # Errors
+/// [`EndpointListError`] names the endpoint, what was expected and what was found.
+pub fn parse(
+    value: &Value,
+    zones: &mut HashMap<String, u32>,
+) -> Result<EndpointList, EndpointListError> {
+    let list = WireList::deserialize(value)?;
+    if list.endpoints.len() > MAX_ENDPOINTS {
+        return Err(EndpointListError::TooMany(list.endpoints.len()));
+    }
+    let endpoints = list
+        .endpoints
+        .iter()
+        .map(|endpoint| parse_endpoint(endpoint, zones))
+        .collect::<Result<_, _>>()?;
+    let scope = if list.is_complete {
+        UpdateScope::Complete
+    } else {
+        UpdateScope::Incremental
+    };
+    Ok(EndpointList {
+        version: list.version,
+        scope,
+        endpoints,
+    })
+}
+
+fn parse_endpoint(
+    endpoint: &WireEndpoint,
+    zones: &mut HashMap<String, u32>,
+) -> Result<ListedEndpoint, EndpointListError> {
+    let state = parse_status(endpoint)?;
+    let Ok(address) = endpoint.address.parse() else {
+        return Err(EndpointListError::Address {
+            name: endpoint.name.clone(),
+            found: endpoint.address.clone(),
+        });
+    };
+    let started_at_ms = Some(endpoint.started_at_ms).filter(|millis| *millis > 0);
+    let entry = EndpointEntry {
+        endpoint: server_id(&endpoint.name),
+        // The names of zones in the settings were changed in the same way, see `config::setting_paths`.
+        zone: zone_id(zones, &endpoint.zone.replace([' ', ','], "_")),
+        cell: CellId(endpoint.cell),
+        state,
+        weight: endpoint
+            .weight
+            .filter(|weight| weight.is_finite())
+            .unwrap_or(DEFAULT_WEIGHT),
+        started_at: started_at_ms.map(|millis| Micros(millis.saturating_mul(1_000))),
+    };
+    Ok(ListedEndpoint { address, entry })
+}
+
+fn parse_status(endpoint: &WireEndpoint) -> Result<EndpointState, EndpointListError> {
+    match endpoint.status.as_str() {
+        "ready" => Ok(EndpointState::InService),
+        "draining" => Ok(EndpointState::Draining),
+        "gone" => Ok(EndpointState::Removed),
+        other => Err(EndpointListError::Status {
+            name: endpoint.name.clone(),
+            found: other.to_string(),
+        }),
+    }
+}
--- a/crates/resp-gateway/src/lib.rs
+++ b/crates/resp-gateway/src/lib.rs
@@ -8,7 +8,7 @@
 pub mod config;
 mod counter;
 pub mod discovery;
-pub mod list;
+pub mod endpoint_list;
 mod outcome;
 pub mod request;
 mod sessions;
--- a/crates/resp-gateway/src/shell.rs
+++ b/crates/resp-gateway/src/shell.rs
@@ -6,8 +6,8 @@
 use crate::clock;
 use crate::config::{Config, ConfigError};
 use crate::counter::{Counter, Told};
-use crate::discovery::{Discovery, Timing, Update};
-use crate::list::List;
+use crate::discovery::{CallId, Discovery, DiscoveryAction, Timing};
+use crate::endpoint_list::EndpointList;
 use crate::request::{self, Command, RequestError};
 use crate::sessions::{ReceivedCommand, Sessions};
 use bytes::Bytes;
@@ -86,7 +86,7 @@
     GiveUp(AttemptId),
     Dial(ConnId),
     Count,
-    DiscoveryCall(u64),
+    DiscoveryCall(CallId),
     Sweep,
     Shutdown,
 }
@@ -165,18 +165,18 @@
             calls: FxHashMap::default(),
             ids: FxHashMap::default(),
             next_id: 0,
-            backends: Backends::new(sockets - clients, memory, config.idle),
+            backends: Backends::new(sockets - clients, memory, config.endpoint_idle_timeout),
             counter,
             counts_watched: false,
-            discovery: Discovery::new(config.discovery, Timing::new(config.grace)),
+            discovery: Discovery::new(config.discovery, Timing::new(config.drain_grace)),
             events: Vec::new(),
             stop: None,
             config,
         };
-        if let Some(known) = shell.config.known.take() {
+        if let Some(known) = shell.config.initial_endpoints.take() {
             shell.listed(known);
         }
-        let update = shell.discovery.dial(&mut shell.engine);
+        let update = shell.discovery.connect(&mut shell.engine);
         shell.on_discovery(update);
         shell.due_in(SWEEP_INTERVAL, TimerPurpose::Sweep);
         shell.settle();
@@ -299,8 +299,10 @@
         } = self;
         if backends.owns(conn) {
             backends.connected(engine, conn);
-        } else if let Some(updates) = discovery.connected(engine, conn) {
-            updates.into_iter().for_each(|n| self.on_discovery(n));
+        } else if discovery.owns(conn) {
+            if let Some(action) = discovery.on_connected(engine, conn) {
+                self.on_discovery(action);
+            }
         } else {
             counter
                 .as_mut()
@@ -331,11 +333,10 @@
         if let Some(told) = counter.as_mut().and_then(|c| c.bytes(engine, conn, data)) {
             return self.counted(told);
         }
-        let updates = discovery.bytes(engine, conn, data, &mut config.read.zones);
-        updates
-            .into_iter()
-            .flatten()
-            .for_each(|n| self.on_discovery(n));
+        let actions = discovery.on_bytes(engine, conn, data, &mut config.named_settings.zones);
+        for action in actions {
+            self.on_discovery(action);
+        }
     }
 
     fn on_closed(&mut self, conn: ConnId, unsent: usize, reason: &CloseReason) {
@@ -356,11 +357,10 @@
                 config,
                 ..
             } = self;
-            let updates = discovery.closed(engine, conn, reason, &mut config.read.zones);
-            updates
-                .into_iter()
-                .flatten()
-                .for_each(|n| self.on_discovery(n));
+            let zones = &mut config.named_settings.zones;
+            for action in discovery.on_closed(engine, conn, reason, zones) {
+                self.on_discovery(action);
+            }
         }
     }
 
@@ -388,8 +388,9 @@
             }
             Some(TimerPurpose::Count) => self.count_times_out(),
             Some(TimerPurpose::DiscoveryCall(call)) => {
-                let updates = self.discovery.call_timed_out(&mut self.engine, call);
-                updates.into_iter().for_each(|n| self.on_discovery(n));
+                if let Some(action) = self.discovery.on_call_timeout(&mut self.engine, call) {
+                    self.on_discovery(action);
+                }
             }
             Some(TimerPurpose::Shutdown) => self.continue_shutdown(),
             Some(TimerPurpose::Sweep) => {
@@ -446,7 +447,7 @@
                     return;
                 };
                 let (told, dialled) = counter.add(engine, name, amount, life.0);
-                let dial_timeout = self.config.dial_timeout;
+                let dial_timeout = self.config.dial_timeout.as_micros();
                 dialled
                     .into_iter()
                     .for_each(|conn| self.due_in(dial_timeout, TimerPurpose::Dial(conn)));
@@ -482,7 +483,7 @@
             Sent::Under(dialled) => {
                 let wait = until.saturating_sub(self.engine.now());
                 self.due_in(wait, TimerPurpose::GiveUp(attempt));
-                let dial_timeout = self.config.dial_timeout;
+                let dial_timeout = self.config.dial_timeout.as_micros();
                 dialled
                     .into_iter()
                     .for_each(|conn| self.due_in(dial_timeout, TimerPurpose::Dial(conn)));
@@ -575,11 +576,11 @@
         }
         let id = RequestId(self.next_id + 1);
         let bytes = words.iter().map(Bytes::len).sum();
-        let (command, mut arrival) = match request::read(words, id, received_at, &self.config.read)
-        {
-            Ok(read) => read,
-            Err(why) => return Some(client_replies::error(&why.to_string())),
-        };
+        let (command, mut arrival) =
+            match request::read(words, id, received_at, &self.config.named_settings) {
+                Ok(read) => read,
+                Err(why) => return Some(client_replies::error(&why.to_string())),
+            };
         arrival.deadline.0 = arrival.deadline.0.min(self.ends_by());
         if self.ids.contains_key(command.id()) {
             return Some(client_replies::error(&RequestError::IdTaken.to_string()));
@@ -645,21 +646,19 @@
 
     // ---- the list, the configuration ----
 
-    fn on_discovery(&mut self, update: Update) {
-        match update {
-            Update::List(list) => self.listed(list),
-            Update::CheckCall(after, call) => self.due_in(after, TimerPurpose::DiscoveryCall(call)),
+    fn on_discovery(&mut self, action: DiscoveryAction) {
+        match action {
+            DiscoveryAction::UpdateEndpoints(list) => self.listed(list),
+            DiscoveryAction::CheckCall { after, call } => {
+                self.due_in(after.as_micros(), TimerPurpose::DiscoveryCall(call));
+            }
         }
     }
 
-    fn listed(&mut self, list: List) {
+    fn listed(&mut self, list: EndpointList) {
         self.backends.update(&mut self.engine, &list);
-        let scope = if list.snapshot {
-            UpdateScope::Complete
-        } else {
-            UpdateScope::Incremental
-        };
-        let entries: Vec<_> = list.servers.into_iter().map(|s| s.entry).collect();
+        let scope = list.scope;
+        let entries: Vec<_> = list.endpoints.into_iter().map(|e| e.entry).collect();
         if scope == UpdateScope::Complete || !entries.is_empty() {
             self.decisions
                 .push(Event::EndpointsUpdated { scope, entries });
@@ -671,13 +670,14 @@
     pub fn reload(&mut self) {
         let new = match Config::load(&self.config.file) {
             Ok(new) => new,
-            Err(ConfigError { place, what }) => {
-                return tracing::error!("{place}: {what}: the earlier configuration stays");
+            Err(ConfigError { location, kind }) => {
+                return tracing::error!(%location, error = %kind, "configuration is invalid; keeping the earlier one");
             }
         };
         tracing::info!(discovery = %new.discovery, "configuration read again");
-        let updates = self.discovery.set_address(&mut self.engine, new.discovery);
-        updates.into_iter().for_each(|n| self.on_discovery(n));
+        if let Some(action) = self.discovery.set_address(&mut self.engine, new.discovery) {
+            self.on_discovery(action);
+        }
         if let (
             Some(address),
             Shell {
