--- a/crates/grpc-gateway/src/sites.rs
+++ b/crates/grpc-gateway/src/sites.rs
@@ -142,7 +142,7 @@
         SitesStatus {
             own: set.zone_name.clone(),
             level: plan.admission,
-            floor: plan.threshold.admit_some_from,
+            floor: plan.threshold.reject_below,
             sites: plan.sites.iter().map(one).collect(),
         }
     }
@@ -170,9 +170,9 @@
             .iter()
             .zip(&b.sites)
             .all(|(a, b)| a.site == b.site && a.state == b.state && near(a.share, b.share))
-        && a.threshold.admit_all_from == b.threshold.admit_all_from
-        && a.threshold.admit_some_from == b.threshold.admit_some_from
-        && near(a.threshold.admitted_part, b.threshold.admitted_part)
+        && a.threshold.admit_above == b.threshold.admit_above
+        && a.threshold.reject_below == b.threshold.reject_below
+        && near(a.threshold.admit_fraction, b.threshold.admit_fraction)
 }
 
 impl Shell {
@@ -323,9 +323,9 @@
             accepts_overflow: v.state == SiteState::Serving,
         };
         let floor = api::SheddingThreshold {
-            admit_above: plan.threshold.admit_all_from,
-            reject_below: plan.threshold.admit_some_from,
-            admit_fraction: plan.threshold.admitted_part,
+            admit_above: plan.threshold.admit_above,
+            reject_below: plan.threshold.reject_below,
+            admit_fraction: plan.threshold.admit_fraction,
         };
         let shares = plan.sites.iter().map(part).collect();
         sites
--- a/crates/site-failover/src/shedding.rs
+++ b/crates/site-failover/src/shedding.rs
@@ -19,27 +19,27 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SheddingThreshold {
     /// Requests with this value per unit or more are admitted.
-    pub admit_all_from: f64,
+    pub admit_above: f64,
     /// Requests with less than this value per unit are shed.
-    pub admit_some_from: f64,
+    pub reject_below: f64,
     /// The part of the requests between the two that is admitted.
-    pub admitted_part: f64,
+    pub admit_fraction: f64,
 }
 
 impl SheddingThreshold {
     /// The threshold that admits every request.
     pub const ADMIT_ALL: SheddingThreshold = SheddingThreshold {
-        admit_all_from: 0.0,
-        admit_some_from: 0.0,
-        admitted_part: 1.0,
+        admit_above: 0.0,
+        reject_below: 0.0,
+        admit_fraction: 1.0,
     };
 
     /// The part of the requests with that value per unit that is admitted, 0 to 1.
     pub fn admitted(&self, value_per_unit: f64) -> f64 {
-        if value_per_unit >= self.admit_all_from {
+        if value_per_unit >= self.admit_above {
             1.0
-        } else if value_per_unit >= self.admit_some_from {
-            self.admitted_part
+        } else if value_per_unit >= self.reject_below {
+            self.admit_fraction
         } else {
             0.0
         }
@@ -81,9 +81,9 @@
         for (&bucket, &units) in self.units_by_bucket.iter().rev() {
             if units >= remaining {
                 return SheddingThreshold {
-                    admit_all_from: lower_bound(bucket + 1),
-                    admit_some_from: lower_bound(bucket),
-                    admitted_part: remaining / units,
+                    admit_above: lower_bound(bucket + 1),
+                    reject_below: lower_bound(bucket),
+                    admit_fraction: remaining / units,
                 };
             }
             remaining -= units;
--- a/crates/site-failover/tests/recording/mod.rs
+++ b/crates/site-failover/tests/recording/mod.rs
@@ -330,10 +330,10 @@
 
     fn digest_plan(&mut self, plan: &FailoverPlan) {
         self.digest.add_f64(plan.admission);
-        self.digest.add_f64(plan.threshold.admit_all_from);
-        self.digest.add_f64(plan.threshold.admit_some_from);
-        self.digest.add_f64(plan.threshold.admitted_part);
-        if plan.threshold.admit_all_from > 0.0 {
+        self.digest.add_f64(plan.threshold.admit_above);
+        self.digest.add_f64(plan.threshold.reject_below);
+        self.digest.add_f64(plan.threshold.admit_fraction);
+        if plan.threshold.admit_above > 0.0 {
             self.count("shedding");
         }
         if plan.sites.iter().any(|view| view.capacity.is_some()) {
