--- a/crates/grpc-gateway/src/sites.rs
+++ b/crates/grpc-gateway/src/sites.rs
@@ -77,7 +77,7 @@
             gateway_index: set.policy.gateway_index,
             gateways: set.policy.gateways,
             cold_capacity: set.policy.slow_start_min_capacity,
-            warm_up: TimeDelta::from_micros(set.policy.slow_start_duration.0),
+            warm_up: set.policy.slow_start_duration,
             overload_factor: set.policy.overload_multiple,
         });
         let words = Words::read(set.site_words.as_deref())?;
@@ -100,7 +100,7 @@
             site: site_of(s.entry.zone),
             in_service: s.entry.state == EndpointState::InService,
             weight: s.entry.weight,
-            started: s.entry.started_at.map(|at| Timestamp::from_micros(at.0)),
+            started: s.entry.started_at,
         };
         let lines: Vec<_> = servers.iter().map(line).collect();
         self.on(now, Event::EndpointsListed(&lines));
@@ -228,12 +228,12 @@
         else {
             return;
         };
-        let aim = set.policy.classes[class].latency_objective.0;
+        let objective = set.policy.classes[class].latency_objective;
         let ended = EndedAttempt {
             endpoint: failover::EndpointId(server.0),
             evidence: evidence_of(outcome),
             latency: TimeDelta::from_micros(took),
-            objective: TimeDelta::from_micros(aim),
+            objective,
             units,
         };
         sites.on(self.engine.now(), Event::AttemptEnded(ended));
@@ -249,7 +249,7 @@
         else {
             return;
         };
-        let aim = set.policy.classes[class].latency_objective.0;
+        let objective = set.policy.classes[class].latency_objective;
         let answer = match end {
             End::Gone => return,
             End::Served => FinalAnswer::Served,
@@ -258,7 +258,7 @@
         let completed = CompletedRequest {
             answer,
             latency: TimeDelta::from_micros(waited),
-            objective: TimeDelta::from_micros(aim),
+            objective,
         };
         sites.on(self.engine.now(), Event::RequestCompleted(completed));
     }
