--- a/crates/resp-gateway/src/shell.rs
+++ b/crates/resp-gateway/src/shell.rs
@@ -2,16 +2,18 @@
 //! carried out. Nothing is sent, refused, failed, repeated or called off here that was not decided there.
 
 use crate::backends::{AttemptId, Backends, Ended, Sent};
+use crate::client_replies;
+use crate::clock;
 use crate::config::{Config, ConfigError};
 use crate::counter::{Counter, Told};
 use crate::discovery::{Discovery, Timing, Update};
-use crate::front::{error, Front, ReceivedCommand};
 use crate::list::List;
 use crate::request::{self, Command, RequestError};
+use crate::sessions::{ReceivedCommand, Sessions};
 use bytes::Bytes;
 use chalkdeck::api::{
-    Action, AttemptResult, EndpointId, Event, LoadReport, Micros, Outcome, RequestId,
-    SettingsError, TimerId, UpdateScope,
+    Action, AttemptResult, EndpointId, Event, LoadReport, Outcome, RequestId, SettingsError,
+    TimeDelta, TimerId, Timestamp, UpdateScope,
 };
 use chalkdeck::decisions::Decisions;
 use chalkdeck::rules::Gateway;
@@ -107,7 +109,7 @@
     is_listening: bool,
     listen: SocketAddr,
     dues: Dues<TimerPurpose>,
-    front: Front,
+    sessions: Sessions,
     calls: FxHashMap<RequestId, Call>,
     /// Open requests by the ids that clients gave them.
     ids: FxHashMap<Bytes, RequestId>,
@@ -150,7 +152,7 @@
         let memory = config.limits.memory_mb * 1e6;
         let counter = config
             .counter
-            .map(|a| Counter::new(a, config.settings().counter_timeout.0));
+            .map(|a| Counter::new(a, config.settings().counter_timeout.as_micros()));
         let mut shell = Shell {
             engine,
             decisions: Decisions::new(gateway),
@@ -158,7 +160,7 @@
             is_listening: true,
             listen,
             dues: Dues::default(),
-            front: Front::new(clients, (memory * HELD_BYTES_SHARE) as usize),
+            sessions: Sessions::new(clients, (memory * HELD_BYTES_SHARE) as usize),
             calls: FxHashMap::default(),
             ids: FxHashMap::default(),
             next_id: 0,
@@ -217,7 +219,7 @@
     /// Whether a stop is over: all clients are let go, or all that was taken before it must have had its answer.
     pub fn stopped(&self) -> bool {
         let Some(since) = self.stop else { return false };
-        let alone = self.front.is_shutting_down()
+        let alone = self.sessions.is_shutting_down()
             && !self.is_listening
             && self.engine.held_by(self.listener) == 0;
         alone || self.engine.now() >= since + KILL_DELAY + self.longest_deadline()
@@ -228,7 +230,7 @@
             .settings()
             .classes
             .iter()
-            .map(|c| c.deadline.0)
+            .map(|c| c.deadline.as_micros())
             .max()
             .unwrap_or(0)
     }
@@ -242,14 +244,14 @@
     /// No new connections come any more: those that stand are let go.
     fn continue_shutdown(&mut self) {
         self.is_listening &= !self.engine.unlisten_if_empty(self.listener);
-        self.front.shut_down(self.engine.now());
+        self.sessions.shut_down(clock::now(&self.engine));
         self.due_in(SHUTDOWN_INTERVAL, TimerPurpose::Shutdown);
     }
 
     /// Waits for what happens, at most so many microseconds, and deals with it.
     pub fn turn(&mut self, most_wait: u64) -> io::Result<()> {
         let mut events = std::mem::take(&mut self.events);
-        let most_wait = if self.front.has_resumed() {
+        let most_wait = if self.sessions.has_resumed() {
             0
         } else {
             most_wait
@@ -261,17 +263,17 @@
         }
         self.events = events;
         // Once a turn, so that a long pipeline does not keep the others waiting.
-        for conn in self.front.take_resumed() {
+        for conn in self.sessions.take_resumed() {
             self.commands(conn);
             self.settle();
         }
-        self.front.close_idle(&mut self.engine);
+        self.sessions.close_idle(&mut self.engine);
         Ok(())
     }
 
     fn on_event(&mut self, event: NetEvent) {
         match event {
-            NetEvent::Accepted { conn, .. } => self.front.accepted(&mut self.engine, conn),
+            NetEvent::Accepted { conn, .. } => self.sessions.on_accepted(&mut self.engine, conn),
             NetEvent::Connected { conn } => self.on_connected(conn),
             NetEvent::Bytes { conn, data } => self.on_bytes(conn, &data),
             NetEvent::Closed {
@@ -313,12 +315,12 @@
             backends,
             counter,
             discovery,
-            front,
+            sessions,
             config,
             ..
         } = self;
-        if front.owns(conn) {
-            front.bytes(engine, conn, data);
+        if sessions.owns(conn) {
+            sessions.on_bytes(engine, conn, data);
             return self.commands(conn);
         }
         if backends.owns(conn) {
@@ -336,8 +338,8 @@
     }
 
     fn on_closed(&mut self, conn: ConnId, unsent: usize, reason: &CloseReason) {
-        if self.front.owns(conn) {
-            for id in self.front.closed(conn) {
+        if self.sessions.owns(conn) {
+            for id in self.sessions.on_closed(conn) {
                 self.forget(id);
                 self.decisions.push(Event::ClientDisconnected(id));
             }
@@ -392,7 +394,7 @@
             Some(TimerPurpose::Sweep) => {
                 self.due_in(SWEEP_INTERVAL, TimerPurpose::Sweep);
                 self.backends.sweep(&mut self.engine);
-                self.front.sweep(&mut self.engine);
+                self.sessions.sweep(&mut self.engine);
             }
             None => {}
         }
@@ -401,7 +403,10 @@
     // ---- between the decisions and the sockets ----
 
     fn settle(&mut self) {
-        while let Some(action) = self.decisions.next_action(Micros(self.engine.now())) {
+        while let Some(action) = self
+            .decisions
+            .next_action(Timestamp::from_micros(self.engine.now()))
+        {
             self.act(action);
         }
     }
@@ -412,19 +417,15 @@
                 request: id,
                 endpoint: server,
                 deadline: until,
-            } => self.send(id, server, until.0),
+            } => self.send(id, server, until.as_micros()),
             Action::Reject {
                 request: id,
                 retry_after: back,
             } => {
-                let line = match back {
-                    Some(after) => format!("BUSY {}", after.0.div_ceil(1_000)),
-                    None => "BUSY".to_string(),
-                };
-                self.answer(id, Frame::Error(line.into()));
+                self.answer(id, client_replies::busy(back));
             }
             Action::Fail(id) => {
-                self.answer(id, error("failed"));
+                self.answer(id, client_replies::error("failed"));
             }
             Action::CancelAttempt {
                 request,
@@ -445,7 +446,7 @@
                 else {
                     return;
                 };
-                let (told, dialled) = counter.add(engine, name, amount, life.0);
+                let (told, dialled) = counter.add(engine, name, amount, life.as_micros());
                 let dial_timeout = self.config.dial_timeout;
                 dialled
                     .into_iter()
@@ -453,7 +454,9 @@
                 self.watch_counts();
                 self.counted(told);
             }
-            Action::SetTimer { timer, after } => self.due_in(after.0, TimerPurpose::Policy(timer)),
+            Action::SetTimer { timer, after } => {
+                self.due_in(after.as_micros(), TimerPurpose::Policy(timer))
+            }
             Action::Probe(server) => {
                 self.decisions.push(Event::ProbeCompleted {
                     endpoint: server,
@@ -513,7 +516,7 @@
             attempt: attempt.number,
             endpoint: server,
             outcome,
-            elapsed: Micros(took),
+            elapsed: TimeDelta::from_micros(took),
             request_finished: served,
             settled_units: None,
             load_report: report,
@@ -523,7 +526,7 @@
     fn forget(&mut self, id: RequestId) -> Option<Call> {
         let call = self.calls.remove(&id)?;
         self.ids.remove(call.command.id());
-        self.front.ended(call.conn, id, call.bytes);
+        self.sessions.on_request_ended(call.conn, id, call.bytes);
         Some(call)
     }
 
@@ -532,8 +535,8 @@
         let Some(call) = self.forget(id) else {
             return false;
         };
-        self.front.answer(call.conn, call.slot, answer);
-        self.front.flush(&mut self.engine, call.conn);
+        self.sessions.reply(call.conn, call.slot, answer);
+        self.sessions.flush(&mut self.engine, call.conn);
         true
     }
 
@@ -545,13 +548,13 @@
             slot,
             words,
             received_at,
-        }) = self.front.next(&mut self.engine, conn)
+        }) = self.sessions.next_command(&mut self.engine, conn)
         {
-            if let Some(answer) = self.command(conn, slot, words, received_at) {
-                self.front.answer(conn, slot, answer);
+            if let Some(answer) = self.command(conn, slot, words, received_at.as_micros()) {
+                self.sessions.reply(conn, slot, answer);
             }
         }
-        self.front.flush(&mut self.engine, conn);
+        self.sessions.flush(&mut self.engine, conn);
     }
 
     /// A command: its answer, or none when it is a request, whose answer comes later.
@@ -565,11 +568,11 @@
     ) -> Option<Frame> {
         let name = words[0].to_ascii_uppercase();
         match &name[..] {
-            b"PING" => return Some(Frame::SimpleString(Bytes::from_static(b"PONG"))),
-            b"CLIENT" | b"SELECT" => return Some(Frame::SimpleString(Bytes::from_static(b"OK"))),
+            b"PING" => return Some(client_replies::pong()),
+            b"CLIENT" | b"SELECT" => return Some(client_replies::ok()),
             b"QUIT" => {
-                self.front.quit(conn);
-                return Some(Frame::SimpleString(Bytes::from_static(b"OK")));
+                self.sessions.close_reading(conn);
+                return Some(client_replies::ok());
             }
             _ => {}
         }
@@ -578,15 +581,15 @@
         let (command, mut arrival) = match request::read(words, id, received_at, &self.config.read)
         {
             Ok(read) => read,
-            Err(why) => return Some(error(&why.to_string())),
+            Err(why) => return Some(client_replies::error(&why.to_string())),
         };
-        arrival.deadline.0 = arrival.deadline.0.min(self.ends_by());
+        arrival.deadline = arrival.deadline.min(Timestamp::from_micros(self.ends_by()));
         if self.ids.contains_key(command.id()) {
-            return Some(error(&RequestError::IdTaken.to_string()));
+            return Some(client_replies::error(&RequestError::IdTaken.to_string()));
         }
         self.next_id += 1;
         self.ids.insert(command.id().clone(), id);
-        self.front.opened(conn, id, bytes);
+        self.sessions.on_request_opened(conn, id, bytes);
         self.calls.insert(
             id,
             Call {
