--- /dev/null
+++ b/crates/admission-queue/tests/recording/mod.rs
@@ -0,0 +1,327 @@
+//! A queue in a closed loop with simulated clients and servers; its verdicts are digested.
+
+use chalkdeck_admission_queue::{Door, Offer, Settings, Verdict};
+use std::collections::BTreeMap;
+use std::fmt::{self, Display};
+
+/// Calls of the queue that one seed plays.
+pub const CALLS_PER_SEED: u64 = 20_000;
+const MILLISECOND: u64 = 1_000;
+const SECOND: u64 = 1_000_000;
+/// The customer that floods.
+const FLOODING_CUSTOMER: u64 = 7;
+/// The customer whose requests are all slow.
+const SLOW_CUSTOMER: u64 = 8;
+
+const KINDS: [&str; 10] = [
+    "calls",
+    "admitted",
+    "rejected_at_once",
+    "rejected_later",
+    "cancelled",
+    "completed",
+    "wakes",
+    "full",
+    "crowded",
+    "reseed_periods",
+];
+
+/// What one seed came to, as one line of the recorded file.
+pub struct Summary {
+    seed: u64,
+    counts: BTreeMap<&'static str, u64>,
+    digest: u64,
+}
+
+impl Display for Summary {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "seed={}", self.seed)?;
+        for kind in KINDS {
+            write!(f, " {kind}={}", self.counts.get(kind).copied().unwrap_or(0))?;
+        }
+        write!(f, " digest={:016x}", self.digest)
+    }
+}
+
+/// Plays a seed and returns what it came to.
+pub fn play(seed: u64) -> Summary {
+    let mut simulation = Simulation::new(seed);
+    while simulation.count("calls") < CALLS_PER_SEED {
+        simulation.step();
+    }
+    let elapsed = simulation.now - SECOND;
+    let reseed_periods = elapsed / simulation.settings.reseed;
+    simulation.counts.insert("reseed_periods", reseed_periods);
+    Summary {
+        seed,
+        counts: simulation.counts,
+        digest: simulation.digest.0,
+    }
+}
+
+/// FNV-1a over the texts of all verdicts.
+struct Digest(u64);
+
+impl Digest {
+    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const PRIME: u64 = 0x0000_0100_0000_01b3;
+
+    fn add(&mut self, text: &str) {
+        for byte in text.bytes() {
+            self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(Digest::PRIME);
+        }
+    }
+}
+
+/// Who sends requests; changes now and then.
+#[derive(Clone, Copy)]
+enum Traffic {
+    /// A few customers, each now and then.
+    Calm,
+    /// One customer sends far more than all others.
+    Flood,
+    /// Each request is of another customer.
+    ManyCustomers,
+    /// Some customers with much traffic and weights of their own.
+    HeavyCustomers,
+    /// One customer whose requests occupy servers for long.
+    SlowCustomer,
+}
+
+/// A request that a server works on.
+struct InService {
+    id: u64,
+    ends_at: u64,
+}
+
+struct Simulation {
+    rng: fastrand::Rng,
+    settings: Settings,
+    queue: Door,
+    traffic: Traffic,
+    now: u64,
+    next_id: u64,
+    customers: BTreeMap<u64, u64>,
+    waiting: Vec<u64>,
+    in_service: Vec<InService>,
+    counts: BTreeMap<&'static str, u64>,
+    digest: Digest,
+}
+
+fn draw_settings(rng: &mut fastrand::Rng) -> Settings {
+    Settings {
+        inside: rng.usize(20..400),
+        each_turn: rng.usize(4..64),
+        waiting: rng.usize(30..600),
+        queue: rng.usize(5..100),
+        longest: rng.u64(10 * MILLISECOND..300 * MILLISECOND),
+        part: 0.02 + 0.4 * rng.f64(),
+        own: rng.usize(2..32),
+        hashed: rng.usize(1..32),
+        quantum: 0.5 + 8.0 * rng.f64(),
+        reseed: rng.u64(20 * MILLISECOND..SECOND / 2),
+        spread: rng.f64(),
+        seed: rng.u64(..),
+    }
+}
+
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let settings = draw_settings(&mut rng);
+        Simulation {
+            rng,
+            queue: Door::new(settings.clone()),
+            settings,
+            traffic: Traffic::Calm,
+            now: SECOND,
+            next_id: 1,
+            customers: BTreeMap::new(),
+            waiting: Vec::new(),
+            in_service: Vec::new(),
+            counts: BTreeMap::new(),
+            digest: Digest(Digest::OFFSET_BASIS),
+        }
+    }
+
+    fn count(&self, kind: &'static str) -> u64 {
+        self.counts.get(kind).copied().unwrap_or(0)
+    }
+
+    fn add(&mut self, kind: &'static str) {
+        *self.counts.entry(kind).or_default() += 1;
+    }
+
+    fn step(&mut self) {
+        self.now += self.rng.u64(200..4 * MILLISECOND);
+        if self.rng.u8(..40) == 0 {
+            self.change_traffic();
+        }
+        self.complete_requests();
+        for _ in 0..self.arrivals() {
+            self.offer();
+        }
+        if self.rng.u8(..4) == 0 {
+            self.cancel();
+        }
+        if self.rng.u8(..8) != 0 {
+            self.turn();
+        }
+        self.wake();
+    }
+
+    fn change_traffic(&mut self) {
+        self.traffic = match self.rng.u8(..5) {
+            0 => Traffic::Calm,
+            1 => Traffic::Flood,
+            2 => Traffic::ManyCustomers,
+            3 => Traffic::HeavyCustomers,
+            _ => Traffic::SlowCustomer,
+        };
+    }
+
+    fn arrivals(&mut self) -> usize {
+        match self.traffic {
+            Traffic::Calm => self.rng.usize(0..4),
+            Traffic::Flood => self.rng.usize(5..60),
+            Traffic::ManyCustomers => self.rng.usize(5..50),
+            Traffic::HeavyCustomers => self.rng.usize(5..40),
+            Traffic::SlowCustomer => self.rng.usize(2..30),
+        }
+    }
+
+    fn draw_customer(&mut self) -> u64 {
+        match self.traffic {
+            Traffic::Calm => self.rng.u64(100..140),
+            Traffic::Flood if self.rng.u8(..5) > 0 => FLOODING_CUSTOMER,
+            Traffic::ManyCustomers => self.rng.u64(..),
+            Traffic::SlowCustomer if self.rng.u8(..3) > 0 => SLOW_CUSTOMER,
+            // Low numbers are more frequent.
+            _ => 10 + (40.0 * self.rng.f64().powi(3)) as u64,
+        }
+    }
+
+    fn draw_offer(&mut self) -> Offer {
+        let customer = self.draw_customer();
+        let id = self.next_id;
+        self.next_id += 1;
+        self.customers.insert(id, customer);
+        let weight = [0.1, 0.5, 1.0, 1.0, 3.0, 10.0][(customer % 6) as usize];
+        let units = match self.rng.u8(..4) {
+            0 => 0.25 + 20.0 * self.rng.f64(),
+            1 => f64::from(self.rng.u8(1..8)),
+            _ => 1.0,
+        };
+        let time_left = self.rng.u64(5 * MILLISECOND..3 * SECOND);
+        let refill = match self.rng.u8(..5) {
+            0 => self.rng.u64(..2 * SECOND),
+            _ => 0,
+        };
+        Offer {
+            id,
+            studio: customer,
+            weight,
+            units,
+            deadline: self.now + time_left,
+            refill,
+        }
+    }
+
+    fn offer(&mut self) {
+        let offer = self.draw_offer();
+        let waiting_before = self.queue.waiting();
+        let verdict = self.queue.offer(self.now, offer);
+        self.add("calls");
+        self.waiting.push(offer.id);
+        if let Some(verdict) = verdict {
+            self.take(verdict, "rejected_at_once");
+        }
+        if waiting_before == self.settings.waiting {
+            self.add("full");
+        }
+        self.digest_state("offer");
+    }
+
+    fn turn(&mut self) {
+        let mut verdicts = Vec::new();
+        self.queue.turn(self.now, &mut verdicts);
+        self.add("calls");
+        for verdict in verdicts {
+            self.take(verdict, "rejected_later");
+        }
+        if self.queue.inside() * 2 > self.settings.inside {
+            self.add("crowded");
+        }
+        self.digest_state("turn");
+    }
+
+    fn take(&mut self, verdict: Verdict, rejected: &'static str) {
+        match verdict {
+            Verdict::Pass(id) => {
+                self.add("admitted");
+                self.digest.add(&format!("admit {id};"));
+                self.waiting.retain(|other| *other != id);
+                let ends_at = self.now + self.draw_service_time(id);
+                self.in_service.push(InService { id, ends_at });
+            }
+            Verdict::Refuse { id, back } => {
+                self.add(rejected);
+                self.digest.add(&format!("reject {id} {back};"));
+                self.waiting.retain(|other| *other != id);
+            }
+        }
+    }
+
+    fn draw_service_time(&mut self, id: u64) -> u64 {
+        if self.customers[&id] == SLOW_CUSTOMER {
+            return self.rng.u64(SECOND / 2..3 * SECOND);
+        }
+        self.rng.u64(MILLISECOND..60 * MILLISECOND)
+    }
+
+    fn complete_requests(&mut self) {
+        let now = self.now;
+        let (completed, open): (Vec<InService>, Vec<InService>) = self
+            .in_service
+            .drain(..)
+            .partition(|request| request.ends_at <= now);
+        self.in_service = open;
+        for request in completed {
+            self.queue.ended(request.id);
+            self.add("calls");
+            self.add("completed");
+        }
+    }
+
+    /// A client cancels a request, which may have its verdict already.
+    fn cancel(&mut self) {
+        let id = if self.waiting.is_empty() {
+            self.rng.u64(..self.next_id)
+        } else {
+            self.waiting[self.rng.usize(..self.waiting.len())]
+        };
+        let has_waited = self.queue.gone(id);
+        self.add("calls");
+        if has_waited {
+            self.add("cancelled");
+            self.waiting.retain(|other| *other != id);
+        }
+        self.digest_state(&format!("cancel {id} {has_waited}"));
+    }
+
+    fn wake(&mut self) {
+        let wake = self.queue.next_wake(self.now);
+        self.add("calls");
+        if let Some(at) = wake {
+            self.add("wakes");
+            self.digest.add(&format!("wake {at};"));
+        }
+    }
+
+    fn digest_state(&mut self, call: &str) {
+        let waiting = self.queue.waiting();
+        let inside = self.queue.inside();
+        self.digest
+            .add(&format!("{call} {} {waiting} {inside};", self.now));
+    }
+}
