--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -1,18 +1,30 @@
-//! Customers' access rules by region, free of I/O: a customer's set is checked and compiled once, and each call is decided by it
-//! once, at arrival. Hits are counted for each rule and merge without counting twice.
+//! Customers' access rules by region, free of I/O: a customer's [`RuleSet`] is checked and compiled once, and decides each of its
+//! calls once, when the call arrives. Matches are counted for each rule and can be merged over gateways without counting twice.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
-mod compiled;
-mod held;
-mod hits;
-mod recent;
-mod regions;
-mod set;
+mod call;
+mod call_history;
+mod compiled_rules;
+mod decision_cache;
+mod hit_counter;
+mod hit_totals;
+mod region_table;
+mod route_index;
+mod rule_set;
+mod rule_store;
 
-pub use compiled::{Call, Compiled, Decision};
-pub use held::{Held, Verdict, MOST_ALL, MOST_CUSTOMERS};
-pub use hits::{Hits, Told, Totals};
-pub use recent::{Recent, Seen, WouldHit};
-pub use regions::{RegionError, Regions};
-pub use set::{Action, Rule, RuleSet, SetError, Stale, MOST_RULES, MOST_TEXT, MOST_VALUES};
+pub use call::{Call, CallKind, Decision, RuleIndex};
+pub use call_history::{CallHistory, DryRun};
+pub use compiled_rules::CompiledRules;
+pub use hit_counter::{RuleHitCounter, RuleHits};
+pub use hit_totals::{HitCounts, HitTotals, RuleVersion};
+pub use region_table::{RegionError, RegionTable};
+pub use rule_set::{
+    Action, Rule, RuleSet, RuleSetError, StalePolicy, MAX_RULES, MAX_TEXT_BYTES, MAX_VALUES,
+};
+pub use rule_store::{RuleStore, SessionState, Verdict, MAX_CUSTOMERS, MAX_STORED_RULES};
+
+/// Stands for a rule's id where no rule matched and the set's default decided.
+pub(crate) const DEFAULT_RULE: &str = "default";
+/// Stands for a rule's id where the session had expired and the set denies calls then.
+pub(crate) const STALE_RULE: &str = "stale";
--- /dev/null
+++ b/crates/access/tests/common/mod.rs
@@ -0,0 +1,48 @@
+//! Short ways to write rules, sets and calls.
+#![allow(
+    dead_code,
+    reason = "each test program that includes this module uses a part of it"
+)]
+
+use chalkdeck_access::{Action, Call, Rule, RuleSet, StalePolicy};
+
+pub const CUSTOMER: &str = "harvest-1";
+
+pub fn rule(id: &str, action: Action, caller_regions: &[&str], routes: &[&str]) -> Rule {
+    Rule {
+        id: id.into(),
+        action,
+        caller_regions: owned(caller_regions),
+        gateway_regions: Vec::new(),
+        routes: owned(routes),
+        classes: Vec::new(),
+    }
+}
+
+pub fn rule_set(
+    version: u64,
+    default_action: Action,
+    stale_policy: StalePolicy,
+    rules: Vec<Rule>,
+) -> RuleSet {
+    RuleSet {
+        customer: CUSTOMER.into(),
+        version,
+        default_action,
+        stale_policy,
+        rules,
+    }
+}
+
+pub fn call<'a>(caller_region: &'a str, path: &'a str) -> Call<'a> {
+    Call {
+        caller_region,
+        gateway_region: "north",
+        path,
+        class: "view",
+    }
+}
+
+pub fn owned(texts: &[&str]) -> Vec<String> {
+    texts.iter().map(|text| text.to_string()).collect()
+}
--- a/crates/coordinator/src/member.rs
+++ b/crates/coordinator/src/member.rs
@@ -65,7 +65,7 @@
 #[derive(Debug)]
 pub struct Member {
     session: Session,
-    access: access::Held,
+    access: access::RuleStore,
     counted: Counted,
     keepers: usize,
     place: usize,
@@ -84,9 +84,9 @@
     /// Begins with what an earlier life held, and no connection.
     pub fn new(set: Set, held: Held, now: u64) -> Member {
         let mut rng = Rng::with_seed(set.seed);
-        let mut access = access::Held::default();
+        let mut access = access::RuleStore::default();
         for set in held.rules.values().filter_map(set_of) {
-            access.put(set);
+            access.insert(set);
         }
         let acts = held.words.values().cloned().map(Act::Word).collect();
         Member {
@@ -110,7 +110,7 @@
         &self.session
     }
     /// Its sets of rules.
-    pub fn access(&self) -> &access::Held {
+    pub fn access(&self) -> &access::RuleStore {
         &self.access
     }
     /// The keeper that it speaks to, or dials next.
@@ -145,12 +145,13 @@
     ) -> access::Verdict {
         let stands = self.session.stands(now);
         self.counted.came(customer, call, version);
-        self.access.arrives(customer, call, stands)
+        self.access
+            .decide(customer, call, access::SessionState::new(stands))
     }
     /// Whether what goes on already may go on.
     pub fn still_goes(&self, now: u64, customer: &str, call: &access::Call) -> access::Verdict {
-        self.access
-            .still_goes(customer, call, self.session.stands(now))
+        let session = access::SessionState::new(self.session.stands(now));
+        self.access.recheck(customer, call, session)
     }
 
     // ---- the connection ----
@@ -206,7 +207,7 @@
             self.changed(changes, news);
         }
         if came.reported {
-            self.access.hits().report_came();
+            self.access.hits().confirm_report();
         }
         if came.session_changed {
             self.judging = false;
@@ -242,7 +243,7 @@
                 self.access.remove(customer);
             }
             if let Some(set) = set {
-                self.access.put(set);
+                self.access.insert(set);
             }
         }
         if !changes.rules.is_empty() {
@@ -300,16 +301,21 @@
             return;
         }
         self.report_at = now + self.report_every;
-        if !self.access.hits().has_moved() && self.counted.is_empty() {
+        if !self.access.hits().has_changes() && self.counted.is_empty() {
             return;
         }
-        let line = |t: access::Told| wire::HitLine {
+        let line = |t: access::RuleHits| wire::HitLine {
             customer: t.customer,
             version: t.version,
             rule: t.rule,
             count: t.count,
         };
-        let hits = self.access.report(REPORTED).into_iter().map(line).collect();
+        let hits = self
+            .access
+            .report_hits(REPORTED)
+            .into_iter()
+            .map(line)
+            .collect();
         let (spoke, seen) = self.counted.report();
         self.session.report(wire::Report {
             hits,
--- a/crates/coordinator/src/seen.rs
+++ b/crates/coordinator/src/seen.rs
@@ -37,12 +37,12 @@
 impl Counted {
     /// A call came. `version`: of its service, as its caller tells it.
     pub fn came(&mut self, customer: &str, call: &Call, version: Option<&str>) {
-        let kind = key(&[customer, call.caller, call.path, call.class]);
+        let kind = key(&[customer, call.caller_region, call.path, call.class]);
         if self.seen.len() < MOST || self.seen.contains_key(&kind) {
             let new = || wire::SeenKind {
                 customer: customer.into(),
-                caller_region: call.caller.into(),
-                gateway_region: call.gateway.into(),
+                caller_region: call.caller_region.into(),
+                gateway_region: call.gateway_region.into(),
                 path: call.path.into(),
                 class: call.class.into(),
                 count: 0,
--- a/crates/coordinator/src/seen/tests.rs
+++ b/crates/coordinator/src/seen/tests.rs
@@ -6,8 +6,8 @@
 fn calls_count_by_kind_and_version_up_to_the_bound() {
     let mut counted = Counted::default();
     let call = |path| Call {
-        caller: "eu",
-        gateway: "north",
+        caller_region: "eu",
+        gateway_region: "north",
         path,
         class: "view",
     };
--- a/crates/coordinator/src/state/looks.rs
+++ b/crates/coordinator/src/state/looks.rs
@@ -1,7 +1,7 @@
 //! What the state says when it is asked: news for those who watch, looks for people, tools and the holders of duties.
 
 use super::{rules, wire, Shared, TALLY};
-use chalkdeck_access::{Seen, WouldHit};
+use chalkdeck_access::{CallKind, DryRun, RuleVersion};
 use wire::look_request::What;
 
 /// What a look needs beside the state.
@@ -120,7 +120,7 @@
                     .as_ref()
                     .and_then(|s| self.recents.get(&s.customer));
                 answer.tried =
-                    set.map(|set| tried(&recent.map(|r| r.try_set(&set)).unwrap_or_default()));
+                    set.map(|set| tried(&recent.map(|r| r.dry_run(&set)).unwrap_or_default()));
             }
             What::Spoken => self.speak(&mut answer, &request.service),
             What::Rules => {
@@ -170,7 +170,7 @@
                         &self
                             .recents
                             .get(&set.customer)
-                            .map(|r| r.try_set(&rules))
+                            .map(|r| r.dry_run(&rules))
                             .unwrap_or_default(),
                     )
                 });
@@ -210,10 +210,10 @@
             .iter()
             .filter(|(c, _)| customer.is_empty() || *c == customer);
         let lines = fit.flat_map(|(c, totals)| {
-            let line = |((version, rule), count): ((u64, String), u64)| wire::HitLine {
+            let line = |(key, count): (RuleVersion, u64)| wire::HitLine {
                 customer: c.clone(),
-                version,
-                rule,
+                version: key.version,
+                rule: key.rule,
                 count,
             };
             totals.all().into_iter().map(line).collect::<Vec<_>>()
@@ -226,15 +226,15 @@
         !self.ended.is_empty() && self.duties.get(TALLY).is_some_and(|d| d.holder == 0)
     }
     /// What came of late from a customer, by kind.
-    pub fn seen_of(&self, customer: &str) -> Vec<(Seen, u64)> {
+    pub fn seen_of(&self, customer: &str) -> Vec<(CallKind, u64)> {
         self.recents
             .get(customer)
-            .map(|r| r.kinds())
+            .map(|r| r.calls_by_kind().into_iter().collect())
             .unwrap_or_default()
     }
 }
 
-fn tried(would: &WouldHit) -> wire::Tried {
+fn tried(would: &DryRun) -> wire::Tried {
     let line = |(rule, count): (&String, &u64)| wire::HitLine {
         rule: rule.clone(),
         count: *count,
--- a/crates/coordinator/src/state/mod.rs
+++ b/crates/coordinator/src/state/mod.rs
@@ -18,7 +18,7 @@
 pub use snapshot::Broken;
 
 use callers::Callers;
-use chalkdeck_access::{Recent, Totals};
+use chalkdeck_access::{CallHistory, HitTotals};
 use chalkdeck_contract::Spoken;
 use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -53,10 +53,10 @@
     proposals: BTreeMap<u64, wire::Proposal>,
     verdicts: BTreeMap<u64, wire::Verdict>,
     words: BTreeMap<String, wire::SiteWord>,
-    hits: BTreeMap<String, Totals>,
+    hits: BTreeMap<String, HitTotals>,
     /// Incarnations whose sessions are over and whose hits are not folded yet.
     ended: BTreeSet<u64>,
-    recents: BTreeMap<String, Recent>,
+    recents: BTreeMap<String, CallHistory>,
     span_ms: u64,
     callers: Callers,
     removed: VecDeque<(String, u64)>,
@@ -155,7 +155,9 @@
         self.time_ms = self.time_ms.max(time_ms);
         if self.time_ms >= self.span_ms + SPAN_MS {
             self.span_ms = self.time_ms;
-            self.recents.values_mut().for_each(Recent::next_span);
+            self.recents
+                .values_mut()
+                .for_each(CallHistory::start_period);
             self.recents.retain(|_, r| !r.is_empty());
             let customers: Vec<String> = self.rules.keys().cloned().collect();
             customers.iter().for_each(|c| self.drop_if_empty(c));
--- a/crates/coordinator/src/state/rules.rs
+++ b/crates/coordinator/src/state/rules.rs
@@ -1,7 +1,7 @@
 //! Customers' access rules: admitted by the registrar, in force when every gateway that can act says so.
 
 use super::{refuse, wire, Code, Shared};
-use chalkdeck_access::{Action, Rule, RuleSet, Stale, MOST_ALL, MOST_CUSTOMERS};
+use chalkdeck_access::{Action, Rule, RuleSet, StalePolicy, MAX_CUSTOMERS, MAX_STORED_RULES};
 use wire::access_rule::Action as WireAction;
 use wire::rule_set::Stale as WireStale;
 
@@ -18,8 +18,8 @@
         WireAction::Unspecified => None,
     };
     let stale = match wire.stale() {
-        WireStale::Keep => Stale::Keep,
-        WireStale::Deny => Stale::Deny,
+        WireStale::Keep => StalePolicy::Keep,
+        WireStale::Deny => StalePolicy::Deny,
         WireStale::Unspecified => return None,
     };
     let rule = |r: &wire::AccessRule| {
@@ -35,8 +35,8 @@
     Some(RuleSet {
         customer: wire.customer.clone(),
         version: wire.version,
-        default: action(wire.otherwise())?,
-        stale,
+        default_action: action(wire.otherwise())?,
+        stale_policy: stale,
         rules: wire.rules.iter().map(rule).collect::<Option<_>>()?,
     })
 }
@@ -56,16 +56,16 @@
     pub(super) fn has_room_for(&self, set: &wire::RuleSet) -> Result<(), wire::Answer> {
         let before = self.rules.get(&set.customer).and_then(|c| c.set.as_ref());
         let rules = self.rule_count - before.map_or(0, |s| s.rules.len()) + set.rules.len();
-        if rules > MOST_ALL {
+        if rules > MAX_STORED_RULES {
             return Err(refuse(
                 Code::Full,
-                format!("there would be {rules} rules, of {MOST_ALL} at most"),
+                format!("there would be {rules} rules, of {MAX_STORED_RULES} at most"),
             ));
         }
-        if before.is_none() && self.rules.len() >= MOST_CUSTOMERS {
+        if before.is_none() && self.rules.len() >= MAX_CUSTOMERS {
             return Err(refuse(
                 Code::Full,
-                format!("{MOST_CUSTOMERS} customers have sets"),
+                format!("{MAX_CUSTOMERS} customers have sets"),
             ));
         }
         Ok(())
--- a/crates/coordinator/src/state/sessions.rs
+++ b/crates/coordinator/src/state/sessions.rs
@@ -1,7 +1,7 @@
 //! Gateways' sessions, and what they report.
 
 use super::{done, refuse, wire, Code, Shared};
-use chalkdeck_access::Seen;
+use chalkdeck_access::{CallKind, RuleVersion};
 
 /// Sessions at once.
 pub const MOST_SESSIONS: usize = 1_000;
@@ -160,7 +160,11 @@
                 continue;
             }
             let totals = self.hits.entry(line.customer.clone()).or_default();
-            totals.tell(incarnation, line.version, &line.rule, line.count);
+            let rule = RuleVersion {
+                version: line.version,
+                rule: line.rule.clone(),
+            };
+            totals.record(incarnation, rule, line.count);
         }
         for spoke in report.spoke.iter().filter(|_| new) {
             self.spoke(spoke);
@@ -169,16 +173,16 @@
             if self.recents.len() >= MOST_CUSTOMERS && !self.recents.contains_key(&seen.customer) {
                 continue;
             }
-            let kind = Seen {
-                caller: seen.caller_region.clone(),
-                gateway: seen.gateway_region.clone(),
+            let kind = CallKind {
+                caller_region: seen.caller_region.clone(),
+                gateway_region: seen.gateway_region.clone(),
                 path: seen.path.clone(),
                 class: seen.class.clone(),
             };
             self.recents
                 .entry(seen.customer.clone())
                 .or_default()
-                .came(kind, seen.count);
+                .record(kind, seen.count);
         }
         wire::Answer {
             id: report.number,
@@ -196,7 +200,7 @@
                 totals.fold(incarnation);
             }
         }
-        self.hits.values_mut().for_each(|t| t.bound(MOST_LINES));
+        self.hits.values_mut().for_each(|t| t.compact(MOST_LINES));
         done(0)
     }
 
--- a/crates/coordinator/src/state/snapshot.rs
+++ b/crates/coordinator/src/state/snapshot.rs
@@ -1,7 +1,7 @@
 //! The state as one message and back.
 
 use super::{rules, wire, Callers, Shared};
-use chalkdeck_access::{Recent, Seen, Totals};
+use chalkdeck_access::{CallHistory, CallKind, HitTotals, RuleVersion};
 use chalkdeck_contract::{Spoken, Use};
 use prost::Message;
 use std::collections::BTreeMap;
@@ -171,18 +171,17 @@
 
     fn hits_to(&self) -> Vec<wire::HitsOf> {
         let mut of: BTreeMap<u64, Vec<wire::HitLine>> = BTreeMap::new();
-        let line =
-            |customer: &String, (version, rule): &(u64, String), count: &u64| wire::HitLine {
-                customer: customer.clone(),
-                version: *version,
-                rule: rule.clone(),
-                count: *count,
-            };
+        let line = |customer: &String, key: &RuleVersion, count: &u64| wire::HitLine {
+            customer: customer.clone(),
+            version: key.version,
+            rule: key.rule.clone(),
+            count: *count,
+        };
         for (customer, totals) in &self.hits {
             of.entry(0)
                 .or_default()
                 .extend(totals.folded.iter().map(|(k, n)| line(customer, k, n)));
-            for (incarnation, told) in &totals.told {
+            for (incarnation, told) in &totals.by_incarnation {
                 of.entry(*incarnation)
                     .or_default()
                     .extend(told.iter().map(|(k, n)| line(customer, k, n)));
@@ -204,13 +203,15 @@
                 self.ended.insert(of.incarnation);
             }
             for line in &of.lines {
-                let totals: &mut Totals = self.hits.entry(line.customer.clone()).or_default();
+                let totals: &mut HitTotals = self.hits.entry(line.customer.clone()).or_default();
+                let rule = RuleVersion {
+                    version: line.version,
+                    rule: line.rule.clone(),
+                };
                 if of.incarnation == 0 {
-                    totals
-                        .folded
-                        .insert((line.version, line.rule.clone()), line.count);
+                    totals.folded.insert(rule, line.count);
                 } else {
-                    totals.tell(of.incarnation, line.version, &line.rule, line.count);
+                    totals.record(of.incarnation, rule, line.count);
                 }
             }
         }
@@ -259,38 +260,41 @@
     }
 }
 
-fn recent_to(customer: &str, recent: &Recent) -> wire::RecentOf {
-    let kind = |(s, count): (&Seen, &u64)| wire::SeenKind {
+fn recent_to(customer: &str, recent: &CallHistory) -> wire::RecentOf {
+    let kind = |(s, count): (&CallKind, &u64)| wire::SeenKind {
         customer: String::new(),
-        caller_region: s.caller.clone(),
-        gateway_region: s.gateway.clone(),
+        caller_region: s.caller_region.clone(),
+        gateway_region: s.gateway_region.clone(),
         path: s.path.clone(),
         class: s.class.clone(),
         count: *count,
     };
     wire::RecentOf {
         customer: customer.to_string(),
-        now: recent.now().iter().map(kind).collect(),
-        before: recent.before().iter().map(kind).collect(),
+        now: recent.current().iter().map(kind).collect(),
+        before: recent.previous().iter().map(kind).collect(),
     }
 }
 
-fn recent_from(w: &wire::RecentOf) -> Recent {
+fn recent_from(w: &wire::RecentOf) -> CallHistory {
     let kind = |s: &wire::SeenKind| {
-        let seen = Seen {
-            caller: s.caller_region.clone(),
-            gateway: s.gateway_region.clone(),
+        let seen = CallKind {
+            caller_region: s.caller_region.clone(),
+            gateway_region: s.gateway_region.clone(),
             path: s.path.clone(),
             class: s.class.clone(),
         };
         (seen, s.count)
     };
-    let mut recent = Recent::default();
+    let mut recent = CallHistory::default();
     w.before
         .iter()
         .map(kind)
-        .for_each(|(s, n)| recent.came(s, n));
-    recent.next_span();
-    w.now.iter().map(kind).for_each(|(s, n)| recent.came(s, n));
+        .for_each(|(s, n)| recent.record(s, n));
+    recent.start_period();
+    w.now
+        .iter()
+        .map(kind)
+        .for_each(|(s, n)| recent.record(s, n));
     recent
 }
--- a/crates/coordinator/tests/world/fleet.rs
+++ b/crates/coordinator/tests/world/fleet.rs
@@ -143,8 +143,8 @@
         member.tick(now);
         if !self.quiet && self.rng.u8(..) < 40 && member.access().get("c0").is_some() {
             let call = Call {
-                caller: "eu",
-                gateway: "north",
+                caller_region: "eu",
+                gateway_region: "north",
                 path: "/farm.v1.Farm/View",
                 class: "view",
             };
--- a/crates/grpc-gateway/src/keepers.rs
+++ b/crates/grpc-gateway/src/keepers.rs
@@ -8,7 +8,7 @@
 use crate::calls::Who;
 use crate::shell::{Due, Shell};
 use chalkdeck::api::{EndpointState, RequestId};
-use chalkdeck_access::{Call, Regions, Verdict};
+use chalkdeck_access::{Call, RegionTable, Verdict};
 use chalkdeck_coordinator::kept::Kept;
 use chalkdeck_coordinator::member::{Act, Member, Set};
 use chalkdeck_coordinator::serve::{limits, SESSION};
@@ -58,7 +58,7 @@
 pub(crate) struct Keepers {
     member: Member,
     set: KeeperSettings,
-    regions: Regions,
+    regions: RegionTable,
     kept: Option<Kept>,
     /// The disk failed: tried again from then on.
     keep_at: Option<u64>,
@@ -75,14 +75,14 @@
     /// Errors: a file that is there and not sound; better no start than rules forgotten.
     pub(crate) fn new(set: &KeeperSettings, zone: &str, now: u64) -> Result<Keepers, KeepersError> {
         let regions = match &set.regions {
-            None => Regions::default(),
+            None => RegionTable::default(),
             Some(file) => {
                 let text =
                     std::fs::read_to_string(file).map_err(|source| KeepersError::RegionsFile {
                         file: file.clone(),
                         source,
                     })?;
-                Regions::read(&text).map_err(|source| KeepersError::Regions {
+                RegionTable::parse(&text).map_err(|source| KeepersError::Regions {
                     file: file.clone(),
                     source,
                 })?
@@ -244,7 +244,7 @@
             version: session.held.version,
             duties: session.duties().filter_map(holds).collect(),
             sets,
-            rules: access.rules(),
+            rules: access.rule_count(),
             held_back: self.held_back.clone(),
             last_resort: self.last_resort,
             disk_fails: self.keep_at.is_some(),
@@ -293,7 +293,11 @@
         let text = |name: &http::HeaderName| head.headers.get(name).and_then(|v| v.to_str().ok());
         let customer = text(&set.customer_metadata).unwrap_or("");
         let told = keepers.set.region_metadata.as_ref().and_then(text);
-        let found = || engine.came_from(conn).and_then(|a| keepers.regions.of(a));
+        let found = || {
+            engine
+                .came_from(conn)
+                .and_then(|a| keepers.regions.region_of(a))
+        };
         let caller = told.or_else(found).unwrap_or("").to_string();
         keepers
             .set
@@ -302,8 +306,8 @@
             .for_each(|name| drop(asked.headers.remove(name)));
         let class = asked.arrival.class.0;
         let call = Call {
-            caller: &caller,
-            gateway: &keepers.set.region,
+            caller_region: &caller,
+            gateway_region: &keepers.set.region,
             path: head.uri.path(),
             class: &set.class_names[class],
         };
@@ -315,17 +319,19 @@
             Verdict::Denied {
                 rule,
                 version,
-                stale,
+                is_stale: stale,
             } => Err(rejected(
                 Code::PermissionDenied,
                 "denied",
                 denied(&rule, version, stale),
             )),
-            Verdict::Goes if set.policy.classes[class].is_streaming => Ok(Some(Box::new(Who {
-                customer: customer.to_string(),
-                caller,
-            }))),
-            Verdict::Goes => Ok(None),
+            Verdict::Admitted if set.policy.classes[class].is_streaming => {
+                Ok(Some(Box::new(Who {
+                    customer: customer.to_string(),
+                    caller,
+                })))
+            }
+            Verdict::Admitted => Ok(None),
         }
     }
 
@@ -360,20 +366,20 @@
         let class = set.resp.as_ref().map_or(0, |r| r.class);
         let caller = engine
             .came_from(conn)
-            .and_then(|a| keepers.regions.of(a))
+            .and_then(|a| keepers.regions.region_of(a))
             .unwrap_or("");
         let call = Call {
-            caller,
-            gateway: &keepers.set.region,
+            caller_region: caller,
+            gateway_region: &keepers.set.region,
             path: command,
             class: &set.class_names[class],
         };
         match keepers.member.arrives(engine.now(), customer, &call, None) {
-            Verdict::Goes => None,
+            Verdict::Admitted => None,
             Verdict::Denied {
                 rule,
                 version,
-                stale,
+                is_stale: stale,
             } => {
                 count("denied");
                 Some(format!("DENIED {}", denied(&rule, version, stale)))
@@ -403,15 +409,15 @@
                 continue;
             }
             let like = Call {
-                caller: &who.caller,
-                gateway: &keepers.set.region,
+                caller_region: &who.caller,
+                gateway_region: &keepers.set.region,
                 path: call.path.path(),
                 class: &set.class_names[call.arrival.class.0],
             };
             if let Verdict::Denied {
                 rule,
                 version,
-                stale,
+                is_stale: stale,
             } = keepers.member.still_goes(now, &who.customer, &like)
             {
                 over.push((call.arrival.id, denied(&rule, version, stale)));
