--- a/crates/access/src/rule_set.rs
+++ b/crates/access/src/rule_set.rs
@@ -195,6 +195,6 @@
 
 /// Whether the text is a path, with a wildcard at its end at most.
 fn is_valid_route(route: &str) -> bool {
-    let is_path = route.starts_with('/');
-    is_path && !route[..route.len() - 1].contains('*')
+    let before_wildcard = route.strip_suffix('*').unwrap_or(route);
+    route.starts_with('/') && !before_wildcard.contains('*')
 }
--- a/crates/access/tests/decisions.rs
+++ b/crates/access/tests/decisions.rs
@@ -168,6 +168,15 @@
     assert_eq!(check_error(too_many), RuleSetError::TooManyRules(20_001));
 }
 
+#[test]
+fn route_that_ends_in_a_character_of_several_bytes_is_checked_without_a_panic() {
+    let rules = vec![rule("a", Action::Deny, &[], &["/café"])];
+    let set = rule_set(1, Action::Allow, StalePolicy::Keep, rules);
+    assert_eq!(set.check(), Ok(()));
+    let error = check_error(vec![rule("a", Action::Deny, &[], &["/*é"])]);
+    assert!(matches!(error, RuleSetError::InvalidValue { .. }));
+}
+
 #[test]
 fn dry_run_finds_a_set_that_would_lock_its_customer_out() {
     let mut history = CallHistory::default();
