--- a/crates/grpc-gateway/src/sites.rs
+++ b/crates/grpc-gateway/src/sites.rs
@@ -77,7 +77,7 @@
             gateway_index: set.policy.gateway_index,
             gateways: set.policy.gateways,
             cold_capacity: set.policy.slow_start_min_capacity,
-            warm_up: TimeDelta::from_micros(set.policy.slow_start_duration.as_micros()),
+            warm_up: set.policy.slow_start_duration,
             overload_factor: set.policy.overload_multiple,
         });
         let words = Words::read(set.site_words.as_deref())?;
@@ -100,10 +100,7 @@
             site: site_of(s.entry.zone),
             in_service: s.entry.state == EndpointState::InService,
             weight: s.entry.weight,
-            started: s
-                .entry
-                .started_at
-                .map(|at| Timestamp::from_micros(at.as_micros())),
+            started: s.entry.started_at,
         };
         let lines: Vec<_> = servers.iter().map(line).collect();
         self.on(now, Event::EndpointsListed(&lines));
@@ -145,7 +142,7 @@
         SitesStatus {
             own: set.zone_name.clone(),
             level: plan.admission,
-            floor: plan.threshold.admit_some_from,
+            floor: plan.threshold.reject_below,
             sites: plan.sites.iter().map(one).collect(),
         }
     }
@@ -173,9 +170,9 @@
             .iter()
             .zip(&b.sites)
             .all(|(a, b)| a.site == b.site && a.state == b.state && near(a.share, b.share))
-        && a.threshold.admit_all_from == b.threshold.admit_all_from
-        && a.threshold.admit_some_from == b.threshold.admit_some_from
-        && near(a.threshold.admitted_part, b.threshold.admitted_part)
+        && a.threshold.admit_above == b.threshold.admit_above
+        && a.threshold.reject_below == b.threshold.reject_below
+        && near(a.threshold.admit_fraction, b.threshold.admit_fraction)
 }
 
 impl Shell {
@@ -231,12 +228,12 @@
         else {
             return;
         };
-        let aim = set.policy.classes[class].latency_objective.as_micros();
+        let objective = set.policy.classes[class].latency_objective;
         let ended = EndedAttempt {
             endpoint: failover::EndpointId(server.0),
             evidence: evidence_of(outcome),
             latency: TimeDelta::from_micros(took),
-            objective: TimeDelta::from_micros(aim),
+            objective,
             units,
         };
         sites.on(self.engine.now(), Event::AttemptEnded(ended));
@@ -252,7 +249,7 @@
         else {
             return;
         };
-        let aim = set.policy.classes[class].latency_objective.as_micros();
+        let objective = set.policy.classes[class].latency_objective;
         let answer = match end {
             End::Gone => return,
             End::Served => FinalAnswer::Served,
@@ -261,7 +258,7 @@
         let completed = CompletedRequest {
             answer,
             latency: TimeDelta::from_micros(waited),
-            objective: TimeDelta::from_micros(aim),
+            objective,
         };
         sites.on(self.engine.now(), Event::RequestCompleted(completed));
     }
@@ -326,9 +323,9 @@
             accepts_overflow: v.state == SiteState::Serving,
         };
         let floor = api::SheddingThreshold {
-            admit_above: plan.threshold.admit_all_from,
-            reject_below: plan.threshold.admit_some_from,
-            admit_fraction: plan.threshold.admitted_part,
+            admit_above: plan.threshold.admit_above,
+            reject_below: plan.threshold.reject_below,
+            admit_fraction: plan.threshold.admit_fraction,
         };
         let shares = plan.sites.iter().map(part).collect();
         sites
