--- a/crates/policy/benches/request.rs
+++ b/crates/policy/benches/request.rs
@@ -1,5 +1,9 @@
 //! What one request costs the module: add, answer, send, end; 5,000 requests a second from 5,000 customers.
-use chalkdeck::api::*;
+use chalkdeck::api::{
+    Action, AttemptResult, CellId, Class, CounterKey, CustomerId, EndpointEntry, EndpointId,
+    EndpointState, Event, Idempotency, IncomingRequest, KeyScope, LoadReport, Outcome, Plan,
+    RequestId, Settings, TimeDelta, TimerId, Timestamp, UpdateScope, ZoneId,
+};
 use chalkdeck::DecisionEngine;
 use std::collections::{BinaryHeap, HashMap};
 
--- a/crates/policy/tests/recording/mod.rs
+++ b/crates/policy/tests/recording/mod.rs
@@ -77,7 +77,7 @@
         outcome: Outcome,
     },
     CounterAnswers {
-        name: CounterKey,
+        key: CounterKey,
         outcome: Outcome,
         total: f64,
     },
@@ -103,7 +103,7 @@
 }
 
 pub struct World {
-    gateway: DecisionEngine,
+    engine: DecisionEngine,
     settings: Settings,
     random: fastrand::Rng,
     now: u64,
@@ -124,10 +124,10 @@
     fn new(seed: u64) -> World {
         let mut random = fastrand::Rng::with_seed(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let settings = settings::draw(&mut random);
-        let gateway = DecisionEngine::new(seed, settings.clone()).expect("sound settings");
+        let engine = DecisionEngine::new(seed, settings.clone()).expect("sound settings");
         let server_count = [3, 12, 60, 200][random.usize(..4)];
         let mut world = World {
-            gateway,
+            engine,
             has_sites: random.f64() < 0.3,
             arrivals_a_second: [4.0, 30.0, 200.0][random.usize(..3)],
             customers: [3, 20, 400][random.usize(..3)],
@@ -188,11 +188,11 @@
                 outcome,
             } => self.end_attempt(id, attempt, outcome),
             Pending::CounterAnswers {
-                name,
+                key,
                 outcome,
                 total,
             } => self.tell(Event::CounterReplied {
-                key: name,
+                key,
                 outcome,
                 total,
             }),
@@ -216,9 +216,9 @@
     fn tell(&mut self, event: Event) {
         self.count("events");
         let mut actions = Vec::new();
-        self.gateway
+        self.engine
             .handle(Timestamp::from_micros(self.now), event, &mut actions);
-        for action in actions {
+        for action in &actions {
             self.carry_out(action);
         }
     }
@@ -228,28 +228,24 @@
         self.digest.add(&format!("{} {kind} {text}\n", self.now));
     }
 
-    fn carry_out(&mut self, action: Action) {
-        match action {
+    fn carry_out(&mut self, action: &Action) {
+        match *action {
             Action::SendAttempt {
-                request: id,
-                endpoint: server,
-                deadline: until,
+                request,
+                endpoint,
+                deadline,
             } => {
-                self.record(
-                    "send",
-                    &format!("{} {} {}", id.0, server.0, until.as_micros()),
-                );
-                self.send(id, server, until.as_micros());
+                let until = deadline.as_micros();
+                self.record("send", &format!("{} {} {until}", request.0, endpoint.0));
+                self.send(request, endpoint, until);
             }
             Action::Reject {
-                request: id,
-                retry_after: advice,
+                request,
+                retry_after,
             } => {
-                self.record(
-                    "refuse",
-                    &format!("{} {:?}", id.0, advice.map(|a| a.as_micros())),
-                );
-                self.retry_later(id, advice.map_or(300 * MILLISECOND, |a| a.as_micros()));
+                let retry_after = retry_after.map(|wait| wait.as_micros());
+                self.record("refuse", &format!("{} {retry_after:?}", request.0));
+                self.retry_later(request, retry_after.unwrap_or(300 * MILLISECOND));
             }
             Action::Fail(id) => {
                 self.record("fail", &id.0.to_string());
@@ -260,40 +256,23 @@
                 self.schedule(20 * MILLISECOND, Pending::UnitsSettle(id));
                 self.schedule(60 * MILLISECOND, Pending::ClientLeaves(id));
             }
-            Action::CancelAttempt {
-                request: id,
-                attempt,
-            } => {
-                self.record("cancel", &format!("{} {attempt}", id.0));
-                let outcome = Outcome::Cancelled;
-                self.schedule(
-                    MILLISECOND,
-                    Pending::AttemptEnds {
-                        id,
-                        attempt,
-                        outcome,
-                    },
-                );
+            Action::CancelAttempt { request, attempt } => {
+                self.record("cancel", &format!("{} {attempt}", request.0));
+                let what = Pending::AttemptEnds {
+                    id: request,
+                    attempt,
+                    outcome: Outcome::Cancelled,
+                };
+                self.schedule(MILLISECOND, what);
             }
             Action::AddToCounter {
-                key: name,
+                key,
                 amount,
-                time_to_live: lifetime,
+                time_to_live,
             } => {
-                self.record(
-                    "count",
-                    &format!("{} {amount} {}", name.0, lifetime.as_micros()),
-                );
-                let timeout = self.settings.counter_timeout.as_micros();
-                let answer = self
-                    .counter
-                    .add(name, amount, self.now, timeout, &mut self.random);
-                let what = Pending::CounterAnswers {
-                    name,
-                    outcome: answer.outcome,
-                    total: answer.total,
-                };
-                self.schedule_at(answer.at, what);
+                let life = time_to_live.as_micros();
+                self.record("count", &format!("{} {amount} {life}", key.0));
+                self.add_to_counter(key, amount);
             }
             Action::SetTimer { timer: id, after } => {
                 self.record("timer", &format!("{} {}", id.0, after.as_micros()));
@@ -310,12 +289,25 @@
         }
     }
 
+    fn add_to_counter(&mut self, key: CounterKey, amount: f64) {
+        let timeout = self.settings.counter_timeout.as_micros();
+        let answer = self
+            .counter
+            .add(key, amount, self.now, timeout, &mut self.random);
+        let what = Pending::CounterAnswers {
+            key,
+            outcome: answer.outcome,
+            total: answer.total,
+        };
+        self.schedule_at(answer.at, what);
+    }
+
     fn draw_arrival(&mut self) {
         let gap = -(1.0 - self.random.f64()).ln() / self.arrivals_a_second;
         self.schedule((gap * 1e6) as u64 + 1, Pending::NextArrival);
         let class = ClassId(self.random.usize(..self.settings.classes.len()));
         let customer = (self.random.f64().powi(2) * self.customers as f64) as u64;
-        let spread = if self.random.f64() < 0.5 {
+        let customer_gateways = if self.random.f64() < 0.5 {
             self.settings.gateways
         } else {
             1
@@ -325,7 +317,7 @@
             class,
             plan: PlanId(customer as usize % self.settings.plans.len()),
             customer: CustomerId(customer),
-            customer_gateways: spread,
+            customer_gateways,
             deadline: Timestamp::from_micros(
                 self.now + self.settings.classes[class.0].deadline.as_micros(),
             ),
@@ -335,10 +327,10 @@
         self.arrive(arrival);
     }
 
-    fn arrive(&mut self, arrival: IncomingRequest) {
+    fn arrive(&mut self, mut arrival: IncomingRequest) {
         let id = RequestId(self.next_request);
         self.next_request += 1;
-        let arrival = IncomingRequest { id, ..arrival };
+        arrival.id = id;
         let request = OpenRequest {
             arrival: arrival.clone(),
             attempts: Vec::new(),
@@ -364,14 +356,14 @@
         if again.is_retry || self.random.f64() < 0.5 {
             return;
         }
-        let resent = self.random.f64() < 0.7;
+        let is_retry = self.random.f64() < 0.7;
         let deadline = Timestamp::from_micros(
             self.now + after + self.settings.classes[again.class.0].deadline.as_micros(),
         );
         self.schedule(
             after,
             Pending::Arrives(IncomingRequest {
-                is_retry: resent,
+                is_retry,
                 deadline,
                 ..again
             }),
--- a/crates/policy/tests/recording/settings.rs
+++ b/crates/policy/tests/recording/settings.rs
@@ -4,27 +4,27 @@
 
 use super::{MILLISECOND, SECOND};
 
-fn class(effect: Idempotency, group: KeyScope, random: &mut fastrand::Rng) -> Class {
-    let aim = random.u64(200..900) * MILLISECOND;
+fn class(idempotency: Idempotency, key_scope: KeyScope, random: &mut fastrand::Rng) -> Class {
+    let objective = random.u64(200..900) * MILLISECOND;
     Class {
-        latency_objective: TimeDelta::from_micros(aim),
-        deadline: TimeDelta::from_micros(aim * random.u64(2..5)),
+        latency_objective: TimeDelta::from_micros(objective),
+        deadline: TimeDelta::from_micros(objective * random.u64(2..5)),
         priority_weight: 0.2 + random.f64() * 3.0,
         late_priority_weight: random.f64() * 0.3,
-        idempotency: effect,
-        key_scope: group,
+        idempotency,
+        key_scope,
         key_window: TimeDelta::from_micros(random.u64(300..3_000) * MILLISECOND),
         is_streaming: false,
         admission_only: false,
     }
 }
 
-fn plan(rate: f64, burst: f64, price: f64) -> Plan {
+fn plan(rate: f64, burst: f64, priority_multiplier: f64) -> Plan {
     Plan {
         rate,
         burst,
         max_concurrency: 0.0,
-        priority_multiplier: price,
+        priority_multiplier,
         over_quota_weight: 0.0,
         over_quota_cost: 1.0,
         ceiling_rate: 0.0,
@@ -33,55 +33,64 @@
     }
 }
 
-/// Settings of one gateway, with a class of every effect and a plan of every kind.
-pub fn draw(random: &mut fastrand::Rng) -> Settings {
-    let stream = Class {
+/// A class of every idempotency and key scope.
+fn classes(random: &mut fastrand::Rng) -> Vec<Class> {
+    let streaming = Class {
         is_streaming: true,
         ..class(Idempotency::Idempotent, KeyScope::All, random)
     };
-    let by_caller = Class {
+    let admission_only = Class {
         admission_only: true,
         ..class(Idempotency::NonIdempotent, KeyScope::All, random)
     };
-    let classes = vec![
+    vec![
         class(Idempotency::Idempotent, KeyScope::All, random),
         class(Idempotency::Idempotent, KeyScope::All, random),
         class(Idempotency::Keyed, KeyScope::Cell, random),
         class(Idempotency::Keyed, KeyScope::Zone, random),
         class(Idempotency::Keyed, KeyScope::All, random),
         class(Idempotency::NonIdempotent, KeyScope::All, random),
-        stream,
-        by_caller,
-    ];
+        streaming,
+        admission_only,
+    ]
+}
+
+/// A plan of every kind.
+fn plans() -> Vec<Plan> {
     let ceiling = Plan {
         ceiling_rate: 20.0,
         ceiling_burst: 40.0,
         ceiling_slack: 4.0,
         ..plan(10.0, 20.0, 1.0)
     };
-    let small_cap = Plan {
+    let few_slots = Plan {
         max_concurrency: 2.0,
         ..plan(0.0, 0.0, 0.7)
     };
-    let large_cap = Plan {
+    let many_slots = Plan {
         max_concurrency: 40.0,
         ..plan(0.0, 0.0, 1.5)
     };
-    let plans = vec![
+    vec![
         plan(10.0, 20.0, 1.0),
         plan(60.0, 90.0, 2.0),
         ceiling,
-        small_cap,
-        large_cap,
+        few_slots,
+        many_slots,
         plan(0.0, 0.0, 1.0),
-    ];
+    ]
+}
+
+/// Settings of one gateway.
+pub fn draw(random: &mut fastrand::Rng) -> Settings {
+    let classes = classes(random);
     let gateways = [1, 2, 20, 300][random.usize(..4)];
     Settings {
         gateways,
         gateway_index: random.u32(..gateways),
         zone: ZoneId(random.u32(..2)),
         classes,
-        plans,
+        plans: plans(),
         max_attempts: random.usize(1..5),
         allow_hedging: random.bool(),
         allow_cancel: random.f64() < 0.8,
