--- a/crates/policy/tests/caller.rs
+++ b/crates/policy/tests/admission_only.rs
@@ -1,4 +1,4 @@
-//! Requests whose work the caller does itself: leave by the same decisions, and no server.
+//! Admission-only requests: decided as any other, but no endpoint is selected.
 mod common;
 use chalkdeck::api::*;
 use common::*;
@@ -15,20 +15,20 @@
     Rig::new(set, 0)
 }
 
-fn granted(out: &[Action], id: RequestId) -> bool {
+fn is_granted(out: &[Action], id: RequestId) -> bool {
     out.contains(&Action::Grant(id))
 }
 
 #[test]
-fn leave_needs_no_server_and_is_bounded_by_the_quota() {
+fn admission_needs_no_endpoint_and_is_limited_by_the_quota() {
     let mut rig = rig();
     let mut granted_in_all = 0;
     for _ in 0..200 {
         let (id, out) = rig.request(OWN, 0, 5, 1.0);
-        granted_in_all += usize::from(granted(&out, id));
+        granted_in_all += usize::from(is_granted(&out, id));
         assert!(out.iter().all(|a| !matches!(a, Action::SendAttempt { .. })));
         assert!(
-            granted(&out, id) || out.iter().any(|a| matches!(a, Action::Reject { .. })),
+            is_granted(&out, id) || out.iter().any(|a| matches!(a, Action::Reject { .. })),
             "answered at once"
         );
     }
@@ -37,25 +37,25 @@
 }
 
 #[test]
-fn a_place_is_held_until_its_caller_is_done_however_long_that_takes() {
+fn a_concurrency_slot_is_held_until_the_caller_is_done() {
     let mut rig = rig();
     let (a, out) = rig.request(OWN, 2, 5, 1.0);
-    assert!(granted(&out, a));
+    assert!(is_granted(&out, a));
     assert!(
-        rig.pass(20 * S)
+        rig.advance(20 * S)
             .iter()
             .all(|x| !matches!(x, Action::Reject { request: id, .. } if *id == a)),
         "no deadline"
     );
     let (b, out) = rig.request(OWN, 2, 5, 1.0);
-    assert!(!granted(&out, b), "one place of two is this gateway's");
-    rig.tell(Event::ClientDisconnected(a));
+    assert!(!is_granted(&out, b), "one place of two is this gateway's");
+    rig.handle(Event::ClientDisconnected(a));
     let (c, out) = rig.request(OWN, 2, 5, 1.0);
-    assert!(granted(&out, c));
+    assert!(is_granted(&out, c));
 }
 
 #[test]
-fn what_is_settled_is_put_on_the_shared_count_with_the_next_call() {
+fn settled_units_are_posted_with_the_next_call() {
     let mut set = settings();
     set.classes.push(Class {
         admission_only: true,
@@ -77,25 +77,25 @@
     let (a, out) = rig.request(OWN, 0, 5, 4.0);
     let (name, amount) = count(&out).expect("it asks");
     assert_eq!(amount, 4.0);
-    let out = rig.tell(Event::CounterReplied {
+    let out = rig.handle(Event::CounterReplied {
         key: name,
         outcome: Outcome::Ok,
         total: 4.0,
     });
-    assert!(granted(&out, a));
-    let standing =
-        rig.gateway
-            .quota_status(Timestamp::from_micros(rig.now), CustomerId(5), PlanId(0));
-    assert_eq!((standing.limit, standing.remaining), (20.0, 16.0));
-    rig.tell(Event::UnitsSettled {
+    assert!(is_granted(&out, a));
+    let status = rig
+        .engine
+        .quota_status(Timestamp::from_micros(rig.now), CustomerId(5), PlanId(0));
+    assert_eq!((status.limit, status.remaining), (20.0, 16.0));
+    rig.handle(Event::UnitsSettled {
         request: a,
         units: 1.0,
     });
-    rig.tell(Event::ClientDisconnected(a));
-    let standing =
-        rig.gateway
-            .quota_status(Timestamp::from_micros(rig.now), CustomerId(5), PlanId(0));
-    assert_eq!(standing.remaining, 19.0);
+    rig.handle(Event::ClientDisconnected(a));
+    let status = rig
+        .engine
+        .quota_status(Timestamp::from_micros(rig.now), CustomerId(5), PlanId(0));
+    assert_eq!(status.remaining, 19.0);
     let (_, out) = rig.request(OWN, 0, 5, 2.0);
     assert_eq!(
         count(&out).expect("it asks").1,
--- a/crates/policy/tests/breaker.rs
+++ b/crates/policy/tests/circuit_breaker.rs
@@ -1,14 +1,14 @@
-//! The breaker over the counter: each transition, and the breaks foreseen for it.
+//! The circuit breaker before the counter: each transition, and the failures foreseen for it.
 mod common;
 use chalkdeck::api::*;
 use common::*;
 
 /// Makes one window call for a customer and lets it fail; says whether a call was made.
-fn failing(rig: &mut Rig, customer: u64) -> bool {
+fn call_fails(rig: &mut Rig, customer: u64) -> bool {
     let (_, out) = rig.request(0, 0, customer, 1.0);
-    let made = counts(&out);
+    let made = counter_calls(&out);
     for (name, _) in &made {
-        rig.tell(Event::CounterReplied {
+        rig.handle(Event::CounterReplied {
             key: *name,
             outcome: Outcome::Rejected,
             total: 0.0,
@@ -18,29 +18,29 @@
 }
 
 /// Lets three calls fail; with calls failing only a part of the requests asks.
-fn open(rig: &mut Rig) {
+fn open_breaker(rig: &mut Rig) {
     assert_eq!(
-        (1..100).filter(|c| failing(rig, *c)).count(),
+        (1..100).filter(|c| call_fails(rig, *c)).count(),
         3,
         "closed until three calls failed, then open"
     );
 }
 
 #[test]
-fn three_failures_in_a_row_open_it() {
+fn three_failures_in_a_row_open_the_breaker() {
     let mut rig = Rig::new(settings(), 4);
-    open(&mut rig);
-    assert!(!failing(&mut rig, 4), "open: nobody asks");
+    open_breaker(&mut rig);
+    assert!(!call_fails(&mut rig, 4), "open: nobody asks");
 }
 
 #[test]
-fn two_failures_do_not() {
+fn two_failures_leave_the_breaker_closed() {
     let mut rig = Rig::new(settings(), 4);
-    failing(&mut rig, 1);
-    failing(&mut rig, 2);
+    call_fails(&mut rig, 1);
+    call_fails(&mut rig, 2);
     // With calls failing only a part of the requests asks; among twenty customers some do.
     let asked = (10..30)
-        .filter(|c| !counts(&rig.request(0, 0, *c, 1.0).1).is_empty())
+        .filter(|c| !counter_calls(&rig.request(0, 0, *c, 1.0).1).is_empty())
         .count();
     assert!(asked > 0);
 }
@@ -48,81 +48,81 @@
 #[test]
 fn after_the_cooldown_one_request_probes_and_success_closes() {
     let mut rig = Rig::new(settings(), 4);
-    open(&mut rig);
-    rig.pass(5 * S - 1);
-    assert!(!failing(&mut rig, 4), "still cooling down");
-    rig.pass(1);
+    open_breaker(&mut rig);
+    rig.advance(5 * S - 1);
+    assert!(!call_fails(&mut rig, 4), "still cooling down");
+    rig.advance(1);
     let (_, out) = rig.request(0, 0, 5, 1.0);
-    let probe = adds(&out);
+    let probe = nonzero_adds(&out);
     assert_eq!(probe.len(), 1, "half-open: one probe");
     assert!(
-        counts(&rig.request(0, 0, 6, 1.0).1).is_empty(),
+        counter_calls(&rig.request(0, 0, 6, 1.0).1).is_empty(),
         "while the probe is out nobody else asks"
     );
-    rig.tell(Event::CounterReplied {
+    rig.handle(Event::CounterReplied {
         key: probe[0].0,
         outcome: Outcome::Ok,
         total: 1.0,
     });
     let asked = (10..30)
-        .filter(|c| !adds(&rig.request(0, 0, *c, 1.0).1).is_empty())
+        .filter(|c| !nonzero_adds(&rig.request(0, 0, *c, 1.0).1).is_empty())
         .count();
     assert!(asked > 0, "closed again");
 }
 
 #[test]
-fn a_failed_probe_opens_it_for_another_cooldown() {
+fn a_failed_probe_starts_another_cooldown() {
     let mut rig = Rig::new(settings(), 4);
-    open(&mut rig);
-    rig.pass(5 * S);
-    assert!(failing(&mut rig, 5), "the probe");
-    rig.pass(5 * S - 1);
-    assert!(!failing(&mut rig, 6));
-    rig.pass(1);
-    assert!(failing(&mut rig, 7), "the next probe");
+    open_breaker(&mut rig);
+    rig.advance(5 * S);
+    assert!(call_fails(&mut rig, 5), "the probe");
+    rig.advance(5 * S - 1);
+    assert!(!call_fails(&mut rig, 6));
+    rig.advance(1);
+    assert!(call_fails(&mut rig, 7), "the next probe");
 }
 
 #[test]
-fn a_silent_counter_opens_it_by_time_outs() {
+fn time_outs_open_the_breaker() {
     let mut rig = Rig::new(settings(), 4);
     let calls: Vec<_> = (1..=3)
-        .flat_map(|c| counts(&rig.request(0, 0, c, 1.0).1))
+        .flat_map(|c| counter_calls(&rig.request(0, 0, c, 1.0).1))
         .collect();
-    rig.pass(80 * MS);
+    rig.advance(80 * MS);
     calls.iter().for_each(|(name, _)| {
-        drop(rig.tell(Event::CounterReplied {
+        drop(rig.handle(Event::CounterReplied {
             key: *name,
             outcome: Outcome::Timeout,
             total: 0.0,
         }))
     });
-    assert!(counts(&rig.request(0, 0, 4, 1.0).1).is_empty());
+    assert!(counter_calls(&rig.request(0, 0, 4, 1.0).1).is_empty());
 }
 
 #[test]
-fn one_hot_name_does_not_open_it_for_every_customer() {
+fn failures_of_one_key_do_not_open_the_breaker_of_all_customers() {
     let mut rig = Rig::new(settings(), 4);
     for _ in 0..10 {
-        failing(&mut rig, 1);
+        call_fails(&mut rig, 1);
     }
     let asked = (10..60)
-        .filter(|c| !adds(&rig.request(0, 0, *c, 1.0).1).is_empty())
+        .filter(|c| !nonzero_adds(&rig.request(0, 0, *c, 1.0).1).is_empty())
         .count();
     assert!(asked > 0, "others still ask");
     assert!(
-        !failing(&mut rig, 1),
+        !call_fails(&mut rig, 1),
         "the hot customer's own breaker is open"
     );
 }
 
 #[test]
-fn a_slow_counter_that_answers_now_and_then_still_opens_it() {
+fn a_counter_that_answers_one_call_in_three_opens_the_breaker() {
     let mut rig = Rig::new(settings(), 4);
     let (mut customer, mut calls) = (100, 0);
     for _ in 0..2_000 {
         customer += 1;
         let (_, out) = rig.request(0, 0, customer, 1.0);
-        for (name, amount) in counts(&out) {
+        for (name, amount) in counter_calls(&out) {
             // Two failures, one answer, and again: three in a row never come.
             calls += u32::from(amount != 0.0);
             let outcome = if amount == 0.0 || calls % 3 == 0 {
@@ -130,7 +130,7 @@
             } else {
                 Outcome::Rejected
             };
-            rig.tell(Event::CounterReplied {
+            rig.handle(Event::CounterReplied {
                 key: name,
                 outcome,
                 total: amount,
@@ -138,39 +138,39 @@
         }
     }
     let asked = (0..200)
-        .filter(|c| !adds(&rig.request(0, 0, 1_000 + c, 1.0).1).is_empty())
+        .filter(|c| !nonzero_adds(&rig.request(0, 0, 1_000 + c, 1.0).1).is_empty())
         .count();
     assert_eq!(asked, 0, "open");
 }
 
 #[test]
-fn a_half_open_customer_does_not_swallow_the_common_probe() {
+fn a_customer_in_half_open_state_leaves_the_common_probe_usable() {
     let mut rig = Rig::new(settings(), 4);
-    open(&mut rig);
+    open_breaker(&mut rig);
     for _ in 0..3 {
-        failing(&mut rig, 1); // Decided locally.
+        call_fails(&mut rig, 1); // Decided locally.
     }
-    rig.pass(5 * S);
+    rig.advance(5 * S);
     let (_, out) = rig.request(0, 0, 1, 1.0);
-    let probe = adds(&out);
+    let probe = nonzero_adds(&out);
     assert_eq!(probe.len(), 1);
-    rig.tell(Event::CounterReplied {
+    rig.handle(Event::CounterReplied {
         key: probe[0].0,
         outcome: Outcome::Rejected,
         total: 0.0,
     });
-    rig.pass(5 * S);
-    assert!(failing(&mut rig, 9), "the probe was given back");
+    rig.advance(5 * S);
+    assert!(call_fails(&mut rig, 9), "the probe was given back");
 }
 
 #[test]
-fn calls_that_their_connection_took_along_open_it_only_where_nothing_is_heard() {
+fn broken_connections_open_the_breaker_only_while_no_call_is_answered() {
     let heard = |heard: bool| {
         let mut rig = Rig::new(settings(), 4);
         let mut asked = 0;
         for customer in 1..=400 {
             let (_, out) = rig.request(0, 0, customer, 1.0);
-            for (name, _) in counts(&out) {
+            for (name, _) in counter_calls(&out) {
                 asked += 1;
                 // One in two breaks; the counter may answer the others.
                 let answered = heard && asked % 2 == 0;
@@ -179,13 +179,13 @@
                 } else {
                     (Outcome::Reset, 0.0)
                 };
-                rig.tell(Event::CounterReplied {
+                rig.handle(Event::CounterReplied {
                     key: name,
                     outcome,
                     total,
                 });
             }
-            rig.pass(10 * MS);
+            rig.advance(10 * MS);
         }
         asked
     };
@@ -195,22 +195,22 @@
 }
 
 #[test]
-fn answers_later_than_usual_cut_the_share_that_asks_before_calls_fail() {
+fn answers_later_than_usual_reduce_the_sample_rate_before_calls_fail() {
     // Most takes as long as it always did; then a line builds up, or none does.
     let asked = |usual: u64, later: u64| {
         let mut rig = Rig::new(settings(), 4);
         let mut asked = 0;
         for customer in 1..=400 {
             let (_, out) = rig.request(0, 0, customer, 1.0);
-            rig.pass(if customer <= 100 { usual } else { later });
-            counts(&out).iter().for_each(|(name, _)| {
-                drop(rig.tell(Event::CounterReplied {
+            rig.advance(if customer <= 100 { usual } else { later });
+            counter_calls(&out).iter().for_each(|(name, _)| {
+                drop(rig.handle(Event::CounterReplied {
                     key: *name,
                     outcome: Outcome::Ok,
                     total: 1.0,
                 }))
             });
-            asked += counts(&out).len();
+            asked += counter_calls(&out).len();
         }
         asked
     };
@@ -228,26 +228,26 @@
 }
 
 #[test]
-fn calls_that_were_out_together_cut_the_share_that_asks_once_and_it_comes_back_within_seconds() {
+fn calls_in_flight_together_reduce_the_sample_rate_once_and_it_recovers_within_seconds() {
     let mut rig = Rig::new(settings(), 4);
     // Thirty calls meet one line at the counter: all are answered late.
     let out: Vec<_> = (1..=30)
-        .flat_map(|c| counts(&rig.request(0, 0, c, 1.0).1))
+        .flat_map(|c| counter_calls(&rig.request(0, 0, c, 1.0).1))
         .collect();
-    rig.pass(60 * MS);
+    rig.advance(60 * MS);
     out.iter().for_each(|(name, _)| {
-        drop(rig.tell(Event::CounterReplied {
+        drop(rig.handle(Event::CounterReplied {
             key: *name,
             outcome: Outcome::Ok,
             total: 1.0,
         }))
     });
-    let asking = |rig: &mut Rig, customers: std::ops::Range<u64>| {
+    let count_calls = |rig: &mut Rig, customers: std::ops::Range<u64>| {
         let mut asked = 0;
         for customer in customers {
-            for (name, _) in counts(&rig.request(0, 0, customer, 1.0).1) {
-                rig.pass(2 * MS);
-                rig.tell(Event::CounterReplied {
+            for (name, _) in counter_calls(&rig.request(0, 0, customer, 1.0).1) {
+                rig.advance(2 * MS);
+                rig.handle(Event::CounterReplied {
                     key: name,
                     outcome: Outcome::Ok,
                     total: 1.0,
@@ -257,22 +257,22 @@
         }
         asked
     };
-    assert!(asking(&mut rig, 100..120) >= 14, "cut once");
+    assert!(count_calls(&mut rig, 100..120) >= 14, "cut once");
     // Cut again and again, each time by calls of their own.
     for customer in 200..300 {
-        let out = counts(&rig.request(0, 0, customer, 1.0).1);
-        rig.pass(60 * MS);
+        let out = counter_calls(&rig.request(0, 0, customer, 1.0).1);
+        rig.advance(60 * MS);
         out.iter().for_each(|(name, _)| {
-            drop(rig.tell(Event::CounterReplied {
+            drop(rig.handle(Event::CounterReplied {
                 key: *name,
                 outcome: Outcome::Ok,
                 total: 1.0,
             }))
         });
     }
-    asking(&mut rig, 400..700);
+    count_calls(&mut rig, 400..700);
     assert!(
-        asking(&mut rig, 700..720) >= 18,
+        count_calls(&mut rig, 700..720) >= 18,
         "three hundred requests later nearly all ask"
     );
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -79,7 +79,7 @@
 }
 
 pub struct Rig {
-    pub gateway: DecisionEngine,
+    pub engine: DecisionEngine,
     pub now: u64,
     pub done: Vec<Action>,
     pub next: u64,
@@ -87,31 +87,31 @@
 }
 
 impl Rig {
-    pub fn new(settings: Settings, servers: u32) -> Rig {
-        Rig::seeded(7, settings, servers)
+    pub fn new(settings: Settings, endpoints: u32) -> Rig {
+        Rig::seeded(7, settings, endpoints)
     }
-    pub fn seeded(seed: u64, settings: Settings, servers: u32) -> Rig {
-        let gateway = DecisionEngine::new(seed, settings).expect("sound settings");
+    pub fn seeded(seed: u64, settings: Settings, endpoints: u32) -> Rig {
+        let engine = DecisionEngine::new(seed, settings).expect("sound settings");
         let mut rig = Rig {
-            gateway,
+            engine,
             now: 1_000 * S,
             done: Vec::new(),
             next: 1,
             timers: Vec::new(),
         };
-        let entries = (0..servers)
+        let entries = (0..endpoints)
             .map(|i| entry(i, EndpointState::InService, None))
             .collect();
-        rig.tell(Event::EndpointsUpdated {
+        rig.handle(Event::EndpointsUpdated {
             scope: UpdateScope::Complete,
             entries,
         });
         rig
     }
-    /// Tells one event and returns what it led to.
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    /// Handles one event and returns the actions on it.
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        self.gateway
+        self.engine
             .handle(Timestamp::from_micros(self.now), event, &mut out);
         for action in &out {
             if let Action::SetTimer { timer: id, after } = action {
@@ -121,8 +121,8 @@
         self.done.extend(out.iter().cloned());
         out
     }
-    /// Lets time pass, ringing timers as they come due, and returns what they led to.
-    pub fn pass(&mut self, span: u64) -> Vec<Action> {
+    /// Lets time pass, raising timers as they fire, and returns the actions on them.
+    pub fn advance(&mut self, span: u64) -> Vec<Action> {
         let (end, mut led) = (self.now + span, Vec::new());
         while let Some(&(at, id)) = self
             .timers
@@ -132,7 +132,7 @@
         {
             self.timers.retain(|t| t.1 != id);
             self.now = self.now.max(at);
-            led.extend(self.tell(Event::Timer(id)));
+            led.extend(self.handle(Event::Timer(id)));
         }
         self.now = end;
         led
@@ -148,7 +148,7 @@
         self.next += 1;
         let deadline = Timestamp::from_micros(self.now + 3 * S);
         let (class, plan, customer) = (ClassId(class), PlanId(plan), CustomerId(customer));
-        let arrival = IncomingRequest {
+        let incoming = IncomingRequest {
             id,
             class,
             plan,
@@ -158,44 +158,44 @@
             units,
             is_retry: false,
         };
-        (id, self.tell(Event::RequestArrived(arrival)))
+        (id, self.handle(Event::RequestArrived(incoming)))
     }
-    /// A request without quota, sent on at once; returns where it went.
-    pub fn sent(&mut self, class: usize) -> (RequestId, EndpointId) {
+    /// A request without quota that is sent at once; returns its endpoint.
+    pub fn send_request(&mut self, class: usize) -> (RequestId, EndpointId) {
         let (id, out) = self.request(class, 3, 1, 1.0);
-        (id, sends(&out).first().expect("it is sent on").1)
+        (id, sent_attempts(&out).first().expect("it is sent on").1)
     }
-    pub fn ended(
+    pub fn end_attempt(
         &mut self,
         id: RequestId,
         attempt: usize,
-        server: EndpointId,
+        endpoint: EndpointId,
         outcome: Outcome,
     ) -> Vec<Action> {
-        self.ended_after(id, attempt, server, outcome, 50 * MS)
+        self.end_attempt_after(id, attempt, endpoint, outcome, 50 * MS)
     }
-    /// The attempt ends after so long. One that is called off belongs to a request that has its answer.
-    pub fn ended_after(
+    /// The attempt ends after so long. One that is cancelled belongs to a request that has its answer.
+    pub fn end_attempt_after(
         &mut self,
         id: RequestId,
         attempt: usize,
-        server: EndpointId,
+        endpoint: EndpointId,
         outcome: Outcome,
-        took: u64,
+        elapsed: u64,
     ) -> Vec<Action> {
         let ended = matches!(outcome, Outcome::Ok | Outcome::Cancelled);
-        let (took, report) = (TimeDelta::from_micros(took), LoadReport::default());
-        let end = AttemptResult {
+        let (elapsed, report) = (TimeDelta::from_micros(elapsed), LoadReport::default());
+        let result = AttemptResult {
             id,
             attempt,
-            endpoint: server,
+            endpoint,
             outcome,
-            elapsed: took,
+            elapsed,
             request_finished: ended,
             settled_units: None,
             load_report: report,
         };
-        self.tell(Event::AttemptEnded(end))
+        self.handle(Event::AttemptEnded(result))
     }
 }
 
@@ -210,7 +210,7 @@
     }
 }
 
-pub fn counts(out: &[Action]) -> Vec<(CounterKey, f64)> {
+pub fn counter_calls(out: &[Action]) -> Vec<(CounterKey, f64)> {
     out.iter()
         .filter_map(|a| {
             if let Action::AddToCounter {
@@ -225,10 +225,13 @@
         .collect()
 }
 /// The count calls that add or take off.
-pub fn adds(out: &[Action]) -> Vec<(CounterKey, f64)> {
-    counts(out).into_iter().filter(|(_, x)| *x != 0.0).collect()
+pub fn nonzero_adds(out: &[Action]) -> Vec<(CounterKey, f64)> {
+    counter_calls(out)
+        .into_iter()
+        .filter(|(_, x)| *x != 0.0)
+        .collect()
 }
-pub fn sends(out: &[Action]) -> Vec<(RequestId, EndpointId)> {
+pub fn sent_attempts(out: &[Action]) -> Vec<(RequestId, EndpointId)> {
     out.iter()
         .filter_map(|a| {
             if let Action::SendAttempt {
@@ -244,10 +247,10 @@
         })
         .collect()
 }
-pub fn refused(out: &[Action], id: RequestId) -> bool {
+pub fn is_rejected(out: &[Action], id: RequestId) -> bool {
     out.iter()
         .any(|a| matches!(a, Action::Reject { request: r, .. } if *r == id))
 }
-pub fn failed(out: &[Action], id: RequestId) -> bool {
+pub fn is_failed(out: &[Action], id: RequestId) -> bool {
     out.contains(&Action::Fail(id))
 }
--- a/crates/policy/tests/servers.rs
+++ b/crates/policy/tests/endpoints.rs
@@ -1,71 +1,71 @@
-//! Choice of a server, health, further attempts and what waits.
+//! Selection of an endpoint, outlier detection, retries, stragglers and pending requests.
 mod common;
 use chalkdeck::api::*;
 use common::*;
 
 #[test]
-fn work_spreads_by_what_is_out() {
+fn attempts_spread_by_what_is_in_flight() {
     let mut rig = Rig::new(settings(), 4);
-    let mut seen: Vec<_> = (0..4).map(|_| rig.sent(0).1).collect();
+    let mut seen: Vec<_> = (0..4).map(|_| rig.send_request(0).1).collect();
     seen.sort();
     seen.dedup();
     assert_eq!(seen.len(), 4, "each of four gets one before any gets two");
 }
 
 #[test]
-fn an_unreachable_server_is_ejected_and_tried_again_later() {
+fn an_unreachable_endpoint_is_ejected_and_tried_again_later() {
     let mut rig = Rig::new(settings(), 2);
     let mut hits = 0;
     for _ in 0..100 {
-        rig.pass(10 * MS);
-        let (id, server) = rig.sent(0);
-        let bad = server == EndpointId(0);
+        rig.advance(10 * MS);
+        let (id, endpoint) = rig.send_request(0);
+        let bad = endpoint == EndpointId(0);
         hits += u32::from(bad);
-        let out = rig.ended(
+        let out = rig.end_attempt(
             id,
             0,
-            server,
+            endpoint,
             if bad {
                 Outcome::ConnectFailed
             } else {
                 Outcome::Ok
             },
         );
-        assert!(!bad || sends(&out).iter().all(|s| s.1 == EndpointId(1)));
-        sends(&out)
+        assert!(!bad || sent_attempts(&out).iter().all(|s| s.1 == EndpointId(1)));
+        sent_attempts(&out)
             .iter()
-            .for_each(|(id, s)| drop(rig.ended(*id, 1, *s, Outcome::Ok)));
+            .for_each(|(id, s)| drop(rig.end_attempt(*id, 1, *s, Outcome::Ok)));
     }
     assert!((1..=3).contains(&hits), "{hits}");
-    rig.pass(9 * S);
+    rig.advance(9 * S);
     let tried = (0..10).any(|_| {
-        let (id, server) = rig.sent(0);
-        rig.ended(id, 0, server, Outcome::Ok);
-        server == EndpointId(0)
+        let (id, endpoint) = rig.send_request(0);
+        rig.end_attempt(id, 0, endpoint, Outcome::Ok);
+        endpoint == EndpointId(0)
     });
     assert!(tried);
 }
 
 #[test]
-fn time_outs_everywhere_eject_nobody() {
+fn time_outs_at_all_endpoints_eject_none() {
     let mut rig = Rig::new(settings(), 4);
     let mut last = Vec::new();
     for i in 0..200 {
         let (id, out) = rig.request(0, 3, 1, 1.0);
-        for (_, server) in sends(&out) {
-            rig.pass(20 * MS);
-            // Every server alike: one answer in three.
+        for (_, endpoint) in sent_attempts(&out) {
+            rig.advance(20 * MS);
+            // Every endpoint alike: one answer in three.
             let outcome = if i % 3 == 0 {
                 Outcome::Ok
             } else {
                 Outcome::Timeout
             };
-            let out = rig.ended(id, 0, server, outcome);
-            sends(&out)
+            let out = rig.end_attempt(id, 0, endpoint, outcome);
+            sent_attempts(&out)
                 .iter()
-                .for_each(|(id, s)| drop(rig.ended(*id, 1, *s, Outcome::Ok)));
+                .for_each(|(id, s)| drop(rig.end_attempt(*id, 1, *s, Outcome::Ok)));
             if i >= 150 {
-                last.push(server);
+                last.push(endpoint);
             }
         }
     }
@@ -75,17 +75,17 @@
 }
 
 #[test]
-fn further_attempts_stay_within_the_retry_budget() {
+fn retries_stay_within_their_budget() {
     let mut rig = Rig::new(settings(), 4);
     let (mut tries, mut first) = (0, 0);
     for _ in 0..500 {
-        rig.pass(50 * MS);
+        rig.advance(50 * MS);
         let (id, out) = rig.request(0, 3, 1, 1.0);
-        let (mut out, mut attempt) = (sends(&out), 0);
+        let (mut out, mut attempt) = (sent_attempts(&out), 0);
         first += out.len();
-        while let Some((_, server)) = out.first().copied() {
+        while let Some((_, endpoint)) = out.first().copied() {
             tries += 1;
-            out = sends(&rig.ended(id, attempt, server, Outcome::Error));
+            out = sent_attempts(&rig.end_attempt(id, attempt, endpoint, Outcome::Error));
             attempt += 1;
         }
     }
@@ -97,29 +97,32 @@
 }
 
 #[test]
-fn with_every_server_full_the_request_waits_and_then_is_refused() {
+fn with_every_endpoint_full_a_request_waits_and_is_then_rejected() {
     let mut rig = Rig::new(settings(), 1);
-    rig.sent(0);
-    rig.sent(0);
+    rig.send_request(0);
+    rig.send_request(0);
     let (id, out) = rig.request(0, 3, 1, 1.0);
-    assert!(sends(&out).is_empty() && !refused(&out, id), "it waits");
     assert!(
-        refused(&rig.pass(400 * MS), id),
+        sent_attempts(&out).is_empty() && !is_rejected(&out, id),
+        "it waits"
+    );
+    assert!(
+        is_rejected(&rig.advance(400 * MS), id),
         "not past what the aim allows"
     );
 }
 
 #[test]
-fn a_held_request_goes_when_a_server_is_free_and_the_dearest_first() {
+fn pending_requests_are_sent_when_an_endpoint_is_free_by_priority() {
     let mut set = settings();
     set.classes[3].priority_weight = 5.0;
     let mut rig = Rig::new(set, 1);
-    let (first, server) = rig.sent(0);
-    rig.sent(0);
+    let (first, endpoint) = rig.send_request(0);
+    rig.send_request(0);
     let (cheap, _) = rig.request(0, 3, 1, 1.0);
     let (dear, _) = rig.request(3, 3, 1, 1.0);
-    let out = rig.ended(first, 0, server, Outcome::Ok);
-    assert_eq!(sends(&out), [(dear, server)]);
+    let out = rig.end_attempt(first, 0, endpoint, Outcome::Ok);
+    assert_eq!(sent_attempts(&out), [(dear, endpoint)]);
     assert_ne!(cheap, dear);
 }
 
@@ -129,11 +132,11 @@
     set.requires_subscription = true;
     let mut rig = Rig::new(set, 1);
     assert!(rig.done.contains(&Action::Subscribe));
-    rig.tell(Event::EndpointsUpdated {
+    rig.handle(Event::EndpointsUpdated {
         scope: UpdateScope::Unavailable,
         entries: Vec::new(),
     });
-    assert!(rig.pass(S).contains(&Action::Subscribe));
+    assert!(rig.advance(S).contains(&Action::Subscribe));
 }
 
 #[test]
@@ -141,17 +144,17 @@
     let run = || {
         let mut rig = Rig::new(settings(), 6);
         for i in 0..200 {
-            rig.pass(7 * MS);
+            rig.advance(7 * MS);
             let (id, out) = rig.request((i % 4) as usize, (i % 3) as usize, i % 5, 1.0);
-            for (name, _) in counts(&out) {
-                let out = rig.tell(Event::CounterReplied {
+            for (name, _) in counter_calls(&out) {
+                let out = rig.handle(Event::CounterReplied {
                     key: name,
                     outcome: Outcome::Ok,
                     total: (i % 17) as f64,
                 });
-                sends(&out)
+                sent_attempts(&out)
                     .iter()
-                    .for_each(|(_, s)| drop(rig.ended(id, 0, *s, Outcome::Ok)));
+                    .for_each(|(_, s)| drop(rig.end_attempt(id, 0, *s, Outcome::Ok)));
             }
         }
         rig.done
@@ -160,7 +163,7 @@
 }
 
 #[test]
-fn senseless_settings_are_refused() {
+fn unsound_settings_are_rejected() {
     let bad = |change: fn(&mut Settings)| {
         let mut set = settings();
         change(&mut set);
@@ -175,28 +178,28 @@
 }
 
 #[test]
-fn late_answers_lower_what_may_be_out_even_below_one_a_server() {
+fn late_answers_lower_the_limits_even_below_one_attempt_an_endpoint() {
     let mut rig = Rig::new(settings(), 4);
     for _ in 0..60 {
         let (id, out) = rig.request(0, 3, 1, 1.0);
-        for (_, server) in sends(&out) {
-            rig.ended_after(id, 0, server, Outcome::Ok, 600 * MS);
+        for (_, endpoint) in sent_attempts(&out) {
+            rig.end_attempt_after(id, 0, endpoint, Outcome::Ok, 600 * MS);
         }
-        rig.pass(300 * MS);
+        rig.advance(300 * MS);
     }
     let at_once = (0..8)
-        .map(|_| sends(&rig.request(0, 3, 1, 1.0).1).len())
+        .map(|_| sent_attempts(&rig.request(0, 3, 1, 1.0).1).len())
         .sum::<usize>();
     assert_eq!(at_once, 1, "one attempt out over all four");
 }
 
 #[test]
-fn attempts_are_given_up_early_only_at_a_server_out_of_line() {
+fn attempts_are_given_up_early_only_at_an_outlier() {
     let mut rig = Rig::new(settings(), 2);
     for _ in 0..40 {
-        rig.pass(100 * MS);
-        let (id, server) = rig.sent(0);
-        rig.ended(id, 0, server, Outcome::Ok);
+        rig.advance(100 * MS);
+        let (id, endpoint) = rig.send_request(0);
+        rig.end_attempt(id, 0, endpoint, Outcome::Ok);
     }
     let waits = |out: &[Action], now: u64| {
         let until = |a: &Action| {
@@ -218,66 +221,66 @@
     assert_eq!(
         wait,
         3 * S,
-        "at a server like the others it may take its time"
+        "at a endpoint like the others it may take its time"
     );
-    // The further attempt goes to the other server and stays out there.
-    rig.ended_after(id, 0, silent, Outcome::Timeout, 3 * S);
-    rig.pass(2 * S);
-    let (server, wait) = waits(&rig.request(0, 3, 1, 1.0).1, rig.now);
-    assert_eq!(server, silent, "it is tried again");
+    // The further attempt goes to the other endpoint and stays out there.
+    rig.end_attempt_after(id, 0, silent, Outcome::Timeout, 3 * S);
+    rig.advance(2 * S);
+    let (endpoint, wait) = waits(&rig.request(0, 3, 1, 1.0).1, rig.now);
+    assert_eq!(endpoint, silent, "it is tried again");
     assert!(wait < 800 * MS, "and not for the whole time: {wait}");
 }
 
-/// Sends one request that stays out while others are answered after `took`; returns it, its server and what that led to
+/// Sends one request that stays out while others are answered after `elapsed`; returns it, its endpoint and what that led to
 /// within half a second.
-fn one_astray(took: u64) -> (Rig, RequestId, EndpointId, Vec<Action>) {
+fn one_straggler(elapsed: u64) -> (Rig, RequestId, EndpointId, Vec<Action>) {
     let mut rig = Rig::new(settings(), 1);
-    let (id, server) = rig.sent(0);
+    let (id, endpoint) = rig.send_request(0);
     let begun = rig.now;
     let mut led = Vec::new();
     while rig.now < begun + 500 * MS {
         let (other, out) = rig.request(0, 3, 9, 1.0);
-        led.extend(rig.pass(took));
-        sends(&out)
+        led.extend(rig.advance(elapsed));
+        sent_attempts(&out)
             .iter()
-            .for_each(|(_, s)| drop(rig.ended(other, 0, *s, Outcome::Ok)));
+            .for_each(|(_, s)| drop(rig.end_attempt(other, 0, *s, Outcome::Ok)));
     }
-    (rig, id, server, led)
+    (rig, id, endpoint, led)
 }
 
 #[test]
-fn an_attempt_that_alone_is_late_is_called_off_and_goes_again() {
-    let (mut rig, id, server, led) = one_astray(20 * MS);
+fn a_straggler_is_cancelled_and_retried() {
+    let (mut rig, id, endpoint, led) = one_straggler(20 * MS);
     assert!(led.contains(&Action::CancelAttempt {
         request: id,
         attempt: 0
     }));
-    let (outcome, report, took) = (
+    let (outcome, report, elapsed) = (
         Outcome::Cancelled,
         LoadReport::default(),
         TimeDelta::from_micros(300 * MS),
     );
-    let end = AttemptResult {
+    let result = AttemptResult {
         id,
         attempt: 0,
-        endpoint: server,
+        endpoint,
         outcome,
-        elapsed: took,
+        elapsed,
         request_finished: false,
         settled_units: None,
         load_report: report,
     };
-    let out = rig.tell(Event::AttemptEnded(end));
+    let out = rig.handle(Event::AttemptEnded(result));
     assert_eq!(
-        sends(&out),
-        [(id, server)],
-        "the server is neither cut nor put aside"
+        sent_attempts(&out),
+        [(id, endpoint)],
+        "the endpoint is neither cut nor put aside"
     );
 }
 
 #[test]
-fn where_all_answers_are_late_nothing_is_called_off() {
-    let (_, _, _, led) = one_astray(300 * MS);
+fn where_all_answers_are_late_nothing_is_cancelled() {
+    let (_, _, _, led) = one_straggler(300 * MS);
     assert!(
         !led.iter()
             .any(|a| matches!(a, Action::CancelAttempt { .. })),
@@ -286,60 +289,63 @@
 }
 
 #[test]
-fn strays_at_a_server_that_answers_quickly_do_not_cut_its_bound() {
+fn stragglers_at_an_endpoint_that_answers_quickly_leave_its_limit() {
     let mut rig = Rig::new(settings(), 1);
     let out_at_once = |rig: &mut Rig| {
         let asked: Vec<_> = (0..8).map(|_| rig.request(2, 3, 9, 1.0)).collect();
-        let sent: Vec<_> = asked.iter().flat_map(|(_, out)| sends(out)).collect();
+        let sent: Vec<_> = asked
+            .iter()
+            .flat_map(|(_, out)| sent_attempts(out))
+            .collect();
         for (id, _) in asked
             .iter()
             .filter(|(id, _)| !sent.iter().any(|s| s.0 == *id))
         {
-            rig.tell(Event::ClientDisconnected(*id));
+            rig.handle(Event::ClientDisconnected(*id));
         }
-        for (id, server) in &sent {
-            rig.ended(*id, 0, *server, Outcome::Ok);
+        for (id, endpoint) in &sent {
+            rig.end_attempt(*id, 0, *endpoint, Outcome::Ok);
         }
-        rig.pass(S);
+        rig.advance(S);
         sent.len()
     };
     let before = out_at_once(&mut rig);
     for _ in 0..10 {
         // Unsafe: it waits until its client goes.
-        let (id, server) = rig.sent(2);
+        let (id, endpoint) = rig.send_request(2);
         for _ in 0..5 {
             let (other, _) = rig.request(0, 3, 9, 1.0);
-            rig.pass(20 * MS);
-            rig.ended(other, 0, server, Outcome::Ok);
+            rig.advance(20 * MS);
+            rig.end_attempt(other, 0, endpoint, Outcome::Ok);
         }
-        rig.pass(1_200 * MS);
-        rig.tell(Event::ClientDisconnected(id));
-        rig.ended_after(id, 0, server, Outcome::Cancelled, 1_300 * MS);
+        rig.advance(1_200 * MS);
+        rig.handle(Event::ClientDisconnected(id));
+        rig.end_attempt_after(id, 0, endpoint, Outcome::Cancelled, 1_300 * MS);
     }
     assert!(out_at_once(&mut rig) >= before, "{before} before");
 }
 
 #[test]
-fn a_connect_that_fails_alone_neither_ejects_nor_makes_a_server_cold() {
+fn one_failed_connect_neither_ejects_nor_begins_a_slow_start() {
     let mut rig = Rig::new(settings(), 2);
     let turn = |rig: &mut Rig, breaks: bool| {
-        rig.pass(10 * MS);
-        let (id, server) = rig.sent(0);
-        let broken = breaks && server == EndpointId(0);
-        let out = rig.ended(
+        rig.advance(10 * MS);
+        let (id, endpoint) = rig.send_request(0);
+        let broken = breaks && endpoint == EndpointId(0);
+        let out = rig.end_attempt(
             id,
             0,
-            server,
+            endpoint,
             if broken {
                 Outcome::ConnectFailed
             } else {
                 Outcome::Ok
             },
         );
-        sends(&out)
+        sent_attempts(&out)
             .iter()
-            .for_each(|(id, s)| drop(rig.ended(*id, 1, *s, Outcome::Ok)));
-        (server == EndpointId(0), broken)
+            .for_each(|(id, s)| drop(rig.end_attempt(*id, 1, *s, Outcome::Ok)));
+        (endpoint == EndpointId(0), broken)
     };
     for _ in 0..200 {
         turn(&mut rig, false);
@@ -349,7 +355,7 @@
         let share = (0..300).filter(|_| turn(&mut rig, false).0).count();
         assert!(
             share > 100,
-            "{share} of 300 went to the server one connection of which broke"
+            "{share} of 300 went to the endpoint one connection of which broke"
         );
     }
 }
--- a/crates/policy/tests/scale.rs
+++ b/crates/policy/tests/many_gateways.rs
@@ -4,7 +4,7 @@
 use common::*;
 use std::collections::BTreeMap;
 
-fn one_of(gateways: u32, gateway_index: u32, servers: u32) -> Rig {
+fn gateway_of(gateways: u32, gateway_index: u32, endpoints: u32) -> Rig {
     Rig::seeded(
         u64::from(gateway_index),
         Settings {
@@ -12,17 +12,17 @@
             gateway_index,
             ..settings()
         },
-        servers,
+        endpoints,
     )
 }
 
 /// A request of a customer that comes through many gateways.
-fn wide(rig: &mut Rig, resent: bool) -> (RequestId, Vec<Action>) {
+fn request_of_many_gateways(rig: &mut Rig, is_retry: bool) -> (RequestId, Vec<Action>) {
     let id = RequestId(rig.next);
     rig.next += 1;
     let deadline = Timestamp::from_micros(rig.now + 3 * S);
     let (class, plan, customer) = (ClassId(0), PlanId(0), CustomerId(rig.next));
-    let arrival = IncomingRequest {
+    let incoming = IncomingRequest {
         id,
         class,
         plan,
@@ -30,44 +30,44 @@
         customer_gateways: 200,
         deadline,
         units: 2.0,
-        is_retry: resent,
+        is_retry,
     };
-    (id, rig.tell(Event::RequestArrived(arrival)))
+    (id, rig.handle(Event::RequestArrived(incoming)))
 }
 
 #[test]
-fn each_gateway_keeps_to_its_own_part_and_the_parts_cover_the_fleet_evenly() {
+fn each_gateway_keeps_to_its_subset_and_the_subsets_cover_the_fleet_evenly() {
     let mut gateways_at = BTreeMap::new();
     for me in 0..100 {
-        let mut rig = one_of(100, me, 50);
+        let mut rig = gateway_of(100, me, 50);
         let mut used = BTreeMap::new();
         for _ in 0..100 {
-            rig.pass(500 * MS);
-            let (id, server) = rig.sent(0);
-            rig.ended(id, 0, server, Outcome::Ok);
-            *used.entry(server).or_insert(0) += 1;
+            rig.advance(500 * MS);
+            let (id, endpoint) = rig.send_request(0);
+            rig.end_attempt(id, 0, endpoint, Outcome::Ok);
+            *used.entry(endpoint).or_insert(0) += 1;
         }
         assert!(used.len() <= 12, "gateway {me} used {} of 50", used.len());
         used.into_keys()
-            .for_each(|server| *gateways_at.entry(server).or_insert(0) += 1);
+            .for_each(|endpoint| *gateways_at.entry(endpoint).or_insert(0) += 1);
     }
-    assert_eq!(gateways_at.len(), 50, "no server is left out");
+    assert_eq!(gateways_at.len(), 50, "no endpoint is left out");
     let (least, most) = (gateways_at.values().min(), gateways_at.values().max());
     assert!(most <= least.map(|l| l * 4).as_ref(), "{gateways_at:?}");
 }
 
 #[test]
-fn late_answers_make_a_small_gateway_shed_and_quick_ones_do_not() {
-    let refusals = |took: u64| {
-        let mut rig = one_of(200, 3, 50);
+fn with_fractional_limits_late_answers_shed_and_quick_ones_do_not() {
+    let refusals = |elapsed: u64| {
+        let mut rig = gateway_of(200, 3, 50);
         let mut refusals = 0;
         for _ in 0..200 {
-            rig.pass(700 * MS);
+            rig.advance(700 * MS);
             let (id, out) = rig.request(0, 3, 1, 1.0);
-            refusals += u32::from(refused(&out, id));
-            for (_, server) in sends(&out) {
-                rig.pass(took);
-                rig.ended_after(id, 0, server, Outcome::Ok, took);
+            refusals += u32::from(is_rejected(&out, id));
+            for (_, endpoint) in sent_attempts(&out) {
+                rig.advance(elapsed);
+                rig.end_attempt_after(id, 0, endpoint, Outcome::Ok, elapsed);
             }
         }
         refusals
@@ -80,16 +80,16 @@
 }
 
 #[test]
-fn while_calls_fail_repeats_are_not_guessed_but_first_tries_are() {
-    let mut rig = one_of(200, 3, 50);
+fn while_calls_fail_unsampled_retries_are_rejected_and_first_requests_admitted() {
+    let mut rig = gateway_of(200, 3, 50);
     let (mut went, mut calls) = ([0, 0], 0);
     for i in 0..1_200 {
-        rig.pass(300 * MS);
-        let resent = i % 2 == 1;
-        let (id, mut out) = wide(&mut rig, resent);
+        rig.advance(300 * MS);
+        let is_retry = i % 2 == 1;
+        let (id, mut out) = request_of_many_gateways(&mut rig, is_retry);
         // Every third call is turned away, so the breaker stays closed.
         let mut failed = false;
-        for (name, _) in counts(&out) {
+        for (name, _) in counter_calls(&out) {
             calls += 1;
             failed = calls % 3 == 0;
             let outcome = if failed {
@@ -97,44 +97,44 @@
             } else {
                 Outcome::Ok
             };
-            out.extend(rig.tell(Event::CounterReplied {
+            out.extend(rig.handle(Event::CounterReplied {
                 key: name,
                 outcome,
                 total: 2.0,
             }));
         }
-        let guessed = failed && !sends(&out).is_empty();
-        went[usize::from(resent)] += u32::from(guessed);
-        sends(&out)
+        let guessed = failed && !sent_attempts(&out).is_empty();
+        went[usize::from(is_retry)] += u32::from(guessed);
+        sent_attempts(&out)
             .iter()
-            .for_each(|(_, s)| drop(rig.ended(id, 0, *s, Outcome::Ok)));
+            .for_each(|(_, s)| drop(rig.end_attempt(id, 0, *s, Outcome::Ok)));
     }
     assert!(went[0] > 10, "first tries: {went:?}");
     assert_eq!(went[1], 0, "repeats");
 }
 
 #[test]
-fn a_share_of_less_than_one_request_still_lets_one_go() {
-    let mut rig = one_of(200, 3, 50);
-    rig.pass(300 * MS);
+fn a_local_share_below_one_request_still_admits_one() {
+    let mut rig = gateway_of(200, 3, 50);
+    rig.advance(300 * MS);
     let asked = (0..100).find_map(|_| {
-        let (id, out) = wide(&mut rig, false);
-        sends(&out)
+        let (id, out) = request_of_many_gateways(&mut rig, false);
+        sent_attempts(&out)
             .iter()
-            .for_each(|(_, s)| drop(rig.ended(id, 0, *s, Outcome::Ok)));
-        (!counts(&out).is_empty()).then_some((id, out))
+            .for_each(|(_, s)| drop(rig.end_attempt(id, 0, *s, Outcome::Ok)));
+        (!counter_calls(&out).is_empty()).then_some((id, out))
     });
     let (id, out) = asked.expect("one of a hundred asks");
-    let out = rig.tell(Event::CounterReplied {
-        key: counts(&out)[0].0,
+    let out = rig.handle(Event::CounterReplied {
+        key: counter_calls(&out)[0].0,
         outcome: Outcome::Rejected,
         total: 0.0,
     });
-    assert_eq!(sends(&out).first().map(|s| s.0), Some(id));
+    assert_eq!(sent_attempts(&out).first().map(|s| s.0), Some(id));
 }
 
 /// A request of one customer of that plan, which comes through all gateways, while the counter takes no call.
-fn unheard(rig: &mut Rig, plan: usize) -> (RequestId, Vec<Action>) {
+fn request_while_counter_rejects(rig: &mut Rig, plan: usize) -> (RequestId, Vec<Action>) {
     let id = RequestId(rig.next);
     rig.next += 1;
     let deadline = Timestamp::from_micros(rig.now + 3 * S);
@@ -148,9 +148,9 @@
         units: 1.0,
         ..IncomingRequest::default()
     };
-    let mut out = rig.tell(Event::RequestArrived(a));
-    for (name, _) in counts(&out) {
-        out.extend(rig.tell(Event::CounterReplied {
+    let mut out = rig.handle(Event::RequestArrived(a));
+    for (name, _) in counter_calls(&out) {
+        out.extend(rig.handle(Event::CounterReplied {
             key: name,
             outcome: Outcome::Rejected,
             total: 0.0,
@@ -162,64 +162,68 @@
 #[test]
 fn with_the_counter_down_hundreds_of_gateways_keep_one_ceiling_by_their_sum() {
     // 20 units a second up to 40, over 200 gateways that each have a request every second.
-    let mut rigs: Vec<Rig> = (0..200).map(|me| one_of(200, me, 50)).collect();
+    let mut rigs: Vec<Rig> = (0..200).map(|me| gateway_of(200, me, 50)).collect();
     let (mut level, mut lowest) = (40.0f64, 40.0f64);
     for _ in 0..20 {
         level = (level + 20.0).min(40.0);
         for rig in &mut rigs {
-            rig.pass(S);
-            let (id, out) = unheard(rig, 1);
-            level -= sends(&out).len() as f64;
+            rig.advance(S);
+            let (id, out) = request_while_counter_rejects(rig, 1);
+            level -= sent_attempts(&out).len() as f64;
             lowest = lowest.min(level);
-            sends(&out)
+            sent_attempts(&out)
                 .iter()
-                .for_each(|(_, s)| drop(rig.ended(id, 0, *s, Outcome::Ok)));
+                .for_each(|(_, s)| drop(rig.end_attempt(id, 0, *s, Outcome::Ok)));
         }
     }
     assert!(lowest >= -4.0, "{lowest}");
 }
 
 #[test]
-fn a_gateway_that_sees_a_server_seldom_puts_it_aside_once_it_waited_there_in_vain() {
-    let mut rig = one_of(200, 3, 50);
+fn one_time_out_ejects_an_endpoint_that_is_seldom_used() {
+    let mut rig = gateway_of(200, 3, 50);
     let (mut slow, mut hits) = (None, 0);
     for _ in 0..60 {
-        rig.pass(500 * MS);
+        rig.advance(500 * MS);
         let (id, out) = rig.request(0, 3, 1, 1.0);
-        let Some(&(_, server)) = sends(&out).first() else {
+        let Some(&(_, endpoint)) = sent_attempts(&out).first() else {
             continue;
         };
-        let jammed = *slow.get_or_insert(server) == server;
+        let jammed = *slow.get_or_insert(endpoint) == endpoint;
         hits += u32::from(jammed);
         if jammed {
-            rig.pass(3 * S); // Called off at the deadline.
+            rig.advance(3 * S); // Called off at the deadline.
         }
-        let (outcome, took) = if jammed {
+        let (outcome, elapsed) = if jammed {
             (Outcome::Cancelled, 3 * S)
         } else {
             (Outcome::Ok, 50 * MS)
         };
-        rig.ended_after(id, 0, server, outcome, took);
+        rig.end_attempt_after(id, 0, endpoint, outcome, elapsed);
     }
     assert!(
         hits <= 6,
-        "in thirty seconds of eight servers in turn, {hits} went to the jammed one"
+        "in thirty seconds of eight endpoints in turn, {hits} went to the jammed one"
     );
 }
 
 #[test]
-fn with_the_counter_down_hundreds_of_gateways_share_two_places_by_their_sum() {
+fn with_the_counter_down_hundreds_of_gateways_share_two_slots_by_their_sum() {
     // One customer with two places asks at each of 200 gateways twice a second; answers take 100 ms.
-    let mut rigs: Vec<Rig> = (0..200).map(|me| one_of(200, me, 50)).collect();
+    let mut rigs: Vec<Rig> = (0..200).map(|me| gateway_of(200, me, 50)).collect();
     let mut later = 0;
     for round in 0..120 {
         for rig in &mut rigs {
-            rig.pass(400 * MS);
-            let out = unheard(rig, 2).1;
-            rig.pass(100 * MS);
-            later += if round >= 38 { sends(&out).len() } else { 0 };
-            for (id, server) in sends(&out) {
-                rig.ended_after(id, 0, server, Outcome::Ok, 100 * MS);
+            rig.advance(400 * MS);
+            let out = request_while_counter_rejects(rig, 2).1;
+            rig.advance(100 * MS);
+            later += if round >= 38 {
+                sent_attempts(&out).len()
+            } else {
+                0
+            };
+            for (id, endpoint) in sent_attempts(&out) {
+                rig.end_attempt_after(id, 0, endpoint, Outcome::Ok, 100 * MS);
             }
         }
     }
@@ -231,27 +235,27 @@
 }
 
 #[test]
-fn in_a_jam_a_small_gateway_has_less_out_than_in_calm() {
-    let mut rig = one_of(200, 3, 50);
+fn in_overload_a_gateway_with_fractional_limits_has_less_in_flight_than_in_calm() {
+    let mut rig = gateway_of(200, 3, 50);
     let mut waiting: Vec<(u64, RequestId, EndpointId)> = Vec::new();
     let mut sent = 0;
     for step in 0..2_000u64 {
-        let mut out = rig.pass(50 * MS);
+        let mut out = rig.advance(50 * MS);
         let jam = step >= 600;
         let takes = if jam { 1_500 * MS } else { 100 * MS };
-        for (until, id, server) in std::mem::take(&mut waiting) {
+        for (until, id, endpoint) in std::mem::take(&mut waiting) {
             if until > rig.now {
-                waiting.push((until, id, server));
+                waiting.push((until, id, endpoint));
                 continue;
             }
-            out.extend(rig.ended_after(id, 0, server, Outcome::Ok, takes));
+            out.extend(rig.end_attempt_after(id, 0, endpoint, Outcome::Ok, takes));
         }
         // In the jam clients repeat what was refused.
         if jam || step % 10 == 0 {
             out.extend(rig.request(0, 3, 1, 1.0).1);
         }
-        for (id, server) in sends(&out) {
-            waiting.push((rig.now + takes, id, server));
+        for (id, endpoint) in sent_attempts(&out) {
+            waiting.push((rig.now + takes, id, endpoint));
             sent += u32::from(step >= 1_000);
         }
     }
@@ -263,7 +267,7 @@
 }
 
 #[test]
-fn what_is_shed_is_told_to_come_back_soon_and_not_all_at_once_where_settings_allow_it() {
+fn shed_requests_get_a_short_and_spread_retry_after_where_settings_allow_it() {
     for retry_after in [true, false] {
         let set = Settings {
             gateways: 200,
@@ -273,7 +277,7 @@
         };
         let (mut rig, mut hints) = (Rig::seeded(3, set, 50), Vec::new());
         for _ in 0..300 {
-            rig.pass(700 * MS);
+            rig.advance(700 * MS);
             let (id, out) = rig.request(0, 3, 1, 1.0);
             let hint = |a: &Action| {
                 if let Action::Reject {
@@ -286,8 +290,8 @@
                 }
             };
             hints.extend(out.iter().find_map(hint));
-            for (_, server) in sends(&out) {
-                rig.ended_after(id, 0, server, Outcome::Ok, 700 * MS);
+            for (_, endpoint) in sent_attempts(&out) {
+                rig.end_attempt_after(id, 0, endpoint, Outcome::Ok, 700 * MS);
             }
         }
         assert!(
--- a/crates/policy/tests/window.rs
+++ b/crates/policy/tests/quota_window.rs
@@ -1,20 +1,20 @@
-//! The window count: its edges, refusals, late answers, lost adds, and the local bucket.
+//! The count of a quota window: its edges, rejections, late answers, lost adds, and the local bucket.
 mod common;
 use chalkdeck::api::*;
 use common::*;
 
 /// One request whose call is answered with this total.
-fn with_total(rig: &mut Rig, units: f64, total: f64) -> (RequestId, Vec<Action>) {
+fn request_with_total(rig: &mut Rig, units: f64, total: f64) -> (RequestId, Vec<Action>) {
     let (id, out) = rig.request(0, 0, 1, units);
-    let add = adds(&out);
+    let add = nonzero_adds(&out);
     assert_eq!(add.len(), 1, "one add before sending on");
     assert!(
-        sends(&out).is_empty(),
+        sent_attempts(&out).is_empty(),
         "nothing is sent on before the answer"
     );
     (
         id,
-        rig.tell(Event::CounterReplied {
+        rig.handle(Event::CounterReplied {
             key: add[0].0,
             outcome: Outcome::Ok,
             total,
@@ -23,30 +23,33 @@
 }
 
 #[test]
-fn one_add_of_the_units_then_the_send() {
+fn the_units_are_added_before_the_request_is_sent() {
     let mut rig = Rig::new(settings(), 4);
     let (id, out) = rig.request(0, 0, 1, 3.0);
-    assert_eq!(adds(&out).iter().map(|a| a.1).collect::<Vec<_>>(), [3.0]);
-    let out = rig.tell(Event::CounterReplied {
-        key: adds(&out)[0].0,
+    assert_eq!(
+        nonzero_adds(&out).iter().map(|a| a.1).collect::<Vec<_>>(),
+        [3.0]
+    );
+    let out = rig.handle(Event::CounterReplied {
+        key: nonzero_adds(&out)[0].0,
         outcome: Outcome::Ok,
         total: 3.0,
     });
-    assert_eq!(sends(&out)[0].0, id);
+    assert_eq!(sent_attempts(&out)[0].0, id);
 }
 
 #[test]
-fn the_allowance_itself_still_goes_on() {
+fn a_total_equal_to_the_allowance_is_admitted() {
     let mut rig = Rig::new(settings(), 4);
-    let (_, out) = with_total(&mut rig, 2.0, 20.0);
-    assert_eq!(sends(&out).len(), 1);
+    let (_, out) = request_with_total(&mut rig, 2.0, 20.0);
+    assert_eq!(sent_attempts(&out).len(), 1);
 }
 
 #[test]
-fn over_the_allowance_is_refused_added_back_and_told_when_to_come() {
+fn over_the_allowance_a_request_is_rejected_its_units_given_back_and_retry_after_set() {
     let mut rig = Rig::new(settings(), 4);
     // Far beyond what any store can hold: twice the burst and more.
-    let (id, out) = with_total(&mut rig, 4.0, 43.0);
+    let (id, out) = request_with_total(&mut rig, 4.0, 43.0);
     let Some(Action::Reject {
         retry_after: Some(wait),
         ..
@@ -57,116 +60,119 @@
         panic!("refused with advice: {out:?}");
     };
     assert!(wait.as_micros() > 0 && wait.as_micros() <= 2 * S);
-    assert!(sends(&out).is_empty());
+    assert!(sent_attempts(&out).is_empty());
     // Nobody could use what the add takes up: it goes back with the next call, no call is spent on it.
-    assert!(adds(&out).is_empty());
+    assert!(nonzero_adds(&out).is_empty());
 }
 
 #[test]
-fn a_known_full_window_is_refused_without_a_call() {
+fn a_window_known_to_be_full_rejects_without_a_call() {
     let mut rig = Rig::new(settings(), 4);
-    with_total(&mut rig, 2.0, 43.0);
+    request_with_total(&mut rig, 2.0, 43.0);
     let (id, out) = rig.request(0, 0, 1, 2.0);
-    assert!(refused(&out, id) && adds(&out).is_empty());
+    assert!(is_rejected(&out, id) && nonzero_adds(&out).is_empty());
 }
 
 #[test]
-fn a_new_window_asks_again_under_a_new_name() {
+fn a_new_window_calls_the_counter_under_a_new_key() {
     let mut rig = Rig::new(settings(), 4);
-    let first = adds(&rig.request(0, 0, 1, 2.0).1)[0].0;
-    rig.tell(Event::CounterReplied {
+    let first = nonzero_adds(&rig.request(0, 0, 1, 2.0).1)[0].0;
+    rig.handle(Event::CounterReplied {
         key: first,
         outcome: Outcome::Ok,
         total: 43.0,
     });
-    rig.pass(2 * S);
+    rig.advance(2 * S);
     let (_, out) = rig.request(0, 0, 1, 2.0);
-    assert_eq!(adds(&out).len(), 1);
-    assert_ne!(adds(&out)[0].0, first);
+    assert_eq!(nonzero_adds(&out).len(), 1);
+    assert_ne!(nonzero_adds(&out)[0].0, first);
 }
 
 #[test]
-fn gateways_agree_on_the_name() {
+fn gateways_agree_on_the_counter_key() {
     let mut other = settings();
     other.gateway_index = 1;
     let (mut a, mut b) = (Rig::new(settings(), 4), Rig::new(other, 2));
     assert_eq!(
-        adds(&a.request(0, 0, 1, 2.0).1)[0].0,
-        adds(&b.request(0, 0, 1, 2.0).1)[0].0
+        nonzero_adds(&a.request(0, 0, 1, 2.0).1)[0].0,
+        nonzero_adds(&b.request(0, 0, 1, 2.0).1)[0].0
     );
 }
 
 #[test]
-fn an_emptied_counter_gets_our_spend_back() {
+fn a_counter_that_lost_its_memory_gets_our_units_again() {
     let mut rig = Rig::new(settings(), 4);
-    with_total(&mut rig, 4.0, 4.0);
-    with_total(&mut rig, 4.0, 8.0);
+    request_with_total(&mut rig, 4.0, 4.0);
+    request_with_total(&mut rig, 4.0, 8.0);
     // The memory is lost: only this add is there.
-    let (_, out) = with_total(&mut rig, 2.0, 2.0);
-    assert_eq!(adds(&out).iter().map(|a| a.1).sum::<f64>(), 8.0);
+    let (_, out) = request_with_total(&mut rig, 2.0, 2.0);
+    assert_eq!(nonzero_adds(&out).iter().map(|a| a.1).sum::<f64>(), 8.0);
 }
 
 #[test]
-fn a_refused_add_goes_back_at_once_where_others_could_use_the_room() {
+fn rejected_units_are_given_back_at_once_where_others_could_use_them() {
     let mut rig = Rig::new(settings(), 4);
-    with_total(&mut rig, 1.0, 20.0);
-    rig.pass(2 * S); // Empty then, full now.
+    request_with_total(&mut rig, 1.0, 20.0);
+    rig.advance(2 * S); // Empty then, full now.
     let (id, out) = rig.request(0, 0, 1, 4.0);
-    let out = rig.tell(Event::CounterReplied {
-        key: adds(&out)[0].0,
+    let out = rig.handle(Event::CounterReplied {
+        key: nonzero_adds(&out)[0].0,
         outcome: Outcome::Ok,
         total: 22.0,
     });
-    assert!(refused(&out, id), "{out:?}");
-    assert_eq!(adds(&out).iter().map(|a| a.1).collect::<Vec<_>>(), [-4.0]);
+    assert!(is_rejected(&out, id), "{out:?}");
+    assert_eq!(
+        nonzero_adds(&out).iter().map(|a| a.1).collect::<Vec<_>>(),
+        [-4.0]
+    );
 }
 
 #[test]
-fn a_burst_at_a_windows_end_is_not_granted_again_at_the_next_ones_start() {
+fn a_burst_at_the_end_of_a_window_is_not_granted_again_at_the_start_of_the_next() {
     let mut rig = Rig::new(settings(), 4);
     // Windows last 2 s; their edges hang on the customer, so the second burst is tried all over one.
-    with_total(&mut rig, 1.0, 1.0);
-    rig.pass(6 * S);
+    request_with_total(&mut rig, 1.0, 1.0);
+    rig.advance(6 * S);
     let mut total = 0.0;
     let mut granted = 0;
     let mut last = None;
     for _ in 0..100 {
         let (id, out) = rig.request(0, 0, 1, 1.0);
-        for (name, amount) in counts(&out) {
+        for (name, amount) in counter_calls(&out) {
             total = if last.replace(name).is_some_and(|n| n != name) {
                 amount
             } else {
                 total + amount
             };
-            let out = rig.tell(Event::CounterReplied {
+            let out = rig.handle(Event::CounterReplied {
                 key: name,
                 outcome: Outcome::Ok,
                 total,
             });
-            granted += sends(&out).len();
-            sends(&out)
+            granted += sent_attempts(&out).len();
+            sent_attempts(&out)
                 .iter()
-                .for_each(|(id, s)| drop(rig.ended(*id, 0, *s, Outcome::Ok)));
-            total += counts(&out).iter().map(|a| a.1).sum::<f64>();
-            counts(&out).iter().for_each(|a| {
-                drop(rig.tell(Event::CounterReplied {
+                .for_each(|(id, s)| drop(rig.end_attempt(*id, 0, *s, Outcome::Ok)));
+            total += counter_calls(&out).iter().map(|a| a.1).sum::<f64>();
+            counter_calls(&out).iter().for_each(|a| {
+                drop(rig.handle(Event::CounterReplied {
                     key: a.0,
                     outcome: Outcome::Ok,
                     total,
                 }))
             });
         }
-        rig.tell(Event::ClientDisconnected(id));
-        rig.pass(20 * MS);
+        rig.handle(Event::ClientDisconnected(id));
+        rig.advance(20 * MS);
     }
     // Twenty that were saved, and two seconds at ten a second.
     assert!((38..=41).contains(&granted), "{granted}");
 }
 
 #[test]
-fn a_refusal_names_the_time_when_the_store_holds_the_units() {
+fn retry_after_is_when_the_quota_has_the_units() {
     let mut rig = Rig::new(settings(), 4);
-    with_total(&mut rig, 1.0, 20.0);
+    request_with_total(&mut rig, 1.0, 20.0);
     // Empty now: four units take 0.4 s.
     let (id, out) = rig.request(0, 0, 1, 4.0);
     let back = out.iter().find_map(|a| match a {
@@ -181,17 +187,21 @@
 }
 
 #[test]
-fn local_spend_goes_out_with_the_next_call() {
+fn locally_admitted_units_are_posted_with_the_next_call() {
     let mut rig = Rig::new(settings(), 4);
     let (_, out) = rig.request(0, 0, 1, 2.0);
     // Turned away: nothing was added, the local bucket lets it go on.
-    let out = rig.tell(Event::CounterReplied {
-        key: adds(&out)[0].0,
+    let out = rig.handle(Event::CounterReplied {
+        key: nonzero_adds(&out)[0].0,
         outcome: Outcome::Rejected,
         total: 0.0,
     });
-    assert_eq!(sends(&out).len(), 1);
-    let next = (0..50).find_map(|_| adds(&rig.request(0, 0, 1, 1.0).1).first().map(|a| a.1));
+    assert_eq!(sent_attempts(&out).len(), 1);
+    let next = (0..50).find_map(|_| {
+        nonzero_adds(&rig.request(0, 0, 1, 1.0).1)
+            .first()
+            .map(|a| a.1)
+    });
     assert!(
         next.expect("somebody asks") >= 3.0,
         "its own unit and what went on unheard"
@@ -199,18 +209,18 @@
 }
 
 #[test]
-fn without_a_counter_the_share_decides() {
+fn without_a_counter_the_local_share_decides() {
     let mut set = settings();
     set.use_counter = false;
     let mut rig = Rig::new(set, 8);
     let mut through = 0;
     for _ in 0..400 {
-        rig.pass(100 * MS);
+        rig.advance(100 * MS);
         let (id, out) = rig.request(0, 0, 1, 1.0);
-        assert!(counts(&out).is_empty());
-        if let Some((_, server)) = sends(&out).first() {
+        assert!(counter_calls(&out).is_empty());
+        if let Some((_, endpoint)) = sent_attempts(&out).first() {
             through += 1;
-            rig.ended(id, 0, *server, Outcome::Ok);
+            rig.end_attempt(id, 0, *endpoint, Outcome::Ok);
         }
     }
     // 40 s at a share of 5 units a second, and at most one burst's share on top.
@@ -218,40 +228,44 @@
 }
 
 #[test]
-fn the_cap_on_attempts_out_is_asked_and_let_go() {
+fn a_concurrency_slot_is_counted_and_freed() {
     let mut rig = Rig::new(settings(), 4);
     let (id, out) = rig.request(0, 2, 1, 1.0);
-    let (name, one) = adds(&out)[0];
+    let (name, one) = nonzero_adds(&out)[0];
     assert_eq!(one, 1.0);
-    let out = rig.tell(Event::CounterReplied {
+    let out = rig.handle(Event::CounterReplied {
         key: name,
         outcome: Outcome::Ok,
         total: 1.0,
     });
-    let server = sends(&out)[0].1;
-    let out = rig.ended(id, 0, server, Outcome::Ok);
-    assert_eq!(adds(&out), [(name, -1.0)]);
-    rig.tell(Event::CounterReplied {
+    let endpoint = sent_attempts(&out)[0].1;
+    let out = rig.end_attempt(id, 0, endpoint, Outcome::Ok);
+    assert_eq!(nonzero_adds(&out), [(name, -1.0)]);
+    rig.handle(Event::CounterReplied {
         key: name,
         outcome: Outcome::Ok,
         total: 0.0,
     });
     let (id, out) = rig.request(0, 2, 1, 1.0);
-    assert_eq!(adds(&out), [(name, 1.0)]);
-    let out = rig.tell(Event::CounterReplied {
+    assert_eq!(nonzero_adds(&out), [(name, 1.0)]);
+    let out = rig.handle(Event::CounterReplied {
         key: name,
         outcome: Outcome::Ok,
         total: 3.0,
     });
-    assert!(refused(&out, id), "two are out elsewhere");
-    assert_eq!(adds(&out), [(name, -1.0)], "and the place goes back");
+    assert!(is_rejected(&out, id), "two are out elsewhere");
+    assert_eq!(
+        nonzero_adds(&out),
+        [(name, -1.0)],
+        "and the place goes back"
+    );
 }
 
 #[test]
-fn an_answer_to_a_call_never_made_changes_nothing() {
+fn a_reply_without_a_call_changes_nothing() {
     let mut rig = Rig::new(settings(), 4);
     assert!(rig
-        .tell(Event::CounterReplied {
+        .handle(Event::CounterReplied {
             key: CounterKey(5),
             outcome: Outcome::Ok,
             total: 1.0
@@ -260,40 +274,40 @@
 }
 
 #[test]
-fn unheard_a_gateway_that_carries_nearly_all_gets_the_larger_share() {
+fn without_the_counter_a_gateway_that_carries_nearly_all_gets_the_larger_share() {
     let passed = |others: f64| {
         let mut rig = Rig::new(settings(), 8);
         // Four windows in which this gateway adds four units of a total that others raise.
         for _ in 0..4 {
-            rig.pass(2 * S);
+            rig.advance(2 * S);
             let (id, out) = rig.request(0, 0, 1, 4.0);
-            for (name, amount) in counts(&out) {
+            for (name, amount) in counter_calls(&out) {
                 let total = if amount > 0.0 { 4.0 + others } else { 0.0 };
-                let out = rig.tell(Event::CounterReplied {
+                let out = rig.handle(Event::CounterReplied {
                     key: name,
                     outcome: Outcome::Ok,
                     total,
                 });
-                sends(&out)
+                sent_attempts(&out)
                     .iter()
-                    .for_each(|(_, s)| drop(rig.ended(id, 0, *s, Outcome::Ok)));
+                    .for_each(|(_, s)| drop(rig.end_attempt(id, 0, *s, Outcome::Ok)));
             }
         }
         let mut passed = 0;
         for _ in 0..300 {
-            rig.pass(100 * MS);
+            rig.advance(100 * MS);
             let (id, mut out) = rig.request(0, 0, 1, 1.0);
-            for (name, _) in counts(&out.clone()) {
-                out.extend(rig.tell(Event::CounterReplied {
+            for (name, _) in counter_calls(&out.clone()) {
+                out.extend(rig.handle(Event::CounterReplied {
                     key: name,
                     outcome: Outcome::Rejected,
                     total: 0.0,
                 }));
             }
-            passed += sends(&out).len();
-            sends(&out)
+            passed += sent_attempts(&out).len();
+            sent_attempts(&out)
                 .iter()
-                .for_each(|(_, s)| drop(rig.ended(id, 0, *s, Outcome::Ok)));
+                .for_each(|(_, s)| drop(rig.end_attempt(id, 0, *s, Outcome::Ok)));
         }
         passed
     };
--- a/crates/policy/tests/sites.rs
+++ b/crates/policy/tests/zone_shares.rs
@@ -1,13 +1,13 @@
-//! What the site core says, as the decisions take it.
+//! Zone shares and the shedding threshold, where sites are watched.
 mod common;
 
 use chalkdeck::api::*;
-use common::{entry, refused, sends, settings, Rig, S};
+use common::{entry, is_rejected, sent_attempts, settings, Rig, S};
 
 const NEAR: ZoneId = ZoneId(0);
 const FAR: ZoneId = ZoneId(1);
 
-/// Four servers in each of two zones.
+/// Four endpoints in each of two zones.
 fn rig() -> Rig {
     let mut rig = Rig::new(settings(), 0);
     let zone = |i: u32| ZoneId(i / 4);
@@ -17,7 +17,7 @@
             ..entry(i, EndpointState::InService, None)
         })
         .collect();
-    rig.tell(Event::EndpointsUpdated {
+    rig.handle(Event::EndpointsUpdated {
         scope: UpdateScope::Complete,
         entries,
     });
@@ -44,17 +44,17 @@
 fn far(rig: &mut Rig, requests: usize) -> usize {
     let mut far = 0;
     for _ in 0..requests {
-        let (id, server) = rig.sent(0);
-        far += usize::from(server.0 >= 4);
-        rig.ended(id, 0, server, Outcome::Ok);
+        let (id, endpoint) = rig.send_request(0);
+        far += usize::from(endpoint.0 >= 4);
+        rig.end_attempt(id, 0, endpoint, Outcome::Ok);
     }
     far
 }
 
 #[test]
-fn requests_go_where_the_shares_say() {
+fn requests_follow_the_zone_shares() {
     let mut rig = rig();
-    rig.tell(Event::ZoneSharesChanged {
+    rig.handle(Event::ZoneSharesChanged {
         shares: shares((0.7, true), (0.3, true)),
         threshold: all(),
     });
@@ -65,14 +65,14 @@
 #[test]
 fn nothing_overflows_into_a_closed_zone() {
     let mut rig = rig();
-    rig.tell(Event::ZoneSharesChanged {
+    rig.handle(Event::ZoneSharesChanged {
         shares: shares((1.0, true), (0.0, false)),
         threshold: all(),
     });
     let ids: Vec<_> = (0..40).map(|_| rig.request(0, 3, 1, 1.0)).collect();
     let to: Vec<EndpointId> = ids
         .iter()
-        .flat_map(|(_, out)| sends(out))
+        .flat_map(|(_, out)| sent_attempts(out))
         .map(|s| s.1)
         .collect();
     assert!(
@@ -81,40 +81,43 @@
     );
     // Open, the far zone takes what the near one has no place for.
     let mut rig = self::rig();
-    rig.tell(Event::ZoneSharesChanged {
+    rig.handle(Event::ZoneSharesChanged {
         shares: shares((1.0, true), (0.0, true)),
         threshold: all(),
     });
     let ids: Vec<_> = (0..40).map(|_| rig.request(0, 3, 1, 1.0)).collect();
     assert!(ids
         .iter()
-        .flat_map(|(_, out)| sends(out))
+        .flat_map(|(_, out)| sent_attempts(out))
         .any(|s| s.1 .0 >= 4));
 }
 
 #[test]
 fn a_keyed_request_that_may_have_run_in_a_closed_zone_goes_nowhere_else() {
     let mut rig = rig();
-    rig.tell(Event::ZoneSharesChanged {
+    rig.handle(Event::ZoneSharesChanged {
         shares: shares((0.0, true), (1.0, true)),
         threshold: all(),
     });
-    let (id, server) = rig.sent(1);
-    assert!(server.0 >= 4);
-    rig.tell(Event::ZoneSharesChanged {
+    let (id, endpoint) = rig.send_request(1);
+    assert!(endpoint.0 >= 4);
+    rig.handle(Event::ZoneSharesChanged {
         shares: shares((1.0, true), (0.0, false)),
         threshold: all(),
     });
-    let mut out = rig.ended(id, 0, server, Outcome::Reset);
-    out.extend(rig.pass(3 * S));
-    assert!(sends(&out).is_empty() && !refused(&out, id), "{out:?}");
-    assert!(common::failed(&out, id));
+    let mut out = rig.end_attempt(id, 0, endpoint, Outcome::Reset);
+    out.extend(rig.advance(3 * S));
+    assert!(
+        sent_attempts(&out).is_empty() && !is_rejected(&out, id),
+        "{out:?}"
+    );
+    assert!(common::is_failed(&out, id));
 }
 
 #[test]
-fn the_floor_lets_in_by_worth_for_each_unit() {
+fn the_threshold_admits_by_weight_for_each_unit() {
     let mut rig = rig();
-    rig.tell(Event::ZoneSharesChanged {
+    rig.handle(Event::ZoneSharesChanged {
         shares: shares((1.0, true), (0.0, true)),
         threshold: SheddingThreshold {
             admit_above: 0.6,
@@ -125,9 +128,9 @@
     let mut let_in = |units: f64| {
         let one = |rig: &mut Rig| {
             let (id, out) = rig.request(0, 3, 1, units);
-            let sent = sends(&out).first().map(|s| s.1);
+            let sent = sent_attempts(&out).first().map(|s| s.1);
             sent.into_iter()
-                .for_each(|server| drop(rig.ended(id, 0, server, Outcome::Ok)));
+                .for_each(|endpoint| drop(rig.end_attempt(id, 0, endpoint, Outcome::Ok)));
             usize::from(sent.is_some())
         };
         (0..400).map(|_| one(&mut rig)).sum::<usize>()
@@ -139,7 +142,7 @@
 }
 
 #[test]
-fn of_those_that_wait_the_worthiest_for_its_room_goes_first() {
+fn pending_requests_of_most_weight_for_their_units_are_sent_first() {
     let mut set = settings();
     set.classes[0].priority_weight = 3.0;
     let mut rig = Rig::new(set, 1);
@@ -148,14 +151,14 @@
         share: 1.0,
         accepts_overflow: true,
     };
-    rig.tell(Event::ZoneSharesChanged {
+    rig.handle(Event::ZoneSharesChanged {
         shares: vec![near],
         threshold: all(),
     });
-    // Fill the one server; then a large request of more worth waits before a small one of less.
+    // Fill the one endpoint; then a large request of more worth waits before a small one of less.
     let mut out = Vec::new();
     loop {
-        let sent = sends(&rig.request(3, 3, 1, 4.0).1);
+        let sent = sent_attempts(&rig.request(3, 3, 1, 4.0).1);
         if sent.is_empty() {
             break;
         }
@@ -164,12 +167,12 @@
     let (large, first) = rig.request(0, 3, 1, 4.0);
     let (small, second) = rig.request(3, 3, 1, 1.0);
     assert!(
-        sends(&first).is_empty() && sends(&second).is_empty(),
+        sent_attempts(&first).is_empty() && sent_attempts(&second).is_empty(),
         "both wait"
     );
     let next: Vec<_> = out
         .into_iter()
-        .flat_map(|(id, at)| sends(&rig.ended(id, 0, at, Outcome::Ok)))
+        .flat_map(|(id, at)| sent_attempts(&rig.end_attempt(id, 0, at, Outcome::Ok)))
         .collect();
     assert_eq!(
         next.first().map(|s| s.0),
