--- a/crates/capacity-planner/src/command.rs
+++ b/crates/capacity-planner/src/command.rs
@@ -1,6 +1,7 @@
-//! `chalkdeck plan`.
+//! The command `chalkdeck plan`.
 
-use crate::{draw, read, show, solve};
+use crate::input::PlanningInput;
+use crate::{chart, scenario, table};
 use anyhow::Context;
 use clap::{Args, Subcommand};
 use std::path::PathBuf;
@@ -26,17 +27,31 @@
 }
 
 impl Command {
-    /// Does it. Errors are one line.
+    /// Runs the command and prints its result.
+    ///
+    /// # Errors
+    /// A file that cannot be read or written, or an invalid input; the text is one line.
     pub fn run(self) -> anyhow::Result<()> {
-        let Command::SiteLoss(args) = self;
-        let file = args.file.display().to_string();
-        let text = std::fs::read_to_string(&args.file).with_context(|| file.clone())?;
-        let cases = solve::cases(&read::read(&file, &text)?)?;
-        if args.json {
+        match self {
+            Command::SiteLoss(args) => args.run(),
+        }
+    }
+}
+
+impl SiteLossArgs {
+    fn run(&self) -> anyhow::Result<()> {
+        let file = self.file.display().to_string();
+        let text = std::fs::read_to_string(&self.file).with_context(|| file.clone())?;
+        let input = PlanningInput::parse(&file, &text)?;
+        let cases = scenario::all_cases(&input)?;
+        if self.json {
             println!("{}", serde_json::to_string_pretty(&cases)?);
         } else {
-            print!("{}", show::table(&cases));
+            print!("{}", table::render(&cases));
+        }
+        match &self.svg {
+            Some(path) => chart::write_svg(path, &cases),
+            None => Ok(()),
         }
-        args.svg.map_or(Ok(()), |path| draw::svg(&path, &cases))
     }
 }
--- a/crates/capacity-planner/tests/recorded_output.rs
+++ b/crates/capacity-planner/tests/recorded_output.rs
@@ -1,6 +1,8 @@
 //! Tables, JSON and error texts are the same as those recorded from commit 129cb7d, byte for byte.
 
-use chalkdeck_capacity_planner::{read, show, solve};
+use chalkdeck_capacity_planner::input::PlanningInput;
+use chalkdeck_capacity_planner::scenario::{all_cases, SiteLossCase};
+use chalkdeck_capacity_planner::table;
 
 const THREE_SITES: &str = include_str!("../examples/three-sites.txtpb");
 const RECORDED_TABLE: &str = include_str!("recorded/three-sites.table");
@@ -27,14 +29,14 @@
     ("# Three", "crossing_cost: 3 #"),
 ];
 
-fn planned(text: &str) -> Vec<solve::Case> {
-    let input = read::read("three-sites.txtpb", text).expect("a valid input");
-    solve::cases(&input).expect("an optimum")
+fn planned(text: &str) -> Vec<SiteLossCase> {
+    let input = PlanningInput::parse("three-sites.txtpb", text).expect("a valid input");
+    all_cases(&input).expect("an optimum")
 }
 
 #[test]
 fn table_of_the_example_is_the_recorded_one() {
-    assert_eq!(show::table(&planned(THREE_SITES)), RECORDED_TABLE);
+    assert_eq!(table::render(&planned(THREE_SITES)), RECORDED_TABLE);
 }
 
 #[test]
@@ -69,11 +71,11 @@
     for (before, after) in INVALID_CHANGES {
         let changed = THREE_SITES.replace(before, after);
         assert_ne!(changed, THREE_SITES, "{before}");
-        let error = read::read("changed.txtpb", &changed).expect_err(after);
+        let error = PlanningInput::parse("changed.txtpb", &changed).expect_err(after);
         errors.push(error.to_string());
     }
     for text in short_texts() {
-        let error = read::read("short.txtpb", &text).expect_err(&text);
+        let error = PlanningInput::parse("short.txtpb", &text).expect_err(&text);
         errors.push(error.to_string());
     }
     let recorded: Vec<&str> = RECORDED_ERRORS.lines().collect();
--- a/crates/testbed/src/audit/sites.rs
+++ b/crates/testbed/src/audit/sites.rs
@@ -4,8 +4,8 @@
 use crate::audit::rules::Record;
 use crate::parts::log::{End, Line};
 use anyhow::Context;
-use chalkdeck_capacity_planner::read::{Demand, Input, Site};
-use chalkdeck_capacity_planner::solve;
+use chalkdeck_capacity_planner::input::{Demand, PlanningInput, Site};
+use chalkdeck_capacity_planner::scenario;
 use chalkdeck_grpc_gateway::sites::SitesStatus;
 use chalkdeck_proto::chalkdeck::lab::v1::{Day, Trouble};
 use serde::{Deserialize, Serialize};
@@ -256,10 +256,10 @@
             let kind = kinds.entry((c.class, &c.plan)).or_insert_with(|| Demand {
                 class: c.class.to_string(),
                 plan: c.plan.clone(),
-                over: false,
+                is_over_quota: false,
                 rate: 0.0,
                 units: c.work,
-                worth: c.worth,
+                value: c.worth,
             });
             kind.rate += 1.0 / seconds;
         }
@@ -269,12 +269,12 @@
             gateways: 1.0,
         };
         let sites = (0..self.day.zones.len()).map(site).collect();
-        let input = Input {
+        let input = PlanningInput {
             sites,
             demand: kinds.into_values().collect(),
-            crossing: 1e-6,
+            crossing_cost: 1e-6,
         };
-        Ok(solve::case(
+        Ok(scenario::case(
             &input,
             if lost {
                 std::slice::from_ref(&self.zone)
@@ -282,7 +282,7 @@
                 &[]
             },
         )?
-        .worth)
+        .served_value)
     }
 
     /// All figures.
