--- a/crates/admission-queue/tests/recording/mod.rs
+++ b/crates/admission-queue/tests/recording/mod.rs
@@ -1,6 +1,7 @@
 //! A queue in a closed loop with simulated clients and servers; its verdicts are digested.
 
-use chalkdeck_admission_queue::{Door, Offer, Settings, Verdict};
+use chalkdeck_admission_queue::{CustomerId, FairQueue, Request, RequestId, Settings, Verdict};
+use chalkdeck_time::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 use std::fmt::{self, Display};
 
@@ -50,7 +51,7 @@
         simulation.step();
     }
     let elapsed = simulation.now - SECOND;
-    let reseed_periods = elapsed / simulation.settings.reseed;
+    let reseed_periods = elapsed / simulation.settings.reseed_interval.as_micros();
     simulation.counts.insert("reseed_periods", reseed_periods);
     Summary {
         seed,
@@ -97,7 +98,7 @@
 struct Simulation {
     rng: fastrand::Rng,
     settings: Settings,
-    queue: Door,
+    queue: FairQueue,
     traffic: Traffic,
     now: u64,
     next_id: u64,
@@ -110,17 +111,17 @@
 
 fn draw_settings(rng: &mut fastrand::Rng) -> Settings {
     Settings {
-        inside: rng.usize(20..400),
-        each_turn: rng.usize(4..64),
-        waiting: rng.usize(30..600),
-        queue: rng.usize(5..100),
-        longest: rng.u64(10 * MILLISECOND..300 * MILLISECOND),
-        part: 0.02 + 0.4 * rng.f64(),
-        own: rng.usize(2..32),
-        hashed: rng.usize(1..32),
+        max_in_flight: rng.usize(20..400),
+        max_admitted_per_turn: rng.usize(4..64),
+        max_queued: rng.usize(30..600),
+        max_queued_per_queue: rng.usize(5..100),
+        max_wait: TimeDelta::from_micros(rng.u64(10 * MILLISECOND..300 * MILLISECOND)),
+        max_wait_fraction: 0.02 + 0.4 * rng.f64(),
+        dedicated_queues: rng.usize(2..32),
+        shared_queues: rng.usize(1..32),
         quantum: 0.5 + 8.0 * rng.f64(),
-        reseed: rng.u64(20 * MILLISECOND..SECOND / 2),
-        spread: rng.f64(),
+        reseed_interval: TimeDelta::from_micros(rng.u64(20 * MILLISECOND..SECOND / 2)),
+        retry_jitter: rng.f64(),
         seed: rng.u64(..),
     }
 }
@@ -131,7 +132,7 @@
         let settings = draw_settings(&mut rng);
         Simulation {
             rng,
-            queue: Door::new(settings.clone()),
+            queue: FairQueue::new(settings.clone()),
             settings,
             traffic: Traffic::Calm,
             now: SECOND,
@@ -201,7 +202,7 @@
         }
     }
 
-    fn draw_offer(&mut self) -> Offer {
+    fn draw_request(&mut self) -> Request {
         let customer = self.draw_customer();
         let id = self.next_id;
         self.next_id += 1;
@@ -213,30 +214,30 @@
             _ => 1.0,
         };
         let time_left = self.rng.u64(5 * MILLISECOND..3 * SECOND);
-        let refill = match self.rng.u8(..5) {
+        let quota_reset = match self.rng.u8(..5) {
             0 => self.rng.u64(..2 * SECOND),
             _ => 0,
         };
-        Offer {
-            id,
-            studio: customer,
+        Request {
+            id: RequestId(id),
+            customer: CustomerId(customer),
             weight,
             units,
-            deadline: self.now + time_left,
-            refill,
+            deadline: Timestamp::from_micros(self.now + time_left),
+            quota_reset: TimeDelta::from_micros(quota_reset),
         }
     }
 
     fn offer(&mut self) {
-        let offer = self.draw_offer();
-        let waiting_before = self.queue.waiting();
-        let verdict = self.queue.offer(self.now, offer);
+        let request = self.draw_request();
+        let queued_before = self.queue.queued();
+        let verdict = self.queue.offer(Timestamp::from_micros(self.now), request);
         self.add("calls");
-        self.waiting.push(offer.id);
+        self.waiting.push(request.id.0);
         if let Some(verdict) = verdict {
             self.take(verdict, "rejected_at_once");
         }
-        if waiting_before == self.settings.waiting {
+        if queued_before == self.settings.max_queued {
             self.add("full");
         }
         self.digest_state("offer");
@@ -244,12 +245,13 @@
 
     fn turn(&mut self) {
         let mut verdicts = Vec::new();
-        self.queue.turn(self.now, &mut verdicts);
+        self.queue
+            .admit(Timestamp::from_micros(self.now), &mut verdicts);
         self.add("calls");
         for verdict in verdicts {
             self.take(verdict, "rejected_later");
         }
-        if self.queue.inside() * 2 > self.settings.inside {
+        if self.queue.in_flight() * 2 > self.settings.max_in_flight {
             self.add("crowded");
         }
         self.digest_state("turn");
@@ -257,16 +259,20 @@
 
     fn take(&mut self, verdict: Verdict, rejected: &'static str) {
         match verdict {
-            Verdict::Pass(id) => {
+            Verdict::Admit { id: RequestId(id) } => {
                 self.add("admitted");
                 self.digest.add(&format!("admit {id};"));
                 self.waiting.retain(|other| *other != id);
                 let ends_at = self.now + self.draw_service_time(id);
                 self.in_service.push(InService { id, ends_at });
             }
-            Verdict::Refuse { id, back } => {
+            Verdict::Reject {
+                id: RequestId(id),
+                retry_after,
+            } => {
                 self.add(rejected);
-                self.digest.add(&format!("reject {id} {back};"));
+                self.digest
+                    .add(&format!("reject {id} {};", retry_after.as_micros()));
                 self.waiting.retain(|other| *other != id);
             }
         }
@@ -287,7 +293,7 @@
             .partition(|request| request.ends_at <= now);
         self.in_service = open;
         for request in completed {
-            self.queue.ended(request.id);
+            self.queue.complete(RequestId(request.id));
             self.add("calls");
             self.add("completed");
         }
@@ -300,7 +306,7 @@
         } else {
             self.waiting[self.rng.usize(..self.waiting.len())]
         };
-        let has_waited = self.queue.gone(id);
+        let has_waited = self.queue.cancel(RequestId(id));
         self.add("calls");
         if has_waited {
             self.add("cancelled");
@@ -310,18 +316,18 @@
     }
 
     fn wake(&mut self) {
-        let wake = self.queue.next_wake(self.now);
+        let wake = self.queue.next_wake(Timestamp::from_micros(self.now));
         self.add("calls");
         if let Some(at) = wake {
             self.add("wakes");
-            self.digest.add(&format!("wake {at};"));
+            self.digest.add(&format!("wake {};", at.as_micros()));
         }
     }
 
     fn digest_state(&mut self, call: &str) {
-        let waiting = self.queue.waiting();
-        let inside = self.queue.inside();
+        let queued = self.queue.queued();
+        let in_flight = self.queue.in_flight();
         self.digest
-            .add(&format!("{call} {} {waiting} {inside};", self.now));
+            .add(&format!("{call} {} {queued} {in_flight};", self.now));
     }
 }
--- a/crates/grpc-gateway/src/base/settings.rs
+++ b/crates/grpc-gateway/src/base/settings.rs
@@ -98,7 +98,7 @@
     pub spread: u32,
     /// The second front; none: gRPC only.
     pub resp: Option<RespSettings>,
-    /// The door; none: requests go to the decisions as they come.
+    /// The fair queue; none: requests go to the decisions as they come.
     pub door: Option<chalkdeck_admission_queue::Settings>,
     /// Zones are watched as sites, and what they cannot bear is refused by worth.
     pub sites: bool,
--- a/crates/grpc-gateway/src/entry.rs
+++ b/crates/grpc-gateway/src/entry.rs
@@ -1,13 +1,13 @@
-//! Between the fronts and the decisions: requests go through the door, in fair turns over customers.
+//! Between the fronts and the decisions: requests go through the fair queue.
 
 use crate::shell::Shell;
-use chalkdeck::api::{Event, IncomingRequest, RequestId, Timestamp};
-use chalkdeck_admission_queue::{Door, Offer, Settings, Verdict};
+use chalkdeck::api::{Event, IncomingRequest, RequestId, TimeDelta, Timestamp};
+use chalkdeck_admission_queue::{self as admission_queue, FairQueue, Settings, Verdict};
 use rustc_hash::FxHashMap;
 
-/// The door and what waits at it.
+/// The fair queue and the requests that wait in it.
 pub(crate) struct Entry {
-    door: Door,
+    queue: FairQueue,
     arrivals: FxHashMap<RequestId, IncomingRequest>,
     verdicts: Vec<Verdict>,
 }
@@ -15,7 +15,7 @@
 impl Entry {
     pub(crate) fn new(set: Settings) -> Entry {
         Entry {
-            door: Door::new(set),
+            queue: FairQueue::new(set),
             arrivals: FxHashMap::default(),
             verdicts: Vec::new(),
         }
@@ -26,7 +26,7 @@
     /// A request came in at a front.
     pub(crate) fn enter(&mut self, arrival: IncomingRequest) {
         self.site_offered(&arrival);
-        let now = self.engine.now();
+        let now = Timestamp::from_micros(self.engine.now());
         let Shell {
             entry: Some(entry),
             decisions,
@@ -36,76 +36,77 @@
         else {
             return self.decisions.push(Event::RequestArrived(arrival));
         };
-        let standing = decisions.engine.quota_status(
-            Timestamp::from_micros(now),
-            arrival.customer,
-            arrival.plan,
-        );
-        let refill = if standing.remaining < arrival.units {
-            standing.resets_in.as_micros()
+        let standing = decisions
+            .engine
+            .quota_status(now, arrival.customer, arrival.plan);
+        let quota_reset = if standing.remaining < arrival.units {
+            standing.resets_in
         } else {
-            0
+            TimeDelta::ZERO
         };
-        let offer = Offer {
-            id: arrival.id.0,
-            studio: arrival.customer.0,
+        let request = admission_queue::Request {
+            id: admission_queue::RequestId(arrival.id.0),
+            customer: admission_queue::CustomerId(arrival.customer.0),
             weight: set.policy.plans[arrival.plan.0].priority_multiplier,
             units: arrival.units,
-            deadline: arrival.deadline.as_micros(),
-            refill,
+            deadline: arrival.deadline,
+            quota_reset,
         };
         entry.arrivals.insert(arrival.id, arrival);
-        let verdict = entry.door.offer(now, offer);
+        let verdict = entry.queue.offer(now, request);
         verdict.into_iter().for_each(|v| self.judged(v));
     }
 
     /// Lets this turn's requests through.
     pub(crate) fn door_turn(&mut self) {
-        let now = self.engine.now();
+        let now = Timestamp::from_micros(self.engine.now());
         let Some(entry) = &mut self.entry else { return };
-        if entry.door.waiting() == 0 {
+        if entry.queue.queued() == 0 {
             return;
         }
         let mut verdicts = std::mem::take(&mut entry.verdicts);
-        entry.door.turn(now, &mut verdicts);
+        entry.queue.admit(now, &mut verdicts);
         verdicts.drain(..).for_each(|v| self.judged(v));
         if let Some(entry) = &mut self.entry {
             entry.verdicts = verdicts;
-            self.metrics.door_waiting.set(entry.door.waiting() as i64);
+            self.metrics.door_waiting.set(entry.queue.queued() as i64);
         }
     }
 
     fn judged(&mut self, verdict: Verdict) {
         let Some(entry) = &mut self.entry else { return };
         match verdict {
-            Verdict::Pass(id) => {
-                let arrival = entry.arrivals.remove(&RequestId(id));
+            Verdict::Admit { id } => {
+                let arrival = entry.arrivals.remove(&RequestId(id.0));
                 arrival
                     .into_iter()
                     .for_each(|a| self.decisions.push(Event::RequestArrived(a)));
             }
-            Verdict::Refuse { id, back } => {
-                entry.arrivals.remove(&RequestId(id));
+            Verdict::Reject { id, retry_after } => {
+                let id = RequestId(id.0);
+                entry.arrivals.remove(&id);
                 self.metrics.door_refused.inc();
                 let most = self.set.policy.max_retry_after.as_micros();
-                let back = self.set.policy.send_retry_after.then_some(back.min(most));
-                self.refuse(RequestId(id), back);
+                let back = retry_after.as_micros().min(most);
+                let back = self.set.policy.send_retry_after.then_some(back);
+                self.refuse(id, back);
             }
         }
     }
 
     /// The most that the next turn may wait.
     pub(crate) fn door_wait(&self, most: u64) -> u64 {
-        let now = self.engine.now();
-        let wake = self.entry.as_ref().and_then(|e| e.door.next_wake(now));
-        wake.map_or(most, |at| at.saturating_sub(now).min(most))
+        let now = Timestamp::from_micros(self.engine.now());
+        let wake = self.entry.as_ref().and_then(|e| e.queue.next_wake(now));
+        wake.map_or(most, |at| (at - now).as_micros().min(most))
     }
 
-    /// A request needs the door no more: it has its end, or goes on without one.
+    /// A request has left the queue for good: it has its end, or goes on without one.
     pub(crate) fn left(&mut self, id: RequestId) {
         let Some(entry) = &mut self.entry else { return };
-        entry.door.ended(id.0);
+        let queued_id = admission_queue::RequestId(id.0);
+        entry.queue.complete(queued_id);
         entry.arrivals.remove(&id);
-        entry.door.gone(id.0);
+        entry.queue.cancel(queued_id);
     }
 }
--- a/crates/grpc-gateway/src/settings.rs
+++ b/crates/grpc-gateway/src/settings.rs
@@ -218,17 +218,17 @@
 fn door(wire: wire::Door) -> Option<chalkdeck_admission_queue::Settings> {
     let default = chalkdeck_admission_queue::Settings::default();
     let or = |n: u32, default: usize| if n == 0 { default } else { n as usize };
-    let longest = if wire.longest_wait_ms == 0 {
-        default.longest
+    let max_wait = if wire.longest_wait_ms == 0 {
+        default.max_wait
     } else {
-        millis(wire.longest_wait_ms).as_micros()
+        millis(wire.longest_wait_ms)
     };
     (!wire.off).then(|| chalkdeck_admission_queue::Settings {
-        inside: or(wire.inside, default.inside),
-        each_turn: or(wire.each_turn, default.each_turn),
-        waiting: or(wire.waiting, default.waiting),
-        queue: or(wire.queue, default.queue),
-        longest,
+        max_in_flight: or(wire.inside, default.max_in_flight),
+        max_admitted_per_turn: or(wire.each_turn, default.max_admitted_per_turn),
+        max_queued: or(wire.waiting, default.max_queued),
+        max_queued_per_queue: or(wire.queue, default.max_queued_per_queue),
+        max_wait,
         ..default
     })
 }
