--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -9,7 +9,7 @@
 
 use chalkdeck_grpc_gateway::{logs, Settings};
 use chalkdeck_net::signals::Signals;
-use chalkdeck_resp_gateway::{Config, Shell};
+use chalkdeck_resp_gateway::{Config, GatewayServer};
 use chalkdeck_testbed::cli::Command as Testbed;
 use chalkdeck_testbed::rig::demo::DemoArgs;
 use chalkdeck_testbed::rig::serve::{serve, ServeArgs};
@@ -66,7 +66,7 @@
     let config = Config::from_env()?;
     let signals = Signals::take()?;
     tracing::info!(name = config.name, listen = %config.listen, "starts");
-    Ok(Shell::start(config)?.run(&signals)?)
+    Ok(GatewayServer::start(config)?.run(&signals)?)
 }
 
 fn run(command: Command) -> Result<(), Failure> {
--- a/crates/resp-gateway/src/config.rs
+++ b/crates/resp-gateway/src/config.rs
@@ -121,7 +121,10 @@
     fn read(file: &Path) -> Result<Config, ConfigErrorKind> {
         let size = std::fs::metadata(file)?.len();
         if size > MAX_FILE_BYTES {
-            return Err(ConfigErrorKind::TooLong(size));
+            return Err(ConfigErrorKind::TooLong {
+                found: size,
+                max: MAX_FILE_BYTES,
+            });
         }
         Config::parse(file, &std::fs::read(file)?)
     }
--- a/crates/resp-gateway/src/config/error.rs
+++ b/crates/resp-gateway/src/config/error.rs
@@ -1,6 +1,5 @@
 //! Errors of the configuration.
 
-use super::MAX_FILE_BYTES;
 use chalkdeck::api::SettingsError;
 use chalkdeck_simulator_adapter::fields::WireError;
 
@@ -33,12 +32,17 @@
     )]
     Read(#[from] std::io::Error),
     /// The file is too long.
-    #[error("expected at most {MAX_FILE_BYTES} bytes, found {0}")]
+    #[error("expected at most {max} bytes, found {found}")]
     #[diagnostic(
         code(chalkdeck::config::too_long),
         help("see whether it is the right file")
     )]
-    TooLong(u64),
+    TooLong {
+        /// Its length in bytes.
+        found: u64,
+        /// The most bytes that are read.
+        max: u64,
+    },
     /// Not the form of a configuration.
     #[error("expected a configuration: {0}")]
     #[diagnostic(
--- a/crates/resp-gateway/src/discovery/error.rs
+++ b/crates/resp-gateway/src/discovery/error.rs
@@ -1,6 +1,5 @@
 //! Errors of service discovery.
 
-use super::http_exchange::MAX_RESPONSE_BYTES;
 use crate::endpoint_list::EndpointListError;
 use http::StatusCode;
 
@@ -29,12 +28,15 @@
     )]
     Status(StatusCode),
     /// Longer than is read.
-    #[error("expected an answer of at most {MAX_RESPONSE_BYTES} bytes")]
+    #[error("expected an answer of at most {max} bytes")]
     #[diagnostic(
         code(chalkdeck::discovery::too_long),
         help("see why the list has grown so long")
     )]
-    TooLong,
+    TooLong {
+        /// The most bytes that are read.
+        max: usize,
+    },
     /// Not JSON.
     #[error("expected JSON: {0}")]
     #[diagnostic(
--- a/crates/resp-gateway/src/discovery/http_exchange.rs
+++ b/crates/resp-gateway/src/discovery/http_exchange.rs
@@ -9,7 +9,7 @@
 use ureq_proto::BodyMode;
 
 /// The longest response.
-pub(super) const MAX_RESPONSE_BYTES: usize = 8 << 20;
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 /// What is decoded of a body at a time.
 const DECODE_BYTES: usize = 16 << 10;
 /// The longest head of a request.
@@ -137,7 +137,9 @@
 
     fn check_length(&self) -> Result<(), DiscoveryError> {
         if self.received.len() + self.body.len() > MAX_RESPONSE_BYTES {
-            return Err(DiscoveryError::TooLong);
+            return Err(DiscoveryError::TooLong {
+                max: MAX_RESPONSE_BYTES,
+            });
         }
         Ok(())
     }
--- a/crates/resp-gateway/src/lib.rs
+++ b/crates/resp-gateway/src/lib.rs
@@ -1,18 +1,18 @@
 #![doc = include_str!("../README.md")]
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
-mod backends;
+mod attempt;
 mod client_replies;
 mod clock;
 pub mod config;
-mod counter;
+mod counter_client;
 pub mod discovery;
+mod endpoint_connections;
 pub mod endpoint_list;
-mod outcome;
+mod endpoint_reply;
 pub mod request;
+mod server;
 mod sessions;
-mod shell;
 
 pub use config::{Config, ConfigError};
-pub use shell::{Shell, StartError};
+pub use server::{GatewayServer, StartError};
--- a/crates/resp-gateway/src/request.rs
+++ b/crates/resp-gateway/src/request.rs
@@ -1,240 +1,213 @@
-//! A client's command read as a request. Nothing here decides: what cannot be read is an error line.
+//! A client's command parsed as a request. Nothing here decides: what is invalid becomes an error line.
 
-use bytes::Bytes;
+mod error;
+mod fields;
+
+pub use error::RequestError;
+
+use bytes::{Bytes, BytesMut};
 use chalkdeck::api::{
-    ClassId, CustomerId, Idempotency, IncomingRequest, Micros, PlanId, RequestId, Settings,
+    Class, ClassId, CustomerId, Idempotency, IncomingRequest, Micros, PlanId, RequestId, Settings,
 };
 use chalkdeck_resp::encode_command;
 use chalkdeck_simulator_adapter::settings::Read;
+use chalkdeck_time::{TimeDelta, Timestamp};
+use error::MAX_ID_BYTES;
+use fields::Fields;
+use std::ops::Range;
 
-/// Why a command is no request: the text is the error line that its client reads.
-#[derive(Clone, Debug, PartialEq, thiserror::Error, miette::Diagnostic)]
-#[diagnostic(help(
-    "the client's command is at fault and was not run: the client has to be mended"
-))]
-pub enum RequestError {
-    /// Too few or too many words.
-    #[error("wrong number of arguments")]
-    #[diagnostic(code(chalkdeck::request::arguments))]
-    Arguments,
-    /// No command of the platform.
-    #[error("unknown command")]
-    #[diagnostic(code(chalkdeck::request::unknown))]
-    Unknown,
-    /// A customer that is no number of theirs.
-    #[error("customer: expected 16 hex digits below 2^33")]
-    #[diagnostic(code(chalkdeck::request::customer))]
-    Customer,
-    /// An id that is empty, too long or not plain.
-    #[error("id: expected 1 to {MOST_ID} letters or digits")]
-    #[diagnostic(code(chalkdeck::request::id))]
-    Id,
-    /// The id of another open request.
-    #[error("id: expected one that no open request has")]
-    #[diagnostic(code(chalkdeck::request::id_taken))]
-    IdTaken,
-    /// The list of names and values is no text.
-    #[error("expected names and values")]
-    #[diagnostic(code(chalkdeck::request::list))]
-    List,
-    /// A part of the list without a value.
-    #[error("expected name=value, found '{}'", .0.escape_debug())]
-    #[diagnostic(code(chalkdeck::request::pair))]
-    Pair(String),
-    /// A name that stands twice.
-    #[error("{0}: expected once")]
-    #[diagnostic(code(chalkdeck::request::twice))]
-    Twice(&'static str),
-    /// A class that the settings do not have.
-    #[error("c: expected a class of the settings")]
-    #[diagnostic(code(chalkdeck::request::class))]
-    Class,
-    /// A plan that the settings do not have.
-    #[error("t: expected a plan of the settings")]
-    #[diagnostic(code(chalkdeck::request::plan))]
-    Plan,
-    /// The other command than the class asks for.
-    #[error("expected API.READ for a class that is safe to repeat, API.WRITE for others")]
-    #[diagnostic(code(chalkdeck::request::verb))]
-    Verb,
-    /// No key in a keyed class.
-    #[error("k: expected a key in a keyed class")]
-    #[diagnostic(code(chalkdeck::request::key))]
-    Key,
-    /// No deadline.
-    #[error("d: expected milliseconds")]
-    #[diagnostic(code(chalkdeck::request::time))]
-    Time,
-    /// A number that is none or out of range.
-    #[error("{name}: expected a whole number from {from} to {to}")]
-    #[diagnostic(code(chalkdeck::request::number))]
-    Number {
-        /// Its name.
-        name: &'static str,
-        /// The least.
-        from: u64,
-        /// The most.
-        to: u64,
-    },
-    /// Units that are none or out of range.
-    #[error("units: expected above 0, at most {0}")]
-    #[diagnostic(code(chalkdeck::request::units))]
-    Units(f64),
-    /// A mark of a retry that is none.
-    #[error("r: expected 1")]
-    #[diagnostic(code(chalkdeck::request::retry))]
-    Retry,
-}
-
-/// The longest id.
-const MOST_ID: usize = 64;
+/// The places of the words in a command.
+const CUSTOMER_WORD: usize = 1;
+const ID_WORD: usize = 2;
+const FIELDS_WORD: usize = 3;
+/// The words of a command without and with a body.
+const READ_WORDS: usize = 4;
+const WRITE_WORDS: usize = 5;
+/// The digits of a customer.
+const CUSTOMER_DIGITS: usize = 16;
 /// Customers are numbers below this.
-const CUSTOMERS: u64 = 1 << 33;
+const CUSTOMER_LIMIT: u64 = 1 << 33;
+/// Microseconds in a millisecond, the unit of time-outs in commands.
+const MICROS_PER_MILLI: u64 = 1_000;
 
-/// A command that can be passed on: its words, and where in the list of names the time stands.
+/// A command that can be forwarded to an endpoint.
 #[derive(Clone, Debug)]
-pub struct Command {
+pub struct ApiCommand {
     words: Vec<Bytes>,
-    /// Place of the value of `d` in the list.
-    time: std::ops::Range<usize>,
+    /// Where the value of the time-out stands in the list of fields.
+    timeout_range: Range<usize>,
 }
 
-impl Command {
+impl ApiCommand {
     /// The request's id as the client gave it.
     pub fn id(&self) -> &Bytes {
-        &self.words[2]
+        &self.words[ID_WORD]
     }
-    /// Appends the command with the time that the gateway will wait, in milliseconds.
-    pub fn push(&self, out: &mut bytes::BytesMut, wait_ms: u64) {
-        let (list, wait) = (&self.words[3], wait_ms.to_string());
-        let timed = [
-            &list[..self.time.start],
-            wait.as_bytes(),
-            &list[self.time.end..],
+
+    /// Appends the command as it was received but for the time-out, which is what is left of it in milliseconds.
+    pub fn encode(&self, out: &mut BytesMut, timeout_ms: u64) {
+        let list = &self.words[FIELDS_WORD];
+        let timeout = timeout_ms.to_string();
+        let list_pieces = [
+            &list[..self.timeout_range.start],
+            timeout.as_bytes(),
+            &list[self.timeout_range.end..],
         ];
-        let plain: Vec<[&[u8]; 1]> = self.words.iter().map(|w| [&w[..]]).collect();
-        let mut words: Vec<&[&[u8]]> = plain.iter().map(|w| &w[..]).collect();
-        words[3] = &timed;
+        let single_pieces: Vec<[&[u8]; 1]> = self.words.iter().map(|word| [&word[..]]).collect();
+        let mut words: Vec<&[&[u8]]> = single_pieces.iter().map(|word| &word[..]).collect();
+        words[FIELDS_WORD] = &list_pieces;
         encode_command(out, &words);
     }
 }
 
-/// The values of the list that matter here.
-#[derive(Default)]
-struct Fields<'a> {
-    class: Option<&'a str>,
-    plan: Option<&'a str>,
-    time: Option<&'a str>,
-    key: Option<&'a str>,
-    units: Option<&'a str>,
-    spread: Option<&'a str>,
-    first: Option<&'a str>,
-    retry: Option<&'a str>,
-}
-
-fn fields(list: &str) -> Result<Fields<'_>, RequestError> {
-    let mut fields = Fields::default();
-    for pair in list.split(',') {
-        let Some((name, value)) = pair.split_once('=') else {
-            return Err(RequestError::Pair(pair.to_string()));
-        };
-        let (name, place) = match name {
-            "c" => ("c", &mut fields.class),
-            "t" => ("t", &mut fields.plan),
-            "d" => ("d", &mut fields.time),
-            "k" => ("k", &mut fields.key),
-            "units" => ("units", &mut fields.units),
-            "spread" => ("spread", &mut fields.spread),
-            "first" => ("first", &mut fields.first),
-            "r" => ("r", &mut fields.retry),
-            _ => continue,
-        };
-        if place.replace(value).is_some() {
-            return Err(RequestError::Twice(name));
-        }
-    }
-    Ok(fields)
+/// A valid command: what is forwarded, and what the decision module is told.
+#[derive(Clone, Debug)]
+pub struct ParsedRequest {
+    /// The command.
+    pub command: ApiCommand,
+    /// The request.
+    pub request: IncomingRequest,
 }
 
-fn whole(name: &'static str, text: Option<&str>, from: u64, to: u64) -> Result<u64, RequestError> {
-    let digits = text.filter(|t| !t.is_empty() && t.bytes().all(|b| b.is_ascii_digit()));
-    let number = digits
-        .and_then(|t| t.parse().ok())
-        .filter(|n| (from..=to).contains(n));
-    number.ok_or(RequestError::Number { name, from, to })
+/// The command of a request.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Verb {
+    Read,
+    Write,
 }
 
-/// Reads a command that came at `now`; the gateway knows the request by `id`. Errors say what was expected.
-pub fn read(
+/// Parses a command that was received at `received_at`. The gateway knows the request by `id`; `names` are those of the settings.
+///
+/// # Errors
+/// [`RequestError`] says what was expected.
+pub fn parse(
     words: Vec<Bytes>,
     id: RequestId,
-    now: u64,
+    received_at: Timestamp,
     names: &Read,
-) -> Result<(Command, IncomingRequest), RequestError> {
-    let set: &Settings = &names.settings;
-    let write = match (words.first().map(|w| &w[..]), words.len()) {
-        (Some(b"API.READ"), 4) => false,
-        (Some(b"API.WRITE"), 5) => true,
-        (Some(b"API.READ" | b"API.WRITE"), _) => return Err(RequestError::Arguments),
-        _ => return Err(RequestError::Unknown),
+) -> Result<ParsedRequest, RequestError> {
+    let settings = &names.settings;
+    let verb = parse_verb(&words)?;
+    let customer = parse_customer(&words[CUSTOMER_WORD])?;
+    check_id(&words[ID_WORD])?;
+    let list = std::str::from_utf8(&words[FIELDS_WORD]).map_err(|_| RequestError::FieldList)?;
+    let fields = Fields::parse(list)?;
+    let class_id = find_class(&fields, names)?;
+    let plan = find_plan(&fields, names)?;
+    let class = &settings.classes[class_id.0];
+    check_idempotency(verb, class, &fields)?;
+    let timeout = parse_timeout(&fields, class)?;
+    let units = parse_units(&fields, settings)?;
+    let gateways = u64::from(settings.gateways);
+    let customer_gateways = parse_whole("spread", fields.customer_gateways, 1, gateways)?;
+    parse_whole("first", fields.first_gateway, 0, gateways - 1)?;
+    let is_retry = parse_retry(&fields)?;
+    let timeout_range = fields.timeout_range;
+    let request = IncomingRequest {
+        id,
+        class: class_id,
+        plan,
+        customer,
+        customer_gateways: customer_gateways as u32,
+        deadline: Micros((received_at + timeout).as_micros()),
+        units,
+        is_retry,
+    };
+    let command = ApiCommand {
+        words,
+        timeout_range,
     };
-    let hex = std::str::from_utf8(&words[1])
+    Ok(ParsedRequest { command, request })
+}
+
+fn parse_verb(words: &[Bytes]) -> Result<Verb, RequestError> {
+    match (words.first().map(|word| &word[..]), words.len()) {
+        (Some(b"API.READ"), READ_WORDS) => Ok(Verb::Read),
+        (Some(b"API.WRITE"), WRITE_WORDS) => Ok(Verb::Write),
+        (Some(b"API.READ" | b"API.WRITE"), _) => Err(RequestError::ArgumentCount),
+        _ => Err(RequestError::UnknownCommand),
+    }
+}
+
+fn parse_customer(word: &[u8]) -> Result<CustomerId, RequestError> {
+    std::str::from_utf8(word)
         .ok()
-        .filter(|t| t.len() == 16 && !t.starts_with('+'));
-    let customer = hex
-        .and_then(|t| u64::from_str_radix(t, 16).ok())
-        .filter(|c| *c < CUSTOMERS);
-    let customer = customer.ok_or(RequestError::Customer)?;
-    let sound = |b: &u8| b.is_ascii_graphic();
-    if words[2].is_empty() || words[2].len() > MOST_ID || !words[2].iter().all(sound) {
+        .filter(|text| text.len() == CUSTOMER_DIGITS && !text.starts_with('+'))
+        .and_then(|text| u64::from_str_radix(text, 16).ok())
+        .filter(|customer| *customer < CUSTOMER_LIMIT)
+        .map(CustomerId)
+        .ok_or(RequestError::Customer)
+}
+
+fn check_id(word: &[u8]) -> Result<(), RequestError> {
+    let is_printable = word.iter().all(u8::is_ascii_graphic);
+    if word.is_empty() || word.len() > MAX_ID_BYTES || !is_printable {
         return Err(RequestError::Id);
     }
-    let list = std::str::from_utf8(&words[3]).map_err(|_| RequestError::List)?;
-    let f = fields(list)?;
-    let class = f
-        .class
-        .and_then(|c| names.classes.get(c))
-        .ok_or(RequestError::Class)?;
-    let plan = f
-        .plan
-        .and_then(|t| names.plans.get(t))
-        .ok_or(RequestError::Plan)?;
-    let kind = &set.classes[*class];
-    if write == (kind.idempotency == Idempotency::Idempotent) {
+    Ok(())
+}
+
+fn find_class(fields: &Fields, names: &Read) -> Result<ClassId, RequestError> {
+    let index = fields.class.and_then(|name| names.classes.get(name));
+    index.copied().map(ClassId).ok_or(RequestError::Class)
+}
+
+fn find_plan(fields: &Fields, names: &Read) -> Result<PlanId, RequestError> {
+    let index = fields.plan.and_then(|name| names.plans.get(name));
+    index.copied().map(PlanId).ok_or(RequestError::Plan)
+}
+
+/// Only idempotent classes are read, and keyed ones have a key.
+fn check_idempotency(verb: Verb, class: &Class, fields: &Fields) -> Result<(), RequestError> {
+    let expected_verb = match class.idempotency {
+        Idempotency::Idempotent => Verb::Read,
+        Idempotency::Keyed | Idempotency::NonIdempotent => Verb::Write,
+    };
+    if verb != expected_verb {
         return Err(RequestError::Verb);
     }
-    if kind.idempotency == Idempotency::Keyed && f.key.is_none_or(str::is_empty) {
-        return Err(RequestError::Key);
+    let has_key = fields.idempotency_key.is_some_and(|key| !key.is_empty());
+    if class.idempotency == Idempotency::Keyed && !has_key {
+        return Err(RequestError::IdempotencyKey);
     }
-    let time = f.time.ok_or(RequestError::Time)?;
-    let wait = whole("d", Some(time), 1, u64::MAX / 1_000)?
-        .saturating_mul(1_000)
-        .min(kind.deadline.0);
-    let units = f
+    Ok(())
+}
+
+/// The client's time-out, which is not longer than that of the class.
+fn parse_timeout(fields: &Fields, class: &Class) -> Result<TimeDelta, RequestError> {
+    let text = fields.timeout.ok_or(RequestError::Timeout)?;
+    let millis = parse_whole("d", Some(text), 1, u64::MAX / MICROS_PER_MILLI)?;
+    let class_timeout = TimeDelta::from_micros(class.deadline.0);
+    Ok(TimeDelta::from_millis(millis).min(class_timeout))
+}
+
+fn parse_units(fields: &Fields, settings: &Settings) -> Result<f64, RequestError> {
+    let max = settings.max_request_units;
+    fields
         .units
-        .and_then(|u| u.parse::<f64>().ok())
-        .filter(|u| *u > 0.0 && *u <= set.max_request_units);
-    let units = units.ok_or(RequestError::Units(set.max_request_units))?;
-    let gateways = u64::from(set.gateways);
-    let spread = whole("spread", f.spread, 1, gateways)?;
-    whole("first", f.first, 0, gateways - 1)?;
-    let resent = match f.retry {
-        None | Some("0") => false,
-        Some("1") => true,
-        _ => return Err(RequestError::Retry),
-    };
-    // `time` is a part of the list, so its place is a difference of addresses.
-    let start = time.as_ptr() as usize - list.as_ptr() as usize;
-    let range = start..start + time.len();
-    let arrival = IncomingRequest {
-        id,
-        class: ClassId(*class),
-        plan: PlanId(*plan),
-        customer: CustomerId(customer),
-        customer_gateways: spread as u32,
-        deadline: Micros(now + wait),
-        units,
-        is_retry: resent,
-    };
-    Ok((Command { words, time: range }, arrival))
+        .and_then(|text| text.parse::<f64>().ok())
+        .filter(|units| *units > 0.0 && *units <= max)
+        .ok_or(RequestError::Units(max))
+}
+
+fn parse_retry(fields: &Fields) -> Result<bool, RequestError> {
+    match fields.is_retry {
+        None | Some("0") => Ok(false),
+        Some("1") => Ok(true),
+        _ => Err(RequestError::Retry),
+    }
+}
+
+/// A whole number without a sign from `min` to `max`.
+fn parse_whole(
+    name: &'static str,
+    text: Option<&str>,
+    min: u64,
+    max: u64,
+) -> Result<u64, RequestError> {
+    let is_digits = |text: &&str| !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
+    text.filter(is_digits)
+        .and_then(|text| text.parse().ok())
+        .filter(|number| (min..=max).contains(number))
+        .ok_or(RequestError::Number { name, min, max })
 }
--- /dev/null
+++ b/crates/resp-gateway/src/server/actions.rs
@@ -0,0 +1,131 @@
+//! Carries out the actions of the decision module, and reports the ends of attempts to it.
+
+use super::{GatewayServer, TimerPurpose};
+use crate::attempt::{AbortReason, AttemptEnd, AttemptId};
+use crate::client_replies;
+use crate::clock;
+use crate::endpoint_connections::SendResult;
+use chalkdeck::api::{
+    Action, AttemptResult, EndpointId, Event, LoadReport, Micros, Outcome, RequestId,
+};
+use chalkdeck_net::ConnId;
+use chalkdeck_resp::Frame;
+use chalkdeck_time::{TimeDelta, Timestamp};
+
+impl GatewayServer {
+    /// Hands the queued events to the decision module and carries out its actions, until there are neither.
+    pub(super) fn carry_out_actions(&mut self) {
+        while let Some(action) = self.decisions.next_action(Micros(self.engine.now())) {
+            self.carry_out(&action);
+        }
+    }
+
+    fn carry_out(&mut self, action: &Action) {
+        match *action {
+            Action::SendAttempt {
+                request,
+                endpoint,
+                deadline,
+            } => self.send_attempt(request, endpoint, Timestamp::from_micros(deadline.0)),
+            Action::Reject {
+                request,
+                retry_after,
+            } => {
+                let retry_after = retry_after.map(|delay| TimeDelta::from_micros(delay.0));
+                self.reply(request, client_replies::busy(retry_after));
+            }
+            Action::Fail(request) => {
+                self.reply(request, client_replies::error("failed"));
+            }
+            Action::CancelAttempt { request, attempt } => {
+                let attempt = AttemptId {
+                    request,
+                    number: attempt,
+                };
+                self.abort_attempt(attempt, AbortReason::Cancelled);
+            }
+            Action::AddToCounter {
+                key,
+                amount,
+                time_to_live,
+            } => self.add_to_counter(key, amount, TimeDelta::from_micros(time_to_live.0)),
+            Action::SetTimer { timer, after } => {
+                let after = TimeDelta::from_micros(after.0);
+                self.set_timer(after, TimerPurpose::Decision(timer));
+            }
+            Action::Probe(endpoint) => self.skip_probe(endpoint),
+            // No class of this platform leaves the work to its caller, and endpoint updates are received in any case.
+            Action::Grant(_) | Action::Subscribe | Action::FetchEndpoints => {}
+        }
+    }
+
+    /// The platform has no probes.
+    fn skip_probe(&mut self, endpoint: EndpointId) {
+        self.decisions.push(Event::ProbeCompleted {
+            endpoint,
+            outcome: Outcome::NeverSent,
+            load_report: LoadReport::default(),
+        });
+    }
+
+    fn send_attempt(&mut self, id: RequestId, endpoint: EndpointId, deadline: Timestamp) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let attempt = AttemptId {
+            request: id,
+            number: request.attempts,
+        };
+        request.attempts += 1;
+        let result = self.endpoints.send(
+            &mut self.engine,
+            attempt,
+            endpoint,
+            deadline,
+            &request.command,
+        );
+        match result {
+            SendResult::Written => self.set_attempt_timer(attempt, deadline),
+            SendResult::Dialing(conn) => {
+                self.set_attempt_timer(attempt, deadline);
+                self.set_dial_timer(conn);
+            }
+            SendResult::Ended(end) => self.on_attempt_ended(Some(end)),
+        }
+    }
+
+    fn set_attempt_timer(&mut self, attempt: AttemptId, deadline: Timestamp) {
+        let remaining = deadline - clock::now(&self.engine);
+        self.set_timer(remaining, TimerPurpose::AttemptDeadline(attempt));
+    }
+
+    pub(super) fn set_dial_timer(&mut self, conn: ConnId) {
+        self.set_timer(self.config.dial_timeout, TimerPurpose::DialTimeout(conn));
+    }
+
+    pub(super) fn abort_attempt(&mut self, attempt: AttemptId, reason: AbortReason) {
+        let end = self.endpoints.abort(&mut self.engine, attempt, reason);
+        self.on_attempt_ended(end);
+    }
+
+    /// An attempt may have ended. A value goes to the client at once; all else is decided by the decision module.
+    pub(super) fn on_attempt_ended(&mut self, end: Option<AttemptEnd>) {
+        let Some(end) = end else {
+            return;
+        };
+        let request = end.attempt.request;
+        let request_finished = end
+            .value
+            .is_some_and(|value| self.reply(request, Frame::BulkString(value)));
+        self.decisions.push(Event::AttemptEnded(AttemptResult {
+            id: request,
+            attempt: end.attempt.number,
+            endpoint: end.endpoint,
+            outcome: end.outcome,
+            elapsed: Micros(end.elapsed.as_micros()),
+            request_finished,
+            settled_units: None,
+            load_report: end.load_report,
+        }));
+    }
+}
--- /dev/null
+++ b/crates/resp-gateway/src/server/endpoint_updates.rs
@@ -0,0 +1,32 @@
+//! Endpoint updates from discovery and from the configuration.
+
+use super::{GatewayServer, TimerPurpose};
+use crate::discovery::DiscoveryAction;
+use crate::endpoint_list::EndpointList;
+use chalkdeck::api::{EndpointEntry, Event, UpdateScope};
+
+impl GatewayServer {
+    pub(super) fn carry_out_discovery(&mut self, action: DiscoveryAction) {
+        match action {
+            DiscoveryAction::UpdateEndpoints(list) => self.apply_endpoint_update(list),
+            DiscoveryAction::CheckCall { after, call } => {
+                self.set_timer(after, TimerPurpose::DiscoveryTimeout(call));
+            }
+        }
+    }
+
+    /// Applies an update to the connections and tells the decision module. An incremental update without endpoints changes nothing.
+    pub(super) fn apply_endpoint_update(&mut self, list: EndpointList) {
+        self.endpoints.apply_update(&mut self.engine, &list);
+        let scope = list.scope;
+        let entries: Vec<EndpointEntry> = list
+            .endpoints
+            .into_iter()
+            .map(|endpoint| endpoint.entry)
+            .collect();
+        if scope == UpdateScope::Complete || !entries.is_empty() {
+            self.decisions
+                .push(Event::EndpointsUpdated { scope, entries });
+        }
+    }
+}
--- /dev/null
+++ b/crates/resp-gateway/src/server/event_loop.rs
@@ -0,0 +1,149 @@
+//! The event loop: waits for events of the sockets and timers, and hands each to the part that owns it. The decision module's actions
+//! on one event are carried out before the next event is handled.
+
+use super::{GatewayServer, TimerPurpose};
+use crate::attempt::AbortReason;
+use crate::clock;
+use chalkdeck::api::Event;
+use chalkdeck_net::{CloseReason, ConnId, Event as NetEvent};
+use chalkdeck_time::TimeDelta;
+use std::io;
+
+/// How often connections are checked for time-outs.
+const SWEEP_INTERVAL: TimeDelta = TimeDelta::from_millis(250);
+
+impl GatewayServer {
+    /// Waits for events, at most so many microseconds, and handles them.
+    ///
+    /// # Errors
+    /// The system fails to poll the sockets.
+    pub fn turn(&mut self, max_wait: u64) -> io::Result<()> {
+        let mut events = std::mem::take(&mut self.net_events);
+        let max_wait = if self.sessions.has_resumed() {
+            0
+        } else {
+            max_wait
+        };
+        self.engine.turn(max_wait, &mut events)?;
+        for event in events.drain(..) {
+            self.on_event(event);
+            self.carry_out_actions();
+        }
+        self.net_events = events;
+        // Once a turn, so that a long pipeline does not keep the others waiting.
+        for conn in self.sessions.take_resumed() {
+            self.take_commands(conn);
+            self.carry_out_actions();
+        }
+        self.sessions.close_idle(&mut self.engine);
+        Ok(())
+    }
+
+    fn on_event(&mut self, event: NetEvent) {
+        match event {
+            NetEvent::Accepted { conn, .. } => self.sessions.on_accepted(&mut self.engine, conn),
+            NetEvent::Connected { conn } => self.on_connected(conn),
+            NetEvent::Bytes { conn, data } => self.on_bytes(conn, &data),
+            NetEvent::Closed {
+                conn,
+                unsent,
+                reason,
+                ..
+            } => self.on_closed(conn, unsent, &reason),
+            NetEvent::Timer(token) => self.on_timer(token),
+            // Streams are HTTP/2's, and there is no admin port.
+            _ => {}
+        }
+    }
+
+    fn on_connected(&mut self, conn: ConnId) {
+        if self.endpoints.owns(conn) {
+            self.endpoints.on_connected(&mut self.engine, conn);
+        } else if self.discovery.owns(conn) {
+            let action = self.discovery.on_connected(&mut self.engine, conn);
+            if let Some(action) = action {
+                self.carry_out_discovery(action);
+            }
+        } else if let Some(counter) = &mut self.counter {
+            counter.on_connected(&mut self.engine, conn);
+        }
+    }
+
+    fn on_bytes(&mut self, conn: ConnId, data: &[u8]) {
+        self.engine.handled(conn);
+        if self.sessions.owns(conn) {
+            self.sessions.on_bytes(&mut self.engine, conn, data);
+            self.take_commands(conn);
+        } else if self.endpoints.owns(conn) {
+            let end = self.endpoints.on_bytes(&mut self.engine, conn, data);
+            self.on_attempt_ended(end);
+        } else if self.counter_owns(conn) {
+            self.on_counter_bytes(conn, data);
+        } else {
+            let zones = &mut self.config.named_settings.zones;
+            let actions = self.discovery.on_bytes(&mut self.engine, conn, data, zones);
+            for action in actions {
+                self.carry_out_discovery(action);
+            }
+        }
+    }
+
+    fn on_closed(&mut self, conn: ConnId, unsent: usize, reason: &CloseReason) {
+        if self.sessions.owns(conn) {
+            self.on_client_closed(conn);
+        } else if self.endpoints.owns(conn) {
+            let now = clock::now(&self.engine);
+            let end = self.endpoints.on_closed(now, conn, unsent);
+            self.on_attempt_ended(end);
+        } else if self.counter_owns(conn) {
+            self.on_counter_closed(conn, unsent);
+        } else {
+            let zones = &mut self.config.named_settings.zones;
+            let actions = self
+                .discovery
+                .on_closed(&mut self.engine, conn, reason, zones);
+            for action in actions {
+                self.carry_out_discovery(action);
+            }
+        }
+    }
+
+    pub(super) fn set_timer(&mut self, after: TimeDelta, purpose: TimerPurpose) {
+        self.timers
+            .set(&mut self.engine, after.as_micros(), purpose);
+    }
+
+    pub(super) fn set_sweep_timer(&mut self) {
+        self.set_timer(SWEEP_INTERVAL, TimerPurpose::Sweep);
+    }
+
+    fn on_timer(&mut self, token: u64) {
+        let Some(purpose) = self.timers.take(token) else {
+            return;
+        };
+        match purpose {
+            TimerPurpose::Decision(timer) => self.decisions.push(Event::Timer(timer)),
+            TimerPurpose::AttemptDeadline(attempt) => {
+                self.abort_attempt(attempt, AbortReason::DeadlineExceeded);
+            }
+            TimerPurpose::DialTimeout(conn) => {
+                let end = self.endpoints.on_dial_timeout(&mut self.engine, conn);
+                self.on_attempt_ended(end);
+                self.on_counter_dial_timeout(conn);
+            }
+            TimerPurpose::CounterTimeout => self.on_counter_timeout(),
+            TimerPurpose::DiscoveryTimeout(call) => {
+                let action = self.discovery.on_call_timeout(&mut self.engine, call);
+                if let Some(action) = action {
+                    self.carry_out_discovery(action);
+                }
+            }
+            TimerPurpose::Shutdown => self.continue_shutdown(),
+            TimerPurpose::Sweep => {
+                self.set_sweep_timer();
+                self.endpoints.sweep(&mut self.engine);
+                self.sessions.sweep(&mut self.engine);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/resp-gateway/src/server/requests.rs
@@ -0,0 +1,90 @@
+//! The path of a request from its client's command to its final reply.
+
+use super::{GatewayServer, OpenRequest};
+use crate::client_replies;
+use crate::request::{self, RequestError};
+use crate::sessions::ReceivedCommand;
+use chalkdeck::api::{Event, Micros, RequestId};
+use chalkdeck_net::ConnId;
+use chalkdeck_resp::Frame;
+
+impl GatewayServer {
+    /// Takes the commands that a connection has received, as far as there is room for them.
+    pub(super) fn take_commands(&mut self, conn: ConnId) {
+        while let Some(command) = self.sessions.next_command(&mut self.engine, conn) {
+            let slot = command.slot;
+            if let Some(reply) = self.on_command(conn, command) {
+                self.sessions.reply(conn, slot, reply);
+            }
+        }
+        self.sessions.flush(&mut self.engine, conn);
+    }
+
+    /// Handles a command. Returns its reply, or none when it is a request, whose reply is known later.
+    fn on_command(&mut self, conn: ConnId, command: ReceivedCommand) -> Option<Frame> {
+        match &command.words[0].to_ascii_uppercase()[..] {
+            b"PING" => Some(client_replies::pong()),
+            b"CLIENT" | b"SELECT" => Some(client_replies::ok()),
+            b"QUIT" => {
+                self.sessions.close_reading(conn);
+                Some(client_replies::ok())
+            }
+            _ => match self.open_request(conn, command) {
+                Ok(()) => None,
+                Err(error) => Some(client_replies::error(&error.to_string())),
+            },
+        }
+    }
+
+    fn open_request(&mut self, conn: ConnId, command: ReceivedCommand) -> Result<(), RequestError> {
+        let id = RequestId(self.last_request.0 + 1);
+        let command_bytes = command.words.iter().map(|word| word.len()).sum();
+        let names = &self.config.named_settings;
+        let mut parsed = request::parse(command.words, id, command.received_at, names)?;
+        let latest_deadline = Micros(self.latest_deadline().as_micros());
+        parsed.request.deadline = parsed.request.deadline.min(latest_deadline);
+        let client_id = parsed.command.id().clone();
+        if self.requests_by_client_id.contains_key(&client_id) {
+            return Err(RequestError::DuplicateId);
+        }
+        self.last_request = id;
+        self.requests_by_client_id.insert(client_id, id);
+        self.sessions.on_request_opened(conn, id, command_bytes);
+        let open = OpenRequest {
+            conn,
+            slot: command.slot,
+            command: parsed.command,
+            command_bytes,
+            attempts: 0,
+        };
+        self.requests.insert(id, open);
+        self.decisions.push(Event::RequestArrived(parsed.request));
+        Ok(())
+    }
+
+    /// The connection of a client has ended, and with it the client's open requests.
+    pub(super) fn on_client_closed(&mut self, conn: ConnId) {
+        for id in self.sessions.on_closed(conn) {
+            self.close_request(id);
+            self.decisions.push(Event::ClientDisconnected(id));
+        }
+    }
+
+    fn close_request(&mut self, id: RequestId) -> Option<OpenRequest> {
+        let request = self.requests.remove(&id)?;
+        self.requests_by_client_id.remove(request.command.id());
+        self.sessions
+            .on_request_ended(request.conn, id, request.command_bytes);
+        Some(request)
+    }
+
+    /// Gives a request its final reply. Returns whether it was open.
+    pub(super) fn reply(&mut self, id: RequestId, reply: Frame) -> bool {
+        let Some(request) = self.close_request(id) else {
+            return false;
+        };
+        self.sessions.reply(request.conn, request.slot, reply);
+        self.sessions.flush(&mut self.engine, request.conn);
+        true
+    }
+}
--- /dev/null
+++ b/crates/resp-gateway/src/server/start.rs
@@ -0,0 +1,152 @@
+//! Starts a gateway.
+
+use super::{GatewayServer, TimerPurpose};
+use crate::config::Config;
+use crate::counter_client::CounterClient;
+use crate::discovery::{Discovery, Timing};
+use crate::endpoint_connections::EndpointConnections;
+use crate::sessions::Sessions;
+use chalkdeck::api::{RequestId, SettingsError};
+use chalkdeck::decisions::Decisions;
+use chalkdeck::rules::Gateway;
+use chalkdeck_net::clock::Clock;
+use chalkdeck_net::due::Dues;
+use chalkdeck_net::{Engine, Limits};
+use chalkdeck_time::TimeDelta;
+use rustc_hash::FxHashMap;
+use std::io;
+use std::net::SocketAddr;
+
+/// Descriptors reserved for the loop, logs, the listener, discovery and the counter (old and new addresses).
+const RESERVED_DESCRIPTORS: usize = 32;
+/// The fewest descriptors that are left for clients and endpoints.
+const MIN_CONNECTIONS: usize = 16;
+/// The share of them for clients, in percent; the rest are for endpoints.
+const CLIENT_PERCENT: usize = 55;
+/// Connections that are accepted beyond the limit, so that a new client can take the place of an idle one.
+const EXTRA_CLIENTS: usize = RESERVED_DESCRIPTORS / 4;
+/// The part of the memory granted that the commands of open requests may hold.
+const COMMANDS_MEMORY_FRACTION: f64 = 0.125;
+/// Bytes in a megabyte.
+const BYTES_PER_MB: f64 = 1e6;
+
+/// Why a gateway does not start.
+#[derive(Debug, thiserror::Error, miette::Diagnostic)]
+pub enum StartError {
+    /// The system gives no poll handle.
+    #[error("no poll handle: {0}")]
+    #[diagnostic(
+        code(chalkdeck::platform::poll),
+        help("see the limit of descriptors (ulimit -n)")
+    )]
+    Poll(io::Error),
+    /// The clients' address cannot be listened at.
+    #[error("cannot listen at {address}: {source}")]
+    #[diagnostic(
+        code(chalkdeck::platform::listen),
+        help(
+            "see whether another process listens there, and whether the address is this machine's"
+        )
+    )]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// The error of the system.
+        source: io::Error,
+    },
+    /// Settings that contradict each other.
+    #[error("settings: {0}")]
+    #[diagnostic(
+        code(chalkdeck::platform::settings),
+        help("see what the platform tells its gateways")
+    )]
+    Settings(#[from] SettingsError),
+}
+
+/// How many connections a gateway may hold.
+struct ConnectionLimits {
+    clients: usize,
+    endpoints: usize,
+}
+
+impl ConnectionLimits {
+    fn new(descriptors: usize) -> ConnectionLimits {
+        let connections = descriptors
+            .saturating_sub(RESERVED_DESCRIPTORS)
+            .max(MIN_CONNECTIONS);
+        let clients = connections * CLIENT_PERCENT / 100;
+        ConnectionLimits {
+            clients,
+            endpoints: connections - clients,
+        }
+    }
+}
+
+impl GatewayServer {
+    /// Binds the listener and connects to discovery.
+    ///
+    /// # Errors
+    /// The address cannot be bound, or the settings contradict each other.
+    pub fn start(config: Config) -> Result<GatewayServer, StartError> {
+        GatewayServer::start_with_clock(config, Clock::start())
+    }
+
+    /// Does the same with a clock of the caller's.
+    ///
+    /// # Errors
+    /// As [`GatewayServer::start`].
+    pub fn start_with_clock(mut config: Config, clock: Clock) -> Result<GatewayServer, StartError> {
+        let initial_endpoints = config.initial_endpoints.take();
+        let mut server = GatewayServer::bind(config, clock)?;
+        if let Some(list) = initial_endpoints {
+            server.apply_endpoint_update(list);
+        }
+        let action = server.discovery.connect(&mut server.engine);
+        server.carry_out_discovery(action);
+        server.set_sweep_timer();
+        server.carry_out_actions();
+        Ok(server)
+    }
+
+    fn bind(config: Config, clock: Clock) -> Result<GatewayServer, StartError> {
+        let mut engine = Engine::with_clock(clock).map_err(StartError::Poll)?;
+        let limits = ConnectionLimits::new(config.limits.sockets);
+        let listen_limits = Limits {
+            connections: limits.clients + EXTRA_CLIENTS,
+            ..Limits::default()
+        };
+        let address = config.listen;
+        let (listener, local_address) = engine
+            .listen_raw(address, listen_limits)
+            .map_err(|source| StartError::Listen { address, source })?;
+        let gateway = Gateway::new(config.seed, config.settings().clone())?;
+        let memory_bytes = config.limits.memory_mb * BYTES_PER_MB;
+        let max_command_bytes = (memory_bytes * COMMANDS_MEMORY_FRACTION) as usize;
+        let counter_timeout = TimeDelta::from_micros(config.settings().counter_timeout.0);
+        Ok(GatewayServer {
+            engine,
+            decisions: Decisions::new(gateway),
+            listener,
+            is_listening: true,
+            local_address,
+            timers: Dues::<TimerPurpose>::default(),
+            sessions: Sessions::new(limits.clients, max_command_bytes),
+            requests: FxHashMap::default(),
+            requests_by_client_id: FxHashMap::default(),
+            last_request: RequestId(0),
+            endpoints: EndpointConnections::new(
+                limits.endpoints,
+                memory_bytes,
+                config.endpoint_idle_timeout,
+            ),
+            counter: config
+                .counter
+                .map(|address| CounterClient::new(address, counter_timeout)),
+            has_counter_timer: false,
+            discovery: Discovery::new(config.discovery, Timing::new(config.drain_grace)),
+            net_events: Vec::new(),
+            shutdown_since: None,
+            config,
+        })
+    }
+}
--- a/crates/resp-gateway/tests/common/mod.rs
+++ b/crates/resp-gateway/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use chalkdeck_net::clock::{Clock, Jumps};
 use chalkdeck_net::{ConnId, Engine, Event, Limits, ListenerId};
 use chalkdeck_resp::{encode_command, take_command, MessageLimits, ParsedCommand};
-use chalkdeck_resp_gateway::{Config, Shell};
+use chalkdeck_resp_gateway::{Config, GatewayServer};
 use std::collections::{HashMap, HashSet};
 use std::fmt::Write as _;
 use std::net::SocketAddr;
@@ -34,7 +34,7 @@
 
 pub struct Stage {
     pub engine: Engine,
-    pub shell: Shell,
+    pub gateway: GatewayServer,
     pub file: PathBuf,
     /// Moves the gateway's clock.
     pub jumps: Arc<Jumps>,
@@ -109,7 +109,8 @@
         std::fs::write(&file, text).expect("a temporary file");
         let jumps = Arc::<Jumps>::default();
         let set = Config::load(&file).expect("a sound configuration");
-        let shell = Shell::start_at(set, Clock::jumping(jumps.clone())).expect("a free port");
+        let gateway = GatewayServer::start_with_clock(set, Clock::jumping(jumps.clone()))
+            .expect("a free port");
         let list = backends.iter().enumerate();
         let list = list
             .map(|(i, b)| Entry {
@@ -121,7 +122,7 @@
         let (heard, at, up, closed, told, totals) = Default::default();
         let mut stage = Stage {
             engine,
-            shell,
+            gateway,
             file,
             jumps,
             heard,
@@ -146,7 +147,7 @@
     }
 
     pub fn turn(&mut self) {
-        self.shell.turn(0).expect("a turn of the gateway");
+        self.gateway.turn(0).expect("a turn of the gateway");
         self.peers();
     }
 
@@ -278,7 +279,7 @@
     pub fn client(&mut self) -> ConnId {
         let conn = self
             .engine
-            .connect_raw(self.shell.listen())
+            .connect_raw(self.gateway.local_address())
             .expect("a socket");
         self.until("a client connects", |s| s.up.contains(&conn).then_some(()));
         conn
--- a/crates/resp-gateway/tests/endings.rs
+++ b/crates/resp-gateway/tests/endings.rs
@@ -84,7 +84,7 @@
     stage.ask(clients[0], "c1", VIEW);
     let new = stage
         .engine
-        .connect_raw(stage.shell.listen())
+        .connect_raw(stage.gateway.local_address())
         .expect("a socket");
     stage.hold();
     let (backend, _) = stage.arrived();
@@ -252,12 +252,12 @@
     // The system completes this connection, and the gateway has no room for it before the stop.
     let waits = stage
         .engine
-        .connect_raw(stage.shell.listen())
+        .connect_raw(stage.gateway.local_address())
         .expect("a socket");
     stage.quiet();
     stage.ask(waits, "g99", VIEW);
     stage.hold();
-    stage.shell.stop();
+    stage.gateway.shut_down();
     stage.jumps.jump(430_000);
     stage.quiet();
     stage.mute = false;
@@ -273,5 +273,5 @@
         "{}",
         heard.escape_ascii()
     );
-    stage.until("all is over", |s| s.shell.stopped().then_some(()));
+    stage.until("all is over", |s| s.gateway.is_shut_down().then_some(()));
 }
--- a/crates/resp-gateway/tests/peers.rs
+++ b/crates/resp-gateway/tests/peers.rs
@@ -384,7 +384,7 @@
     stage.ask(client, "m1", VIEW);
     let (backend, _) = stage.arrived();
     std::fs::write(&stage.file, "{").expect("the file");
-    stage.shell.reload();
+    stage.gateway.reload();
     let any = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
     let counter = stage
         .engine
@@ -399,7 +399,7 @@
         config("127.0.0.1:0", discovery.1, counter.1, WIDE),
     )
     .expect("the file");
-    stage.shell.reload();
+    stage.gateway.reload();
     stage.served(backend, "kept");
     stage.hears(client, "$4\r\nkept\r\n");
     let (old, before) = (stage.discovery.0, stage.counted);
@@ -420,20 +420,20 @@
     stage.hears(idle, "+PONG");
     stage.ask(busy, "n1", VIEW);
     let (backend, _) = stage.arrived();
-    stage.shell.stop();
+    stage.gateway.shut_down();
     // New ones still come and are served.
     let late = stage.client();
     stage.round(late, "n2", VIEW, "late");
-    assert!(!stage.shell.stopped());
+    assert!(!stage.gateway.is_shut_down());
     stage.jumps.jump(600_000);
-    assert!(!stage.shell.stopped(), "a request is open");
+    assert!(!stage.gateway.is_shut_down(), "a request is open");
     stage.until("idle ones are let go", |s| {
         (s.closed.contains(&idle) && s.closed.contains(&late)).then_some(())
     });
     assert!(!stage.closed.contains(&busy));
     stage.served(backend, "last");
     stage.hears(busy, "$4\r\nlast\r\n");
-    stage.until("all is over", |s| s.shell.stopped().then_some(()));
+    stage.until("all is over", |s| s.gateway.is_shut_down().then_some(()));
     assert!(
         stage.closed.contains(&busy) || stage.heard.is_empty() || !stage.heard.contains_key(&busy)
     );
@@ -446,7 +446,7 @@
     let sale = SALE.replace("d=2000", "d=3000");
     stage.ask(busy, "n1", &sale);
     stage.arrived();
-    stage.shell.stop();
+    stage.gateway.shut_down();
     // On a connection that is never between two requests, with backends that are silent.
     let mut waits = Vec::new();
     for (after, id) in [(600_000, "n2"), (400_000, "n3")] {
@@ -464,10 +464,10 @@
     // 3.45 s after the stop: the first has failed at its deadline, two are open.
     stage.jumps.jump(2_450_000);
     stage.hears(busy, "-ERR failed\r\n");
-    assert!(!stage.shell.stopped(), "two that it took are open");
+    assert!(!stage.gateway.is_shut_down(), "two that it took are open");
     stage.jumps.jump(200_000);
     stage.hears(busy, "-ERR failed\r\n-ERR failed\r\n");
-    stage.until("all is over", |s| s.shell.stopped().then_some(()));
+    stage.until("all is over", |s| s.gateway.is_shut_down().then_some(()));
 }
 
 #[test]
@@ -487,7 +487,7 @@
     );
     std::fs::write(&stage.file, text).expect("the file");
     let set = chalkdeck_resp_gateway::Config::load(&stage.file).expect("a sound configuration");
-    stage.shell = chalkdeck_resp_gateway::Shell::start(set).expect("a free port");
+    stage.gateway = chalkdeck_resp_gateway::GatewayServer::start(set).expect("a free port");
     let client = stage.client();
     stage.round(client, "q1", VIEW, "known");
 }
--- a/crates/resp-gateway/tests/world/mod.rs
+++ b/crates/resp-gateway/tests/world/mod.rs
@@ -4,7 +4,7 @@
 
 use crate::common::{config, WIDE};
 use chalkdeck_net::clock::{Clock, Jumps};
-use chalkdeck_resp_gateway::{Config, Shell};
+use chalkdeck_resp_gateway::{Config, GatewayServer};
 use fastrand::Rng;
 use peers::{Attempt, Client, Counter, Discovery, Server};
 use std::collections::HashMap;
@@ -44,7 +44,7 @@
 }
 
 pub struct World {
-    pub shell: Shell,
+    pub gateway: GatewayServer,
     file: PathBuf,
     jumps: Arc<Jumps>,
     clock: Clock,
@@ -83,9 +83,10 @@
         let jumps = Arc::<Jumps>::default();
         let clock = Clock::jumping(jumps.clone());
         let settings = Config::load(&file).expect("a sound configuration");
-        let shell = Shell::start_at(settings, clock.clone()).expect("a free port");
+        let gateway =
+            GatewayServer::start_with_clock(settings, clock.clone()).expect("a free port");
         let mut world = World {
-            shell,
+            gateway,
             file,
             jumps,
             clock,
@@ -143,10 +144,10 @@
             72..82 => self.counter.acts(rng),
             82..89 => self.list_changes(rng),
             89..96 => self.time_passes(rng),
-            96..98 => self.shell.reload(),
+            96..98 => self.gateway.reload(),
             98 if self.stopped_at.is_none() => {
                 self.stopped_at = Some(self.clock.now());
-                self.shell.stop();
+                self.gateway.shut_down();
             }
             _ => (0..4).for_each(|_| self.turn_and_look()),
         }
@@ -156,7 +157,7 @@
         if self.clients.len() < MOST_CLIENTS && self.stopped_at.is_none() {
             self.next += 1;
             self.clients
-                .insert(self.next, Client::connect(self.shell.listen()));
+                .insert(self.next, Client::connect(self.gateway.local_address()));
         }
     }
 
@@ -252,9 +253,9 @@
         if self.ended {
             return;
         }
-        self.shell.turn(0).expect("a turn");
+        self.gateway.turn(0).expect("a turn");
         self.turns += 1;
-        self.ended = self.shell.stopped();
+        self.ended = self.gateway.is_shut_down();
     }
 
     /// Takes what came to the peers and compares it with what may come.
