--- a/crates/resp-gateway/src/config.rs
+++ b/crates/resp-gateway/src/config.rs
@@ -167,7 +167,7 @@
     match endpoint_list::parse(list, &mut names.zones) {
         Ok(list) => Some(list),
         Err(error) => {
-            tracing::warn!(%error, "initial endpoint list is invalid; starting without endpoints");
+            tracing::warn!(%error, "initial endpoint list not readable: starting without endpoints");
             None
         }
     }
--- a/crates/resp-gateway/src/discovery.rs
+++ b/crates/resp-gateway/src/discovery.rs
@@ -212,7 +212,7 @@
     }
 
     fn on_failed(&mut self, engine: &mut Engine, error: &DiscoveryError) -> DiscoveryAction {
-        tracing::warn!(%error, address = %self.address, "discovery call failed; keeping the last valid endpoint list");
+        tracing::warn!(%error, address = %self.address, "discovery call failed: keeping the last good endpoint list");
         self.close(engine);
         self.held_version = None;
         self.check_call_after(self.timing.retry_delay)
--- a/crates/resp-gateway/src/server/lifecycle.rs
+++ b/crates/resp-gateway/src/server/lifecycle.rs
@@ -47,7 +47,7 @@
         if self.shutdown_since.is_none() {
             tracing::info!(
                 open_requests = self.requests.len(),
-                "shutting down: serving what still arrives, then closing connections"
+                "graceful shutdown: serving what still arrives, then closing connections"
             );
             self.shutdown_since = Some(clock::now(&self.engine));
             self.set_timer(SHUTDOWN_ACCEPT_TIME, TimerPurpose::Shutdown);
@@ -93,7 +93,7 @@
         let config = match Config::load(&self.config.file) {
             Ok(config) => config,
             Err(ConfigError { location, kind }) => {
-                tracing::error!(%location, error = %kind, "configuration is invalid; keeping the earlier one");
+                tracing::error!(%location, error = %kind, "reload rejected: keeping the previous configuration");
                 return;
             }
         };
