--- a/crates/resp-gateway/tests/clients.rs
+++ b/crates/resp-gateway/tests/clients.rs
@@ -2,43 +2,44 @@
 
 mod common;
 
-use common::{Stage, SECOND, SMALL, WIDE};
+use common::{Harness, SECOND, SMALL, WIDE};
 
 const VIEW: &str = "c=view,t=team,d=2000,units=1,spread=3,first=1";
 
 #[test]
-fn answers_keep_the_order_of_commands_that_run_side_by_side() {
-    let mut stage = Stage::new(2, WIDE);
-    let client = stage.client();
-    stage.say(client, b"*1\r\n$4\r\nPING\r\n");
-    stage.ask(client, "a1", VIEW);
-    stage.ask(client, "a2", VIEW);
-    let mut came = [stage.arrived(), stage.arrived()].map(|(conn, words)| (words[2].clone(), conn));
+fn requests_end_out_of_order_then_replies_in_command_order() {
+    let mut harness = Harness::new(2, WIDE);
+    let client = harness.connect_client();
+    harness.write(client, b"*1\r\n$4\r\nPING\r\n");
+    harness.send_request(client, "a1", VIEW);
+    harness.send_request(client, "a2", VIEW);
+    let mut came = [harness.next_attempt(), harness.next_attempt()]
+        .map(|(conn, words)| (words[2].clone(), conn));
     came.sort_by(|a, b| a.0.cmp(&b.0));
     let [(one, first), (two, second)] = came;
     assert_ne!(first, second, "one request on each connection");
     assert_eq!((&one[..], &two[..]), (&b"a1"[..], &b"a2"[..]));
-    stage.served(second, "two");
-    stage.quiet();
+    harness.reply_served(second, "two");
+    harness.settle();
     assert_eq!(
-        stage.heard[&client][..],
+        harness.received[&client][..],
         b"+PONG\r\n"[..],
         "the first is still to come"
     );
-    stage.served(first, "one");
-    stage.hears(client, "+PONG\r\n$3\r\none\r\n$3\r\ntwo\r\n");
+    harness.reply_served(first, "one");
+    harness.expect_received(client, "+PONG\r\n$3\r\none\r\n$3\r\ntwo\r\n");
 }
 
 #[test]
-fn the_command_goes_on_unchanged_but_for_the_time() {
-    let mut stage = Stage::new(1, WIDE);
-    let client = stage.client();
-    stage.ask(
+fn request_forwarded_then_unchanged_but_for_the_timeout() {
+    let mut harness = Harness::new(1, WIDE);
+    let client = harness.connect_client();
+    harness.send_request(
         client,
         "b1",
         "c=order,t=team,d=2000,k=5c0f,units=2,spread=3,first=1",
     );
-    let (_, words) = stage.arrived();
+    let (_, words) = harness.next_attempt();
     let list = String::from_utf8_lossy(&words[3]).into_owned();
     let (head, rest) = list.split_once(",d=").expect("it states the time");
     let (wait, tail) = rest.split_once(',').expect("and what follows it");
@@ -56,18 +57,18 @@
     );
 }
 
-fn assert_nothing_ran(stage: &mut Stage) {
-    stage.quiet();
+fn assert_nothing_ran(harness: &mut Harness) {
+    harness.settle();
     assert!(
-        stage.arrival().is_none() && stage.counted == 0,
+        harness.try_next_attempt().is_none() && harness.counter_calls == 0,
         "nothing ran and nothing was counted"
     );
 }
 
 #[test]
 fn invalid_field_then_error_names_it_and_nothing_runs() {
-    let mut stage = Stage::new(1, WIDE);
-    let client = stage.client();
+    let mut harness = Harness::new(1, WIDE);
+    let client = harness.connect_client();
     for (list, want) in [
         (
             "c=nothing,t=team,d=480,units=2,spread=3,first=1",
@@ -116,16 +117,16 @@
         ),
         ("nonsense,c=view", "-ERR expected name=value"),
     ] {
-        stage.ask(client, "c1", list);
-        stage.hears(client, want);
+        harness.send_request(client, "c1", list);
+        harness.expect_received(client, want);
     }
-    assert_nothing_ran(&mut stage);
+    assert_nothing_ran(&mut harness);
 }
 
 #[test]
 fn invalid_command_then_error_names_it_and_nothing_runs() {
-    let mut stage = Stage::new(1, WIDE);
-    let client = stage.client();
+    let mut harness = Harness::new(1, WIDE);
+    let client = harness.connect_client();
     for (words, want) in [
         (&b"*1\r\n$8\r\nAPI.READ\r\n"[..], "-ERR wrong number"),
         (b"*1\r\n$8\r\nFLUSHALL\r\n", "-ERR unknown command"),
@@ -142,8 +143,8 @@
             "-ERR customer: expected",
         ),
     ] {
-        stage.say(client, words);
-        stage.hears(client, want);
+        harness.write(client, words);
+        harness.expect_received(client, want);
     }
     // The reverse of what the class asks for.
     let list = "c=order,t=team,d=480,k=1,units=2,spread=3,first=1";
@@ -151,27 +152,27 @@
         "*4\r\n$8\r\nAPI.READ\r\n$16\r\n0000000000000001\r\n$1\r\na\r\n${}\r\n{list}\r\n",
         list.len()
     );
-    stage.say(client, words.as_bytes());
-    stage.hears(client, "-ERR expected API.READ for a class that is safe");
-    assert_nothing_ran(&mut stage);
+    harness.write(client, words.as_bytes());
+    harness.expect_received(client, "-ERR expected API.READ for a class that is safe");
+    assert_nothing_ran(&mut harness);
 }
 
 #[test]
-fn the_id_of_an_open_request_is_told_and_that_request_stays() {
-    let mut stage = Stage::new(1, WIDE);
-    let (owner, other) = (stage.client(), stage.client());
-    stage.ask(owner, "d1", VIEW);
-    let (backend, _) = stage.arrived();
-    stage.ask(other, "d1", VIEW);
-    stage.hears(other, "-ERR id: expected one that no open request has");
-    stage.served(backend, "mine");
-    stage.hears(owner, "$4\r\nmine\r\n");
-    stage.round(other, "d1", VIEW, "later");
+fn id_of_an_open_request_then_error_and_that_request_goes_on() {
+    let mut harness = Harness::new(1, WIDE);
+    let (owner, other) = (harness.connect_client(), harness.connect_client());
+    harness.send_request(owner, "d1", VIEW);
+    let (endpoint, _) = harness.next_attempt();
+    harness.send_request(other, "d1", VIEW);
+    harness.expect_received(other, "-ERR id: expected one that no open request has");
+    harness.reply_served(endpoint, "mine");
+    harness.expect_received(owner, "$4\r\nmine\r\n");
+    harness.serve_one(other, "d1", VIEW, "later");
 }
 
 #[test]
-fn what_cannot_be_read_is_told_and_the_connection_ends_after_the_error_was_read() {
-    let mut stage = Stage::new(1, WIDE);
+fn protocol_error_then_connection_closed_after_the_error_was_read() {
+    let mut harness = Harness::new(1, WIDE);
     for bytes in [
         &b"GET / HTTP/1.1\r\n\r\n"[..],
         b"*99999\r\n",
@@ -180,114 +181,114 @@
         b"*5\r\n$9\r\nAPI.WRITE\r\n$62914560\r\n",
         b"*1\r\n:5\r\n",
     ] {
-        let client = stage.client();
-        stage.say(client, bytes);
+        let client = harness.connect_client();
+        harness.write(client, bytes);
         // It goes on sending: a close over unread bytes would take the error away.
-        stage.say(client, &vec![b'x'; 1 << 20]);
-        stage.hears(client, "-ERR Protocol error");
-        stage.until("the gateway ends its side", |s| {
+        harness.write(client, &vec![b'x'; 1 << 20]);
+        harness.expect_received(client, "-ERR Protocol error");
+        harness.wait_for("the gateway ends its side", |s| {
             s.closed.contains(&client).then_some(())
         });
     }
 }
 
 #[test]
-fn silence_and_half_a_command_are_closed_in_time_and_talkers_stay() {
-    let mut stage = Stage::new(1, WIDE);
+fn silent_or_half_command_then_closed_and_active_clients_stay() {
+    let mut harness = Harness::new(1, WIDE);
     let (silent, half, talker, busy) = (
-        stage.client(),
-        stage.client(),
-        stage.client(),
-        stage.client(),
+        harness.connect_client(),
+        harness.connect_client(),
+        harness.connect_client(),
+        harness.connect_client(),
     );
-    stage.say(half, b"*4\r\n$8\r\nAPI.R");
-    stage.say(talker, b"*1\r\n$4\r\nPING\r\n");
-    stage.hears(talker, "+PONG");
-    stage.ask(busy, "e1", &VIEW.replace("d=2000", "d=3000"));
-    let (backend, _) = stage.arrived();
-    stage.jumps.jump(2_200_000);
-    stage.until("both are closed", |s| {
+    harness.write(half, b"*4\r\n$8\r\nAPI.R");
+    harness.write(talker, b"*1\r\n$4\r\nPING\r\n");
+    harness.expect_received(talker, "+PONG");
+    harness.send_request(busy, "e1", &VIEW.replace("d=2000", "d=3000"));
+    let (endpoint, _) = harness.next_attempt();
+    harness.jumps.jump(2_200_000);
+    harness.wait_for("both are closed", |s| {
         (s.closed.contains(&silent) && s.closed.contains(&half)).then_some(())
     });
-    assert!(!stage.closed.contains(&talker) && !stage.closed.contains(&busy));
-    stage.served(backend, "done");
-    stage.hears(busy, "$4\r\ndone\r\n");
-    stage.jumps.jump(11 * SECOND);
-    stage.until("one that asked and stayed is let go", |s| {
+    assert!(!harness.closed.contains(&talker) && !harness.closed.contains(&busy));
+    harness.reply_served(endpoint, "done");
+    harness.expect_received(busy, "$4\r\ndone\r\n");
+    harness.jumps.jump(11 * SECOND);
+    harness.wait_for("one that asked and stayed is let go", |s| {
         s.closed.contains(&talker).then_some(())
     });
 }
 
 #[test]
-fn short_of_descriptors_the_wordless_go_first_and_a_request_is_still_served() {
-    let mut stage = Stage::new(1, SMALL);
-    let kept = stage.client();
-    stage.say(kept, b"*1\r\n$4\r\nPING\r\n");
-    stage.hears(kept, "+PONG");
-    let mut silent: Vec<_> = (0..30).map(|_| stage.client()).collect();
+fn too_many_connections_then_silent_ones_evicted_first_and_requests_served() {
+    let mut harness = Harness::new(1, SMALL);
+    let kept = harness.connect_client();
+    harness.write(kept, b"*1\r\n$4\r\nPING\r\n");
+    harness.expect_received(kept, "+PONG");
+    let mut silent: Vec<_> = (0..30).map(|_| harness.connect_client()).collect();
     for _ in 0..20 {
-        stage.jumps.jump(60_000);
-        silent.push(stage.client());
+        harness.jumps.jump(60_000);
+        silent.push(harness.connect_client());
     }
-    let last = stage.client();
-    stage.round(last, "f1", VIEW, "room");
-    assert!(!stage.closed.contains(&kept), "one that spoke stays");
+    let last = harness.connect_client();
+    harness.serve_one(last, "f1", VIEW, "room");
+    assert!(!harness.closed.contains(&kept), "one that spoke stays");
     assert!(
-        silent.iter().any(|c| stage.closed.contains(c)),
+        silent.iter().any(|c| harness.closed.contains(c)),
         "wordless ones made room"
     );
 }
 
 #[test]
-fn a_client_that_goes_takes_its_attempt_along() {
-    let mut stage = Stage::new(1, WIDE);
-    let client = stage.client();
-    stage.ask(client, "g1", VIEW);
-    let (backend, _) = stage.arrived();
-    stage.engine.close(client);
-    stage.until("the attempt is called off", |s| {
-        s.closed.contains(&backend).then_some(())
+fn client_disconnects_then_its_attempt_cancelled() {
+    let mut harness = Harness::new(1, WIDE);
+    let client = harness.connect_client();
+    harness.send_request(client, "g1", VIEW);
+    let (endpoint, _) = harness.next_attempt();
+    harness.engine.close(client);
+    harness.wait_for("the attempt is called off", |s| {
+        s.closed.contains(&endpoint).then_some(())
     });
 }
 
 #[test]
-fn hundreds_of_commands_at_once_are_bounded_and_all_answered_in_order() {
-    let mut stage = Stage::new(1, WIDE);
-    let client = stage.client();
+fn hundreds_of_pipelined_commands_then_all_answered() {
+    let mut harness = Harness::new(1, WIDE);
+    let client = harness.connect_client();
     for i in 0..300 {
-        stage.ask(
+        harness.send_request(
             client,
             &format!("h{i}"),
             if i % 2 == 0 { VIEW } else { "c=view,t=nobody" },
         );
     }
     for i in 0..150 {
-        let (backend, words) = stage.arrived();
+        let (endpoint, words) = harness.next_attempt();
         assert!(words[2].starts_with(b"h"));
-        stage.served(backend, &format!("v{i}"));
+        harness.reply_served(endpoint, &format!("v{i}"));
     }
-    let answers = |s: &Stage| {
-        s.heard.get(&client).map_or(0, |b| {
+    let answers = |s: &Harness| {
+        s.received.get(&client).map_or(0, |b| {
             b.iter().filter(|c| **c == b'-' || **c == b'$').count()
         })
     };
-    stage.until("all are answered", |s| (answers(s) == 300).then_some(()));
+    harness.wait_for("all are answered", |s| (answers(s) == 300).then_some(()));
 }
 
 #[test]
-fn a_client_that_does_not_read_holds_its_own_requests_back_and_nobody_elses() {
-    let mut stage = Stage::new(4, WIDE);
-    let (slow, other) = (stage.client(), stage.client());
-    stage.engine.pause(slow, true);
+fn client_does_not_read_then_only_its_own_requests_are_held_back() {
+    let mut harness = Harness::new(4, WIDE);
+    let (slow, other) = (harness.connect_client(), harness.connect_client());
+    harness.engine.pause(slow, true);
     for i in 0..200 {
-        stage.ask(slow, &format!("s{i}"), &VIEW.replace("d=2000", "d=3000"));
+        harness.send_request(slow, &format!("s{i}"), &VIEW.replace("d=2000", "d=3000"));
     }
     let value = "v".repeat(300_000);
     let mut served = 0;
     for _ in 0..2_000 {
-        stage.turn();
-        while let Some((backend, _)) = stage.arrival() {
-            stage.served(backend, &value);
+        harness.turn();
+        while let Some((endpoint, _)) = harness.try_next_attempt() {
+            harness.reply_served(endpoint, &value);
             served += 1;
         }
     }
@@ -295,40 +296,44 @@
         served > 0 && served < 190,
         "{served} of 200 went on while nothing was read"
     );
-    stage.ask(other, "o1", VIEW);
-    let (backend, words) = stage.until("the other's request comes", |s| {
-        let came = s.arrival()?;
+    harness.send_request(other, "o1", VIEW);
+    let (endpoint, words) = harness.wait_for("the other's request comes", |s| {
+        let came = s.try_next_attempt()?;
         (&came.1[2][..] == b"o1").then_some(came)
     });
     assert_eq!(&words[2][..], b"o1");
-    stage.served(backend, "mine");
-    stage.hears(other, "$4\r\nmine\r\n");
+    harness.reply_served(endpoint, "mine");
+    harness.expect_received(other, "$4\r\nmine\r\n");
 }
 
 #[test]
-fn pipelines_of_any_length_are_answered_to_the_end() {
+fn pipeline_of_any_length_then_all_answered() {
     let ping = &b"*1\r\n$4\r\nPING\r\n"[..];
     let wrong = &b"*1\r\n$5\r\nWRONG\r\n"[..];
     for count in [63, 64, 65, 200, 1_000] {
-        let mut stage = Stage::new(1, WIDE);
-        let (pings, errors, mixed) = (stage.client(), stage.client(), stage.client());
-        stage.say(pings, &ping.repeat(count));
-        stage.say(errors, &wrong.repeat(count));
+        let mut harness = Harness::new(1, WIDE);
+        let (pings, errors, mixed) = (
+            harness.connect_client(),
+            harness.connect_client(),
+            harness.connect_client(),
+        );
+        harness.write(pings, &ping.repeat(count));
+        harness.write(errors, &wrong.repeat(count));
         for i in 0..count {
             match i % 3 {
-                0 => stage.ask(mixed, &format!("m{i}"), VIEW),
-                1 => stage.say(mixed, ping),
-                _ => stage.say(mixed, wrong),
+                0 => harness.send_request(mixed, &format!("m{i}"), VIEW),
+                1 => harness.write(mixed, ping),
+                _ => harness.write(mixed, wrong),
             }
         }
-        let heard = |s: &Stage, conn, what: &[u8]| {
-            s.heard
+        let heard = |s: &Harness, conn, what: &[u8]| {
+            s.received
                 .get(&conn)
                 .map_or(0, |b| b.windows(what.len()).filter(|w| *w == what).count())
         };
-        stage.until(&format!("all {count} are answered"), |s| {
-            while let Some((backend, _)) = s.arrival() {
-                s.served(backend, "done");
+        harness.wait_for(&format!("all {count} are answered"), |s| {
+            while let Some((endpoint, _)) = s.try_next_attempt() {
+                s.reply_served(endpoint, "done");
             }
             // Beyond the quota they are refused.
             let answers = [&b"$4\r\n"[..], b"-BUSY", b"+PONG", b"-ERR unknown"];
@@ -340,14 +345,14 @@
 }
 
 #[test]
-fn a_long_pipeline_does_not_hold_the_turn() {
-    let mut stage = Stage::new(1, WIDE);
-    let (long, other) = (stage.client(), stage.client());
-    stage.say(long, &b"*1\r\n$4\r\nPING\r\n".repeat(1_000));
-    stage.say(other, b"*1\r\n$4\r\nPING\r\n");
-    stage.hears(other, "+PONG\r\n");
-    let answered = stage
-        .heard
+fn long_pipeline_then_other_clients_are_answered_meanwhile() {
+    let mut harness = Harness::new(1, WIDE);
+    let (long, other) = (harness.connect_client(), harness.connect_client());
+    harness.write(long, &b"*1\r\n$4\r\nPING\r\n".repeat(1_000));
+    harness.write(other, b"*1\r\n$4\r\nPING\r\n");
+    harness.expect_received(other, "+PONG\r\n");
+    let answered = harness
+        .received
         .get(&long)
         .map_or(0, |b| b.len() / b"+PONG\r\n".len());
     assert!(
--- a/crates/resp-gateway/tests/common/mod.rs
+++ b/crates/resp-gateway/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway of the platform with scripted clients, backends, counter and discovery, all turned by one thread on loopback.
+//! A gateway with clients, endpoints, a counter and a discovery agent that tests control, all run by one thread on loopback.
 #![allow(
     dead_code,
     reason = "each test program uses a part of what all of them share"
@@ -17,7 +17,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+/// A test fails when it waits for longer.
+const MAX_WAIT: Duration = Duration::from_secs(20);
 const LIMITS: MessageLimits = MessageLimits {
     max_elements: 16,
     max_element_bytes: 1 << 20,
@@ -27,7 +28,7 @@
 };
 pub const SECOND: i64 = 1_000_000;
 
-/// A backend of the list.
+/// An endpoint of the list.
 #[derive(Clone)]
 pub struct Entry {
     pub name: String,
@@ -35,33 +36,34 @@
     pub status: &'static str,
 }
 
-pub struct Stage {
+/// A gateway and its peers.
+pub struct Harness {
     pub engine: Engine,
     pub gateway: GatewayServer,
     pub file: PathBuf,
     /// Moves the gateway's clock.
     pub jumps: Arc<Jumps>,
-    /// What came on a connection and was not taken yet.
-    pub heard: HashMap<ConnId, BytesMut>,
-    /// Where a connection came in.
-    pub at: HashMap<ConnId, ListenerId>,
-    pub up: HashSet<ConnId>,
+    /// Bytes that were received on a connection and not taken yet.
+    pub received: HashMap<ConnId, BytesMut>,
+    /// The listener that accepted a connection.
+    pub listener_of: HashMap<ConnId, ListenerId>,
+    pub connected: HashSet<ConnId>,
     pub closed: HashSet<ConnId>,
-    pub backends: Vec<(ListenerId, SocketAddr)>,
+    pub endpoints: Vec<(ListenerId, SocketAddr)>,
     pub counter: (ListenerId, SocketAddr),
     pub discovery: (ListenerId, SocketAddr),
-    /// What discovery answers next, whole; empty: it is silent.
+    /// The complete list that discovery sends next.
     pub list: Vec<Entry>,
     pub index: u64,
-    /// Discovery answers as a whole list with each change, a watch waits.
-    told: HashMap<ConnId, u64>,
-    /// The counter answers with these totals by name.
+    /// The version of the list that was sent last on each connection; a poll waits until there is a newer one.
+    published: HashMap<ConnId, u64>,
+    /// The totals of the counter by key.
     pub totals: HashMap<Bytes, f64>,
     /// The counter is silent.
-    pub mute: bool,
+    pub counter_is_silent: bool,
     /// Discovery is silent.
-    pub hush: bool,
-    pub counted: usize,
+    pub discovery_is_silent: bool,
+    pub counter_calls: usize,
 }
 
 fn listen(engine: &mut Engine) -> (ListenerId, SocketAddr) {
@@ -90,16 +92,16 @@
     )
 }
 
-impl Stage {
-    /// So many backends, all listed and ready.
-    pub fn new(backends: usize, limits: &str) -> Stage {
-        Stage::configured(backends, limits, |text| text)
+impl Harness {
+    /// So many endpoints, all listed and ready.
+    pub fn new(endpoints: usize, limits: &str) -> Harness {
+        Harness::configured(endpoints, limits, |text| text)
     }
 
     /// The same with a configuration that is edited before the gateway reads it.
-    pub fn configured(backends: usize, limits: &str, edit: fn(String) -> String) -> Stage {
+    pub fn configured(endpoints: usize, limits: &str, edit: fn(String) -> String) -> Harness {
         let mut engine = Engine::new().expect("a poll handle");
-        let backends: Vec<_> = (0..backends).map(|_| listen(&mut engine)).collect();
+        let endpoints: Vec<_> = (0..endpoints).map(|_| listen(&mut engine)).collect();
         let (counter, discovery) = (listen(&mut engine), listen(&mut engine));
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let name = format!(
@@ -114,7 +116,7 @@
         let set = Config::load(&file).expect("a sound configuration");
         let gateway = GatewayServer::start_with_clock(set, Clock::jumping(jumps.clone()))
             .expect("a free port");
-        let list = backends.iter().enumerate();
+        let list = endpoints.iter().enumerate();
         let list = list
             .map(|(i, b)| Entry {
                 name: format!("s-{i}"),
@@ -122,87 +124,102 @@
                 status: "ready",
             })
             .collect();
-        let (heard, at, up, closed, told, totals) = Default::default();
-        let mut stage = Stage {
+        let mut harness = Harness {
             engine,
             gateway,
             file,
             jumps,
-            heard,
-            at,
-            up,
-            closed,
-            backends,
+            received: HashMap::new(),
+            listener_of: HashMap::new(),
+            connected: HashSet::new(),
+            closed: HashSet::new(),
+            endpoints,
             counter,
             discovery,
             list,
             index: 1,
-            told,
-            totals,
-            mute: false,
-            hush: false,
-            counted: 0,
+            published: HashMap::new(),
+            totals: HashMap::new(),
+            counter_is_silent: false,
+            discovery_is_silent: false,
+            counter_calls: 0,
         };
-        stage.until("the list is told", |s| {
-            s.told.values().any(|v| *v == s.index).then_some(())
+        harness.wait_for("the list is told", |s| {
+            s.published.values().any(|v| *v == s.index).then_some(())
         });
-        stage
+        harness
     }
 
     pub fn turn(&mut self) {
         self.gateway.turn(0).expect("a turn of the gateway");
-        self.peers();
+        self.run_peers();
     }
 
-    /// Turns the peers while the gateway's loop stands still: what they write waits in its sockets and is met in one batch.
-    pub fn hold(&mut self) {
+    /// Runs the peers while the gateway's loop stands still: what they write waits in its sockets and is handled in one batch.
+    pub fn run_peers_only(&mut self) {
         for _ in 0..20 {
-            self.peers();
+            self.run_peers();
         }
     }
 
-    fn peers(&mut self) {
+    fn run_peers(&mut self) {
         let mut events = Vec::new();
         self.engine
             .turn(0, &mut events)
-            .expect("a turn of the stage");
+            .expect("a turn of the harness");
         for event in events {
             match event {
-                Event::Accepted { listener, conn } => drop(self.at.insert(conn, listener)),
-                Event::Connected { conn } => drop(self.up.insert(conn)),
-                Event::Bytes { conn, data } => {
-                    self.heard.entry(conn).or_default().extend_from_slice(&data)
-                }
+                Event::Accepted { listener, conn } => drop(self.listener_of.insert(conn, listener)),
+                Event::Connected { conn } => drop(self.connected.insert(conn)),
+                Event::Bytes { conn, data } => self
+                    .received
+                    .entry(conn)
+                    .or_default()
+                    .extend_from_slice(&data),
                 Event::Closed { conn, .. } => drop(self.closed.insert(conn)),
                 _ => {}
             }
         }
-        self.count();
-        self.discover();
+        self.run_counter();
+        self.run_discovery();
     }
 
     /// Turns until something holds.
-    pub fn until<T>(&mut self, what: &str, mut look: impl FnMut(&mut Stage) -> Option<T>) -> T {
+    pub fn wait_for<T>(
+        &mut self,
+        what: &str,
+        mut condition: impl FnMut(&mut Harness) -> Option<T>,
+    ) -> T {
         let begun = Instant::now();
         loop {
-            if let Some(found) = look(self) {
+            if let Some(found) = condition(self) {
                 return found;
             }
-            assert!(begun.elapsed() < PATIENCE, "in vain: {what}");
+            assert!(begun.elapsed() < MAX_WAIT, "waited in vain: {what}");
             self.turn();
         }
     }
 
     /// Turns often enough for anything under way to have crossed the loopback.
-    pub fn quiet(&mut self) {
+    pub fn settle(&mut self) {
         for _ in 0..200 {
             self.turn();
         }
     }
 
-    fn of(&self, listener: ListenerId) -> Vec<ConnId> {
+    /// Waits for a call to the silent counter; returns its connection.
+    pub fn counter_call(&mut self) -> ConnId {
+        let counter = self.counter.0;
+        self.wait_for("the counter is called", |s| {
+            s.conns_of(counter)
+                .into_iter()
+                .find(|conn| s.next_command(*conn).is_some())
+        })
+    }
+
+    fn conns_of(&self, listener: ListenerId) -> Vec<ConnId> {
         let mut conns: Vec<ConnId> = self
-            .at
+            .listener_of
             .iter()
             .filter(|(_, l)| **l == listener)
             .map(|(c, _)| *c)
@@ -211,9 +228,12 @@
         conns
     }
 
-    fn count(&mut self) {
-        for conn in self.of(self.counter.0) {
-            while let Some(words) = (!self.mute).then(|| self.command(conn)).flatten() {
+    fn run_counter(&mut self) {
+        for conn in self.conns_of(self.counter.0) {
+            while let Some(words) = (!self.counter_is_silent)
+                .then(|| self.next_command(conn))
+                .flatten()
+            {
                 assert_eq!(&words[0][..], b"ADDGET");
                 let amount: f64 = std::str::from_utf8(&words[2])
                     .expect("text")
@@ -221,7 +241,7 @@
                     .expect("a number");
                 let total = self.totals.entry(words[1].clone()).or_default();
                 *total += amount;
-                self.counted += 1;
+                self.counter_calls += 1;
                 let text = total.to_string();
                 let reply = format!("${}\r\n{text}\r\n", text.len());
                 self.engine.write(conn, reply.as_bytes());
@@ -229,25 +249,25 @@
         }
     }
 
-    fn discover(&mut self) {
-        for conn in self.of(self.discovery.0) {
+    fn run_discovery(&mut self) {
+        for conn in self.conns_of(self.discovery.0) {
             let asked = self
-                .heard
+                .received
                 .get(&conn)
                 .is_some_and(|b| b.ends_with(b"\r\n\r\n"));
-            let news = self.told.get(&conn) != Some(&self.index);
-            if self.hush || !asked || !news || self.closed.contains(&conn) {
+            let is_newer = self.published.get(&conn) != Some(&self.index);
+            if self.discovery_is_silent || !asked || !is_newer || self.closed.contains(&conn) {
                 continue;
             }
-            self.heard.remove(&conn);
-            self.told.insert(conn, self.index);
-            let body = self.body();
+            self.received.remove(&conn);
+            self.published.insert(conn, self.index);
+            let body = self.list_body();
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
             self.engine.write(conn, (head + &body).as_bytes());
         }
     }
 
-    fn body(&self) -> String {
+    fn list_body(&self) -> String {
         let mut entries = String::new();
         for e in &self.list {
             let comma = if entries.is_empty() { "" } else { "," };
@@ -264,36 +284,38 @@
     }
 
     /// Tells a new list and waits until the gateway has asked for the one after it.
-    pub fn tell(&mut self, list: Vec<Entry>) {
+    pub fn publish(&mut self, list: Vec<Entry>) {
         (self.list, self.index) = (list, self.index + 1);
-        self.until("the list is taken", |s| {
+        self.wait_for("the list is taken", |s| {
             let told: Vec<ConnId> = s
-                .told
+                .published
                 .iter()
                 .filter(|(_, v)| **v == s.index)
                 .map(|(c, _)| *c)
                 .collect();
             told.into_iter()
-                .find(|c| s.heard.get(c).is_some_and(|b| b.ends_with(b"\r\n\r\n")))
+                .find(|c| s.received.get(c).is_some_and(|b| b.ends_with(b"\r\n\r\n")))
                 .map(|_| ())
         });
     }
 
-    pub fn client(&mut self) -> ConnId {
+    pub fn connect_client(&mut self) -> ConnId {
         let conn = self
             .engine
             .connect_raw(self.gateway.local_address())
             .expect("a socket");
-        self.until("a client connects", |s| s.up.contains(&conn).then_some(()));
+        self.wait_for("a client connects", |s| {
+            s.connected.contains(&conn).then_some(())
+        });
         conn
     }
 
-    pub fn say(&mut self, conn: ConnId, bytes: &[u8]) {
+    pub fn write(&mut self, conn: ConnId, bytes: &[u8]) {
         self.engine.write(conn, bytes);
     }
 
     /// Sends a request; `list` is what follows class and plan.
-    pub fn ask(&mut self, conn: ConnId, id: &str, list: &str) {
+    pub fn send_request(&mut self, conn: ConnId, id: &str, list: &str) {
         let (name, body): (&[u8], &[&[&[u8]]]) = if list.contains("c=view") {
             (b"API.READ", &[])
         } else {
@@ -310,31 +332,34 @@
     }
 
     /// The next whole command on a connection.
-    pub fn command(&mut self, conn: ConnId) -> Option<Vec<Bytes>> {
-        match take_command(self.heard.get_mut(&conn)?, &LIMITS) {
+    pub fn next_command(&mut self, conn: ConnId) -> Option<Vec<Bytes>> {
+        match take_command(self.received.get_mut(&conn)?, &LIMITS) {
             ParsedCommand::Complete(words) => Some(words),
             _ => None,
         }
     }
 
-    /// Waits for a command at any backend.
-    pub fn arrived(&mut self) -> (ConnId, Vec<Bytes>) {
-        self.until("a command comes to a backend", Stage::arrival)
+    /// Waits for a command at any endpoint.
+    pub fn next_attempt(&mut self) -> (ConnId, Vec<Bytes>) {
+        self.wait_for("a command comes to an endpoint", Harness::try_next_attempt)
     }
 
-    /// A command that came to any backend.
-    pub fn arrival(&mut self) -> Option<(ConnId, Vec<Bytes>)> {
-        let listeners: Vec<ListenerId> = self.backends.iter().map(|b| b.0).collect();
-        let conns: Vec<ConnId> = listeners.into_iter().flat_map(|l| self.of(l)).collect();
+    /// A command that came to any endpoint.
+    pub fn try_next_attempt(&mut self) -> Option<(ConnId, Vec<Bytes>)> {
+        let listeners: Vec<ListenerId> = self.endpoints.iter().map(|b| b.0).collect();
+        let conns: Vec<ConnId> = listeners
+            .into_iter()
+            .flat_map(|l| self.conns_of(l))
+            .collect();
         conns
             .into_iter()
-            .find_map(|conn| self.command(conn).map(|words| (conn, words)))
+            .find_map(|conn| self.next_command(conn).map(|words| (conn, words)))
     }
 
     /// Waits for a line or a whole served value that a client hears: the bytes as they came.
-    pub fn hears(&mut self, conn: ConnId, want: &str) {
-        let heard = |s: &Stage| {
-            s.heard
+    pub fn expect_received(&mut self, conn: ConnId, want: &str) {
+        let heard = |s: &Harness| {
+            s.received
                 .get(&conn)
                 .map(|b| String::from_utf8_lossy(b).into_owned())
                 .unwrap_or_default()
@@ -342,31 +367,31 @@
         let begun = Instant::now();
         while !heard(self).contains(want) {
             assert!(
-                begun.elapsed() < PATIENCE,
+                begun.elapsed() < MAX_WAIT,
                 "a client hears {want:?}, heard {:?}",
                 heard(self)
             );
             self.turn();
         }
-        self.heard.remove(&conn);
+        self.received.remove(&conn);
     }
 
-    /// A request that is served: asked, answered with the value by whichever backend it came to, heard. Returns its connection.
-    pub fn round(&mut self, client: ConnId, id: &str, list: &str, value: &str) -> ConnId {
-        self.ask(client, id, list);
-        let (backend, _) = self.arrived();
-        self.served(backend, value);
-        self.hears(client, &format!("${}\r\n{value}\r\n", value.len()));
-        backend
+    /// A request that is served: asked, answered with the value by whichever endpoint it came to, heard. Returns its connection.
+    pub fn serve_one(&mut self, client: ConnId, id: &str, list: &str, value: &str) -> ConnId {
+        self.send_request(client, id, list);
+        let (endpoint, _) = self.next_attempt();
+        self.reply_served(endpoint, value);
+        self.expect_received(client, &format!("${}\r\n{value}\r\n", value.len()));
+        endpoint
     }
 
-    pub fn served(&mut self, conn: ConnId, value: &str) {
+    pub fn reply_served(&mut self, conn: ConnId, value: &str) {
         let reply = format!("*3\r\n${}\r\n{value}\r\n$-1\r\n$-1\r\n", value.len());
-        self.say(conn, reply.as_bytes());
+        self.write(conn, reply.as_bytes());
     }
 }
 
-impl Drop for Stage {
+impl Drop for Harness {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.file);
     }
--- a/crates/resp-gateway/tests/endings.rs
+++ b/crates/resp-gateway/tests/endings.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use chalkdeck_net::ConnId;
-use common::{Stage, SECOND, SMALL, WIDE};
+use common::{Harness, SECOND, SMALL, WIDE};
 
 const VIEW: &str = "c=view,t=team,d=2000,units=1,spread=3,first=1";
 const SALE: &str = "c=sale,t=team,d=2000,units=1,spread=3,first=1";
@@ -13,14 +13,14 @@
 const CLIENTS: usize = 35;
 const CLIENTS_BEYOND: usize = 8;
 
-fn pinged(stage: &mut Stage) -> ConnId {
-    let client = stage.client();
-    stage.say(client, PING);
-    stage.hears(client, "+PONG");
+fn pinged(harness: &mut Harness) -> ConnId {
+    let client = harness.connect_client();
+    harness.write(client, PING);
+    harness.expect_received(client, "+PONG");
     client
 }
 
-/// The time that an attempt told its backend, in milliseconds.
+/// The time that an attempt told its endpoint, in milliseconds.
 fn told_wait(words: &[bytes::Bytes]) -> u64 {
     let list = String::from_utf8_lossy(&words[3]).into_owned();
     let wait = list
@@ -30,161 +30,155 @@
 }
 
 /// The next attempts, so many of them.
-fn arrivals(stage: &mut Stage, count: usize) -> Vec<(ConnId, Vec<bytes::Bytes>)> {
-    (0..count).map(|_| stage.arrived()).collect()
+fn arrivals(harness: &mut Harness, count: usize) -> Vec<(ConnId, Vec<bytes::Bytes>)> {
+    (0..count).map(|_| harness.next_attempt()).collect()
 }
 
 #[test]
-fn a_client_that_sends_much_at_once_and_goes_is_heard_though_its_connection_is_paused() {
+fn client_of_a_paused_connection_disconnects_then_its_attempts_cancelled() {
     for behind in [0, 40] {
-        let mut stage = Stage::new(40, WIDE);
-        let client = stage.client();
+        let mut harness = Harness::new(40, WIDE);
+        let client = harness.connect_client();
         for i in 0..64 + behind {
-            stage.ask(client, &format!("a{i}"), VIEW);
+            harness.send_request(client, &format!("a{i}"), VIEW);
         }
-        let open: Vec<ConnId> = arrivals(&mut stage, 64)
+        let open: Vec<ConnId> = arrivals(&mut harness, 64)
             .into_iter()
             .map(|(conn, _)| conn)
             .collect();
         // From here on nothing is read of this client: 64 of its commands are under way.
-        stage.say(client, &vec![b'x'; 100_000]);
-        stage.quiet();
-        stage.engine.close(client);
-        stage.quiet();
-        let called_off = open.iter().filter(|c| stage.closed.contains(c)).count();
+        harness.write(client, &vec![b'x'; 100_000]);
+        harness.settle();
+        harness.engine.close(client);
+        harness.settle();
+        let called_off = open.iter().filter(|c| harness.closed.contains(c)).count();
         assert_eq!(
             called_off,
             open.len(),
             "attempts for a client that had gone, long before their deadlines"
         );
         assert!(
-            stage.arrival().is_none(),
+            harness.try_next_attempt().is_none(),
             "an attempt began after its client had gone"
         );
     }
 }
 
 #[test]
-fn an_idle_connection_on_which_a_request_stands_in_the_batch_of_its_close_is_served() {
-    let mut stage = Stage::new(1, WIDE);
-    let client = pinged(&mut stage);
-    stage.ask(client, "b1", VIEW);
-    stage.hold();
-    stage.jumps.jump(11 * SECOND);
-    let (backend, _) = stage.arrived();
-    stage.served(backend, "kept");
-    stage.hears(client, "$4\r\nkept\r\n");
+fn request_in_the_batch_of_an_idle_close_then_served() {
+    let mut harness = Harness::new(1, WIDE);
+    let client = pinged(&mut harness);
+    harness.send_request(client, "b1", VIEW);
+    harness.run_peers_only();
+    harness.jumps.jump(11 * SECOND);
+    let (endpoint, _) = harness.next_attempt();
+    harness.reply_served(endpoint, "kept");
+    harness.expect_received(client, "$4\r\nkept\r\n");
 }
 
 #[test]
-fn the_longest_idle_client_is_not_the_one_to_go_while_its_request_is_in_the_same_batch() {
-    let mut stage = Stage::new(1, SMALL);
-    let clients: Vec<ConnId> = (0..CLIENTS).map(|_| pinged(&mut stage)).collect();
-    stage.jumps.jump(100_000);
-    stage.ask(clients[0], "c1", VIEW);
-    let new = stage
+fn request_in_the_batch_of_an_eviction_then_another_connection_evicted() {
+    let mut harness = Harness::new(1, SMALL);
+    let clients: Vec<ConnId> = (0..CLIENTS).map(|_| pinged(&mut harness)).collect();
+    harness.jumps.jump(100_000);
+    harness.send_request(clients[0], "c1", VIEW);
+    let new = harness
         .engine
-        .connect_raw(stage.gateway.local_address())
+        .connect_raw(harness.gateway.local_address())
         .expect("a socket");
-    stage.hold();
-    let (backend, _) = stage.arrived();
-    stage.served(backend, "kept");
-    stage.hears(clients[0], "$4\r\nkept\r\n");
-    stage.until("another one makes room", |s| {
+    harness.run_peers_only();
+    let (endpoint, _) = harness.next_attempt();
+    harness.reply_served(endpoint, "kept");
+    harness.expect_received(clients[0], "$4\r\nkept\r\n");
+    harness.wait_for("another one makes room", |s| {
         s.closed.contains(&clients[1]).then_some(())
     });
-    stage.say(new, PING);
-    stage.hears(new, "+PONG");
+    harness.write(new, PING);
+    harness.expect_received(new, "+PONG");
 }
 
 #[test]
-fn a_client_within_a_command_is_not_the_one_to_go_while_others_are_between_two() {
-    let mut stage = Stage::new(1, SMALL);
-    let clients: Vec<ConnId> = (0..CLIENTS).map(|_| pinged(&mut stage)).collect();
-    stage.say(clients[0], b"*1\r\n$4\r\nPI");
-    stage.quiet();
-    stage.jumps.jump(100_000);
-    clients[1..].iter().for_each(|c| stage.say(*c, PING));
-    clients[1..].iter().for_each(|c| stage.hears(*c, "+PONG"));
-    let new = stage.client();
-    stage.until("one makes room", |s| {
+fn client_within_a_command_then_an_idle_one_evicted_instead() {
+    let mut harness = Harness::new(1, SMALL);
+    let clients: Vec<ConnId> = (0..CLIENTS).map(|_| pinged(&mut harness)).collect();
+    harness.write(clients[0], b"*1\r\n$4\r\nPI");
+    harness.settle();
+    harness.jumps.jump(100_000);
+    clients[1..].iter().for_each(|c| harness.write(*c, PING));
+    clients[1..]
+        .iter()
+        .for_each(|c| harness.expect_received(*c, "+PONG"));
+    let new = harness.connect_client();
+    harness.wait_for("one makes room", |s| {
         clients.iter().any(|c| s.closed.contains(c)).then_some(())
     });
-    stage.say(clients[0], b"NG\r\n");
-    stage.hears(clients[0], "+PONG");
-    stage.say(new, PING);
-    stage.hears(new, "+PONG");
+    harness.write(clients[0], b"NG\r\n");
+    harness.expect_received(clients[0], "+PONG");
+    harness.write(new, PING);
+    harness.expect_received(new, "+PONG");
 }
 
 #[test]
-fn an_answer_in_the_batch_of_its_own_time_out_is_served() {
-    let mut stage = Stage::new(1, WIDE);
-    let client = stage.client();
-    stage.ask(client, "d1", SALE);
-    let (backend, _) = stage.arrived();
-    stage.served(backend, "done");
-    stage.hold();
-    stage.jumps.jump(2_100_000);
-    stage.hears(client, "$4\r\ndone\r\n");
+fn reply_in_the_batch_of_its_timeout_then_served() {
+    let mut harness = Harness::new(1, WIDE);
+    let client = harness.connect_client();
+    harness.send_request(client, "d1", SALE);
+    let (endpoint, _) = harness.next_attempt();
+    harness.reply_served(endpoint, "done");
+    harness.run_peers_only();
+    harness.jumps.jump(2_100_000);
+    harness.expect_received(client, "$4\r\ndone\r\n");
 }
 
 #[test]
-fn a_late_second_answer_in_the_batch_in_which_its_connection_would_be_used_again_reaches_nobody() {
-    let mut stage = Stage::new(1, WIDE);
-    let client = stage.client();
-    let kept = stage.round(client, "e1", VIEW, "one");
-    stage.jumps.jump(SECOND);
-    stage.mute = true;
-    stage.ask(client, "e2", VIEW);
-    let counter = stage.counter.0;
-    let asked = stage.until("the counter is asked", |s| {
-        let conns: Vec<ConnId> =
-            s.at.iter()
-                .filter(|(_, l)| **l == counter)
-                .map(|(c, _)| *c)
-                .collect();
-        conns.into_iter().find(|c| s.command(*c).is_some())
-    });
+fn late_second_reply_in_the_batch_of_a_reuse_then_connection_not_reused() {
+    let mut harness = Harness::new(1, WIDE);
+    let client = harness.connect_client();
+    let kept = harness.serve_one(client, "e1", VIEW, "one");
+    harness.jumps.jump(SECOND);
+    harness.counter_is_silent = true;
+    harness.send_request(client, "e2", VIEW);
+    let asked = harness.counter_call();
     // Both are read in one turn, the counter's answer first: it sends the request on.
-    stage.say(asked, b"$1\r\n1\r\n");
-    stage.hold();
-    stage.served(kept, "stale");
-    stage.hold();
-    let (other, words) = stage.arrived();
+    harness.write(asked, b"$1\r\n1\r\n");
+    harness.run_peers_only();
+    harness.reply_served(kept, "stale");
+    harness.run_peers_only();
+    let (other, words) = harness.next_attempt();
     assert_eq!(&words[2][..], b"e2");
     assert_ne!(other, kept, "bytes that nobody asked for stood on it");
-    stage.served(other, "two");
-    stage.hears(client, "$3\r\ntwo\r\n");
+    harness.reply_served(other, "two");
+    harness.expect_received(client, "$3\r\ntwo\r\n");
 }
 
 #[test]
-fn a_connection_rests_until_a_second_answer_some_milliseconds_late_has_come() {
-    let mut stage = Stage::new(1, WIDE);
-    let client = stage.client();
-    let kept = stage.round(client, "k1", VIEW, "one");
-    stage.jumps.jump(4_000);
-    stage.ask(client, "k2", VIEW);
-    let (other, _) = stage.arrived();
+fn request_within_the_settle_time_then_connection_not_reused() {
+    let mut harness = Harness::new(1, WIDE);
+    let client = harness.connect_client();
+    let kept = harness.serve_one(client, "k1", VIEW, "one");
+    harness.jumps.jump(4_000);
+    harness.send_request(client, "k2", VIEW);
+    let (other, _) = harness.next_attempt();
     assert_ne!(other, kept, "its second answer may still come");
-    stage.served(kept, "one");
-    stage.quiet();
-    stage.served(other, "two");
-    stage.hears(client, "$3\r\ntwo\r\n");
+    harness.reply_served(kept, "one");
+    harness.settle();
+    harness.reply_served(other, "two");
+    harness.expect_received(client, "$3\r\ntwo\r\n");
 }
 
 #[test]
-fn the_time_of_a_command_that_waited_unread_is_not_told_anew() {
-    let mut stage = Stage::new(40, WIDE);
-    let client = stage.client();
+fn command_waited_unread_then_its_timeout_counts_from_the_pause() {
+    let mut harness = Harness::new(40, WIDE);
+    let client = harness.connect_client();
     for i in 0..70 {
-        stage.ask(client, &format!("f{i}"), VIEW);
+        harness.send_request(client, &format!("f{i}"), VIEW);
     }
-    let first = arrivals(&mut stage, 64);
-    stage.jumps.jump(SECOND);
+    let first = arrivals(&mut harness, 64);
+    harness.jumps.jump(SECOND);
     first
         .iter()
-        .for_each(|(backend, _)| stage.served(*backend, "done"));
-    let later = arrivals(&mut stage, 6);
+        .for_each(|(endpoint, _)| harness.reply_served(*endpoint, "done"));
+    let later = arrivals(&mut harness, 6);
     let waits: Vec<u64> = later.iter().map(|(_, words)| told_wait(words)).collect();
     assert!(
         waits.iter().all(|wait| *wait <= 1_000),
@@ -192,18 +186,18 @@
     );
     later
         .iter()
-        .for_each(|(backend, _)| stage.served(*backend, "done"));
+        .for_each(|(endpoint, _)| harness.reply_served(*endpoint, "done"));
     // A command that comes when nothing waits has all its time.
-    stage.until("all are answered", |s| {
+    harness.wait_for("all are answered", |s| {
         let heard = s
-            .heard
+            .received
             .get(&client)
             .map_or(0, |b| b.iter().filter(|c| **c == b'$').count());
         (heard == 70).then_some(())
     });
-    stage.jumps.jump(SECOND);
-    stage.ask(client, "f99", VIEW);
-    let (_, words) = stage.arrived();
+    harness.jumps.jump(SECOND);
+    harness.send_request(client, "f99", VIEW);
+    let (_, words) = harness.next_attempt();
     assert!(
         told_wait(&words) > 1_900,
         "{} of 2,000 ms",
@@ -212,25 +206,25 @@
 }
 
 #[test]
-fn a_keyed_request_goes_again_only_where_its_connection_comes_up_within_the_window() {
+fn keyed_request_failed_then_retried_only_within_the_key_window() {
     const ORDER: &str = "c=order,t=team,d=2000,k=5c0f,units=1,spread=3,first=1";
     let narrow = |text: String| text.replace(r#""window":3000000"#, r#""window":400000"#);
     for (after, again) in [(50_000, true), (200_000, false)] {
-        let mut stage = Stage::configured(2, WIDE, narrow);
-        let client = stage.client();
-        stage.ask(client, "i1", ORDER);
-        let (backend, _) = stage.arrived();
-        stage.jumps.jump(after);
-        stage.say(backend, b"-ERR failed\r\n");
+        let mut harness = Harness::configured(2, WIDE, narrow);
+        let client = harness.connect_client();
+        harness.send_request(client, "i1", ORDER);
+        let (endpoint, _) = harness.next_attempt();
+        harness.jumps.jump(after);
+        harness.write(endpoint, b"-ERR failed\r\n");
         if again {
-            let (backend, words) = stage.arrived();
+            let (endpoint, words) = harness.next_attempt();
             assert_eq!(&words[2][..], b"i1");
-            stage.served(backend, "once");
-            stage.hears(client, "$4\r\nonce\r\n");
+            harness.reply_served(endpoint, "once");
+            harness.expect_received(client, "$4\r\nonce\r\n");
         } else {
-            stage.hears(client, "-ERR failed\r\n");
+            harness.expect_received(client, "-ERR failed\r\n");
             assert!(
-                stage.arrival().is_none(),
+                harness.try_next_attempt().is_none(),
                 "its connection may come up when the window is over"
             );
         }
@@ -238,34 +232,34 @@
 }
 
 #[test]
-fn a_connection_that_waits_beyond_the_bound_at_a_stop_is_taken_in_and_served() {
+fn connection_waits_beyond_the_limit_in_a_shutdown_then_accepted_and_answered() {
     // Calls to the counter wait for long, so that all clients are owed an answer for as long as the test wants.
     let patient =
         |text: String| text.replace(r#""count_limit":80000"#, r#""count_limit":60000000"#);
-    let mut stage = Stage::configured(4, SMALL, patient);
-    stage.mute = true;
+    let mut harness = Harness::configured(4, SMALL, patient);
+    harness.counter_is_silent = true;
     for i in 0..CLIENTS + CLIENTS_BEYOND {
-        let client = stage.client();
-        stage.ask(client, &format!("g{i}"), VIEW);
-        stage.quiet();
+        let client = harness.connect_client();
+        harness.send_request(client, &format!("g{i}"), VIEW);
+        harness.settle();
     }
     // The system completes this connection, and the gateway has no room for it before the stop.
-    let waits = stage
+    let waits = harness
         .engine
-        .connect_raw(stage.gateway.local_address())
+        .connect_raw(harness.gateway.local_address())
         .expect("a socket");
-    stage.quiet();
-    stage.ask(waits, "g99", VIEW);
-    stage.hold();
-    stage.gateway.shut_down();
-    stage.jumps.jump(430_000);
-    stage.quiet();
-    stage.mute = false;
-    let heard = stage.until("it is answered or closed", |s| {
-        while let Some((backend, _)) = s.arrival() {
-            s.served(backend, "done");
+    harness.settle();
+    harness.send_request(waits, "g99", VIEW);
+    harness.run_peers_only();
+    harness.gateway.shut_down();
+    harness.jumps.jump(430_000);
+    harness.settle();
+    harness.counter_is_silent = false;
+    let heard = harness.wait_for("it is answered or closed", |s| {
+        while let Some((endpoint, _)) = s.try_next_attempt() {
+            s.reply_served(endpoint, "done");
         }
-        let heard = s.heard.get(&waits).map(|b| b.to_vec());
+        let heard = s.received.get(&waits).map(|b| b.to_vec());
         heard.or_else(|| s.closed.contains(&waits).then(Vec::new))
     });
     assert!(
@@ -273,5 +267,5 @@
         "{}",
         heard.escape_ascii()
     );
-    stage.until("all is over", |s| s.gateway.is_shut_down().then_some(()));
+    harness.wait_for("all is over", |s| s.gateway.is_shut_down().then_some(()));
 }
--- a/crates/resp-gateway/tests/world/mod.rs
+++ b/crates/resp-gateway/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway among peers that do anything in any order, and the account of what it owes.
+//! A gateway among peers that do anything in any order, and a check of what it owes them.
 
 mod peers;
 
@@ -6,24 +6,24 @@
 use chalkdeck_net::clock::{Clock, Jumps};
 use chalkdeck_resp_gateway::{Config, GatewayServer};
 use fastrand::Rng;
-use peers::{Attempt, Client, Counter, Discovery, Server};
+use peers::{Attempt, Client, Counter, Discovery, Endpoint};
 use std::collections::HashMap;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::Arc;
 
-const SERVERS: usize = 3;
-const MOST_CLIENTS: usize = 6;
+const ENDPOINTS: usize = 3;
+const MAX_CLIENTS: usize = 6;
 /// The grace of the gateway's settings, and some turns of the loop, in microseconds.
 const DRAIN_GRACE: u64 = 2_000_000 + 100_000;
 /// The platform kills a gateway so long after SIGTERM: the longest deadline and some time.
-const KILLED_AFTER: u64 = 3_700_000;
-/// Turns of the loop after which an end that waits in a socket was heard.
-const TURNS_TO_HEAR: u64 = 3;
+const KILL_DELAY: u64 = 3_700_000;
+/// Turns of the loop after which the end of a connection, which waits in a socket, was noticed.
+const TURNS_TO_NOTICE: u64 = 3;
 /// Turns in which all that crosses the loopback has come to rest.
-const TURNS_TO_REST: usize = 40;
+const TURNS_TO_IDLE: usize = 40;
 
-/// What a request may do more than once.
+/// The class of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
     View,
@@ -31,16 +31,17 @@
     Order,
 }
 
-/// A request and what became of it.
+/// A request and its attempts.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct SentRequest {
     pub class: Class,
     pub client: u64,
-    /// Its last byte was written before this turn of the loop.
+    /// The last byte of its command was written before this turn of the loop.
     pub turn: u64,
-    /// Attempts that arrived whole at a backend, and those that were told that they never ran.
+    /// Attempts that arrived complete at an endpoint.
     pub arrived: usize,
-    pub turned_away: usize,
+    /// Those of them that the endpoint rejected, so that they never ran.
+    pub rejected: usize,
 }
 
 pub struct World {
@@ -49,17 +50,17 @@
     jumps: Arc<Jumps>,
     clock: Clock,
     turns: u64,
-    servers: Vec<Server>,
+    endpoints: Vec<Endpoint>,
     counter: Counter,
     discovery: Discovery,
     clients: HashMap<u64, Client>,
     /// Clients that have gone: before which turn.
     gone: HashMap<u64, u64>,
-    requests: HashMap<String, Asked>,
+    requests: HashMap<String, SentRequest>,
     attempts: Vec<Attempt>,
     next: u64,
     /// When SIGTERM came.
-    stopped_at: Option<u64>,
+    shutdown_at: Option<u64>,
     /// The process has ended by itself.
     ended: bool,
     fault: Option<String>,
@@ -67,7 +68,7 @@
 
 impl World {
     pub fn new() -> World {
-        let servers: Vec<Server> = (0..SERVERS).map(Server::new).collect();
+        let endpoints: Vec<Endpoint> = (0..ENDPOINTS).map(Endpoint::new).collect();
         let (counter, discovery) = (Counter::new(), Discovery::new());
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -91,7 +92,7 @@
             jumps,
             clock,
             turns: 0,
-            servers,
+            endpoints,
             counter,
             discovery,
             clients: HashMap::new(),
@@ -99,23 +100,23 @@
             requests: HashMap::new(),
             attempts: Vec::new(),
             next: 0,
-            stopped_at: None,
+            shutdown_at: None,
             ended: false,
             fault: None,
         };
-        world.rest();
+        world.run_until_idle();
         world
     }
 
     /// Whether the gateway was stopped, so that no further order can be played here.
     pub fn is_over(&self) -> bool {
-        self.stopped_at.is_some()
+        self.shutdown_at.is_some()
     }
 
     /// Whether the platform would have killed the process by now.
     fn is_killed(&self) -> bool {
-        self.stopped_at
-            .is_some_and(|at| self.clock.now() >= at + KILLED_AFTER)
+        self.shutdown_at
+            .is_some_and(|at| self.clock.now() >= at + KILL_DELAY)
     }
 
     /// Plays one order; says what of it went wrong.
@@ -126,7 +127,7 @@
             if rng.u8(..) < 150 {
                 self.turn();
             }
-            self.look();
+            self.observe();
         }
         self.settle(&mut rng);
         match self.fault.take() {
@@ -137,24 +138,24 @@
 
     fn act(&mut self, rng: &mut Rng) {
         match rng.u8(..100) {
-            0..12 => self.client_comes(),
-            12..42 => self.client_asks(rng),
-            42..50 => self.client_goes(rng),
-            50..72 => self.backend_answers(rng),
-            72..82 => self.counter.acts(rng),
-            82..89 => self.list_changes(rng),
-            89..96 => self.time_passes(rng),
+            0..12 => self.connect_client(),
+            12..42 => self.send_requests(rng),
+            42..50 => self.disconnect_client(rng),
+            50..72 => self.answer_attempt(rng),
+            72..82 => self.counter.act(rng),
+            82..89 => self.change_list(rng),
+            89..96 => self.advance_clock(rng),
             96..98 => self.gateway.reload(),
-            98 if self.stopped_at.is_none() => {
-                self.stopped_at = Some(self.clock.now());
+            98 if self.shutdown_at.is_none() => {
+                self.shutdown_at = Some(self.clock.now());
                 self.gateway.shut_down();
             }
-            _ => (0..4).for_each(|_| self.turn_and_look()),
+            _ => (0..4).for_each(|_| self.turn_and_observe()),
         }
     }
 
-    fn client_comes(&mut self) {
-        if self.clients.len() < MOST_CLIENTS && self.stopped_at.is_none() {
+    fn connect_client(&mut self) {
+        if self.clients.len() < MAX_CLIENTS && self.shutdown_at.is_none() {
             self.next += 1;
             self.clients
                 .insert(self.next, Client::connect(self.gateway.local_address()));
@@ -167,7 +168,7 @@
         rng.choice(keys)
     }
 
-    fn client_asks(&mut self, rng: &mut Rng) {
+    fn send_requests(&mut self, rng: &mut Rng) {
         let Some(key) = self.any_client(rng) else {
             return;
         };
@@ -180,14 +181,14 @@
             let client = self.clients.get_mut(&key).expect("it is there");
             let whole = client.ask(&id, class, rng.u8(..) < 60);
             let turn = if whole { self.turns } else { u64::MAX };
-            let asked = Asked {
+            let request = SentRequest {
                 class,
                 client: key,
                 turn,
                 arrived: 0,
-                turned_away: 0,
+                rejected: 0,
             };
-            self.requests.insert(id, asked);
+            self.requests.insert(id, request);
             if !whole {
                 break;
             }
@@ -202,10 +203,10 @@
         let turns = self.turns;
         self.requests
             .entry(id)
-            .and_modify(|asked| asked.turn = turns);
+            .and_modify(|request| request.turn = turns);
     }
 
-    fn client_goes(&mut self, rng: &mut Rng) {
+    fn disconnect_client(&mut self, rng: &mut Rng) {
         let Some(key) = self.any_client(rng) else {
             return;
         };
@@ -214,34 +215,42 @@
         }
         let client = self.clients.remove(&key).expect("it is there");
         self.gone.insert(key, self.turns);
-        client.go(rng);
+        client.disconnect(rng);
     }
 
-    fn backend_answers(&mut self, rng: &mut Rng) {
+    fn answer_attempt(&mut self, rng: &mut Rng) {
         if self.attempts.is_empty() {
             return self.turn();
         }
         let attempt = self.attempts.swap_remove(rng.usize(..self.attempts.len()));
-        let turned_away = self.servers[attempt.server].answer(&attempt, rng);
-        if turned_away {
+        let rejected = self.endpoints[attempt.endpoint].answer(&attempt, rng);
+        if rejected {
             self.requests
                 .entry(attempt.id)
-                .and_modify(|asked| asked.turned_away += 1);
+                .and_modify(|request| request.rejected += 1);
         }
     }
 
-    fn list_changes(&mut self, rng: &mut Rng) {
-        let place = rng.usize(..SERVERS);
+    fn change_list(&mut self, rng: &mut Rng) {
+        let place = rng.usize(..ENDPOINTS);
         let now = self.clock.now();
-        let drains = !self.servers[place].drains();
-        self.servers[place].drains_since = None;
-        if drains && self.servers.iter().filter(|s| s.drains()).count() + 1 < SERVERS {
-            self.servers[place].drains_since = Some(now);
+        let begins_to_drain = !self.endpoints[place].is_draining();
+        self.endpoints[place].draining_since = None;
+        if begins_to_drain
+            && self
+                .endpoints
+                .iter()
+                .filter(|endpoint| endpoint.is_draining())
+                .count()
+                + 1
+                < ENDPOINTS
+        {
+            self.endpoints[place].draining_since = Some(now);
         }
         self.discovery.change(rng);
     }
 
-    fn time_passes(&mut self, rng: &mut Rng) {
+    fn advance_clock(&mut self, rng: &mut Rng) {
         let span = rng
             .choice([1_000, 11_000, 90_000, 260_000, 900_000, 2_300_000])
             .expect("one of six");
@@ -259,12 +268,12 @@
     }
 
     /// Takes what came to the peers and compares it with what may come.
-    fn look(&mut self) {
-        self.discovery.serve(&self.servers);
+    fn observe(&mut self) {
+        self.discovery.serve(&self.endpoints);
         self.counter.read();
         let now = self.clock.now();
-        for place in 0..SERVERS {
-            for attempt in self.servers[place].arrivals() {
+        for place in 0..ENDPOINTS {
+            for attempt in self.endpoints[place].arrivals() {
                 self.check_arrival(place, &attempt, now);
                 self.attempts.push(attempt);
             }
@@ -276,23 +285,23 @@
     }
 
     fn check_arrival(&mut self, place: usize, attempt: &Attempt, now: u64) {
-        let server = &self.servers[place];
-        let heard = self.discovery.heard_at();
-        let told = server.drains_since.filter(|_| heard.is_some());
-        if told.is_some_and(|since| now > since.max(heard.unwrap_or(0)) + DRAIN_GRACE) {
+        let endpoint = &self.endpoints[place];
+        let applied = self.discovery.applied_at();
+        let published = endpoint.draining_since.filter(|_| applied.is_some());
+        if published.is_some_and(|since| now > since.max(applied.unwrap_or(0)) + DRAIN_GRACE) {
             self.fault = Some(format!("{} went to a server that drains", attempt.id));
         }
-        let Some(asked) = self.requests.get_mut(&attempt.id) else {
-            self.fault = Some(format!("{} was never asked", attempt.id));
+        let Some(request) = self.requests.get_mut(&attempt.id) else {
+            self.fault = Some(format!("{} was never sent by a client", attempt.id));
             return;
         };
-        let may_have_run = asked.arrived - asked.turned_away;
-        asked.arrived += 1;
-        if asked.class == Class::Sale && may_have_run > 0 {
+        let may_have_run = request.arrived - request.rejected;
+        request.arrived += 1;
+        if request.class == Class::Sale && may_have_run > 0 {
             self.fault = Some(format!("{}, which is unsafe, came twice", attempt.id));
         }
-        let gone = self.gone.get(&asked.client);
-        if gone.is_some_and(|turn| self.turns > turn + TURNS_TO_HEAR) {
+        let gone = self.gone.get(&request.client);
+        if gone.is_some_and(|turn| self.turns > turn + TURNS_TO_NOTICE) {
             self.fault = Some(format!(
                 "{} was sent on for a client that had gone",
                 attempt.id
@@ -303,13 +312,13 @@
     fn check_answers(&mut self, key: u64) {
         let client = self.clients.get_mut(&key).expect("it is there");
         for (id, answer) in client.answers() {
-            let asked = &self.requests[&id];
-            let may_have_run = asked.arrived > asked.turned_away;
+            let request = &self.requests[&id];
+            let may_have_run = request.arrived > request.rejected;
             if let Some(value) = answer.strip_prefix("served ") {
                 if value != id {
                     self.fault = Some(format!("{id} was served with the value of {value}"));
                 }
-            } else if answer.starts_with("BUSY") && asked.class == Class::Sale && may_have_run {
+            } else if answer.starts_with("BUSY") && request.class == Class::Sale && may_have_run {
                 self.fault = Some(format!(
                     "{id}, which is unsafe and may have run, was refused"
                 ));
@@ -335,13 +344,13 @@
         }
     }
 
-    fn turn_and_look(&mut self) {
+    fn turn_and_observe(&mut self) {
         self.turn();
-        self.look();
+        self.observe();
     }
 
-    fn rest(&mut self) {
-        (0..TURNS_TO_REST).for_each(|_| self.turn_and_look());
+    fn run_until_idle(&mut self) {
+        (0..TURNS_TO_IDLE).for_each(|_| self.turn_and_observe());
     }
 
     /// Everybody does what is expected of it from here on; then nothing may be owed.
@@ -350,17 +359,17 @@
         keys.sort_unstable();
         keys.into_iter().for_each(|key| self.finish_command(key));
         for _ in 0..2 {
-            for _ in 0..TURNS_TO_REST {
+            for _ in 0..TURNS_TO_IDLE {
                 self.counter.answer_all();
                 for attempt in std::mem::take(&mut self.attempts) {
-                    self.servers[attempt.server].serve(&attempt);
+                    self.endpoints[attempt.endpoint].serve(&attempt);
                 }
-                self.turn_and_look();
+                self.turn_and_observe();
             }
             // What is silent or broken is given up by now.
             self.jumps.jump(3_100_000);
         }
-        self.rest();
+        self.run_until_idle();
         let unanswered = self
             .clients
             .values()
@@ -368,14 +377,16 @@
         if let Some(id) = unanswered.filter(|_| !self.is_killed()) {
             self.fault.get_or_insert(format!("{id} has no answer"));
         }
-        if self.stopped_at.is_some() && !self.ended {
-            self.fault.get_or_insert("it did not end".into());
+        if self.shutdown_at.is_some() && !self.ended {
+            self.fault.get_or_insert("the shutdown did not end".into());
         }
         self.requests.clear();
         self.gone.retain(|_, _| false);
-        self.servers.iter_mut().for_each(|s| s.drains_since = None);
+        self.endpoints
+            .iter_mut()
+            .for_each(|endpoint| endpoint.draining_since = None);
         self.discovery.change(rng);
-        self.rest();
+        self.run_until_idle();
     }
 }
 
--- a/crates/resp-gateway/tests/world/peers.rs
+++ b/crates/resp-gateway/tests/world/peers.rs
@@ -1,4 +1,4 @@
-//! Peers of a gateway on plain sockets: each does what it is told to, and nothing by itself.
+//! Peers of a gateway on plain sockets: each acts only when the test makes it act.
 
 use super::Class;
 use bytes::BytesMut;
@@ -31,7 +31,7 @@
     Some(stream)
 }
 
-/// Reads what waits; false: the peer has ended or reset it.
+/// Reads what was received; returns whether the connection is still open.
 fn read(stream: &mut TcpStream, bytes: &mut BytesMut) -> bool {
     let mut chunk = [0; 4_096];
     loop {
@@ -53,10 +53,10 @@
 #[derive(Debug)]
 pub struct Client {
     stream: TcpStream,
-    heard: BytesMut,
-    waits: VecDeque<String>,
-    /// The rest of a command that it began to write, and its id.
-    rest: Option<(String, BytesMut)>,
+    received: BytesMut,
+    pending: VecDeque<String>,
+    /// The rest of a command that was written in part, with its id.
+    unwritten: Option<(String, BytesMut)>,
     closed: bool,
     unreadable: Option<String>,
 }
@@ -68,9 +68,9 @@
         stream.set_nodelay(true).expect("a socket");
         Client {
             stream,
-            heard: BytesMut::new(),
-            waits: VecDeque::new(),
-            rest: None,
+            received: BytesMut::new(),
+            pending: VecDeque::new(),
+            unwritten: None,
             closed: false,
             unreadable: None,
         }
@@ -78,7 +78,7 @@
 
     /// Writes a request, or the first part of one; whether it went out whole.
     pub fn ask(&mut self, id: &str, class: Class, in_part: bool) -> bool {
-        if self.rest.is_some() {
+        if self.unwritten.is_some() {
             self.finish();
         }
         let (verb, list, body): (&[u8], &[u8], &[u8]) = match class {
@@ -103,25 +103,25 @@
         let count = if class == Class::View { 4 } else { 5 };
         let mut command = BytesMut::new();
         encode_command(&mut command, &words[..count]);
-        self.waits.push_back(id.to_string());
+        self.pending.push_back(id.to_string());
         if in_part {
-            let rest = command.split_off(command.len() / 2);
+            let unwritten = command.split_off(command.len() / 2);
             let _ = self.stream.write_all(&command);
-            self.rest = Some((id.to_string(), rest));
+            self.unwritten = Some((id.to_string(), unwritten));
             return false;
         }
         let _ = self.stream.write_all(&command);
         true
     }
 
-    /// Writes the rest of a command that it began; returns its id.
+    /// Writes the rest of a command that was written in part; returns its id.
     pub fn finish(&mut self) -> Option<String> {
-        let (id, rest) = self.rest.take()?;
-        let _ = self.stream.write_all(&rest);
+        let (id, unwritten) = self.unwritten.take()?;
+        let _ = self.stream.write_all(&unwritten);
         Some(id)
     }
 
-    pub fn go(self, rng: &mut Rng) {
+    pub fn disconnect(self, rng: &mut Rng) {
         match rng.u8(..3) {
             0 => reset(&self.stream),
             1 => drop(self.stream.shutdown(Shutdown::Write)),
@@ -131,10 +131,10 @@
 
     /// The answers that came, by their requests.
     pub fn answers(&mut self) -> Vec<(String, String)> {
-        let open = read(&mut self.stream, &mut self.heard);
+        let open = read(&mut self.stream, &mut self.received);
         let mut answers = Vec::new();
         while self.unreadable.is_none() {
-            let answer = match take_reply(&mut self.heard, &LIMITS) {
+            let answer = match take_reply(&mut self.received, &LIMITS) {
                 ParsedReply::Incomplete => break,
                 ParsedReply::Complete(Frame::BulkString(value)) => {
                     format!("served {}", String::from_utf8_lossy(&value))
@@ -145,9 +145,9 @@
                     break;
                 }
             };
-            match self.waits.pop_front() {
+            match self.pending.pop_front() {
                 Some(id) => answers.push((id, answer)),
-                None => self.unreadable = Some(format!("nobody asked for {answer}")),
+                None => self.unreadable = Some(format!("no command waits for {answer}")),
             }
         }
         self.closed |= !open;
@@ -164,16 +164,16 @@
 
     /// Commands that went out whole and have no answer.
     pub fn unanswered(&self) -> impl Iterator<Item = &String> {
-        let partial = self.rest.as_ref().map(|(id, _)| id);
-        self.waits.iter().filter(move |id| Some(*id) != partial)
+        let partial = self.unwritten.as_ref().map(|(id, _)| id);
+        self.pending.iter().filter(move |id| Some(*id) != partial)
     }
 }
 
-/// An attempt that came whole to a backend.
+/// An attempt that arrived complete at an endpoint.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     pub id: String,
-    pub server: usize,
+    pub endpoint: usize,
     connection: u64,
 }
 
@@ -183,32 +183,36 @@
     bytes: BytesMut,
 }
 
-/// A backend.
-pub struct Server {
+/// An endpoint.
+pub struct Endpoint {
     place: usize,
     listener: TcpListener,
     connections: Vec<Connection>,
     next: u64,
-    pub drains_since: Option<u64>,
+    pub draining_since: Option<u64>,
 }
 
-impl Server {
-    pub fn new(place: usize) -> Server {
-        Server {
+impl Endpoint {
+    pub fn new(place: usize) -> Endpoint {
+        Endpoint {
             place,
             listener: listen(),
             connections: Vec::new(),
             next: 0,
-            drains_since: None,
+            draining_since: None,
         }
     }
 
-    pub fn drains(&self) -> bool {
-        self.drains_since.is_some()
+    pub fn is_draining(&self) -> bool {
+        self.draining_since.is_some()
     }
 
     fn entry(&self) -> String {
-        let status = if self.drains() { "draining" } else { "ready" };
+        let status = if self.is_draining() {
+            "draining"
+        } else {
+            "ready"
+        };
         let address = self.listener.local_addr().expect("its address");
         format!(
             r#"{{"name":"s-{}","address":"{address}","zone":"a","group":0,"status":"{status}"}}"#,
@@ -233,7 +237,7 @@
                 let id = String::from_utf8_lossy(&words[2]).into_owned();
                 attempts.push(Attempt {
                     id,
-                    server: self.place,
+                    endpoint: self.place,
                     connection: connection.key,
                 });
             }
@@ -264,12 +268,12 @@
     }
 
     pub fn serve(&mut self, attempt: &Attempt) {
-        self.write(attempt, &Server::reply(&attempt.id));
+        self.write(attempt, &Endpoint::reply(&attempt.id));
     }
 
     /// Answers in any way; whether it says that the attempt never ran.
     pub fn answer(&mut self, attempt: &Attempt, rng: &mut Rng) -> bool {
-        let whole = Server::reply(&attempt.id);
+        let whole = Endpoint::reply(&attempt.id);
         match rng.u8(..10) {
             0..4 => self.write(attempt, &whole),
             4 => {
@@ -330,7 +334,7 @@
         }
     }
 
-    pub fn acts(&mut self, rng: &mut Rng) {
+    pub fn act(&mut self, rng: &mut Rng) {
         let Some(place) =
             (!self.connections.is_empty()).then(|| rng.usize(..self.connections.len()))
         else {
@@ -363,7 +367,7 @@
     connections: Vec<(TcpStream, BytesMut)>,
     index: u64,
     form: Form,
-    heard_at: Option<u64>,
+    applied_at: Option<u64>,
 }
 
 impl Discovery {
@@ -374,7 +378,7 @@
             connections: Vec::new(),
             index: 1,
             form,
-            heard_at: None,
+            applied_at: None,
         }
     }
 
@@ -385,7 +389,7 @@
     /// The list is another one from here on; it is told in any way at first.
     pub fn change(&mut self, rng: &mut Rng) {
         self.index += 1;
-        self.heard_at = None;
+        self.applied_at = None;
         self.form = rng
             .choice([
                 Form::Length,
@@ -397,15 +401,15 @@
     }
 
     /// When the present list was told whole.
-    pub fn heard_at(&self) -> Option<u64> {
-        self.heard_at
+    pub fn applied_at(&self) -> Option<u64> {
+        self.applied_at
     }
 
-    pub fn serve(&mut self, servers: &[Server]) {
+    pub fn serve(&mut self, endpoints: &[Endpoint]) {
         while let Some(stream) = accept(&self.listener) {
             self.connections.push((stream, BytesMut::new()));
         }
-        let entries: Vec<String> = servers.iter().map(Server::entry).collect();
+        let entries: Vec<String> = endpoints.iter().map(Endpoint::entry).collect();
         let body = format!(
             r#"{{"index":{},"snapshot":true,"endpoints":[{}]}}"#,
             self.index,
@@ -417,10 +421,10 @@
                 continue;
             }
             let asked = bytes.ends_with(b"\r\n\r\n");
-            let waits = bytes
+            let pending = bytes
                 .windows(known.len())
                 .any(|part| part == known.as_bytes());
-            if asked && !waits {
+            if asked && !pending {
                 bytes.clear();
                 if !self.answer(&mut stream, &body) {
                     continue;
