--- a/crates/resp-gateway/src/endpoint_list.rs
+++ b/crates/resp-gateway/src/endpoint_list.rs
@@ -1,7 +1,8 @@
 //! The list of endpoints as discovery and the configuration state it.
 
-use chalkdeck::api::{CellId, EndpointEntry, EndpointState, Timestamp, UpdateScope};
+use chalkdeck::api::{CellId, EndpointEntry, EndpointState, UpdateScope};
 use chalkdeck_simulator_adapter::settings::{server_id, zone_id};
+use chalkdeck_time::Timestamp;
 use serde::Deserialize;
 use serde_json::Value;
 use std::collections::HashMap;
