--- a/crates/contract/tests/judge.rs
+++ b/crates/contract/tests/judge.rs
@@ -3,9 +3,7 @@
 
 mod schemas;
 
-use chalkdeck_contract::{
-    check, Bounds, Break, Direction, Effect, Group, Level, Promise, Rule, Version, Witness,
-};
+use chalkdeck_contract::{check, Bounds, Break, Direction, Level, Rule, Version, Witness};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
 use prost::Message;
@@ -13,13 +11,7 @@
     Cardinality, DeserializeOptions, DynamicMessage, FieldDescriptor, Kind, MapKey,
     MessageDescriptor, Syntax, Value,
 };
-use prost_types::field_descriptor_proto::{Label, Type};
-use prost_types::{
-    descriptor_proto::ReservedRange, DescriptorProto, EnumDescriptorProto,
-    EnumValueDescriptorProto, FieldDescriptorProto, FieldOptions, FileDescriptorProto,
-    FileDescriptorSet, MethodDescriptorProto, OneofDescriptorProto, ServiceDescriptorProto,
-};
-use schemas::*;
+use schemas::{any_schema, change, Change, CHANGES};
 use std::collections::{BTreeMap, HashMap};
 
 /// Messages of a type, drawn by a seed: some fields set, some not, edges of numbers among them.
--- a/crates/contract/tests/schemas/mod.rs
+++ b/crates/contract/tests/schemas/mod.rs
@@ -1,6 +1,21 @@
 //! Random schemas, and random changes of them.
 
-use super::*;
+#![allow(
+    dead_code,
+    reason = "each test program that includes this module uses a part of it"
+)]
+
+use chalkdeck_contract::{Effect, Group, Promise, Version};
+use proptest::prelude::*;
+use prost::Message;
+use prost_types::descriptor_proto::ReservedRange;
+use prost_types::field_descriptor_proto::{Label, Type};
+use prost_types::{
+    DescriptorProto, EnumDescriptorProto, EnumValueDescriptorProto, FieldDescriptorProto,
+    FieldOptions, FileDescriptorProto, FileDescriptorSet, MethodDescriptorProto,
+    OneofDescriptorProto, ServiceDescriptorProto,
+};
+use std::collections::BTreeMap;
 
 /// A schema in a form that is easy to change: one message with an inner one and an enum.
 #[derive(Clone, Debug, PartialEq)]
@@ -180,6 +195,11 @@
 
 impl Schema {
     pub fn version(&self, name: &str) -> Option<Version> {
+        let promises = BTreeMap::from([("Call".to_string(), promise())]);
+        Version::read(name, "t.S", &self.descriptors(), promises).ok()
+    }
+
+    pub fn descriptors(&self) -> Vec<u8> {
         let value = |(name, number): &(String, i32)| EnumValueDescriptorProto {
             name: Some(name.clone()),
             number: Some(*number),
@@ -212,13 +232,18 @@
             ..Default::default()
         };
         let set = FileDescriptorSet { file: vec![file] };
-        Version::read(
-            name,
-            "t.S",
-            &set.encode_to_vec(),
-            BTreeMap::from([("Call".to_string(), promise())]),
-        )
-        .ok()
+        set.encode_to_vec()
+    }
+}
+
+pub fn empty_schema() -> Schema {
+    Schema {
+        proto2: false,
+        outer: Vec::new(),
+        inner: Vec::new(),
+        values: vec![("V0".into(), 0)],
+        reserved: Vec::new(),
+        reserved_names: Vec::new(),
     }
 }
 
