--- a/crates/cli/src/contract.rs
+++ b/crates/cli/src/contract.rs
@@ -1,15 +1,15 @@
 //! `chalkdeck contract`: versions of services, who speaks them, and whether a new one breaks them.
 
+use crate::coordinator::ReplicaArgs;
 use crate::failure::Failure;
-use crate::keeper::Keepers;
 use crate::rules::{propose, read};
-use chalkdeck_coordinator::registrar::version_of;
+use chalkdeck_coordinator::registrar::contract_version;
 use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
 use clap::Subcommand;
 use prost::Message;
 use std::path::{Path, PathBuf};
 use wire::command::What;
-use wire::look_request::What as Look;
+use wire::look_request::What as ReadKind;
 
 const MESSAGE: &str = "chalkdeck.keeper.v1.Contract";
 
@@ -56,7 +56,7 @@
         #[arg(long)]
         include: Vec<PathBuf>,
         #[command(flatten)]
-        to: Keepers,
+        to: ReplicaArgs,
     },
     /// Say that a customer speaks a version, whether or not it calls now
     Subscribe {
@@ -73,7 +73,7 @@
         #[arg(long)]
         gone: bool,
         #[command(flatten)]
-        to: Keepers,
+        to: ReplicaArgs,
     },
     /// Say that a version counts as spoken no more, whoever called it until now
     Retire {
@@ -82,14 +82,14 @@
         /// The version
         version: String,
         #[command(flatten)]
-        to: Keepers,
+        to: ReplicaArgs,
     },
     /// Versions of a service, and who speaks them
     Spoken {
         /// The service; all if none is given
         service: Option<String>,
         #[command(flatten)]
-        to: Keepers,
+        to: ReplicaArgs,
     },
 }
 
@@ -121,8 +121,8 @@
                 gone: *gone,
                 repeats_ms: *repeats_ms,
             };
-            to.asking()?
-                .tell(What::Subscribe(subscribe), to.patience())?;
+            to.client()?
+                .submit(What::Subscribe(subscribe), to.timeout())?;
             println!("taken");
             Ok(())
         }
@@ -135,7 +135,7 @@
                 service: service.clone(),
                 version: version.clone(),
             };
-            to.asking()?.tell(What::Retire(retire), to.patience())?;
+            to.client()?.submit(What::Retire(retire), to.timeout())?;
             println!("retired; calls that still come are shown as 'retired and called again'");
             Ok(())
         }
@@ -163,7 +163,7 @@
         })?;
         contract.descriptors = set.encode_to_vec();
     }
-    match version_of(&contract) {
+    match contract_version(&contract) {
         Ok(_) => Ok(contract),
         Err(source) => Err(ContractError::Wrong {
             file: path.display().to_string(),
@@ -173,13 +173,13 @@
     }
 }
 
-fn spoken(service: &str, to: &Keepers) -> Result<(), Failure> {
+fn spoken(service: &str, to: &ReplicaArgs) -> Result<(), Failure> {
     let request = wire::LookRequest {
-        what: Look::Spoken as i32,
+        what: ReadKind::Spoken as i32,
         service: service.into(),
         ..wire::LookRequest::default()
     };
-    let answer = to.asking()?.look(&request, to.patience())?;
+    let answer = to.client()?.read(&request, to.timeout())?;
     for admitted in &answer.admitted {
         let c = admitted.contract.clone().unwrap_or_default();
         let state = if admitted.retired {
--- /dev/null
+++ b/crates/cli/src/coordinator.rs
@@ -0,0 +1,209 @@
+//! `chalkdeck coordinator`: a replica of the fleet's coordinator, the status of all, and operators' overrides of sites.
+
+use crate::failure::Failure;
+use chalkdeck_coordinator::client::CoordinatorClient;
+use chalkdeck_coordinator::protocol::{wire, CommandKind, ReadKind, ReadRequest, ReadResponse};
+use chalkdeck_coordinator::replica::StartMode;
+use chalkdeck_coordinator::server::ReplicaServer;
+use chalkdeck_coordinator::settings::Settings;
+use chalkdeck_grpc_gateway::logs;
+use chalkdeck_net::signals::Signals;
+use chalkdeck_testbed::parts::process::end_with_parent;
+use chalkdeck_time::TimeDelta;
+use clap::{Args, Subcommand};
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+
+/// How long each replica has to tell its status.
+const STATUS_TIMEOUT: TimeDelta = TimeDelta::from_secs(2);
+
+/// Replicas to ask.
+#[derive(Args)]
+pub struct ReplicaArgs {
+    /// Addresses of the replicas, as ip:port
+    #[arg(long, alias = "keepers", value_delimiter = ',', required = true)]
+    pub replicas: Vec<SocketAddr>,
+    /// Seconds to wait for a response
+    #[arg(long, default_value_t = 10)]
+    pub wait: u64,
+}
+
+impl ReplicaArgs {
+    /// A client of these replicas.
+    pub fn client(&self) -> Result<CoordinatorClient, Failure> {
+        Ok(CoordinatorClient::new(self.replicas.clone())?)
+    }
+
+    /// How long a response is waited for.
+    pub fn timeout(&self) -> TimeDelta {
+        TimeDelta::from_secs(self.wait)
+    }
+}
+
+/// Subcommands of `chalkdeck coordinator`.
+#[derive(Subcommand)]
+pub enum Command {
+    /// Run a replica
+    Run {
+        /// Settings, protobuf text of chalkdeck.keeper.v1.Settings
+        config: PathBuf,
+        /// All replicas start for the first time: their folders are empty, and were not lost
+        #[arg(long)]
+        first: bool,
+        #[arg(long, hide = true)]
+        with_parent: bool,
+    },
+    /// Check settings without starting
+    Check {
+        /// The settings
+        config: PathBuf,
+    },
+    /// Show the leader, gateways' sessions, and elections with their leaders
+    Status(ReplicaArgs),
+    /// Override the state of a site at every gateway of the fleet, also those that are down now
+    #[command(alias = "word")]
+    OverrideSite {
+        /// The zone, as the server list names it
+        site: String,
+        /// drain, hold or let-back
+        word: String,
+        #[command(flatten)]
+        to: ReplicaArgs,
+    },
+}
+
+/// Runs a subcommand.
+pub fn run(command: &Command) -> Result<(), Failure> {
+    match command {
+        Command::Run {
+            config,
+            first,
+            with_parent,
+        } => {
+            let start_mode = if *first {
+                StartMode::Bootstrap
+            } else {
+                StartMode::Join
+            };
+            if *with_parent {
+                end_with_parent();
+            }
+            serve(config, start_mode)
+        }
+        Command::Check { config } => {
+            Settings::load(config)?;
+            println!("{}: ok", config.display());
+            Ok(())
+        }
+        Command::Status(replicas) => print_status(replicas),
+        Command::OverrideSite { site, word, to } => override_site(site, word, to),
+    }
+}
+
+fn serve(config: &Path, start_mode: StartMode) -> Result<(), Failure> {
+    let settings = Settings::load(config)?;
+    logs::start("info", false);
+    let signals = Signals::take()?;
+    let server = ReplicaServer::start(&settings, start_mode)?;
+    let admin = server.admin().map_or("-".to_string(), |a| a.to_string());
+    println!("ready grpc={} admin={admin}", server.listen());
+    Ok(server.run(&signals)?)
+}
+
+fn override_site(site: &str, word: &str, to: &ReplicaArgs) -> Result<(), Failure> {
+    let request = wire::Word {
+        site: site.to_string(),
+        word: word.to_string(),
+    };
+    to.client()?
+        .submit(CommandKind::Word(request), to.timeout())?;
+    println!(
+        "{word} {site}: taken; it reaches each gateway with its session, or at its next start"
+    );
+    Ok(())
+}
+
+/// Prints a line for each replica, and then the state of the one that knows most.
+fn print_status(replicas: &ReplicaArgs) -> Result<(), Failure> {
+    let mut client = replicas.client()?;
+    let request = ReadRequest {
+        what: ReadKind::Status as i32,
+        ..ReadRequest::default()
+    };
+    let knowledge = |response: &ReadResponse| (response.majority, response.version);
+    let mut best: Option<ReadResponse> = None;
+    for (index, address) in replicas.replicas.iter().enumerate() {
+        let Some(response) = client.read_replica(index, &request, STATUS_TIMEOUT)? else {
+            println!("{address}  no answer");
+            continue;
+        };
+        print_replica(*address, &response);
+        if best
+            .as_ref()
+            .is_none_or(|best| knowledge(best) < knowledge(&response))
+        {
+            best = Some(response);
+        }
+    }
+    if let Some(response) = best {
+        print_state(&response);
+    }
+    Ok(())
+}
+
+fn print_replica(address: SocketAddr, response: &ReadResponse) {
+    let state = if response.majority {
+        "agrees"
+    } else {
+        "NO MAJORITY: nothing is agreed on"
+    };
+    let leader = if response.leader.is_empty() {
+        "nobody"
+    } else {
+        &response.leader
+    };
+    println!(
+        "{address}  {state}, configuration {}, version {}, leader {leader}",
+        response.configuration, response.version
+    );
+}
+
+fn print_state(response: &ReadResponse) {
+    println!(
+        "{} sessions, {} gateways cut off",
+        response.sessions.len(),
+        response.departed.len()
+    );
+    for session in &response.sessions {
+        println!(
+            "  {:<20} {:<12} session {} applies {}",
+            session.gateway, session.site, session.id, session.applied
+        );
+    }
+    for departed in &response.departed {
+        let seconds_ago = response.time_ms.saturating_sub(departed.ended_ms) / 1_000;
+        println!(
+            "  {:<20} cut off {seconds_ago} s ago, applied {}",
+            departed.gateway, departed.applied
+        );
+    }
+    for election in &response.duties {
+        let leader = leader_name(response, election.holder);
+        println!(
+            "duty {:<16} {leader}, token {}",
+            election.name, election.token
+        );
+    }
+    for version in &response.back {
+        println!("retired and called again: {version}");
+    }
+}
+
+/// The gateway with a session. Without a quorum no leader's session can be renewed: it has stopped by itself, or is about to.
+fn leader_name(response: &ReadResponse, session: u64) -> &str {
+    if !response.majority {
+        return "not held for sure";
+    }
+    let leader = response.sessions.iter().find(|s| s.id == session);
+    leader.map_or("nobody", |s| &s.gateway)
+}
--- a/crates/cli/src/failure.rs
+++ b/crates/cli/src/failure.rs
@@ -2,8 +2,8 @@
 
 use crate::contract::ContractError;
 use crate::rules::RulesError;
-use chalkdeck_coordinator::ask::AskError;
-use chalkdeck_coordinator::serve::KeeperError;
+use chalkdeck_coordinator::client::ClientError;
+use chalkdeck_coordinator::server::ServerError;
 use chalkdeck_coordinator::settings::SettingsError;
 use chalkdeck_resp_gateway::{ConfigError, StartError};
 use miette::Diagnostic;
@@ -43,8 +43,8 @@
 told!(
     ConfigError,
     StartError,
-    AskError,
-    KeeperError,
+    ClientError,
+    ServerError,
     SettingsError,
     RulesError,
     ContractError
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -2,8 +2,8 @@
 #![forbid(unsafe_code)]
 
 mod contract;
+mod coordinator;
 mod failure;
-mod keeper;
 mod rules;
 mod site;
 
@@ -39,9 +39,9 @@
     /// The counter: serve, tools for its log
     #[command(subcommand)]
     Counter(chalkdeck_counter::cli::Command),
-    /// Keepers of the fleet's shared state
-    #[command(subcommand)]
-    Keeper(keeper::Command),
+    /// Replicas of the fleet's coordinator
+    #[command(subcommand, alias = "keeper")]
+    Coordinator(coordinator::Command),
     /// Customers' access rules
     #[command(subcommand)]
     Rules(rules::Command),
@@ -79,7 +79,7 @@
         }
         Command::Demo(args) => Lab::Demo(args).run_as(&["lab"])?,
         Command::Counter(command) => command.run()?,
-        Command::Keeper(command) => keeper::run(&command)?,
+        Command::Coordinator(command) => coordinator::run(&command)?,
         Command::Rules(command) => rules::run(&command)?,
         Command::Contract(command) => contract::run(&command)?,
         Command::Site { word } => site::run(&word)?,
--- a/crates/cli/src/rules.rs
+++ b/crates/cli/src/rules.rs
@@ -1,20 +1,20 @@
 //! `chalkdeck rules`: customers' access rules.
 
+use crate::coordinator::ReplicaArgs;
 use crate::failure::Failure;
-use crate::keeper::Keepers;
-use chalkdeck_coordinator::apply::{progress, Progress};
-use chalkdeck_coordinator::ask::Asking;
-use chalkdeck_coordinator::state::wrong_in;
+use chalkdeck_coordinator::client::CoordinatorClient;
+use chalkdeck_coordinator::proposal_progress::{progress, ProposalProgress};
+use chalkdeck_coordinator::state::rule_set_error;
 use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
 use chalkdeck_proto::text;
 use clap::Subcommand;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 use wire::command::What;
-use wire::look_request::What as Look;
+use wire::look_request::What as ReadKind;
 
 const MESSAGE: &str = "chalkdeck.keeper.v1.RuleSet";
-/// Between looks at how far a set has come.
+/// Between reads of how far a set has come.
 const AGAIN: Duration = Duration::from_millis(50);
 
 /// Why a set is not in force.
@@ -86,7 +86,7 @@
     #[error("proposal {proposal} waits for a registrar after {seconds} s")]
     #[diagnostic(
         code(chalkdeck::rules::not_judged),
-        help("see `chalkdeck keeper status`: the duty 'registrar' needs a gateway with a session; the proposal stays")
+        help("see `chalkdeck coordinator status`: the election 'registrar' needs a gateway with a session; the proposal stays")
     )]
     NotJudged {
         /// Its number.
@@ -107,35 +107,35 @@
         #[arg(long)]
         force: bool,
         #[command(flatten)]
-        to: Keepers,
+        to: ReplicaArgs,
     },
     /// Say what a set would have done to the calls of the last minutes; changes nothing
     Check {
         /// The set
         file: PathBuf,
         #[command(flatten)]
-        to: Keepers,
+        to: ReplicaArgs,
     },
     /// Wait until the set of a customer is in force
     Wait {
         /// The customer
         customer: String,
         #[command(flatten)]
-        to: Keepers,
+        to: ReplicaArgs,
     },
     /// Print sets
     Show {
         /// Of one customer
         customer: Option<String>,
         #[command(flatten)]
-        to: Keepers,
+        to: ReplicaArgs,
     },
     /// Hits over the whole fleet by customer, set and rule
     Hits {
         /// Of one customer
         customer: Option<String>,
         #[command(flatten)]
-        to: Keepers,
+        to: ReplicaArgs,
     },
 }
 
@@ -155,7 +155,7 @@
 
 fn read_set(path: &Path) -> Result<wire::RuleSet, RulesError> {
     let set: wire::RuleSet = read(MESSAGE, path)?;
-    match wrong_in(&set) {
+    match rule_set_error(&set) {
         None => Ok(set),
         Some(what) => Err(RulesError::Wrong {
             file: path.display().to_string(),
@@ -180,9 +180,9 @@
         }
         Command::Check { file, to } => check(&read_set(file)?, to),
         Command::Wait { customer, to } => {
-            let mut asking = to.asking()?;
-            let request = look(Look::Verdict, customer);
-            let answer = asking.look(&request, to.patience())?;
+            let mut client = to.client()?;
+            let request = read_request(ReadKind::Verdict, customer);
+            let answer = client.read(&request, to.timeout())?;
             let version = answer.in_force.as_ref().map_or(0, |f| f.version);
             if version == 0 {
                 println!("{customer} has no set");
@@ -194,19 +194,19 @@
                 customer: customer.clone(),
                 ..wire::Verdict::default()
             };
-            wait(&mut asking, to, &request, Some(&verdict), 0)
+            wait(&mut client, to, &request, Some(&verdict), 0)
         }
         Command::Show { customer, to } => {
-            let request = look(Look::Rules, customer.as_deref().unwrap_or(""));
-            for set in to.asking()?.look(&request, to.patience())?.rules {
+            let request = read_request(ReadKind::Rules, customer.as_deref().unwrap_or(""));
+            for set in to.client()?.read(&request, to.timeout())?.rules {
                 print!("{}", text::print(MESSAGE, &set).unwrap_or_default());
                 println!();
             }
             Ok(())
         }
         Command::Hits { customer, to } => {
-            let request = look(Look::Hits, customer.as_deref().unwrap_or(""));
-            for h in to.asking()?.look(&request, to.patience())?.hits {
+            let request = read_request(ReadKind::Hits, customer.as_deref().unwrap_or(""));
+            for h in to.client()?.read(&request, to.timeout())?.hits {
                 println!("{} {} {} {}", h.customer, h.version, h.rule, h.count);
             }
             Ok(())
@@ -214,7 +214,7 @@
     }
 }
 
-fn look(what: Look, customer: &str) -> wire::LookRequest {
+fn read_request(what: ReadKind, customer: &str) -> wire::LookRequest {
     wire::LookRequest {
         what: what as i32,
         customer: customer.into(),
@@ -222,14 +222,14 @@
     }
 }
 
-fn check(set: &wire::RuleSet, to: &Keepers) -> Result<(), Failure> {
+fn check(set: &wire::RuleSet, to: &ReplicaArgs) -> Result<(), Failure> {
     let request = wire::LookRequest {
         set: Some(set.clone()),
-        ..look(Look::Try, &set.customer)
+        ..read_request(ReadKind::Try, &set.customer)
     };
     let tried = to
-        .asking()?
-        .look(&request, to.patience())?
+        .client()?
+        .read(&request, to.timeout())?
         .tried
         .unwrap_or_default();
     println!(
@@ -247,35 +247,37 @@
 }
 
 /// Proposes and waits for what comes of it.
-pub fn propose(to: &Keepers, propose: wire::Propose) -> Result<(), Failure> {
-    let mut asking = to.asking()?;
-    let proposal = asking.tell(What::Propose(propose), to.patience())?.id;
+pub fn propose(to: &ReplicaArgs, propose: wire::Propose) -> Result<(), Failure> {
+    let mut client = to.client()?;
+    let proposal = client.submit(What::Propose(propose), to.timeout())?.id;
     let request = wire::LookRequest {
         proposal,
-        ..look(Look::Verdict, "")
+        ..read_request(ReadKind::Verdict, "")
     };
-    wait(&mut asking, to, &request, None, proposal)
+    wait(&mut client, to, &request, None, proposal)
 }
 
 fn wait(
-    asking: &mut Asking,
-    to: &Keepers,
+    client: &mut CoordinatorClient,
+    to: &ReplicaArgs,
     request: &wire::LookRequest,
     known: Option<&wire::Verdict>,
     proposal: u64,
 ) -> Result<(), Failure> {
     let until = Instant::now() + Duration::from_secs(to.wait);
     loop {
-        let mut answer = asking.look(request, to.patience())?;
+        let mut answer = client.read(request, to.timeout())?;
         answer.verdict = answer.verdict.or_else(|| known.cloned());
         let late = Instant::now() >= until;
         match progress(&answer) {
-            Progress::Rejected(breaks) => return Err(RulesError::Rejected { breaks }.into()),
-            Progress::Admitted => {
+            ProposalProgress::Rejected(breaks) => {
+                return Err(RulesError::Rejected { breaks }.into())
+            }
+            ProposalProgress::Admitted => {
                 println!("admitted");
                 return Ok(());
             }
-            Progress::InForce { version, unknown } => {
+            ProposalProgress::InForce { version, unknown } => {
                 println!("version {version} is in force");
                 if !unknown.is_empty() {
                     println!(
@@ -286,18 +288,18 @@
                 }
                 return Ok(());
             }
-            Progress::Followed { version, by } => {
+            ProposalProgress::Superseded { version, by } => {
                 println!("version {version} was followed by version {by} before it was in force");
                 return Ok(());
             }
-            Progress::Waits if late => {
+            ProposalProgress::Pending if late => {
                 return Err(RulesError::NotJudged {
                     proposal,
                     seconds: to.wait,
                 }
                 .into())
             }
-            Progress::Missing { version, gateways } if late => {
+            ProposalProgress::Unacknowledged { version, gateways } if late => {
                 let missing = gateways;
                 return Err(RulesError::NotInForce {
                     version,
@@ -306,7 +308,9 @@
                 }
                 .into());
             }
-            Progress::Waits | Progress::Missing { .. } => std::thread::sleep(AGAIN),
+            ProposalProgress::Pending | ProposalProgress::Unacknowledged { .. } => {
+                std::thread::sleep(AGAIN)
+            }
         }
     }
 }
--- /dev/null
+++ b/crates/coordinator/src/agent/connection.rs
@@ -0,0 +1,90 @@
+//! Which replica a gateway is connected to, and when it turns to another.
+
+use chalkdeck_time::{TimeDelta, Timestamp};
+use fastrand::Rng;
+
+/// The longest delay before another replica is connected to. It is chosen at random, so that gateways that lost one replica do
+/// not turn to the next at the same time.
+const MAX_RECONNECT_DELAY: TimeDelta = TimeDelta::from_millis(200);
+
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum ConnectionState {
+    Disconnected { retry_at: Timestamp },
+    Connecting { give_up_at: Timestamp },
+    Connected { last_heard_at: Timestamp },
+}
+
+/// What is to be done about the connection.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) enum ConnectionStep {
+    Connect,
+    GiveUp,
+}
+
+/// The connection to one of the replicas.
+#[derive(Debug)]
+pub(super) struct ReplicaConnection {
+    replica_count: usize,
+    replica_index: usize,
+    state: ConnectionState,
+}
+
+impl ReplicaConnection {
+    /// Begins with a replica that is chosen at random.
+    pub(super) fn new(replica_count: usize, rng: &mut Rng, now: Timestamp) -> ReplicaConnection {
+        ReplicaConnection {
+            replica_count: replica_count.max(1),
+            replica_index: rng.usize(..replica_count.max(1)),
+            state: ConnectionState::Disconnected { retry_at: now },
+        }
+    }
+
+    /// The place of the replica in the list of addresses.
+    pub(super) fn replica_index(&self) -> usize {
+        self.replica_index
+    }
+
+    pub(super) fn connected(&mut self, now: Timestamp) {
+        self.state = ConnectionState::Connected { last_heard_at: now };
+    }
+
+    pub(super) fn heard(&mut self, now: Timestamp) {
+        if matches!(self.state, ConnectionState::Connected { .. }) {
+            self.connected(now);
+        }
+    }
+
+    /// Turns to the next replica.
+    pub(super) fn lost(&mut self, rng: &mut Rng, now: Timestamp) {
+        self.replica_index = (self.replica_index + 1) % self.replica_count;
+        let delay = TimeDelta::from_micros(rng.u64(..MAX_RECONNECT_DELAY.as_micros()));
+        self.state = ConnectionState::Disconnected {
+            retry_at: now + delay,
+        };
+    }
+
+    /// What is to be done at `now`. A replica that is silent for `patience` is given up; one that is being connected to has half
+    /// of that.
+    pub(super) fn next_step(
+        &mut self,
+        now: Timestamp,
+        patience: TimeDelta,
+    ) -> Option<ConnectionStep> {
+        match self.state {
+            ConnectionState::Disconnected { retry_at } if now >= retry_at => {
+                let half = TimeDelta::from_micros(patience.as_micros() / 2);
+                self.state = ConnectionState::Connecting {
+                    give_up_at: now + half,
+                };
+                Some(ConnectionStep::Connect)
+            }
+            ConnectionState::Connecting { give_up_at } if now >= give_up_at => {
+                Some(ConnectionStep::GiveUp)
+            }
+            ConnectionState::Connected { last_heard_at } if now >= last_heard_at + patience => {
+                Some(ConnectionStep::GiveUp)
+            }
+            _ => None,
+        }
+    }
+}
--- /dev/null
+++ b/crates/coordinator/src/agent/leader_tasks.rs
@@ -0,0 +1,81 @@
+//! Tasks of the built-in elections that a gateway leads. Each command carries the election's fencing token, which the replicated
+//! state compares.
+
+use super::GatewayAgent;
+use crate::protocol::{wire, CommandKind, ReadKind, ReadRequest, ReadResponse};
+use crate::registrar;
+use crate::state::{HIT_TOTALS, REGISTRAR, SITE_OVERRIDES};
+use chalkdeck_time::Timestamp;
+
+impl GatewayAgent {
+    /// Does what is pending, one command at a time.
+    pub(super) fn run_leader_tasks(&mut self, now: Timestamp) {
+        if self.session.has_pending_commands() {
+            return;
+        }
+        if let Some(release) = self.requested_release() {
+            self.session.submit(CommandKind::Release(release));
+            return;
+        }
+        let pending = self.session.pending_work();
+        if pending.proposals {
+            self.read_proposals(now);
+        }
+        if pending.unfolded_hits {
+            self.fold_hits(now);
+        }
+        if pending.unpublished_overrides {
+            self.publish_site_overrides(now);
+        }
+    }
+
+    /// The release of an election that is to be handed over.
+    fn requested_release(&self) -> Option<wire::Release> {
+        let election = self.session.requested_handover()?;
+        Some(wire::Release {
+            duty: election.name.clone(),
+            token: election.token,
+            progress: self.session.progress(&election.name).to_vec(),
+            session: self.session.id().0,
+        })
+    }
+
+    fn read_proposals(&mut self, now: Timestamp) {
+        if self.is_reading_proposals || self.session.leads(REGISTRAR, now).is_none() {
+            return;
+        }
+        self.is_reading_proposals = true;
+        self.session.read(ReadRequest {
+            what: ReadKind::Proposals as i32,
+            ..ReadRequest::default()
+        });
+    }
+
+    /// Judges the proposal that was read. The token is the present one: a read that was sent under an earlier one serves as well.
+    pub(super) fn judge_proposal(&mut self, now: Timestamp, read: &ReadResponse) {
+        self.is_reading_proposals = false;
+        let Some(token) = self.session.leads(REGISTRAR, now) else {
+            return;
+        };
+        if let Some(judgement) = registrar::judge(read, token) {
+            self.session.submit(CommandKind::Judge(judgement));
+        }
+    }
+
+    fn fold_hits(&mut self, now: Timestamp) {
+        if let Some(token) = self.session.leads(HIT_TOTALS, now) {
+            let fold = wire::Fold { token: token.0 };
+            self.session.submit(CommandKind::Fold(fold));
+        }
+    }
+
+    fn publish_site_overrides(&mut self, now: Timestamp) {
+        if let Some(token) = self.session.leads(SITE_OVERRIDES, now) {
+            let publish = wire::Publish {
+                token: token.0,
+                upto: self.session.state().version,
+            };
+            self.session.submit(CommandKind::Publish(publish));
+        }
+    }
+}
--- /dev/null
+++ b/crates/coordinator/src/cache_file.rs
@@ -0,0 +1,189 @@
+//! The file in which a gateway caches the replicated state: a log of watch events, first the whole state and then changes of it.
+//! A last record that was torn by a crash counts as not written.
+
+use crate::protocol::{wire, WatchEvent};
+use crate::session::CachedState;
+use chalkdeck_wal::record;
+use prost::Message;
+use std::fs::{File, OpenOptions};
+use std::io::{self, Read, Write};
+use std::path::{Path, PathBuf};
+
+/// Rule sets in one record of a whole state, as the size of a record is bounded.
+const RULE_SETS_PER_RECORD: usize = 64;
+/// The file is not rewritten before changes take so many bytes, however short the whole state is.
+const MIN_REWRITE_BYTES: u64 = 1 << 20;
+
+/// Why the file cannot be used.
+#[derive(Debug, thiserror::Error, miette::Diagnostic)]
+pub enum CacheFileError {
+    /// It cannot be read or written.
+    #[error("{}: {source}", file.display())]
+    #[diagnostic(
+        code(chalkdeck::keeper::kept_file),
+        help("see the path, its rights and the disk's room; until it can be written this gateway does not acknowledge newer rules")
+    )]
+    Io {
+        /// Its path.
+        file: PathBuf,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// It holds something else.
+    #[error("{}: expected a gateway's cache of the replicated state", file.display())]
+    #[diagnostic(
+        code(chalkdeck::keeper::kept_form),
+        help("the file is damaged or another program's: remove it, and the gateway takes calls once it has a session with a replica")
+    )]
+    Malformed {
+        /// Its path.
+        file: PathBuf,
+    },
+}
+
+/// The open file.
+#[derive(Debug)]
+pub struct CacheFile {
+    path: PathBuf,
+    /// Open for appending; `None`: the next write replaces the file.
+    file: Option<File>,
+    /// Bytes of the whole state, and of the changes after it.
+    whole_bytes: u64,
+    change_bytes: u64,
+    /// The version after the last record.
+    version: u64,
+}
+
+impl CacheFile {
+    /// Opens the file and reads the state in it; one that is not there holds an empty state.
+    ///
+    /// # Errors
+    /// See [`CacheFileError`]. The gateway must not start then: it would go by no rules where it went by some before.
+    pub fn open(path: &Path) -> Result<(CacheFile, CachedState), CacheFileError> {
+        let bytes = read_if_exists(path).map_err(|source| CacheFileError::Io {
+            file: path.to_path_buf(),
+            source,
+        })?;
+        let Some(state) = replay(&bytes) else {
+            return Err(CacheFileError::Malformed {
+                file: path.to_path_buf(),
+            });
+        };
+        let file = CacheFile {
+            path: path.to_path_buf(),
+            file: None,
+            whole_bytes: 0,
+            change_bytes: 0,
+            version: state.version,
+        };
+        Ok((file, state))
+    }
+
+    /// Writes an event that was applied to `state`, and returns once it is on the disk.
+    ///
+    /// # Errors
+    /// The disk; the next call then writes the whole state.
+    pub fn write(&mut self, event: &WatchEvent, state: &CachedState) -> Result<(), CacheFileError> {
+        let written = if event.whole {
+            self.replace(state)
+        } else {
+            self.append_or_replace(event, state)
+        };
+        self.version = state.version;
+        written.map_err(|source| {
+            self.file = None;
+            CacheFileError::Io {
+                file: self.path.clone(),
+                source,
+            }
+        })
+    }
+
+    fn append_or_replace(&mut self, event: &WatchEvent, state: &CachedState) -> io::Result<()> {
+        let has_room = self.change_bytes < MIN_REWRITE_BYTES.max(self.whole_bytes);
+        let Some(file) = self.file.as_mut().filter(|_| has_room) else {
+            return self.replace(state);
+        };
+        // Events in between that changed nothing were not written, and are no gap.
+        let change = WatchEvent {
+            since: self.version,
+            ..event.clone()
+        };
+        let mut bytes = Vec::new();
+        record::push(&mut bytes, &change);
+        self.change_bytes += bytes.len() as u64;
+        if bytes.len() > record::MOST {
+            return self.replace(state);
+        }
+        file.write_all(&bytes)?;
+        file.sync_data()
+    }
+
+    /// Writes the whole state to a new file, and puts that in the place of the old one.
+    fn replace(&mut self, state: &CachedState) -> io::Result<()> {
+        let bytes = encode_whole(state);
+        let new_path = self.path.with_extension("new");
+        let mut file = File::create(&new_path)?;
+        file.write_all(&bytes)?;
+        file.sync_data()?;
+        std::fs::rename(&new_path, &self.path)?;
+        File::open(parent_folder(&self.path))?.sync_all()?;
+        self.whole_bytes = bytes.len() as u64;
+        self.change_bytes = 0;
+        self.file = Some(OpenOptions::new().append(true).open(&self.path)?);
+        Ok(())
+    }
+}
+
+fn parent_folder(path: &Path) -> &Path {
+    path.parent()
+        .filter(|parent| !parent.as_os_str().is_empty())
+        .unwrap_or(Path::new("."))
+}
+
+fn read_if_exists(path: &Path) -> io::Result<Vec<u8>> {
+    let mut bytes = Vec::new();
+    match File::open(path) {
+        Err(error) if error.kind() == io::ErrorKind::NotFound => {}
+        opened => {
+            opened?.read_to_end(&mut bytes)?;
+        }
+    }
+    Ok(bytes)
+}
+
+/// The state that records lead to; `None`: they are damaged, or something else.
+fn replay(bytes: &[u8]) -> Option<CachedState> {
+    let mut state = CachedState::default();
+    let mut offset = 0;
+    while let Some(body) = record::body(bytes, offset) {
+        state.apply(&WatchEvent::decode(body).ok()?);
+        offset += record::FRAME + body.len();
+    }
+    // Only the last record may be torn.
+    let is_torn = offset < bytes.len();
+    let is_damaged = is_torn && (offset == 0 || record::any_after(bytes, offset + 1));
+    (!is_damaged).then_some(state)
+}
+
+/// Records of a whole state: all but the rule sets in the first, and then these.
+fn encode_whole(state: &CachedState) -> Vec<u8> {
+    let mut event = state.to_event();
+    let rule_sets: Vec<wire::RuleSet> = std::mem::take(&mut event.rules);
+    let mut bytes = Vec::new();
+    record::push(&mut bytes, &event);
+    for chunk in rule_sets.chunks(RULE_SETS_PER_RECORD) {
+        let part = WatchEvent {
+            version: event.version,
+            since: event.version,
+            cluster: event.cluster,
+            rules: chunk.to_vec(),
+            ..WatchEvent::default()
+        };
+        record::push(&mut bytes, &part);
+    }
+    bytes
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/coordinator/src/cache_file/tests.rs
@@ -0,0 +1,70 @@
+//! Tests of `cache_file`.
+
+use super::*;
+
+fn rule_set(customer: &str, version: u64) -> wire::RuleSet {
+    wire::RuleSet {
+        customer: customer.into(),
+        version,
+        otherwise: 1,
+        stale: 1,
+        ..Default::default()
+    }
+}
+fn event(version: u64, whole: bool, rule_sets: &[wire::RuleSet]) -> WatchEvent {
+    let since = version - 1;
+    WatchEvent {
+        version,
+        since,
+        whole,
+        cluster: 7,
+        rules: rule_sets.to_vec(),
+        ..WatchEvent::default()
+    }
+}
+
+#[test]
+fn a_written_state_is_read_back_and_a_torn_last_record_is_dropped() {
+    let path = std::env::temp_dir().join(format!("chalkdeck-cache-file-{}", std::process::id()));
+    let _ = std::fs::remove_file(&path);
+    let (mut file, mut state) = CacheFile::open(&path).expect("none yet");
+    assert_eq!(state.version, 0);
+    let many: Vec<_> = (0..200).map(|i| rule_set(&format!("c{i}"), 1)).collect();
+    for change in [
+        event(3, true, &many),
+        event(4, false, &[rule_set("c7", 2)]),
+        event(5, false, &[rule_set("c8", 2)]),
+    ] {
+        state.apply(&change);
+        file.write(&change, &state).expect("written");
+    }
+    // An event that changes nothing, and is not written, lies between.
+    state.apply(&event(6, false, &[]));
+    let last = event(7, false, &[rule_set("c9", 2)]);
+    state.apply(&last);
+    file.write(&last, &state).expect("written");
+    let (_, reread) = CacheFile::open(&path).expect("sound");
+    assert_eq!(reread, state, "whole and changes");
+    let bytes = std::fs::read(&path).expect("there");
+    std::fs::write(&path, &bytes[..bytes.len() - 3]).expect("torn");
+    let (_, torn) = CacheFile::open(&path).expect("the last record alone is torn");
+    assert_eq!(
+        (
+            torn.version,
+            torn.rules["c8"].version,
+            torn.rules["c9"].version
+        ),
+        (5, 2, 1)
+    );
+    let mut damaged = bytes.clone();
+    damaged[20] ^= 0xff;
+    std::fs::write(&path, &damaged).expect("damaged");
+    assert!(
+        matches!(
+            CacheFile::open(&path),
+            Err(CacheFileError::Malformed { .. })
+        ),
+        "damage before sound records is an error"
+    );
+    let _ = std::fs::remove_file(&path);
+}
--- /dev/null
+++ b/crates/coordinator/src/call_statistics.rs
@@ -0,0 +1,105 @@
+//! Calls of a gateway since its last report, by kind and by the version of the service that the caller speaks.
+
+use crate::protocol::wire;
+use crate::registrar::UNVERSIONED;
+use chalkdeck_access::Call;
+use rustc_hash::{FxHashMap, FxHasher};
+use std::hash::{Hash, Hasher};
+
+/// Kinds of calls, and uses of versions, in one report; calls of further ones are left out of it.
+const MAX_ENTRIES: usize = 2_048;
+/// Longer names of versions count as [`UNVERSIONED`].
+const MAX_VERSION_BYTES: usize = 256;
+
+/// Calls since the last report.
+#[derive(Debug, Default)]
+pub struct CallStatistics {
+    /// By the hash of what tells one kind from another.
+    calls: FxHashMap<u64, wire::SeenKind>,
+    versions: FxHashMap<u64, wire::Spoke>,
+    /// Calls that were left out as there was no room for their kind.
+    pub left_out: u64,
+}
+
+fn hash_of(parts: &[&str]) -> u64 {
+    let mut hasher = FxHasher::default();
+    parts.hash(&mut hasher);
+    hasher.finish()
+}
+
+/// The service in a path of gRPC; `None`: it is another path.
+fn service_of(path: &str) -> Option<&str> {
+    let (service, _) = path.strip_prefix('/')?.split_once('/')?;
+    (!service.is_empty()).then_some(service)
+}
+
+/// The entry under a key, made first if there is room; `None`: there is none.
+fn entry<T>(
+    entries: &mut FxHashMap<u64, T>,
+    key: u64,
+    create: impl FnOnce() -> T,
+) -> Option<&mut T> {
+    if entries.len() >= MAX_ENTRIES && !entries.contains_key(&key) {
+        return None;
+    }
+    Some(entries.entry(key).or_insert_with(create))
+}
+
+impl CallStatistics {
+    /// Counts a call. `version`: of its service, as the caller gives it.
+    pub fn record(&mut self, customer: &str, call: &Call, version: Option<&str>) {
+        self.record_kind(customer, call);
+        if let Some(service) = service_of(call.path) {
+            let version = version
+                .filter(|v| !v.is_empty() && v.len() <= MAX_VERSION_BYTES)
+                .unwrap_or(UNVERSIONED);
+            self.record_version(customer, service, version);
+        }
+    }
+
+    fn record_kind(&mut self, customer: &str, call: &Call) {
+        let key = hash_of(&[customer, call.caller, call.path, call.class]);
+        let create = || wire::SeenKind {
+            customer: customer.into(),
+            caller_region: call.caller.into(),
+            gateway_region: call.gateway.into(),
+            path: call.path.into(),
+            class: call.class.into(),
+            count: 0,
+        };
+        match entry(&mut self.calls, key, create) {
+            Some(kind) => kind.count += 1,
+            None => self.left_out += 1,
+        }
+    }
+
+    fn record_version(&mut self, customer: &str, service: &str, version: &str) {
+        let key = hash_of(&[customer, service, version]);
+        let create = || wire::Spoke {
+            customer: customer.into(),
+            service: service.into(),
+            version: version.into(),
+            calls: 0,
+        };
+        match entry(&mut self.versions, key, create) {
+            Some(in_use) => in_use.calls += 1,
+            None => self.left_out += 1,
+        }
+    }
+
+    /// Whether no call came since the last report.
+    pub fn is_empty(&self) -> bool {
+        self.calls.is_empty() && self.versions.is_empty()
+    }
+
+    /// Moves all of it into a report, which is sent until it is acknowledged and counts once.
+    pub fn drain_into(&mut self, report: &mut wire::Report) {
+        report
+            .spoke
+            .extend(self.versions.drain().map(|(_, version)| version));
+        report.seen.extend(self.calls.drain().map(|(_, kind)| kind));
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/coordinator/src/call_statistics/tests.rs
@@ -0,0 +1,40 @@
+//! Tests of `call_statistics`.
+
+use super::*;
+
+#[test]
+fn calls_count_by_kind_and_version_up_to_the_bound() {
+    let mut statistics = CallStatistics::default();
+    let call = |path| Call {
+        caller: "eu",
+        gateway: "north",
+        path,
+        class: "view",
+    };
+    for _ in 0..3 {
+        statistics.record("a", &call("/farm.v1.Farm/View"), Some("2"));
+    }
+    statistics.record("a", &call("/farm.v1.Farm/View"), None);
+    statistics.record("a", &call("TAKE"), None);
+    let mut report = wire::Report::default();
+    statistics.drain_into(&mut report);
+    report.spoke.sort_by_key(|version| version.calls);
+    let versions: Vec<_> = report
+        .spoke
+        .iter()
+        .map(|s| (s.service.as_str(), s.version.as_str(), s.calls))
+        .collect();
+    assert_eq!(
+        versions,
+        [("farm.v1.Farm", UNVERSIONED, 1), ("farm.v1.Farm", "2", 3)]
+    );
+    assert_eq!(report.seen.iter().map(|kind| kind.count).sum::<u64>(), 5);
+    assert!(statistics.is_empty());
+    for i in 0..MAX_ENTRIES as u64 + 5 {
+        statistics.record(&i.to_string(), &call("TAKE"), None);
+    }
+    assert_eq!(
+        statistics.left_out, 5,
+        "calls beyond the bound are counted as left out"
+    );
+}
--- /dev/null
+++ b/crates/coordinator/src/client.rs
@@ -0,0 +1,324 @@
+//! A blocking client of the replicas, for operators and tools. It asks one replica after another until one answers; a command is
+//! sent again under its own number, so it is applied once.
+
+use crate::ids::CommandNumber;
+use crate::protocol::{
+    wire, CommandKind, CommandResponse, ReadRequest, ReadResponse, ResponseCode,
+};
+use crate::server::{connection_limits, MAX_STATE_BYTES, READ_PATH, SUBMIT_PATH};
+use chalkdeck_net::clock::incarnation;
+use chalkdeck_net::grpc::{self, Code};
+use chalkdeck_net::unary::Gather;
+use chalkdeck_net::{ConnId, Engine, Event, StreamId};
+use chalkdeck_time::{TimeDelta, Timestamp};
+use prost::Message;
+use std::io;
+use std::net::SocketAddr;
+
+/// How long one replica has to answer before the next is asked.
+const REPLICA_TIMEOUT: TimeDelta = TimeDelta::from_millis(1_500);
+/// Time between the answer of one replica and the request to the next.
+const RETRY_DELAY: TimeDelta = TimeDelta::from_millis(100);
+
+/// Why a request failed.
+#[derive(Debug, thiserror::Error, miette::Diagnostic)]
+pub enum ClientError {
+    /// The event loop failed.
+    #[error("poll: {0}")]
+    #[diagnostic(
+        code(chalkdeck::keeper::ask_poll),
+        help("see the limit of descriptors (ulimit -n)")
+    )]
+    Poll(io::Error),
+    /// No replica answered a read.
+    #[error("no replica of {replicas} answered within {seconds} s")]
+    #[diagnostic(
+        code(chalkdeck::keeper::no_answer),
+        help("see whether the addresses are those of the replicas, and their /healthz: without a majority nothing is agreed on")
+    )]
+    NoAnswer {
+        /// How many were asked.
+        replicas: usize,
+        /// For how long.
+        seconds: u64,
+    },
+    /// No replica answered a command.
+    #[error(
+        "no replica of {replicas} answered within {seconds} s: whether the command was taken is not known"
+    )]
+    #[diagnostic(
+        code(chalkdeck::keeper::outcome_unknown),
+        help("say the same command again: what was taken before is not harmed by it; see the replicas' /healthz")
+    )]
+    OutcomeUnknown {
+        /// How many were asked.
+        replicas: usize,
+        /// For how long.
+        seconds: u64,
+    },
+    /// The command was rejected.
+    #[error("refused: {reason}")]
+    #[diagnostic(
+        code(chalkdeck::keeper::refused),
+        help("nothing was changed; the text says what was expected")
+    )]
+    Rejected {
+        /// What the replicas say.
+        reason: String,
+    },
+}
+
+/// The client.
+pub struct CoordinatorClient {
+    engine: Engine,
+    replicas: Vec<SocketAddr>,
+    /// By what the replicas tell this caller from others.
+    caller: u64,
+    last_command: CommandNumber,
+    /// The place of the replica that answered last, or is to be asked next.
+    replica_index: usize,
+    connection: Option<ConnId>,
+}
+
+impl CoordinatorClient {
+    /// A client that is a caller of its own.
+    ///
+    /// # Errors
+    /// The system gives no poll handle.
+    pub fn new(replicas: Vec<SocketAddr>) -> Result<CoordinatorClient, ClientError> {
+        let engine = Engine::new().map_err(ClientError::Poll)?;
+        let caller = incarnation(engine.now());
+        let replica_index = fastrand::usize(..replicas.len().max(1));
+        Ok(CoordinatorClient {
+            engine,
+            replicas,
+            caller,
+            last_command: CommandNumber(0),
+            replica_index,
+            connection: None,
+        })
+    }
+
+    /// Submits a command, and returns once it was applied.
+    ///
+    /// # Errors
+    /// It was rejected, or its outcome is not known within `timeout`.
+    pub fn submit(
+        &mut self,
+        kind: CommandKind,
+        timeout: TimeDelta,
+    ) -> Result<CommandResponse, ClientError> {
+        self.last_command.0 += 1;
+        let command = wire::Command {
+            caller: self.caller,
+            number: self.last_command.0,
+            what: Some(kind),
+            ..wire::Command::default()
+        };
+        let deadline = self.now() + timeout;
+        while self.now() < deadline {
+            let response = self.call::<CommandResponse>(SUBMIT_PATH, &command, deadline)?;
+            let Some(response) = response else {
+                self.next_replica(deadline)?;
+                continue;
+            };
+            match response.code() {
+                ResponseCode::Done => return Ok(response),
+                ResponseCode::Elsewhere => self.next_replica(deadline)?,
+                _ => {
+                    let reason = response.why;
+                    return Err(ClientError::Rejected { reason });
+                }
+            }
+        }
+        Err(ClientError::OutcomeUnknown {
+            replicas: self.replicas.len(),
+            seconds: whole_seconds(timeout),
+        })
+    }
+
+    /// Reads the state of any replica that takes part; without a quorum it may be an old one.
+    ///
+    /// # Errors
+    /// No replica answered within `timeout`.
+    pub fn read(
+        &mut self,
+        request: &ReadRequest,
+        timeout: TimeDelta,
+    ) -> Result<ReadResponse, ClientError> {
+        let deadline = self.now() + timeout;
+        while self.now() < deadline {
+            match self.call::<ReadResponse>(READ_PATH, request, deadline)? {
+                Some(response) if response.configuration > 0 => return Ok(response),
+                _ => self.next_replica(deadline)?,
+            }
+        }
+        Err(ClientError::NoAnswer {
+            replicas: self.replicas.len(),
+            seconds: whole_seconds(timeout),
+        })
+    }
+
+    /// Reads the state of the replica at a place in the list of addresses; `None`: it does not answer within `timeout`.
+    ///
+    /// # Errors
+    /// The event loop failed.
+    pub fn read_replica(
+        &mut self,
+        replica_index: usize,
+        request: &ReadRequest,
+        timeout: TimeDelta,
+    ) -> Result<Option<ReadResponse>, ClientError> {
+        self.disconnect();
+        self.replica_index = replica_index;
+        let deadline = self.now() + timeout;
+        self.call(READ_PATH, request, deadline)
+    }
+
+    fn now(&self) -> Timestamp {
+        Timestamp::from_micros(self.engine.now())
+    }
+
+    fn disconnect(&mut self) {
+        if let Some(connection) = self.connection.take() {
+            self.engine.close(connection);
+        }
+    }
+
+    /// Turns to the next replica after a while.
+    fn next_replica(&mut self, deadline: Timestamp) -> Result<(), ClientError> {
+        self.disconnect();
+        self.replica_index = (self.replica_index + 1) % self.replicas.len();
+        let resume_at = (self.now() + RETRY_DELAY).min(deadline);
+        let mut events = Vec::new();
+        while self.now() < resume_at {
+            self.wait_for_events(resume_at, &mut events)?;
+            events.clear();
+        }
+        Ok(())
+    }
+
+    fn wait_for_events(
+        &mut self,
+        until: Timestamp,
+        events: &mut Vec<Event>,
+    ) -> Result<(), ClientError> {
+        let left = until - self.now();
+        self.engine
+            .turn(left.as_micros(), events)
+            .map_err(ClientError::Poll)
+    }
+
+    /// One unary call to the present replica; `None`: it has not answered in time.
+    fn call<R: Message + Default>(
+        &mut self,
+        path: &str,
+        request: &impl Message,
+        deadline: Timestamp,
+    ) -> Result<Option<R>, ClientError> {
+        let deadline = deadline.min(self.now() + REPLICA_TIMEOUT);
+        let address = self.replicas[self.replica_index];
+        let is_connected = self.connection.is_some();
+        if !is_connected {
+            self.connection = self.engine.connect(address, connection_limits()).ok();
+        }
+        let Some(connection) = self.connection else {
+            return Ok(None);
+        };
+        let mut call = UnaryCall {
+            connection,
+            address,
+            path,
+            request: request.encode_to_vec(),
+            stream: None,
+            response: Gather::default(),
+        };
+        if is_connected {
+            call.open(&mut self.engine);
+        }
+        let mut events = Vec::new();
+        while self.now() < deadline {
+            self.wait_for_events(deadline, &mut events)?;
+            for event in events.drain(..) {
+                match call.on_event(&mut self.engine, event) {
+                    CallState::Open => {}
+                    CallState::ConnectionLost => {
+                        self.connection = None;
+                        return Ok(None);
+                    }
+                    CallState::Failed => return Ok(None),
+                    CallState::Answered(body) => return Ok(R::decode(&body[..]).ok()),
+                }
+            }
+        }
+        Ok(None)
+    }
+}
+
+fn whole_seconds(span: TimeDelta) -> u64 {
+    span.as_millis() / 1_000
+}
+
+/// One unary call on a connection.
+struct UnaryCall<'a> {
+    connection: ConnId,
+    address: SocketAddr,
+    path: &'a str,
+    request: Vec<u8>,
+    stream: Option<StreamId>,
+    response: Gather,
+}
+
+/// How far a call has come.
+enum CallState {
+    Open,
+    Answered(Vec<u8>),
+    Failed,
+    ConnectionLost,
+}
+
+impl UnaryCall<'_> {
+    fn open(&mut self, engine: &mut Engine) {
+        let head = grpc::request(&self.address.to_string(), self.path);
+        self.stream = head.and_then(|head| engine.open(self.connection, head, false));
+        if let Some(stream) = self.stream {
+            engine.send(stream, grpc::frame(&self.request));
+            engine.finish(stream, None);
+        }
+    }
+
+    fn is_own(&self, stream: StreamId) -> bool {
+        self.stream == Some(stream)
+    }
+
+    fn on_event(&mut self, engine: &mut Engine, event: Event) -> CallState {
+        match event {
+            Event::Connected { conn } if conn == self.connection => {
+                self.open(engine);
+                CallState::Open
+            }
+            Event::Closed { conn, .. } if conn == self.connection => CallState::ConnectionLost,
+            Event::Data { stream, data } if self.is_own(stream) => {
+                engine.consume(stream, data.len());
+                match self.response.push(&data, MAX_STATE_BYTES) {
+                    Ok(()) => CallState::Open,
+                    Err(_) => CallState::Failed,
+                }
+            }
+            Event::End { stream, trailers } if self.is_own(stream) => {
+                let status = trailers.as_ref().and_then(Code::read);
+                match self.response.message() {
+                    Some(body) if status == Some(Code::Ok) => CallState::Answered(body.to_vec()),
+                    _ => CallState::Failed,
+                }
+            }
+            Event::Broken { stream, .. }
+            | Event::Head {
+                stream,
+                ended: true,
+                ..
+            } if self.is_own(stream) => CallState::Failed,
+            _ => CallState::Open,
+        }
+    }
+}
--- /dev/null
+++ b/crates/coordinator/src/log.rs
@@ -0,0 +1,108 @@
+//! A replica's log on its disk: a record before anything is said, and a snapshot once the log has grown.
+
+use crate::storage::PersistedState;
+use chalkdeck_wal::disk::Disk;
+use chalkdeck_wal::held::{Held, Identity};
+use chalkdeck_wal::log::{self, Failed, Log, OpenError, Opened};
+use chalkdeck_wal::snapshot;
+use std::io;
+
+/// Bytes of log after which a snapshot is written, unless [`ReplicaLog::set_snapshot_threshold`] says otherwise.
+const DEFAULT_SNAPSHOT_THRESHOLD: usize = 8 << 20;
+
+/// The log of one replica.
+pub struct ReplicaLog<D: Disk> {
+    disk: D,
+    log: Log<D>,
+    bytes_since_snapshot: usize,
+    snapshot_threshold: usize,
+}
+
+/// A log that was opened, and what it held.
+pub struct OpenedLog<D: Disk> {
+    /// The log, ready for the next record.
+    pub log: ReplicaLog<D>,
+    /// The state that it replayed to.
+    pub state: PersistedState,
+    /// The position of the next record.
+    pub position: u64,
+    /// The identity of the disk, and the number of starts on it.
+    pub identity: Identity,
+}
+
+/// Why a record is not on the disk. The replica must say nothing of that turn, and must stop.
+#[derive(Debug, thiserror::Error, miette::Diagnostic)]
+pub enum LogError {
+    /// The record was not written.
+    #[error("log: {0}")]
+    #[diagnostic(
+        code(chalkdeck::keeper::log),
+        help("see the disk's room and health; the others go on as long as a majority of them is up; start this replica again")
+    )]
+    Record(#[from] Failed),
+    /// The snapshot was not written.
+    #[error("snapshot: {0}")]
+    #[diagnostic(
+        code(chalkdeck::keeper::snapshot),
+        help("see the disk's room: the log goes on growing until a snapshot can be made")
+    )]
+    Snapshot(#[from] io::Error),
+}
+
+impl<D: Disk> ReplicaLog<D> {
+    /// Opens the log in a folder. `incarnation`: the identity of a disk that holds nothing yet.
+    ///
+    /// # Errors
+    /// The disk, or damage of what it holds.
+    pub fn open(disk: D, incarnation: u64) -> Result<OpenedLog<D>, OpenError> {
+        let opened: Opened<D, PersistedState> = Log::open(disk.clone(), &(), incarnation)?;
+        let state = opened.held;
+        let position = state.position();
+        let identity = opened.log.identity;
+        let log = ReplicaLog {
+            disk,
+            log: opened.log,
+            bytes_since_snapshot: 0,
+            snapshot_threshold: DEFAULT_SNAPSHOT_THRESHOLD,
+        };
+        Ok(OpenedLog {
+            log,
+            state,
+            position,
+            identity,
+        })
+    }
+
+    /// Has snapshots written after so many bytes of log.
+    pub fn set_snapshot_threshold(&mut self, bytes: usize) {
+        self.snapshot_threshold = bytes;
+    }
+
+    /// Writes a record; once this returns it outlasts a crash.
+    ///
+    /// # Errors
+    /// The disk. Whether the record outlasts a crash is then not known.
+    pub fn write(&mut self, record: &[u8]) -> Result<(), LogError> {
+        self.log.append(record)?;
+        self.log.sync()?;
+        self.bytes_since_snapshot += record.len();
+        Ok(())
+    }
+
+    /// Whether a snapshot is to be written.
+    pub fn needs_snapshot(&self) -> bool {
+        self.bytes_since_snapshot >= self.snapshot_threshold
+    }
+
+    /// Writes a snapshot of the present state, and removes the records before it.
+    ///
+    /// # Errors
+    /// The disk; what was written before is whole.
+    pub fn write_snapshot(&mut self, state: &PersistedState) -> Result<(), LogError> {
+        self.log.roll(state.position())?;
+        snapshot::write(&self.disk, state, self.log.identity)?;
+        log::trim(&self.disk)?;
+        self.bytes_since_snapshot = 0;
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/coordinator/src/pending_work.rs
@@ -0,0 +1,24 @@
+//! Work that waits for the leaders of the built-in elections.
+
+use crate::protocol::WatchEvent;
+
+/// Which work waits; told to gateways with each watch event.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct PendingWork {
+    /// Proposals wait for the registrar.
+    pub proposals: bool,
+    /// Hits of gateways that are gone wait to be folded into the totals.
+    pub unfolded_hits: bool,
+    /// Site overrides wait to be published.
+    pub unpublished_overrides: bool,
+}
+
+impl From<&WatchEvent> for PendingWork {
+    fn from(event: &WatchEvent) -> PendingWork {
+        PendingWork {
+            proposals: event.proposals,
+            unfolded_hits: event.unfolded,
+            unpublished_overrides: event.unpublished,
+        }
+    }
+}
--- /dev/null
+++ b/crates/coordinator/src/registrar/contract_version.rs
@@ -0,0 +1,95 @@
+//! A contract as the checker takes it.
+
+use crate::protocol::wire;
+use chalkdeck_contract::{Effect, Group, Promise, Version, VersionError};
+use std::collections::BTreeMap;
+use wire::promise::{Effect as WireEffect, Group as WireGroup};
+
+/// Why a contract is not sound by itself.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
+pub enum ContractError {
+    /// A promise without an effect.
+    #[error("promises: {0}: effect: expected SAFE, KEYED or UNSAFE")]
+    #[diagnostic(
+        code(chalkdeck::contract::effect),
+        help("say whether a call may be repeated: as it is, under a key, or not at all")
+    )]
+    Effect(String),
+    /// Figures that cannot be.
+    #[error("promises: {0}: expected units and a deadline above 0, and an aim within it")]
+    #[diagnostic(
+        code(chalkdeck::contract::figures),
+        help("take them from the class and route that the method has in the gateways' settings")
+    )]
+    Figures(String),
+    /// Two promises of one method.
+    #[error("promises: {0}: expected once")]
+    #[diagnostic(code(chalkdeck::contract::twice), help("one promise for each method"))]
+    Twice(String),
+    /// See [`VersionError`].
+    #[error(transparent)]
+    #[diagnostic(transparent)]
+    Version(#[from] VersionError),
+}
+
+/// A contract as the checker takes it.
+///
+/// # Errors
+/// See [`ContractError`].
+pub fn contract_version(contract: &wire::Contract) -> Result<Version, ContractError> {
+    let mut promises = BTreeMap::new();
+    for promise in &contract.promises {
+        let method = promise.method.clone();
+        let replaced = promises.insert(method, promise_from_wire(promise)?);
+        if replaced.is_some() {
+            return Err(ContractError::Twice(promise.method.clone()));
+        }
+    }
+    Ok(Version::read(
+        &contract.version,
+        &contract.service,
+        &contract.descriptors,
+        promises,
+    )?)
+}
+
+fn promise_from_wire(promise: &wire::Promise) -> Result<Promise, ContractError> {
+    let effect = effect_from_wire(promise)?;
+    check_figures(promise)?;
+    Ok(Promise {
+        effect,
+        group: match promise.group() {
+            WireGroup::All => Group::All,
+            WireGroup::Zone => Group::Zone,
+            WireGroup::Cell | WireGroup::Unspecified => Group::Cell,
+        },
+        window_ms: promise.window_ms,
+        aim_ms: if promise.aim_ms == 0 {
+            promise.deadline_ms
+        } else {
+            promise.aim_ms
+        },
+        deadline_ms: promise.deadline_ms,
+        units: promise.units,
+        worth: promise.worth,
+    })
+}
+
+fn effect_from_wire(promise: &wire::Promise) -> Result<Effect, ContractError> {
+    match promise.effect() {
+        WireEffect::Safe => Ok(Effect::Safe),
+        WireEffect::Keyed => Ok(Effect::Keyed),
+        WireEffect::Unsafe => Ok(Effect::Unsafe),
+        WireEffect::Unspecified => Err(ContractError::Effect(promise.method.clone())),
+    }
+}
+
+fn check_figures(promise: &wire::Promise) -> Result<(), ContractError> {
+    let has_units = promise.units.is_finite() && promise.units > 0.0;
+    let has_worth = promise.worth.is_finite() && promise.worth >= 0.0;
+    let has_times = promise.deadline_ms > 0 && promise.aim_ms <= promise.deadline_ms;
+    if has_units && has_worth && has_times {
+        return Ok(());
+    }
+    Err(ContractError::Figures(promise.method.clone()))
+}
--- /dev/null
+++ b/crates/coordinator/src/replica/maintenance.rs
@@ -0,0 +1,90 @@
+//! Timed work: the agreed time, sessions that expire, and elections that are rebalanced. All but the first is the leader's.
+
+use super::pending::Requester;
+use super::Replica;
+use crate::protocol::{wire, CommandKind};
+use crate::state::{HIT_TOTALS, PROTOCOL_VERSION, REGISTRAR, SITE_OVERRIDES};
+use chalkdeck_time::TimeDelta;
+
+/// How often the leader does its maintenance, and moves the agreed time on.
+const MAINTENANCE_INTERVAL: TimeDelta = TimeDelta::from_millis(500);
+/// The most by which the agreed time moves on at once.
+const MAX_TIME_STEP: TimeDelta = TimeDelta::from_millis(1_000);
+
+impl Replica {
+    pub(super) fn run_maintenance(&mut self) {
+        if !self.is_configured() {
+            return;
+        }
+        self.announce_version();
+        if !self.is_leader() || self.now < self.maintained_at + MAINTENANCE_INTERVAL {
+            return;
+        }
+        let elapsed = self.now - self.maintained_at;
+        self.maintained_at = self.now;
+        self.advance_agreed_time(elapsed);
+        self.create_missing_elections();
+        self.expire_sessions();
+        self.rebalance_elections();
+    }
+
+    /// Says once in each configuration which commands this replica knows.
+    fn announce_version(&mut self) {
+        if self.has_announced_version {
+            return;
+        }
+        self.has_announced_version = true;
+        let announcement = wire::Speaks {
+            pid: self.own_id().0,
+            speaks: PROTOCOL_VERSION,
+            epoch: self.settings.epoch,
+            cluster: self.settings.incarnation,
+        };
+        self.propose_own(CommandKind::Speaks(announcement));
+    }
+
+    /// `elapsed`: since this replica last did so; a new leader counts from its own last maintenance, so the step is bounded.
+    fn advance_agreed_time(&mut self, elapsed: TimeDelta) {
+        let step = elapsed.min(MAX_TIME_STEP);
+        let time_ms = self.state.time_ms + step.as_millis();
+        self.propose_own(CommandKind::Tick(wire::Tick { time_ms }));
+    }
+
+    fn create_missing_elections(&mut self) {
+        let built_in = [REGISTRAR, HIT_TOTALS, SITE_OVERRIDES].map(String::from);
+        let wanted = built_in
+            .into_iter()
+            .chain(self.settings.elections.iter().cloned());
+        let missing: Vec<String> = wanted
+            .filter(|name| !self.state.elections().any(|e| e.name == *name))
+            .collect();
+        for duty in missing {
+            self.propose_own(CommandKind::Ensure(wire::Ensure { duty }));
+        }
+    }
+
+    fn expire_sessions(&mut self) {
+        for expired in self.failure_detector.expired(self.now) {
+            if self.state.session(expired.session).is_none() {
+                self.failure_detector.forget(expired.session);
+                continue;
+            }
+            let expiry = wire::Lapse {
+                session: expired.session.0,
+                renewed: expired.log_index,
+            };
+            self.propose_own(CommandKind::Lapse(expiry));
+        }
+    }
+
+    fn rebalance_elections(&mut self) {
+        let min_interval_ms = self.settings.min_move_interval_ms;
+        if let Some(next_move) = self.state.next_move(min_interval_ms) {
+            self.propose_own(CommandKind::Move(next_move));
+        }
+    }
+
+    fn propose_own(&mut self, kind: CommandKind) {
+        self.propose(kind, Requester::Replica);
+    }
+}
--- /dev/null
+++ b/crates/coordinator/src/replica/peer_link/tests.rs
@@ -0,0 +1,62 @@
+//! Tests of `peer_link`.
+
+use super::*;
+
+fn message(link: &mut PeerLink, body: u8) -> PeerMessage {
+    let mut message = PeerMessage {
+        body: vec![body],
+        ..PeerMessage::default()
+    };
+    link.number(7, &mut message);
+    message
+}
+
+fn after(span: TimeDelta) -> Timestamp {
+    Timestamp::ZERO + span
+}
+
+#[test]
+fn reordered_and_repeated_messages_are_delivered_in_order_and_once() {
+    let mut sender = PeerLink::default();
+    let mut receiver = PeerLink::default();
+    let messages: Vec<PeerMessage> = (0..5).map(|body| message(&mut sender, body)).collect();
+    let mut delivered = Vec::new();
+    for place in [0, 0, 2, 3, 2, 1, 4, 1] {
+        let delivery = receiver.receive(messages[place].clone(), Timestamp::ZERO);
+        delivered.extend(delivery.bodies);
+    }
+    assert_eq!(delivered, [[0], [1], [2], [3], [4]]);
+    assert_eq!(receiver.overdue_run(after(TimeDelta::from_secs(1))), None);
+}
+
+#[test]
+fn a_missing_message_ends_the_run_on_both_sides() {
+    let mut sender = PeerLink::default();
+    let mut receiver = PeerLink::default();
+    let messages: Vec<PeerMessage> = (0..4).map(|body| message(&mut sender, body)).collect();
+    let run = messages[0].run;
+    let start = Timestamp::ZERO;
+    assert!(receiver.receive(messages[0].clone(), start).is_new_run);
+    assert!(receiver
+        .receive(messages[2].clone(), start)
+        .bodies
+        .is_empty());
+    let just_before = after(MAX_GAP - TimeDelta::from_micros(1));
+    assert_eq!(
+        (
+            receiver.overdue_run(just_before),
+            receiver.overdue_run(after(MAX_GAP))
+        ),
+        (None, Some(run))
+    );
+    assert!(sender.reset(run) && !sender.reset(run), "once");
+    let first = message(&mut sender, 9);
+    let delivery = receiver.receive(first, after(MAX_GAP));
+    assert!(delivery.is_new_run && delivery.bodies == [[9]]);
+    // A late message of the old run has no place; a run whose beginning is not known is asked for anew.
+    let late = receiver.receive(messages[1].clone(), after(MAX_GAP));
+    assert_eq!(late.run_to_reset, Some(run));
+    let mut fresh = PeerLink::default();
+    let without_beginning = fresh.receive(messages[3].clone(), start);
+    assert_eq!(without_beginning.run_to_reset, Some(run));
+}
--- /dev/null
+++ b/crates/coordinator/src/server/error.rs
@@ -0,0 +1,63 @@
+//! Why a replica does not start, or stops.
+
+use crate::consensus::ConsensusError;
+use crate::log::LogError;
+use chalkdeck_wal::log::OpenError;
+use std::io;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+/// Why a replica does not start, or stops.
+#[derive(Debug, thiserror::Error, miette::Diagnostic)]
+pub enum ServerError {
+    /// The system gives no poll handle, or the event loop failed.
+    #[error("poll: {0}")]
+    #[diagnostic(
+        code(chalkdeck::keeper::poll),
+        help("see the limit of descriptors (ulimit -n)")
+    )]
+    Poll(io::Error),
+    /// An address cannot be listened at.
+    #[error("cannot listen at {address}: {source}")]
+    #[diagnostic(
+        code(chalkdeck::keeper::listen),
+        help(
+            "see whether another process listens there, and whether the address is this machine's"
+        )
+    )]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// The folder cannot be created.
+    #[error("folder {}: {source}", folder.display())]
+    #[diagnostic(code(chalkdeck::keeper::folder), help("see its path, room and rights"))]
+    Folder {
+        /// Its path.
+        folder: PathBuf,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// The log in the folder cannot be read back.
+    #[error("folder {}: {source}", folder.display())]
+    #[diagnostic(
+        code(chalkdeck::keeper::damage),
+        help("move the folder away and start with an empty one, without --first: this replica comes back as a new member")
+    )]
+    Damaged {
+        /// Its path.
+        folder: PathBuf,
+        /// What is wrong there.
+        source: OpenError,
+    },
+    /// See [`ConsensusError`].
+    #[error(transparent)]
+    #[diagnostic(transparent)]
+    Consensus(#[from] ConsensusError),
+    /// See [`LogError`].
+    #[error(transparent)]
+    #[diagnostic(transparent)]
+    Log(#[from] LogError),
+}
--- /dev/null
+++ b/crates/coordinator/src/server/mod.rs
@@ -0,0 +1,368 @@
+//! One replica on sockets: commands, reads and sessions in, and messages of the consensus both ways. What a turn sends leaves after
+//! its record is on the disk. It decides nothing.
+
+mod error;
+mod incoming;
+mod metrics;
+mod peers;
+
+pub use error::ServerError;
+
+use crate::ids::RequesterId;
+use crate::log::{OpenedLog, ReplicaLog};
+use crate::replica::{Output, Replica, ReplicaSettings, StartMode};
+use crate::settings::Settings;
+use chalkdeck_net::clock::incarnation;
+use chalkdeck_net::grpc::{self, Code};
+use chalkdeck_net::signals::Signals;
+use chalkdeck_net::{ConnId, Engine, Event, Limits, ListenerId, StreamId};
+use chalkdeck_time::{TimeDelta, Timestamp};
+use chalkdeck_wal::disk::Folder;
+use incoming::{IncomingMessage, IncomingStream, Malformed, Method};
+use peers::PeerConnections;
+use prost::Message;
+use rustc_hash::FxHashMap;
+use std::net::SocketAddr;
+
+/// Path of the method that submits a command.
+pub const SUBMIT_PATH: &str = "/chalkdeck.keeper.v1.Keeper/Tell";
+/// Path of the method that reads the state.
+pub const READ_PATH: &str = "/chalkdeck.keeper.v1.Keeper/Look";
+/// Path of the method of gateways' sessions.
+pub const SESSION_PATH: &str = "/chalkdeck.keeper.v1.Keeper/Session";
+/// Path of the method of messages between replicas.
+pub const PEER_PATH: &str = "/chalkdeck.keeper.v1.Keeper/Peer";
+
+/// The longest message of another replica: it may hold the whole state.
+pub(crate) const MAX_STATE_BYTES: usize = 512 << 20;
+/// Bytes that may wait for a gateway that does not read; its stream is reset then.
+const MAX_UNREAD_BYTES: usize = 64 << 20;
+/// A connection is pinged this often, and lost when a ping is not answered by the next.
+const KEEPALIVE_INTERVAL: TimeDelta = TimeDelta::from_millis(1_000);
+/// The longest wait for events in one turn.
+const MAX_TURN_WAIT: TimeDelta = TimeDelta::from_millis(50);
+/// Token of the timer of ticks.
+const TICK_TIMER: u64 = 1;
+/// The least bytes of log between two snapshots, and how many times the configuration's own state that is at least.
+const MIN_SNAPSHOT_BYTES: usize = 16 << 20;
+const SNAPSHOT_TO_STATE_RATIO: usize = 2;
+
+/// Limits of a replica's connections.
+pub fn connection_limits() -> Limits {
+    Limits {
+        streams: 4_096,
+        stream_window: 1 << 20,
+        connection_window: 64 << 20,
+        keepalive: KEEPALIVE_INTERVAL.as_micros(),
+        ..Limits::default()
+    }
+}
+
+/// The server of one replica.
+pub struct ReplicaServer {
+    engine: Engine,
+    listener: ListenerId,
+    listen: SocketAddr,
+    admin: Option<SocketAddr>,
+    replica: Replica,
+    log: ReplicaLog<Folder>,
+    incoming: FxHashMap<StreamId, IncomingStream>,
+    peers: PeerConnections,
+    tick_interval: TimeDelta,
+    record_count: u64,
+}
+
+impl ReplicaServer {
+    /// Reads the folder back and binds the ports.
+    ///
+    /// # Errors
+    /// See [`ServerError`].
+    pub fn start(settings: &Settings, start_mode: StartMode) -> Result<ReplicaServer, ServerError> {
+        let mut engine = Engine::new().map_err(ServerError::Poll)?;
+        let incarnation = incarnation(engine.now());
+        let opened = open_log(settings, incarnation)?;
+        let replica = Replica::new(
+            replica_settings(settings, &opened, incarnation),
+            opened.state,
+            opened.position,
+            start_mode,
+            Timestamp::from_micros(engine.now()),
+        )?;
+        let (listener, listen) = bind(&mut engine, settings.listen, Protocol::Http2)?;
+        let admin = match settings.admin {
+            Some(address) => Some(bind(&mut engine, address, Protocol::Http1)?.1),
+            None => None,
+        };
+        engine.timer(engine.now(), TICK_TIMER);
+        Ok(ReplicaServer {
+            engine,
+            listener,
+            listen,
+            admin,
+            replica,
+            log: opened.log,
+            incoming: FxHashMap::default(),
+            peers: PeerConnections::new(&settings.replicas, settings.slot),
+            tick_interval: settings.tick_interval,
+            record_count: 0,
+        })
+    }
+
+    /// Where it listens for gRPC.
+    pub fn listen(&self) -> SocketAddr {
+        self.listen
+    }
+
+    /// Where it listens for health checks and metrics.
+    pub fn admin(&self) -> Option<SocketAddr> {
+        self.admin
+    }
+
+    /// Serves until it is asked to stop.
+    ///
+    /// # Errors
+    /// The disk, or the event loop; nothing was sent that is not on the disk.
+    pub fn run(mut self, signals: &Signals) -> Result<(), ServerError> {
+        let mut events = Vec::new();
+        self.end_turn()?;
+        while !signals.stop() {
+            self.engine
+                .turn(MAX_TURN_WAIT.as_micros(), &mut events)
+                .map_err(ServerError::Poll)?;
+            let now = Timestamp::from_micros(self.engine.now());
+            self.replica.advance_clock(now);
+            for event in events.drain(..) {
+                self.on_event(event);
+            }
+            self.end_turn()?;
+        }
+        self.engine.drain(self.listener);
+        self.engine.turn(0, &mut events).map_err(ServerError::Poll)
+    }
+
+    /// Writes the record of a turn, then sends its outputs.
+    fn end_turn(&mut self) -> Result<(), ServerError> {
+        if let Some(record) = self.replica.end_turn() {
+            self.log.write(&record)?;
+            self.record_count += 1;
+            if self.log.needs_snapshot() {
+                self.log.write_snapshot(&self.replica.persisted_state())?;
+            }
+        }
+        for output in self.replica.take_outputs() {
+            self.send(output);
+        }
+        Ok(())
+    }
+
+    fn send(&mut self, output: Output) {
+        match output {
+            Output::Peer(slot, message) => self.peers.send(&mut self.engine, slot, &message),
+            Output::ReadMembers(slot, request) => {
+                self.peers.read(&mut self.engine, slot, &request);
+            }
+            Output::CommandResponse(requester, response) => self.respond(requester, &response),
+            Output::ReadResponse(requester, response) => {
+                self.respond(requester, response.as_ref());
+            }
+            Output::Session(requester, message) => self.send_in_session(requester, &*message),
+        }
+    }
+
+    /// Sends the one response of a unary call.
+    fn respond(&mut self, requester: RequesterId, message: &impl Message) {
+        let stream = StreamId(requester.0);
+        if self.incoming.remove(&stream).is_none() {
+            return;
+        }
+        self.engine.respond(stream, grpc::head(), false);
+        self.engine
+            .send(stream, grpc::frame(&message.encode_to_vec()));
+        self.engine
+            .finish(stream, Some(grpc::trailers(Code::Ok, "")));
+    }
+
+    fn send_in_session(&mut self, requester: RequesterId, message: &impl Message) {
+        let stream = StreamId(requester.0);
+        if self.engine.queued(stream) > MAX_UNREAD_BYTES {
+            self.incoming_closed(stream);
+            self.engine.reset(stream, h2::Reason::ENHANCE_YOUR_CALM);
+            return;
+        }
+        self.engine
+            .send(stream, grpc::frame(&message.encode_to_vec()));
+    }
+
+    fn on_event(&mut self, event: Event) {
+        match event {
+            Event::Timer(TICK_TIMER) => self.on_tick(),
+            Event::Opened { stream, head, .. } => self.on_opened(stream, head.uri.path()),
+            Event::Data { stream, data } => {
+                self.engine.consume(stream, data.len());
+                self.on_data(stream, &data);
+            }
+            Event::End { stream, .. } => self.on_end(stream),
+            Event::Broken { stream, .. } => {
+                self.incoming_closed(stream);
+                self.peers.stream_closed(stream);
+            }
+            Event::Connected { conn } => self.peers.connected(conn),
+            Event::Closed { conn, .. } => self.peers.closed(&self.engine, conn),
+            Event::Get { conn, path } => self.on_get(conn, &path),
+            _ => {}
+        }
+    }
+
+    fn on_tick(&mut self) {
+        self.replica.tick();
+        let next = Timestamp::from_micros(self.engine.now()) + self.tick_interval;
+        self.engine.timer(next.as_micros(), TICK_TIMER);
+        self.peers.tick(&mut self.engine);
+    }
+
+    fn on_opened(&mut self, stream: StreamId, path: &str) {
+        let Some(method) = Method::of_path(path) else {
+            let trailers = grpc::trailers(Code::Unimplemented, &format!("no method {path}"));
+            let head = grpc::trailers_only(trailers);
+            return self.engine.respond(stream, head, true);
+        };
+        if method.is_streaming() {
+            self.engine.respond(stream, grpc::head(), false);
+        }
+        self.incoming.insert(stream, IncomingStream::new(method));
+    }
+
+    /// The other side sends nothing more.
+    fn on_end(&mut self, stream: StreamId) {
+        let incoming = self.incoming.get(&stream);
+        if incoming.is_some_and(|incoming| incoming.method.is_streaming()) {
+            self.engine
+                .finish(stream, Some(grpc::trailers(Code::Ok, "")));
+            self.incoming_closed(stream);
+        }
+        self.peers.stream_closed(stream);
+    }
+
+    fn incoming_closed(&mut self, stream: StreamId) {
+        let incoming = self.incoming.remove(&stream);
+        if incoming.is_some_and(|incoming| incoming.method == Method::Session) {
+            self.replica.stream_closed(RequesterId(stream.0));
+        }
+    }
+
+    fn on_data(&mut self, stream: StreamId, data: &[u8]) {
+        if let Some(response) = self.peers.receive(stream, data) {
+            return self.replica.receive_members(&response);
+        }
+        if let Some(incoming) = self.incoming.get_mut(&stream) {
+            incoming.push(data);
+        }
+        // A message may close its stream.
+        while let Some(incoming) = self.incoming.get_mut(&stream) {
+            match incoming.next_message() {
+                Ok(Some(message)) => self.on_message(RequesterId(stream.0), message),
+                Ok(None) => return,
+                Err(Malformed) => return self.on_malformed(stream),
+            }
+        }
+    }
+
+    fn on_message(&mut self, requester: RequesterId, message: IncomingMessage) {
+        match message {
+            IncomingMessage::Submit(command) => self.replica.submit(requester, command),
+            IncomingMessage::Read(request) => self.replica.read(requester, &request),
+            IncomingMessage::Session(message) => {
+                self.replica.receive_from_gateway(requester, message);
+            }
+            IncomingMessage::Peer(message) => self.replica.receive_from_peer(&message),
+        }
+    }
+
+    fn on_malformed(&mut self, stream: StreamId) {
+        let trailers = grpc::trailers(Code::InvalidArgument, "expected a message of this method");
+        let incoming = self.incoming.get(&stream);
+        if incoming.is_some_and(|incoming| !incoming.method.is_streaming()) {
+            let head = grpc::trailers_only(trailers);
+            self.engine.respond(stream, head, true);
+        } else {
+            self.engine.finish(stream, Some(trailers));
+        }
+        self.incoming_closed(stream);
+    }
+
+    fn on_get(&mut self, conn: ConnId, path: &str) {
+        match path {
+            "/healthz" if self.replica.has_quorum() => self.engine.reply(conn, 200, "ok\n"),
+            "/healthz" => self.engine.reply(
+                conn,
+                503,
+                "nothing is agreed on: no majority, or no place\n",
+            ),
+            "/metrics" => {
+                let text = metrics::render(&self.replica, self.record_count);
+                self.engine.reply(conn, 200, &text);
+            }
+            _ => self
+                .engine
+                .reply(conn, 404, "expected /healthz or /metrics\n"),
+        }
+    }
+}
+
+/// What is spoken at a listener.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Protocol {
+    Http1,
+    Http2,
+}
+
+fn bind(
+    engine: &mut Engine,
+    address: SocketAddr,
+    protocol: Protocol,
+) -> Result<(ListenerId, SocketAddr), ServerError> {
+    let is_http1 = protocol == Protocol::Http1;
+    engine
+        .listen(address, connection_limits(), false, is_http1)
+        .map_err(|source| ServerError::Listen { address, source })
+}
+
+fn open_log(settings: &Settings, incarnation: u64) -> Result<OpenedLog<Folder>, ServerError> {
+    let folder = Folder::open(&settings.folder).map_err(|source| ServerError::Folder {
+        folder: settings.folder.clone(),
+        source,
+    })?;
+    let mut opened =
+        ReplicaLog::open(folder, incarnation).map_err(|source| ServerError::Damaged {
+            folder: settings.folder.clone(),
+            source,
+        })?;
+    let state_bytes = opened.state.configuration.base.len();
+    let threshold = state_bytes.max(MIN_SNAPSHOT_BYTES) * SNAPSHOT_TO_STATE_RATIO;
+    opened.log.set_snapshot_threshold(threshold);
+    Ok(opened)
+}
+
+fn replica_settings(
+    settings: &Settings,
+    opened: &OpenedLog<Folder>,
+    incarnation: u64,
+) -> ReplicaSettings {
+    // A replica without a configuration is known by its disk, so that it asks for the same place after a restart.
+    let has_configuration = opened.state.configuration.number > 0;
+    ReplicaSettings {
+        slot: settings.slot,
+        replica_count: settings.replicas.len() as u32,
+        terms: settings.terms,
+        min_move_interval_ms: settings.min_move_interval_ms,
+        unused_after_ms: settings.unused_after_ms,
+        max_log_entries: settings.max_log_entries,
+        elections: settings.elections.clone(),
+        incarnation: if has_configuration {
+            incarnation
+        } else {
+            opened.identity.incarnation
+        },
+        epoch: opened.identity.epoch,
+    }
+}
--- /dev/null
+++ b/crates/coordinator/src/server/peers.rs
@@ -0,0 +1,200 @@
+//! Connections to the other replicas: one each, established when there is something to send.
+
+use super::{connection_limits, MAX_STATE_BYTES, PEER_PATH, READ_PATH};
+use crate::ids::Slot;
+use crate::protocol::{PeerMessage, ReadRequest, ReadResponse};
+use chalkdeck_net::grpc;
+use chalkdeck_net::unary::Gather;
+use chalkdeck_net::{ConnId, Engine, StreamId};
+use chalkdeck_time::{TimeDelta, Timestamp};
+use prost::Message;
+use rustc_hash::FxHashMap;
+use std::net::SocketAddr;
+
+/// Time between two attempts to connect.
+const RECONNECT_DELAY: TimeDelta = TimeDelta::from_millis(100);
+/// A connection that is not established by then is given up.
+const CONNECT_TIMEOUT: TimeDelta = TimeDelta::from_millis(2_000);
+/// Bytes that may wait for a replica that does not read; its connection is closed then.
+const MAX_UNREAD_BYTES: usize = 1 << 30;
+/// Reads that are under way, for each replica.
+const MAX_READS_PER_REPLICA: usize = 8;
+
+/// The connection to one replica.
+struct PeerConnection {
+    address: SocketAddr,
+    connection: Option<ConnId>,
+    is_established: bool,
+    stream: Option<StreamId>,
+    /// No attempt to connect is made before.
+    connect_at: Timestamp,
+    /// When an attempt is given up.
+    give_up_at: Timestamp,
+}
+
+impl PeerConnection {
+    fn new(address: SocketAddr) -> PeerConnection {
+        PeerConnection {
+            address,
+            connection: None,
+            is_established: false,
+            stream: None,
+            connect_at: Timestamp::ZERO,
+            give_up_at: Timestamp::ZERO,
+        }
+    }
+
+    /// The connection if it is established; if there is none it is begun.
+    fn established(&mut self, engine: &mut Engine) -> Option<ConnId> {
+        let now = Timestamp::from_micros(engine.now());
+        if self.connection.is_none() && now >= self.connect_at {
+            self.connection = engine.connect(self.address, connection_limits()).ok();
+            self.connect_at = now + RECONNECT_DELAY;
+            self.give_up_at = now + CONNECT_TIMEOUT;
+        }
+        self.connection.filter(|_| self.is_established)
+    }
+
+    /// The stream of messages, opened unless it is open.
+    fn stream(&mut self, engine: &mut Engine, connection: ConnId) -> Option<StreamId> {
+        if self.stream.is_none_or(|stream| !engine.is_open(stream)) {
+            self.stream = open_stream(engine, connection, self.address, PEER_PATH);
+        }
+        self.stream
+    }
+
+    fn lost(&mut self, now: Timestamp) {
+        let address = self.address;
+        *self = PeerConnection {
+            connect_at: now + RECONNECT_DELAY,
+            ..PeerConnection::new(address)
+        };
+    }
+}
+
+fn open_stream(
+    engine: &mut Engine,
+    connection: ConnId,
+    address: SocketAddr,
+    path: &str,
+) -> Option<StreamId> {
+    let head = grpc::request(&address.to_string(), path)?;
+    engine.open(connection, head, false)
+}
+
+/// Connections to all other replicas.
+pub(super) struct PeerConnections {
+    own: Slot,
+    /// By place in the list of addresses; the replica's own is not used.
+    peers: Vec<PeerConnection>,
+    /// Reads under way, by their streams.
+    reads: FxHashMap<StreamId, Gather>,
+}
+
+impl PeerConnections {
+    pub(super) fn new(addresses: &[SocketAddr], own: Slot) -> PeerConnections {
+        PeerConnections {
+            own,
+            peers: addresses.iter().copied().map(PeerConnection::new).collect(),
+            reads: FxHashMap::default(),
+        }
+    }
+
+    /// The connection to another replica; `None`: it is this one's own slot, or no slot.
+    fn peer(&mut self, slot: Slot) -> Option<&mut PeerConnection> {
+        if slot == self.own {
+            return None;
+        }
+        self.peers.get_mut(slot.index())
+    }
+
+    /// Sends a message, or drops it where there is no connection: the consensus core repeats what it needs.
+    pub(super) fn send(&mut self, engine: &mut Engine, slot: Slot, message: &PeerMessage) {
+        let Some(peer) = self.peer(slot) else {
+            return;
+        };
+        let Some(connection) = peer.established(engine) else {
+            return;
+        };
+        let Some(stream) = peer.stream(engine, connection) else {
+            return;
+        };
+        if engine.queued(stream) > MAX_UNREAD_BYTES {
+            engine.close(connection);
+            peer.lost(Timestamp::from_micros(engine.now()));
+            return;
+        }
+        engine.send(stream, grpc::frame(&message.encode_to_vec()));
+    }
+
+    /// Reads the configuration that a replica is in, or drops the read.
+    pub(super) fn read(&mut self, engine: &mut Engine, slot: Slot, request: &ReadRequest) {
+        let Some(peer) = self.peer(slot) else {
+            return;
+        };
+        let address = peer.address;
+        let Some(connection) = peer.established(engine) else {
+            return;
+        };
+        self.reads.retain(|stream, _| engine.is_open(*stream));
+        if self.reads.len() >= MAX_READS_PER_REPLICA * self.peers.len() {
+            return;
+        }
+        let Some(stream) = open_stream(engine, connection, address, READ_PATH) else {
+            return;
+        };
+        engine.send(stream, grpc::frame(&request.encode_to_vec()));
+        engine.finish(stream, None);
+        self.reads.insert(stream, Gather::default());
+    }
+
+    /// Gives up connections that are not established in time.
+    pub(super) fn tick(&mut self, engine: &mut Engine) {
+        let now = Timestamp::from_micros(engine.now());
+        for peer in &mut self.peers {
+            let is_late = !peer.is_established && now >= peer.give_up_at;
+            if let Some(connection) = peer.connection.filter(|_| is_late) {
+                engine.close(connection);
+                peer.lost(now);
+            }
+        }
+    }
+
+    pub(super) fn connected(&mut self, connection: ConnId) {
+        for peer in &mut self.peers {
+            if peer.connection == Some(connection) {
+                peer.is_established = true;
+            }
+        }
+    }
+
+    pub(super) fn closed(&mut self, engine: &Engine, connection: ConnId) {
+        let now = Timestamp::from_micros(engine.now());
+        let mut peers = self.peers.iter_mut();
+        if let Some(peer) = peers.find(|peer| peer.connection == Some(connection)) {
+            peer.lost(now);
+        }
+    }
+
+    pub(super) fn stream_closed(&mut self, stream: StreamId) {
+        self.reads.remove(&stream);
+        for peer in &mut self.peers {
+            if peer.stream == Some(stream) {
+                peer.stream = None;
+            }
+        }
+    }
+
+    /// Takes bytes in; the response to a read, once it is whole.
+    pub(super) fn receive(&mut self, stream: StreamId, data: &[u8]) -> Option<ReadResponse> {
+        let gather = self.reads.get_mut(&stream)?;
+        let is_sound = gather.push(data, MAX_STATE_BYTES).is_ok();
+        let response = gather
+            .message()
+            .and_then(|body| ReadResponse::decode(&body[..]).ok());
+        if !is_sound || response.is_some() {
+            self.reads.remove(&stream);
+        }
+        response
+    }
+}
--- /dev/null
+++ b/crates/coordinator/src/session/requests.rs
@@ -0,0 +1,76 @@
+//! Commands and reports of a gateway that are not answered yet. They are sent again over each new connection.
+
+use crate::ids::CommandNumber;
+use crate::protocol::{wire, CommandKind};
+use chalkdeck_leader_election::SessionId;
+use std::collections::BTreeMap;
+
+/// Requests under way.
+#[derive(Debug, Default)]
+pub(super) struct PendingRequests {
+    last_command: CommandNumber,
+    commands: BTreeMap<CommandNumber, wire::Command>,
+    last_report: u64,
+    report: Option<wire::Report>,
+}
+
+impl PendingRequests {
+    /// A command under the next number. `state_version`: what its sender has seen of the state.
+    pub(super) fn add_command(
+        &mut self,
+        caller: u64,
+        state_version: u64,
+        kind: CommandKind,
+    ) -> wire::Command {
+        self.last_command.0 += 1;
+        let command = wire::Command {
+            caller,
+            number: self.last_command.0,
+            begun: state_version,
+            what: Some(kind),
+            ..wire::Command::default()
+        };
+        self.commands.insert(self.last_command, command.clone());
+        command
+    }
+
+    pub(super) fn command_answered(&mut self, number: CommandNumber) {
+        self.commands.remove(&number);
+    }
+
+    pub(super) fn commands(&self) -> impl ExactSizeIterator<Item = &wire::Command> {
+        self.commands.values()
+    }
+
+    /// A report under the next number.
+    pub(super) fn add_report(&mut self, session: SessionId, report: wire::Report) -> wire::Report {
+        self.last_report += 1;
+        let report = wire::Report {
+            session: session.0,
+            number: self.last_report,
+            ..report
+        };
+        self.report = Some(report.clone());
+        report
+    }
+
+    /// The report that is not acknowledged, as one of this session.
+    pub(super) fn report_for(&mut self, session: SessionId) -> Option<wire::Report> {
+        let report = self.report.as_mut()?;
+        report.session = session.0;
+        Some(report.clone())
+    }
+
+    pub(super) fn has_report(&self) -> bool {
+        self.report.is_some()
+    }
+
+    /// Whether this acknowledges the report under way, which is then over.
+    pub(super) fn acknowledge_report(&mut self, number: u64) -> bool {
+        let acknowledged = self.report.as_ref().is_some_and(|r| r.number == number);
+        if acknowledged {
+            self.report = None;
+        }
+        acknowledged
+    }
+}
--- a/crates/coordinator/src/settings.rs
+++ b/crates/coordinator/src/settings.rs
@@ -1,15 +1,31 @@
-//! A keeper's settings from protobuf text.
+//! A replica's settings, read from protobuf text.
 
+use crate::consensus::is_valid_replica_count;
+use crate::ids::Slot;
 use chalkdeck_leader_election::LeaseTerms;
 use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
 use chalkdeck_proto::text;
 use chalkdeck_time::TimeDelta;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 
+/// The message that the text is the form of.
 const MESSAGE: &str = "chalkdeck.keeper.v1.Settings";
 
-/// Settings that cannot be used.
+const DEFAULT_LEASE_MS: u64 = 6_000;
+const DEFAULT_DRIFT_PPM: u32 = 10_000;
+const DEFAULT_TICK_MS: u64 = 20;
+const DEFAULT_MIN_MOVE_INTERVAL_MS: u64 = 30_000;
+/// 30 days.
+const DEFAULT_UNUSED_AFTER_MS: u64 = 30 * 24 * 3_600_000;
+const DEFAULT_MAX_LOG_ENTRIES: u64 = 10_000;
+const LEASE_MS: RangeInclusive<u64> = 200..=600_000;
+const MAX_DRIFT_PPM: u32 = 100_000;
+/// Within a lease the consensus has to elect a leader, and to decide some renewals.
+const MIN_TICKS_PER_LEASE: u64 = 20;
+
+/// Why settings cannot be used.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
 pub enum SettingsError {
     /// The file cannot be read.
@@ -24,7 +40,7 @@
         /// What the system says.
         why: String,
     },
-    /// Not the text form of a keeper's settings.
+    /// Not the text form of a replica's settings.
     #[error("{file}:{line}: {what}")]
     #[diagnostic(
         code(chalkdeck::keeper::settings_form),
@@ -42,7 +58,7 @@
     #[error("{file}: {field}: expected {expected}, found {found}")]
     #[diagnostic(
         code(chalkdeck::keeper::settings_value),
-        help("docs/keeper.md has each field's meaning and bounds")
+        help("docs/coordinator.md has each field's meaning and bounds")
     )]
     Value {
         /// Its path.
@@ -56,54 +72,105 @@
     },
 }
 
-/// All settings of a keeper.
+/// All settings of a replica.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Its place among the keepers, from 1.
-    pub slot: u32,
-    /// For gRPC.
+    /// Its place among the replicas.
+    pub slot: Slot,
+    /// Where it listens for gRPC.
     pub listen: SocketAddr,
-    /// For health and metrics.
+    /// Where it listens for health checks and metrics.
     pub admin: Option<SocketAddr>,
-    /// All keepers by slot.
-    pub keepers: Vec<SocketAddr>,
+    /// Addresses of all replicas, by slot.
+    pub replicas: Vec<SocketAddr>,
     /// Where its log is kept.
     pub folder: PathBuf,
-    /// Sessions' terms.
+    /// Terms of the sessions' leases.
     pub terms: LeaseTerms,
-    /// In milliseconds.
-    pub move_ms: u64,
-    /// In milliseconds of the agreed time.
-    pub dead_after_ms: u64,
-    /// The agreement's clock, in microseconds.
-    pub tick: u64,
+    /// See [`crate::replica::ReplicaSettings::min_move_interval_ms`].
+    pub min_move_interval_ms: u64,
+    /// See [`crate::replica::ReplicaSettings::unused_after_ms`].
+    pub unused_after_ms: u64,
+    /// Time between ticks of the consensus.
+    pub tick_interval: TimeDelta,
     /// Entries after which the log begins anew.
-    pub snapshot_entries: usize,
-    /// Duties beside the built-in ones.
-    pub duties: Vec<String>,
+    pub max_log_entries: usize,
+    /// Elections beside the built-in ones.
+    pub elections: Vec<String>,
 }
 
 impl Settings {
-    /// Reads a file. Errors name it, and the line or the field with what was expected.
+    /// Reads a file.
+    ///
+    /// # Errors
+    /// They name the file, and the line or the field with what was expected.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let file = path.display().to_string();
-        let source = std::fs::read_to_string(path).map_err(|e| SettingsError::File {
+        let source = std::fs::read_to_string(path).map_err(|error| SettingsError::File {
             file: file.clone(),
-            why: e.to_string(),
+            why: error.to_string(),
         })?;
         Settings::parse(&source, &file, path.parent().unwrap_or(Path::new(".")))
     }
 
     /// The same from text; the folder is relative to `base`.
+    ///
+    /// # Errors
+    /// See [`Settings::load`].
     pub fn parse(source: &str, file: &str, base: &Path) -> Result<Settings, SettingsError> {
         let wire: wire::Settings =
-            text::parse(MESSAGE, source).map_err(|e| SettingsError::Form {
+            text::parse(MESSAGE, source).map_err(|error| SettingsError::Form {
                 file: file.into(),
-                line: e.line,
-                what: e.what,
+                line: error.line,
+                what: error.what,
             })?;
-        let wrong = |field, expected, found: String| SettingsError::Value {
-            file: file.into(),
+        let checker = Checker { file, wire: &wire };
+        let replicas = checker.replicas()?;
+        let slot = checker.slot(replicas.len())?;
+        let folder = checker.folder()?;
+        let terms = checker.terms()?;
+        Ok(Settings {
+            slot,
+            tick_interval: checker.tick_interval(terms.lease)?,
+            listen: checker.listen(replicas[slot.index()])?,
+            admin: checker.admin()?,
+            replicas,
+            folder: base.join(folder),
+            terms,
+            min_move_interval_ms: or_default(u64::from(wire.move_ms), DEFAULT_MIN_MOVE_INTERVAL_MS),
+            unused_after_ms: or_default(wire.dead_after_ms, DEFAULT_UNUSED_AFTER_MS),
+            max_log_entries: or_default(u64::from(wire.snapshot_entries), DEFAULT_MAX_LOG_ENTRIES)
+                as usize,
+            elections: wire.duties,
+        })
+    }
+}
+
+/// A field that is not set reads as 0.
+fn or_default(value: u64, default: u64) -> u64 {
+    if value == 0 {
+        default
+    } else {
+        value
+    }
+}
+
+/// Checks of the fields' values.
+struct Checker<'a> {
+    file: &'a str,
+    wire: &'a wire::Settings,
+}
+
+impl Checker<'_> {
+    fn error(
+        &self,
+        field: &'static str,
+        expected: &'static str,
+        found: &dyn ToString,
+    ) -> SettingsError {
+        let found = found.to_string();
+        SettingsError::Value {
+            file: self.file.into(),
             field,
             expected,
             found: if found.is_empty() {
@@ -111,83 +178,81 @@
             } else {
                 found
             },
-        };
-        let address = |field, text: &str| {
-            text.parse::<SocketAddr>()
-                .map_err(|_| wrong(field, "ip:port", text.to_string()))
-        };
-        let keepers = wire
-            .keepers
-            .iter()
-            .map(|k| address("keepers", k))
-            .collect::<Result<Vec<SocketAddr>, _>>()?;
-        if !matches!(keepers.len(), 1 | 3 | 5) {
-            return Err(wrong(
-                "keepers",
-                "one, three or five addresses",
-                keepers.len().to_string(),
-            ));
         }
-        let place = wire.slot as usize;
-        if place == 0 || place > keepers.len() {
-            return Err(wrong(
-                "slot",
-                "a place among the keepers, from 1",
-                wire.slot.to_string(),
-            ));
+    }
+
+    fn address(&self, field: &'static str, text: &str) -> Result<SocketAddr, SettingsError> {
+        text.parse()
+            .map_err(|_| self.error(field, "ip:port", &text))
+    }
+
+    fn replicas(&self) -> Result<Vec<SocketAddr>, SettingsError> {
+        let mut replicas = Vec::new();
+        for text in &self.wire.keepers {
+            replicas.push(self.address("keepers", text)?);
         }
-        if wire.folder.is_empty() {
-            return Err(wrong("folder", "where the log is kept", String::new()));
+        if !is_valid_replica_count(replicas.len()) {
+            return Err(self.error("keepers", "one, three or five addresses", &replicas.len()));
         }
-        let drift = if wire.drift_ppm == 0 {
-            10_000
-        } else {
-            wire.drift_ppm
+        Ok(replicas)
+    }
+
+    fn slot(&self, replica_count: usize) -> Result<Slot, SettingsError> {
+        Slot::checked(self.wire.slot, replica_count)
+            .ok_or_else(|| self.error("slot", "a place among the keepers, from 1", &self.wire.slot))
+    }
+
+    fn folder(&self) -> Result<&str, SettingsError> {
+        if self.wire.folder.is_empty() {
+            return Err(self.error("folder", "where the log is kept", &""));
+        }
+        Ok(&self.wire.folder)
+    }
+
+    fn terms(&self) -> Result<LeaseTerms, SettingsError> {
+        let drift_ppm = match self.wire.drift_ppm {
+            0 => DEFAULT_DRIFT_PPM,
+            drift_ppm => drift_ppm,
         };
-        if drift > 100_000 {
-            return Err(wrong("drift_ppm", "at most 100000", drift.to_string()));
+        if drift_ppm > MAX_DRIFT_PPM {
+            return Err(self.error("drift_ppm", "at most 100000", &drift_ppm));
         }
-        let or = |value: u64, default: u64| if value == 0 { default } else { value };
-        let lease = or(u64::from(wire.lease_ms), 6_000) * 1_000;
-        if !(200_000..=600_000_000).contains(&lease) {
-            return Err(wrong(
-                "lease_ms",
-                "200 to 600000",
-                wire.lease_ms.to_string(),
-            ));
+        let lease_ms = or_default(u64::from(self.wire.lease_ms), DEFAULT_LEASE_MS);
+        if !LEASE_MS.contains(&lease_ms) {
+            return Err(self.error("lease_ms", "200 to 600000", &self.wire.lease_ms));
         }
-        let tick = or(u64::from(wire.tick_ms), 20) * 1_000;
-        if tick * 20 > lease {
-            return Err(wrong(
+        Ok(LeaseTerms {
+            lease: TimeDelta::from_millis(lease_ms),
+            drift_ppm,
+        })
+    }
+
+    fn tick_interval(&self, lease: TimeDelta) -> Result<TimeDelta, SettingsError> {
+        let tick_ms = or_default(u64::from(self.wire.tick_ms), DEFAULT_TICK_MS);
+        let tick = TimeDelta::from_millis(tick_ms);
+        if tick * MIN_TICKS_PER_LEASE > lease {
+            return Err(self.error(
                 "tick_ms",
                 "at most a twentieth of lease_ms",
-                wire.tick_ms.to_string(),
+                &self.wire.tick_ms,
             ));
         }
-        let listen = if wire.listen.is_empty() {
-            keepers[place - 1]
-        } else {
-            address("listen", &wire.listen)?
-        };
-        let admin = (!wire.admin.is_empty())
-            .then(|| address("admin", &wire.admin))
-            .transpose()?;
-        Ok(Settings {
-            slot: wire.slot,
-            listen,
-            admin,
-            keepers,
-            folder: base.join(&wire.folder),
-            terms: LeaseTerms {
-                lease: TimeDelta::from_micros(lease),
-                drift_ppm: drift,
-            },
-            move_ms: or(u64::from(wire.move_ms), 30_000),
-            dead_after_ms: or(wire.dead_after_ms, 30 * 24 * 3_600_000),
-            tick,
-            snapshot_entries: or(u64::from(wire.snapshot_entries), 10_000) as usize,
-            duties: wire.duties,
-        })
+        Ok(tick)
+    }
+
+    /// `own`: the address of the replica's slot.
+    fn listen(&self, own: SocketAddr) -> Result<SocketAddr, SettingsError> {
+        if self.wire.listen.is_empty() {
+            return Ok(own);
+        }
+        self.address("listen", &self.wire.listen)
+    }
+
+    fn admin(&self) -> Result<Option<SocketAddr>, SettingsError> {
+        if self.wire.admin.is_empty() {
+            return Ok(None);
+        }
+        self.address("admin", &self.wire.admin).map(Some)
     }
 }
 
--- a/crates/coordinator/src/settings/tests.rs
+++ b/crates/coordinator/src/settings/tests.rs
@@ -3,17 +3,17 @@
 use super::*;
 
 #[test]
-fn errors_name_the_line_or_the_field() {
+fn invalid_settings_are_rejected_with_the_line_or_the_field() {
     let parse = |text: &str| Settings::parse(text, "keeper.txtpb", Path::new("/x"));
     let sound = "slot: 2 keepers: ['127.0.0.1:1', '127.0.0.1:2', '127.0.0.1:3'] folder: 'log'";
-    let set = parse(sound).expect("sound");
+    let settings = parse(sound).expect("sound");
     assert_eq!(
-        (set.listen.port(), set.folder.as_path()),
+        (settings.listen.port(), settings.folder.as_path()),
         (2, Path::new("/x/log"))
     );
     assert_eq!(
-        (set.terms.lease, set.tick),
-        (TimeDelta::from_secs(6), 20_000)
+        (settings.terms.lease, settings.tick_interval),
+        (TimeDelta::from_secs(6), TimeDelta::from_millis(20))
     );
     for (text, named) in [
         ("slot: 1\nkeeprs: 'x'", "keeper.txtpb:2:"),
--- a/crates/coordinator/src/state/mod.rs
+++ b/crates/coordinator/src/state/mod.rs
@@ -1,233 +1,181 @@
-//! What the keepers hold together, free of I/O and clocks: the same commands in the same order give the same state and the
-//! same answers. A command that arrives again under its caller and number counts once and hears the same answer.
+//! The replicated state, free of I/O and clocks: the same commands in the same order give the same state and the same responses.
+//! A command that is repeated under its caller and number is applied once and gets the same response.
 
-mod callers;
 mod contracts;
-mod duties;
-mod looks;
+mod deduplication;
+mod elections;
+mod membership;
+mod proposals;
+mod reads;
+mod reports;
 mod rules;
 mod sessions;
+mod site_overrides;
 mod snapshot;
+mod version_use;
+mod watch;
 
-pub use callers::MOST_CALLERS;
-pub use contracts::{MOST_SERVICES, MOST_VERSIONS};
-pub use duties::{MOST_DUTIES, REGISTRAR, SITE_WORDS, TALLY};
-pub use looks::Terms;
-pub use rules::{set_of, wrong_in};
-pub use sessions::MOST_SESSIONS;
-pub use snapshot::Broken;
+pub use elections::{HIT_TOTALS, REGISTRAR, SITE_OVERRIDES};
+pub use rules::{rule_set_error, rule_set_from_wire};
+pub use snapshot::SnapshotError;
 
-use callers::Callers;
+use crate::ids::{CommandNumber, ReplicaId};
+use crate::protocol::{
+    wire, AdmittedContract, CommandKind, CommandResponse, DepartedGateway, Election, ResponseCode,
+    SiteOverride,
+};
+use crate::session::ServiceVersion;
 use chalkdeck_access::{Recent, Totals};
 use chalkdeck_contract::Spoken;
-use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
+use chalkdeck_leader_election::SessionId;
+use deduplication::CallerRecords;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use wire::answer::Code;
-use wire::command::What;
 
 /// The newest commands that this program knows.
-pub const SPEAKS: u32 = 1;
-/// Sites with a word.
-const MOST_WORDS: usize = 64;
-/// How long one span of what came of late is, in milliseconds.
-const SPAN_MS: u64 = 120_000;
+pub const PROTOCOL_VERSION: u32 = 1;
+/// How long one span of recent calls is, in milliseconds of the agreed time.
+const RECENT_CALLS_SPAN_MS: u64 = 120_000;
 
-/// The shared state.
+/// The replicated state.
 #[derive(Clone, Debug, Default)]
-pub struct Shared {
-    /// Commands applied.
+pub struct ReplicatedState {
+    /// The number of commands that were applied: the index in the log of the last one.
     pub index: u64,
-    /// Grows with each change that is watched.
+    /// Grows with each change that sessions watch.
     pub version: u64,
-    /// The agreed time.
+    /// The agreed time, in milliseconds.
     pub time_ms: u64,
-    next_session: u64,
-    next_proposal: u64,
-    sessions: BTreeMap<u64, wire::Session>,
-    duties: BTreeMap<String, wire::Duty>,
+    /// Which fleet's state this is.
+    pub cluster: u64,
+    /// The number of the configuration.
+    pub configuration: u32,
+    members: BTreeMap<ReplicaId, wire::Member>,
+    last_session: SessionId,
+    sessions: BTreeMap<SessionId, wire::Session>,
+    /// Gateways whose sessions have expired and that are not back.
+    departed: BTreeMap<String, DepartedGateway>,
+    elections: BTreeMap<String, Election>,
+    /// Rule sets by customer.
     rules: BTreeMap<String, wire::CustomerRules>,
+    /// Rules in all sets.
     rule_count: usize,
-    departed: BTreeMap<String, wire::Departed>,
-    admitted: BTreeMap<(String, String), wire::Admitted>,
-    spoken: BTreeMap<String, Spoken>,
+    /// The latest removals of rule sets, with the versions of the state that they came with.
+    removed_rules: VecDeque<wire::Removed>,
+    /// Removals up to this version of the state are no longer remembered.
+    removed_before: u64,
+    contracts: BTreeMap<ServiceVersion, AdmittedContract>,
+    /// Contract versions in use, by service.
+    versions_in_use: BTreeMap<String, Spoken>,
+    /// Grows with everything that a judgement of a proposal rests on.
+    contract_revision: u64,
+    last_proposal: u64,
     proposals: BTreeMap<u64, wire::Proposal>,
     verdicts: BTreeMap<u64, wire::Verdict>,
-    words: BTreeMap<String, wire::SiteWord>,
+    site_overrides: BTreeMap<String, SiteOverride>,
+    /// Hits of rules, by customer.
     hits: BTreeMap<String, Totals>,
-    /// Incarnations whose sessions are over and whose hits are not folded yet.
-    ended: BTreeSet<u64>,
-    recents: BTreeMap<String, Recent>,
-    span_ms: u64,
-    callers: Callers,
-    removed: VecDeque<(String, u64)>,
-    /// Removals up to this version are no longer remembered.
-    removed_before: u64,
-    /// Grows with everything that a check of a proposal rests on.
-    speakers: u64,
-    /// Which fleet's state this is.
-    pub cluster: u64,
-    /// The configuration's number, and its keepers.
-    pub configuration: u32,
-    members: BTreeMap<u64, wire::Member>,
+    /// Incarnations of gateways that are over and whose hits are not folded yet.
+    ended_incarnations: BTreeSet<u64>,
+    /// Recent calls by customer, and the agreed time at which their present span began.
+    recent_calls: BTreeMap<String, Recent>,
+    recent_span_start_ms: u64,
+    callers: CallerRecords,
 }
 
-/// An answer without more.
-fn done(version: u64) -> wire::Answer {
-    wire::Answer {
-        version,
-        ..wire::Answer::default()
-    }
+/// The response to a command that was applied and has nothing more to say.
+fn done() -> CommandResponse {
+    CommandResponse::default()
 }
 
-fn refuse(code: Code, why: impl Into<String>) -> wire::Answer {
-    wire::Answer {
+/// The response to a command that changed nothing.
+fn rejected(code: ResponseCode, reason: impl Into<String>) -> CommandResponse {
+    CommandResponse {
         code: code as i32,
-        why: why.into(),
-        ..wire::Answer::default()
+        why: reason.into(),
+        ..CommandResponse::default()
     }
 }
 
-impl Shared {
-    /// Applies the next command of the agreed log.
-    pub fn apply(&mut self, command: &wire::Command) -> wire::Answer {
+impl ReplicatedState {
+    /// Applies the next command of the log.
+    pub fn apply(&mut self, command: &wire::Command) -> CommandResponse {
         self.index += 1;
-        let (caller, number) = (command.caller, command.number);
-        if caller != 0 {
-            if let Some(answer) = self
-                .callers
-                .heard(caller, number, command.begun, self.index)
-            {
-                return answer;
-            }
+        // 0: a replica's own command, whose response nobody waits for twice.
+        if command.caller == 0 {
+            return self.apply_once(command);
         }
-        let mut answer = match &command.what {
-            Some(what) => self.change(what, caller),
-            None => refuse(Code::Unknown, "this keeper does not know the command"),
-        };
-        answer.version = self.version;
-        if caller != 0 {
-            self.callers.answered(caller, number, &answer, self.index);
+        let number = CommandNumber(command.number);
+        if let Some(response) = self
+            .callers
+            .known_response(command.caller, number, command.begun)
+        {
+            return response;
         }
-        answer
+        let response = self.apply_once(command);
+        self.callers
+            .record(command.caller, number, &response, self.index);
+        response
     }
 
-    fn change(&mut self, what: &What, caller: u64) -> wire::Answer {
-        match what {
-            What::Open(open) => self.open(open),
-            What::Renew(renew) => self.renew(renew),
-            What::Close(close) => self.close(close.session),
-            What::Lapse(lapse) => self.lapse(lapse),
-            What::Release(release) => self.release(release),
-            What::Move(of) => self.move_duty(of),
-            What::Tick(tick) => self.tick(tick.time_ms),
-            What::Ensure(ensure) => self.ensure(&ensure.duty),
-            What::Propose(propose) => self.propose(propose, caller),
-            What::Judge(judge) => self.judge(judge),
-            What::Retire(retire) => self.retire(retire),
-            What::Subscribe(subscribe) => self.subscribe(subscribe),
-            What::Report(report) => self.report(report),
-            What::Word(word) => self.word(word),
-            What::Publish(publish) => self.publish(publish),
-            What::Fold(fold) => self.fold(fold.token),
-            // The end of a configuration is the keepers' own matter, before it comes here.
-            What::Next(_) => done(0),
-            What::Speaks(speaks) => {
-                if self.cluster == 0 {
-                    self.cluster = speaks.cluster;
-                }
-                if let Some(member) = self.members.get_mut(&speaks.pid) {
-                    member.speaks = speaks.speaks;
-                    member.epoch = member.epoch.max(speaks.epoch);
-                }
-                done(0)
-            }
+    fn apply_once(&mut self, command: &wire::Command) -> CommandResponse {
+        let mut response = match &command.what {
+            Some(kind) => self.apply_kind(kind, command.caller),
+            None => rejected(
+                ResponseCode::Unknown,
+                "this keeper does not know the command",
+            ),
+        };
+        response.version = self.version;
+        response
+    }
+
+    fn apply_kind(&mut self, kind: &CommandKind, caller: u64) -> CommandResponse {
+        match kind {
+            CommandKind::Open(open) => self.open_session(open),
+            CommandKind::Renew(renew) => self.renew_sessions(renew),
+            CommandKind::Close(close) => self.close_session(SessionId(close.session)),
+            CommandKind::Lapse(expiry) => self.expire_session(expiry),
+            CommandKind::Release(release) => self.release_election(release),
+            CommandKind::Move(request) => self.request_move(request),
+            CommandKind::Tick(tick) => self.advance_time(tick.time_ms),
+            CommandKind::Ensure(ensure) => self.ensure_election(&ensure.duty),
+            CommandKind::Propose(propose) => self.add_proposal(propose, caller),
+            CommandKind::Judge(judgement) => self.judge_proposal(judgement),
+            CommandKind::Retire(retire) => self.retire_version(retire),
+            CommandKind::Subscribe(subscribe) => self.subscribe(subscribe),
+            CommandKind::Report(report) => self.take_report(report),
+            CommandKind::Word(request) => self.override_site(request),
+            CommandKind::Publish(publish) => self.publish_site_overrides(publish),
+            CommandKind::Fold(fold) => self.fold_hits(fold.token),
+            // The end of a configuration is handled by the replicas before it is applied.
+            CommandKind::Next(_) => done(),
+            CommandKind::Speaks(announcement) => self.announce_version(announcement),
         }
     }
 
-    /// The next version, for something that is watched.
-    fn bump(&mut self) -> u64 {
+    /// Takes the next version, for a change that sessions watch.
+    fn next_version(&mut self) -> u64 {
         self.version += 1;
         self.version
     }
 
-    /// The agreed time goes on; it never goes back.
-    fn tick(&mut self, time_ms: u64) -> wire::Answer {
+    /// Moves the agreed time on; it never goes back.
+    fn advance_time(&mut self, time_ms: u64) -> CommandResponse {
         self.time_ms = self.time_ms.max(time_ms);
-        if self.time_ms >= self.span_ms + SPAN_MS {
-            self.span_ms = self.time_ms;
-            self.recents.values_mut().for_each(Recent::next_span);
-            self.recents.retain(|_, r| !r.is_empty());
-            let customers: Vec<String> = self.rules.keys().cloned().collect();
-            customers.iter().for_each(|c| self.drop_if_empty(c));
-        }
-        done(0)
-    }
-
-    fn word(&mut self, word: &wire::Word) -> wire::Answer {
-        if !["hold", "drain", "let-back"].contains(&word.word.as_str()) {
-            return refuse(
-                Code::Refused,
-                format!(
-                    "word: expected hold, drain or let-back, found '{}'",
-                    word.word
-                ),
-            );
-        }
-        if word.site.is_empty()
-            || self.words.len() >= MOST_WORDS && !self.words.contains_key(&word.site)
-        {
-            return refuse(
-                Code::Full,
-                format!("expected a site's name, and at most {MOST_WORDS} sites with a word"),
-            );
+        if self.time_ms >= self.recent_span_start_ms + RECENT_CALLS_SPAN_MS {
+            self.begin_recent_span();
         }
-        let changed = self.bump();
-        let new = wire::SiteWord {
-            site: word.site.clone(),
-            word: word.word.clone(),
-            changed,
-            published: false,
-        };
-        self.words.insert(word.site.clone(), new);
-        done(0)
+        done()
     }
 
-    /// The holder of the site words lets what operators said reach the gateways.
-    fn publish(&mut self, publish: &wire::Publish) -> wire::Answer {
-        if let Err(stale) = self.held(SITE_WORDS, publish.token) {
-            return stale;
-        }
-        let waiting: Vec<String> = self
-            .words
-            .values()
-            .filter(|w| !w.published && w.changed <= publish.upto)
-            .map(|w| w.site.clone())
-            .collect();
-        for site in waiting {
-            let changed = self.bump();
-            self.words
-                .get_mut(&site)
-                .into_iter()
-                .for_each(|w| (w.published, w.changed) = (true, changed));
+    /// Forgets calls that are no longer recent, and rule sets that are no longer needed.
+    fn begin_recent_span(&mut self) {
+        self.recent_span_start_ms = self.time_ms;
+        self.recent_calls.values_mut().for_each(Recent::next_span);
+        self.recent_calls.retain(|_, recent| !recent.is_empty());
+        let customers: Vec<String> = self.rules.keys().cloned().collect();
+        for customer in &customers {
+            self.remove_if_needless(customer);
         }
-        done(0)
-    }
-
-    /// The keepers of a new configuration; told by the keeper that begins it, equally at each.
-    pub fn configured(&mut self, configuration: u32, members: Vec<wire::Member>) {
-        self.configuration = configuration;
-        self.members = members.into_iter().map(|m| (m.pid, m)).collect();
-    }
-    /// The keepers of this configuration.
-    pub fn members(&self) -> impl Iterator<Item = &wire::Member> {
-        self.members.values()
-    }
-    /// The newest commands that every keeper knows.
-    pub fn all_speak(&self) -> u32 {
-        self.members
-            .values()
-            .map(|m| m.speaks.max(1))
-            .min()
-            .unwrap_or(1)
     }
 }
--- /dev/null
+++ b/crates/coordinator/src/state/proposals.rs
@@ -0,0 +1,129 @@
+//! Proposals of contracts and rule sets, and their judgement by the registrar.
+
+use super::{done, rejected, rules, ReplicatedState, REGISTRAR};
+use crate::protocol::{wire, CommandResponse, ResponseCode};
+use wire::propose::What as ProposedKind;
+
+/// Proposals that wait for the registrar.
+const MAX_PROPOSALS: usize = 64;
+/// Verdicts that are remembered.
+const MAX_VERDICTS: usize = 512;
+/// Reasons in one verdict.
+const MAX_REASONS: usize = 100;
+
+impl ReplicatedState {
+    pub(super) fn add_proposal(&mut self, propose: &wire::Propose, caller: u64) -> CommandResponse {
+        if self.proposals.len() >= MAX_PROPOSALS {
+            let reason = format!("{MAX_PROPOSALS} proposals wait for the registrar");
+            return rejected(ResponseCode::Full, reason);
+        }
+        let kind = match self.check_proposed(propose.what.as_ref()) {
+            Ok(kind) => kind,
+            Err(rejection) => return rejection,
+        };
+        self.last_proposal += 1;
+        let proposal = wire::Proposal {
+            id: self.last_proposal,
+            what: Some(kind),
+            force: propose.force,
+            caller,
+        };
+        self.proposals.insert(proposal.id, proposal);
+        self.next_version();
+        CommandResponse {
+            id: self.last_proposal,
+            ..done()
+        }
+    }
+
+    /// Whether a proposal is sound by itself, and has room.
+    fn check_proposed(
+        &self,
+        proposed: Option<&ProposedKind>,
+    ) -> Result<wire::proposal::What, CommandResponse> {
+        match proposed {
+            Some(ProposedKind::Contract(contract)) => {
+                self.check_contract(contract)?;
+                Ok(wire::proposal::What::Contract(contract.clone()))
+            }
+            Some(ProposedKind::Rules(set)) => {
+                if let Some(error) = rules::rule_set_error(set) {
+                    return Err(rejected(ResponseCode::Refused, error));
+                }
+                self.check_room_for_rules(set)?;
+                Ok(wire::proposal::What::Rules(set.clone()))
+            }
+            None => Err(rejected(
+                ResponseCode::Refused,
+                "expected a contract or a set of rules",
+            )),
+        }
+    }
+
+    /// Takes the registrar's judgement. It must lead its election, and what the judgement rests on must not have changed since: of
+    /// two proposals that are sound alone and not together the second is judged again.
+    pub(super) fn judge_proposal(&mut self, judgement: &wire::Judge) -> CommandResponse {
+        if let Err(stale) = self.check_leader(REGISTRAR, judgement.token) {
+            return stale;
+        }
+        if judgement.admit && judgement.speakers != self.contract_revision {
+            return rejected(
+                ResponseCode::Changed,
+                "who speaks what, or what was admitted, has changed since it was looked at",
+            );
+        }
+        let Some(proposal) = self.proposals.remove(&judgement.proposal) else {
+            let reason = format!("no proposal {}", judgement.proposal);
+            return rejected(ResponseCode::Refused, reason);
+        };
+        let verdict = self.verdict_of(&proposal, judgement);
+        self.verdicts.insert(proposal.id, verdict);
+        if self.verdicts.len() > MAX_VERDICTS {
+            self.verdicts.pop_first();
+        }
+        done()
+    }
+
+    /// Carries a judgement out.
+    fn verdict_of(&mut self, proposal: &wire::Proposal, judgement: &wire::Judge) -> wire::Verdict {
+        let reasons = judgement.breaks.iter().take(MAX_REASONS);
+        let mut verdict = wire::Verdict {
+            proposal: proposal.id,
+            admitted: judgement.admit,
+            breaks: reasons.cloned().collect(),
+            judged_ms: self.time_ms,
+            ..wire::Verdict::default()
+        };
+        if judgement.admit {
+            if let Err(rejection) = self.admit(proposal, &mut verdict) {
+                verdict.admitted = false;
+                verdict.breaks = vec![rejection.why];
+            }
+        }
+        if verdict.changed == 0 {
+            verdict.changed = self.next_version();
+        }
+        verdict
+    }
+
+    fn admit(
+        &mut self,
+        proposal: &wire::Proposal,
+        verdict: &mut wire::Verdict,
+    ) -> Result<(), CommandResponse> {
+        match &proposal.what {
+            Some(wire::proposal::What::Contract(contract)) => {
+                verdict.changed = self.admit_contract(contract)?;
+            }
+            Some(wire::proposal::What::Rules(set)) => {
+                self.check_room_for_rules(set)?;
+                verdict.customer.clone_from(&set.customer);
+                let admitted = self.admit_rules(set);
+                verdict.set_version = admitted.set_version;
+                verdict.changed = admitted.changed;
+            }
+            None => {}
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/coordinator/src/state/reads.rs
@@ -0,0 +1,135 @@
+//! Reads of the state, for operators, tools and the leaders of elections.
+
+use super::{rules, ReplicatedState};
+use crate::protocol::{wire, ReadKind, ReadRequest, ReadResponse};
+use chalkdeck_access::WouldHit;
+use chalkdeck_contract::Spoken;
+
+impl ReplicatedState {
+    /// Answers a read. `unused_after_ms`: a version counts as unused after so long without a call.
+    pub fn read(&self, request: &ReadRequest, unused_after_ms: u64) -> ReadResponse {
+        let mut response = ReadResponse {
+            version: self.version,
+            time_ms: self.time_ms,
+            configuration: self.configuration,
+            members: self.members.values().copied().collect(),
+            dead_after_ms: unused_after_ms,
+            speakers: self.contract_revision,
+            ..ReadResponse::default()
+        };
+        match request.what() {
+            ReadKind::Status => self.read_status(&mut response),
+            ReadKind::Proposals => self.read_next_proposal(&mut response),
+            ReadKind::Verdict => self.read_verdict(request, &mut response),
+            ReadKind::Hits => response.hits = self.hit_lines(&request.customer),
+            ReadKind::Try => response.tried = request.set.as_ref().and_then(|s| self.try_rules(s)),
+            ReadKind::Spoken => response.spoken = self.read_versions_in_use(&request.service),
+            ReadKind::Rules => response.rules = self.read_rules(&request.customer),
+            ReadKind::Members => {}
+        }
+        response
+    }
+
+    fn read_status(&self, response: &mut ReadResponse) {
+        response.sessions = self.sessions.values().cloned().collect();
+        response.duties = self.elections.values().cloned().collect();
+        response.departed = self.departed.values().cloned().collect();
+        for (service, in_use) in &self.versions_in_use {
+            let returned = in_use.back().into_iter();
+            response
+                .back
+                .extend(returned.map(|version| format!("{service} {version}")));
+        }
+    }
+
+    /// The next proposal for the registrar, with what its judgement rests on.
+    fn read_next_proposal(&self, response: &mut ReadResponse) {
+        let Some(next) = self.proposals.values().next() else {
+            return;
+        };
+        response.proposals = vec![next.clone()];
+        match &next.what {
+            Some(wire::proposal::What::Contract(contract)) => {
+                let of_service = self
+                    .contracts
+                    .iter()
+                    .filter(|(key, _)| key.service == contract.service);
+                response.admitted = of_service.map(|(_, admitted)| admitted.clone()).collect();
+                response.spoken = self.read_versions_in_use(&contract.service);
+            }
+            Some(wire::proposal::What::Rules(set)) => response.tried = self.try_rules(set),
+            None => {}
+        }
+    }
+
+    fn read_verdict(&self, request: &ReadRequest, response: &mut ReadResponse) {
+        response.verdict = self.verdicts.get(&request.proposal).cloned();
+        let customer = response
+            .verdict
+            .as_ref()
+            .map_or(&request.customer, |verdict| &verdict.customer);
+        response.in_force = self.in_force(customer);
+        let proposal = self.proposals.get(&request.proposal).cloned();
+        response.proposals = proposal.into_iter().collect();
+    }
+
+    /// What a rule set would decide about its customer's recent calls; `None`: it cannot be read.
+    fn try_rules(&self, set: &wire::RuleSet) -> Option<wire::Tried> {
+        let rule_set = rules::rule_set_from_wire(set)?;
+        let recent = self.recent_calls.get(&set.customer);
+        let would_hit = recent.map(|recent| recent.try_set(&rule_set));
+        Some(tried_to_wire(&would_hit.unwrap_or_default()))
+    }
+
+    /// Versions in use; `service` empty: of all services.
+    fn read_versions_in_use(&self, service: &str) -> Vec<wire::SpokenVersion> {
+        let matching = self
+            .versions_in_use
+            .iter()
+            .filter(|(name, _)| service.is_empty() || *name == service);
+        matching
+            .flat_map(|(name, in_use)| versions_to_wire(name, in_use))
+            .collect()
+    }
+
+    /// Rule sets; `customer` empty: of all customers.
+    fn read_rules(&self, customer: &str) -> Vec<wire::RuleSet> {
+        let sets = self.rules.values().filter_map(|rules| rules.set.as_ref());
+        sets.filter(|set| customer.is_empty() || set.customer == customer)
+            .cloned()
+            .collect()
+    }
+}
+
+fn versions_to_wire(service: &str, in_use: &Spoken) -> Vec<wire::SpokenVersion> {
+    let use_to_wire = |(customer, version_use): (&String, &chalkdeck_contract::Use)| wire::Use {
+        customer: customer.clone(),
+        declared: version_use.declared,
+        calls: version_use.calls,
+        last_ms: version_use.last_ms.unwrap_or(0),
+        repeats_ms: version_use.repeats_ms.unwrap_or(0),
+    };
+    let versions = in_use.uses.iter();
+    versions
+        .map(|(version, uses)| wire::SpokenVersion {
+            service: service.to_string(),
+            version: version.clone(),
+            uses: uses.iter().map(use_to_wire).collect(),
+            retired_ms: in_use.retired.get(version).copied().unwrap_or(0),
+        })
+        .collect()
+}
+
+fn tried_to_wire(would_hit: &WouldHit) -> wire::Tried {
+    let line = |(rule, count): (&String, &u64)| wire::HitLine {
+        rule: rule.clone(),
+        count: *count,
+        ..wire::HitLine::default()
+    };
+    wire::Tried {
+        calls: would_hit.calls,
+        denied: would_hit.denied,
+        locks_out: would_hit.locks_out(),
+        by_rule: would_hit.by_rule.iter().map(line).collect(),
+    }
+}
--- /dev/null
+++ b/crates/coordinator/src/state/reports.rs
@@ -0,0 +1,100 @@
+//! Reports of gateways: hits of rules, recent calls and versions in use.
+
+use super::{done, rejected, ReplicatedState, HIT_TOTALS};
+use crate::protocol::{wire, CommandResponse, ResponseCode};
+use chalkdeck_access::Seen;
+use chalkdeck_leader_election::SessionId;
+
+/// Customers with hits, and customers with recent calls.
+const MAX_CUSTOMERS: usize = 20_000;
+/// Lines of folded hits of one customer.
+const MAX_FOLDED_LINES: usize = 20_002;
+
+impl ReplicatedState {
+    /// Takes a report. Hits are cumulative, so the larger count holds; all else counts once by the report's number.
+    pub(super) fn take_report(&mut self, report: &wire::Report) -> CommandResponse {
+        let Some(session) = self.sessions.get_mut(&SessionId(report.session)) else {
+            return rejected(ResponseCode::NoSession, "no such session");
+        };
+        let is_new = report.number > session.report;
+        session.report = session.report.max(report.number);
+        let incarnation = session.incarnation;
+        for line in &report.hits {
+            self.record_hits(incarnation, line);
+        }
+        if is_new {
+            for calls in &report.spoke {
+                self.record_version_use(calls);
+            }
+            for calls in &report.seen {
+                self.record_recent_calls(calls);
+            }
+        }
+        CommandResponse {
+            id: report.number,
+            ..done()
+        }
+    }
+
+    fn record_hits(&mut self, incarnation: u64, line: &wire::HitLine) {
+        if self.hits.len() >= MAX_CUSTOMERS && !self.hits.contains_key(&line.customer) {
+            return;
+        }
+        let totals = self.hits.entry(line.customer.clone()).or_default();
+        totals.tell(incarnation, line.version, &line.rule, line.count);
+    }
+
+    fn record_recent_calls(&mut self, calls: &wire::SeenKind) {
+        let is_known = self.recent_calls.contains_key(&calls.customer);
+        if self.recent_calls.len() >= MAX_CUSTOMERS && !is_known {
+            return;
+        }
+        let recent = self.recent_calls.entry(calls.customer.clone()).or_default();
+        recent.came(call_kind(calls), calls.count);
+    }
+
+    /// The election's leader folds the hits of incarnations that are over into the totals.
+    pub(super) fn fold_hits(&mut self, token: u64) -> CommandResponse {
+        if let Err(stale) = self.check_leader(HIT_TOTALS, token) {
+            return stale;
+        }
+        for incarnation in std::mem::take(&mut self.ended_incarnations) {
+            for totals in self.hits.values_mut() {
+                totals.fold(incarnation);
+            }
+        }
+        for totals in self.hits.values_mut() {
+            totals.bound(MAX_FOLDED_LINES);
+        }
+        done()
+    }
+
+    /// Hits of the fleet by customer, version and rule; `customer` empty: of all.
+    pub fn hit_lines(&self, customer: &str) -> Vec<wire::HitLine> {
+        let mut lines = Vec::new();
+        for (name, totals) in &self.hits {
+            if !customer.is_empty() && name != customer {
+                continue;
+            }
+            for ((version, rule), count) in totals.all() {
+                lines.push(wire::HitLine {
+                    customer: name.clone(),
+                    version,
+                    rule,
+                    count,
+                });
+            }
+        }
+        lines
+    }
+}
+
+/// What tells one kind of recent calls from another.
+pub(super) fn call_kind(calls: &wire::SeenKind) -> Seen {
+    Seen {
+        caller: calls.caller_region.clone(),
+        gateway: calls.gateway_region.clone(),
+        path: calls.path.clone(),
+        class: calls.class.clone(),
+    }
+}
--- a/crates/coordinator/src/state/rules.rs
+++ b/crates/coordinator/src/state/rules.rs
@@ -1,154 +1,175 @@
-//! Customers' access rules: admitted by the registrar, in force when every gateway that can act says so.
+//! Customers' access rules: admitted by the registrar, and in force once every gateway with a session goes by them.
 
-use super::{refuse, wire, Code, Shared};
+use super::{rejected, ReplicatedState};
+use crate::protocol::{wire, CommandResponse, ResponseCode};
 use chalkdeck_access::{Action, Rule, RuleSet, Stale, MOST_ALL, MOST_CUSTOMERS};
 use wire::access_rule::Action as WireAction;
 use wire::rule_set::Stale as WireStale;
 
 /// Versions of a set whose behaviour without a session is remembered.
-const HISTORY: usize = 16;
-/// Removals that are remembered, so that a gateway behind them hears changes alone.
-const REMOVED: usize = 1_024;
+const MAX_HISTORY: usize = 16;
+/// Removals that are remembered, so that a gateway that lags behind them needs only what has changed.
+const MAX_REMOVED: usize = 1_024;
 
-/// A set as the decisions take it; none: what it does or denies by default is not said.
-pub fn set_of(wire: &wire::RuleSet) -> Option<RuleSet> {
-    let action = |a: WireAction| match a {
-        WireAction::Allow => Some(Action::Allow),
-        WireAction::Deny => Some(Action::Deny),
-        WireAction::Unspecified => None,
-    };
-    let stale = match wire.stale() {
+/// A rule set as decisions take it; `None`: its default, its behaviour without a session or a rule's action is not given.
+pub fn rule_set_from_wire(set: &wire::RuleSet) -> Option<RuleSet> {
+    let stale = match set.stale() {
         WireStale::Keep => Stale::Keep,
         WireStale::Deny => Stale::Deny,
         WireStale::Unspecified => return None,
     };
-    let rule = |r: &wire::AccessRule| {
-        Some(Rule {
-            id: r.id.clone(),
-            action: action(r.action())?,
-            caller_regions: r.caller_regions.clone(),
-            gateway_regions: r.gateway_regions.clone(),
-            routes: r.routes.clone(),
-            classes: r.classes.clone(),
-        })
-    };
     Some(RuleSet {
-        customer: wire.customer.clone(),
-        version: wire.version,
-        default: action(wire.otherwise())?,
+        customer: set.customer.clone(),
+        version: set.version,
+        default: action_from_wire(set.otherwise())?,
         stale,
-        rules: wire.rules.iter().map(rule).collect::<Option<_>>()?,
+        rules: set
+            .rules
+            .iter()
+            .map(rule_from_wire)
+            .collect::<Option<_>>()?,
     })
 }
 
-/// What is wrong with a set, in one line.
-pub fn wrong_in(wire: &wire::RuleSet) -> Option<String> {
-    match set_of(wire) {
-        None => {
-            Some("otherwise, stale and each rule's action: expected one of each to be given".into())
-        }
-        Some(set) => set.check().err().map(|e| e.to_string()),
+fn rule_from_wire(rule: &wire::AccessRule) -> Option<Rule> {
+    Some(Rule {
+        id: rule.id.clone(),
+        action: action_from_wire(rule.action())?,
+        caller_regions: rule.caller_regions.clone(),
+        gateway_regions: rule.gateway_regions.clone(),
+        routes: rule.routes.clone(),
+        classes: rule.classes.clone(),
+    })
+}
+
+fn action_from_wire(action: WireAction) -> Option<Action> {
+    match action {
+        WireAction::Allow => Some(Action::Allow),
+        WireAction::Deny => Some(Action::Deny),
+        WireAction::Unspecified => None,
     }
 }
 
-impl Shared {
+/// What is wrong with a rule set, in one line; `None`: nothing.
+pub fn rule_set_error(set: &wire::RuleSet) -> Option<String> {
+    let Some(rule_set) = rule_set_from_wire(set) else {
+        return Some(
+            "otherwise, stale and each rule's action: expected one of each to be given".into(),
+        );
+    };
+    rule_set.check().err().map(|error| error.to_string())
+}
+
+/// The versions that a rule set was admitted with.
+pub(super) struct AdmittedRules {
+    /// The set's own version.
+    pub(super) set_version: u64,
+    /// The state's version.
+    pub(super) changed: u64,
+}
+
+impl ReplicatedState {
     /// Whether there is room for a set beside the others.
-    pub(super) fn has_room_for(&self, set: &wire::RuleSet) -> Result<(), wire::Answer> {
-        let before = self.rules.get(&set.customer).and_then(|c| c.set.as_ref());
-        let rules = self.rule_count - before.map_or(0, |s| s.rules.len()) + set.rules.len();
-        if rules > MOST_ALL {
-            return Err(refuse(
-                Code::Full,
-                format!("there would be {rules} rules, of {MOST_ALL} at most"),
-            ));
+    pub(super) fn check_room_for_rules(&self, set: &wire::RuleSet) -> Result<(), CommandResponse> {
+        let known = self.rules.get(&set.customer);
+        let before = known.and_then(|rules| rules.set.as_ref());
+        let replaced = before.map_or(0, |set| set.rules.len());
+        let rule_count = self.rule_count - replaced + set.rules.len();
+        if rule_count > MOST_ALL {
+            let reason = format!("there would be {rule_count} rules, of {MOST_ALL} at most");
+            return Err(rejected(ResponseCode::Full, reason));
         }
         if before.is_none() && self.rules.len() >= MOST_CUSTOMERS {
-            return Err(refuse(
-                Code::Full,
-                format!("{MOST_CUSTOMERS} customers have sets"),
-            ));
+            let reason = format!("{MOST_CUSTOMERS} customers have sets");
+            return Err(rejected(ResponseCode::Full, reason));
         }
         Ok(())
     }
 
-    /// Puts an admitted set in its customer's place; returns its version and the state's.
-    pub(super) fn put_rules(&mut self, set: &wire::RuleSet) -> (u64, u64) {
-        let changed = self.bump();
-        let entry = self.rules.entry(set.customer.clone()).or_default();
-        let before = entry.set.as_ref().map_or(0, |s| s.rules.len());
-        let version = entry.history.last().map_or(0, |h| h.version) + 1;
-        self.rule_count = self.rule_count - before + set.rules.len();
-        entry.set = Some(wire::RuleSet {
-            version,
+    /// Puts a set in its customer's place, under the next version.
+    pub(super) fn admit_rules(&mut self, set: &wire::RuleSet) -> AdmittedRules {
+        let changed = self.next_version();
+        let rules = self.rules.entry(set.customer.clone()).or_default();
+        let replaced = rules.set.as_ref().map_or(0, |set| set.rules.len());
+        let set_version = rules.history.last().map_or(0, |last| last.version) + 1;
+        self.rule_count = self.rule_count - replaced + set.rules.len();
+        rules.set = Some(wire::RuleSet {
+            version: set_version,
             ..set.clone()
         });
-        entry.changed = changed;
-        entry.history.push(wire::SetVersion {
-            version,
+        rules.changed = changed;
+        rules.history.push(wire::SetVersion {
+            version: set_version,
             stale: set.stale,
             changed,
         });
-        if entry.history.len() > HISTORY {
-            entry.history.remove(0);
+        if rules.history.len() > MAX_HISTORY {
+            rules.history.remove(0);
+        }
+        AdmittedRules {
+            set_version,
+            changed,
         }
-        (version, changed)
     }
 
-    /// How far a customer's set has come: in force once every session applies it, but for gateways that are cut off under an
-    /// earlier one that is kept when stale, which are named.
+    /// How far a customer's set is in force. It is once every session goes by it; departed gateways that may go by an earlier set
+    /// are named, as nothing is known of them.
     pub fn in_force(&self, customer: &str) -> Option<wire::InForce> {
         let rules = self.rules.get(customer)?;
-        let (set, changed) = (rules.set.as_ref()?, rules.changed);
-        let behind = self.sessions.values().filter(|s| s.applied < changed);
-        let missing: Vec<String> = behind.map(|s| s.gateway.clone()).collect();
-        // What a gateway that is cut off goes by: the last set that it said to apply.
-        let keeps = |applied: u64| {
-            let held = rules.history.iter().rev().find(|h| h.changed <= applied);
-            held.is_none_or(|h| h.stale() != WireStale::Deny)
-        };
-        let unknown = self
-            .departed
+        let set = rules.set.as_ref()?;
+        let behind = self
+            .sessions
             .values()
-            .filter(|d| d.applied < changed && keeps(d.applied));
-        let unknown = unknown.map(|d| d.gateway.clone()).collect();
+            .filter(|session| session.applied < rules.changed);
+        let missing: Vec<String> = behind.map(|session| session.gateway.clone()).collect();
+        let unknown = self.departed.values().filter(|departed| {
+            departed.applied < rules.changed && keeps_earlier_set(rules, departed.applied)
+        });
         Some(wire::InForce {
             in_force: missing.is_empty(),
+            unknown: unknown.map(|departed| departed.gateway.clone()).collect(),
             missing,
-            unknown,
             version: set.version,
         })
     }
 
-    /// A customer's set.
-    pub fn rules_of(&self, customer: &str) -> Option<&wire::RuleSet> {
-        self.rules.get(customer)?.set.as_ref()
-    }
-
-    /// A set without rules that allows everything takes a customer's place away.
-    pub(super) fn drop_if_empty(&mut self, customer: &str) {
-        let empty = |c: &wire::CustomerRules| {
-            c.set.as_ref().is_some_and(|s| {
-                s.rules.is_empty()
-                    && s.otherwise() == WireAction::Allow
-                    && s.stale() == WireStale::Keep
-            })
-        };
-        // In force first: until then gateways have to hear of it.
-        let over = self.rules.get(customer).is_some_and(empty)
-            && self
-                .in_force(customer)
-                .is_some_and(|f| f.in_force && f.unknown.is_empty());
-        if !over {
+    /// Removes a set that allows everything, as no set does. Only once it is in force: until then gateways have to hear of it.
+    pub(super) fn remove_if_needless(&mut self, customer: &str) {
+        let is_needless = self.rules.get(customer).is_some_and(allows_everything);
+        let is_everywhere = self
+            .in_force(customer)
+            .is_some_and(|state| state.in_force && state.unknown.is_empty());
+        if !is_needless || !is_everywhere {
             return;
         }
-        let changed = self.bump();
+        let changed = self.next_version();
         self.rules.remove(customer);
-        self.removed.push_back((customer.to_string(), changed));
-        while self.removed.len() > REMOVED {
-            self.removed_before = self
-                .removed
-                .pop_front()
-                .map_or(self.removed_before, |(_, at)| at);
+        self.removed_rules.push_back(wire::Removed {
+            customer: customer.to_string(),
+            changed,
+        });
+        while self.removed_rules.len() > MAX_REMOVED {
+            if let Some(oldest) = self.removed_rules.pop_front() {
+                self.removed_before = oldest.changed;
+            }
         }
     }
 }
+
+/// Whether a gateway without a session, which last acknowledged this version of the state, goes on by an earlier set.
+fn keeps_earlier_set(rules: &wire::CustomerRules, acknowledged: u64) -> bool {
+    let last = rules
+        .history
+        .iter()
+        .rev()
+        .find(|version| version.changed <= acknowledged);
+    last.is_none_or(|version| version.stale() != WireStale::Deny)
+}
+
+fn allows_everything(rules: &wire::CustomerRules) -> bool {
+    rules.set.as_ref().is_some_and(|set| {
+        set.rules.is_empty()
+            && set.otherwise() == WireAction::Allow
+            && set.stale() == WireStale::Keep
+    })
+}
--- /dev/null
+++ b/crates/coordinator/src/state/site_overrides.rs
@@ -0,0 +1,53 @@
+//! Operators' overrides of sites: taken at once, and published to the gateways by the leader of an election.
+
+use super::{done, rejected, ReplicatedState, SITE_OVERRIDES};
+use crate::protocol::{wire, CommandResponse, ResponseCode, SiteOverride};
+
+/// Sites with an override.
+const MAX_SITES: usize = 64;
+/// What an operator can ask for.
+const KINDS: [&str; 3] = ["hold", "drain", "let-back"];
+
+impl ReplicatedState {
+    pub(super) fn override_site(&mut self, request: &wire::Word) -> CommandResponse {
+        if !KINDS.contains(&request.word.as_str()) {
+            let reason = format!(
+                "word: expected hold, drain or let-back, found '{}'",
+                request.word
+            );
+            return rejected(ResponseCode::Refused, reason);
+        }
+        let is_known = self.site_overrides.contains_key(&request.site);
+        let is_full = self.site_overrides.len() >= MAX_SITES && !is_known;
+        if request.site.is_empty() || is_full {
+            let reason =
+                format!("expected a site's name, and at most {MAX_SITES} sites with a word");
+            return rejected(ResponseCode::Full, reason);
+        }
+        let site_override = SiteOverride {
+            site: request.site.clone(),
+            word: request.word.clone(),
+            changed: self.next_version(),
+            published: false,
+        };
+        self.site_overrides
+            .insert(request.site.clone(), site_override);
+        done()
+    }
+
+    /// The election's leader publishes overrides up to a version of the state.
+    pub(super) fn publish_site_overrides(&mut self, publish: &wire::Publish) -> CommandResponse {
+        if let Err(stale) = self.check_leader(SITE_OVERRIDES, publish.token) {
+            return stale;
+        }
+        for site_override in self.site_overrides.values_mut() {
+            if site_override.published || site_override.changed > publish.upto {
+                continue;
+            }
+            self.version += 1;
+            site_override.published = true;
+            site_override.changed = self.version;
+        }
+        done()
+    }
+}
--- a/crates/coordinator/src/state/snapshot.rs
+++ b/crates/coordinator/src/state/snapshot.rs
@@ -1,296 +1,311 @@
-//! The state as one message and back.
+//! The state as one message and back. The same state gives the same bytes, at each replica.
 
-use super::{rules, wire, Callers, Shared};
-use chalkdeck_access::{Recent, Seen, Totals};
+use super::contracts::key_of;
+use super::reports::call_kind;
+use super::{rules, CallerRecords, ReplicatedState};
+use crate::ids::ReplicaId;
+use crate::protocol::{wire, StateSnapshot};
+use chalkdeck_access::{Recent, Seen};
 use chalkdeck_contract::{Spoken, Use};
+use chalkdeck_leader_election::SessionId;
 use prost::Message;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
-/// A state that cannot be read back.
+/// Stands for folded hits where an incarnation is stored.
+const FOLDED: u64 = 0;
+
+/// A snapshot that cannot be read back.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
-pub enum Broken {
+pub enum SnapshotError {
     /// Not the message of a state.
     #[error("expected a state: {0}")]
     #[diagnostic(
         code(chalkdeck::keeper::state_form),
-        help("the snapshot is of another program or damaged; start this keeper with an empty folder, and it asks for a place anew")
+        help("the snapshot is of another program or damaged; start this replica with an empty folder, and it joins as a new member")
     )]
-    Form(#[from] prost::DecodeError),
-    /// A set in it cannot be taken.
+    Malformed(#[from] prost::DecodeError),
+    /// A rule set in it cannot be read.
     #[error("state: the set of {0}")]
     #[diagnostic(
         code(chalkdeck::keeper::state_set),
-        help("the snapshot is of a later program: update this keeper")
+        help("the snapshot is of a later program: update this replica")
     )]
-    Set(String),
-    /// Its answers cannot be read.
+    RuleSet(String),
+    /// A caller's responses cannot be read.
     #[error("state: answers of callers")]
     #[diagnostic(
         code(chalkdeck::keeper::state_answers),
-        help("the snapshot is of a later program: update this keeper")
+        help("the snapshot is of a later program: update this replica")
     )]
-    Answers,
+    Responses,
 }
 
-impl Shared {
-    /// The state as bytes; the same state gives the same bytes.
+impl ReplicatedState {
+    /// The state as bytes.
     pub fn to_bytes(&self) -> Vec<u8> {
-        self.to_wire().encode_to_vec()
+        self.to_snapshot().encode_to_vec()
     }
-    /// Reads it back.
-    pub fn from_bytes(bytes: &[u8]) -> Result<Shared, Broken> {
-        Shared::from_wire(&wire::Shared::decode(bytes)?)
+
+    /// Reads a state back.
+    ///
+    /// # Errors
+    /// See [`SnapshotError`].
+    pub fn from_bytes(bytes: &[u8]) -> Result<ReplicatedState, SnapshotError> {
+        ReplicatedState::from_snapshot(&StateSnapshot::decode(bytes)?)
     }
 
     /// The state as a message.
-    pub fn to_wire(&self) -> wire::Shared {
-        wire::Shared {
+    pub fn to_snapshot(&self) -> StateSnapshot {
+        StateSnapshot {
             index: self.index,
             version: self.version,
             time_ms: self.time_ms,
-            next_session: self.next_session,
-            next_proposal: self.next_proposal,
+            next_session: self.last_session.0,
+            next_proposal: self.last_proposal,
             sessions: self.sessions.values().cloned().collect(),
-            duties: self.duties.values().cloned().collect(),
+            duties: self.elections.values().cloned().collect(),
             rules: self.rules.values().cloned().collect(),
             departed: self.departed.values().cloned().collect(),
-            admitted: self.admitted.values().cloned().collect(),
-            spoken: self
-                .spoken
-                .iter()
-                .flat_map(|(s, spoken)| spoken_to(s, spoken))
-                .collect(),
+            admitted: self.contracts.values().cloned().collect(),
+            spoken: self.versions_to_wire(),
             proposals: self.proposals.values().cloned().collect(),
             verdicts: self.verdicts.values().cloned().collect(),
-            words: self.words.values().cloned().collect(),
-            hits: self.hits_to(),
-            recents: self.recents.iter().map(|(c, r)| recent_to(c, r)).collect(),
+            words: self.site_overrides.values().cloned().collect(),
+            hits: self.hits_to_wire(),
+            recents: self.recent_calls_to_wire(),
             answered: self.callers.to_wire(),
-            removed: self
-                .removed
-                .iter()
-                .map(|(c, at)| wire::Removed {
-                    customer: c.clone(),
-                    changed: *at,
-                })
-                .collect(),
+            removed: self.removed_rules.iter().cloned().collect(),
             removed_before: self.removed_before,
             configuration: self.configuration,
-            members: self.members.values().cloned().collect(),
-            speakers: self.speakers,
-            span_ms: self.span_ms,
-            forgotten_at: self.callers.forgotten_at,
+            members: self.members.values().copied().collect(),
+            speakers: self.contract_revision,
+            span_ms: self.recent_span_start_ms,
+            forgotten_at: self.callers.forgotten_at(),
             cluster: self.cluster,
         }
     }
 
     /// The state of a message.
-    pub fn from_wire(w: &wire::Shared) -> Result<Shared, Broken> {
-        for c in &w.rules {
-            if c.set.as_ref().is_some_and(|s| rules::set_of(s).is_none()) {
-                return Err(Broken::Set(
-                    c.set
-                        .as_ref()
-                        .map_or_else(String::new, |s| s.customer.clone()),
-                ));
+    ///
+    /// # Errors
+    /// See [`SnapshotError`].
+    pub fn from_snapshot(snapshot: &StateSnapshot) -> Result<ReplicatedState, SnapshotError> {
+        check_rule_sets(&snapshot.rules)?;
+        let callers = CallerRecords::from_wire(&snapshot.answered, snapshot.forgotten_at)
+            .ok_or(SnapshotError::Responses)?;
+        let mut state = ReplicatedState {
+            index: snapshot.index,
+            version: snapshot.version,
+            time_ms: snapshot.time_ms,
+            cluster: snapshot.cluster,
+            configuration: snapshot.configuration,
+            members: by_key(&snapshot.members, |member| ReplicaId(member.pid)),
+            last_session: SessionId(snapshot.next_session),
+            sessions: by_key(&snapshot.sessions, |session| SessionId(session.id)),
+            departed: by_key(&snapshot.departed, |departed| departed.gateway.clone()),
+            elections: by_key(&snapshot.duties, |election| election.name.clone()),
+            rules: by_key(&snapshot.rules, customer_of),
+            rule_count: snapshot.rules.iter().map(rules_in).sum(),
+            removed_rules: snapshot.removed.iter().cloned().collect(),
+            removed_before: snapshot.removed_before,
+            contracts: by_key(&snapshot.admitted, |admitted| {
+                key_of(&admitted.contract.clone().unwrap_or_default())
+            }),
+            contract_revision: snapshot.speakers,
+            last_proposal: snapshot.next_proposal,
+            proposals: by_key(&snapshot.proposals, |proposal| proposal.id),
+            verdicts: by_key(&snapshot.verdicts, |verdict| verdict.proposal),
+            site_overrides: by_key(&snapshot.words, |o| o.site.clone()),
+            recent_span_start_ms: snapshot.span_ms,
+            callers,
+            ..ReplicatedState::default()
+        };
+        state.restore_recent_calls(&snapshot.recents);
+        state.restore_versions(&snapshot.spoken);
+        state.restore_hits(&snapshot.hits);
+        Ok(state)
+    }
+
+    // ---- recent calls ----
+
+    fn recent_calls_to_wire(&self) -> Vec<wire::RecentOf> {
+        let recent_calls = self.recent_calls.iter();
+        recent_calls
+            .map(|(customer, recent)| wire::RecentOf {
+                customer: customer.clone(),
+                now: recent.now().iter().map(calls_to_wire).collect(),
+                before: recent.before().iter().map(calls_to_wire).collect(),
+            })
+            .collect()
+    }
+
+    fn restore_recent_calls(&mut self, list: &[wire::RecentOf]) {
+        for stored in list {
+            let mut recent = Recent::default();
+            for calls in &stored.before {
+                recent.came(call_kind(calls), calls.count);
+            }
+            recent.next_span();
+            for calls in &stored.now {
+                recent.came(call_kind(calls), calls.count);
             }
+            self.recent_calls.insert(stored.customer.clone(), recent);
         }
-        let key = |c: &wire::CustomerRules| {
-            c.set
-                .as_ref()
-                .map_or_else(String::new, |s| s.customer.clone())
-        };
-        let contract = |a: &wire::Admitted| {
-            let c = a.contract.clone().unwrap_or_default();
-            (c.service, c.version)
-        };
-        let mut state = Shared {
-            index: w.index,
-            version: w.version,
-            time_ms: w.time_ms,
-            next_session: w.next_session,
-            next_proposal: w.next_proposal,
-            sessions: w.sessions.iter().map(|s| (s.id, s.clone())).collect(),
-            duties: w
-                .duties
-                .iter()
-                .map(|d| (d.name.clone(), d.clone()))
-                .collect(),
-            rules: w.rules.iter().map(|c| (key(c), c.clone())).collect(),
-            rule_count: w
-                .rules
-                .iter()
-                .filter_map(|c| c.set.as_ref())
-                .map(|s| s.rules.len())
-                .sum(),
-            departed: w
-                .departed
-                .iter()
-                .map(|d| (d.gateway.clone(), d.clone()))
-                .collect(),
-            admitted: w
-                .admitted
-                .iter()
-                .map(|a| (contract(a), a.clone()))
-                .collect(),
-            proposals: w.proposals.iter().map(|p| (p.id, p.clone())).collect(),
-            verdicts: w.verdicts.iter().map(|v| (v.proposal, v.clone())).collect(),
-            words: w
-                .words
-                .iter()
-                .map(|s| (s.site.clone(), s.clone()))
-                .collect(),
-            recents: w
-                .recents
-                .iter()
-                .map(|r| (r.customer.clone(), recent_from(r)))
-                .collect(),
-            callers: Callers::from_wire(&w.answered, w.forgotten_at).ok_or(Broken::Answers)?,
-            removed: w
-                .removed
-                .iter()
-                .map(|r| (r.customer.clone(), r.changed))
-                .collect(),
-            removed_before: w.removed_before,
-            configuration: w.configuration,
-            members: w.members.iter().map(|m| (m.pid, *m)).collect(),
-            speakers: w.speakers,
-            span_ms: w.span_ms,
-            cluster: w.cluster,
-            ..Shared::default()
-        };
-        for spoken in &w.spoken {
-            spoken_from(
-                state.spoken.entry(spoken.service.clone()).or_default(),
-                spoken,
-            );
+    }
+
+    // ---- versions in use ----
+
+    fn versions_to_wire(&self) -> Vec<wire::SpokenVersion> {
+        let services = self.versions_in_use.iter();
+        services
+            .flat_map(|(service, in_use)| service_versions_to_wire(service, in_use))
+            .collect()
+    }
+
+    fn restore_versions(&mut self, list: &[wire::SpokenVersion]) {
+        for version in list {
+            let in_use = self
+                .versions_in_use
+                .entry(version.service.clone())
+                .or_default();
+            restore_version(in_use, version);
         }
-        state.hits_from(&w.hits);
-        Ok(state)
     }
 
-    fn hits_to(&self) -> Vec<wire::HitsOf> {
-        let mut of: BTreeMap<u64, Vec<wire::HitLine>> = BTreeMap::new();
-        let line =
-            |customer: &String, (version, rule): &(u64, String), count: &u64| wire::HitLine {
+    // ---- hits ----
+
+    fn hits_to_wire(&self) -> Vec<wire::HitsOf> {
+        let mut lines: BTreeMap<u64, Vec<wire::HitLine>> = BTreeMap::new();
+        for (customer, totals) in &self.hits {
+            let line = |((version, rule), count): (&(u64, String), &u64)| wire::HitLine {
                 customer: customer.clone(),
                 version: *version,
                 rule: rule.clone(),
                 count: *count,
             };
-        for (customer, totals) in &self.hits {
-            of.entry(0)
-                .or_default()
-                .extend(totals.folded.iter().map(|(k, n)| line(customer, k, n)));
-            for (incarnation, told) in &totals.told {
-                of.entry(*incarnation)
-                    .or_default()
-                    .extend(told.iter().map(|(k, n)| line(customer, k, n)));
+            let folded = lines.entry(FOLDED).or_default();
+            folded.extend(totals.folded.iter().map(line));
+            for (incarnation, counts) in &totals.told {
+                let reported = lines.entry(*incarnation).or_default();
+                reported.extend(counts.iter().map(line));
             }
         }
-        for ended in &self.ended {
-            of.entry(*ended).or_default();
+        for ended in &self.ended_incarnations {
+            lines.entry(*ended).or_default();
         }
-        let one = |(incarnation, lines)| wire::HitsOf {
-            incarnation,
-            lines,
-            ended: self.ended.contains(&incarnation),
-        };
-        of.into_iter().map(one).collect()
+        lines
+            .into_iter()
+            .map(|(incarnation, lines)| wire::HitsOf {
+                incarnation,
+                lines,
+                ended: self.ended_incarnations.contains(&incarnation),
+            })
+            .collect()
     }
-    fn hits_from(&mut self, list: &[wire::HitsOf]) {
-        for of in list {
-            if of.ended {
-                self.ended.insert(of.incarnation);
+
+    fn restore_hits(&mut self, list: &[wire::HitsOf]) {
+        for hits in list {
+            if hits.ended {
+                self.ended_incarnations.insert(hits.incarnation);
             }
-            for line in &of.lines {
-                let totals: &mut Totals = self.hits.entry(line.customer.clone()).or_default();
-                if of.incarnation == 0 {
-                    totals
-                        .folded
-                        .insert((line.version, line.rule.clone()), line.count);
-                } else {
-                    totals.tell(of.incarnation, line.version, &line.rule, line.count);
-                }
+            for line in &hits.lines {
+                self.restore_hit_line(hits.incarnation, line);
             }
         }
     }
+
+    fn restore_hit_line(&mut self, incarnation: u64, line: &wire::HitLine) {
+        let totals = self.hits.entry(line.customer.clone()).or_default();
+        if incarnation == FOLDED {
+            let key = (line.version, line.rule.clone());
+            totals.folded.insert(key, line.count);
+        } else {
+            totals.tell(incarnation, line.version, &line.rule, line.count);
+        }
+    }
 }
 
-fn spoken_to(service: &str, spoken: &Spoken) -> Vec<wire::SpokenVersion> {
-    let versions = spoken
-        .uses
-        .keys()
-        .chain(spoken.retired.keys())
-        .collect::<std::collections::BTreeSet<_>>();
-    let one = |(customer, u): (&String, &Use)| wire::Use {
-        customer: customer.clone(),
-        declared: u.declared,
-        calls: u.calls,
-        // One more than it is, so that none can be told.
-        last_ms: u.last_ms.map_or(0, |at| at + 1),
-        repeats_ms: u.repeats_ms.unwrap_or(0),
-    };
-    let version = |v: &String| wire::SpokenVersion {
-        service: service.to_string(),
-        version: v.clone(),
-        uses: spoken.uses.get(v).into_iter().flatten().map(one).collect(),
-        retired_ms: spoken.retired.get(v).map_or(0, |at| at + 1),
-    };
-    versions.into_iter().map(version).collect()
+fn by_key<K: Ord, T: Clone>(list: &[T], key: impl Fn(&T) -> K) -> BTreeMap<K, T> {
+    list.iter().map(|item| (key(item), item.clone())).collect()
 }
 
-fn spoken_from(spoken: &mut Spoken, w: &wire::SpokenVersion) {
-    if w.retired_ms > 0 {
-        spoken.retired.insert(w.version.clone(), w.retired_ms - 1);
-    }
-    if w.uses.is_empty() {
-        return;
-    }
-    let uses = spoken.uses.entry(w.version.clone()).or_default();
-    for u in &w.uses {
-        let of = Use {
-            declared: u.declared,
-            calls: u.calls,
-            last_ms: u.last_ms.checked_sub(1),
-            repeats_ms: Some(u.repeats_ms).filter(|r| *r > 0),
-        };
-        uses.insert(u.customer.clone(), of);
+fn check_rule_sets(list: &[wire::CustomerRules]) -> Result<(), SnapshotError> {
+    let sets = list.iter().filter_map(|rules| rules.set.as_ref());
+    for set in sets {
+        if rules::rule_set_from_wire(set).is_none() {
+            return Err(SnapshotError::RuleSet(set.customer.clone()));
+        }
     }
+    Ok(())
+}
+
+fn customer_of(rules: &wire::CustomerRules) -> String {
+    let set = rules.set.as_ref();
+    set.map_or_else(String::new, |set| set.customer.clone())
 }
 
-fn recent_to(customer: &str, recent: &Recent) -> wire::RecentOf {
-    let kind = |(s, count): (&Seen, &u64)| wire::SeenKind {
+fn rules_in(rules: &wire::CustomerRules) -> usize {
+    rules.set.as_ref().map_or(0, |set| set.rules.len())
+}
+
+/// The customer is that of the list in which it is stored.
+fn calls_to_wire((kind, count): (&Seen, &u64)) -> wire::SeenKind {
+    wire::SeenKind {
         customer: String::new(),
-        caller_region: s.caller.clone(),
-        gateway_region: s.gateway.clone(),
-        path: s.path.clone(),
-        class: s.class.clone(),
+        caller_region: kind.caller.clone(),
+        gateway_region: kind.gateway.clone(),
+        path: kind.path.clone(),
+        class: kind.class.clone(),
         count: *count,
-    };
-    wire::RecentOf {
-        customer: customer.to_string(),
-        now: recent.now().iter().map(kind).collect(),
-        before: recent.before().iter().map(kind).collect(),
     }
 }
 
-fn recent_from(w: &wire::RecentOf) -> Recent {
-    let kind = |s: &wire::SeenKind| {
-        let seen = Seen {
-            caller: s.caller_region.clone(),
-            gateway: s.gateway_region.clone(),
-            path: s.path.clone(),
-            class: s.class.clone(),
-        };
-        (seen, s.count)
+/// A time that may be none: 0 stands for that, so all others are stored as one more than they are.
+fn optional_to_wire(time_ms: Option<u64>) -> u64 {
+    time_ms.map_or(0, |time| time + 1)
+}
+
+/// See [`optional_to_wire`].
+fn optional_from_wire(time_ms: u64) -> Option<u64> {
+    time_ms.checked_sub(1)
+}
+
+fn service_versions_to_wire(service: &str, in_use: &Spoken) -> Vec<wire::SpokenVersion> {
+    let names: BTreeSet<&String> = in_use.uses.keys().chain(in_use.retired.keys()).collect();
+    let use_to_wire = |(customer, version_use): (&String, &Use)| wire::Use {
+        customer: customer.clone(),
+        declared: version_use.declared,
+        calls: version_use.calls,
+        last_ms: optional_to_wire(version_use.last_ms),
+        repeats_ms: version_use.repeats_ms.unwrap_or(0),
+    };
+    let version_to_wire = |name: &String| {
+        let uses = in_use.uses.get(name).into_iter().flatten();
+        wire::SpokenVersion {
+            service: service.to_string(),
+            version: name.clone(),
+            uses: uses.map(use_to_wire).collect(),
+            retired_ms: optional_to_wire(in_use.retired.get(name).copied()),
+        }
     };
-    let mut recent = Recent::default();
-    w.before
-        .iter()
-        .map(kind)
-        .for_each(|(s, n)| recent.came(s, n));
-    recent.next_span();
-    w.now.iter().map(kind).for_each(|(s, n)| recent.came(s, n));
-    recent
+    names.into_iter().map(version_to_wire).collect()
+}
+
+fn restore_version(in_use: &mut Spoken, version: &wire::SpokenVersion) {
+    if let Some(retired_ms) = optional_from_wire(version.retired_ms) {
+        in_use.retired.insert(version.version.clone(), retired_ms);
+    }
+    if version.uses.is_empty() {
+        return;
+    }
+    let uses = in_use.uses.entry(version.version.clone()).or_default();
+    for stored in &version.uses {
+        let version_use = Use {
+            declared: stored.declared,
+            calls: stored.calls,
+            last_ms: optional_from_wire(stored.last_ms),
+            repeats_ms: Some(stored.repeats_ms).filter(|repeats| *repeats > 0),
+        };
+        uses.insert(stored.customer.clone(), version_use);
+    }
 }
--- /dev/null
+++ b/crates/coordinator/src/state/watch.rs
@@ -0,0 +1,82 @@
+//! Watch events: what has changed since a version of the state.
+
+use super::ReplicatedState;
+use crate::pending_work::PendingWork;
+use crate::protocol::{wire, AdmittedContract, WatchEvent};
+
+impl ReplicatedState {
+    /// Work that waits for leaders.
+    pub fn pending_work(&self) -> PendingWork {
+        PendingWork {
+            proposals: !self.proposals.is_empty(),
+            unfolded_hits: !self.ended_incarnations.is_empty(),
+            unpublished_overrides: self.site_overrides.values().any(|o| !o.published),
+        }
+    }
+
+    /// What has changed since a version that a gateway has; the whole state where it has none, or where removals since are no
+    /// longer remembered. A gateway whose version is ahead of this replica misses nothing that is known here.
+    pub fn events_since(&self, version: u64) -> WatchEvent {
+        let whole = version == 0 || version < self.removed_before;
+        let since = if whole { 0 } else { version };
+        let changed_contracts = self.contracts.values().filter(|c| c.changed > since);
+        let (retired, admitted): (Vec<_>, Vec<_>) = changed_contracts.partition(|c| c.retired);
+        let pending = self.pending_work();
+        WatchEvent {
+            version: self.version,
+            whole,
+            rules: self.rules_changed_since(since),
+            rules_gone: if whole {
+                Vec::new()
+            } else {
+                self.rules_removed_since(since)
+            },
+            duties: self
+                .elections
+                .values()
+                .filter(|election| election.changed > since)
+                .cloned()
+                .collect(),
+            contracts: admitted.into_iter().map(name_of).collect(),
+            retired: retired.into_iter().map(retired_name).collect(),
+            words: self
+                .site_overrides
+                .values()
+                .filter(|o| o.published && o.changed > since)
+                .cloned()
+                .collect(),
+            proposals: pending.proposals,
+            unfolded: pending.unfolded_hits,
+            unpublished: pending.unpublished_overrides,
+            cluster: self.cluster,
+            since,
+        }
+    }
+
+    fn rules_changed_since(&self, version: u64) -> Vec<wire::RuleSet> {
+        let changed = self.rules.values().filter(|rules| rules.changed > version);
+        changed.filter_map(|rules| rules.set.clone()).collect()
+    }
+
+    fn rules_removed_since(&self, version: u64) -> Vec<String> {
+        let removed = self.removed_rules.iter().filter(|removed| {
+            removed.changed > version && !self.rules.contains_key(&removed.customer)
+        });
+        removed.map(|removed| removed.customer.clone()).collect()
+    }
+}
+
+/// A contract without its text: gateways need only its name.
+fn name_of(admitted: &AdmittedContract) -> wire::Contract {
+    wire::Contract {
+        descriptors: Vec::new(),
+        promises: Vec::new(),
+        ..admitted.contract.clone().unwrap_or_default()
+    }
+}
+
+/// The service and the version of a retired contract, with a blank between them.
+fn retired_name(admitted: &AdmittedContract) -> String {
+    let contract = name_of(admitted);
+    format!("{} {}", contract.service, contract.version)
+}
--- /dev/null
+++ b/crates/coordinator/src/storage/persisted_state.rs
@@ -0,0 +1,165 @@
+//! What of the storage outlasts a crash, and its form on the disk.
+
+use super::{Configuration, Entry, StorageChange};
+use chalkdeck_wal::held::{Applied, Damage, Held, Identity};
+use chalkdeck_wal::record;
+use omnipaxos::ballot_leader_election::Ballot;
+use serde::{Deserialize, Serialize};
+
+/// Version of the form of records and snapshots.
+pub const FORMAT_VERSION: u32 = 1;
+/// Bytes of a snapshot in one record, as the size of a record is bounded.
+const SNAPSHOT_CHUNK_BYTES: usize = record::MOST / 2;
+
+/// What a replica has stored for the consensus core.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct PersistedState {
+    entries: Vec<Entry>,
+    promised: Option<Ballot>,
+    accepted: Option<Ballot>,
+    decided: usize,
+    /// The configuration that all this belongs to.
+    pub configuration: Configuration,
+    /// Changes so far.
+    change_count: u64,
+}
+
+impl PersistedState {
+    /// Makes a change.
+    pub(super) fn apply(&mut self, change: StorageChange) {
+        self.change_count += 1;
+        match change {
+            StorageChange::Append(entries) => self.entries.extend(entries),
+            StorageChange::ReplaceFrom(index, entries) => {
+                self.entries.truncate(index);
+                self.entries.extend(entries);
+            }
+            StorageChange::Promise(ballot) => self.promised = Some(ballot),
+            StorageChange::Accept(ballot) => self.accepted = Some(ballot),
+            StorageChange::Decide(count) => self.decided = count,
+            StorageChange::BeginConfiguration(configuration) => {
+                *self = PersistedState {
+                    configuration,
+                    change_count: self.change_count,
+                    ..PersistedState::default()
+                };
+            }
+        }
+    }
+
+    /// Entries of a range; none where it is not within the log.
+    pub(super) fn entries(&self, from: usize, to: usize) -> Vec<Entry> {
+        let range = self.entries.get(from..to);
+        range.map(<[Entry]>::to_vec).unwrap_or_default()
+    }
+
+    pub(super) fn promised(&self) -> Option<Ballot> {
+        self.promised
+    }
+
+    pub(super) fn accepted(&self) -> Option<Ballot> {
+        self.accepted
+    }
+
+    /// Decided entries from an index on.
+    pub fn decided_since(&self, index: usize) -> Vec<Entry> {
+        self.entries(index, self.decided)
+    }
+
+    /// The number of decided entries.
+    pub fn decided(&self) -> usize {
+        self.decided
+    }
+
+    /// The number of entries.
+    pub fn len(&self) -> usize {
+        self.entries.len()
+    }
+
+    /// Whether there are no entries.
+    pub fn is_empty(&self) -> bool {
+        self.entries.is_empty()
+    }
+}
+
+/// Changes as one record of the log. `position`: the number of changes before them.
+pub fn encode_record(position: u64, changes: &[StorageChange]) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    record::push_bytes(&mut bytes, &encode(&(position, changes)));
+    bytes
+}
+
+/// Encoding of the types of this module cannot fail: they have no maps of unknown length and no custom serializers.
+fn encode(value: &impl Serialize) -> Vec<u8> {
+    postcard::to_stdvec(value).unwrap_or_default()
+}
+
+impl Held for PersistedState {
+    type Settings = ();
+    const VERSION: u32 = FORMAT_VERSION;
+    const RECORD: &'static str = "changes";
+
+    fn new((): &()) -> PersistedState {
+        PersistedState::default()
+    }
+
+    fn position(&self) -> u64 {
+        self.change_count
+    }
+
+    fn replay(&mut self, body: &[u8]) -> Option<Applied> {
+        let (position, changes): (u64, Vec<StorageChange>) = postcard::from_bytes(body).ok()?;
+        if position > self.change_count {
+            return Some(Applied::Gap(position));
+        }
+        if position < self.change_count {
+            return Some(Applied::Held);
+        }
+        let count = changes.len() as u64;
+        for change in changes {
+            self.apply(change);
+        }
+        Some(Applied::Changes(count))
+    }
+
+    fn snapshot(&self, identity: Identity) -> Vec<u8> {
+        let body = encode(&(FORMAT_VERSION, identity.incarnation, identity.epoch, self));
+        let mut bytes = Vec::new();
+        for chunk in body.chunks(SNAPSHOT_CHUNK_BYTES) {
+            record::push_bytes(&mut bytes, chunk);
+        }
+        bytes
+    }
+
+    fn restore(bytes: &[u8], (): &()) -> Result<(PersistedState, Identity), Damage> {
+        let body = join_records(bytes)?;
+        let damage = |expected: String| Damage {
+            offset: 0,
+            expected,
+        };
+        let decoded: Result<(u32, u64, u64, PersistedState), _> = postcard::from_bytes(&body);
+        let (version, incarnation, epoch, state) =
+            decoded.map_err(|e| damage(format!("the stored state of a replica: {e}")))?;
+        if version != FORMAT_VERSION {
+            return Err(damage(format!("version {FORMAT_VERSION}, found {version}")));
+        }
+        Ok((state, Identity { incarnation, epoch }))
+    }
+}
+
+/// The bodies of all records, one after another.
+fn join_records(bytes: &[u8]) -> Result<Vec<u8>, Damage> {
+    let mut joined = Vec::new();
+    let mut offset = 0;
+    while offset < bytes.len() {
+        let Some(body) = record::body(bytes, offset) else {
+            return Err(Damage {
+                offset,
+                expected: "a sound record".into(),
+            });
+        };
+        joined.extend_from_slice(body);
+        offset += record::FRAME + body.len();
+    }
+    Ok(joined)
+}
--- /dev/null
+++ b/crates/coordinator/tests/session_client.rs
@@ -0,0 +1,248 @@
+//! The session client of a gateway: what it does about gaps between watch events, and which versions it acknowledges.
+
+use chalkdeck_coordinator::protocol::{
+    wire, ClientMessage, ClientMessageKind, CommandKind, CommandResponse, Election, ResponseCode,
+    ServerMessage, WatchEvent,
+};
+use chalkdeck_coordinator::session::{CachedState, SessionClient};
+use chalkdeck_leader_election::{FencingToken, LeaseTerms};
+use chalkdeck_time::Timestamp;
+
+fn at_ms(millis: u64) -> Timestamp {
+    Timestamp::from_millis(millis)
+}
+
+fn open() -> wire::Open {
+    wire::Open {
+        gateway: "g".into(),
+        site: "north".into(),
+        incarnation: 7,
+        candidate: true,
+    }
+}
+
+fn event(version: u64, since: u64) -> WatchEvent {
+    WatchEvent {
+        version,
+        since,
+        cluster: 3,
+        whole: since == 0,
+        ..WatchEvent::default()
+    }
+}
+
+fn message(event: WatchEvent) -> ServerMessage {
+    ServerMessage {
+        news: Some(event),
+        ..ServerMessage::default()
+    }
+}
+
+/// A client whose session has a valid lease, and whose messages were sent.
+fn with_valid_session(now: Timestamp) -> SessionClient {
+    let mut session = SessionClient::new(open(), LeaseTerms::default(), CachedState::default());
+    session.connected();
+    session.receive(
+        now,
+        ServerMessage {
+            session: 5,
+            lease_us: 6_000_000,
+            drift: 10_000,
+            ..message(event(10, 0))
+        },
+    );
+    session.tick(now);
+    session.receive(
+        now,
+        ServerMessage {
+            granted: 1,
+            ..ServerMessage::default()
+        },
+    );
+    assert!(session.is_valid(now));
+    session.take_messages();
+    session
+}
+
+/// The version that the last renewal acknowledges.
+fn acknowledged(messages: &[ClientMessage]) -> Option<u64> {
+    messages
+        .iter()
+        .rev()
+        .find_map(|message| match &message.what {
+            Some(ClientMessageKind::Renewal(renewal)) => Some(renewal.applied),
+            _ => None,
+        })
+}
+
+#[test]
+fn a_gap_is_asked_for_however_often_events_are_received() {
+    let mut session = with_valid_session(at_ms(0));
+    let mut said_hello = false;
+    session.receive(at_ms(10), message(event(13, 12)));
+    for i in 0..40 {
+        let now = at_ms(20 + i * 20);
+        session.receive(now, message(event(14 + i, 13 + i)));
+        session.tick(now);
+        said_hello |= session
+            .take_messages()
+            .iter()
+            .any(|message| matches!(message.what, Some(ClientMessageKind::Hello(_))));
+    }
+    assert!(
+        said_hello,
+        "it says which version it has, so that the replica sends the rest"
+    );
+    assert_eq!(
+        session.state().version,
+        10,
+        "and applies nothing over the gap"
+    );
+}
+
+#[test]
+fn no_version_is_acknowledged_that_the_cache_file_lacks() {
+    let mut session = with_valid_session(at_ms(0));
+    session.state_persisted(at_ms(0), 10);
+    let set = wire::RuleSet {
+        customer: "c".into(),
+        version: 1,
+        otherwise: 1,
+        stale: 1,
+        ..Default::default()
+    };
+    session.receive(
+        at_ms(10),
+        message(WatchEvent {
+            rules: vec![set],
+            ..event(11, 10)
+        }),
+    );
+    session.tick(at_ms(2_000));
+    assert_eq!(
+        acknowledged(&session.take_messages()),
+        Some(10),
+        "received, but a restart would go back"
+    );
+    session.state_persisted(at_ms(2_010), 11);
+    session.tick(at_ms(2_100));
+    assert_eq!(
+        acknowledged(&session.take_messages()),
+        Some(11),
+        "acknowledged early once it is written"
+    );
+    // An event that changes nothing moves the version on all the same.
+    session.receive(at_ms(2_200), message(event(12, 11)));
+    session.tick(at_ms(2_300));
+    assert_eq!(acknowledged(&session.take_messages()), Some(12));
+}
+
+#[test]
+fn a_session_that_hears_no_replica_is_not_renewed() {
+    let mut session = with_valid_session(at_ms(0));
+    let mut last_renewal = Timestamp::ZERO;
+    for now in (0..20_000).step_by(100).map(at_ms) {
+        session.tick(now);
+        if acknowledged(&session.take_messages()).is_some() {
+            last_renewal = now;
+        }
+    }
+    let half_lease = LeaseTerms::default().half_lease().as_micros();
+    assert!(
+        (half_lease / 2..half_lease).contains(&last_renewal.as_micros()),
+        "its last renewal is sent at {last_renewal:?}"
+    );
+    // Once it hears one again, it goes on.
+    session.receive(
+        at_ms(20_000),
+        ServerMessage {
+            session: 5,
+            lease_us: 6_000_000,
+            drift: 10_000,
+            ..Default::default()
+        },
+    );
+    session.tick(at_ms(20_000));
+    assert!(acknowledged(&session.take_messages()).is_some());
+}
+
+#[test]
+fn a_gateway_that_resigns_keeps_its_session_and_leads_nothing() {
+    let mut session = with_valid_session(at_ms(0));
+    let election = Election {
+        name: "tally".into(),
+        holder: 5,
+        token: 9,
+        ..Election::default()
+    };
+    session.receive(
+        at_ms(10),
+        message(WatchEvent {
+            duties: vec![election.clone()],
+            ..event(11, 10)
+        }),
+    );
+    assert_eq!(session.leads("tally", at_ms(10)), Some(FencingToken(9)));
+    session.resign();
+    session.resign();
+    let opens = session.take_messages().into_iter().filter(|message| {
+        matches!(&message.what, Some(ClientMessageKind::Command(command)) if matches!(&command.what,
+            Some(CommandKind::Open(open)) if !open.candidate))
+    });
+    assert_eq!(opens.count(), 1);
+    let moved = Election {
+        holder: 6,
+        token: 10,
+        ..election
+    };
+    session.receive(
+        at_ms(20),
+        message(WatchEvent {
+            duties: vec![moved],
+            ..event(12, 11)
+        }),
+    );
+    assert_eq!(
+        (
+            session.leads("tally", at_ms(20)),
+            session.is_valid(at_ms(20))
+        ),
+        (None, true)
+    );
+}
+
+#[test]
+fn a_gateway_whose_date_was_set_back_takes_a_later_incarnation_unless_it_had_a_session() {
+    let rejection = CommandResponse {
+        token: 900,
+        code: ResponseCode::Refused as i32,
+        ..CommandResponse::default()
+    };
+    let ended = ServerMessage {
+        ended: true,
+        answer: Some(rejection),
+        ..ServerMessage::default()
+    };
+    let incarnation = |session: &mut SessionClient| {
+        session.connected();
+        let hello = session
+            .take_messages()
+            .into_iter()
+            .find_map(|message| match message.what {
+                Some(ClientMessageKind::Hello(hello)) => hello.open,
+                _ => None,
+            });
+        hello.expect("it says hello").incarnation
+    };
+    let mut session = SessionClient::new(open(), LeaseTerms::default(), CachedState::default());
+    session.connected();
+    session.receive(at_ms(0), ended.clone());
+    assert_eq!(incarnation(&mut session), 901);
+    let mut session = with_valid_session(at_ms(0));
+    session.receive(at_ms(0), ended);
+    assert_eq!(
+        incarnation(&mut session),
+        7,
+        "what it reported counts under its own incarnation"
+    );
+}
--- /dev/null
+++ b/crates/coordinator/tests/simulation/network.rs
@@ -0,0 +1,191 @@
+//! Messages and the links that carry them.
+
+use super::{Event, Node, Simulation, MS};
+use chalkdeck_coordinator::ids::RequesterId;
+use chalkdeck_coordinator::protocol::{
+    wire, ClientMessage, CommandResponse, PeerMessage, ReadRequest, ReadResponse, ServerMessage,
+};
+use chalkdeck_leader_election::FencingToken;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Delay of a message, in microseconds.
+const MIN_DELAY: u64 = 500;
+const MAX_DELAY: u64 = 3 * MS;
+/// The most that is added to it where messages are lost.
+const MAX_EXTRA_DELAY: u64 = 200 * MS;
+/// Per cent of messages that are repeated where messages are lost.
+const REPEATED_PERCENT: u8 = 5;
+
+#[derive(Debug, Clone)]
+#[expect(
+    clippy::large_enum_variant,
+    reason = "few messages are under way at a time"
+)]
+pub(super) enum Message {
+    Peer(PeerMessage),
+    /// A read of the configuration by the replica of that index.
+    ReadMembers(usize, ReadRequest),
+    Members(ReadResponse),
+    /// On a stream of a gateway's session.
+    FromGateway(u64, ClientMessage),
+    ToGateway(u64, ServerMessage),
+    /// Calls of operators, under the numbers that they give them.
+    Command(u64, wire::Command),
+    CommandResponse(u64, CommandResponse),
+    Read(u64, ReadRequest),
+    ReadResponse(ReadResponse),
+    /// A leader's effect.
+    Effect {
+        gateway: usize,
+        token: FencingToken,
+    },
+}
+
+impl Message {
+    /// The stream that it is on. What is on a stream comes in order, or not at all.
+    fn stream(&self) -> Option<u64> {
+        match self {
+            Message::FromGateway(stream, _) | Message::ToGateway(stream, _) => Some(*stream),
+            _ => None,
+        }
+    }
+}
+
+/// State of all links.
+#[derive(Default)]
+pub(super) struct Links {
+    /// Links that carry nothing, one way.
+    pub(super) cut: BTreeSet<(Node, Node)>,
+    /// Per cent of messages that are lost.
+    pub(super) loss_percent: u8,
+    /// Streams that lost a message.
+    broken_streams: BTreeSet<u64>,
+    /// When the last message of a stream arrives.
+    last_arrival: BTreeMap<(Node, Node, u64), u64>,
+}
+
+impl Simulation {
+    pub(super) fn send(&mut self, from: Node, to: Node, message: Message) {
+        match message.stream() {
+            Some(stream) => self.send_on_stream(from, to, stream, message),
+            None => self.send_alone(from, to, &message),
+        }
+    }
+
+    fn send_on_stream(&mut self, from: Node, to: Node, stream: u64, message: Message) {
+        let delay = self.rng.u64(MIN_DELAY..MAX_DELAY);
+        let last = self
+            .links
+            .last_arrival
+            .entry((from, to, stream))
+            .or_default();
+        *last = (*last + 1).max(self.now + delay);
+        let after = *last - self.now;
+        let event = Event::Deliver {
+            from,
+            to,
+            stream,
+            message,
+        };
+        self.schedule(after, event);
+    }
+
+    fn send_alone(&mut self, from: Node, to: Node, message: &Message) {
+        for _ in 0..self.random_copies() {
+            let extra = if self.links.loss_percent > 0 {
+                self.rng.u64(0..MAX_EXTRA_DELAY)
+            } else {
+                0
+            };
+            let delay = self.rng.u64(MIN_DELAY..MAX_DELAY) + extra;
+            let event = Event::Deliver {
+                from,
+                to,
+                stream: 0,
+                message: message.clone(),
+            };
+            self.schedule(delay, event);
+        }
+    }
+
+    /// How often a message arrives.
+    fn random_copies(&mut self) -> usize {
+        let loss_percent = self.links.loss_percent;
+        if loss_percent == 0 {
+            return 1;
+        }
+        match self.rng.u8(0..100) {
+            draw if draw < loss_percent => 0,
+            draw if draw < loss_percent + REPEATED_PERCENT => 2,
+            _ => 1,
+        }
+    }
+
+    pub(super) fn deliver(&mut self, from: Node, to: Node, stream: u64, message: Message) {
+        if self.links.cut.contains(&(from, to)) {
+            self.links.broken_streams.insert(stream);
+            return;
+        }
+        if stream > 0 && self.links.broken_streams.contains(&stream) {
+            return;
+        }
+        match to {
+            Node::Replica(replica) => self.deliver_to_replica(from, replica, message),
+            Node::Gateway(gateway) => {
+                if let Message::ToGateway(stream, message) = message {
+                    self.receive_at_gateway(gateway, stream, message);
+                }
+            }
+            Node::Operator(operator) => match message {
+                Message::CommandResponse(number, response) => {
+                    self.command_answered(operator, number, &response);
+                }
+                Message::ReadResponse(response) => self.read_answered(operator, response),
+                _ => {}
+            },
+            Node::Resource => {
+                if let Message::Effect { gateway, token } = message {
+                    self.effect(gateway, token);
+                }
+            }
+        }
+    }
+
+    fn deliver_to_replica(&mut self, from: Node, replica: usize, message: Message) {
+        match message {
+            Message::Peer(message) => {
+                self.replica_turn(replica, |core| core.receive_from_peer(&message));
+            }
+            Message::ReadMembers(reader, request) => self.read_members(replica, reader, &request),
+            Message::Members(response) => {
+                self.replica_turn(replica, |core| core.receive_members(&response));
+            }
+            Message::FromGateway(stream, message) => {
+                let requester = RequesterId(stream);
+                self.replicas[replica].add_requester(requester, from, stream);
+                self.replica_turn(replica, |core| {
+                    core.receive_from_gateway(requester, message);
+                });
+            }
+            Message::Command(call, command) => {
+                let requester = requester_of_call(from, call);
+                self.replicas[replica].add_requester(requester, from, call);
+                self.replica_turn(replica, |core| core.submit(requester, command));
+            }
+            Message::Read(call, request) => {
+                let requester = requester_of_call(from, call);
+                self.replicas[replica].add_requester(requester, from, call);
+                self.replica_turn(replica, |core| core.read(requester, &request));
+            }
+            _ => {}
+        }
+    }
+}
+
+/// Each operator numbers its calls on its own.
+fn requester_of_call(from: Node, call: u64) -> RequesterId {
+    let Node::Operator(operator) = from else {
+        return RequesterId(call);
+    };
+    RequesterId((operator as u64 + 1) << 48 | call)
+}
--- a/crates/grpc-gateway/src/base/failed.rs
+++ b/crates/grpc-gateway/src/base/failed.rs
@@ -1,7 +1,7 @@
 //! Why a gateway does not start, or does not take an operator's word.
 
 use chalkdeck_access::RegionError;
-use chalkdeck_coordinator::kept::KeptError;
+use chalkdeck_coordinator::cache_file::CacheFileError;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -133,10 +133,10 @@
 /// Why the shared state cannot be taken part in.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum KeepersError {
-    /// See [`KeptError`].
+    /// See [`CacheFileError`].
     #[error(transparent)]
     #[diagnostic(transparent)]
-    Kept(#[from] KeptError),
+    CacheFile(#[from] CacheFileError),
     /// The table of regions is not read.
     #[error("{}: {source}", file.display())]
     #[diagnostic(
