--- a/crates/grpc-gateway/src/keepers.rs
+++ b/crates/grpc-gateway/src/keepers.rs
@@ -1,5 +1,5 @@
 //! The fleet's shared state at a gateway: the session with a keeper over gRPC, what is kept on disk, and what calls, streams, the
-//! server list and sites hear of it. What is decided is decided in `chalkdeck_coordinator::member` and `chalkdeck_access`.
+//! server list and sites hear of it. What is decided is decided in `chalkdeck_coordinator::agent` and `chalkdeck_access`.
 
 use crate::base::asked::{Asked, Rejected};
 use crate::base::failed::KeepersError;
@@ -9,13 +9,14 @@
 use crate::shell::{Due, Shell};
 use chalkdeck::api::{EndpointState, RequestId};
 use chalkdeck_access::{Call, Regions, Verdict};
-use chalkdeck_coordinator::kept::Kept;
-use chalkdeck_coordinator::member::{Act, Member, Set};
-use chalkdeck_coordinator::serve::{limits, SESSION};
+use chalkdeck_coordinator::agent::{AgentAction, AgentSettings, GatewayAgent};
+use chalkdeck_coordinator::cache_file::CacheFile;
+use chalkdeck_coordinator::server::{connection_limits, SESSION_PATH};
 use chalkdeck_net::clock::incarnation;
 use chalkdeck_net::grpc::{self, Code, Deframer};
 use chalkdeck_net::{ConnId, Engine, StreamId};
 use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
+use chalkdeck_time::{TimeDelta, Timestamp};
 use http::request;
 use prost::Message;
 
@@ -56,10 +57,10 @@
 }
 
 pub(crate) struct Keepers {
-    member: Member,
+    agent: GatewayAgent,
     set: KeeperSettings,
     regions: Regions,
-    kept: Option<Kept>,
+    cache_file: Option<CacheFile>,
     /// The disk failed: tried again from then on.
     keep_at: Option<u64>,
     conn: Option<ConnId>,
@@ -88,11 +89,11 @@
                 })?
             }
         };
-        let (kept, held) = match &set.state {
+        let (cache_file, state) = match &set.state {
             None => (None, Default::default()),
             Some(file) => {
-                let (kept, held) = Kept::open(file)?;
-                (Some(kept), held)
+                let (cache_file, state) = CacheFile::open(file)?;
+                (Some(cache_file), state)
             }
         };
         let open = wire::Open {
@@ -101,22 +102,23 @@
             incarnation: incarnation(now),
             candidate: set.candidate,
         };
-        let member_set = Set {
+        let agent_settings = AgentSettings {
             open,
-            keepers: set.addresses.len(),
-            report_every: set.report,
+            replica_count: set.addresses.len(),
+            report_interval: TimeDelta::from_micros(set.report),
             seed: fastrand::u64(..),
         };
-        let version = held.version;
-        let mut member = Member::new(member_set, held, now);
-        if kept.is_some() {
-            member.kept(now, version);
+        let now = Timestamp::from_micros(now);
+        let version = state.version;
+        let mut agent = GatewayAgent::new(agent_settings, state, now);
+        if cache_file.is_some() {
+            agent.state_persisted(now, version);
         }
         Ok(Keepers {
-            member,
+            agent,
             set: set.clone(),
             regions,
-            kept,
+            cache_file,
             keep_at: None,
             conn: None,
             stream: None,
@@ -137,28 +139,28 @@
 
     fn dial(&mut self, engine: &mut Engine, place: usize) {
         self.hang_up(engine);
-        match engine.connect(self.set.addresses[place], limits()) {
+        match engine.connect(self.set.addresses[place], connection_limits()) {
             Ok(conn) => self.conn = Some(conn),
-            Err(_) => self.member.lost(engine.now()),
+            Err(_) => self.agent.connection_lost(now(engine)),
         }
     }
 
     /// The connection stands: the session's stream is opened on it.
     fn connected(&mut self, engine: &mut Engine, conn: ConnId) {
         let head = grpc::request(
-            &self.set.addresses[self.member.place()].to_string(),
-            SESSION,
+            &self.set.addresses[self.agent.replica_index()].to_string(),
+            SESSION_PATH,
         );
         self.stream = head.and_then(|head| engine.open(conn, head, false));
         match self.stream {
-            Some(_) => self.member.connected(engine.now()),
+            Some(_) => self.agent.connected(now(engine)),
             None => self.lost(engine),
         }
     }
 
     fn lost(&mut self, engine: &mut Engine) {
         self.hang_up(engine);
-        self.member.lost(engine.now());
+        self.agent.connection_lost(now(engine));
     }
 
     fn data(&mut self, engine: &mut Engine, data: &[u8]) {
@@ -167,7 +169,7 @@
             match self.deframer.next(MOST) {
                 Ok(None) => return,
                 Ok(Some(message)) => match wire::Down::decode(&message[..]) {
-                    Ok(down) => drop(self.member.down(engine.now(), down)),
+                    Ok(down) => self.agent.receive(now(engine), down),
                     Err(_) => return self.lost(engine),
                 },
                 Err(_) => return self.lost(engine),
@@ -180,13 +182,16 @@
     }
 
     fn keep(&mut self, now: u64, news: &wire::News) {
-        let Some(kept) = &mut self.kept else { return };
-        let held = &self.member.session().held;
-        let version = held.version;
-        match kept.keep(news, held) {
+        let Some(cache_file) = &mut self.cache_file else {
+            return;
+        };
+        let state = self.agent.session().state();
+        let version = state.version;
+        match cache_file.write(news, state) {
             Ok(()) => {
                 self.keep_at = None;
-                self.member.kept(now, version);
+                self.agent
+                    .state_persisted(Timestamp::from_micros(now), version);
             }
             Err(e) => {
                 if self.keep_at.is_none() {
@@ -199,7 +204,7 @@
 
     /// Marks servers whose version was not admitted as draining: nothing new goes to them.
     fn hold_back(&mut self, servers: &mut [Server]) {
-        let held = &self.member.session().held;
+        let state = self.agent.session().state();
         let told = servers.iter().map(|s| {
             (
                 s.entry.listed == EndpointState::InService,
@@ -207,7 +212,7 @@
             )
         });
         let back =
-            chalkdeck_contract::hold_back(told, |service, version| held.admits(service, version));
+            chalkdeck_contract::hold_back(told, |service, version| state.admits(service, version));
         self.held_back.clear();
         for (server, _) in servers
             .iter_mut()
@@ -227,8 +232,9 @@
     }
 
     fn status(&self, now: u64) -> KeepersStatus {
-        let (session, access) = (self.member.session(), self.member.access());
-        let holds = |d: &wire::Duty| Some((d.name.clone(), session.holds(&d.name, now)?));
+        let (session, access) = (self.agent.session(), self.agent.access());
+        let now = Timestamp::from_micros(now);
+        let leads = |d: &wire::Duty| Some((d.name.clone(), session.leads(&d.name, now)?.0));
         let mut sets: Vec<(String, u64)> = access
             .customers()
             .filter_map(|c| Some((c.to_string(), access.get(c)?.set().version)))
@@ -237,12 +243,12 @@
         sets.truncate(1_000);
         KeepersStatus {
             name: self.set.name.clone(),
-            keeper: self.set.addresses[self.member.place()].to_string(),
-            session: session.id(),
-            stands: session.stands(now),
-            knows: self.member.knows(),
-            version: session.held.version,
-            duties: session.duties().filter_map(holds).collect(),
+            keeper: self.set.addresses[self.agent.replica_index()].to_string(),
+            session: session.id().0,
+            stands: session.is_valid(now),
+            knows: self.agent.has_state(),
+            version: session.state().version,
+            duties: session.elections().filter_map(leads).collect(),
             sets,
             rules: access.rules(),
             held_back: self.held_back.clone(),
@@ -287,7 +293,7 @@
         else {
             return Ok(None);
         };
-        if !keepers.member.knows() {
+        if !keepers.agent.has_state() {
             return Err(unknown());
         }
         let text = |name: &http::HeaderName| head.headers.get(name).and_then(|v| v.to_str().ok());
@@ -309,8 +315,8 @@
         };
         let version = text(&keepers.set.version_metadata);
         match keepers
-            .member
-            .arrives(engine.now(), customer, &call, version)
+            .agent
+            .admit_call(now(engine), customer, &call, version)
         {
             Verdict::Denied {
                 rule,
@@ -352,7 +358,7 @@
                 .get_or_create(&crate::metrics::Kind { kind: kind.into() })
                 .inc();
         };
-        if !keepers.member.knows() {
+        if !keepers.agent.has_state() {
             let why = unknown();
             count(why.kind);
             return Some(format!("UNAVAILABLE {}", why.what));
@@ -368,7 +374,7 @@
             path: command,
             class: &set.class_names[class],
         };
-        match keepers.member.arrives(engine.now(), customer, &call, None) {
+        match keepers.agent.admit_call(now(engine), customer, &call, None) {
             Verdict::Goes => None,
             Verdict::Denied {
                 rule,
@@ -393,7 +399,7 @@
         else {
             return;
         };
-        let now = engine.now();
+        let now = now(engine);
         let mut over: Vec<(RequestId, String)> = Vec::new();
         for call in calls.all() {
             let Some(who) = call.who.as_deref().filter(|_| !call.is_done()) else {
@@ -412,7 +418,7 @@
                 rule,
                 version,
                 stale,
-            } = keepers.member.still_goes(now, &who.customer, &like)
+            } = keepers.agent.may_continue(now, &who.customer, &like)
             {
                 over.push((call.arrival.id, denied(&rule, version, stale)));
             }
@@ -442,7 +448,7 @@
             };
             keepers.keep(now, &whole);
         }
-        keepers.member.tick(now);
+        keepers.agent.tick(Timestamp::from_micros(now));
         self.due_in(TICK, Due::Keepers);
         self.keeper_acts();
     }
@@ -453,7 +459,7 @@
             let Some(keepers) = &mut self.keepers else {
                 return;
             };
-            let acts = keepers.member.take();
+            let acts = keepers.agent.take_actions();
             if acts.is_empty() {
                 return;
             }
@@ -461,7 +467,7 @@
         }
     }
 
-    fn keeper_act(&mut self, act: Act) {
+    fn keeper_act(&mut self, act: AgentAction) {
         let Shell {
             keepers: Some(keepers),
             engine,
@@ -471,23 +477,23 @@
             return;
         };
         match act {
-            Act::Dial(place) => keepers.dial(engine, place),
-            Act::Up(up) => {
+            AgentAction::Connect(place) => keepers.dial(engine, place),
+            AgentAction::Send(up) => {
                 if let Some(stream) = keepers.stream {
                     engine.send(stream, grpc::frame(&up.encode_to_vec()));
                 }
             }
-            Act::Keep(news) => keepers.keep(engine.now(), &news),
-            Act::Recheck(customers) => self.end_denied(Some(&customers)),
-            Act::RecheckAll => self.end_denied(None),
-            Act::Contracts => {
+            AgentAction::Persist(news) => keepers.keep(engine.now(), &news),
+            AgentAction::RecheckStreams(customers) => self.end_denied(Some(&customers)),
+            AgentAction::RecheckAllStreams => self.end_denied(None),
+            AgentAction::ContractsChanged => {
                 // Kept again as it is taken over.
                 let listed = std::mem::take(&mut keepers.listed);
                 if !listed.is_empty() {
                     self.take_list(listed);
                 }
             }
-            Act::Word(word) => self.site_word(&word.site, &word.word),
+            AgentAction::ApplySiteOverride(word) => self.site_word(&word.site, &word.word),
         }
     }
 
@@ -557,18 +563,18 @@
 
     /// A stop begins: duties go on at once; the session stands as long as calls may need it.
     pub(crate) fn keeper_resigns(&mut self) {
-        self.keepers.iter_mut().for_each(|k| k.member.resign());
+        self.keepers.iter_mut().for_each(|k| k.agent.resign());
         self.keeper_acts();
     }
     /// The gateway ends.
     pub(crate) fn keeper_leaves(&mut self) {
-        self.keepers.iter_mut().for_each(|k| k.member.close());
+        self.keepers.iter_mut().for_each(|k| k.agent.close());
         self.keeper_acts();
     }
 
     /// Whether calls can be taken as far as the shared state is concerned.
     pub(crate) fn keeper_ready(&self) -> bool {
-        self.keepers.as_ref().is_none_or(|k| k.member.knows())
+        self.keepers.as_ref().is_none_or(|k| k.agent.has_state())
     }
     /// `/keepers`; none: there is no shared state.
     pub(crate) fn keeper_status(&self) -> Option<KeepersStatus> {
@@ -576,6 +582,11 @@
     }
 }
 
+/// The loop's clock, as deciding code takes it.
+fn now(engine: &Engine) -> Timestamp {
+    Timestamp::from_micros(engine.now())
+}
+
 fn unknown() -> Rejected {
     let what = "this gateway has not heard yet which calls its customers' rules deny";
     rejected(Code::Unavailable, "rules_unknown", what.to_string())
--- a/crates/leader-election/src/terms.rs
+++ b/crates/leader-election/src/terms.rs
@@ -44,6 +44,11 @@
         TimeDelta::from_micros(self.holder_lease().as_micros() / RENEWALS_PER_LEASE)
     }
 
+    /// Half of a lease. Whoever hears nothing for so long still has time to turn to another replica before the lease expires.
+    pub fn half_lease(&self) -> TimeDelta {
+        TimeDelta::from_micros(self.lease.as_micros() / 2)
+    }
+
     /// By how much a clock may be off over one lease, rounded up. Whole seconds and their rest are scaled apart, as the product
     /// of a long lease in microseconds would overflow.
     fn max_drift(&self) -> TimeDelta {
--- a/crates/testbed/src/rig/keeping.rs
+++ b/crates/testbed/src/rig/keeping.rs
@@ -1,7 +1,8 @@
 //! One keeper beside a fleet, for the demo: contracts and access rules to try, with nothing that outlasts its loss.
 
 use crate::parts::process::{begin, Process, Program};
-use chalkdeck_coordinator::serve::Service;
+use chalkdeck_coordinator::replica::StartMode;
+use chalkdeck_coordinator::server::ReplicaServer;
 use chalkdeck_coordinator::settings::Settings;
 use chalkdeck_net::signals::Signals;
 use clap::Args;
@@ -46,7 +47,7 @@
 pub fn command(args: &OwnKeeperArgs) -> anyhow::Result<()> {
     begin(args.with_parent);
     let (settings, signals) = (Settings::load(&args.config)?, Signals::take()?);
-    let service = Service::start(&settings, true)?;
-    println!("ready grpc={}", service.listen());
-    Ok(service.run(&signals)?)
+    let server = ReplicaServer::start(&settings, StartMode::Bootstrap)?;
+    println!("ready grpc={}", server.listen());
+    Ok(server.run(&signals)?)
 }
