--- a/crates/coordinator/src/agent/mod.rs
+++ b/crates/coordinator/src/agent/mod.rs
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 pub struct GatewayAgent {
     session: SessionClient,
-    access: access::Held,
+    access: access::RuleStore,
     statistics: CallStatistics,
     connection: ReplicaConnection,
     rng: Rng,
@@ -74,9 +74,9 @@
         let mut rng = Rng::with_seed(settings.seed);
         let connection = ReplicaConnection::new(settings.replica_count, &mut rng, now);
         let first_report = rng.u64(..settings.report_interval.as_micros().max(1));
-        let mut access = access::Held::default();
+        let mut access = access::RuleStore::default();
         for rule_set in state.rules.values().filter_map(rule_set_from_wire) {
-            access.put(rule_set);
+            access.insert(rule_set);
         }
         let overrides = state.site_overrides.values().cloned();
         let actions = overrides.map(AgentAction::ApplySiteOverride).collect();
@@ -100,7 +100,7 @@
     }
 
     /// The customers' access rules.
-    pub fn access(&self) -> &access::Held {
+    pub fn access(&self) -> &access::RuleStore {
         &self.access
     }
 
@@ -132,9 +132,9 @@
         call: &access::Call,
         version: Option<&str>,
     ) -> access::Verdict {
-        let is_valid = self.session.is_valid(now);
+        let session = access::SessionState::new(self.session.is_valid(now));
         self.statistics.record(customer, call, version);
-        self.access.arrives(customer, call, is_valid)
+        self.access.decide(customer, call, session)
     }
 
     /// Decides whether a call that was admitted before may continue.
@@ -144,8 +144,8 @@
         customer: &str,
         call: &access::Call,
     ) -> access::Verdict {
-        let is_valid = self.session.is_valid(now);
-        self.access.still_goes(customer, call, is_valid)
+        let session = access::SessionState::new(self.session.is_valid(now));
+        self.access.recheck(customer, call, session)
     }
 
     // ---- connection ----
@@ -202,7 +202,7 @@
             self.state_updated(update);
         }
         if received.report_acknowledged {
-            self.access.hits().report_came();
+            self.access.hits().confirm_report();
         }
         if received.session_changed {
             self.is_reading_proposals = false;
@@ -245,7 +245,7 @@
             self.access.remove(customer);
         }
         if let Some(rule_set) = rule_set {
-            self.access.put(rule_set);
+            self.access.insert(rule_set);
         }
     }
 
@@ -254,10 +254,10 @@
             return;
         }
         self.report_at = now + self.report_interval;
-        if !self.access.hits().has_moved() && self.statistics.is_empty() {
+        if !self.access.hits().has_changes() && self.statistics.is_empty() {
             return;
         }
-        let hits = self.access.report(CUSTOMERS_PER_REPORT).into_iter();
+        let hits = self.access.report_hits(CUSTOMERS_PER_REPORT).into_iter();
         let mut report = wire::Report {
             hits: hits.map(hit_line).collect(),
             ..wire::Report::default()
@@ -282,11 +282,11 @@
     }
 }
 
-fn hit_line(told: access::Told) -> wire::HitLine {
+fn hit_line(hits: access::RuleHits) -> wire::HitLine {
     wire::HitLine {
-        customer: told.customer,
-        version: told.version,
-        rule: told.rule,
-        count: told.count,
+        customer: hits.customer,
+        version: hits.version,
+        rule: hits.rule,
+        count: hits.count,
     }
 }
--- a/crates/coordinator/src/cache_file.rs
+++ b/crates/coordinator/src/cache_file.rs
@@ -110,9 +110,9 @@
             ..event.clone()
         };
         let mut bytes = Vec::new();
-        record::push(&mut bytes, &change);
+        record::append_message(&mut bytes, &change);
         self.change_bytes += bytes.len() as u64;
-        if bytes.len() > record::MOST {
+        if bytes.len() > record::MAX_BODY_LEN {
             return self.replace(state);
         }
         file.write_all(&bytes)?;
@@ -156,13 +156,13 @@
 fn replay(bytes: &[u8]) -> Option<CachedState> {
     let mut state = CachedState::default();
     let mut offset = 0;
-    while let Some(body) = record::body(bytes, offset) {
+    while let Some(body) = record::body_at(bytes, offset) {
         state.apply(&WatchEvent::decode(body).ok()?);
-        offset += record::FRAME + body.len();
+        offset += record::HEADER_LEN + body.len();
     }
     // Only the last record may be torn.
     let is_torn = offset < bytes.len();
-    let is_damaged = is_torn && (offset == 0 || record::any_after(bytes, offset + 1));
+    let is_damaged = is_torn && (offset == 0 || record::exists_from(bytes, offset + 1));
     (!is_damaged).then_some(state)
 }
 
@@ -171,7 +171,7 @@
     let mut event = state.to_event();
     let rule_sets: Vec<wire::RuleSet> = std::mem::take(&mut event.rules);
     let mut bytes = Vec::new();
-    record::push(&mut bytes, &event);
+    record::append_message(&mut bytes, &event);
     for chunk in rule_sets.chunks(RULE_SETS_PER_RECORD) {
         let part = WatchEvent {
             version: event.version,
@@ -180,7 +180,7 @@
             rules: chunk.to_vec(),
             ..WatchEvent::default()
         };
-        record::push(&mut bytes, &part);
+        record::append_message(&mut bytes, &part);
     }
     bytes
 }
--- a/crates/coordinator/src/call_statistics.rs
+++ b/crates/coordinator/src/call_statistics.rs
@@ -58,11 +58,11 @@
     }
 
     fn record_kind(&mut self, customer: &str, call: &Call) {
-        let key = hash_of(&[customer, call.caller, call.path, call.class]);
+        let key = hash_of(&[customer, call.caller_region, call.path, call.class]);
         let create = || wire::SeenKind {
             customer: customer.into(),
-            caller_region: call.caller.into(),
-            gateway_region: call.gateway.into(),
+            caller_region: call.caller_region.into(),
+            gateway_region: call.gateway_region.into(),
             path: call.path.into(),
             class: call.class.into(),
             count: 0,
--- a/crates/coordinator/src/log.rs
+++ b/crates/coordinator/src/log.rs
@@ -2,9 +2,10 @@
 
 use crate::storage::PersistedState;
 use chalkdeck_wal::disk::Disk;
-use chalkdeck_wal::held::{Held, Identity};
-use chalkdeck_wal::log::{self, Failed, Log, OpenError, Opened};
-use chalkdeck_wal::snapshot;
+use chalkdeck_wal::error::{AppendError, OpenError};
+use chalkdeck_wal::log::{Log, OpenedLog as OpenedWal};
+use chalkdeck_wal::state::{Identity, ReplayableState};
+use chalkdeck_wal::{retention, snapshot};
 use std::io;
 
 /// Bytes of log after which a snapshot is written, unless [`ReplicaLog::set_snapshot_threshold`] says otherwise.
@@ -39,7 +40,7 @@
         code(chalkdeck::keeper::log),
         help("see the disk's room and health; the others go on as long as a majority of them is up; start this replica again")
     )]
-    Record(#[from] Failed),
+    Record(#[from] AppendError),
     /// The snapshot was not written.
     #[error("snapshot: {0}")]
     #[diagnostic(
@@ -55,10 +56,10 @@
     /// # Errors
     /// The disk, or damage of what it holds.
     pub fn open(disk: D, incarnation: u64) -> Result<OpenedLog<D>, OpenError> {
-        let opened: Opened<D, PersistedState> = Log::open(disk.clone(), &(), incarnation)?;
-        let state = opened.held;
+        let opened: OpenedWal<D, PersistedState> = Log::open(disk.clone(), &(), incarnation)?;
+        let state = opened.state;
         let position = state.position();
-        let identity = opened.log.identity;
+        let identity = opened.log.identity();
         let log = ReplicaLog {
             disk,
             log: opened.log,
@@ -100,8 +101,8 @@
     /// The disk; what was written before is whole.
     pub fn write_snapshot(&mut self, state: &PersistedState) -> Result<(), LogError> {
         self.log.roll(state.position())?;
-        snapshot::write(&self.disk, state, self.log.identity)?;
-        log::trim(&self.disk)?;
+        snapshot::write(&self.disk, state, self.log.identity())?;
+        retention::remove_superseded(&self.disk)?;
         self.bytes_since_snapshot = 0;
         Ok(())
     }
--- a/crates/coordinator/src/server/error.rs
+++ b/crates/coordinator/src/server/error.rs
@@ -2,7 +2,7 @@
 
 use crate::consensus::ConsensusError;
 use crate::log::LogError;
-use chalkdeck_wal::log::OpenError;
+use chalkdeck_wal::error::OpenError;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/coordinator/src/state/mod.rs
+++ b/crates/coordinator/src/state/mod.rs
@@ -25,7 +25,7 @@
     SiteOverride,
 };
 use crate::session::ServiceVersion;
-use chalkdeck_access::{Recent, Totals};
+use chalkdeck_access::{CallHistory, HitTotals};
 use chalkdeck_contract::Spoken;
 use chalkdeck_leader_election::SessionId;
 use deduplication::CallerRecords;
@@ -73,11 +73,11 @@
     verdicts: BTreeMap<u64, wire::Verdict>,
     site_overrides: BTreeMap<String, SiteOverride>,
     /// Hits of rules, by customer.
-    hits: BTreeMap<String, Totals>,
+    hits: BTreeMap<String, HitTotals>,
     /// Incarnations of gateways that are over and whose hits are not folded yet.
     ended_incarnations: BTreeSet<u64>,
     /// Recent calls by customer, and the agreed time at which their present span began.
-    recent_calls: BTreeMap<String, Recent>,
+    recent_calls: BTreeMap<String, CallHistory>,
     recent_span_start_ms: u64,
     callers: CallerRecords,
 }
@@ -171,7 +171,9 @@
     /// Forgets calls that are no longer recent, and rule sets that are no longer needed.
     fn begin_recent_span(&mut self) {
         self.recent_span_start_ms = self.time_ms;
-        self.recent_calls.values_mut().for_each(Recent::next_span);
+        self.recent_calls
+            .values_mut()
+            .for_each(CallHistory::start_period);
         self.recent_calls.retain(|_, recent| !recent.is_empty());
         let customers: Vec<String> = self.rules.keys().cloned().collect();
         for customer in &customers {
--- a/crates/coordinator/src/state/reads.rs
+++ b/crates/coordinator/src/state/reads.rs
@@ -2,7 +2,7 @@
 
 use super::{rules, ReplicatedState};
 use crate::protocol::{wire, ReadKind, ReadRequest, ReadResponse};
-use chalkdeck_access::WouldHit;
+use chalkdeck_access::DryRun;
 use chalkdeck_contract::Spoken;
 
 impl ReplicatedState {
@@ -77,8 +77,8 @@
     fn try_rules(&self, set: &wire::RuleSet) -> Option<wire::Tried> {
         let rule_set = rules::rule_set_from_wire(set)?;
         let recent = self.recent_calls.get(&set.customer);
-        let would_hit = recent.map(|recent| recent.try_set(&rule_set));
-        Some(tried_to_wire(&would_hit.unwrap_or_default()))
+        let dry_run = recent.map(|recent| recent.dry_run(&rule_set));
+        Some(dry_run_to_wire(&dry_run.unwrap_or_default()))
     }
 
     /// Versions in use; `service` empty: of all services.
@@ -120,16 +120,16 @@
         .collect()
 }
 
-fn tried_to_wire(would_hit: &WouldHit) -> wire::Tried {
+fn dry_run_to_wire(dry_run: &DryRun) -> wire::Tried {
     let line = |(rule, count): (&String, &u64)| wire::HitLine {
         rule: rule.clone(),
         count: *count,
         ..wire::HitLine::default()
     };
     wire::Tried {
-        calls: would_hit.calls,
-        denied: would_hit.denied,
-        locks_out: would_hit.locks_out(),
-        by_rule: would_hit.by_rule.iter().map(line).collect(),
+        calls: dry_run.calls,
+        denied: dry_run.denied,
+        locks_out: dry_run.locks_out(),
+        by_rule: dry_run.by_rule.iter().map(line).collect(),
     }
 }
--- a/crates/coordinator/src/state/reports.rs
+++ b/crates/coordinator/src/state/reports.rs
@@ -2,7 +2,7 @@
 
 use super::{done, rejected, ReplicatedState, HIT_TOTALS};
 use crate::protocol::{wire, CommandResponse, ResponseCode};
-use chalkdeck_access::Seen;
+use chalkdeck_access::{CallKind, RuleVersion};
 use chalkdeck_leader_election::SessionId;
 
 /// Customers with hits, and customers with recent calls.
@@ -41,7 +41,7 @@
             return;
         }
         let totals = self.hits.entry(line.customer.clone()).or_default();
-        totals.tell(incarnation, line.version, &line.rule, line.count);
+        totals.record(incarnation, rule_version(line), line.count);
     }
 
     fn record_recent_calls(&mut self, calls: &wire::SeenKind) {
@@ -50,7 +50,7 @@
             return;
         }
         let recent = self.recent_calls.entry(calls.customer.clone()).or_default();
-        recent.came(call_kind(calls), calls.count);
+        recent.record(call_kind(calls), calls.count);
     }
 
     /// The election's leader folds the hits of incarnations that are over into the totals.
@@ -64,7 +64,7 @@
             }
         }
         for totals in self.hits.values_mut() {
-            totals.bound(MAX_FOLDED_LINES);
+            totals.compact(MAX_FOLDED_LINES);
         }
         done()
     }
@@ -76,11 +76,11 @@
             if !customer.is_empty() && name != customer {
                 continue;
             }
-            for ((version, rule), count) in totals.all() {
+            for (rule_version, count) in totals.all() {
                 lines.push(wire::HitLine {
                     customer: name.clone(),
-                    version,
-                    rule,
+                    version: rule_version.version,
+                    rule: rule_version.rule,
                     count,
                 });
             }
@@ -90,11 +90,19 @@
 }
 
 /// What tells one kind of recent calls from another.
-pub(super) fn call_kind(calls: &wire::SeenKind) -> Seen {
-    Seen {
-        caller: calls.caller_region.clone(),
-        gateway: calls.gateway_region.clone(),
+pub(super) fn call_kind(calls: &wire::SeenKind) -> CallKind {
+    CallKind {
+        caller_region: calls.caller_region.clone(),
+        gateway_region: calls.gateway_region.clone(),
         path: calls.path.clone(),
         class: calls.class.clone(),
     }
 }
+
+/// The rule of a line of hits.
+pub(super) fn rule_version(line: &wire::HitLine) -> RuleVersion {
+    RuleVersion {
+        version: line.version,
+        rule: line.rule.clone(),
+    }
+}
--- a/crates/coordinator/src/state/rules.rs
+++ b/crates/coordinator/src/state/rules.rs
@@ -2,7 +2,7 @@
 
 use super::{rejected, ReplicatedState};
 use crate::protocol::{wire, CommandResponse, ResponseCode};
-use chalkdeck_access::{Action, Rule, RuleSet, Stale, MOST_ALL, MOST_CUSTOMERS};
+use chalkdeck_access::{Action, Rule, RuleSet, StalePolicy, MAX_CUSTOMERS, MAX_STORED_RULES};
 use wire::access_rule::Action as WireAction;
 use wire::rule_set::Stale as WireStale;
 
@@ -13,16 +13,16 @@
 
 /// A rule set as decisions take it; `None`: its default, its behaviour without a session or a rule's action is not given.
 pub fn rule_set_from_wire(set: &wire::RuleSet) -> Option<RuleSet> {
-    let stale = match set.stale() {
-        WireStale::Keep => Stale::Keep,
-        WireStale::Deny => Stale::Deny,
+    let stale_policy = match set.stale() {
+        WireStale::Keep => StalePolicy::Keep,
+        WireStale::Deny => StalePolicy::Deny,
         WireStale::Unspecified => return None,
     };
     Some(RuleSet {
         customer: set.customer.clone(),
         version: set.version,
-        default: action_from_wire(set.otherwise())?,
-        stale,
+        default_action: action_from_wire(set.otherwise())?,
+        stale_policy,
         rules: set
             .rules
             .iter()
@@ -75,12 +75,13 @@
         let before = known.and_then(|rules| rules.set.as_ref());
         let replaced = before.map_or(0, |set| set.rules.len());
         let rule_count = self.rule_count - replaced + set.rules.len();
-        if rule_count > MOST_ALL {
-            let reason = format!("there would be {rule_count} rules, of {MOST_ALL} at most");
+        if rule_count > MAX_STORED_RULES {
+            let reason =
+                format!("there would be {rule_count} rules, of {MAX_STORED_RULES} at most");
             return Err(rejected(ResponseCode::Full, reason));
         }
-        if before.is_none() && self.rules.len() >= MOST_CUSTOMERS {
-            let reason = format!("{MOST_CUSTOMERS} customers have sets");
+        if before.is_none() && self.rules.len() >= MAX_CUSTOMERS {
+            let reason = format!("{MAX_CUSTOMERS} customers have sets");
             return Err(rejected(ResponseCode::Full, reason));
         }
         Ok(())
--- a/crates/coordinator/src/state/snapshot.rs
+++ b/crates/coordinator/src/state/snapshot.rs
@@ -1,11 +1,11 @@
 //! The state as one message and back. The same state gives the same bytes, at each replica.
 
 use super::contracts::key_of;
-use super::reports::call_kind;
+use super::reports::{call_kind, rule_version};
 use super::{rules, CallerRecords, ReplicatedState};
 use crate::ids::ReplicaId;
 use crate::protocol::{wire, StateSnapshot};
-use chalkdeck_access::{Recent, Seen};
+use chalkdeck_access::{CallHistory, CallKind, RuleVersion};
 use chalkdeck_contract::{Spoken, Use};
 use chalkdeck_leader_election::SessionId;
 use prost::Message;
@@ -133,21 +133,21 @@
         recent_calls
             .map(|(customer, recent)| wire::RecentOf {
                 customer: customer.clone(),
-                now: recent.now().iter().map(calls_to_wire).collect(),
-                before: recent.before().iter().map(calls_to_wire).collect(),
+                now: recent.current().iter().map(calls_to_wire).collect(),
+                before: recent.previous().iter().map(calls_to_wire).collect(),
             })
             .collect()
     }
 
     fn restore_recent_calls(&mut self, list: &[wire::RecentOf]) {
         for stored in list {
-            let mut recent = Recent::default();
+            let mut recent = CallHistory::default();
             for calls in &stored.before {
-                recent.came(call_kind(calls), calls.count);
+                recent.record(call_kind(calls), calls.count);
             }
-            recent.next_span();
+            recent.start_period();
             for calls in &stored.now {
-                recent.came(call_kind(calls), calls.count);
+                recent.record(call_kind(calls), calls.count);
             }
             self.recent_calls.insert(stored.customer.clone(), recent);
         }
@@ -177,15 +177,15 @@
     fn hits_to_wire(&self) -> Vec<wire::HitsOf> {
         let mut lines: BTreeMap<u64, Vec<wire::HitLine>> = BTreeMap::new();
         for (customer, totals) in &self.hits {
-            let line = |((version, rule), count): (&(u64, String), &u64)| wire::HitLine {
+            let line = |(key, count): (&RuleVersion, &u64)| wire::HitLine {
                 customer: customer.clone(),
-                version: *version,
-                rule: rule.clone(),
+                version: key.version,
+                rule: key.rule.clone(),
                 count: *count,
             };
             let folded = lines.entry(FOLDED).or_default();
             folded.extend(totals.folded.iter().map(line));
-            for (incarnation, counts) in &totals.told {
+            for (incarnation, counts) in &totals.by_incarnation {
                 let reported = lines.entry(*incarnation).or_default();
                 reported.extend(counts.iter().map(line));
             }
@@ -217,10 +217,9 @@
     fn restore_hit_line(&mut self, incarnation: u64, line: &wire::HitLine) {
         let totals = self.hits.entry(line.customer.clone()).or_default();
         if incarnation == FOLDED {
-            let key = (line.version, line.rule.clone());
-            totals.folded.insert(key, line.count);
+            totals.folded.insert(rule_version(line), line.count);
         } else {
-            totals.tell(incarnation, line.version, &line.rule, line.count);
+            totals.record(incarnation, rule_version(line), line.count);
         }
     }
 }
@@ -249,11 +248,11 @@
 }
 
 /// The customer is that of the list in which it is stored.
-fn calls_to_wire((kind, count): (&Seen, &u64)) -> wire::SeenKind {
+fn calls_to_wire((kind, count): (&CallKind, &u64)) -> wire::SeenKind {
     wire::SeenKind {
         customer: String::new(),
-        caller_region: kind.caller.clone(),
-        gateway_region: kind.gateway.clone(),
+        caller_region: kind.caller_region.clone(),
+        gateway_region: kind.gateway_region.clone(),
         path: kind.path.clone(),
         class: kind.class.clone(),
         count: *count,
--- a/crates/coordinator/src/storage/persisted_state.rs
+++ b/crates/coordinator/src/storage/persisted_state.rs
@@ -1,15 +1,15 @@
 //! What of the storage outlasts a crash, and its form on the disk.
 
 use super::{Configuration, Entry, StorageChange};
-use chalkdeck_wal::held::{Applied, Damage, Held, Identity};
 use chalkdeck_wal::record;
+use chalkdeck_wal::state::{Identity, MalformedRecord, ReplayableState, Replayed, SnapshotDamage};
 use omnipaxos::ballot_leader_election::Ballot;
 use serde::{Deserialize, Serialize};
 
 /// Version of the form of records and snapshots.
 pub const FORMAT_VERSION: u32 = 1;
 /// Bytes of a snapshot in one record, as the size of a record is bounded.
-const SNAPSHOT_CHUNK_BYTES: usize = record::MOST / 2;
+const SNAPSHOT_CHUNK_BYTES: usize = record::MAX_BODY_LEN / 2;
 
 /// What a replica has stored for the consensus core.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -85,7 +85,7 @@
 /// Changes as one record of the log. `position`: the number of changes before them.
 pub fn encode_record(position: u64, changes: &[StorageChange]) -> Vec<u8> {
     let mut bytes = Vec::new();
-    record::push_bytes(&mut bytes, &encode(&(position, changes)));
+    record::append_bytes(&mut bytes, &encode(&(position, changes)));
     bytes
 }
 
@@ -94,10 +94,10 @@
     postcard::to_stdvec(value).unwrap_or_default()
 }
 
-impl Held for PersistedState {
+impl ReplayableState for PersistedState {
     type Settings = ();
     const VERSION: u32 = FORMAT_VERSION;
-    const RECORD: &'static str = "changes";
+    const RECORD_CONTENT: &'static str = "changes";
 
     fn new((): &()) -> PersistedState {
         PersistedState::default()
@@ -107,33 +107,36 @@
         self.change_count
     }
 
-    fn replay(&mut self, body: &[u8]) -> Option<Applied> {
-        let (position, changes): (u64, Vec<StorageChange>) = postcard::from_bytes(body).ok()?;
+    fn replay(&mut self, body: &[u8]) -> Result<Replayed, MalformedRecord> {
+        let (position, changes): (u64, Vec<StorageChange>) =
+            postcard::from_bytes(body).map_err(|_| MalformedRecord)?;
         if position > self.change_count {
-            return Some(Applied::Gap(position));
+            return Ok(Replayed::Gap {
+                record_position: position,
+            });
         }
         if position < self.change_count {
-            return Some(Applied::Held);
+            return Ok(Replayed::AlreadyApplied);
         }
         let count = changes.len() as u64;
         for change in changes {
             self.apply(change);
         }
-        Some(Applied::Changes(count))
+        Ok(Replayed::Changes(count))
     }
 
     fn snapshot(&self, identity: Identity) -> Vec<u8> {
         let body = encode(&(FORMAT_VERSION, identity.incarnation, identity.epoch, self));
         let mut bytes = Vec::new();
         for chunk in body.chunks(SNAPSHOT_CHUNK_BYTES) {
-            record::push_bytes(&mut bytes, chunk);
+            record::append_bytes(&mut bytes, chunk);
         }
         bytes
     }
 
-    fn restore(bytes: &[u8], (): &()) -> Result<(PersistedState, Identity), Damage> {
+    fn restore(bytes: &[u8], (): &()) -> Result<(PersistedState, Identity), SnapshotDamage> {
         let body = join_records(bytes)?;
-        let damage = |expected: String| Damage {
+        let damage = |expected: String| SnapshotDamage {
             offset: 0,
             expected,
         };
@@ -148,18 +151,18 @@
 }
 
 /// The bodies of all records, one after another.
-fn join_records(bytes: &[u8]) -> Result<Vec<u8>, Damage> {
+fn join_records(bytes: &[u8]) -> Result<Vec<u8>, SnapshotDamage> {
     let mut joined = Vec::new();
     let mut offset = 0;
     while offset < bytes.len() {
-        let Some(body) = record::body(bytes, offset) else {
-            return Err(Damage {
+        let Some(body) = record::body_at(bytes, offset) else {
+            return Err(SnapshotDamage {
                 offset,
                 expected: "a sound record".into(),
             });
         };
         joined.extend_from_slice(body);
-        offset += record::FRAME + body.len();
+        offset += record::HEADER_LEN + body.len();
     }
     Ok(joined)
 }
--- a/crates/coordinator/tests/simulation/faults.rs
+++ b/crates/coordinator/tests/simulation/faults.rs
@@ -2,7 +2,7 @@
 
 use super::{Node, Simulation};
 use chalkdeck_coordinator::replica::StartMode;
-use chalkdeck_wal::sim::Sim;
+use chalkdeck_wal::simulated_disk::SimulatedDisk;
 
 /// One fault. Replicas and gateways are given by their indices.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -51,7 +51,7 @@
             Fault::LoseDisk(_) | Fault::CopyDisk(_) | Fault::RestoreOldDisk(_) => {
                 self.replace_disk(fault);
             }
-            Fault::FillDisk(replica) => self.replicas[replica].disk.fill(),
+            Fault::FillDisk(replica) => self.replicas[replica].disk.fail_next_append(),
             Fault::KillGateway(gateway) => self.kill_gateway(gateway),
             Fault::StartGateway(gateway) => {
                 if self.gateways[gateway].agent.is_none() {
@@ -85,7 +85,7 @@
             Fault::LoseDisk(replica) => {
                 let node = &mut self.replicas[replica];
                 node.running = None;
-                node.disk = Sim::new(self.rng.u64(..));
+                node.disk = SimulatedDisk::new(self.rng.u64(..));
             }
             Fault::CopyDisk(replica) => {
                 let node = &mut self.replicas[replica];
--- a/crates/coordinator/tests/simulation/gateways.rs
+++ b/crates/coordinator/tests/simulation/gateways.rs
@@ -80,8 +80,8 @@
         agent.tick(now);
         if !self.quiet && self.rng.u8(..) < CALL_ODDS && agent.access().get(CUSTOMER).is_some() {
             let call = Call {
-                caller: "eu",
-                gateway: "north",
+                caller_region: "eu",
+                gateway_region: "north",
                 path: "/farm.v1.Farm/View",
                 class: "view",
             };
--- a/crates/coordinator/tests/simulation/replicas.rs
+++ b/crates/coordinator/tests/simulation/replicas.rs
@@ -7,7 +7,7 @@
 use chalkdeck_coordinator::log::{OpenedLog, ReplicaLog};
 use chalkdeck_coordinator::protocol::ReadRequest;
 use chalkdeck_coordinator::replica::{Output, Replica, ReplicaSettings, StartMode};
-use chalkdeck_wal::sim::Sim;
+use chalkdeck_wal::simulated_disk::SimulatedDisk;
 use std::collections::BTreeMap;
 
 /// Small, so that many are made in a run.
@@ -19,18 +19,18 @@
 /// A replica and its log while it is up.
 pub(super) struct RunningReplica {
     pub(super) core: Replica,
-    log: ReplicaLog<Sim>,
+    log: ReplicaLog<SimulatedDisk>,
 }
 
 pub(super) struct ReplicaNode {
     pub(super) running: Option<RunningReplica>,
-    pub(super) disk: Sim,
+    pub(super) disk: SimulatedDisk,
     clock: Clock,
     pub(super) stalled_until: u64,
     starts: u64,
     replica_count: usize,
     /// A copy of the disk from earlier.
-    pub(super) disk_copy: Option<Sim>,
+    pub(super) disk_copy: Option<SimulatedDisk>,
     /// Whose requests are under which id, and the stream or the call that they are on.
     requesters: BTreeMap<RequesterId, (Node, u64)>,
 }
@@ -39,7 +39,7 @@
     pub(super) fn new(disk_seed: u64, clock: Clock, replica_count: usize) -> ReplicaNode {
         ReplicaNode {
             running: None,
-            disk: Sim::new(disk_seed),
+            disk: SimulatedDisk::new(disk_seed),
             clock,
             stalled_until: 0,
             starts: 0,
@@ -58,7 +58,7 @@
         self.running.as_ref().map(|running| &running.core)
     }
 
-    fn settings(&self, replica: usize, opened: &OpenedLog<Sim>) -> ReplicaSettings {
+    fn settings(&self, replica: usize, opened: &OpenedLog<SimulatedDisk>) -> ReplicaSettings {
         let identity = opened.identity;
         let has_configuration = opened.state.configuration.number > 0;
         ReplicaSettings {
--- a/crates/grpc-gateway/src/carry.rs
+++ b/crates/grpc-gateway/src/carry.rs
@@ -9,7 +9,7 @@
 use crate::pool::{AttemptId, Found};
 use crate::shell::{Due, Shell};
 use bytes::Bytes;
-use chalkdeck::api::{AttemptResult, EndpointId, Event, LoadReport, Micros, Outcome, RequestId};
+use chalkdeck::api::{AttemptResult, EndpointId, Event, LoadReport, Outcome, RequestId, TimeDelta};
 use chalkdeck_net::grpc::{self, Code};
 use chalkdeck_net::{Broken, ConnId, StreamId};
 use http::header::TE;
@@ -50,7 +50,7 @@
     }
 
     fn reject(&mut self, front: StreamId, id: RequestId, why: Rejected) {
-        tracing::info!(call = id.0, kind = why.kind, "not taken: {}", why.what);
+        tracing::info!(call = id.0, kind = why.kind, reason = %why.what, "call rejected as invalid");
         self.metrics
             .rejected
             .get_or_create(&metrics::Kind {
@@ -86,8 +86,8 @@
             skip: 0,
         });
         call.answer = Answer::None;
-        let call_deadline = call.arrival.deadline.0;
-        tracing::debug!(call = id.0, attempt = attempt.number, server = ?self.pool.address(server), "sent on");
+        let call_deadline = call.arrival.deadline.as_micros();
+        tracing::debug!(call = id.0, attempt = attempt.number, endpoint = ?self.pool.address(server), "attempt forwarded");
         // At the deadline itself the decisions end the call, and with it what is out.
         if until < call_deadline {
             self.due_in(until.saturating_sub(now), Due::GiveUp(attempt));
@@ -132,7 +132,7 @@
         *head.headers_mut() = call.headers.clone();
         head.headers_mut()
             .insert(TE, HeaderValue::from_static("trailers"));
-        let stream = self.set.policy.classes[call.arrival.class.0].stream;
+        let stream = self.set.policy.classes[call.arrival.class.0].is_streaming;
         if let Some(left) = timeout_left(call, stream, now) {
             head.headers_mut()
                 .insert(grpc::TIMEOUT, grpc::timeout(left));
@@ -223,12 +223,12 @@
         self.decisions.push(Event::AttemptEnded(AttemptResult {
             id: id.call,
             attempt: id.number,
-            server,
+            endpoint: server,
             outcome,
-            took: Micros(took),
-            ended: answered || done,
-            settled: None,
-            report: LoadReport::default(),
+            elapsed: TimeDelta::from_micros(took),
+            request_finished: answered || done,
+            settled_units: None,
+            load_report: LoadReport::default(),
         }));
         self.calls.forget_if_over(id.call);
     }
@@ -294,7 +294,8 @@
         let Some(call) = self.calls.get(id) else {
             return;
         };
-        let late = now + 3 * self.set.policy.tick.0 >= call.arrival.deadline.0;
+        let late = now + 3 * self.set.policy.timer_resolution.as_micros()
+            >= call.arrival.deadline.as_micros();
         let code = if late {
             Code::DeadlineExceeded
         } else {
@@ -335,7 +336,7 @@
         let (front, took) = (call.front, now.saturating_sub(call.arrived));
         let (class, plan) = (call.arrival.class.0, call.arrival.plan.0);
         self.calls.unbind_front(front);
-        tracing::debug!(call = id.0, ?end, took, "ended");
+        tracing::debug!(call = id.0, ?end, duration_us = took, "call completed");
         self.metrics.ended(class, plan, end);
         self.metrics.took.observe(took as f64 / 1e6);
         self.metrics.open.dec();
@@ -348,7 +349,7 @@
         let Some(call) = self.calls.get(id).filter(|c| !c.is_done()) else {
             return;
         };
-        let stream = self.set.policy.classes[call.arrival.class.0].stream;
+        let stream = self.set.policy.classes[call.arrival.class.0].is_streaming;
         match call.client_deadline {
             // A stream without a deadline of its client's has none once it has started.
             None if stream => {}
@@ -410,7 +411,7 @@
             return;
         }
         if let Some(told) = self.counter.as_mut().and_then(|c| c.closed(conn)) {
-            tracing::warn!(why, "counter connection over");
+            tracing::warn!(reason = why, "counter connection closed");
             return self.counted(told);
         }
         self.drop_link(conn);
@@ -453,7 +454,7 @@
             chunks: Vec::new(),
             bytes: 0,
         };
-        if self.set.policy.classes[call.arrival.class.0].stream {
+        if self.set.policy.classes[call.arrival.class.0].is_streaming {
             self.begin_stream(id.call);
         }
     }
@@ -472,7 +473,7 @@
             return;
         };
         call.answer_skip = bytes;
-        let (front, call_deadline) = (call.front, call.arrival.deadline.0);
+        let (front, call_deadline) = (call.front, call.arrival.deadline.as_micros());
         self.engine
             .respond(front, http::Response::from_parts(*head, ()), false);
         chunks
@@ -692,7 +693,7 @@
     let until = if stream {
         call.client_deadline?
     } else {
-        call.arrival.deadline.0
+        call.arrival.deadline.as_micros()
     };
     Some(until.saturating_sub(now).max(1))
 }
--- a/crates/grpc-gateway/src/endpoints.rs
+++ b/crates/grpc-gateway/src/endpoints.rs
@@ -7,7 +7,7 @@
 
 pub use crate::base::server::Server;
 use crate::base::server::{number_of, zone_of};
-use chalkdeck::api::{CellId, EndpointEntry, EndpointId, EndpointState, Micros};
+use chalkdeck::api::{CellId, EndpointEntry, EndpointId, EndpointState, Timestamp};
 use chalkdeck_net::watch::WatchError;
 use chalkdeck_proto::envoy::config::core::v3::{address, socket_address, HealthStatus};
 use chalkdeck_proto::envoy::config::endpoint::v3::{
@@ -68,7 +68,7 @@
         for (k, endpoint) in locality.lb_endpoints.iter().enumerate() {
             let server = server(locality, endpoint)
                 .map_err(|e| ListError(format!("endpoints[{i}].lb_endpoints[{k}]: {e}")))?;
-            if !known.insert(server.entry.server) {
+            if !known.insert(server.entry.endpoint) {
                 return bad(format!(
                     "endpoints[{i}].lb_endpoints[{k}]: {} is listed twice",
                     server.address
@@ -112,7 +112,9 @@
     };
     let started = match field(endpoint, "started_ms") {
         None => None,
-        Some(Kind::NumberValue(ms)) if *ms >= 0.0 && *ms < 1e15 => Some(Micros((ms * 1e3) as u64)),
+        Some(Kind::NumberValue(ms)) if *ms >= 0.0 && *ms < 1e15 => {
+            Some(Timestamp::from_micros((ms * 1e3) as u64))
+        }
         Some(_) => return bad("metadata chalkdeck.started_ms: expected Unix milliseconds"),
     };
     let name = match field(endpoint, "server") {
@@ -121,12 +123,12 @@
         Some(_) => return bad("metadata chalkdeck.server: expected a text"),
     };
     let entry = EndpointEntry {
-        server: EndpointId(number_of(&name)),
+        endpoint: EndpointId(number_of(&name)),
         zone: zone_of(zone),
         cell: CellId(number_of(&cell)),
-        listed,
+        state: listed,
         weight: f64::from(weight),
-        started,
+        started_at: started,
     };
     let contract = match field(endpoint, "contract") {
         None => None,
--- a/crates/grpc-gateway/src/keepers.rs
+++ b/crates/grpc-gateway/src/keepers.rs
@@ -8,7 +8,7 @@
 use crate::calls::Who;
 use crate::shell::{Due, Shell};
 use chalkdeck::api::{EndpointState, RequestId};
-use chalkdeck_access::{Call, Regions, Verdict};
+use chalkdeck_access::{Call, RegionTable, Verdict};
 use chalkdeck_coordinator::agent::{AgentAction, AgentSettings, GatewayAgent};
 use chalkdeck_coordinator::cache_file::CacheFile;
 use chalkdeck_coordinator::server::{connection_limits, SESSION_PATH};
@@ -59,7 +59,7 @@
 pub(crate) struct Keepers {
     agent: GatewayAgent,
     set: KeeperSettings,
-    regions: Regions,
+    regions: RegionTable,
     cache_file: Option<CacheFile>,
     /// The disk failed: tried again from then on.
     keep_at: Option<u64>,
@@ -76,14 +76,14 @@
     /// Errors: a file that is there and not sound; better no start than rules forgotten.
     pub(crate) fn new(set: &KeeperSettings, zone: &str, now: u64) -> Result<Keepers, KeepersError> {
         let regions = match &set.regions {
-            None => Regions::default(),
+            None => RegionTable::default(),
             Some(file) => {
                 let text =
                     std::fs::read_to_string(file).map_err(|source| KeepersError::RegionsFile {
                         file: file.clone(),
                         source,
                     })?;
-                Regions::read(&text).map_err(|source| KeepersError::Regions {
+                RegionTable::parse(&text).map_err(|source| KeepersError::Regions {
                     file: file.clone(),
                     source,
                 })?
@@ -195,7 +195,7 @@
             }
             Err(e) => {
                 if self.keep_at.is_none() {
-                    tracing::error!("{e}");
+                    tracing::error!(error = %e, "cached state not persisted");
                 }
                 self.keep_at = Some(now + KEEP_AGAIN);
             }
@@ -207,7 +207,7 @@
         let state = self.agent.session().state();
         let told = servers.iter().map(|s| {
             (
-                s.entry.listed == EndpointState::InService,
+                s.entry.state == EndpointState::InService,
                 s.contract.as_deref(),
             )
         });
@@ -219,14 +219,14 @@
             .zip(&back.held)
             .filter(|(_, held)| **held)
         {
-            server.entry.listed = EndpointState::Draining;
+            server.entry.state = EndpointState::Draining;
             self.held_back.push(server.address.to_string());
         }
         if back.last_resort != std::mem::replace(&mut self.last_resort, back.last_resort)
             && back.last_resort
         {
             tracing::error!(
-                "no server in service is of an admitted version: they are used as a last resort"
+                "no endpoint in service has an admitted contract version: using all of them"
             );
         }
     }
@@ -250,7 +250,7 @@
             version: session.state().version,
             duties: session.elections().filter_map(leads).collect(),
             sets,
-            rules: access.rules(),
+            rules: access.rule_count(),
             held_back: self.held_back.clone(),
             last_resort: self.last_resort,
             disk_fails: self.keep_at.is_some(),
@@ -299,7 +299,11 @@
         let text = |name: &http::HeaderName| head.headers.get(name).and_then(|v| v.to_str().ok());
         let customer = text(&set.customer_metadata).unwrap_or("");
         let told = keepers.set.region_metadata.as_ref().and_then(text);
-        let found = || engine.came_from(conn).and_then(|a| keepers.regions.of(a));
+        let found = || {
+            engine
+                .came_from(conn)
+                .and_then(|a| keepers.regions.region_of(a))
+        };
         let caller = told.or_else(found).unwrap_or("").to_string();
         keepers
             .set
@@ -308,8 +312,8 @@
             .for_each(|name| drop(asked.headers.remove(name)));
         let class = asked.arrival.class.0;
         let call = Call {
-            caller: &caller,
-            gateway: &keepers.set.region,
+            caller_region: &caller,
+            gateway_region: &keepers.set.region,
             path: head.uri.path(),
             class: &set.class_names[class],
         };
@@ -321,17 +325,19 @@
             Verdict::Denied {
                 rule,
                 version,
-                stale,
+                is_stale: stale,
             } => Err(rejected(
                 Code::PermissionDenied,
                 "denied",
                 denied(&rule, version, stale),
             )),
-            Verdict::Goes if set.policy.classes[class].stream => Ok(Some(Box::new(Who {
-                customer: customer.to_string(),
-                caller,
-            }))),
-            Verdict::Goes => Ok(None),
+            Verdict::Admitted if set.policy.classes[class].is_streaming => {
+                Ok(Some(Box::new(Who {
+                    customer: customer.to_string(),
+                    caller,
+                })))
+            }
+            Verdict::Admitted => Ok(None),
         }
     }
 
@@ -366,20 +372,20 @@
         let class = set.resp.as_ref().map_or(0, |r| r.class);
         let caller = engine
             .came_from(conn)
-            .and_then(|a| keepers.regions.of(a))
+            .and_then(|a| keepers.regions.region_of(a))
             .unwrap_or("");
         let call = Call {
-            caller,
-            gateway: &keepers.set.region,
+            caller_region: caller,
+            gateway_region: &keepers.set.region,
             path: command,
             class: &set.class_names[class],
         };
         match keepers.agent.admit_call(now(engine), customer, &call, None) {
-            Verdict::Goes => None,
+            Verdict::Admitted => None,
             Verdict::Denied {
                 rule,
                 version,
-                stale,
+                is_stale: stale,
             } => {
                 count("denied");
                 Some(format!("DENIED {}", denied(&rule, version, stale)))
@@ -409,15 +415,15 @@
                 continue;
             }
             let like = Call {
-                caller: &who.caller,
-                gateway: &keepers.set.region,
+                caller_region: &who.caller,
+                gateway_region: &keepers.set.region,
                 path: call.path.path(),
                 class: &set.class_names[call.arrival.class.0],
             };
             if let Verdict::Denied {
                 rule,
                 version,
-                stale,
+                is_stale: stale,
             } = keepers.agent.may_continue(now, &who.customer, &like)
             {
                 over.push((call.arrival.id, denied(&rule, version, stale)));
--- a/crates/grpc-gateway/src/resp/mod.rs
+++ b/crates/grpc-gateway/src/resp/mod.rs
@@ -8,15 +8,15 @@
 pub use crate::base::settings::RespSettings;
 use crate::shell::{Due, Shell};
 use bytes::Bytes;
-use chalkdeck::api::{ClassId, CustomerId, Event, IncomingRequest, Micros, PlanId, RequestId};
+use chalkdeck::api::{ClassId, CustomerId, Event, IncomingRequest, PlanId, RequestId, Timestamp};
 use chalkdeck_net::{ConnId, Engine, Limits, ListenerId};
-use chalkdeck_resp::{take, Front};
+use chalkdeck_resp::{take_command, ParsedCommand, ReplySlot};
 use command::Command;
 use rustc_hash::FxHashMap;
 use session::Session;
 use std::io;
 use std::net::SocketAddr;
-use wire::{Reply, BOUNDS};
+use wire::{Reply, LIMITS};
 
 /// Commands of one connection whose answers are still to come; beyond, nothing is read from it.
 const MOST_PENDING: usize = 1_024;
@@ -30,7 +30,7 @@
 /// A request of this front that waits for its decision.
 struct Ask {
     conn: ConnId,
-    slot: u64,
+    slot: ReplySlot,
     customer: CustomerId,
     plan: PlanId,
     /// A plain ask, or one that gets a ticket for so long.
@@ -142,18 +142,18 @@
                 session.paused = true;
                 break;
             }
-            match take(&mut session.bytes, &BOUNDS) {
-                Front::Partial => {
+            match take_command(&mut session.bytes, &LIMITS) {
+                ParsedCommand::Incomplete => {
                     if !session.bytes.is_empty() {
                         self.resp_watch(conn);
                     }
                     break;
                 }
-                Front::Bad(why) => {
+                ParsedCommand::Invalid(why) => {
                     self.resp_end(conn, Reply::Error(format!("ERR {why}")));
                     break;
                 }
-                Front::Command(words) => self.resp_command(conn, &words),
+                ParsedCommand::Complete(words) => self.resp_command(conn, &words),
             }
         }
         self.resp_flush(conn);
@@ -225,7 +225,10 @@
         units: f64,
         lease: Option<u64>,
     ) {
-        let (most, plan) = (self.set.policy.most_units, self.set.plan_for(customer));
+        let (most, plan) = (
+            self.set.policy.max_request_units,
+            self.set.plan_for(customer),
+        );
         let class = self.set.resp.as_ref().map_or(0, |r| r.class);
         let Some(resp) = &mut self.resp else { return };
         let Some(session) = resp.sessions.get_mut(&conn) else {
@@ -274,26 +277,37 @@
             class: ClassId(class),
             plan,
             customer,
-            spread: self.set.spread,
-            deadline: Micros(now + self.set.policy.classes[class].deadline.0),
+            customer_gateways: self.set.spread,
+            deadline: Timestamp::from_micros(
+                now + self.set.policy.classes[class].deadline.as_micros(),
+            ),
             units,
-            resent: false,
+            is_retry: false,
         });
     }
 
     /// Leave is given.
     pub(crate) fn granted(&mut self, id: RequestId) {
-        let now = Micros(self.engine.now());
+        let now = Timestamp::from_micros(self.engine.now());
         self.left(id);
         let Some(ask) = self.resp.as_mut().and_then(|r| r.asks.remove(&id)) else {
             return;
         };
-        let standing = self.decisions.gateway.standing(now, ask.customer, ask.plan);
+        let standing = self
+            .decisions
+            .engine
+            .quota_status(now, ask.customer, ask.plan);
         let (limit, remaining) = (standing.limit as i64, standing.remaining as i64);
         let Some(lease) = ask.lease else {
             // A plain ask holds no place: what it was granted for is over for us.
             self.decisions.push(Event::ClientDisconnected(id));
-            let numbers = [0, limit, remaining, -1, seconds(standing.reset.0)];
+            let numbers = [
+                0,
+                limit,
+                remaining,
+                -1,
+                seconds(standing.resets_in.as_micros()),
+            ];
             return self.resp_answer(&ask, Reply::Array(numbers.map(Reply::Integer).into()));
         };
         let secret = fastrand::u32(..);
@@ -317,13 +331,16 @@
 
     /// Whether it was a request of this front; it is refused, to come back after that time.
     pub(crate) fn resp_refused(&mut self, id: RequestId, back_in: Option<u64>) -> bool {
-        let now = Micros(self.engine.now());
+        let now = Timestamp::from_micros(self.engine.now());
         let Some(ask) = self.resp.as_mut().and_then(|r| r.asks.remove(&id)) else {
             return false;
         };
         self.left(id);
-        let standing = self.decisions.gateway.standing(now, ask.customer, ask.plan);
-        let back = back_in.unwrap_or(standing.reset.0);
+        let standing = self
+            .decisions
+            .engine
+            .quota_status(now, ask.customer, ask.plan);
+        let back = back_in.unwrap_or(standing.resets_in.as_micros());
         let reply = match ask.lease {
             Some(_) => vec![
                 Reply::Integer(0),
@@ -337,7 +354,7 @@
                     limit,
                     remaining,
                     seconds(back),
-                    seconds(standing.reset.0),
+                    seconds(standing.resets_in.as_micros()),
                 ]
                 .map(Reply::Integer)
                 .into()
@@ -365,9 +382,10 @@
             return false;
         }
         resp.drop_ticket(id);
-        units
-            .into_iter()
-            .for_each(|units| self.decisions.push(Event::UnitsSettled(id, units)));
+        units.into_iter().for_each(|units| {
+            self.decisions
+                .push(Event::UnitsSettled { request: id, units })
+        });
         self.decisions.push(Event::ClientDisconnected(id));
         true
     }
@@ -376,8 +394,8 @@
         let Some(plan) = self.set.plan_for(customer) else {
             return Reply::Error("NOPLAN this customer has no plan".into());
         };
-        let now = Micros(self.engine.now());
-        let standing = self.decisions.gateway.standing(
+        let now = Timestamp::from_micros(self.engine.now());
+        let standing = self.decisions.engine.quota_status(
             now,
             CustomerId(crate::base::server::number_of(customer)),
             plan,
@@ -385,7 +403,7 @@
         let numbers = [
             standing.limit as i64,
             standing.remaining as i64,
-            seconds(standing.reset.0),
+            seconds(standing.resets_in.as_micros()),
         ];
         Reply::Array(numbers.map(Reply::Integer).into())
     }
@@ -443,7 +461,12 @@
         let half = !session.bytes.is_empty() && !session.paused;
         let still = session.heard + STALLED <= now;
         if still && (half || unread > UNREAD) {
-            tracing::info!(?conn, half, unread, "a RESP client stands still: closed");
+            tracing::info!(
+                ?conn,
+                half,
+                unread,
+                "closing a RESP client that makes no progress"
+            );
             self.engine.close(conn);
         } else if session.paused {
             self.resp_resume(conn);
@@ -484,7 +507,7 @@
         if self.resp.as_mut().is_some_and(|r| r.drop_ticket(id)) {
             tracing::info!(
                 request = id.0,
-                "a ticket's lease is over: its place comes back"
+                "ticket lease expired: its concurrency slot is free again"
             );
             self.decisions.push(Event::ClientDisconnected(id));
         }
--- a/crates/grpc-gateway/src/shell.rs
+++ b/crates/grpc-gateway/src/shell.rs
@@ -16,11 +16,11 @@
 use crate::resp::Resp;
 use crate::sites::Sites;
 use chalkdeck::api::{
-    Action, CounterKey, EndpointId, EndpointState, Event, Micros, Outcome, RequestId, TimerId,
+    Action, CounterKey, EndpointId, EndpointState, Event, Outcome, RequestId, TimerId, Timestamp,
     UpdateScope,
 };
-use chalkdeck::decisions::Decisions;
-use chalkdeck::rules::Gateway;
+use chalkdeck::DecisionEngine;
+use chalkdeck::Decisions;
 use chalkdeck_net::due::Dues;
 use chalkdeck_net::grpc::Code;
 use chalkdeck_net::signals::Signals;
@@ -97,7 +97,7 @@
             Some(address) => Some(bind(address, true)?.1),
             None => None,
         };
-        let policy = Gateway::new(seed, set.policy.clone())?;
+        let policy = DecisionEngine::new(seed, set.policy.clone())?;
         let resp = set.resp.as_ref().map(|r| {
             let failed = |source| StartError::Listen {
                 address: r.listen,
@@ -143,7 +143,10 @@
 
     /// Puts a fault into the carrying code, for audits.
     pub fn inject(&mut self, fault: Fault) {
-        tracing::warn!(?fault, "a fault was asked for: rules will be broken");
+        tracing::warn!(
+            ?fault,
+            "fault injection is on: safety rules will be violated"
+        );
         self.fault = Some(fault);
     }
     /// Where calls come in.
@@ -190,7 +193,7 @@
             .policy
             .classes
             .iter()
-            .map(|c| c.deadline.0)
+            .map(|c| c.deadline.as_micros())
             .max()
             .unwrap_or(0);
         self.stop_by = Some(self.engine.now() + longest);
@@ -200,7 +203,7 @@
         self.keeper_resigns();
         tracing::info!(
             open = self.calls.open,
-            "stopping: takes no calls, finishes what it holds"
+            "graceful shutdown: rejecting new calls, finishing open ones"
         );
     }
 
@@ -288,22 +291,37 @@
 
     /// Tells the decisions what happened and carries out what follows, until nothing follows.
     fn settle(&mut self) {
-        while let Some(action) = self.decisions.next_action(Micros(self.engine.now())) {
+        while let Some(action) = self
+            .decisions
+            .next_action(Timestamp::from_micros(self.engine.now()))
+        {
             self.act(action);
         }
     }
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::SendAttempt(id, server, until) => self.send(id, server, until.0),
-            Action::Reject(id, back_in) => self.refuse(id, back_in.map(|m| m.0)),
+            Action::SendAttempt {
+                request: id,
+                endpoint: server,
+                deadline: until,
+            } => self.send(id, server, until.as_micros()),
+            Action::Reject {
+                request: id,
+                retry_after: back_in,
+            } => self.refuse(id, back_in.map(|m| m.as_micros())),
             Action::Grant(id) => self.granted(id),
             Action::Fail(id) => self.fail(id),
-            Action::CancelAttempt(call, number) => {
-                self.call_off(AttemptId { call, number }, Outcome::Cancelled)
-            }
-            Action::AddToCounter(name, amount, life) => self.count(name, amount, life.0),
-            Action::SetTimer(timer, after) => self.due_in(after.0, Due::Policy(timer)),
+            Action::CancelAttempt {
+                request: call,
+                attempt: number,
+            } => self.call_off(AttemptId { call, number }, Outcome::Cancelled),
+            Action::AddToCounter {
+                key: name,
+                amount,
+                time_to_live: life,
+            } => self.count(name, amount, life.as_micros()),
+            Action::SetTimer { timer, after } => self.due_in(after.as_micros(), Due::Policy(timer)),
             Action::FetchEndpoints => self.look(),
             // The settings allow neither probes nor subscriptions: the list is watched.
             Action::Probe(_) | Action::Subscribe => {}
@@ -344,7 +362,7 @@
         else {
             return;
         };
-        let until = engine.now() + self.set.policy.count_timeout.0;
+        let until = engine.now() + self.set.policy.counter_timeout.as_micros();
         let told = counter.part_of(name).add(engine, name, amount, life, until);
         self.watch_counts();
         self.counted(told);
@@ -385,10 +403,10 @@
             self.metrics.counter_news(news);
             match news {
                 News::Recovered => {
-                    tracing::info!("the counter was started again and has its counts")
+                    tracing::info!("counter restarted with its counts")
                 }
-                News::Emptied => tracing::warn!("the counter has lost its counts"),
-                News::WentBack => tracing::warn!("the counter has an earlier state of its counts"),
+                News::Emptied => tracing::warn!("counter lost its counts"),
+                News::WentBack => tracing::warn!("counter went back to an earlier state"),
             }
         }
         self.site_counted(&told);
@@ -399,8 +417,11 @@
         } in told
         {
             self.metrics.count(outcome);
-            self.decisions
-                .push(Event::CounterReplied(name, outcome, total));
+            self.decisions.push(Event::CounterReplied {
+                key: name,
+                outcome,
+                total,
+            });
         }
     }
 
@@ -416,13 +437,17 @@
         let list = |b: Vec<u8>| endpoints::read(self.watch.path(), &b).map_err(LookError::from);
         match bytes.map_err(LookError::from).and_then(list) {
             Ok(servers) => {
-                tracing::info!(servers = servers.len(), "server list read");
+                tracing::info!(endpoints = servers.len(), "endpoint list read");
                 self.metrics.servers.set(servers.len() as i64);
                 self.take_list(servers);
             }
             Err(why) => {
                 self.metrics.list_failures.inc();
-                tracing::error!(file = %self.watch.path().display(), "the last good server list stays: {why}");
+                tracing::error!(
+                    file = %self.watch.path().display(),
+                    error = %why,
+                    "endpoint list not readable: keeping the last good one"
+                );
             }
         }
         self.settle();
@@ -439,14 +464,16 @@
         let mut entries: Vec<_> = servers.into_iter().map(|s| s.entry).collect();
         for entry in &mut entries {
             if self.fault == Some(Fault::Drains) {
-                entry.listed = EndpointState::InService;
+                entry.state = EndpointState::InService;
             }
-            if self.fault == Some(Fault::Cold) && entry.started.is_some() {
-                self.freshest = Some(entry.server);
+            if self.fault == Some(Fault::Cold) && entry.started_at.is_some() {
+                self.freshest = Some(entry.endpoint);
             }
         }
-        self.decisions
-            .push(Event::EndpointsUpdated(UpdateScope::Complete, entries));
+        self.decisions.push(Event::EndpointsUpdated {
+            scope: UpdateScope::Complete,
+            entries,
+        });
     }
 
     /// Takes over what can change in service; the decisions' own settings need a new start.
@@ -454,7 +481,9 @@
         let Some(file) = &self.file else { return };
         let new = match Settings::load(file) {
             Ok(new) => new,
-            Err(e) => return tracing::error!("the earlier settings stay: {e}"),
+            Err(error) => {
+                return tracing::error!(%error, "reload rejected: keeping the previous settings")
+            }
         };
         let fixed = |s: &Settings| {
             (
@@ -467,7 +496,7 @@
         };
         if fixed(&new) != fixed(&self.set) {
             tracing::error!(
-                "the earlier settings stay: classes, plans, fleet, limits and addresses need a new start"
+                "reload rejected: classes, plans, fleet, limits and addresses need a restart"
             );
             return;
         }
@@ -475,7 +504,7 @@
             self.watch = Watch::new(new.endpoints.clone());
         }
         self.set = new;
-        tracing::info!("settings read again");
+        tracing::info!("settings reloaded");
     }
 
     fn on_get(&mut self, conn: ConnId, path: &str) {
--- a/crates/policy/benches/request.rs
+++ b/crates/policy/benches/request.rs
@@ -1,27 +1,27 @@
 //! What one request costs the module: add, answer, send, end; 5,000 requests a second from 5,000 customers.
 use chalkdeck::api::*;
-use chalkdeck::rules::Gateway;
+use chalkdeck::DecisionEngine;
 use std::collections::{BinaryHeap, HashMap};
 
 fn settings() -> Settings {
     let class = Class {
-        aim: Micros(500_000),
-        deadline: Micros(2_000_000),
-        worth: 1.0,
-        late_worth: 0.0,
-        effect: Effect::Safe,
-        group: Group::All,
-        window: Micros(0),
-        stream: false,
-        by_caller: false,
+        latency_objective: TimeDelta::from_micros(500_000),
+        deadline: TimeDelta::from_micros(2_000_000),
+        priority_weight: 1.0,
+        late_priority_weight: 0.0,
+        idempotency: Idempotency::Idempotent,
+        key_scope: KeyScope::All,
+        key_window: TimeDelta::from_micros(0),
+        is_streaming: false,
+        admission_only: false,
     };
     let plan = Plan {
         rate: 10.0,
         burst: 20.0,
-        open: 0.0,
-        price: 1.0,
-        over_worth: 0.0,
-        over_cost: 1.0,
+        max_concurrency: 0.0,
+        priority_multiplier: 1.0,
+        over_quota_weight: 0.0,
+        over_quota_cost: 1.0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
         ceiling_slack: 0.0,
@@ -31,17 +31,17 @@
         classes: vec![class],
         plans: vec![plan],
         max_attempts: 3,
-        may_cancel: true,
-        counter: true,
-        count_timeout: Micros(80_000),
-        most_units: 1.0,
-        tick: Micros(1_000),
+        allow_cancel: true,
+        use_counter: true,
+        counter_timeout: TimeDelta::from_micros(80_000),
+        max_request_units: 1.0,
+        timer_resolution: TimeDelta::from_micros(1_000),
         ..Settings::default()
     }
 }
 
 struct Rig {
-    gateway: Gateway,
+    gateway: DecisionEngine,
     now: u64,
     next: u64,
     out: Vec<Action>,
@@ -51,7 +51,7 @@
 
 impl Rig {
     fn new(servers: u64) -> Rig {
-        let gateway = Gateway::new(1, settings()).expect("sound settings");
+        let gateway = DecisionEngine::new(1, settings()).expect("sound settings");
         let timers = BinaryHeap::new();
         let mut rig = Rig {
             gateway,
@@ -62,22 +62,23 @@
             totals: HashMap::new(),
         };
         let entry = |i: u64| EndpointEntry {
-            server: EndpointId(i.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
+            endpoint: EndpointId(i.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
             zone: ZoneId((i % 3) as u32),
             cell: CellId(i % 3),
-            listed: EndpointState::InService,
+            state: EndpointState::InService,
             weight: 1.0,
-            started: None,
+            started_at: None,
         };
-        rig.tell(Event::EndpointsUpdated(
-            UpdateScope::Complete,
-            (0..servers).map(entry).collect(),
-        ));
+        rig.tell(Event::EndpointsUpdated {
+            scope: UpdateScope::Complete,
+            entries: (0..servers).map(entry).collect(),
+        });
         (0..20_000).for_each(|_| rig.request());
         rig
     }
     fn tell(&mut self, event: Event) {
-        self.gateway.handle(Micros(self.now), event, &mut self.out);
+        self.gateway
+            .handle(Timestamp::from_micros(self.now), event, &mut self.out);
     }
     fn request(&mut self) {
         self.now += 200;
@@ -91,36 +92,46 @@
         let arrival = IncomingRequest {
             id: RequestId(self.next),
             customer: CustomerId((self.next % 5_000).wrapping_mul(0x9e37_79b9_7f4a_7c15)),
-            spread: 3,
-            deadline: Micros(self.now + 2_000_000),
+            customer_gateways: 3,
+            deadline: Timestamp::from_micros(self.now + 2_000_000),
             units: 1.0,
             ..IncomingRequest::default()
         };
         self.tell(Event::RequestArrived(arrival));
         while let Some(action) = self.out.pop() {
             match action {
-                Action::AddToCounter(name, amount, _) => {
+                Action::AddToCounter {
+                    key: name, amount, ..
+                } => {
                     let total = self.totals.entry(name).or_default();
                     *total += amount;
                     let total = *total;
-                    self.tell(Event::CounterReplied(name, Outcome::Ok, total));
+                    self.tell(Event::CounterReplied {
+                        key: name,
+                        outcome: Outcome::Ok,
+                        total,
+                    });
                 }
-                Action::SendAttempt(id, server, _) => {
+                Action::SendAttempt {
+                    request: id,
+                    endpoint: server,
+                    ..
+                } => {
                     let end = AttemptResult {
                         id,
                         attempt: 0,
-                        server,
+                        endpoint: server,
                         outcome: Outcome::Ok,
-                        took: Micros(20_000),
-                        ended: true,
-                        settled: None,
-                        report: LoadReport::default(),
+                        elapsed: TimeDelta::from_micros(20_000),
+                        request_finished: true,
+                        settled_units: None,
+                        load_report: LoadReport::default(),
                     };
                     self.tell(Event::AttemptEnded(end));
                 }
-                Action::SetTimer(id, after) => self
+                Action::SetTimer { timer: id, after } => self
                     .timers
-                    .push(std::cmp::Reverse((self.now + after.0, id.0))),
+                    .push(std::cmp::Reverse((self.now + after.as_micros(), id.0))),
                 _ => {}
             }
         }
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -2,35 +2,7 @@
 //!
 //! Nothing here decides. Ids carry no meaning beyond equality and order.
 
-use std::ops::{Add, Sub};
-
-/// A point in time or a span, in microseconds.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Micros(pub u64);
-
-impl Micros {
-    /// The span in seconds.
-    pub fn secs(self) -> f64 {
-        self.0 as f64 / 1e6
-    }
-    /// The span scaled by `k` (never below zero).
-    pub fn times(self, k: f64) -> Micros {
-        Micros((self.0 as f64 * k).max(0.0) as u64)
-    }
-}
-impl Add for Micros {
-    type Output = Micros;
-    fn add(self, o: Micros) -> Micros {
-        Micros(self.0.saturating_add(o.0))
-    }
-}
-impl Sub for Micros {
-    type Output = Micros;
-    /// Stops at zero.
-    fn sub(self, o: Micros) -> Micros {
-        Micros(self.0.saturating_sub(o.0))
-    }
-}
+pub use chalkdeck_time::{TimeDelta, Timestamp};
 
 macro_rules! id {
     ($(#[$doc:meta])* $name:ident, $inner:ty) => {
@@ -60,18 +32,18 @@
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Safe to repeat.
-    Safe,
+    Idempotent,
     /// Carries a key; the servers of one group drop a repeat within the window.
     Keyed,
     /// Must not run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// Which servers drop the repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum KeyScope {
     /// Every server.
     All,
     /// The servers of one zone.
@@ -84,23 +56,23 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     /// An answer within this time earns the full worth.
-    pub aim: Micros,
+    pub latency_objective: TimeDelta,
     /// How long a client waits, all tries together.
-    pub deadline: Micros,
+    pub deadline: TimeDelta,
     /// What a request is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// The part of the worth that an answer after the aim earns.
-    pub late_worth: f64,
+    pub late_priority_weight: f64,
     /// Whether it may run again.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Who drops repeats, where keyed.
-    pub group: Group,
+    pub key_scope: KeyScope,
     /// How long they drop them, where keyed.
-    pub window: Micros,
+    pub key_window: TimeDelta,
     /// The answer comes as a stream.
-    pub stream: bool,
+    pub is_streaming: bool,
     /// The caller does the work itself and asks for leave only: no server is chosen.
-    pub by_caller: bool,
+    pub admission_only: bool,
 }
 
 /// A plan. Its quota holds for each customer over all gateways together.
@@ -111,13 +83,13 @@
     /// The most units the quota's store holds.
     pub burst: f64,
     /// Attempts out at once; 0: no such cap.
-    pub open: f64,
+    pub max_concurrency: f64,
     /// Multiplies the worth.
-    pub price: f64,
+    pub priority_multiplier: f64,
     /// Part of the worth earned beyond the quota.
-    pub over_worth: f64,
+    pub over_quota_weight: f64,
     /// Part of the worth lost by sending on beyond the quota.
-    pub over_cost: f64,
+    pub over_quota_cost: f64,
     /// Units a second of the hard ceiling; 0: none.
     pub ceiling_rate: f64,
     /// The most units the ceiling's store holds.
@@ -132,7 +104,7 @@
     /// Number of gateways.
     pub gateways: u32,
     /// This gateway's number among them.
-    pub me: u32,
+    pub gateway_index: u32,
     /// This gateway's zone.
     pub zone: ZoneId,
     /// The classes of requests.
@@ -142,37 +114,37 @@
     /// The most attempts for one request.
     pub max_attempts: usize,
     /// Two attempts of one request may be out together.
-    pub second_copies: bool,
+    pub allow_hedging: bool,
     /// Attempts may be called off.
-    pub may_cancel: bool,
+    pub allow_cancel: bool,
     /// Servers may be probed.
-    pub probes: bool,
+    pub allow_probes: bool,
     /// Clients receive a retry-after.
-    pub retry_after: bool,
+    pub send_retry_after: bool,
     /// The longest retry-after that a client follows.
-    pub max_retry_after: Micros,
+    pub max_retry_after: TimeDelta,
     /// The counter service may be called.
-    pub counter: bool,
+    pub use_counter: bool,
     /// A count call ends unanswered after this.
-    pub count_timeout: Micros,
+    pub counter_timeout: TimeDelta,
     /// The largest request in units.
-    pub most_units: f64,
+    pub max_request_units: f64,
     /// List changes must be asked for.
-    pub must_subscribe: bool,
+    pub requires_subscription: bool,
     /// A connection to a server that does not stand by then has failed: an attempt reaches its server that much later at most.
-    pub dial_timeout: Micros,
+    pub dial_timeout: TimeDelta,
     /// How long past its deadline a final answer still counts.
-    pub answer_slack: Micros,
+    pub answer_slack: TimeDelta,
     /// A server starts at no less than this part of its capacity.
-    pub cold_from: f64,
+    pub slow_start_min_capacity: f64,
     /// A server is warm after this.
-    pub cold: Micros,
+    pub slow_start_duration: TimeDelta,
     /// A cold server falls over when sent this many times its present capacity,
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// for this long.
-    pub tip_after: Micros,
+    pub overload_duration: TimeDelta,
     /// The shortest gap between two calls of the module.
-    pub tick: Micros,
+    pub timer_resolution: TimeDelta,
 }
 
 /// Whether a server takes new work, as the list tells it.
@@ -190,17 +162,17 @@
 #[derive(Clone, Debug)]
 pub struct EndpointEntry {
     /// The server.
-    pub server: EndpointId,
+    pub endpoint: EndpointId,
     /// Its zone.
     pub zone: ZoneId,
     /// Its cell.
     pub cell: CellId,
     /// Its state.
-    pub listed: EndpointState,
+    pub state: EndpointState,
     /// Its size against the others.
     pub weight: f64,
     /// When it last started; `None`: long ago.
-    pub started: Option<Micros>,
+    pub started_at: Option<Timestamp>,
 }
 
 /// What a list event holds.
@@ -249,11 +221,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Requests being handled.
-    pub inflight: Option<f64>,
+    pub in_flight: Option<f64>,
     /// Requests waiting.
-    pub queue: Option<f64>,
+    pub queued: Option<f64>,
     /// Part of its cores in use.
-    pub busy: Option<f64>,
+    pub utilization: Option<f64>,
 }
 
 /// A request that came in.
@@ -268,13 +240,13 @@
     /// Its customer.
     pub customer: CustomerId,
     /// Through how many gateways this customer's requests come.
-    pub spread: u32,
+    pub customer_gateways: u32,
     /// The client gives up then.
-    pub deadline: Micros,
+    pub deadline: Timestamp,
     /// Its units.
     pub units: f64,
     /// The client repeats a try that was refused, failed or given up (where clients say so).
-    pub resent: bool,
+    pub is_retry: bool,
 }
 
 /// An attempt that ended.
@@ -285,17 +257,17 @@
     /// Which of its attempts.
     pub attempt: usize,
     /// The server.
-    pub server: EndpointId,
+    pub endpoint: EndpointId,
     /// How.
     pub outcome: Outcome,
     /// How long it was out.
-    pub took: Micros,
+    pub elapsed: TimeDelta,
     /// The request has had its final answer.
-    pub ended: bool,
+    pub request_finished: bool,
     /// The true units, where they are settled afterwards.
-    pub settled: Option<f64>,
+    pub settled_units: Option<f64>,
     /// The server's load report.
-    pub report: LoadReport,
+    pub load_report: LoadReport,
 }
 
 /// What a zone should bear, where sites are watched.
@@ -306,27 +278,37 @@
     /// Part of the requests that go there first. Over all zones they sum to one.
     pub share: f64,
     /// Others' requests may go there where their own zone has no place.
-    pub open: bool,
+    pub accepts_overflow: bool,
 }
 
 /// What is let in at all, by worth for each unit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SheddingThreshold {
     /// Worth this much or more: let in.
-    pub sure: f64,
+    pub admit_above: f64,
     /// Worth less than this: refused.
-    pub from: f64,
+    pub reject_below: f64,
     /// Part of those between that is let in.
-    pub part: f64,
+    pub admit_fraction: f64,
 }
 
 /// What a gateway is told.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// What zones should bear and what is let in; until the first, nothing is known of zones as wholes.
-    ZoneSharesChanged(Vec<ZoneShare>, SheddingThreshold),
+    ZoneSharesChanged {
+        /// Every zone.
+        shares: Vec<ZoneShare>,
+        /// What is admitted at all.
+        threshold: SheddingThreshold,
+    },
     /// News of the server list.
-    EndpointsUpdated(UpdateScope, Vec<EndpointEntry>),
+    EndpointsUpdated {
+        /// What the entries stand for.
+        scope: UpdateScope,
+        /// The lines of the list.
+        entries: Vec<EndpointEntry>,
+    },
     /// A request came in.
     RequestArrived(IncomingRequest),
     /// A timer came due.
@@ -336,13 +318,32 @@
     /// The client is gone.
     ClientDisconnected(RequestId),
     /// A request that was granted cost so many units in truth.
-    UnitsSettled(RequestId, f64),
+    UnitsSettled {
+        /// The granted request.
+        request: RequestId,
+        /// Its true units.
+        units: f64,
+    },
     /// Its body is no longer held and cannot be sent again.
     BodyDiscarded(RequestId),
     /// A probe ended.
-    ProbeCompleted(EndpointId, Outcome, LoadReport),
+    ProbeCompleted {
+        /// The probed endpoint.
+        endpoint: EndpointId,
+        /// How the probe ended.
+        outcome: Outcome,
+        /// What the endpoint said of its load.
+        load_report: LoadReport,
+    },
     /// A count call ended, with the total where it was answered.
-    CounterReplied(CounterKey, Outcome, f64),
+    CounterReplied {
+        /// The counter that was added to.
+        key: CounterKey,
+        /// How the call ended.
+        outcome: Outcome,
+        /// The total after the add; meaningful with [`Outcome::Ok`] only.
+        total: f64,
+    },
     /// An attempt ended.
     AttemptEnded(AttemptResult),
 }
@@ -351,21 +352,50 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt, to be given up at that time.
-    SendAttempt(RequestId, EndpointId, Micros),
+    SendAttempt {
+        /// The request.
+        request: RequestId,
+        /// Where it goes.
+        endpoint: EndpointId,
+        /// When the attempt is given up.
+        deadline: Timestamp,
+    },
     /// Final answer: refused, with advice when to come back.
-    Reject(RequestId, Option<Micros>),
+    Reject {
+        /// The request.
+        request: RequestId,
+        /// When the client may come back.
+        retry_after: Option<TimeDelta>,
+    },
     /// Leave is given: the caller does the work itself, and tells its end by `ClientGone`.
     Grant(RequestId),
     /// Final answer: failed.
     Fail(RequestId),
     /// Call off an attempt.
-    CancelAttempt(RequestId, usize),
+    CancelAttempt {
+        /// The request.
+        request: RequestId,
+        /// Which of its attempts, from 0.
+        attempt: usize,
+    },
     /// Ask a server for its load.
     Probe(EndpointId),
     /// Add to a count that lives that long, and hear the total.
-    AddToCounter(CounterKey, f64, Micros),
+    AddToCounter {
+        /// The counter.
+        key: CounterKey,
+        /// What is added; may be negative.
+        amount: f64,
+        /// How long the counter lives from its first add.
+        time_to_live: TimeDelta,
+    },
     /// Wake the module after this time.
-    SetTimer(TimerId, Micros),
+    SetTimer {
+        /// The timer to raise.
+        timer: TimerId,
+        /// How long from now.
+        after: TimeDelta,
+    },
     /// Ask for changes of the server list.
     Subscribe,
     /// Ask for the whole server list.
@@ -380,61 +410,103 @@
     /// What is left of them.
     pub remaining: f64,
     /// When all of it is there again.
-    pub reset: Micros,
+    pub resets_in: TimeDelta,
+}
+
+/// Attempts in flight at one endpoint, and how many there may be.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct EndpointConcurrency {
+    /// The endpoint.
+    pub endpoint: EndpointId,
+    /// Attempts of this gateway in flight there.
+    pub in_flight: f64,
+    /// This gateway's part of the endpoint's concurrency limit.
+    pub limit: f64,
 }
 
 /// Settings that make no sense.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SettingsError(pub String);
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum SettingsError {
+    /// No gateways, or an index that is not below their number.
+    #[error("gateways: expected at least one, and this one's number below it")]
+    Gateways,
+    /// No attempt is allowed.
+    #[error("max_attempts: expected at least 1")]
+    MaxAttempts,
+    /// A number about slow start or request sizes is negative or not finite. The text has the names of the settings files.
+    #[error("cold_from, fall_multiple, most_units: expected numbers of 0 or more")]
+    Capacity,
+    /// A class with a weight that is negative or not finite, or without a deadline.
+    #[error("class: expected a worth of 0 or more and a deadline above 0")]
+    Class,
+    /// A plan with a number that is negative or not finite.
+    #[error("plan: expected numbers of 0 or more")]
+    Plan,
+    /// A plan with a rate but no burst.
+    #[error("plan: expected a burst above 0 where there is a rate")]
+    Burst,
+}
+
+/// Whether a number may stand for an amount: finite and not negative.
+fn is_amount(value: f64) -> bool {
+    value.is_finite() && value >= 0.0
+}
 
-impl std::fmt::Display for SettingsError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(&self.0)
+impl Class {
+    fn check(&self) -> Result<(), SettingsError> {
+        let has_sound_weights =
+            is_amount(self.priority_weight) && is_amount(self.late_priority_weight);
+        if has_sound_weights && self.deadline > TimeDelta::ZERO {
+            Ok(())
+        } else {
+            Err(SettingsError::Class)
+        }
+    }
+}
+
+impl Plan {
+    fn check(&self) -> Result<(), SettingsError> {
+        let amounts = [
+            self.rate,
+            self.burst,
+            self.max_concurrency,
+            self.ceiling_rate,
+            self.ceiling_burst,
+            self.ceiling_slack,
+            self.priority_multiplier,
+            self.over_quota_weight,
+            self.over_quota_cost,
+        ];
+        if !amounts.into_iter().all(is_amount) {
+            return Err(SettingsError::Plan);
+        }
+        let quota_lacks_burst = self.rate > 0.0 && self.burst <= 0.0;
+        let ceiling_lacks_burst = self.ceiling_rate > 0.0 && self.ceiling_burst <= 0.0;
+        if quota_lacks_burst || ceiling_lacks_burst {
+            return Err(SettingsError::Burst);
+        }
+        Ok(())
     }
 }
-impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Whether these settings make sense.
+    /// Whether these settings make sense; the first that does not is the error.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let fail = |what: &str| Err(SettingsError(what.to_string()));
-        let sound = |v: f64| v.is_finite() && v >= 0.0;
-        if self.gateways == 0 || self.me >= self.gateways {
-            return fail("gateways: expected at least one, and this one's number below it");
+        if self.gateways == 0 || self.gateway_index >= self.gateways {
+            return Err(SettingsError::Gateways);
         }
         if self.max_attempts == 0 {
-            return fail("max_attempts: expected at least 1");
+            return Err(SettingsError::MaxAttempts);
         }
-        if ![self.cold_from, self.fall_multiple, self.most_units]
-            .into_iter()
-            .all(sound)
-        {
-            return fail("cold_from, fall_multiple, most_units: expected numbers of 0 or more");
+        let amounts = [
+            self.slow_start_min_capacity,
+            self.overload_multiple,
+            self.max_request_units,
+        ];
+        if !amounts.into_iter().all(is_amount) {
+            return Err(SettingsError::Capacity);
         }
-        if !self
-            .classes
-            .iter()
-            .all(|c| sound(c.worth) && sound(c.late_worth) && c.deadline.0 > 0)
-        {
-            return fail("class: expected a worth of 0 or more and a deadline above 0");
-        }
-        for p in &self.plans {
-            let quota = [
-                p.rate,
-                p.burst,
-                p.open,
-                p.ceiling_rate,
-                p.ceiling_burst,
-                p.ceiling_slack,
-            ];
-            let worth = [p.price, p.over_worth, p.over_cost];
-            if !quota.into_iter().chain(worth).all(sound) {
-                return fail("plan: expected numbers of 0 or more");
-            }
-            if p.rate > 0.0 && p.burst <= 0.0 || p.ceiling_rate > 0.0 && p.ceiling_burst <= 0.0 {
-                return fail("plan: expected a burst above 0 where there is a rate");
-            }
-        }
-        Ok(())
+        self.classes.iter().try_for_each(Class::check)?;
+        self.plans.iter().try_for_each(Plan::check)
     }
 }
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -3,12 +3,12 @@
 //! Order: constants, admission, the life of a request, choice of a server, health, guards of the rules.
 
 use crate::api::*;
-pub use crate::state::Gateway;
+pub use crate::state::DecisionEngine;
 use crate::state::*;
 
 /// The source's breaker: failures in a row that open it, and its cooldown.
 const FAILURES_TO_OPEN: f64 = 3.0;
-const COOLDOWN: Micros = Micros(5_000_000);
+const COOLDOWN: TimeDelta = TimeDelta::from_micros(5_000_000);
 /// Share of requests that ask: at first, and when a probe was answered, so many over the gateways; the least.
 /// Answers `ASK_SLOW` of the calls' time later than usual leave it; none, or twice that, move it `ASK_STEP`.
 const ASK_FIRST: f64 = 30.0;
@@ -16,16 +16,16 @@
 const ASK_SLOW: f64 = 0.12;
 const ASK_STEP: f64 = 0.2;
 /// How long a customer that was heard to be over its quota counts as such for requests that don't ask.
-const REMEMBER: Micros = Micros(15_000_000);
+const REMEMBER: TimeDelta = TimeDelta::from_micros(15_000_000);
 /// The share of repeats that ask is the share of first tries to this power.
 const REPEAT_POWER: f64 = 3.0;
 /// How long after a refusal the like of it counts as its repeat.
-const REPEAT_SPAN: Micros = Micros(1_000_000);
+const REPEAT_SPAN: TimeDelta = TimeDelta::from_micros(1_000_000);
 /// Part of a cap's places that unheard starts may fill: heard ones need the others, and starts bunch.
 const PLACES_UNHEARD: f64 = 0.5;
 /// Life of one count of attempts out, so that what a killed gateway held is forgotten; of idle customers.
-const EPOCH: Micros = Micros(5_000_000);
-const FORGET: Micros = Micros(120_000_000);
+const EPOCH: TimeDelta = TimeDelta::from_micros(5_000_000);
+const FORGET: TimeDelta = TimeDelta::from_micros(120_000_000);
 /// Weights of the newest sample, and window, in smoothed figures; time over which flow is averaged.
 const SMOOTH: f64 = 0.1;
 const CARRY: f64 = 0.3;
@@ -70,14 +70,14 @@
 const CALM_SHARE: f64 = 0.15;
 /// Outlier ejection: share of failures (one passes after seconds unseen, else four), first rest, doublings.
 const EJECT_SHARE: f64 = 0.3;
-const EJECT_FIRST: Micros = Micros(1_000_000);
+const EJECT_FIRST: TimeDelta = TimeDelta::from_micros(1_000_000);
 const EJECT_DOUBLINGS: u32 = 3;
 /// Connects to a server that fail for longer than this, with no answer between, tell of a restart.
-const UNREACHED: Micros = Micros(700_000);
+const UNREACHED: TimeDelta = TimeDelta::from_micros(700_000);
 /// A server that turned a request away is left alone for this long.
-const REST: Micros = Micros(100_000);
+const REST: TimeDelta = TimeDelta::from_micros(100_000);
 /// How long leave to send to a cold server holds where many gateways share it.
-const COLD_LEAVE: Micros = Micros(250_000);
+const COLD_LEAVE: TimeDelta = TimeDelta::from_micros(250_000);
 /// Retry budget: further attempts earned by each request, and the most saved up.
 const RETRY_SHARE: f64 = 0.2;
 const RETRY_SAVED: f64 = 20.0;
@@ -92,18 +92,18 @@
 const ELSEWHERE: f64 = 4.0;
 /// Longest wait for a free server, as part of the aim, and how often held requests are looked at.
 const HOLD_PART: f64 = 0.3;
-const HOLD_STEP: Micros = Micros(10_000);
+const HOLD_STEP: TimeDelta = TimeDelta::from_micros(10_000);
 
 /// A breaker over one way to the counter.
 #[derive(Debug, Default)]
 pub(crate) struct Breaker {
     streak: f64,
-    opened: Option<Micros>,
+    opened: Option<Timestamp>,
     probing: bool,
 }
 
 impl Breaker {
-    fn ready(&self, now: Micros) -> bool {
+    fn ready(&self, now: Timestamp) -> bool {
         self.opened
             .is_none_or(|at| !self.probing && now >= at + COOLDOWN)
     }
@@ -111,7 +111,7 @@
     fn ask(&mut self) {
         self.probing |= self.opened.is_some();
     }
-    fn failure(&mut self, now: Micros, probe: bool) {
+    fn failure(&mut self, now: Timestamp, probe: bool) {
         self.streak += 1.0;
         if (self.opened.is_none() && self.streak >= FAILURES_TO_OPEN) || (probe && self.probing) {
             (self.opened, self.probing) = (Some(now), false);
@@ -132,35 +132,36 @@
     (ASK_FIRST / f64::from(set.gateways)).min(1.0)
 }
 
-impl Gateway {
+impl DecisionEngine {
     /// A gateway as it starts, knowing nothing but its settings.
-    pub fn new(seed: u64, set: Settings) -> Result<Gateway, SettingsError> {
+    pub fn new(seed: u64, set: Settings) -> Result<DecisionEngine, SettingsError> {
         set.check()?;
         let rng = fastrand::Rng::with_seed(seed);
         let (retries, ask) = (RETRY_SAVED, ask_first(&set));
-        let mut new = Gateway {
+        let mut new = DecisionEngine {
             set,
             rng,
             retries,
             ask,
             pass: 1.0,
-            ..Gateway::default()
+            ..DecisionEngine::default()
         };
         // Goes out with the first event, whichever that is.
         new.timer(Timer::Sweep, FORGET);
         new.out
-            .extend(new.set.must_subscribe.then_some(Action::Subscribe));
+            .extend(new.set.requires_subscription.then_some(Action::Subscribe));
         Ok(new)
     }
 
     /// Takes one event and appends what is to be done.
-    pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Timestamp, event: Event, out: &mut Vec<Action>) {
         self.pass_time(now);
         match event {
-            Event::EndpointsUpdated(scope, entries) => self.on_servers(scope, entries),
-            Event::ZoneSharesChanged(shares, floor) => {
-                (self.sites, self.floor) = (shares, Some(floor))
-            }
+            Event::EndpointsUpdated { scope, entries } => self.on_servers(scope, entries),
+            Event::ZoneSharesChanged {
+                shares,
+                threshold: floor,
+            } => (self.sites, self.floor) = (shares, Some(floor)),
             Event::RequestArrived(arrival) => self.on_request(arrival),
             Event::Timer(timer) => self.on_timer(timer),
             Event::ResponseStarted(id) => self
@@ -169,22 +170,26 @@
                 .into_iter()
                 .for_each(|r| r.streaming = true),
             Event::ClientDisconnected(id) => self.finish(id, None),
-            Event::UnitsSettled(id, units) => self.settle(id, units),
+            Event::UnitsSettled { request: id, units } => self.settle(id, units),
             Event::BodyDiscarded(id) => self
                 .requests
                 .get_mut(&id)
                 .into_iter()
                 .for_each(|r| r.body_gone = true),
-            Event::ProbeCompleted(..) => {}
-            Event::CounterReplied(name, outcome, total) => self.on_counted(name, outcome, total),
+            Event::ProbeCompleted { .. } => {}
+            Event::CounterReplied {
+                key: name,
+                outcome,
+                total,
+            } => self.on_counted(name, outcome, total),
             Event::AttemptEnded(end) => self.on_attempt(end),
         }
         out.append(&mut self.out);
     }
 
     /// Keeps the mean of attempts out in calm, and the budget of time in flight that overload leaves of it.
-    fn pass_time(&mut self, now: Micros) {
-        let gone = (now - self.now).secs();
+    fn pass_time(&mut self, now: Timestamp) {
+        let gone = (now - self.now).as_secs_f64();
         self.now = self.now.max(now);
         let servers = self.ring.len().max(1) as f64;
         let most_out = OVERLOAD_OUT * self.calm_out * servers;
@@ -200,11 +205,11 @@
         self.pass < OVERLOAD_PASS && self.sparse() && self.floor.is_none()
     }
 
-    fn timer(&mut self, timer: Timer, after: Micros) {
+    fn timer(&mut self, timer: Timer, after: TimeDelta) {
         self.serial += 1;
         let id = TimerId(self.serial);
         self.timers.insert(id, timer);
-        self.out.push(Action::SetTimer(id, after));
+        self.out.push(Action::SetTimer { timer: id, after });
     }
 
     fn on_timer(&mut self, id: TimerId) {
@@ -220,7 +225,7 @@
             }
             Some(Timer::Resubscribe) => self
                 .out
-                .extend(self.set.must_subscribe.then_some(Action::Subscribe)),
+                .extend(self.set.requires_subscription.then_some(Action::Subscribe)),
             Some(Timer::Sweep) => {
                 self.customers
                     .retain(|_, c| c.used + FORGET >= self.now || c.out > 0.0);
@@ -233,20 +238,23 @@
     // ---- admission ----
 
     /// Window length and what it admits: one burst in the burst's time; under a ceiling halves of both.
-    fn window_of(&self, plan: usize) -> (Micros, f64) {
+    fn window_of(&self, plan: usize) -> (TimeDelta, f64) {
         let p = &self.set.plans[plan];
         let part = if p.ceiling_rate > 0.0 { 0.5 } else { 1.0 };
         (
-            Micros(((p.burst / p.rate) * part * 1e6).max(1.0) as u64),
+            TimeDelta::from_micros(((p.burst / p.rate) * part * 1e6).max(1.0) as u64),
             p.burst * part,
         )
     }
 
     /// The current window (or epoch) of a customer; the customer's hash shifts its edges, so that not all
     /// windows end at once.
-    fn span(&self, customer: CustomerId, length: Micros) -> (u64, Micros) {
-        let shifted = self.now.0 + mix(customer.0) % length.0;
-        (shifted / length.0, Micros(length.0 - shifted % length.0))
+    fn span(&self, customer: CustomerId, length: TimeDelta) -> (u64, TimeDelta) {
+        let shifted = self.now.as_micros() + mix(customer.0) % length.as_micros();
+        (
+            shifted / length.as_micros(),
+            TimeDelta::from_micros(length.as_micros() - shifted % length.as_micros()),
+        )
     }
 
     /// Brings a customer's counts to the present window and epoch.
@@ -299,35 +307,47 @@
     fn on_request(&mut self, a: IncomingRequest) {
         let (id, now, customer, plan) = (a.id, self.now, a.customer, a.plan.0);
         if a.class.0 >= self.set.classes.len() || plan >= self.set.plans.len() {
-            return self.out.push(Action::Reject(id, None));
+            return self.out.push(Action::Reject {
+                request: id,
+                retry_after: None,
+            });
         }
         self.retries = (self.retries + RETRY_SHARE).min(RETRY_SAVED);
         // Before the deadline by two ticks: a timer may come one late, and the answer takes one.
         self.timer(
             Timer::Deadline(id),
-            a.deadline - now - self.set.tick - self.set.tick,
+            a.deadline - now - self.set.timer_resolution - self.set.timer_resolution,
         );
         let c = self.customers.entry(customer).or_default();
-        if c.used == Micros(0) {
+        if c.used == Timestamp::ZERO {
             c.beyond.at = now; // Starts empty: an earlier life of this gateway may have spent it.
         }
-        (c.plan, c.spread, c.used) = (plan, f64::from(a.spread.max(1)), now);
+        (c.plan, c.spread, c.used) = (plan, f64::from(a.customer_gateways.max(1)), now);
         // Where clients do not mark repeats: the like of what was refused here a moment ago.
         let alike =
             |r: &Refusal| r.class == a.class && r.units == a.units && now < r.at + REPEAT_SPAN;
-        let resent = a.resent || c.refused.as_ref().is_some_and(alike);
+        let resent = a.is_retry || c.refused.as_ref().is_some_and(alike);
         self.requests.insert(
             id,
             Request {
-                a: IncomingRequest { resent, ..a },
+                a: IncomingRequest {
+                    is_retry: resent,
+                    ..a
+                },
                 arrived: now,
                 ..Request::default()
             },
         );
         self.roll(customer);
-        if !self.set.classes[a.class.0].by_caller && self.shed(id) {
+        if !self.set.classes[a.class.0].admission_only && self.shed(id) {
             let wait = self.soon(a.class);
-            return self.finish(id, Some(Action::Reject(id, wait)));
+            return self.finish(
+                id,
+                Some(Action::Reject {
+                    request: id,
+                    retry_after: wait,
+                }),
+            );
         }
         match self.set.plans[plan].rate > 0.0 {
             true => self.ask_window(id),
@@ -336,7 +356,8 @@
     }
 
     fn worth(&self, r: &Request) -> f64 {
-        self.set.classes[r.a.class.0].worth * self.set.plans[r.a.plan.0].price
+        self.set.classes[r.a.class.0].priority_weight
+            * self.set.plans[r.a.plan.0].priority_multiplier
     }
 
     /// Adaptive throttling before the servers: refuses by chance as many as came back late of late, those
@@ -349,7 +370,8 @@
         // Where sites are watched there is one order over all gateways: worth for the room it takes.
         if let Some(floor) = self.floor {
             let dense = worth / r.a.units;
-            return dense < floor.from || dense < floor.sure && self.rng.f64() >= floor.part;
+            return dense < floor.reject_below
+                || dense < floor.admit_above && self.rng.f64() >= floor.admit_fraction;
         }
         self.usual_worth += SMOOTH / 3.0 * (worth - self.usual_worth);
         let power = if worth > 0.0 {
@@ -362,13 +384,14 @@
 
     /// When to come back after a refusal that no window ends: soon, or the answer misses the aim; spread by
     /// chance and later the more is shed, so that repeats do not arrive as one wave.
-    fn soon(&mut self, class: ClassId) -> Option<Micros> {
+    fn soon(&mut self, class: ClassId) -> Option<TimeDelta> {
         let wait = self.set.classes[class.0]
-            .aim
-            .times(HINT_PART * self.rng.f64() * (1.0 - self.pass));
-        self.set
-            .retry_after
-            .then_some(wait.max(self.set.tick).min(self.set.max_retry_after))
+            .latency_objective
+            .mul_f64(HINT_PART * self.rng.f64() * (1.0 - self.pass));
+        self.set.send_retry_after.then_some(
+            wait.max(self.set.timer_resolution)
+                .min(self.set.max_retry_after),
+        )
     }
 
     /// What a customer's quota has room for by a total of the shared count.
@@ -386,7 +409,7 @@
             .customers
             .get(&customer)
             .is_some_and(|c| c.breaker.opened.is_some());
-        !self.set.counter || self.breaker.opened.is_some() || own_open
+        !self.set.use_counter || self.breaker.opened.is_some() || own_open
     }
 
     /// For how many like it a request is to ask, with the share to this power; none: it is not to. Guards
@@ -405,7 +428,7 @@
         let Some(c) = self.customers.get_mut(&customer) else {
             return false;
         };
-        let ready = self.set.counter && common.ready(now) && c.breaker.ready(now);
+        let ready = self.set.use_counter && common.ready(now) && c.breaker.ready(now);
         [common, &mut c.breaker]
             .into_iter()
             .filter(|_| ready)
@@ -421,7 +444,7 @@
         let (customer, units, resent, worth) = (
             r.a.customer,
             r.a.units,
-            r.a.resent,
+            r.a.is_retry,
             self.worth(r) * r.a.units,
         );
         let weight = if self.usual_asked > 0.0 {
@@ -458,7 +481,7 @@
         } else {
             1.0
         }; // A place takes two calls.
-        if self.set.plans[r.a.plan.0].open <= 0.0 {
+        if self.set.plans[r.a.plan.0].max_concurrency <= 0.0 {
             self.admit(id);
         } else if self.asks(power).is_some() && self.may_call(customer) {
             self.call(Purpose::Open, customer, Some(id), 1.0, 0.0);
@@ -519,27 +542,27 @@
             .and_then(|id| self.requests.get_mut(&id))
             .into_iter()
             .for_each(|r| r.asking += 1);
-        self.out.push(Action::AddToCounter(
-            name,
+        self.out.push(Action::AddToCounter {
+            key: name,
             amount,
-            (length + length).min(Micros(60_000_000)),
-        ));
+            time_to_live: (length + length).min(TimeDelta::from_micros(60_000_000)),
+        });
     }
 
     /// A line that builds up at the counter makes asking rarer before calls fail, by half at most, once for
     /// calls that were out together. A quick answer counts for those that did not ask, too, at most fourfold.
-    fn ask_by(&mut self, took: Micros) {
-        let line = took.secs() - self.no_line;
+    fn ask_by(&mut self, took: TimeDelta) {
+        let line = took.as_secs_f64() - self.no_line;
         self.no_line += if line < 0.0 || self.no_line == 0.0 {
             line
         } else {
             line * SMOOTH / 100.0
         };
-        let slow = line.max(0.0) / (self.set.count_timeout.secs() * ASK_SLOW).max(1e-9);
+        let slow = line.max(0.0) / (self.set.counter_timeout.as_secs_f64() * ASK_SLOW).max(1e-9);
         let step = (1.0 + ASK_STEP * (1.0 - slow)).max(0.5);
         if slow < 1.0 {
             self.ask *= step.powf(1.0 / self.ask).min(4.0);
-        } else if self.now >= self.ask_cut + self.set.count_timeout {
+        } else if self.now >= self.ask_cut + self.set.counter_timeout {
             (self.ask, self.ask_cut) = (self.ask * step, self.now);
         }
         self.ask = self.ask.clamp(LEAST_PART, 1.0);
@@ -551,10 +574,10 @@
         let now = self.now;
         // A call that its connection took along says nothing of a counter that answered others a moment ago.
         let broken = !matches!(outcome, Outcome::Timeout | Outcome::Rejected);
-        if broken && !probe && now < self.heard_at + self.set.count_timeout {
+        if broken && !probe && now < self.heard_at + self.set.counter_timeout {
             return;
         }
-        self.ask_by(self.set.count_timeout);
+        self.ask_by(self.set.counter_timeout);
         if self.last_failed != Some(customer) || probe {
             self.breaker.failure(now, probe);
         }
@@ -624,7 +647,7 @@
                     },
             );
             c.breaker.success(call.probe);
-            if c.spread * self.set.most_units <= self.set.plans[plan].burst {
+            if c.spread * self.set.max_request_units <= self.set.plans[plan].burst {
                 c.bucket = None;
             }
             self.ask = if call.probe {
@@ -685,7 +708,7 @@
             return;
         };
         let (customer, units, plan) = (r.a.customer, r.a.units, r.a.plan.0);
-        let (resent, done) = (r.a.resent, r.done);
+        let (resent, done) = (r.a.is_retry, r.done);
         let full = self.customers[&customer]
             .full
             .is_some_and(|at| self.now < at + REMEMBER);
@@ -741,7 +764,7 @@
     /// part of what the store was last known to hold; under a ceiling `beyond_take` stands before it. Guards
     /// against refusing customers with few units, for whom a share from empty admits nothing for seconds.
     fn local_take(&mut self, customer: CustomerId, plan: usize, units: f64) -> bool {
-        let (now, most_units, p) = (self.now, self.set.most_units, &self.set.plans[plan]);
+        let (now, most_units, p) = (self.now, self.set.max_request_units, &self.set.plans[plan]);
         let Some(c) = self.customers.get_mut(&customer) else {
             return false;
         };
@@ -784,9 +807,11 @@
             return;
         };
         let ok = match heard {
-            Some(total) => total <= plan.open,
-            None if r.a.resent && !self.silent(customer) => false,
-            None if plan.open >= c.spread => c.out < (plan.open / c.spread).floor(),
+            Some(total) => total <= plan.max_concurrency,
+            None if r.a.is_retry && !self.silent(customer) => false,
+            None if plan.max_concurrency >= c.spread => {
+                c.out < (plan.max_concurrency / c.spread).floor()
+            }
             None => self.unheard_place(customer),
         };
         match ok && !done {
@@ -804,7 +829,7 @@
         let Some(c) = self.customers.get_mut(&customer) else {
             return false;
         };
-        let rate = PLACES_UNHEARD * self.set.plans[c.plan].open / c.spread / held;
+        let rate = PLACES_UNHEARD * self.set.plans[c.plan].max_concurrency / c.spread / held;
         let places = c.places.get_or_insert(TokenBucket {
             level: 1.0,
             depth: 1.0,
@@ -834,14 +859,14 @@
         let Some(r) = self.requests.get_mut(&id) else {
             return;
         };
-        if self.set.plans[r.a.plan.0].open > 0.0 {
+        if self.set.plans[r.a.plan.0].max_concurrency > 0.0 {
             r.holds_place = true;
             self.customers
                 .get_mut(&r.a.customer)
                 .into_iter()
                 .for_each(|c| c.out += 1.0);
         }
-        if self.set.classes[r.a.class.0].by_caller {
+        if self.set.classes[r.a.class.0].admission_only {
             // Its units stay counted and its place held; from here on it has no deadline.
             (r.streaming, r.counted) = (true, None);
             return self.out.push(Action::Grant(id));
@@ -859,7 +884,7 @@
             return;
         };
         let customer = r.a.customer;
-        let units = units.clamp(0.0, self.set.most_units);
+        let units = units.clamp(0.0, self.set.max_request_units);
         let more = units - std::mem::replace(&mut r.a.units, units);
         self.roll(customer);
         self.customers
@@ -869,35 +894,39 @@
     }
 
     /// Attempts out at each listed server, and the most that there may be.
-    pub fn places(&self) -> impl Iterator<Item = (EndpointId, f64, f64)> + '_ {
+    pub fn endpoint_concurrency(&self) -> impl Iterator<Item = EndpointConcurrency> + '_ {
         let scale = self.scale();
         let listed = self.ring.iter().map(|&place| self.servers.at(place));
-        listed.map(move |(id, s)| (*id, s.out, s.limit * scale))
+        listed.map(move |(id, s)| EndpointConcurrency {
+            endpoint: *id,
+            in_flight: s.out,
+            limit: s.limit * scale,
+        })
     }
 
     /// A look at a customer's quota, which changes nothing and asks nobody.
-    pub fn standing(&self, now: Micros, customer: CustomerId, plan: PlanId) -> QuotaStatus {
+    pub fn quota_status(&self, now: Timestamp, customer: CustomerId, plan: PlanId) -> QuotaStatus {
         let p = &self.set.plans[plan.0];
         if p.rate <= 0.0 {
             let out = self.customers.get(&customer).map_or(0.0, |c| c.out);
             return QuotaStatus {
-                limit: p.open,
-                remaining: (p.open - out).max(0.0),
-                reset: Micros(0),
+                limit: p.max_concurrency,
+                remaining: (p.max_concurrency - out).max(0.0),
+                resets_in: TimeDelta::from_micros(0),
             };
         }
         let (length, quota) = self.window_of(plan.0);
-        let shifted = now.0 + mix(customer.0) % length.0;
+        let shifted = now.as_micros() + mix(customer.0) % length.as_micros();
         let known = self
             .customers
             .get(&customer)
-            .filter(|c| c.window.span == shifted / length.0);
+            .filter(|c| c.window.span == shifted / length.as_micros());
         let left = known.map_or(quota, |c| self.room(customer, c.window.known()));
-        let reset = Micros(length.0 - shifted % length.0);
+        let reset = TimeDelta::from_micros(length.as_micros() - shifted % length.as_micros());
         QuotaStatus {
             limit: quota,
             remaining: left.clamp(0.0, p.burst),
-            reset,
+            resets_in: reset,
         }
     }
 
@@ -933,17 +962,17 @@
         // An attempt at a server out of line is given up while another could still meet the aim. Guards
         // against servers that fall silent. Nowhere else: given up by the clock alone is work done twice, and
         // that tips a full fleet into a jam. May hurt the first request at each silent server: it waits.
-        let again = class.effect != Effect::Unsafe
-            && !class.stream
+        let again = class.idempotency != Idempotency::NonIdempotent
+            && !class.is_streaming
             && r.attempts.len() + 1 < self.set.max_attempts
-            && (class.effect == Effect::Safe || class.group == Group::All)
+            && (class.idempotency == Idempotency::Idempotent || class.key_scope == KeyScope::All)
             && self.fail_share < CALM_SHARE
             && self
                 .servers
                 .get(server)
                 .is_some_and(|s| s.trial || s.fail_share > 2.0 * self.fail_share);
-        let early = r.arrived + class.aim.times(1.0 - SPARE_PART);
-        let until = if again && early > now + class.aim.times(SPARE_PART) {
+        let early = r.arrived + class.latency_objective.mul_f64(1.0 - SPARE_PART);
+        let until = if again && early > now + class.latency_objective.mul_f64(SPARE_PART) {
             early
         } else {
             r.a.deadline
@@ -961,9 +990,12 @@
         r.held_since = None;
         r.counted = None;
         let (units, until) = (r.a.units, until.min(r.a.deadline));
-        let look = Micros((usual * STRAY_TIMES) as u64).max(class.aim.times(STRAY_PART));
-        let look =
-            (class.effect == Effect::Safe && !class.stream && now + look < early).then_some(look);
+        let look = TimeDelta::from_micros((usual * STRAY_TIMES) as u64)
+            .max(class.latency_objective.mul_f64(STRAY_PART));
+        let look = (class.idempotency == Idempotency::Idempotent
+            && !class.is_streaming
+            && now + look < early)
+            .then_some(look);
         self.flow.level = self.flow_rate() * FLOW_SPAN + units;
         self.flow.at = now;
         if let Some(s) = self.servers.get_mut(server) {
@@ -971,7 +1003,11 @@
             self.out_now += 1.0;
             s.cold_room.level -= units;
         }
-        self.out.push(Action::SendAttempt(id, server, until));
+        self.out.push(Action::SendAttempt {
+            request: id,
+            endpoint: server,
+            deadline: until,
+        });
         look.into_iter()
             .for_each(|look| self.timer(Timer::Stray(id, number), look));
     }
@@ -995,8 +1031,11 @@
             .get(attempt)
             .is_some_and(|a| a.out && self.is_stray(a));
         let room = r.attempts.len() < self.set.max_attempts && self.retries >= 1.0;
-        if astray && room && self.set.may_cancel {
-            self.out.push(Action::CancelAttempt(id, attempt));
+        if astray && room && self.set.allow_cancel {
+            self.out.push(Action::CancelAttempt {
+                request: id,
+                attempt,
+            });
         }
     }
 
@@ -1014,7 +1053,9 @@
         waiting.sort_by_key(|id| (std::cmp::Reverse(dense(&self.requests[id])), *id));
         for id in waiting {
             let r = &self.requests[&id];
-            let longest = self.set.classes[r.a.class.0].aim.times(HOLD_PART);
+            let longest = self.set.classes[r.a.class.0]
+                .latency_objective
+                .mul_f64(HOLD_PART);
             let overdue = r.held_since.is_some_and(|at| now >= at + longest);
             if let Some(server) = self.pick(id) {
                 self.send(id, server);
@@ -1036,12 +1077,15 @@
         let r = &self.requests[&id];
         let (p, c) = (&self.set.plans[r.a.plan.0], &self.customers[&r.a.customer]);
         let short = r.a.units - c.window.level(self.now, c.window.known(), p.rate, p.burst);
-        let refill = Micros((short.max(0.0) / p.rate * 1e6) as u64);
+        let refill = TimeDelta::from_micros((short.max(0.0) / p.rate * 1e6) as u64);
         let wait = soon
             .filter(|_| p.rate > 0.0)
             .map(|s| s.max(refill).min(self.set.max_retry_after));
         let answer = if self.may_refuse(r) {
-            Action::Reject(id, wait)
+            Action::Reject {
+                request: id,
+                retry_after: wait,
+            }
         } else {
             Action::Fail(id)
         };
@@ -1063,14 +1107,17 @@
         if !r.done {
             r.done = true;
             self.out.extend(answer);
-            let recall = self.set.may_cancel && !r.streaming;
+            let recall = self.set.allow_cancel && !r.streaming;
             let still_out = r
                 .attempts
                 .iter()
                 .enumerate()
                 .filter(|(_, a)| a.out && recall);
             self.out
-                .extend(still_out.map(|(i, _)| Action::CancelAttempt(id, i)));
+                .extend(still_out.map(|(i, _)| Action::CancelAttempt {
+                    request: id,
+                    attempt: i,
+                }));
         }
         self.let_go(id);
     }
@@ -1104,21 +1151,23 @@
             return;
         };
         let named = r.attempts.get_mut(end.attempt);
-        let Some(a) = named.filter(|a| a.out && a.server == end.server) else {
+        let Some(a) = named.filter(|a| a.out && a.server == end.endpoint) else {
             return;
         };
         a.out = false;
         a.may_have_run = !outcome.never_ran();
         let sent = a.clone();
-        let (aim, was_done) = (self.set.classes[r.a.class.0].aim, r.done);
-        r.done |= end.ended || outcome == Outcome::Ok;
+        let (aim, was_done) = (self.set.classes[r.a.class.0].latency_objective, r.done);
+        r.done |= end.request_finished || outcome == Outcome::Ok;
         let (answered, in_time) = (r.done, self.now < r.arrived + aim);
-        let settled = end.settled.filter(|_| outcome == Outcome::Ok && !was_done);
+        let settled = end
+            .settled_units
+            .filter(|_| outcome == Outcome::Ok && !was_done);
         if let (Some(units), Some(c)) = (settled, self.customers.get_mut(&r.a.customer)) {
             c.window.owed += units - r.a.units;
         }
         let stray = outcome != Outcome::Ok && self.is_stray(&sent);
-        self.judge(end.server, outcome, end.took, aim, stray);
+        self.judge(end.endpoint, outcome, end.elapsed, aim, stray);
         if answered {
             self.let_go(id);
         } else if in_time && self.may_repeat(id) && self.retries >= 1.0 {
@@ -1162,15 +1211,15 @@
     }
 
     fn own_start(&self) -> usize {
-        let start =
-            (f64::from(self.set.me) * 0.618_033_988_749_895).fract() * self.ring.len() as f64;
+        let start = (f64::from(self.set.gateway_index) * 0.618_033_988_749_895).fract()
+            * self.ring.len() as f64;
         (start as usize).min(self.ring.len())
     }
 
     /// The sum of the bounds of the own part's healthy servers. Over a large part it is looked at again with
     /// each tick only, as it moves by one answer among hundreds.
     fn most_out(&mut self, reach: usize) -> f64 {
-        if reach > DRAWN && self.now < self.summed.0 + self.set.tick {
+        if reach > DRAWN && self.now < self.summed.0 + self.set.timer_resolution {
             return self.summed.1;
         }
         let scale = self.scale();
@@ -1268,7 +1317,11 @@
         };
         let tried = r.attempts.iter().filter(|a| a.server == *sid).count() as f64;
         // Elsewhere than drawn only where that zone has no place, and never to one that is closed.
-        let closed = || self.sites.iter().any(|z| z.zone == s.zone && !z.open);
+        let closed = || {
+            self.sites
+                .iter()
+                .any(|z| z.zone == s.zone && !z.accepts_overflow)
+        };
         let far = match toward {
             None => f64::from(u8::from(s.zone != self.set.zone)) * 0.05 * scale,
             Some(zone) if zone == s.zone => 0.0,
@@ -1298,8 +1351,8 @@
         &mut self,
         server: EndpointId,
         outcome: Outcome,
-        took: Micros,
-        aim: Micros,
+        took: TimeDelta,
+        aim: TimeDelta,
         stray: bool,
     ) {
         let now = self.now;
@@ -1312,17 +1365,17 @@
         self.out_now = (self.out_now - 1.0).max(0.0);
         // Guards against servers that hold too much and work worse for it, by overload or by a trouble of
         // their own: the bound gives way fast and comes back slowly. May hurt just after short stalls.
-        let held = took + Micros(2 * s.latency as u64);
+        let held = took + TimeDelta::from_micros(2 * s.latency as u64);
         let late =
-            matches!(outcome, Outcome::Ok | Outcome::Cancelled) && held > aim.times(LATE_PART);
+            matches!(outcome, Outcome::Ok | Outcome::Cancelled) && held > aim.mul_f64(LATE_PART);
         let unheard = matches!(outcome, Outcome::Cancelled | Outcome::Timeout) && stray;
         let jammed = !unheard && (late || matches!(outcome, Outcome::Rejected | Outcome::Timeout));
-        s.quick += u64::from(outcome == Outcome::Ok && took < aim.times(GROW_PART));
+        s.quick += u64::from(outcome == Outcome::Ok && took < aim.mul_f64(GROW_PART));
         // A late answer now and then is the work's own time: the more of them come, the more each one tells.
         // Guards against a throttle outlasting its cause where few answers come: good news weighs by the time
         // since the last, here and in a server's usual time.
-        let fresh =
-            1.0 - (-(now - std::mem::replace(&mut self.judged, now)).secs() / FLOW_SPAN).exp();
+        let fresh = 1.0
+            - (-(now - std::mem::replace(&mut self.judged, now)).as_secs_f64() / FLOW_SPAN).exp();
         let news = if jammed { SMOOTH } else { SMOOTH.max(fresh) };
         self.late_share += news * (f64::from(u8::from(jammed)) - self.late_share);
         let late = (self.late_share / PASS_LATE).min(1.0);
@@ -1340,7 +1393,7 @@
             s.limit = (s.limit * LIMIT_CUT).max(LIMIT_LEAST);
         } else if outcome == Outcome::Ok
             && s.out + 1.0 >= (s.limit * scale).floor()
-            && took < aim.times(GROW_PART)
+            && took < aim.mul_f64(GROW_PART)
         {
             s.limit += LIMIT_GROW;
             self.calm_out *= if overloaded { CALM_GROW } else { 1.0 };
@@ -1360,11 +1413,11 @@
         // Guards against jams at single servers that nobody notices: late answers count as failures do, and
         // the longer ago the last evidence, the more the newest weighs, so a gateway that sees a server once
         // in seconds puts it aside at once. May hurt one after a long piece of work: it rests for a second.
-        let weight = SMOOTH.max(1.0 - (-(now - s.judged).secs() / FLOW_SPAN).exp());
+        let weight = SMOOTH.max(1.0 - (-(now - s.judged).as_secs_f64() / FLOW_SPAN).exp());
         s.judged = now;
         s.fail_share += weight * (f64::from(u8::from(bad)) - s.fail_share);
         if outcome == Outcome::Ok {
-            let sample = took.0 as f64;
+            let sample = took.as_micros() as f64;
             for (smooth, weight) in [(&mut s.latency, weight), (&mut self.latency, SMOOTH)] {
                 *smooth = if *smooth == 0.0 {
                     sample
@@ -1405,7 +1458,7 @@
         // of line only against the others, or overload would eject them one by one.
         let out_of_line = unmade || s.fail_share > EJECT_SHARE.max(2.0 * self.fail_share);
         if now >= s.ejected_until && (out_of_line || s.trial) {
-            s.ejected_until = now + EJECT_FIRST.times(f64::from(1 << s.ejections) * jitter);
+            s.ejected_until = now + EJECT_FIRST.mul_f64(f64::from(1 << s.ejections) * jitter);
             s.ejections = (s.ejections + 1).min(EJECT_DOUBLINGS);
             s.trial = true;
         }
@@ -1413,7 +1466,7 @@
 
     /// Units a second that this gateway sends on, over the last moments.
     fn flow_rate(&self) -> f64 {
-        self.flow.level / FLOW_SPAN * (-(self.now - self.flow.at).secs() / FLOW_SPAN).exp()
+        self.flow.level / FLOW_SPAN * (-(self.now - self.flow.at).as_secs_f64() / FLOW_SPAN).exp()
     }
 
     /// Guards against pushing over a cold server: it is given the work that a warm one of its size gets from
@@ -1447,38 +1500,44 @@
             };
         for s in self.servers.values_mut() {
             let Some(since) = s.cold_since else { continue };
-            if now >= since + set.cold {
+            if now >= since + set.slow_start_duration {
                 s.cold_since = None;
                 self.cold -= 1;
                 continue;
             }
-            let part =
-                set.cold_from + (1.0 - set.cold_from) * ((now - since).secs() / set.cold.secs());
-            s.cold_room.rate = per_weight * s.weight * part * (set.fall_multiple / 2.0).min(1.0);
+            let part = set.slow_start_min_capacity
+                + (1.0 - set.slow_start_min_capacity)
+                    * ((now - since).as_secs_f64() / set.slow_start_duration.as_secs_f64());
+            s.cold_room.rate =
+                per_weight * s.weight * part * (set.overload_multiple / 2.0).min(1.0);
             s.cold_room.fill(now);
             // Guards against hundreds of gateways that each saved up one request: unused, leave soon lapses.
-            if many && s.cold_room.level > s.cold_room.rate * COLD_LEAVE.secs() {
-                s.cold_room.level = -set.most_units;
+            if many && s.cold_room.level > s.cold_room.rate * COLD_LEAVE.as_secs_f64() {
+                s.cold_room.level = -set.max_request_units;
             }
         }
     }
 
     fn on_servers(&mut self, scope: UpdateScope, entries: Vec<EndpointEntry>) {
         if scope == UpdateScope::Unavailable {
-            let wait = Micros(500_000 + self.rng.u64(0..500_000));
+            let wait = TimeDelta::from_micros(500_000 + self.rng.u64(0..500_000));
             return self.timer(Timer::Resubscribe, wait);
         }
         if scope == UpdateScope::Complete {
             self.servers.values_mut().for_each(|s| s.listed = false);
         }
-        let (now, cold, units) = (self.now, self.set.cold, self.set.most_units);
+        let (now, cold, units) = (
+            self.now,
+            self.set.slow_start_duration,
+            self.set.max_request_units,
+        );
         for e in entries {
             let new = || Server {
                 limit: LIMIT_START,
                 ..Server::default()
             };
-            let s = self.servers.get_or_insert(e.server, new);
-            let started = e.started.filter(|&at| now < at + cold);
+            let s = self.servers.get_or_insert(e.endpoint, new);
+            let started = e.started_at.filter(|&at| now < at + cold);
             if started.is_some_and(|started| s.cold_since.is_none_or(|at| at < started)) {
                 // A new life: nothing held against the old one counts, and it starts slowly.
                 *s = Server {
@@ -1496,7 +1555,7 @@
             s.cold_since = started.or(s.cold_since);
             (s.zone, s.cell, s.weight) =
                 (e.zone, e.cell, if e.weight > 0.0 { e.weight } else { 1.0 });
-            s.listed = e.listed == EndpointState::InService;
+            s.listed = e.state == EndpointState::InService;
         }
         self.ring = self.servers.listed();
         self.cold = self
@@ -1504,7 +1563,7 @@
             .values()
             .filter(|s| s.cold_since.is_some())
             .count();
-        self.summed = (Micros(0), 0.0);
+        self.summed = (Timestamp::ZERO, 0.0);
         self.serve_held();
     }
 
@@ -1524,27 +1583,30 @@
             || self.now >= r.a.deadline
             || r.attempts.len() >= self.set.max_attempts;
         let pushed = s.cold_since.is_some() && s.cold_room.level <= 0.0;
-        let second = r.is_out() && !self.set.second_copies;
+        let second = r.is_out() && !self.set.allow_hedging;
         // Half a body must not pass for a whole one: what is no longer held went with the first attempt.
         let bodiless = r.body_gone && !r.attempts.is_empty();
         if over || pushed || second || bodiless || !s.listed {
             return false;
         }
         let mut ran = r.attempts.iter().filter(|a| a.out || a.may_have_run);
-        match class.effect {
-            Effect::Safe => true,
-            Effect::Unsafe => ran.next().is_none(),
+        match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => ran.next().is_none(),
             // The window counts from the first send that may have run; a repeat may wait for its connection.
-            Effect::Keyed => ran.all(|a| {
-                self.now + self.set.tick + self.set.tick + self.set.dial_timeout
-                    < a.sent + class.window
+            Idempotency::Keyed => ran.all(|a| {
+                self.now
+                    + self.set.timer_resolution
+                    + self.set.timer_resolution
+                    + self.set.dial_timeout
+                    < a.sent + class.key_window
                     && self
                         .servers
                         .get(a.server)
-                        .is_some_and(|first| match class.group {
-                            Group::All => true,
-                            Group::Zone => first.zone == s.zone,
-                            Group::Cell => first.cell == s.cell,
+                        .is_some_and(|first| match class.key_scope {
+                            KeyScope::All => true,
+                            KeyScope::Zone => first.zone == s.zone,
+                            KeyScope::Cell => first.cell == s.cell,
                         })
             }),
         }
@@ -1555,10 +1617,10 @@
         let class = &self.set.classes[r.a.class.0];
         let ran = r.attempts.iter().any(|a| a.out || a.may_have_run);
         !r.streaming
-            && match class.effect {
-                Effect::Safe => true,
-                Effect::Keyed => !ran || class.group == Group::All,
-                Effect::Unsafe => !ran,
+            && match class.idempotency {
+                Idempotency::Idempotent => true,
+                Idempotency::Keyed => !ran || class.key_scope == KeyScope::All,
+                Idempotency::NonIdempotent => !ran,
             }
     }
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -2,22 +2,22 @@
 #![allow(dead_code)]
 
 use chalkdeck::api::*;
-use chalkdeck::rules::Gateway;
+use chalkdeck::DecisionEngine;
 
 pub const MS: u64 = 1_000;
 pub const S: u64 = 1_000_000;
 
-pub fn class(effect: Effect, group: Group) -> Class {
+pub fn class(effect: Idempotency, group: KeyScope) -> Class {
     Class {
-        aim: Micros(800 * MS),
-        deadline: Micros(3 * S),
-        worth: 1.0,
-        late_worth: 0.0,
-        effect,
-        group,
-        window: Micros(S),
-        stream: false,
-        by_caller: false,
+        latency_objective: TimeDelta::from_micros(800 * MS),
+        deadline: TimeDelta::from_micros(3 * S),
+        priority_weight: 1.0,
+        late_priority_weight: 0.0,
+        idempotency: effect,
+        key_scope: group,
+        key_window: TimeDelta::from_micros(S),
+        is_streaming: false,
+        admission_only: false,
     }
 }
 
@@ -25,10 +25,10 @@
     Plan {
         rate,
         burst,
-        open: 0.0,
-        price: 1.0,
-        over_worth: 0.0,
-        over_cost: 1.0,
+        max_concurrency: 0.0,
+        priority_multiplier: 1.0,
+        over_quota_weight: 0.0,
+        over_quota_cost: 1.0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
         ceiling_slack: 0.0,
@@ -47,39 +47,39 @@
     Settings {
         gateways: 2,
         classes: vec![
-            class(Effect::Safe, Group::All),
-            class(Effect::Keyed, Group::Cell),
-            class(Effect::Unsafe, Group::All),
-            class(Effect::Keyed, Group::All),
+            class(Idempotency::Idempotent, KeyScope::All),
+            class(Idempotency::Keyed, KeyScope::Cell),
+            class(Idempotency::NonIdempotent, KeyScope::All),
+            class(Idempotency::Keyed, KeyScope::All),
         ],
         plans: vec![
             plan(10.0, 20.0),
             ceiling,
             Plan {
-                open: 2.0,
+                max_concurrency: 2.0,
                 ..plan(0.0, 0.0)
             },
             plan(0.0, 0.0),
         ],
         max_attempts: 4,
-        may_cancel: true,
-        retry_after: true,
-        max_retry_after: Micros(2 * S),
-        counter: true,
-        count_timeout: Micros(80 * MS),
-        most_units: 4.0,
-        answer_slack: Micros(8 * MS),
-        cold_from: 0.2,
-        cold: Micros(10 * S),
-        fall_multiple: 2.0,
-        tip_after: Micros(S),
-        tick: Micros(2 * MS),
+        allow_cancel: true,
+        send_retry_after: true,
+        max_retry_after: TimeDelta::from_micros(2 * S),
+        use_counter: true,
+        counter_timeout: TimeDelta::from_micros(80 * MS),
+        max_request_units: 4.0,
+        answer_slack: TimeDelta::from_micros(8 * MS),
+        slow_start_min_capacity: 0.2,
+        slow_start_duration: TimeDelta::from_micros(10 * S),
+        overload_multiple: 2.0,
+        overload_duration: TimeDelta::from_micros(S),
+        timer_resolution: TimeDelta::from_micros(2 * MS),
         ..Settings::default()
     }
 }
 
 pub struct Rig {
-    pub gateway: Gateway,
+    pub gateway: DecisionEngine,
     pub now: u64,
     pub done: Vec<Action>,
     pub next: u64,
@@ -91,7 +91,7 @@
         Rig::seeded(7, settings, servers)
     }
     pub fn seeded(seed: u64, settings: Settings, servers: u32) -> Rig {
-        let gateway = Gateway::new(seed, settings).expect("sound settings");
+        let gateway = DecisionEngine::new(seed, settings).expect("sound settings");
         let mut rig = Rig {
             gateway,
             now: 1_000 * S,
@@ -102,16 +102,20 @@
         let entries = (0..servers)
             .map(|i| entry(i, EndpointState::InService, None))
             .collect();
-        rig.tell(Event::EndpointsUpdated(UpdateScope::Complete, entries));
+        rig.tell(Event::EndpointsUpdated {
+            scope: UpdateScope::Complete,
+            entries,
+        });
         rig
     }
     /// Tells one event and returns what it led to.
     pub fn tell(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        self.gateway.handle(Micros(self.now), event, &mut out);
+        self.gateway
+            .handle(Timestamp::from_micros(self.now), event, &mut out);
         for action in &out {
-            if let Action::SetTimer(id, after) = action {
-                self.timers.push((self.now + after.0, *id));
+            if let Action::SetTimer { timer: id, after } = action {
+                self.timers.push((self.now + after.as_micros(), *id));
             }
         }
         self.done.extend(out.iter().cloned());
@@ -142,17 +146,17 @@
     ) -> (RequestId, Vec<Action>) {
         let id = RequestId(self.next);
         self.next += 1;
-        let deadline = Micros(self.now + 3 * S);
+        let deadline = Timestamp::from_micros(self.now + 3 * S);
         let (class, plan, customer) = (ClassId(class), PlanId(plan), CustomerId(customer));
         let arrival = IncomingRequest {
             id,
             class,
             plan,
             customer,
-            spread: 2,
+            customer_gateways: 2,
             deadline,
             units,
-            resent: false,
+            is_retry: false,
         };
         (id, self.tell(Event::RequestArrived(arrival)))
     }
@@ -180,16 +184,16 @@
         took: u64,
     ) -> Vec<Action> {
         let ended = matches!(outcome, Outcome::Ok | Outcome::Cancelled);
-        let (took, report) = (Micros(took), LoadReport::default());
+        let (took, report) = (TimeDelta::from_micros(took), LoadReport::default());
         let end = AttemptResult {
             id,
             attempt,
-            server,
+            endpoint: server,
             outcome,
-            took,
-            ended,
-            settled: None,
-            report,
+            elapsed: took,
+            request_finished: ended,
+            settled_units: None,
+            load_report: report,
         };
         self.tell(Event::AttemptEnded(end))
     }
@@ -197,19 +201,22 @@
 
 pub fn entry(i: u32, listed: EndpointState, started: Option<u64>) -> EndpointEntry {
     EndpointEntry {
-        server: EndpointId(u64::from(i)),
+        endpoint: EndpointId(u64::from(i)),
         zone: ZoneId(0),
         cell: CellId(u64::from(i) / 2),
-        listed,
+        state: listed,
         weight: 1.0,
-        started: started.map(Micros),
+        started_at: started.map(Timestamp::from_micros),
     }
 }
 
 pub fn counts(out: &[Action]) -> Vec<(CounterKey, f64)> {
     out.iter()
         .filter_map(|a| {
-            if let Action::AddToCounter(n, x, _) = a {
+            if let Action::AddToCounter {
+                key: n, amount: x, ..
+            } = a
+            {
                 Some((*n, *x))
             } else {
                 None
@@ -224,7 +231,12 @@
 pub fn sends(out: &[Action]) -> Vec<(RequestId, EndpointId)> {
     out.iter()
         .filter_map(|a| {
-            if let Action::SendAttempt(r, s, _) = a {
+            if let Action::SendAttempt {
+                request: r,
+                endpoint: s,
+                ..
+            } = a
+            {
                 Some((*r, *s))
             } else {
                 None
@@ -234,7 +246,7 @@
 }
 pub fn refused(out: &[Action], id: RequestId) -> bool {
     out.iter()
-        .any(|a| matches!(a, Action::Reject(r, _) if *r == id))
+        .any(|a| matches!(a, Action::Reject { request: r, .. } if *r == id))
 }
 pub fn failed(out: &[Action], id: RequestId) -> bool {
     out.contains(&Action::Fail(id))
--- a/crates/resp-gateway/src/backends.rs
+++ b/crates/resp-gateway/src/backends.rs
@@ -1,13 +1,14 @@
 //! Connections to the backends, one request on each at a time: giving an attempt up closes its connection, and with it
 //! whatever else waits there. The one fact that counts of a broken one: whether the last byte of its request was written.
 
-use crate::list::{List, Server};
+use crate::endpoint_list::{EndpointList, ListedEndpoint};
 use crate::outcome::{answered, Answered};
 use crate::request::Command;
 use bytes::{Bytes, BytesMut};
-use chalkdeck::api::{EndpointId, EndpointState, LoadReport, Outcome, RequestId};
+use chalkdeck::api::{EndpointId, EndpointState, LoadReport, Outcome, RequestId, UpdateScope};
 use chalkdeck_net::{ConnId, Engine};
-use chalkdeck_resp::{take_reply, Bounds, Reply};
+use chalkdeck_resp::{take_reply, MessageLimits, ParsedReply};
+use chalkdeck_time::TimeDelta;
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::net::SocketAddr;
 
@@ -96,7 +97,7 @@
     /// Kept connections, the one used last at the end.
     idle: FxHashMap<EndpointId, Vec<ConnId>>,
     most: usize,
-    bounds: Bounds,
+    limits: MessageLimits,
     most_held: usize,
     held: usize,
     /// How long a connection is kept unused: at most, and as resets have taught.
@@ -106,26 +107,23 @@
 
 impl Backends {
     /// `memory`: bytes granted. `idle`: when a backend closes a connection that is not used; 0: never.
-    pub(crate) fn new(most: usize, memory: f64, idle: u64) -> Backends {
+    pub(crate) fn new(most: usize, memory: f64, idle_timeout: Option<TimeDelta>) -> Backends {
         let word = (memory * VALUE_PART) as usize;
-        let most_keep = if idle > 0 {
-            (idle as f64 * IDLE_PART) as u64
-        } else {
-            IDLE_MOST
-        }
-        .min(IDLE_MOST);
+        let most_keep = idle_timeout.map_or(IDLE_MOST, |idle| {
+            idle.mul_f64(IDLE_PART).as_micros().min(IDLE_MOST)
+        });
         Backends {
             servers: FxHashMap::default(),
             links: FxHashMap::default(),
             out: FxHashMap::default(),
             idle: FxHashMap::default(),
             most,
-            bounds: Bounds {
-                words: ITEMS,
-                word,
-                line: LINE,
-                message: word + (8 << 10),
-                inline: false,
+            limits: MessageLimits {
+                max_elements: ITEMS,
+                max_element_bytes: word,
+                max_line_bytes: LINE,
+                max_message_bytes: word + (8 << 10),
+                accepts_inline: false,
             },
             most_held: (memory * VALUES_PART) as usize,
             held: 0,
@@ -135,21 +133,21 @@
     }
 
     /// Takes news of the list. Kept connections to what is gone, drained or moved are closed; what is under way goes on.
-    pub(crate) fn update(&mut self, engine: &mut Engine, list: &List) {
+    pub(crate) fn update(&mut self, engine: &mut Engine, list: &EndpointList) {
         let mut old: Vec<EndpointId> = Vec::new();
-        if list.snapshot {
+        if list.scope == UpdateScope::Complete {
             old.extend(std::mem::take(&mut self.servers).into_keys());
         }
         let mut draining = FxHashSet::default();
-        for Server { address, entry } in &list.servers {
-            old.push(entry.server);
-            if entry.listed == EndpointState::Removed {
-                self.servers.remove(&entry.server);
+        for ListedEndpoint { address, entry } in &list.endpoints {
+            old.push(entry.endpoint);
+            if entry.state == EndpointState::Removed {
+                self.servers.remove(&entry.endpoint);
             } else {
-                self.servers.insert(entry.server, *address);
+                self.servers.insert(entry.endpoint, *address);
             }
-            if entry.listed == EndpointState::Draining {
-                draining.insert(entry.server);
+            if entry.state == EndpointState::Draining {
+                draining.insert(entry.endpoint);
             }
         }
         for id in old {
@@ -327,14 +325,14 @@
         }
         link.bytes.extend_from_slice(data);
         let before = link.bytes.len() - data.len();
-        let said = match take_reply(&mut link.bytes, &self.bounds) {
-            Reply::Partial if self.held + data.len() <= self.most_held => {
+        let said = match take_reply(&mut link.bytes, &self.limits) {
+            ParsedReply::Incomplete if self.held + data.len() <= self.most_held => {
                 self.held += data.len();
                 return None;
             }
-            Reply::Partial => Answered::Spoilt,
-            Reply::Whole(frame) => answered(frame),
-            Reply::Bad(_) => Answered::Spoilt,
+            ParsedReply::Incomplete => Answered::Spoilt,
+            ParsedReply::Complete(frame) => answered(frame),
+            ParsedReply::Invalid(_) => Answered::Spoilt,
         };
         self.held -= before.min(self.held);
         // More than one answer, or bytes that no backend sends: of no further use.
--- a/crates/resp-gateway/src/shell.rs
+++ b/crates/resp-gateway/src/shell.rs
@@ -2,24 +2,26 @@
 //! carried out. Nothing is sent, refused, failed, repeated or called off here that was not decided there.
 
 use crate::backends::{AttemptId, Backends, Ended, Sent};
+use crate::client_replies;
+use crate::clock;
 use crate::config::{Config, ConfigError};
 use crate::counter::{Counter, Told};
-use crate::discovery::{Discovery, Timing, Update};
-use crate::front::{error, Front, ReceivedCommand};
-use crate::list::List;
+use crate::discovery::{CallId, Discovery, DiscoveryAction, Timing};
+use crate::endpoint_list::EndpointList;
 use crate::request::{self, Command, RequestError};
+use crate::sessions::{ReceivedCommand, Sessions};
 use bytes::Bytes;
 use chalkdeck::api::{
-    Action, AttemptResult, EndpointId, Event, LoadReport, Micros, Outcome, RequestId,
-    SettingsError, TimerId, UpdateScope,
+    Action, AttemptResult, EndpointId, Event, LoadReport, Outcome, RequestId, SettingsError,
+    TimeDelta, TimerId, Timestamp, UpdateScope,
 };
-use chalkdeck::decisions::Decisions;
-use chalkdeck::rules::Gateway;
+use chalkdeck::DecisionEngine;
+use chalkdeck::Decisions;
 use chalkdeck_net::clock::Clock;
 use chalkdeck_net::due::Dues;
 use chalkdeck_net::signals::Signals;
 use chalkdeck_net::{CloseReason, ConnId, Engine, Event as NetEvent, Limits, ListenerId};
-use chalkdeck_resp::Frame;
+use chalkdeck_resp::{Frame, ReplySlot};
 use rustc_hash::FxHashMap;
 use std::io;
 use std::net::SocketAddr;
@@ -83,7 +85,7 @@
     GiveUp(AttemptId),
     Dial(ConnId),
     Count,
-    DiscoveryCall(u64),
+    DiscoveryCall(CallId),
     Sweep,
     Shutdown,
 }
@@ -91,7 +93,7 @@
 /// A request without its final answer.
 struct Call {
     conn: ConnId,
-    slot: u64,
+    slot: ReplySlot,
     command: Command,
     bytes: usize,
     attempts: usize,
@@ -107,7 +109,7 @@
     is_listening: bool,
     listen: SocketAddr,
     dues: Dues<TimerPurpose>,
-    front: Front,
+    sessions: Sessions,
     calls: FxHashMap<RequestId, Call>,
     /// Open requests by the ids that clients gave them.
     ids: FxHashMap<Bytes, RequestId>,
@@ -146,11 +148,11 @@
         let listened = engine.listen_raw(address, limits);
         let (listener, listen) =
             listened.map_err(|source| StartError::Listen { address, source })?;
-        let gateway = Gateway::new(config.seed, config.settings().clone())?;
+        let gateway = DecisionEngine::new(config.seed, config.settings().clone())?;
         let memory = config.limits.memory_mb * 1e6;
         let counter = config
             .counter
-            .map(|a| Counter::new(a, config.settings().count_timeout.0));
+            .map(|a| Counter::new(a, config.settings().counter_timeout.as_micros()));
         let mut shell = Shell {
             engine,
             decisions: Decisions::new(gateway),
@@ -158,22 +160,22 @@
             is_listening: true,
             listen,
             dues: Dues::default(),
-            front: Front::new(clients, (memory * HELD_BYTES_SHARE) as usize),
+            sessions: Sessions::new(clients, (memory * HELD_BYTES_SHARE) as usize),
             calls: FxHashMap::default(),
             ids: FxHashMap::default(),
             next_id: 0,
-            backends: Backends::new(sockets - clients, memory, config.idle),
+            backends: Backends::new(sockets - clients, memory, config.endpoint_idle_timeout),
             counter,
             counts_watched: false,
-            discovery: Discovery::new(config.discovery, Timing::new(config.grace)),
+            discovery: Discovery::new(config.discovery, Timing::new(config.drain_grace)),
             events: Vec::new(),
             stop: None,
             config,
         };
-        if let Some(known) = shell.config.known.take() {
+        if let Some(known) = shell.config.initial_endpoints.take() {
             shell.listed(known);
         }
-        let update = shell.discovery.dial(&mut shell.engine);
+        let update = shell.discovery.connect(&mut shell.engine);
         shell.on_discovery(update);
         shell.due_in(SWEEP_INTERVAL, TimerPurpose::Sweep);
         shell.settle();
@@ -217,7 +219,7 @@
     /// Whether a stop is over: all clients are let go, or all that was taken before it must have had its answer.
     pub fn stopped(&self) -> bool {
         let Some(since) = self.stop else { return false };
-        let alone = self.front.is_shutting_down()
+        let alone = self.sessions.is_shutting_down()
             && !self.is_listening
             && self.engine.held_by(self.listener) == 0;
         alone || self.engine.now() >= since + KILL_DELAY + self.longest_deadline()
@@ -228,7 +230,7 @@
             .settings()
             .classes
             .iter()
-            .map(|c| c.deadline.0)
+            .map(|c| c.deadline.as_micros())
             .max()
             .unwrap_or(0)
     }
@@ -242,14 +244,14 @@
     /// No new connections come any more: those that stand are let go.
     fn continue_shutdown(&mut self) {
         self.is_listening &= !self.engine.unlisten_if_empty(self.listener);
-        self.front.shut_down(self.engine.now());
+        self.sessions.shut_down(clock::now(&self.engine));
         self.due_in(SHUTDOWN_INTERVAL, TimerPurpose::Shutdown);
     }
 
     /// Waits for what happens, at most so many microseconds, and deals with it.
     pub fn turn(&mut self, most_wait: u64) -> io::Result<()> {
         let mut events = std::mem::take(&mut self.events);
-        let most_wait = if self.front.has_resumed() {
+        let most_wait = if self.sessions.has_resumed() {
             0
         } else {
             most_wait
@@ -261,17 +263,17 @@
         }
         self.events = events;
         // Once a turn, so that a long pipeline does not keep the others waiting.
-        for conn in self.front.take_resumed() {
+        for conn in self.sessions.take_resumed() {
             self.commands(conn);
             self.settle();
         }
-        self.front.close_idle(&mut self.engine);
+        self.sessions.close_idle(&mut self.engine);
         Ok(())
     }
 
     fn on_event(&mut self, event: NetEvent) {
         match event {
-            NetEvent::Accepted { conn, .. } => self.front.accepted(&mut self.engine, conn),
+            NetEvent::Accepted { conn, .. } => self.sessions.on_accepted(&mut self.engine, conn),
             NetEvent::Connected { conn } => self.on_connected(conn),
             NetEvent::Bytes { conn, data } => self.on_bytes(conn, &data),
             NetEvent::Closed {
@@ -296,8 +298,10 @@
         } = self;
         if backends.owns(conn) {
             backends.connected(engine, conn);
-        } else if let Some(updates) = discovery.connected(engine, conn) {
-            updates.into_iter().for_each(|n| self.on_discovery(n));
+        } else if discovery.owns(conn) {
+            if let Some(action) = discovery.on_connected(engine, conn) {
+                self.on_discovery(action);
+            }
         } else {
             counter
                 .as_mut()
@@ -313,12 +317,12 @@
             backends,
             counter,
             discovery,
-            front,
+            sessions,
             config,
             ..
         } = self;
-        if front.owns(conn) {
-            front.bytes(engine, conn, data);
+        if sessions.owns(conn) {
+            sessions.on_bytes(engine, conn, data);
             return self.commands(conn);
         }
         if backends.owns(conn) {
@@ -328,16 +332,15 @@
         if let Some(told) = counter.as_mut().and_then(|c| c.bytes(engine, conn, data)) {
             return self.counted(told);
         }
-        let updates = discovery.bytes(engine, conn, data, &mut config.read.zones);
-        updates
-            .into_iter()
-            .flatten()
-            .for_each(|n| self.on_discovery(n));
+        let actions = discovery.on_bytes(engine, conn, data, &mut config.named_settings.zones);
+        for action in actions {
+            self.on_discovery(action);
+        }
     }
 
     fn on_closed(&mut self, conn: ConnId, unsent: usize, reason: &CloseReason) {
-        if self.front.owns(conn) {
-            for id in self.front.closed(conn) {
+        if self.sessions.owns(conn) {
+            for id in self.sessions.on_closed(conn) {
                 self.forget(id);
                 self.decisions.push(Event::ClientDisconnected(id));
             }
@@ -353,11 +356,10 @@
                 config,
                 ..
             } = self;
-            let updates = discovery.closed(engine, conn, reason, &mut config.read.zones);
-            updates
-                .into_iter()
-                .flatten()
-                .for_each(|n| self.on_discovery(n));
+            let zones = &mut config.named_settings.zones;
+            for action in discovery.on_closed(engine, conn, reason, zones) {
+                self.on_discovery(action);
+            }
         }
     }
 
@@ -385,14 +387,15 @@
             }
             Some(TimerPurpose::Count) => self.count_times_out(),
             Some(TimerPurpose::DiscoveryCall(call)) => {
-                let updates = self.discovery.call_timed_out(&mut self.engine, call);
-                updates.into_iter().for_each(|n| self.on_discovery(n));
+                if let Some(action) = self.discovery.on_call_timeout(&mut self.engine, call) {
+                    self.on_discovery(action);
+                }
             }
             Some(TimerPurpose::Shutdown) => self.continue_shutdown(),
             Some(TimerPurpose::Sweep) => {
                 self.due_in(SWEEP_INTERVAL, TimerPurpose::Sweep);
                 self.backends.sweep(&mut self.engine);
-                self.front.sweep(&mut self.engine);
+                self.sessions.sweep(&mut self.engine);
             }
             None => {}
         }
@@ -401,28 +404,41 @@
     // ---- between the decisions and the sockets ----
 
     fn settle(&mut self) {
-        while let Some(action) = self.decisions.next_action(Micros(self.engine.now())) {
+        while let Some(action) = self
+            .decisions
+            .next_action(Timestamp::from_micros(self.engine.now()))
+        {
             self.act(action);
         }
     }
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::SendAttempt(id, server, until) => self.send(id, server, until.0),
-            Action::Reject(id, back) => {
-                let line = match back {
-                    Some(after) => format!("BUSY {}", after.0.div_ceil(1_000)),
-                    None => "BUSY".to_string(),
-                };
-                self.answer(id, Frame::Error(line.into()));
+            Action::SendAttempt {
+                request: id,
+                endpoint: server,
+                deadline: until,
+            } => self.send(id, server, until.as_micros()),
+            Action::Reject {
+                request: id,
+                retry_after: back,
+            } => {
+                self.answer(id, client_replies::busy(back));
             }
             Action::Fail(id) => {
-                self.answer(id, error("failed"));
+                self.answer(id, client_replies::error("failed"));
             }
-            Action::CancelAttempt(request, number) => {
+            Action::CancelAttempt {
+                request,
+                attempt: number,
+            } => {
                 self.give_up(AttemptId { request, number }, Outcome::Cancelled);
             }
-            Action::AddToCounter(name, amount, life) => {
+            Action::AddToCounter {
+                key: name,
+                amount,
+                time_to_live: life,
+            } => {
                 let Shell {
                     engine,
                     counter: Some(counter),
@@ -431,21 +447,23 @@
                 else {
                     return;
                 };
-                let (told, dialled) = counter.add(engine, name, amount, life.0);
-                let dial_timeout = self.config.dial_timeout;
+                let (told, dialled) = counter.add(engine, name, amount, life.as_micros());
+                let dial_timeout = self.config.dial_timeout.as_micros();
                 dialled
                     .into_iter()
                     .for_each(|conn| self.due_in(dial_timeout, TimerPurpose::Dial(conn)));
                 self.watch_counts();
                 self.counted(told);
             }
-            Action::SetTimer(timer, after) => self.due_in(after.0, TimerPurpose::Policy(timer)),
+            Action::SetTimer { timer, after } => {
+                self.due_in(after.as_micros(), TimerPurpose::Policy(timer))
+            }
             Action::Probe(server) => {
-                self.decisions.push(Event::ProbeCompleted(
-                    server,
-                    Outcome::NeverSent,
-                    LoadReport::default(),
-                ));
+                self.decisions.push(Event::ProbeCompleted {
+                    endpoint: server,
+                    outcome: Outcome::NeverSent,
+                    load_report: LoadReport::default(),
+                });
             }
             // No class of this platform leaves the work to its caller, and the list is watched in any case.
             Action::Grant(_) | Action::Subscribe | Action::FetchEndpoints => {}
@@ -468,7 +486,7 @@
             Sent::Under(dialled) => {
                 let wait = until.saturating_sub(self.engine.now());
                 self.due_in(wait, TimerPurpose::GiveUp(attempt));
-                let dial_timeout = self.config.dial_timeout;
+                let dial_timeout = self.config.dial_timeout.as_micros();
                 dialled
                     .into_iter()
                     .for_each(|conn| self.due_in(dial_timeout, TimerPurpose::Dial(conn)));
@@ -497,19 +515,19 @@
         self.decisions.push(Event::AttemptEnded(AttemptResult {
             id: attempt.request,
             attempt: attempt.number,
-            server,
+            endpoint: server,
             outcome,
-            took: Micros(took),
-            ended: served,
-            settled: None,
-            report,
+            elapsed: TimeDelta::from_micros(took),
+            request_finished: served,
+            settled_units: None,
+            load_report: report,
         }));
     }
 
     fn forget(&mut self, id: RequestId) -> Option<Call> {
         let call = self.calls.remove(&id)?;
         self.ids.remove(call.command.id());
-        self.front.ended(call.conn, id, call.bytes);
+        self.sessions.on_request_ended(call.conn, id, call.bytes);
         Some(call)
     }
 
@@ -518,8 +536,8 @@
         let Some(call) = self.forget(id) else {
             return false;
         };
-        self.front.answer(call.conn, call.slot, answer);
-        self.front.flush(&mut self.engine, call.conn);
+        self.sessions.reply(call.conn, call.slot, answer);
+        self.sessions.flush(&mut self.engine, call.conn);
         true
     }
 
@@ -531,13 +549,13 @@
             slot,
             words,
             received_at,
-        }) = self.front.next(&mut self.engine, conn)
+        }) = self.sessions.next_command(&mut self.engine, conn)
         {
-            if let Some(answer) = self.command(conn, slot, words, received_at) {
-                self.front.answer(conn, slot, answer);
+            if let Some(answer) = self.command(conn, slot, words, received_at.as_micros()) {
+                self.sessions.reply(conn, slot, answer);
             }
         }
-        self.front.flush(&mut self.engine, conn);
+        self.sessions.flush(&mut self.engine, conn);
     }
 
     /// A command: its answer, or none when it is a request, whose answer comes later.
@@ -545,34 +563,34 @@
     fn command(
         &mut self,
         conn: ConnId,
-        slot: u64,
+        slot: ReplySlot,
         words: Vec<Bytes>,
         received_at: u64,
     ) -> Option<Frame> {
         let name = words[0].to_ascii_uppercase();
         match &name[..] {
-            b"PING" => return Some(Frame::SimpleString(Bytes::from_static(b"PONG"))),
-            b"CLIENT" | b"SELECT" => return Some(Frame::SimpleString(Bytes::from_static(b"OK"))),
+            b"PING" => return Some(client_replies::pong()),
+            b"CLIENT" | b"SELECT" => return Some(client_replies::ok()),
             b"QUIT" => {
-                self.front.quit(conn);
-                return Some(Frame::SimpleString(Bytes::from_static(b"OK")));
+                self.sessions.close_reading(conn);
+                return Some(client_replies::ok());
             }
             _ => {}
         }
         let id = RequestId(self.next_id + 1);
         let bytes = words.iter().map(Bytes::len).sum();
-        let (command, mut arrival) = match request::read(words, id, received_at, &self.config.read)
-        {
-            Ok(read) => read,
-            Err(why) => return Some(error(&why.to_string())),
-        };
-        arrival.deadline.0 = arrival.deadline.0.min(self.ends_by());
+        let (command, mut arrival) =
+            match request::read(words, id, received_at, &self.config.named_settings) {
+                Ok(read) => read,
+                Err(why) => return Some(client_replies::error(&why.to_string())),
+            };
+        arrival.deadline = arrival.deadline.min(Timestamp::from_micros(self.ends_by()));
         if self.ids.contains_key(command.id()) {
-            return Some(error(&RequestError::IdTaken.to_string()));
+            return Some(client_replies::error(&RequestError::IdTaken.to_string()));
         }
         self.next_id += 1;
         self.ids.insert(command.id().clone(), id);
-        self.front.opened(conn, id, bytes);
+        self.sessions.on_request_opened(conn, id, bytes);
         self.calls.insert(
             id,
             Call {
@@ -596,8 +614,11 @@
             total,
         } in told
         {
-            self.decisions
-                .push(Event::CounterReplied(name, outcome, total));
+            self.decisions.push(Event::CounterReplied {
+                key: name,
+                outcome,
+                total,
+            });
         }
     }
 
@@ -628,23 +649,22 @@
 
     // ---- the list, the configuration ----
 
-    fn on_discovery(&mut self, update: Update) {
-        match update {
-            Update::List(list) => self.listed(list),
-            Update::CheckCall(after, call) => self.due_in(after, TimerPurpose::DiscoveryCall(call)),
+    fn on_discovery(&mut self, action: DiscoveryAction) {
+        match action {
+            DiscoveryAction::UpdateEndpoints(list) => self.listed(list),
+            DiscoveryAction::CheckCall { after, call } => {
+                self.due_in(after.as_micros(), TimerPurpose::DiscoveryCall(call));
+            }
         }
     }
 
-    fn listed(&mut self, list: List) {
+    fn listed(&mut self, list: EndpointList) {
         self.backends.update(&mut self.engine, &list);
-        let scope = if list.snapshot {
-            UpdateScope::Complete
-        } else {
-            UpdateScope::Incremental
-        };
-        let entries: Vec<_> = list.servers.into_iter().map(|s| s.entry).collect();
+        let scope = list.scope;
+        let entries: Vec<_> = list.endpoints.into_iter().map(|e| e.entry).collect();
         if scope == UpdateScope::Complete || !entries.is_empty() {
-            self.decisions.push(Event::EndpointsUpdated(scope, entries));
+            self.decisions
+                .push(Event::EndpointsUpdated { scope, entries });
         }
     }
 
@@ -653,13 +673,14 @@
     pub fn reload(&mut self) {
         let new = match Config::load(&self.config.file) {
             Ok(new) => new,
-            Err(ConfigError { place, what }) => {
-                return tracing::error!("{place}: {what}: the earlier configuration stays");
+            Err(ConfigError { location, kind }) => {
+                return tracing::error!(%location, error = %kind, "configuration is invalid; keeping the earlier one");
             }
         };
         tracing::info!(discovery = %new.discovery, "configuration read again");
-        let updates = self.discovery.set_address(&mut self.engine, new.discovery);
-        updates.into_iter().for_each(|n| self.on_discovery(n));
+        if let Some(action) = self.discovery.set_address(&mut self.engine, new.discovery) {
+            self.on_discovery(action);
+        }
         if let (
             Some(address),
             Shell {
--- a/crates/simulator-adapter/src/settings.rs
+++ b/crates/simulator-adapter/src/settings.rs
@@ -56,27 +56,27 @@
     for i in 0..list("classes")? {
         let key = |k: &str| format!("classes.{i}.{k}");
         classes.insert(f.text(&key("name"))?.to_string(), i);
-        let deadline = Micros(f.whole(&key("deadline"))?);
+        let deadline = TimeDelta::from_micros(f.whole(&key("deadline"))?);
         class_list.push(Class {
-            aim: f.micros_or(&key("on_time"), deadline.0)?,
+            latency_objective: f.micros_or(&key("on_time"), deadline.as_micros())?,
             deadline,
-            worth: f.real_or(&key("credit"), 1.0)?,
-            late_worth: f.real_or(&key("late_share"), 0.0)?,
-            effect: match f.pairs.get(key("effect").as_str()) {
-                Some(&"pure") => Effect::Safe,
-                Some(&"token") => Effect::Keyed,
-                Some(&"side_effect") | None => Effect::Unsafe,
+            priority_weight: f.real_or(&key("credit"), 1.0)?,
+            late_priority_weight: f.real_or(&key("late_share"), 0.0)?,
+            idempotency: match f.pairs.get(key("effect").as_str()) {
+                Some(&"pure") => Idempotency::Idempotent,
+                Some(&"token") => Idempotency::Keyed,
+                Some(&"side_effect") | None => Idempotency::NonIdempotent,
                 Some(_) => return f.fail(&key("effect"), "pure, token or side_effect"),
             },
-            group: match f.pairs.get(key("key_scope").as_str()) {
-                Some(&"all") => Group::All,
-                Some(&"zone") => Group::Zone,
-                Some(&"cell") | None => Group::Cell,
+            key_scope: match f.pairs.get(key("key_scope").as_str()) {
+                Some(&"all") => KeyScope::All,
+                Some(&"zone") => KeyScope::Zone,
+                Some(&"cell") | None => KeyScope::Cell,
                 Some(_) => return f.fail(&key("key_scope"), "all, zone or cell"),
             },
-            window: f.micros_or(&key("window"), 0)?,
-            stream: f.flag_or(&key("streaming"), false)?,
-            by_caller: false,
+            key_window: f.micros_or(&key("window"), 0)?,
+            is_streaming: f.flag_or(&key("streaming"), false)?,
+            admission_only: false,
         });
     }
     let (mut plans, mut plan_list) = (HashMap::new(), Vec::new());
@@ -87,10 +87,10 @@
         plan_list.push(Plan {
             rate: real("per_second", 0.0)?,
             burst: real("peak_units", 0.0)?,
-            open: real("open", 0.0)?,
-            price: real("price", 1.0)?,
-            over_worth: real("extra_worth", 0.0)?,
-            over_cost: real("excess_cost", 0.0)?,
+            max_concurrency: real("open", 0.0)?,
+            priority_multiplier: real("price", 1.0)?,
+            over_quota_weight: real("extra_worth", 0.0)?,
+            over_quota_cost: real("excess_cost", 0.0)?,
             ceiling_rate: real("ceiling_rate", 0.0)?,
             ceiling_burst: real("cap_depth", 0.0)?,
             ceiling_slack: real("tolerance", 0.0)?,
@@ -104,27 +104,27 @@
     let zone = zone_id(&mut zones, f.pairs.get("zone").copied().unwrap_or(""));
     let settings = Settings {
         gateways: f.whole_or("balancers", 1)?.min(u32::MAX.into()) as u32,
-        me: f.whole_or("my_number", 0)?.min(u32::MAX.into()) as u32,
+        gateway_index: f.whole_or("my_number", 0)?.min(u32::MAX.into()) as u32,
         zone,
         classes: class_list,
         plans: plan_list,
         max_attempts: f.whole_or("bounds.max_attempts", 1)? as usize,
-        second_copies: f.flag_or("bounds.second_copies", false)?,
-        may_cancel: f.flag_or("bounds.may_cancel", false)?,
-        probes: f.flag_or("bounds.probing", false)?,
-        retry_after: f.flag_or("bounds.retry_after", false)?,
+        allow_hedging: f.flag_or("bounds.second_copies", false)?,
+        allow_cancel: f.flag_or("bounds.may_cancel", false)?,
+        allow_probes: f.flag_or("bounds.probing", false)?,
+        send_retry_after: f.flag_or("bounds.retry_after", false)?,
         max_retry_after: f.micros_or("bounds.max_retry_after", 0)?,
-        counter: f.flag_or("specifics.counter", false)?,
-        count_timeout: f.micros_or("specifics.count_limit", 0)?,
-        most_units: f.real_or("specifics.units_top", 1.0)?,
-        must_subscribe: f.pairs.get("membership_mode") == Some(&"subscribe"),
+        use_counter: f.flag_or("specifics.counter", false)?,
+        counter_timeout: f.micros_or("specifics.count_limit", 0)?,
+        max_request_units: f.real_or("specifics.units_top", 1.0)?,
+        requires_subscription: f.pairs.get("membership_mode") == Some(&"subscribe"),
         dial_timeout: f.micros_or("bounds.dial_timeout", 0)?,
         answer_slack: f.micros_or("rules.answer_slack", 0)?,
-        cold_from: f.real_or("rules.cold_from", 1.0)?,
-        cold: f.micros_or("rules.cold", 0)?,
-        fall_multiple: f.real_or("rules.fall_multiple", 1.0)?,
-        tip_after: f.micros_or("rules.tip_after", 0)?,
-        tick: f.micros_or("tick", 0)?,
+        slow_start_min_capacity: f.real_or("rules.cold_from", 1.0)?,
+        slow_start_duration: f.micros_or("rules.cold", 0)?,
+        overload_multiple: f.real_or("rules.fall_multiple", 1.0)?,
+        overload_duration: f.micros_or("rules.tip_after", 0)?,
+        timer_resolution: f.micros_or("tick", 0)?,
     };
     Ok(Read {
         settings,
