--- a/crates/resp-gateway/tests/world/mod.rs
+++ b/crates/resp-gateway/tests/world/mod.rs
@@ -6,7 +6,7 @@
 use chalkdeck_net::clock::{Clock, Jumps};
 use chalkdeck_resp_gateway::{Config, GatewayServer};
 use fastrand::Rng;
-use peers::{Attempt, Client, Counter, Discovery, Endpoint};
+use peers::{Attempt, Client, Counter, Discovery, Endpoint, Moment};
 use std::collections::HashMap;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -269,9 +269,13 @@
 
     /// Takes what came to the peers and compares it with what may come.
     fn observe(&mut self) {
-        self.discovery.serve(&self.endpoints);
-        self.counter.read();
         let now = self.clock.now();
+        let moment = Moment {
+            time: now,
+            turn: self.turns,
+        };
+        self.discovery.serve(&self.endpoints, moment);
+        self.counter.read();
         for place in 0..ENDPOINTS {
             for attempt in self.endpoints[place].arrivals() {
                 self.check_arrival(place, &attempt, now);
@@ -284,12 +288,18 @@
         }
     }
 
+    /// Whether an endpoint drains and the gateway has had the time and the turns of its loop to apply that.
+    fn must_not_be_used(&self, place: usize, now: u64) -> bool {
+        let is_draining = self.endpoints[place].is_draining();
+        is_draining
+            && self.discovery.sent_at().is_some_and(|sent| {
+                now > sent.time + DRAIN_GRACE && self.turns > sent.turn + TURNS_TO_NOTICE
+            })
+    }
+
     fn check_arrival(&mut self, place: usize, attempt: &Attempt, now: u64) {
-        let endpoint = &self.endpoints[place];
-        let applied = self.discovery.applied_at();
-        let published = endpoint.draining_since.filter(|_| applied.is_some());
-        if published.is_some_and(|since| now > since.max(applied.unwrap_or(0)) + DRAIN_GRACE) {
-            self.fault = Some(format!("{} went to a server that drains", attempt.id));
+        if self.must_not_be_used(place, now) {
+            self.fault = Some(format!("{} went to an endpoint that drains", attempt.id));
         }
         let Some(request) = self.requests.get_mut(&attempt.id) else {
             self.fault = Some(format!("{} was never sent by a client", attempt.id));
--- a/crates/resp-gateway/tests/world/peers.rs
+++ b/crates/resp-gateway/tests/world/peers.rs
@@ -352,33 +352,43 @@
     }
 }
 
-/// How discovery writes an answer.
+/// A moment of a test.
+#[derive(Clone, Copy, Debug)]
+pub struct Moment {
+    /// The time of the gateway's clock.
+    pub time: u64,
+    /// The number of turns of the gateway's loop.
+    pub turn: u64,
+}
+
+/// How discovery writes a response.
 #[derive(Clone, Copy)]
-enum Form {
+enum ResponseForm {
     Length,
     EndsWithConnection,
     BrokenOff,
     Silent,
 }
 
-/// Discovery, which answers a watch once the list has changed.
+/// The discovery agent, which answers a poll once the list has changed.
 pub struct Discovery {
     listener: TcpListener,
     connections: Vec<(TcpStream, BytesMut)>,
     index: u64,
-    form: Form,
-    applied_at: Option<u64>,
+    form: ResponseForm,
+    /// When the present list was last sent complete.
+    sent_at: Option<Moment>,
 }
 
 impl Discovery {
     pub fn new() -> Discovery {
-        let form = Form::Length;
+        let form = ResponseForm::Length;
         Discovery {
             listener: listen(),
             connections: Vec::new(),
             index: 1,
             form,
-            applied_at: None,
+            sent_at: None,
         }
     }
 
@@ -386,26 +396,26 @@
         self.listener.local_addr().expect("its address")
     }
 
-    /// The list is another one from here on; it is told in any way at first.
+    /// The list is another one from here on; its first response may have any form.
     pub fn change(&mut self, rng: &mut Rng) {
         self.index += 1;
-        self.applied_at = None;
+        self.sent_at = None;
         self.form = rng
             .choice([
-                Form::Length,
-                Form::EndsWithConnection,
-                Form::BrokenOff,
-                Form::Silent,
+                ResponseForm::Length,
+                ResponseForm::EndsWithConnection,
+                ResponseForm::BrokenOff,
+                ResponseForm::Silent,
             ])
             .expect("one of four");
     }
 
-    /// When the present list was told whole.
-    pub fn applied_at(&self) -> Option<u64> {
-        self.applied_at
+    /// When the present list was last sent complete.
+    pub fn sent_at(&self) -> Option<Moment> {
+        self.sent_at
     }
 
-    pub fn serve(&mut self, endpoints: &[Endpoint]) {
+    pub fn serve(&mut self, endpoints: &[Endpoint], now: Moment) {
         while let Some(stream) = accept(&self.listener) {
             self.connections.push((stream, BytesMut::new()));
         }
@@ -426,7 +436,7 @@
                 .any(|part| part == known.as_bytes());
             if asked && !pending {
                 bytes.clear();
-                if !self.answer(&mut stream, &body) {
+                if !self.respond(&mut stream, &body, now) {
                     continue;
                 }
             }
@@ -435,24 +445,30 @@
         self.connections = open;
     }
 
-    /// Whether the connection goes on. Each broken form comes once, then the list is told as it should be.
-    fn answer(&mut self, stream: &mut TcpStream, body: &str) -> bool {
-        let plain = format!(
+    /// Returns whether the connection goes on. Each other form is used once, then responses are complete and have a length.
+    fn respond(&mut self, stream: &mut TcpStream, body: &str, now: Moment) -> bool {
+        let with_length = format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         );
-        match std::mem::replace(&mut self.form, Form::Length) {
-            Form::Length => stream.write_all(plain.as_bytes()).is_ok(),
-            Form::EndsWithConnection => {
-                let _ = stream.write_all(format!("HTTP/1.1 200 OK\r\n\r\n{body}").as_bytes());
+        let without_length = format!("HTTP/1.1 200 OK\r\n\r\n{body}");
+        match std::mem::replace(&mut self.form, ResponseForm::Length) {
+            ResponseForm::Length => {
+                let is_sent = stream.write_all(with_length.as_bytes()).is_ok();
+                self.sent_at = is_sent.then_some(now);
+                is_sent
+            }
+            ResponseForm::EndsWithConnection => {
+                let is_sent = stream.write_all(without_length.as_bytes()).is_ok();
+                self.sent_at = is_sent.then_some(now);
                 false
             }
-            Form::BrokenOff => {
-                let _ = stream.write_all(&plain.as_bytes()[..plain.len() / 2]);
+            ResponseForm::BrokenOff => {
+                let _ = stream.write_all(&with_length.as_bytes()[..with_length.len() / 2]);
                 reset(stream);
                 false
             }
-            Form::Silent => true,
+            ResponseForm::Silent => true,
         }
     }
 }
