--- a/crates/coordinator/src/replica/membership.rs
+++ b/crates/coordinator/src/replica/membership.rs
@@ -77,7 +77,7 @@
         match self.enter(configuration) {
             Ok(()) => tracing::info!(configuration = number, "configuration entered"),
             Err(error) => {
-                tracing::error!(configuration = number, "configuration not entered: {error}");
+                tracing::error!(configuration = number, %error, "configuration not entered");
             }
         }
     }
--- a/crates/counter/src/server/completions.rs
+++ b/crates/counter/src/server/completions.rs
@@ -58,7 +58,7 @@
     }
 
     fn on_batch_failed(&mut self, error: &AppendError) {
-        tracing::error!("{error}");
+        tracing::error!(%error, "batch of increments not persisted");
         let code = match error {
             AppendError::NotWritten(_) | AppendError::Closed => Code::Unavailable,
             AppendError::OutcomeUnknown(_) => Code::DataLoss,
@@ -94,7 +94,7 @@
     }
 
     fn on_snapshot_failed(&mut self, error: &io::Error) {
-        tracing::error!("no snapshot, the log goes on growing: {error}");
+        tracing::error!(%error, "snapshot not written: the log keeps growing");
         self.snapshot_schedule.is_in_progress = false;
     }
 }
--- a/crates/counter/src/server/parts.rs
+++ b/crates/counter/src/server/parts.rs
@@ -39,6 +39,6 @@
     std::thread::spawn(move || {
         server
             .run(&signals)
-            .inspect_err(|error| tracing::error!("a part ended: {error}"))
+            .inspect_err(|error| tracing::error!(%error, "counter part stopped"))
     })
 }
--- a/crates/counter/src/server/startup.rs
+++ b/crates/counter/src/server/startup.rs
@@ -108,13 +108,13 @@
 
 fn log_recovery(path: &Path, report: &RecoveryReport, state: &CounterState, identity: Identity) {
     for snapshot in &report.damaged_snapshots {
-        tracing::error!("a damaged snapshot was passed over: {snapshot}");
+        tracing::error!(%snapshot, "damaged snapshot skipped: using an older one");
     }
     if let Some(tail) = &report.torn_tail {
         tracing::warn!(
             file = tail.file,
             bytes = tail.len,
-            "a torn tail was cut off: its adds were never answered as counted"
+            "torn tail of the log truncated: its increments were never acknowledged"
         );
     }
     tracing::info!(
