--- a/crates/policy/src/endpoint/mod.rs
+++ b/crates/policy/src/endpoint/mod.rs
@@ -4,7 +4,7 @@
 pub(crate) mod outlier;
 pub(crate) mod table;
 
-use crate::api::{CellId, EndpointEntry, EndpointState, TimeDelta, Timestamp, ZoneId};
+use crate::api::{CellId, EndpointEntry, EndpointId, EndpointState, TimeDelta, Timestamp, ZoneId};
 use crate::token_bucket::TokenBucket;
 
 /// Attempts in flight at one endpoint where learning starts, scaled to the gateway's share.
@@ -30,6 +30,7 @@
 /// State of one endpoint.
 #[derive(Debug, Default)]
 pub(crate) struct Endpoint {
+    pub(crate) id: EndpointId,
     pub(crate) zone: ZoneId,
     pub(crate) cell: CellId,
     pub(crate) weight: f64,
@@ -62,8 +63,9 @@
 
 impl Endpoint {
     /// An endpoint of which nothing is known.
-    pub(crate) fn new() -> Endpoint {
+    pub(crate) fn new(id: EndpointId) -> Endpoint {
         Endpoint {
+            id,
             limit: INITIAL_LIMIT,
             ..Endpoint::default()
         }
@@ -115,7 +117,7 @@
     pub(crate) fn reset(&mut self) {
         *self = Endpoint {
             in_flight: self.in_flight,
-            ..Endpoint::new()
+            ..Endpoint::new(self.id)
         };
     }
 
--- a/crates/policy/src/endpoint/table.rs
+++ b/crates/policy/src/endpoint/table.rs
@@ -3,13 +3,10 @@
 use super::Endpoint;
 use crate::api::{EndpointId, Timestamp};
 
-/// An endpoint and its id.
-pub(crate) type TableEntry = (EndpointId, Endpoint);
-
 /// The endpoints, and which of them are in service.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointTable {
-    entries: Vec<TableEntry>,
+    endpoints: Vec<Endpoint>,
     /// Positions of the endpoints in service, in an order that all gateways share.
     in_service: Vec<usize>,
     /// Number of endpoints in slow start.
@@ -29,19 +26,20 @@
 
 impl EndpointTable {
     fn position(&self, id: EndpointId) -> Result<usize, usize> {
-        self.entries.binary_search_by_key(&id, |entry| entry.0)
+        self.endpoints
+            .binary_search_by_key(&id, |endpoint| endpoint.id)
     }
 
     /// An endpoint by its id.
     pub(crate) fn get(&self, id: EndpointId) -> Option<&Endpoint> {
         let position = self.position(id).ok()?;
-        Some(&self.entries[position].1)
+        Some(&self.endpoints[position])
     }
 
     /// An endpoint by its id, to change.
     pub(crate) fn get_mut(&mut self, id: EndpointId) -> Option<&mut Endpoint> {
         let position = self.position(id).ok()?;
-        Some(&mut self.entries[position].1)
+        Some(&mut self.endpoints[position])
     }
 
     /// An endpoint by its id, new if it is not known. [`EndpointTable::refresh`] has to follow.
@@ -49,21 +47,21 @@
         let position = match self.position(id) {
             Ok(position) => position,
             Err(position) => {
-                self.entries.insert(position, (id, Endpoint::new()));
+                self.endpoints.insert(position, Endpoint::new(id));
                 position
             }
         };
-        &mut self.entries[position].1
+        &mut self.endpoints[position]
     }
 
     /// All endpoints.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Endpoint> {
-        self.entries.iter().map(|entry| &entry.1)
+        self.endpoints.iter()
     }
 
     /// All endpoints, to change.
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Endpoint> {
-        self.entries.iter_mut().map(|entry| &mut entry.1)
+        self.endpoints.iter_mut()
     }
 
     /// Number of endpoints in service.
@@ -72,29 +70,29 @@
     }
 
     /// The endpoint in service at a place of their shared order.
-    pub(crate) fn in_service_at(&self, place: usize) -> &TableEntry {
-        &self.entries[self.in_service[place]]
+    pub(crate) fn in_service_at(&self, place: usize) -> &Endpoint {
+        &self.endpoints[self.in_service[place]]
     }
 
     /// The endpoints in service in their shared order.
-    pub(crate) fn in_service(&self) -> impl Iterator<Item = &TableEntry> {
+    pub(crate) fn in_service(&self) -> impl Iterator<Item = &Endpoint> {
         self.in_service
             .iter()
-            .map(|&position| &self.entries[position])
+            .map(|&position| &self.endpoints[position])
     }
 
     /// The endpoints in service from a place of their shared order on, around to the one before it.
-    pub(crate) fn in_service_from(&self, start: usize) -> impl Iterator<Item = &TableEntry> {
+    pub(crate) fn in_service_from(&self, start: usize) -> impl Iterator<Item = &Endpoint> {
         let (before, own) = self.in_service.split_at(start);
         own.iter()
             .chain(before)
-            .map(|&position| &self.entries[position])
+            .map(|&position| &self.endpoints[position])
     }
 
     /// Brings everything up to date that depends on which endpoints there are.
     pub(crate) fn refresh(&mut self) {
-        self.in_service = (0..self.entries.len())
-            .filter(|&position| self.entries[position].1.is_in_service)
+        self.in_service = (0..self.endpoints.len())
+            .filter(|&position| self.endpoints[position].is_in_service)
             .collect();
         self.slow_starts = self
             .iter()
--- a/crates/policy/src/engine/selection.rs
+++ b/crates/policy/src/engine/selection.rs
@@ -3,7 +3,6 @@
 use super::subset::MAX_CANDIDATES;
 use super::DecisionEngine;
 use crate::api::{EndpointId, RequestId, ZoneId};
-use crate::endpoint::table::TableEntry;
 use crate::endpoint::Endpoint;
 use crate::hash::mix_bits;
 use crate::request::OpenRequest;
@@ -110,8 +109,8 @@
         let mut best = None;
         for i in 0..MAX_CANDIDATES {
             let offset = (selection.salt as usize).wrapping_add(i) % subset_size;
-            let entry = self.endpoints.in_service_at((start + offset) % endpoints);
-            best = self.better_of(selection, best, entry);
+            let endpoint = self.endpoints.in_service_at((start + offset) % endpoints);
+            best = self.better_of(selection, best, endpoint);
         }
         best
     }
@@ -119,8 +118,8 @@
     /// The best of the subset, or the first outside it that will do.
     fn best_of_all(&self, selection: &Selection, subset_size: usize) -> Option<Candidate> {
         let mut best = None;
-        for (i, entry) in self.subset_first().enumerate() {
-            best = self.better_of(selection, best, entry);
+        for (i, endpoint) in self.subset_first().enumerate() {
+            best = self.better_of(selection, best, endpoint);
             if best.is_some() && i + 1 >= subset_size {
                 break;
             }
@@ -132,16 +131,16 @@
         &self,
         selection: &Selection,
         best: Option<Candidate>,
-        entry: &TableEntry,
+        endpoint: &Endpoint,
     ) -> Option<Candidate> {
-        let Some(score) = self.score(selection, entry) else {
+        let Some(score) = self.score(selection, endpoint) else {
             return best;
         };
         match best {
             Some(best) if score >= best.score => Some(best),
             _ => Some(Candidate {
                 score,
-                endpoint: entry.0,
+                endpoint: endpoint.id,
             }),
         }
     }
@@ -163,8 +162,7 @@
     }
 
     /// The expected wait at an endpoint against others; none: it may not be used now.
-    fn score(&self, selection: &Selection, entry: &TableEntry) -> Option<f64> {
-        let (id, endpoint) = entry;
+    fn score(&self, selection: &Selection, endpoint: &Endpoint) -> Option<f64> {
         let request = selection.request;
         if !self.has_room(selection, endpoint) || !self.may_send(request, endpoint) {
             return None;
@@ -178,12 +176,12 @@
         };
         let earlier_attempts = request.attempts.iter();
         let repeats = earlier_attempts
-            .filter(|attempt| attempt.endpoint == *id)
+            .filter(|attempt| attempt.endpoint == endpoint.id)
             .count() as f64;
         let load = (endpoint.in_flight + 1.0) * latency_ratio / endpoint.weight;
         let penalty = 1.0 + FAILURE_PENALTY * endpoint.failure_share;
         let score = load * penalty + REPEAT_PENALTY * repeats;
-        let random = mix_bits(selection.salt ^ id.0) as f64 / u64::MAX as f64;
+        let random = mix_bits(selection.salt ^ endpoint.id.0) as f64 / u64::MAX as f64;
         let score = score * (1.0 + RANDOM_PART * random + distance);
         let is_trial = endpoint.is_on_trial && request.attempts.is_empty();
         Some(score * if is_trial { TRIAL_FACTOR } else { 1.0 })
--- a/crates/policy/src/engine/status.rs
+++ b/crates/policy/src/engine/status.rs
@@ -13,8 +13,8 @@
         let limit_share = self.limit_share();
         self.endpoints
             .in_service()
-            .map(move |(id, endpoint)| EndpointConcurrency {
-                endpoint: *id,
+            .map(move |endpoint| EndpointConcurrency {
+                endpoint: endpoint.id,
                 in_flight: endpoint.in_flight,
                 limit: endpoint.limit * limit_share,
             })
--- a/crates/policy/src/engine/subset.rs
+++ b/crates/policy/src/engine/subset.rs
@@ -5,7 +5,7 @@
 //! large fleet.
 
 use super::DecisionEngine;
-use crate::endpoint::table::{LimitSum, TableEntry};
+use crate::endpoint::table::LimitSum;
 use crate::endpoint::{Endpoint, INITIAL_LIMIT};
 
 /// Endpoints in a gateway's subset at the least. More spreads its load better, fewer lets it learn
@@ -41,7 +41,7 @@
     }
 
     /// The endpoints in service, this gateway's subset first.
-    pub(super) fn subset_first(&self) -> impl Iterator<Item = &TableEntry> + '_ {
+    pub(super) fn subset_first(&self) -> impl Iterator<Item = &Endpoint> + '_ {
         self.endpoints.in_service_from(self.subset_start())
     }
 
@@ -76,7 +76,6 @@
         let limit = self
             .subset_first()
             .take(subset_size)
-            .map(|entry| &entry.1)
             .filter(|endpoint| self.is_healthy(endpoint))
             .map(|endpoint| endpoint.limit * limit_share)
             .sum();
