--- a/crates/resp-gateway/src/config.rs
+++ b/crates/resp-gateway/src/config.rs
@@ -121,7 +121,10 @@
     fn read(file: &Path) -> Result<Config, ConfigErrorKind> {
         let size = std::fs::metadata(file)?.len();
         if size > MAX_FILE_BYTES {
-            return Err(ConfigErrorKind::TooLong(size));
+            return Err(ConfigErrorKind::TooLong {
+                found: size,
+                max: MAX_FILE_BYTES,
+            });
         }
         Config::parse(file, &std::fs::read(file)?)
     }
@@ -164,7 +167,7 @@
     match endpoint_list::parse(list, &mut names.zones) {
         Ok(list) => Some(list),
         Err(error) => {
-            tracing::warn!(%error, "initial endpoint list is invalid; starting without endpoints");
+            tracing::warn!(%error, "initial endpoint list not readable: starting without endpoints");
             None
         }
     }
