--- /dev/null
+++ b/crates/contract/src/hold_back/tests.rs
@@ -0,0 +1,46 @@
+//! Tests of `hold_back`.
+
+use super::{hold_back, HoldBack, ServerContract};
+
+const ADMITTED: Option<&str> = Some("farm.v1.Farm 1");
+const UNADMITTED: Option<&str> = Some("farm.v1.Farm 2");
+
+fn in_service(contract: Option<&str>) -> ServerContract<'_> {
+    ServerContract {
+        is_in_service: true,
+        contract,
+    }
+}
+
+fn draining(contract: Option<&str>) -> ServerContract<'_> {
+    ServerContract {
+        is_in_service: false,
+        contract,
+    }
+}
+
+fn decide(servers: &[ServerContract]) -> HoldBack {
+    let is_admitted = |service: &str, version: &str| service == "farm.v1.Farm" && version == "1";
+    hold_back(servers.iter().copied(), is_admitted)
+}
+
+#[test]
+fn unadmitted_versions_are_held_back_unless_there_is_no_other() {
+    assert_eq!(
+        decide(&[
+            in_service(ADMITTED),
+            in_service(UNADMITTED),
+            in_service(None)
+        ])
+        .is_held_back,
+        [false, true, false]
+    );
+    let all_unadmitted = decide(&[in_service(UNADMITTED), in_service(UNADMITTED)]);
+    assert_eq!(
+        (all_unadmitted.is_held_back, all_unadmitted.is_last_resort),
+        (vec![false, false], true)
+    );
+    // A draining server is no other that could take calls.
+    assert!(decide(&[draining(ADMITTED), in_service(UNADMITTED)]).is_last_resort);
+    assert!(!decide(&[draining(UNADMITTED)]).is_last_resort);
+}
--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -1,24 +1,28 @@
-//! Whether a service's new version breaks those that subscribers still speak, free of I/O.
+//! Whether a service's new version is compatible with those that subscribers still use, free of I/O.
 //!
-//! A [`Version`] is a set of descriptors together with what the gateways' decisions promise of each method. [`check`] reads old requests
-//! with the new publisher's eyes and new answers with old subscribers', at a stated [`Level`], and names each [`Break`] with a
-//! witness. [`Spoken`] knows which versions are spoken.
+//! A [`ServiceVersion`] is a set of descriptors together with what the gateways' decisions promise of each method.
+//! [`find_incompatibilities`] reads old requests by the new publisher's descriptors and new responses by old subscribers', at a
+//! [`CompatibilityLevel`], and gives each [`Incompatibility`] with a witness. [`VersionsInUse`] knows which versions are in use, and
+//! [`hold_back`] which servers get no calls because their version was not admitted.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
-mod breaks;
+mod hold_back;
+mod incompatibility;
+mod kinds;
+mod message_check;
 mod promise;
-mod reads;
-mod service;
-mod spoken;
-mod types;
-mod version;
-mod walk;
+mod promise_check;
+mod rule;
+mod samples;
+mod service_check;
+mod service_version;
+mod versions_in_use;
 mod witness;
 
-pub use breaks::{Break, Direction, Rule, Witness};
-pub use promise::{Effect, Group, Promise};
-pub use service::{hold_back, HoldBack};
-pub use spoken::{Spoken, Use};
-pub use version::{Level, Version, VersionError, MOST_BYTES};
-pub use walk::{check, Bounds};
+pub use hold_back::{hold_back, HoldBack, ServerContract};
+pub use incompatibility::{Direction, Incompatibility, Witness};
+pub use promise::{Idempotency, KeyScope, Promise, SubscriberBounds};
+pub use rule::CompatibilityRule;
+pub use service_check::find_incompatibilities;
+pub use service_version::{CompatibilityLevel, ServiceVersion, VersionError, MAX_DESCRIPTOR_BYTES};
+pub use versions_in_use::{VersionUse, VersionUser, VersionsInUse};
--- a/crates/contract/src/promise.rs
+++ b/crates/contract/src/promise.rs
@@ -1,142 +1,82 @@
-//! What the decisions promise of a method, and which changes take something back.
+//! What the gateways' decisions promise of a method, and what subscribers rely on beside it.
 
-use crate::breaks::{Break, Rule, Witness};
+use std::fmt;
 
-/// What a repeat of a call does.
+/// What a retry of a call does. The order is from the strongest promise to the weakest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Effect {
-    /// Nothing.
-    Safe,
-    /// Nothing within the group and the window of its key.
+pub enum Idempotency {
+    /// It has no further effect.
+    Idempotent,
+    /// It has no further effect within the scope and the window of its idempotency key.
     Keyed,
     /// It has its effect again.
-    Unsafe,
+    NonIdempotent,
 }
 
-/// Which servers drop repeats of a key.
+/// The servers that deduplicate retries of one idempotency key. The order is from the smallest scope to the largest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Group {
+pub enum KeyScope {
     /// Those of one cell.
     Cell,
     /// Those of one zone.
     Zone,
-    /// All.
+    /// All servers.
     All,
 }
 
 /// What is promised of one method.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Promise {
-    /// What a repeat does.
-    pub effect: Effect,
-    /// Who drops repeats of a key.
-    pub group: Group,
-    /// For how long, in milliseconds.
-    pub window_ms: u64,
-    /// An answer within this time is in time, in milliseconds.
-    pub aim_ms: u64,
+    /// What a retry does.
+    pub idempotency: Idempotency,
+    /// Which servers deduplicate retries of a key.
+    pub key_scope: KeyScope,
+    /// For how long they do, in milliseconds.
+    pub key_window_ms: u64,
+    /// The latency objective in milliseconds.
+    pub latency_objective_ms: u64,
     /// The longest that a call may take, in milliseconds.
     pub deadline_ms: u64,
     /// What a call takes from the quota.
     pub units: f64,
-    /// Worth of an answer in time.
-    pub worth: f64,
+    /// The value of an answer in time, which orders what is shed.
+    pub value: f64,
+}
+
+/// What the subscribers of a version rely on beside its promises.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct SubscriberBounds {
+    /// How long retries of one call last at its clients, in milliseconds; `None` for as long as the promised window.
+    pub longest_retry_ms: Option<u64>,
+    /// The smallest burst of the callers' plans, in units; `None` if no plan limits it.
+    pub smallest_burst: Option<f64>,
 }
 
 impl Promise {
-    /// Worth for each unit: when a site is lost, what has less of it is refused first.
-    fn density(&self) -> f64 {
-        self.worth / self.units.max(f64::MIN_POSITIVE)
+    /// Value for each unit: when a site is lost, the calls with the least of it are shed first.
+    pub(crate) fn value_per_unit(&self) -> f64 {
+        self.value / self.units.max(f64::MIN_POSITIVE)
     }
 }
 
-/// What subscribers rest on beside the promise itself.
-pub(crate) struct Rests {
-    /// How long repeats of one call may last at its clients, in milliseconds; none: as long as the window that was promised.
-    pub(crate) repeats_ms: Option<u64>,
-    /// The smallest burst of the plans of those who call it; none: no plan bounds it.
-    pub(crate) burst: Option<f64>,
+/// As publishers read it; part of the wire format.
+impl fmt::Display for Idempotency {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Idempotency::Idempotent => "Safe",
+            Idempotency::Keyed => "Keyed",
+            Idempotency::NonIdempotent => "Unsafe",
+        })
+    }
 }
 
-/// What of an old promise a new one takes back.
-pub(crate) fn compare(
-    path: &str,
-    old: &Promise,
-    new: &Promise,
-    rests: &Rests,
-    out: &mut Vec<Break>,
-) {
-    let mut say = |rule, what: String, call: String| {
-        out.push(Break {
-            path: path.into(),
-            rule,
-            what,
-            witness: Witness::Call(call),
-        });
-    };
-    if new.effect > old.effect {
-        let what = format!(
-            "{:?} was promised, {:?} is proposed",
-            old.effect, new.effect
-        );
-        let call = format!("a call of {path} that is sent again after a time-out, as its subscriber may, has its effect twice");
-        say(Rule::PromiseEffect, what, call);
-    }
-    if old.effect == Effect::Keyed && new.effect == Effect::Keyed && new.group < old.group {
-        let what = format!(
-            "group {:?} was promised, {:?} is proposed",
-            old.group, new.group
-        );
-        let call = format!("a call of {path} that is sent again under its key to a server outside its {:?} has its effect twice", new.group);
-        say(Rule::PromiseGroup, what, call);
-    }
-    let lasts = rests.repeats_ms.unwrap_or(old.window_ms);
-    if old.effect == Effect::Keyed && new.effect == Effect::Keyed && new.window_ms < lasts {
-        let what = format!("window of {} ms, repeats last {lasts} ms", new.window_ms);
-        let call = format!("a call of {path} that is sent again under its key {lasts} ms after the first has its effect twice");
-        say(Rule::PromiseWindow, what, call);
-    }
-    for (rule, name, was, is) in [
-        (
-            Rule::PromiseDeadline,
-            "deadline",
-            old.deadline_ms,
-            new.deadline_ms,
-        ),
-        (Rule::PromiseAim, "aim", old.aim_ms, new.aim_ms),
-    ] {
-        if is < was {
-            let call = format!(
-                "a call of {path} that takes {was} ms, as it might, comes after the {name}"
-            );
-            say(
-                rule,
-                format!("{name} of {was} ms was promised, {is} ms is proposed"),
-                call,
-            );
-        }
-    }
-    if let Some(burst) = rests
-        .burst
-        .filter(|burst| new.units > *burst && old.units <= *burst)
-    {
-        let what = format!(
-            "{} units were promised, {} are proposed, above a plan's burst of {burst}",
-            old.units, new.units
-        );
-        say(
-            Rule::PromiseUnits,
-            what,
-            format!("a call of {path} on that plan is refused however long its customer waits"),
-        );
-    }
-    if new.density() < old.density() {
-        let what = format!(
-            "worth for a unit was {:.3}, {:.3} is proposed",
-            old.density(),
-            new.density()
-        );
-        let call = format!("when a site is lost, calls of {path} are refused while the others are served that they stood beside");
-        say(Rule::PromiseWorth, what, call);
+/// As publishers read it; part of the wire format.
+impl fmt::Display for KeyScope {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            KeyScope::Cell => "Cell",
+            KeyScope::Zone => "Zone",
+            KeyScope::All => "All",
+        })
     }
 }
--- a/crates/contract/tests/own_wire.rs
+++ b/crates/contract/tests/own_wire.rs
@@ -1,7 +1,10 @@
 //! The project's own messages stay readable by what commit d5a4349 speaks: the checker finds no break at its wire level, and messages
 //! that people write as text keep every name.
 
-use chalkdeck_contract::{check, Bounds, Effect, Group, Level, Promise, Version};
+use chalkdeck_contract::{
+    find_incompatibilities, CompatibilityLevel, Idempotency, KeyScope, Promise, ServiceVersion,
+    SubscriberBounds,
+};
 use prost_reflect::{DescriptorPool, MessageDescriptor};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,24 +25,24 @@
 
 fn promise() -> Promise {
     Promise {
-        effect: Effect::Unsafe,
-        group: Group::All,
-        window_ms: 0,
-        aim_ms: 100,
+        idempotency: Idempotency::NonIdempotent,
+        key_scope: KeyScope::All,
+        key_window_ms: 0,
+        latency_objective_ms: 100,
         deadline_ms: 1_000,
         units: 1.0,
-        worth: 1.0,
+        value: 1.0,
     }
 }
 
-fn version(service: &str, descriptors: &[u8]) -> Version {
+fn version(service: &str, descriptors: &[u8]) -> ServiceVersion {
     let pool = DescriptorPool::decode(descriptors).expect("descriptors");
     let service_descriptor = pool.get_service_by_name(service).expect("the service");
     let promises: BTreeMap<String, Promise> = service_descriptor
         .methods()
         .map(|m| (m.name().to_string(), promise()))
         .collect();
-    Version::read("v1", service, descriptors, promises).expect("a sound version")
+    ServiceVersion::parse("v1", service, descriptors, promises).expect("a sound version")
 }
 
 /// One line for each field of a message and of the messages in it, with its name.
@@ -88,7 +91,12 @@
         let recorded = version(service, RECORDED);
         let present = version(service, chalkdeck_proto::DESCRIPTORS);
         for (old, new) in [(&recorded, &present), (&present, &recorded)] {
-            let breaks = check(old, new, Level::Wire, Bounds::default());
+            let breaks = find_incompatibilities(
+                old,
+                new,
+                CompatibilityLevel::Wire,
+                SubscriberBounds::default(),
+            );
             assert!(breaks.is_empty(), "{service}: {breaks:?}");
         }
     }
@@ -118,11 +126,11 @@
     field.number = Some(field.number() + 100);
     let changed = prost::Message::encode_to_vec(&changed);
     let service = "chalkdeck.counter.v1.Counter";
-    let breaks = check(
+    let breaks = find_incompatibilities(
         &version(service, RECORDED),
         &version(service, &changed),
-        Level::Wire,
-        Bounds::default(),
+        CompatibilityLevel::Wire,
+        SubscriberBounds::default(),
     );
     assert!(!breaks.is_empty());
 }
--- a/crates/contract/tests/recorded_texts.rs
+++ b/crates/contract/tests/recorded_texts.rs
@@ -1,17 +1,19 @@
-//! Breaks are found and worded as recorded from commit 129cb7d, byte for byte: they are shown to publishers.
+//! Incompatibilities are found and worded as recorded from commit 129cb7d, byte for byte: they are shown to publishers.
 //!
-//! Seeded schemas and changes of them are checked at both levels. The text, the help and the witness of every break go into a digest
+//! Seeded schemas and changes of them are checked at both levels. The text, the help and the witness of every incompatibility go into a digest
 //! for each block of cases. Texts of promises and of errors are recorded as they are.
 
 mod schemas;
 
 use chalkdeck_contract::{
-    check, Bounds, Break, Direction, Effect, Group, Level, Promise, Version, VersionError, Witness,
+    find_incompatibilities, CompatibilityLevel, Direction, Idempotency, Incompatibility, KeyScope,
+    Promise, ServiceVersion, SubscriberBounds, VersionError, Witness,
 };
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
-use schemas::{any_schema, change, Change, Schema};
+use schemas::changes::{any_changes, change, Change};
+use schemas::{any_schema, Schema};
 use std::collections::BTreeMap;
 
 const RECORDED_SCHEMAS: &str = include_str!("recorded/schemas.txt");
@@ -30,7 +32,7 @@
         }
     }
 
-    fn add_break(&mut self, found: &Break) {
+    fn add_incompatibility(&mut self, found: &Incompatibility) {
         self.add(found.to_string().as_bytes());
         self.add(found.path.as_bytes());
         self.add(found.rule.help().as_bytes());
@@ -45,7 +47,7 @@
             } => {
                 self.add(match direction {
                     Direction::Request => b"request",
-                    Direction::Answer => b"answer",
+                    Direction::Response => b"answer",
                 });
                 self.add(message.as_bytes());
                 self.add(bytes);
@@ -56,46 +58,40 @@
     }
 }
 
-/// The rule's name in a break's text, which is `path: rule: what`.
-fn rule_name(found: &Break) -> String {
+/// The rule's name in an incompatibility's text, which is `path: rule: what`.
+fn rule_name(found: &Incompatibility) -> String {
     let text = found.to_string();
     let after_path = &text[found.path.len() + 2..];
     after_path.split(':').next().unwrap_or_default().to_string()
 }
 
 /// A schema, changes of it, and whether JSON counts.
-fn any_case() -> impl Strategy<Value = (Schema, Vec<(u8, usize, u8, bool)>, bool)> {
-    let changes = prop::collection::vec(
-        (0u8..17, 0usize..8, 0u8..17, prop::bool::weighted(0.3)),
-        1..4,
-    );
-    (any_schema(), changes, any::<bool>())
+fn any_case() -> impl Strategy<Value = (Schema, Vec<Change>, bool)> {
+    (any_schema(), any_changes(), any::<bool>())
 }
 
-fn breaks_of(schema: &Schema, changes: &[(u8, usize, u8, bool)], json: bool) -> Vec<Break> {
+fn incompatibilities_of(
+    schema: &Schema,
+    changes: &[Change],
+    has_json: bool,
+) -> Vec<Incompatibility> {
     let mut changed = schema.clone();
-    for &(kind, at, to, inner) in changes {
-        let drawn = Change {
-            kind,
-            at,
-            to,
-            inner,
-        };
-        change(&mut changed, drawn);
+    for drawn in changes {
+        change(&mut changed, *drawn);
     }
     let (Some(old), Some(new)) = (schema.version("old"), changed.version("new")) else {
         return Vec::new();
     };
-    let level = if json {
-        Level::WireAndJson
+    let level = if has_json {
+        CompatibilityLevel::WireAndJson
     } else {
-        Level::Wire
+        CompatibilityLevel::Wire
     };
-    check(&old, &new, level, Bounds::default())
+    find_incompatibilities(&old, &new, level, SubscriberBounds::default())
 }
 
 #[test]
-fn breaks_of_seeded_schemas_are_the_recorded_ones() {
+fn incompatibilities_of_seeded_schemas_are_the_recorded_ones() {
     let mut runner = TestRunner::new(Config {
         rng_seed: RngSeed::Fixed(11),
         ..Config::default()
@@ -107,9 +103,9 @@
         let mut count = 0;
         for _ in 0..CASES_PER_BLOCK {
             let case = any_case().new_tree(&mut runner).expect("a case");
-            let (schema, changes, json) = case.current();
-            for found in breaks_of(&schema, &changes, json) {
-                digest.add_break(&found);
+            let (schema, changes, has_json) = case.current();
+            for found in incompatibilities_of(&schema, &changes, has_json) {
+                digest.add_incompatibility(&found);
                 *rules.entry(rule_name(&found)).or_default() += 1;
                 count += 1;
             }
@@ -126,51 +122,65 @@
     assert_eq!(lines, recorded, "now:\n{}\n", lines.join("\n"));
 }
 
-/// Two versions of a schema without fields to speak of, with these promises.
-fn promise_texts(old: Promise, new: Promise, bounds: Bounds) -> Vec<String> {
-    let version = |promise: Promise| {
-        let promises = BTreeMap::from([("Call".to_string(), promise)]);
-        Version::read("v", "t.S", &descriptors(), promises).expect("a valid version")
+/// Texts of the check of two versions of an empty schema with these promises.
+fn promise_texts(old: &Promise, new: &Promise, bounds: SubscriberBounds) -> Vec<String> {
+    let version = |promise: &Promise| {
+        let promises = BTreeMap::from([("Call".to_string(), promise.clone())]);
+        let descriptors = schemas::empty_schema().descriptors();
+        ServiceVersion::parse("v", "t.S", &descriptors, promises).expect("a valid version")
     };
-    let found = check(&version(old), &version(new), Level::Wire, bounds);
-    let text = |found: Break| format!("{found}; {}", found.rule.help());
+    let found = find_incompatibilities(
+        &version(old),
+        &version(new),
+        CompatibilityLevel::Wire,
+        bounds,
+    );
+    let text = |found: Incompatibility| format!("{found}; {}", found.rule.help());
     found.into_iter().map(text).collect()
 }
 
-fn descriptors() -> Vec<u8> {
-    schemas::empty_schema().descriptors()
+fn old_promise(idempotency: Idempotency, key_scope: KeyScope) -> Promise {
+    Promise {
+        idempotency,
+        key_scope,
+        key_window_ms: 3_000,
+        ..schemas::promise()
+    }
+}
+
+fn new_promise(idempotency: Idempotency, key_scope: KeyScope) -> Promise {
+    Promise {
+        idempotency,
+        key_scope,
+        key_window_ms: 2_000,
+        latency_objective_ms: 90,
+        deadline_ms: 450,
+        units: 2.5,
+        value: 0.5,
+    }
 }
 
 #[test]
 fn texts_of_promises_are_the_recorded_ones() {
-    let effects = [Effect::Safe, Effect::Keyed, Effect::Unsafe];
-    let groups = [Group::Cell, Group::Zone, Group::All];
+    let idempotencies = [
+        Idempotency::Idempotent,
+        Idempotency::Keyed,
+        Idempotency::NonIdempotent,
+    ];
+    let scopes = [KeyScope::Cell, KeyScope::Zone, KeyScope::All];
+    let bounds = SubscriberBounds {
+        longest_retry_ms: Some(2_500),
+        smallest_burst: Some(2.0),
+    };
     let mut lines = Vec::new();
-    for old_effect in effects {
-        for new_effect in effects {
-            for old_group in groups {
-                for new_group in groups {
-                    let old = Promise {
-                        effect: old_effect,
-                        group: old_group,
-                        window_ms: 3_000,
-                        ..schemas::promise()
-                    };
-                    let new = Promise {
-                        effect: new_effect,
-                        group: new_group,
-                        window_ms: 2_000,
-                        aim_ms: 90,
-                        deadline_ms: 450,
-                        units: 2.5,
-                        worth: 0.5,
-                    };
-                    let bounds = Bounds {
-                        repeats_ms: Some(2_500),
-                        burst: Some(2.0),
-                    };
-                    lines.extend(promise_texts(old.clone(), new.clone(), bounds));
-                    lines.extend(promise_texts(old, new, Bounds::default()));
+    for old_idempotency in idempotencies {
+        for new_idempotency in idempotencies {
+            for old_scope in scopes {
+                for new_scope in scopes {
+                    let old = old_promise(old_idempotency, old_scope);
+                    let new = new_promise(new_idempotency, new_scope);
+                    lines.extend(promise_texts(&old, &new, bounds));
+                    lines.extend(promise_texts(&old, &new, SubscriberBounds::default()));
                 }
             }
         }
@@ -183,10 +193,10 @@
 fn texts_of_errors_are_the_recorded_ones() {
     let errors = [
         VersionError::TooLong(7),
-        VersionError::Descriptors("what".into()),
-        VersionError::Service("a.B".into()),
-        VersionError::Method("C".into()),
-        VersionError::Promise("D".into()),
+        VersionError::InvalidDescriptors("what".into()),
+        VersionError::UnknownService("a.B".into()),
+        VersionError::UnknownMethod("C".into()),
+        VersionError::MissingPromise("D".into()),
     ];
     let lines: Vec<String> = errors
         .iter()
--- a/crates/coordinator/src/registrar/contract_version.rs
+++ b/crates/coordinator/src/registrar/contract_version.rs
@@ -1,7 +1,7 @@
 //! A contract as the checker takes it.
 
 use crate::protocol::wire;
-use chalkdeck_contract::{Effect, Group, Promise, Version, VersionError};
+use chalkdeck_contract::{Idempotency, KeyScope, Promise, ServiceVersion, VersionError};
 use std::collections::BTreeMap;
 use wire::promise::{Effect as WireEffect, Group as WireGroup};
 
@@ -36,7 +36,7 @@
 ///
 /// # Errors
 /// See [`ContractError`].
-pub fn contract_version(contract: &wire::Contract) -> Result<Version, ContractError> {
+pub fn contract_version(contract: &wire::Contract) -> Result<ServiceVersion, ContractError> {
     let mut promises = BTreeMap::new();
     for promise in &contract.promises {
         let method = promise.method.clone();
@@ -45,7 +45,7 @@
             return Err(ContractError::Twice(promise.method.clone()));
         }
     }
-    Ok(Version::read(
+    Ok(ServiceVersion::parse(
         &contract.version,
         &contract.service,
         &contract.descriptors,
@@ -54,32 +54,32 @@
 }
 
 fn promise_from_wire(promise: &wire::Promise) -> Result<Promise, ContractError> {
-    let effect = effect_from_wire(promise)?;
+    let idempotency = idempotency_from_wire(promise)?;
     check_figures(promise)?;
     Ok(Promise {
-        effect,
-        group: match promise.group() {
-            WireGroup::All => Group::All,
-            WireGroup::Zone => Group::Zone,
-            WireGroup::Cell | WireGroup::Unspecified => Group::Cell,
+        idempotency,
+        key_scope: match promise.group() {
+            WireGroup::All => KeyScope::All,
+            WireGroup::Zone => KeyScope::Zone,
+            WireGroup::Cell | WireGroup::Unspecified => KeyScope::Cell,
         },
-        window_ms: promise.window_ms,
-        aim_ms: if promise.aim_ms == 0 {
+        key_window_ms: promise.window_ms,
+        latency_objective_ms: if promise.aim_ms == 0 {
             promise.deadline_ms
         } else {
             promise.aim_ms
         },
         deadline_ms: promise.deadline_ms,
         units: promise.units,
-        worth: promise.worth,
+        value: promise.worth,
     })
 }
 
-fn effect_from_wire(promise: &wire::Promise) -> Result<Effect, ContractError> {
+fn idempotency_from_wire(promise: &wire::Promise) -> Result<Idempotency, ContractError> {
     match promise.effect() {
-        WireEffect::Safe => Ok(Effect::Safe),
-        WireEffect::Keyed => Ok(Effect::Keyed),
-        WireEffect::Unsafe => Ok(Effect::Unsafe),
+        WireEffect::Safe => Ok(Idempotency::Idempotent),
+        WireEffect::Keyed => Ok(Idempotency::Keyed),
+        WireEffect::Unsafe => Ok(Idempotency::NonIdempotent),
         WireEffect::Unspecified => Err(ContractError::Effect(promise.method.clone())),
     }
 }
--- a/crates/coordinator/src/registrar/mod.rs
+++ b/crates/coordinator/src/registrar/mod.rs
@@ -6,7 +6,10 @@
 
 use crate::protocol::{wire, AdmittedContract, ReadResponse};
 use crate::state::rule_set_error;
-use chalkdeck_contract::{check, Bounds, Level, Spoken, Use, Version};
+use chalkdeck_contract::{
+    find_incompatibilities, CompatibilityLevel, ServiceVersion, SubscriberBounds, VersionUser,
+    VersionsInUse,
+};
 use chalkdeck_leader_election::FencingToken;
 
 /// The version that calls without one count under. Until the service has an admitted version nothing is promised of it.
@@ -62,7 +65,7 @@
     for version in versions {
         let users = check
             .in_use
-            .speakers(&version, response.time_ms, response.dead_after_ms);
+            .users(&version, response.time_ms, response.dead_after_ms);
         reasons.extend(check.reasons_of_version(&version, &users));
     }
     reasons
@@ -78,9 +81,9 @@
 /// A proposed contract, and what it is checked against.
 struct ContractCheck<'a> {
     contract: &'a wire::Contract,
-    proposed: Version,
+    proposed: ServiceVersion,
     admitted: Vec<&'a AdmittedContract>,
-    in_use: Spoken,
+    in_use: VersionsInUse,
     time_ms: u64,
 }
 
@@ -95,7 +98,7 @@
     }
 
     /// What the proposed contract would break for the users of one version.
-    fn reasons_of_version(&self, version: &str, users: &[(String, Use)]) -> Vec<String> {
+    fn reasons_of_version(&self, version: &str, users: &[VersionUser]) -> Vec<String> {
         let names = describe_users(users, self.time_ms);
         let Some(old) = self.contract_in_use(version) else {
             return self
@@ -111,11 +114,14 @@
                 )]
             }
         };
-        let bounds = Bounds {
-            repeats_ms: users.iter().filter_map(|(_, user)| user.repeats_ms).max(),
-            burst: None,
+        let longest_retries = users
+            .iter()
+            .filter_map(|user| user.version_use.longest_retry_ms);
+        let bounds = SubscriberBounds {
+            longest_retry_ms: longest_retries.max(),
+            smallest_burst: None,
         };
-        check(&old, &self.proposed, self.level(), bounds)
+        find_incompatibilities(&old, &self.proposed, self.level(), bounds)
             .into_iter()
             .map(|broken| {
                 let help = broken.rule.help();
@@ -135,24 +141,24 @@
         ))
     }
 
-    fn level(&self) -> Level {
+    fn level(&self) -> CompatibilityLevel {
         if self.contract.json {
-            Level::WireAndJson
+            CompatibilityLevel::WireAndJson
         } else {
-            Level::Wire
+            CompatibilityLevel::Wire
         }
     }
 }
 
 /// Versions in use, as they were read.
-fn versions_in_use(response: &ReadResponse) -> Spoken {
-    let mut in_use = Spoken::default();
+fn versions_in_use(response: &ReadResponse) -> VersionsInUse {
+    let mut in_use = VersionsInUse::default();
     for version in &response.spoken {
         for user in &version.uses {
             let repeats_ms = Some(user.repeats_ms).filter(|repeats| *repeats > 0);
             in_use.declare(&version.version, &user.customer, user.declared, repeats_ms);
             if user.calls > 0 {
-                in_use.seen(&version.version, &user.customer, user.calls, user.last_ms);
+                in_use.record_calls(&version.version, &user.customer, user.calls, user.last_ms);
             }
         }
         if version.retired_ms > 0 {
@@ -164,11 +170,9 @@
 }
 
 /// The users of a version for people.
-fn describe_users(users: &[(String, Use)], now_ms: u64) -> String {
+fn describe_users(users: &[VersionUser], now_ms: u64) -> String {
     let named = users.iter().take(MAX_NAMED_CUSTOMERS);
-    let names: Vec<String> = named
-        .map(|(customer, user)| describe_user(customer, user, now_ms))
-        .collect();
+    let names: Vec<String> = named.map(|user| describe_user(user, now_ms)).collect();
     let names = names.join(", ");
     let more = users.len().saturating_sub(MAX_NAMED_CUSTOMERS);
     if more > 0 {
@@ -178,13 +182,14 @@
     }
 }
 
-fn describe_user(customer: &str, user: &Use, now_ms: u64) -> String {
-    let Some(last_ms) = user.last_ms else {
+fn describe_user(user: &VersionUser, now_ms: u64) -> String {
+    let customer = &user.customer;
+    let Some(last_ms) = user.version_use.last_call_ms else {
         return format!("{customer} (declared)");
     };
     let seconds_ago = now_ms.saturating_sub(last_ms) / 1_000;
     format!(
         "{customer} ({} calls, last {seconds_ago} s ago)",
-        user.calls
+        user.version_use.calls
     )
 }
--- a/crates/coordinator/src/state/contracts.rs
+++ b/crates/coordinator/src/state/contracts.rs
@@ -18,7 +18,7 @@
                 "expected the service's name and the version's",
             ));
         }
-        if contract.descriptors.len() > chalkdeck_contract::MOST_BYTES {
+        if contract.descriptors.len() > chalkdeck_contract::MAX_DESCRIPTOR_BYTES {
             let reason = format!("descriptors: {} bytes", contract.descriptors.len());
             return Err(rejected(ResponseCode::Full, reason));
         }
--- a/crates/coordinator/src/state/mod.rs
+++ b/crates/coordinator/src/state/mod.rs
@@ -26,7 +26,7 @@
 };
 use crate::session::ServiceVersion;
 use chalkdeck_access::{CallHistory, HitTotals};
-use chalkdeck_contract::Spoken;
+use chalkdeck_contract::VersionsInUse;
 use chalkdeck_leader_election::SessionId;
 use deduplication::CallerRecords;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -65,7 +65,7 @@
     removed_before: u64,
     contracts: BTreeMap<ServiceVersion, AdmittedContract>,
     /// Contract versions in use, by service.
-    versions_in_use: BTreeMap<String, Spoken>,
+    versions_in_use: BTreeMap<String, VersionsInUse>,
     /// Grows with everything that a judgement of a proposal rests on.
     contract_revision: u64,
     last_proposal: u64,
--- a/crates/coordinator/src/state/reads.rs
+++ b/crates/coordinator/src/state/reads.rs
@@ -3,7 +3,7 @@
 use super::{rules, ReplicatedState};
 use crate::protocol::{wire, ReadKind, ReadRequest, ReadResponse};
 use chalkdeck_access::DryRun;
-use chalkdeck_contract::Spoken;
+use chalkdeck_contract::{VersionUse, VersionsInUse};
 
 impl ReplicatedState {
     /// Answers a read. `unused_after_ms`: a version counts as unused after so long without a call.
@@ -35,7 +35,7 @@
         response.duties = self.elections.values().cloned().collect();
         response.departed = self.departed.values().cloned().collect();
         for (service, in_use) in &self.versions_in_use {
-            let returned = in_use.back().into_iter();
+            let returned = in_use.called_after_retirement().into_iter();
             response
                 .back
                 .extend(returned.map(|version| format!("{service} {version}")));
@@ -101,13 +101,13 @@
     }
 }
 
-fn versions_to_wire(service: &str, in_use: &Spoken) -> Vec<wire::SpokenVersion> {
-    let use_to_wire = |(customer, version_use): (&String, &chalkdeck_contract::Use)| wire::Use {
+fn versions_to_wire(service: &str, in_use: &VersionsInUse) -> Vec<wire::SpokenVersion> {
+    let use_to_wire = |(customer, version_use): (&String, &VersionUse)| wire::Use {
         customer: customer.clone(),
-        declared: version_use.declared,
+        declared: version_use.is_declared,
         calls: version_use.calls,
-        last_ms: version_use.last_ms.unwrap_or(0),
-        repeats_ms: version_use.repeats_ms.unwrap_or(0),
+        last_ms: version_use.last_call_ms.unwrap_or(0),
+        repeats_ms: version_use.longest_retry_ms.unwrap_or(0),
     };
     let versions = in_use.uses.iter();
     versions
--- a/crates/coordinator/src/state/snapshot.rs
+++ b/crates/coordinator/src/state/snapshot.rs
@@ -6,7 +6,7 @@
 use crate::ids::ReplicaId;
 use crate::protocol::{wire, StateSnapshot};
 use chalkdeck_access::{CallHistory, CallKind, RuleVersion};
-use chalkdeck_contract::{Spoken, Use};
+use chalkdeck_contract::{VersionUse, VersionsInUse};
 use chalkdeck_leader_election::SessionId;
 use prost::Message;
 use std::collections::{BTreeMap, BTreeSet};
@@ -269,14 +269,14 @@
     time_ms.checked_sub(1)
 }
 
-fn service_versions_to_wire(service: &str, in_use: &Spoken) -> Vec<wire::SpokenVersion> {
+fn service_versions_to_wire(service: &str, in_use: &VersionsInUse) -> Vec<wire::SpokenVersion> {
     let names: BTreeSet<&String> = in_use.uses.keys().chain(in_use.retired.keys()).collect();
-    let use_to_wire = |(customer, version_use): (&String, &Use)| wire::Use {
+    let use_to_wire = |(customer, version_use): (&String, &VersionUse)| wire::Use {
         customer: customer.clone(),
-        declared: version_use.declared,
+        declared: version_use.is_declared,
         calls: version_use.calls,
-        last_ms: optional_to_wire(version_use.last_ms),
-        repeats_ms: version_use.repeats_ms.unwrap_or(0),
+        last_ms: optional_to_wire(version_use.last_call_ms),
+        repeats_ms: version_use.longest_retry_ms.unwrap_or(0),
     };
     let version_to_wire = |name: &String| {
         let uses = in_use.uses.get(name).into_iter().flatten();
@@ -290,7 +290,7 @@
     names.into_iter().map(version_to_wire).collect()
 }
 
-fn restore_version(in_use: &mut Spoken, version: &wire::SpokenVersion) {
+fn restore_version(in_use: &mut VersionsInUse, version: &wire::SpokenVersion) {
     if let Some(retired_ms) = optional_from_wire(version.retired_ms) {
         in_use.retired.insert(version.version.clone(), retired_ms);
     }
@@ -299,11 +299,11 @@
     }
     let uses = in_use.uses.entry(version.version.clone()).or_default();
     for stored in &version.uses {
-        let version_use = Use {
-            declared: stored.declared,
+        let version_use = VersionUse {
+            is_declared: stored.declared,
             calls: stored.calls,
-            last_ms: optional_from_wire(stored.last_ms),
-            repeats_ms: Some(stored.repeats_ms).filter(|repeats| *repeats > 0),
+            last_call_ms: optional_from_wire(stored.last_ms),
+            longest_retry_ms: Some(stored.repeats_ms).filter(|repeats| *repeats > 0),
         };
         uses.insert(stored.customer.clone(), version_use);
     }
--- a/crates/coordinator/src/state/version_use.rs
+++ b/crates/coordinator/src/state/version_use.rs
@@ -30,7 +30,7 @@
         }
         let is_known_user = known_uses.is_some_and(|uses| uses.contains_key(&calls.customer));
         let is_retired = in_use.retired.contains_key(&calls.version);
-        in_use.seen(&calls.version, &calls.customer, calls.calls, self.time_ms);
+        in_use.record_calls(&calls.version, &calls.customer, calls.calls, self.time_ms);
         // A judgement rests on who uses what.
         if !is_known_user || is_retired {
             self.contract_revision += 1;
--- a/crates/grpc-gateway/src/keepers.rs
+++ b/crates/grpc-gateway/src/keepers.rs
@@ -9,6 +9,7 @@
 use crate::shell::{Due, Shell};
 use chalkdeck::api::{EndpointState, RequestId};
 use chalkdeck_access::{Call, RegionTable, Verdict};
+use chalkdeck_contract::{hold_back, ServerContract};
 use chalkdeck_coordinator::agent::{AgentAction, AgentSettings, GatewayAgent};
 use chalkdeck_coordinator::cache_file::CacheFile;
 use chalkdeck_coordinator::server::{connection_limits, SESSION_PATH};
@@ -205,25 +206,22 @@
     /// Marks servers whose version was not admitted as draining: nothing new goes to them.
     fn hold_back(&mut self, servers: &mut [Server]) {
         let state = self.agent.session().state();
-        let told = servers.iter().map(|s| {
-            (
-                s.entry.state == EndpointState::InService,
-                s.contract.as_deref(),
-            )
+        let contracts = servers.iter().map(|server| ServerContract {
+            is_in_service: server.entry.state == EndpointState::InService,
+            contract: server.contract.as_deref(),
         });
-        let back =
-            chalkdeck_contract::hold_back(told, |service, version| state.admits(service, version));
+        let back = hold_back(contracts, |service, version| state.admits(service, version));
         self.held_back.clear();
         for (server, _) in servers
             .iter_mut()
-            .zip(&back.held)
+            .zip(&back.is_held_back)
             .filter(|(_, held)| **held)
         {
             server.entry.state = EndpointState::Draining;
             self.held_back.push(server.address.to_string());
         }
-        if back.last_resort != std::mem::replace(&mut self.last_resort, back.last_resort)
-            && back.last_resort
+        if back.is_last_resort != std::mem::replace(&mut self.last_resort, back.is_last_resort)
+            && back.is_last_resort
         {
             tracing::error!(
                 "no endpoint in service has an admitted contract version: using all of them"
