--- /dev/null
+++ b/crates/grpc-gateway/src/call_flow/mod.rs
@@ -0,0 +1,7 @@
+//! How calls go through the gateway: from a client's stream to attempts at endpoints and back, as the decisions say.
+
+mod accept;
+mod attempts;
+mod cancellation;
+mod events;
+mod responses;
--- a/crates/grpc-gateway/src/lib.rs
+++ b/crates/grpc-gateway/src/lib.rs
@@ -7,8 +7,8 @@
 
 mod base;
 mod body;
+mod call_flow;
 mod calls;
-mod carry;
 mod counter;
 mod counters;
 pub mod endpoints;
