--- a/crates/resp-gateway/src/config.rs
+++ b/crates/resp-gateway/src/config.rs
@@ -8,7 +8,7 @@
 
 use crate::endpoint_list::{self, EndpointList};
 use chalkdeck::api::Settings;
-use chalkdeck_simulator_adapter::settings::{self, Read};
+use chalkdeck_simulator_adapter::settings::{self, NamedSettings};
 use chalkdeck_time::TimeDelta;
 use serde::Deserialize;
 use serde_json::Value;
@@ -83,7 +83,7 @@
     /// The endpoints as this gateway last had them; none where they are not stated or the list is invalid.
     pub initial_endpoints: Option<EndpointList>,
     /// The settings of the decision module, and the names in them.
-    pub named_settings: Read,
+    pub named_settings: NamedSettings,
     /// After this time a connection to an endpoint or the counter that is not established has failed.
     pub dial_timeout: TimeDelta,
     /// An endpoint closes a connection that was idle for so long; none: it never does.
@@ -162,7 +162,10 @@
 }
 
 /// The endpoints to begin with. An invalid list is no reason not to start: discovery gives a valid one.
-fn parse_initial_endpoints(content: &ConfigFile, names: &mut Read) -> Option<EndpointList> {
+fn parse_initial_endpoints(
+    content: &ConfigFile,
+    names: &mut NamedSettings,
+) -> Option<EndpointList> {
     let list = content.initial_endpoints.as_ref()?;
     match endpoint_list::parse(list, &mut names.zones) {
         Ok(list) => Some(list),
--- a/crates/resp-gateway/src/config/error.rs
+++ b/crates/resp-gateway/src/config/error.rs
@@ -1,7 +1,7 @@
 //! Errors of the configuration.
 
 use chalkdeck::api::SettingsError;
-use chalkdeck_simulator_adapter::fields::WireError;
+use chalkdeck_simulator_adapter::WireError;
 
 /// What is wrong with a configuration, and where.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
--- a/crates/resp-gateway/src/endpoint_list.rs
+++ b/crates/resp-gateway/src/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The list of endpoints as discovery and the configuration state it.
 
 use chalkdeck::api::{CellId, EndpointEntry, EndpointState, UpdateScope};
-use chalkdeck_simulator_adapter::settings::{server_id, zone_id};
+use chalkdeck_simulator_adapter::settings::{endpoint_id, zone_id};
 use chalkdeck_time::Timestamp;
 use serde::Deserialize;
 use serde_json::Value;
@@ -143,7 +143,7 @@
     };
     let started_at_ms = Some(endpoint.started_at_ms).filter(|millis| *millis > 0);
     let entry = EndpointEntry {
-        endpoint: server_id(&endpoint.name),
+        endpoint: endpoint_id(&endpoint.name),
         // The names of zones in the settings were changed in the same way, see `config::setting_paths`.
         zone: zone_id(zones, &endpoint.zone.replace([' ', ','], "_")),
         cell: CellId(endpoint.cell),
--- a/crates/resp-gateway/src/request.rs
+++ b/crates/resp-gateway/src/request.rs
@@ -10,7 +10,7 @@
     Class, ClassId, CustomerId, Idempotency, IncomingRequest, PlanId, RequestId, Settings,
 };
 use chalkdeck_resp::encode_command;
-use chalkdeck_simulator_adapter::settings::Read;
+use chalkdeck_simulator_adapter::settings::NamedSettings;
 use chalkdeck_time::{TimeDelta, Timestamp};
 use error::MAX_ID_BYTES;
 use fields::Fields;
@@ -84,7 +84,7 @@
     words: Vec<Bytes>,
     id: RequestId,
     received_at: Timestamp,
-    names: &Read,
+    names: &NamedSettings,
 ) -> Result<ParsedRequest, RequestError> {
     let settings = &names.settings;
     let verb = parse_verb(&words)?;
@@ -147,12 +147,12 @@
     Ok(())
 }
 
-fn find_class(fields: &Fields, names: &Read) -> Result<ClassId, RequestError> {
+fn find_class(fields: &Fields, names: &NamedSettings) -> Result<ClassId, RequestError> {
     let index = fields.class.and_then(|name| names.classes.get(name));
     index.copied().map(ClassId).ok_or(RequestError::Class)
 }
 
-fn find_plan(fields: &Fields, names: &Read) -> Result<PlanId, RequestError> {
+fn find_plan(fields: &Fields, names: &NamedSettings) -> Result<PlanId, RequestError> {
     let index = fields.plan.and_then(|name| names.plans.get(name));
     index.copied().map(PlanId).ok_or(RequestError::Plan)
 }
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -1,133 +1,159 @@
-//! The name=value parts of a message, read one by one.
+//! The `name=value` parts of a message, read one by one.
 
+use crate::WireError;
 use chalkdeck::api::{LoadReport, Outcome, TimeDelta};
 use std::collections::HashMap;
-use std::fmt::Display;
 use std::str::FromStr;
 
-/// What was wrong with a line.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WireError(pub String);
-
-impl Display for WireError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(&self.0)
-    }
-}
-impl std::error::Error for WireError {}
-
 pub(crate) type Result<T> = std::result::Result<T, WireError>;
 
-/// The name=value parts of one line, or of an object flattened to the same paths.
+/// The `name=value` parts of one line, or of settings in another form under the same names.
 pub(crate) struct Fields<'a> {
-    pub(crate) at: u64,
+    /// Number of the line, from 1; 0: not a line.
+    pub(crate) line: u64,
     pub(crate) message: &'a str,
     pub(crate) pairs: HashMap<&'a str, &'a str>,
 }
 
 impl<'a> Fields<'a> {
-    pub(crate) fn parse(at: u64, line: &'a str) -> Result<Fields<'a>> {
-        let mut parts = line.split(' ');
+    /// Divides a line into its message and fields.
+    pub(crate) fn parse(line: u64, text: &'a str) -> Result<Fields<'a>> {
+        let mut parts = text.split(' ');
         let message = parts.next().unwrap_or("");
         let mut pairs = HashMap::new();
         for part in parts {
             let Some((name, value)) = part.split_once('=') else {
-                return Err(WireError(format!(
-                    "line {at}: {message}: expected name=value, found '{part}'"
-                )));
+                return Err(WireError::Unnamed {
+                    line,
+                    message: message.to_string(),
+                    found: part.to_string(),
+                });
             };
             pairs.insert(name, value);
         }
-        Ok(Fields { at, message, pairs })
+        Ok(Fields {
+            line,
+            message,
+            pairs,
+        })
     }
-    pub(crate) fn fail<T>(&self, name: &str, wanted: &str) -> Result<T> {
-        let found = self
-            .pairs
-            .get(name)
-            .map_or("nothing".to_string(), |v| format!("'{v}'"));
-        let Fields { at, message, .. } = self;
-        let place = if *at > 0 {
-            format!("line {at}: ")
-        } else {
-            String::new()
-        };
-        Err(WireError(format!(
-            "{place}{message}: {name}: expected {wanted}, found {found}"
-        )))
+
+    /// A field as it stands; none if it is missing.
+    pub(crate) fn get(&self, name: &str) -> Option<&'a str> {
+        self.pairs.get(name).copied()
     }
-    pub(crate) fn read<T: FromStr>(&self, name: &str, wanted: &str) -> Result<Option<T>> {
-        match self.pairs.get(name) {
-            None => Ok(None),
-            Some(text) => text.parse().map(Some).or_else(|_| self.fail(name, wanted)),
+
+    /// The error for a field that does not hold what is expected.
+    pub(crate) fn field_error(&self, name: &str, expected: &'static str) -> WireError {
+        WireError::Field {
+            line: self.line,
+            message: self.message.to_string(),
+            field: name.to_string(),
+            expected,
+            found: self.get(name).map(str::to_string),
         }
     }
+
+    /// A field of any type; none if it is missing.
+    pub(crate) fn read<T: FromStr>(&self, name: &str, expected: &'static str) -> Result<Option<T>> {
+        let Some(text) = self.get(name) else {
+            return Ok(None);
+        };
+        let value = text.parse();
+        value
+            .map(Some)
+            .map_err(|_| self.field_error(name, expected))
+    }
+
+    fn require<T: FromStr>(&self, name: &str, expected: &'static str) -> Result<T> {
+        self.read(name, expected)?
+            .ok_or_else(|| self.field_error(name, expected))
+    }
+
+    /// A whole number.
     pub(crate) fn whole(&self, name: &str) -> Result<u64> {
-        self.read(name, "a whole number")?
-            .map_or_else(|| self.fail(name, "a whole number"), Ok)
+        self.require(name, "a whole number")
     }
+
+    /// A whole number, or the default.
     pub(crate) fn whole_or(&self, name: &str, default: u64) -> Result<u64> {
         Ok(self.read(name, "a whole number")?.unwrap_or(default))
     }
+
+    /// A whole number of 32 bits.
     pub(crate) fn small(&self, name: &str) -> Result<u32> {
-        self.read(name, "a small whole number")?
-            .map_or_else(|| self.fail(name, "a small whole number"), Ok)
+        self.require(name, "a small whole number")
     }
+
+    /// A finite number, or the default.
     pub(crate) fn real_or(&self, name: &str, default: f64) -> Result<f64> {
-        match self.read::<f64>(name, "a number")? {
-            Some(v) if !v.is_finite() => self.fail(name, "a finite number"),
-            v => Ok(v.unwrap_or(default)),
+        let value = self.read::<f64>(name, "a number")?;
+        let value = value.unwrap_or(default);
+        if self.get(name).is_some() && !value.is_finite() {
+            return Err(self.field_error(name, "a finite number"));
         }
+        Ok(value)
     }
-    pub(crate) fn micros_or(&self, name: &str, default: u64) -> Result<TimeDelta> {
-        self.whole_or(name, default).map(TimeDelta::from_micros)
+
+    /// A span in microseconds, or the default.
+    pub(crate) fn span_or(&self, name: &str, default: TimeDelta) -> Result<TimeDelta> {
+        self.whole_or(name, default.as_micros())
+            .map(TimeDelta::from_micros)
     }
+
+    /// A yes or no, or the default.
     pub(crate) fn flag_or(&self, name: &str, default: bool) -> Result<bool> {
-        match self.pairs.get(name) {
+        match self.get(name) {
             None => Ok(default),
-            Some(&"1") | Some(&"true") => Ok(true),
-            Some(&"0") | Some(&"false") => Ok(false),
-            Some(_) => self.fail(name, "1 or 0"),
+            Some("1" | "true") => Ok(true),
+            Some("0" | "false") => Ok(false),
+            Some(_) => Err(self.field_error(name, "1 or 0")),
         }
     }
+
+    /// A text.
     pub(crate) fn text(&self, name: &str) -> Result<&'a str> {
-        self.pairs
-            .get(name)
-            .copied()
-            .map_or_else(|| self.fail(name, "a text"), Ok)
+        self.get(name)
+            .ok_or_else(|| self.field_error(name, "a text"))
     }
+
+    /// How an attempt, a probe or a counter call ended.
     pub(crate) fn outcome(&self) -> Result<Outcome> {
-        Ok(match self.text("how")? {
-            "200" => Outcome::Ok,
-            "500" => Outcome::Error,
-            "503" => Outcome::Rejected,
-            "504" => Outcome::Timeout,
-            "502" => Outcome::ConnectFailed,
-            "598" => Outcome::Reset,
-            "499" => Outcome::Cancelled,
-            "410" => Outcome::NeverSent,
-            _ => return self.fail("how", "one of 200 410 499 500 502 503 504 598"),
-        })
+        match self.text("how")? {
+            "200" => Ok(Outcome::Ok),
+            "500" => Ok(Outcome::Error),
+            "503" => Ok(Outcome::Rejected),
+            "504" => Ok(Outcome::Timeout),
+            "502" => Ok(Outcome::ConnectFailed),
+            "598" => Ok(Outcome::Reset),
+            "499" => Ok(Outcome::Cancelled),
+            "410" => Ok(Outcome::NeverSent),
+            _ => Err(self.field_error("how", "one of 200 410 499 500 502 503 504 598")),
+        }
     }
-    pub(crate) fn report(&self) -> Result<LoadReport> {
+
+    /// What an endpoint reported of its load, as `name:number` pairs; unknown names are passed over.
+    pub(crate) fn load_report(&self) -> Result<LoadReport> {
         let mut report = LoadReport::default();
-        for pair in self
-            .pairs
-            .get("report")
-            .into_iter()
-            .flat_map(|r| r.split(','))
-        {
-            let value = pair
-                .split_once(':')
-                .and_then(|(k, v)| Some((k, v.parse::<f64>().ok()?)));
-            match value {
-                Some(("concurrent", v)) => report.in_flight = Some(v),
-                Some(("depth", v)) => report.queued = Some(v),
-                Some(("load_share", v)) => report.utilization = Some(v),
-                Some(_) => {}
-                None if pair.is_empty() => {}
-                None => return self.fail("report", "name:number pairs"),
+        let Some(text) = self.get("report") else {
+            return Ok(report);
+        };
+        for pair in text.split(',').filter(|pair| !pair.is_empty()) {
+            let Some((name, value)) = parse_load(pair) else {
+                return Err(self.field_error("report", "name:number pairs"));
+            };
+            match name {
+                "concurrent" => report.in_flight = Some(value),
+                "depth" => report.queued = Some(value),
+                "load_share" => report.utilization = Some(value),
+                _ => {}
             }
         }
         Ok(report)
     }
 }
+
+fn parse_load(pair: &str) -> Option<(&str, f64)> {
+    let (name, value) = pair.split_once(':')?;
+    Some((name, value.parse().ok()?))
+}
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,7 +1,14 @@
-//! The adapter between the decisions and the operators' drill: text batches in, text replies out.
+//! Adapter between the decision engine and the operators' simulator: text batches in, text replies
+//! out. The names on the wire are the operators'; nothing here decides.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
-pub mod fields;
+mod actions;
+mod adapter;
+mod error;
+mod events;
+mod fields;
+mod instance;
 pub mod settings;
-pub mod wire;
+
+pub use adapter::Adapter;
+pub use error::WireError;
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,5 +1,5 @@
 //! The adapter on good and bad text.
-use chalkdeck_simulator_adapter::wire::Drill;
+use chalkdeck_simulator_adapter::Adapter;
 use std::io::Write;
 use std::process::{Command, Stdio};
 
@@ -10,33 +10,33 @@
 const LIST: &str = "FLEET gen=1 scope=warm_copy items=1\n\
     ITEM backend=10.0.0.1:80 rack_zone=a model=m pod=0 status=in_service heft=1";
 
-fn talk(text: &str) -> Result<Vec<String>, String> {
-    let mut drill = Drill::default();
+fn replies_to(text: &str) -> Result<Vec<String>, String> {
+    let mut adapter = Adapter::default();
     let mut replies = Vec::new();
     for line in text.lines() {
-        replies.extend(drill.line(line).map_err(|e| e.0)?);
+        replies.extend(adapter.line(line).map_err(|e| e.to_string())?);
     }
-    drill.finish().map_err(|e| e.0)?;
+    adapter.finish().map_err(|e| e.to_string())?;
     Ok(replies)
 }
 
-fn started(rest: &str) -> Result<Vec<String>, String> {
-    talk(&format!(
+fn replies_after_start(rest: &str) -> Result<Vec<String>, String> {
+    replies_to(&format!(
         "TICK now=1000000\nFOR who=3\n{START}\n{LIST}\n{rest}"
     ))
 }
 
-const KNOCK: &str =
+const REQUEST: &str =
     "KNOCK ref=9 kind=view user_key=91f03b7c55d20a64 doors=2 plan=p drop_dead=3000000 price_units=2";
 
 #[test]
 fn an_empty_batch_gets_an_empty_reply() {
-    assert_eq!(talk("TICK now=5\nFLUSH").unwrap(), ["EOR\n"]);
+    assert_eq!(replies_to("TICK now=5\nFLUSH").unwrap(), ["EOR\n"]);
 }
 
 #[test]
-fn a_request_is_counted_then_routed() {
-    let replies = started(&format!("{KNOCK}\nFLUSH")).unwrap();
+fn a_request_is_counted_and_then_routed() {
+    let replies = replies_after_start(&format!("{REQUEST}\nFLUSH")).unwrap();
     let add = replies[0]
         .lines()
         .find(|l| l.starts_with("ADD_AND_GET") && l.contains("amount=2"))
@@ -44,8 +44,8 @@
     assert!(replies[0].starts_with("AS who=3\n") && replies[0].ends_with("EOR\n"));
     let book = add.split(' ').find(|p| p.starts_with("book=")).unwrap();
     let answer = format!("COUNT_RESULT {book} how=200 result_value=2 took=900");
-    let replies = started(&format!(
-        "{KNOCK}\nFLUSH\nTICK now=1002000\nFOR who=3\nSOMETHING_NEW a=1\n{answer}\nFLUSH"
+    let replies = replies_after_start(&format!(
+        "{REQUEST}\nFLUSH\nTICK now=1002000\nFOR who=3\nSOMETHING_NEW a=1\n{answer}\nFLUSH"
     ))
     .unwrap();
     assert!(
@@ -56,13 +56,13 @@
 }
 
 #[test]
-fn after_down_nothing_is_said_for_the_instance() {
-    let replies = started(&format!("{KNOCK}\nDOWN\n{KNOCK}\nFLUSH")).unwrap();
+fn a_removed_instance_gets_no_reply() {
+    let replies = replies_after_start(&format!("{REQUEST}\nDOWN\n{REQUEST}\nFLUSH")).unwrap();
     assert_eq!(replies, ["EOR\n"]);
 }
 
 #[test]
-fn bad_lines_are_named() {
+fn the_error_for_an_unusable_line_names_it() {
     let cases = [
         ("KNOCK ref=x", "kind"),
         (
@@ -86,25 +86,25 @@
         ("ITEM backend=b status=in_service", "FLEET"),
     ];
     for (line, field) in cases {
-        let error = started(&format!("{line}\nFLUSH")).expect_err(line);
+        let error = replies_after_start(&format!("{line}\nFLUSH")).expect_err(line);
         assert!(
             error.starts_with("line ") && error.contains(field),
             "{line}: {error}"
         );
         assert_eq!(error.lines().count(), 1);
     }
-    assert!(talk("RING ref=1").is_err(), "outside a batch");
+    assert!(replies_to("RING ref=1").is_err(), "outside a batch");
     assert!(
-        talk("TICK now=5\nFLUSH\nTICK now=4\nFLUSH").is_err(),
+        replies_to("TICK now=5\nFLUSH\nTICK now=4\nFLUSH").is_err(),
         "a clock that goes back"
     );
-    assert!(talk("TICK now=5").is_err(), "a batch without an end");
+    assert!(replies_to("TICK now=5").is_err(), "a batch without an end");
     assert!(
-        talk("TICK now=5\nRING ref=1\nFLUSH").is_err(),
-        "an event for nobody"
+        replies_to("TICK now=5\nRING ref=1\nFLUSH").is_err(),
+        "an event without an instance"
     );
-    let senseless = START.replace("balancers=2", "balancers=0");
-    assert!(talk(&format!("TICK now=1\nFOR who=1\n{senseless}\nFLUSH")).is_err());
+    let unsound = START.replace("balancers=2", "balancers=0");
+    assert!(replies_to(&format!("TICK now=1\nFOR who=1\n{unsound}\nFLUSH")).is_err());
 }
 
 #[test]
