--- a/crates/cli/src/contract.rs
+++ b/crates/cli/src/contract.rs
@@ -8,8 +8,8 @@
 use clap::Subcommand;
 use prost::Message;
 use std::path::{Path, PathBuf};
-use wire::command::What;
-use wire::look_request::What as ReadKind;
+use wire::command::Kind as CommandKind;
+use wire::read_request::Kind as ReadKind;
 
 const MESSAGE: &str = "chalkdeck.keeper.v1.Contract";
 
@@ -103,8 +103,14 @@
             to,
         } => {
             let contract = contract(file, proto.as_deref(), include)?;
-            let what = Some(wire::propose::What::Contract(contract));
-            propose(to, wire::Propose { what, force: false })
+            let what = Some(wire::propose::Proposed::Contract(contract));
+            propose(
+                to,
+                wire::Propose {
+                    proposed: what,
+                    force: false,
+                },
+            )
         }
         Command::Subscribe {
             customer,
@@ -118,11 +124,11 @@
                 customer: customer.clone(),
                 service: service.clone(),
                 version: version.clone(),
-                gone: *gone,
+                cancelled: *gone,
                 repeats_ms: *repeats_ms,
             };
             to.client()?
-                .submit(What::Subscribe(subscribe), to.timeout())?;
+                .submit(CommandKind::Subscribe(subscribe), to.timeout())?;
             println!("taken");
             Ok(())
         }
@@ -131,11 +137,12 @@
             version,
             to,
         } => {
-            let retire = wire::Retire {
+            let retire = wire::RetireVersion {
                 service: service.clone(),
                 version: version.clone(),
             };
-            to.client()?.submit(What::Retire(retire), to.timeout())?;
+            to.client()?
+                .submit(CommandKind::RetireVersion(retire), to.timeout())?;
             println!("retired; calls that still come are shown as 'retired and called again'");
             Ok(())
         }
@@ -174,13 +181,13 @@
 }
 
 fn spoken(service: &str, to: &ReplicaArgs) -> Result<(), Failure> {
-    let request = wire::LookRequest {
-        what: ReadKind::Spoken as i32,
+    let request = wire::ReadRequest {
+        kind: ReadKind::Spoken as i32,
         service: service.into(),
-        ..wire::LookRequest::default()
+        ..wire::ReadRequest::default()
     };
     let answer = to.client()?.read(&request, to.timeout())?;
-    for admitted in &answer.admitted {
+    for admitted in &answer.contracts {
         let c = admitted.contract.clone().unwrap_or_default();
         let state = if admitted.retired {
             "retired"
@@ -189,7 +196,7 @@
         };
         println!("{} {} {state}", c.service, c.version);
     }
-    for version in &answer.spoken {
+    for version in &answer.versions_in_use {
         for u in &version.uses {
             let word = if u.declared { "subscribes" } else { "seen" };
             let ago = answer.time_ms.saturating_sub(u.last_ms) / 1_000;
--- a/crates/cli/src/coordinator.rs
+++ b/crates/cli/src/coordinator.rs
@@ -66,7 +66,7 @@
         /// The zone, as the server list names it
         site: String,
         /// drain, hold or let-back
-        word: String,
+        action: String,
         #[command(flatten)]
         to: ReplicaArgs,
     },
@@ -96,7 +96,7 @@
             Ok(())
         }
         Command::Status(replicas) => print_status(replicas),
-        Command::OverrideSite { site, word, to } => override_site(site, word, to),
+        Command::OverrideSite { site, action, to } => override_site(site, action, to),
     }
 }
 
@@ -110,15 +110,15 @@
     Ok(server.run(&signals)?)
 }
 
-fn override_site(site: &str, word: &str, to: &ReplicaArgs) -> Result<(), Failure> {
-    let request = wire::Word {
+fn override_site(site: &str, action: &str, to: &ReplicaArgs) -> Result<(), Failure> {
+    let request = wire::OverrideSite {
         site: site.to_string(),
-        word: word.to_string(),
+        action: action.to_string(),
     };
     to.client()?
-        .submit(CommandKind::Word(request), to.timeout())?;
+        .submit(CommandKind::OverrideSite(request), to.timeout())?;
     println!(
-        "{word} {site}: taken; it reaches each gateway with its session, or at its next start"
+        "{action} {site}: taken; it reaches each gateway with its session, or at its next start"
     );
     Ok(())
 }
@@ -127,10 +127,10 @@
 fn print_status(replicas: &ReplicaArgs) -> Result<(), Failure> {
     let mut client = replicas.client()?;
     let request = ReadRequest {
-        what: ReadKind::Status as i32,
+        kind: ReadKind::Status as i32,
         ..ReadRequest::default()
     };
-    let knowledge = |response: &ReadResponse| (response.majority, response.version);
+    let knowledge = |response: &ReadResponse| (response.has_quorum, response.version);
     let mut best: Option<ReadResponse> = None;
     for (index, address) in replicas.replicas.iter().enumerate() {
         let Some(response) = client.read_replica(index, &request, STATUS_TIMEOUT)? else {
@@ -152,7 +152,7 @@
 }
 
 fn print_replica(address: SocketAddr, response: &ReadResponse) {
-    let state = if response.majority {
+    let state = if response.has_quorum {
         "agrees"
     } else {
         "NO MAJORITY: nothing is agreed on"
@@ -177,31 +177,31 @@
     for session in &response.sessions {
         println!(
             "  {:<20} {:<12} session {} applies {}",
-            session.gateway, session.site, session.id, session.applied
+            session.gateway, session.site, session.id, session.applied_version
         );
     }
     for departed in &response.departed {
         let seconds_ago = response.time_ms.saturating_sub(departed.ended_ms) / 1_000;
         println!(
             "  {:<20} cut off {seconds_ago} s ago, applied {}",
-            departed.gateway, departed.applied
+            departed.gateway, departed.applied_version
         );
     }
-    for election in &response.duties {
-        let leader = leader_name(response, election.holder);
+    for election in &response.elections {
+        let leader = leader_name(response, election.leader);
         println!(
             "duty {:<16} {leader}, token {}",
             election.name, election.token
         );
     }
-    for version in &response.back {
+    for version in &response.returned_versions {
         println!("retired and called again: {version}");
     }
 }
 
 /// The gateway with a session. Without a quorum no leader's session can be renewed: it has stopped by itself, or is about to.
 fn leader_name(response: &ReadResponse, session: u64) -> &str {
-    if !response.majority {
+    if !response.has_quorum {
         return "not held for sure";
     }
     let leader = response.sessions.iter().find(|s| s.id == session);
--- a/crates/cli/src/rules.rs
+++ b/crates/cli/src/rules.rs
@@ -10,8 +10,8 @@
 use clap::Subcommand;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
-use wire::command::What;
-use wire::look_request::What as ReadKind;
+use wire::command::Kind as CommandKind;
+use wire::read_request::Kind as ReadKind;
 
 const MESSAGE: &str = "chalkdeck.keeper.v1.RuleSet";
 /// Between reads of how far a set has come.
@@ -169,11 +169,11 @@
     match command {
         Command::Apply { file, force, to } => {
             let set = read_set(file)?;
-            let what = Some(wire::propose::What::Rules(set));
+            let what = Some(wire::propose::Proposed::Rules(set));
             propose(
                 to,
                 wire::Propose {
-                    what,
+                    proposed: what,
                     force: *force,
                 },
             )
@@ -214,23 +214,23 @@
     }
 }
 
-fn read_request(what: ReadKind, customer: &str) -> wire::LookRequest {
-    wire::LookRequest {
-        what: what as i32,
+fn read_request(kind: ReadKind, customer: &str) -> wire::ReadRequest {
+    wire::ReadRequest {
+        kind: kind as i32,
         customer: customer.into(),
-        ..wire::LookRequest::default()
+        ..wire::ReadRequest::default()
     }
 }
 
 fn check(set: &wire::RuleSet, to: &ReplicaArgs) -> Result<(), Failure> {
-    let request = wire::LookRequest {
-        set: Some(set.clone()),
+    let request = wire::ReadRequest {
+        rule_set: Some(set.clone()),
         ..read_request(ReadKind::Try, &set.customer)
     };
     let tried = to
         .client()?
         .read(&request, to.timeout())?
-        .tried
+        .dry_run
         .unwrap_or_default();
     println!(
         "{}: {} of {} calls of the last minutes would be denied",
@@ -249,8 +249,10 @@
 /// Proposes and waits for what comes of it.
 pub fn propose(to: &ReplicaArgs, propose: wire::Propose) -> Result<(), Failure> {
     let mut client = to.client()?;
-    let proposal = client.submit(What::Propose(propose), to.timeout())?.id;
-    let request = wire::LookRequest {
+    let proposal = client
+        .submit(CommandKind::Propose(propose), to.timeout())?
+        .id;
+    let request = wire::ReadRequest {
         proposal,
         ..read_request(ReadKind::Verdict, "")
     };
@@ -260,7 +262,7 @@
 fn wait(
     client: &mut CoordinatorClient,
     to: &ReplicaArgs,
-    request: &wire::LookRequest,
+    request: &wire::ReadRequest,
     known: Option<&wire::Verdict>,
     proposal: u64,
 ) -> Result<(), Failure> {
--- a/crates/cli/tests/measured.rs
+++ b/crates/cli/tests/measured.rs
@@ -1,4 +1,4 @@
-//! Figures of `docs/keeper.md` and `docs/access.md`: five keepers and forty gateways on loopback. `cargo test --release -p chalkdeck-cli
+//! Figures of `docs/coordinator.md` and `docs/access.md`: five keepers and forty gateways on loopback. `cargo test --release -p chalkdeck-cli
 //! --test measured -- --ignored --nocapture`.
 
 mod fleet;
--- a/crates/coordinator/src/agent/leader_tasks.rs
+++ b/crates/coordinator/src/agent/leader_tasks.rs
@@ -14,7 +14,7 @@
             return;
         }
         if let Some(release) = self.requested_release() {
-            self.session.submit(CommandKind::Release(release));
+            self.session.submit(CommandKind::ReleaseElection(release));
             return;
         }
         let pending = self.session.pending_work();
@@ -30,10 +30,10 @@
     }
 
     /// The release of an election that is to be handed over.
-    fn requested_release(&self) -> Option<wire::Release> {
+    fn requested_release(&self) -> Option<wire::ReleaseElection> {
         let election = self.session.requested_handover()?;
-        Some(wire::Release {
-            duty: election.name.clone(),
+        Some(wire::ReleaseElection {
+            election: election.name.clone(),
             token: election.token,
             progress: self.session.progress(&election.name).to_vec(),
             session: self.session.id().0,
@@ -46,7 +46,7 @@
         }
         self.is_reading_proposals = true;
         self.session.read(ReadRequest {
-            what: ReadKind::Proposals as i32,
+            kind: ReadKind::Proposals as i32,
             ..ReadRequest::default()
         });
     }
@@ -58,24 +58,24 @@
             return;
         };
         if let Some(judgement) = registrar::judge(read, token) {
-            self.session.submit(CommandKind::Judge(judgement));
+            self.session.submit(CommandKind::JudgeProposal(judgement));
         }
     }
 
     fn fold_hits(&mut self, now: Timestamp) {
         if let Some(token) = self.session.leads(HIT_TOTALS, now) {
-            let fold = wire::Fold { token: token.0 };
-            self.session.submit(CommandKind::Fold(fold));
+            let fold = wire::FoldHits { token: token.0 };
+            self.session.submit(CommandKind::FoldHits(fold));
         }
     }
 
     fn publish_site_overrides(&mut self, now: Timestamp) {
         if let Some(token) = self.session.leads(SITE_OVERRIDES, now) {
-            let publish = wire::Publish {
+            let publish = wire::PublishOverrides {
                 token: token.0,
-                upto: self.session.state().version,
+                up_to_version: self.session.state().version,
             };
-            self.session.submit(CommandKind::Publish(publish));
+            self.session.submit(CommandKind::PublishOverrides(publish));
         }
     }
 }
--- a/crates/coordinator/src/agent/mod.rs
+++ b/crates/coordinator/src/agent/mod.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug)]
 pub struct AgentSettings {
     /// The gateway's name, site and incarnation, and whether it may lead elections.
-    pub open: wire::Open,
+    pub open: wire::OpenSession,
     /// The number of replicas.
     pub replica_count: usize,
     /// Time between reports.
--- a/crates/coordinator/src/call_statistics.rs
+++ b/crates/coordinator/src/call_statistics.rs
@@ -15,8 +15,8 @@
 #[derive(Debug, Default)]
 pub struct CallStatistics {
     /// By the hash of what tells one kind from another.
-    calls: FxHashMap<u64, wire::SeenKind>,
-    versions: FxHashMap<u64, wire::Spoke>,
+    calls: FxHashMap<u64, wire::CallCount>,
+    versions: FxHashMap<u64, wire::VersionCalls>,
     /// Calls that were left out as there was no room for their kind.
     pub left_out: u64,
 }
@@ -59,7 +59,7 @@
 
     fn record_kind(&mut self, customer: &str, call: &Call) {
         let key = hash_of(&[customer, call.caller_region, call.path, call.class]);
-        let create = || wire::SeenKind {
+        let create = || wire::CallCount {
             customer: customer.into(),
             caller_region: call.caller_region.into(),
             gateway_region: call.gateway_region.into(),
@@ -75,7 +75,7 @@
 
     fn record_version(&mut self, customer: &str, service: &str, version: &str) {
         let key = hash_of(&[customer, service, version]);
-        let create = || wire::Spoke {
+        let create = || wire::VersionCalls {
             customer: customer.into(),
             service: service.into(),
             version: version.into(),
@@ -95,9 +95,11 @@
     /// Moves all of it into a report, which is sent until it is acknowledged and counts once.
     pub fn drain_into(&mut self, report: &mut wire::Report) {
         report
-            .spoke
+            .version_calls
             .extend(self.versions.drain().map(|(_, version)| version));
-        report.seen.extend(self.calls.drain().map(|(_, kind)| kind));
+        report
+            .call_counts
+            .extend(self.calls.drain().map(|(_, kind)| kind));
     }
 }
 
--- a/crates/coordinator/src/call_statistics/tests.rs
+++ b/crates/coordinator/src/call_statistics/tests.rs
@@ -18,9 +18,9 @@
     statistics.record("a", &call("TAKE"), None);
     let mut report = wire::Report::default();
     statistics.drain_into(&mut report);
-    report.spoke.sort_by_key(|version| version.calls);
+    report.version_calls.sort_by_key(|version| version.calls);
     let versions: Vec<_> = report
-        .spoke
+        .version_calls
         .iter()
         .map(|s| (s.service.as_str(), s.version.as_str(), s.calls))
         .collect();
@@ -28,7 +28,14 @@
         versions,
         [("farm.v1.Farm", UNVERSIONED, 1), ("farm.v1.Farm", "2", 3)]
     );
-    assert_eq!(report.seen.iter().map(|kind| kind.count).sum::<u64>(), 5);
+    assert_eq!(
+        report
+            .call_counts
+            .iter()
+            .map(|kind| kind.count)
+            .sum::<u64>(),
+        5
+    );
     assert!(statistics.is_empty());
     for i in 0..MAX_ENTRIES as u64 + 5 {
         statistics.record(&i.to_string(), &call("TAKE"), None);
--- a/crates/coordinator/src/client.rs
+++ b/crates/coordinator/src/client.rs
@@ -112,7 +112,7 @@
         let command = wire::Command {
             caller: self.caller,
             number: self.last_command.0,
-            what: Some(kind),
+            kind: Some(kind),
             ..wire::Command::default()
         };
         let deadline = self.now() + timeout;
@@ -126,7 +126,7 @@
                 ResponseCode::Done => return Ok(response),
                 ResponseCode::Elsewhere => self.next_replica(deadline)?,
                 _ => {
-                    let reason = response.why;
+                    let reason = response.reason;
                     return Err(ClientError::Rejected { reason });
                 }
             }
--- a/crates/coordinator/src/pending_work.rs
+++ b/crates/coordinator/src/pending_work.rs
@@ -16,9 +16,9 @@
 impl From<&WatchEvent> for PendingWork {
     fn from(event: &WatchEvent) -> PendingWork {
         PendingWork {
-            proposals: event.proposals,
-            unfolded_hits: event.unfolded,
-            unpublished_overrides: event.unpublished,
+            proposals: event.has_proposals,
+            unfolded_hits: event.has_unfolded_hits,
+            unpublished_overrides: event.has_unpublished_overrides,
         }
     }
 }
--- a/crates/coordinator/src/proposal_progress.rs
+++ b/crates/coordinator/src/proposal_progress.rs
@@ -40,7 +40,7 @@
         return ProposalProgress::Pending;
     };
     if !verdict.admitted {
-        return ProposalProgress::Rejected(verdict.breaks.clone());
+        return ProposalProgress::Rejected(verdict.reasons.clone());
     }
     if verdict.set_version == 0 {
         return ProposalProgress::Admitted;
--- a/crates/coordinator/src/proposal_progress/tests.rs
+++ b/crates/coordinator/src/proposal_progress/tests.rs
@@ -30,7 +30,7 @@
     };
     assert_eq!(progress_of(None, None), ProposalProgress::Pending);
     let rejected = wire::Verdict {
-        breaks: vec!["x".into()],
+        reasons: vec!["x".into()],
         ..wire::Verdict::default()
     };
     assert_eq!(
--- a/crates/coordinator/src/registrar/mod.rs
+++ b/crates/coordinator/src/registrar/mod.rs
@@ -15,26 +15,26 @@
 const MAX_NAMED_CUSTOMERS: usize = 5;
 
 /// Judges the proposal that was read, if there is one.
-pub fn judge(response: &ReadResponse, token: FencingToken) -> Option<wire::Judge> {
+pub fn judge(response: &ReadResponse, token: FencingToken) -> Option<wire::JudgeProposal> {
     let proposal = response.proposals.first()?;
-    let reasons = match &proposal.what {
-        Some(wire::proposal::What::Contract(contract)) => contract_reasons(contract, response),
-        Some(wire::proposal::What::Rules(set)) => {
-            rule_set_reasons(set, proposal.force, response.tried.as_ref())
+    let reasons = match &proposal.proposed {
+        Some(wire::proposal::Proposed::Contract(contract)) => contract_reasons(contract, response),
+        Some(wire::proposal::Proposed::Rules(set)) => {
+            rule_set_reasons(set, proposal.force, response.dry_run.as_ref())
         }
         None => vec!["nothing was proposed".to_string()],
     };
-    Some(wire::Judge {
+    Some(wire::JudgeProposal {
         token: token.0,
         proposal: proposal.id,
         admit: reasons.is_empty(),
-        breaks: reasons,
-        speakers: response.speakers,
+        reasons,
+        contract_revision: response.contract_revision,
     })
 }
 
 /// Why a rule set is not admitted. `tried`: what it would have decided about the customer's recent calls.
-fn rule_set_reasons(set: &wire::RuleSet, force: bool, tried: Option<&wire::Tried>) -> Vec<String> {
+fn rule_set_reasons(set: &wire::RuleSet, force: bool, tried: Option<&wire::DryRun>) -> Vec<String> {
     let mut reasons: Vec<String> = rule_set_error(set).into_iter().collect();
     if let Some(tried) = tried.filter(|tried| tried.locks_out && !force) {
         reasons.push(format!("all {} calls of the last minutes would be denied: say so explicitly (--force), or see `rules check`", tried.calls));
@@ -51,18 +51,18 @@
     let check = ContractCheck {
         contract,
         proposed,
-        admitted: admitted_by_age(&response.admitted),
+        admitted: admitted_by_age(&response.contracts),
         in_use: versions_in_use(response),
         time_ms: response.time_ms,
     };
     let versions = check
         .in_use
-        .versions(response.time_ms, response.dead_after_ms);
+        .versions(response.time_ms, response.unused_after_ms);
     let mut reasons = Vec::new();
     for version in versions {
         let users = check
             .in_use
-            .speakers(&version, response.time_ms, response.dead_after_ms);
+            .speakers(&version, response.time_ms, response.unused_after_ms);
         reasons.extend(check.reasons_of_version(&version, &users));
     }
     reasons
@@ -147,7 +147,7 @@
 /// Versions in use, as they were read.
 fn versions_in_use(response: &ReadResponse) -> Spoken {
     let mut in_use = Spoken::default();
-    for version in &response.spoken {
+    for version in &response.versions_in_use {
         for user in &version.uses {
             let repeats_ms = Some(user.repeats_ms).filter(|repeats| *repeats > 0);
             in_use.declare(&version.version, &user.customer, user.declared, repeats_ms);
--- a/crates/coordinator/src/replica/apply.rs
+++ b/crates/coordinator/src/replica/apply.rs
@@ -37,7 +37,7 @@
 
     /// The configuration that begins with a command, if the command ends the present one.
     fn configuration_after(&self, command: &wire::Command) -> Option<Configuration> {
-        let Some(CommandKind::Next(next)) = &command.what else {
+        let Some(CommandKind::NextConfiguration(next)) = &command.kind else {
             return None;
         };
         if next.configuration != self.configuration() + 1 {
@@ -63,8 +63,8 @@
 
     /// Has the failure detector follow the sessions.
     fn observe_sessions(&mut self, command: &wire::Command, response: &CommandResponse) {
-        match &command.what {
-            Some(CommandKind::Renew(renew)) => {
+        match &command.kind {
+            Some(CommandKind::RenewSessions(renew)) => {
                 for renewed in &renew.sessions {
                     if let Some(session) = self.state.session(SessionId(renewed.session)) {
                         self.failure_detector
@@ -72,18 +72,18 @@
                     }
                 }
             }
-            Some(CommandKind::Open(_)) if response.id > 0 => {
+            Some(CommandKind::OpenSession(_)) if response.id > 0 => {
                 let session = SessionId(response.id);
                 let renewal = SessionRenewal {
                     session,
-                    log_index: self.state.session(session).map_or(0, |s| s.renewed),
+                    log_index: self.state.session(session).map_or(0, |s| s.renewal_index),
                 };
                 self.failure_detector.renewal_applied(renewal, self.now);
             }
-            Some(CommandKind::Close(close)) => {
+            Some(CommandKind::CloseSession(close)) => {
                 self.failure_detector.forget(SessionId(close.session));
             }
-            Some(CommandKind::Lapse(expiry)) => {
+            Some(CommandKind::ExpireSession(expiry)) => {
                 let session = SessionId(expiry.session);
                 if self.state.session(session).is_none() {
                     self.failure_detector.forget(session);
@@ -112,6 +112,6 @@
 pub(super) fn last_renewal(session: &wire::Session) -> SessionRenewal {
     SessionRenewal {
         session: SessionId(session.id),
-        log_index: session.renewed,
+        log_index: session.renewal_index,
     }
 }
--- a/crates/coordinator/src/replica/commands.rs
+++ b/crates/coordinator/src/replica/commands.rs
@@ -25,13 +25,13 @@
         let (code, reason) = self.rejection_reason(command)?;
         Some(CommandResponse {
             code: code as i32,
-            why: reason.into(),
+            reason: reason.into(),
             ..CommandResponse::default()
         })
     }
 
     fn rejection_reason(&self, command: &wire::Command) -> Option<(ResponseCode, &'static str)> {
-        let Some(kind) = &command.what else {
+        let Some(kind) = &command.kind else {
             return Some((
                 ResponseCode::Unknown,
                 "this keeper does not know the command",
@@ -73,7 +73,7 @@
     /// Proposes a command of this replica.
     pub(super) fn propose(&mut self, kind: CommandKind, requester: Requester) {
         let command = wire::Command {
-            what: Some(kind),
+            kind: Some(kind),
             ..wire::Command::default()
         };
         self.propose_command(command, requester);
@@ -107,11 +107,11 @@
 fn is_internal(kind: &CommandKind) -> bool {
     matches!(
         kind,
-        CommandKind::Renew(_)
-            | CommandKind::Lapse(_)
-            | CommandKind::Move(_)
-            | CommandKind::Tick(_)
-            | CommandKind::Next(_)
-            | CommandKind::Speaks(_)
+        CommandKind::RenewSessions(_)
+            | CommandKind::ExpireSession(_)
+            | CommandKind::MoveElection(_)
+            | CommandKind::AdvanceTime(_)
+            | CommandKind::NextConfiguration(_)
+            | CommandKind::AnnounceVersion(_)
     )
 }
--- a/crates/coordinator/src/replica/maintenance.rs
+++ b/crates/coordinator/src/replica/maintenance.rs
@@ -34,20 +34,20 @@
             return;
         }
         self.has_announced_version = true;
-        let announcement = wire::Speaks {
-            pid: self.own_id().0,
-            speaks: PROTOCOL_VERSION,
+        let announcement = wire::AnnounceVersion {
+            replica: self.own_id().0,
+            protocol_version: PROTOCOL_VERSION,
             epoch: self.settings.epoch,
             cluster: self.settings.incarnation,
         };
-        self.propose_own(CommandKind::Speaks(announcement));
+        self.propose_own(CommandKind::AnnounceVersion(announcement));
     }
 
     /// `elapsed`: since this replica last did so; a new leader counts from its own last maintenance, so the step is bounded.
     fn advance_agreed_time(&mut self, elapsed: TimeDelta) {
         let step = elapsed.min(MAX_TIME_STEP);
         let time_ms = self.state.time_ms + step.as_millis();
-        self.propose_own(CommandKind::Tick(wire::Tick { time_ms }));
+        self.propose_own(CommandKind::AdvanceTime(wire::AdvanceTime { time_ms }));
     }
 
     fn create_missing_elections(&mut self) {
@@ -58,8 +58,10 @@
         let missing: Vec<String> = wanted
             .filter(|name| !self.state.elections().any(|e| e.name == *name))
             .collect();
-        for duty in missing {
-            self.propose_own(CommandKind::Ensure(wire::Ensure { duty }));
+        for election in missing {
+            self.propose_own(CommandKind::EnsureElection(wire::EnsureElection {
+                election,
+            }));
         }
     }
 
@@ -69,18 +71,18 @@
                 self.failure_detector.forget(expired.session);
                 continue;
             }
-            let expiry = wire::Lapse {
+            let expiry = wire::ExpireSession {
                 session: expired.session.0,
-                renewed: expired.log_index,
+                renewal_index: expired.log_index,
             };
-            self.propose_own(CommandKind::Lapse(expiry));
+            self.propose_own(CommandKind::ExpireSession(expiry));
         }
     }
 
     fn rebalance_elections(&mut self) {
         let min_interval_ms = self.settings.min_move_interval_ms;
         if let Some(next_move) = self.state.next_move(min_interval_ms) {
-            self.propose_own(CommandKind::Move(next_move));
+            self.propose_own(CommandKind::MoveElection(next_move));
         }
     }
 
--- a/crates/coordinator/src/replica/membership.rs
+++ b/crates/coordinator/src/replica/membership.rs
@@ -106,7 +106,7 @@
     fn read_members(&mut self, requested_slot: Slot) {
         self.members_read_at = self.now;
         let request = ReadRequest {
-            what: ReadKind::Members as i32,
+            kind: ReadKind::Members as i32,
             slot: requested_slot.0,
             incarnation: self.settings.incarnation,
             configuration: self.configuration(),
@@ -134,7 +134,7 @@
         let members = response.members.iter();
         self.enter_or_log(Configuration {
             number: response.configuration,
-            own: ReplicaId(own.pid),
+            own: ReplicaId(own.id),
             members: members.map(ConfigurationMember::from).collect(),
             base: response.base.clone(),
         });
@@ -145,7 +145,7 @@
         let is_known = if self.configuration() == 0 {
             member.incarnation == self.settings.incarnation
         } else {
-            member.pid == self.own_id().0
+            member.id == self.own_id().0
         };
         member.slot == self.settings.slot.0 && is_known
     }
@@ -193,12 +193,12 @@
         }
         self.end_proposed_at = self.now;
         let members = members.iter().map(|m| m.to_wire(wire::Member::default()));
-        let next = wire::Next {
+        let next = wire::NextConfiguration {
             configuration: next_number,
             members: members.collect(),
         };
         let command = wire::Command {
-            what: Some(CommandKind::Next(next)),
+            kind: Some(CommandKind::NextConfiguration(next)),
             ..wire::Command::default()
         };
         if let Some(consensus) = &mut self.consensus {
--- a/crates/coordinator/src/replica/peers.rs
+++ b/crates/coordinator/src/replica/peers.rs
@@ -65,8 +65,8 @@
             return;
         }
         self.peers.heard(from, self.now);
-        if message.reset != 0 {
-            self.receive_reset(from, message.reset);
+        if message.reset_run != 0 {
+            self.receive_reset(from, message.reset_run);
         } else {
             self.receive_in_order(from, message);
         }
@@ -101,7 +101,7 @@
     /// Asks another replica to begin its run of messages anew.
     fn request_reset(&mut self, to: ReplicaId, run: u64) {
         let message = PeerMessage {
-            reset: run,
+            reset_run: run,
             ..self.message_to(to)
         };
         let slot = self.storage.state().configuration.slot_of(to);
@@ -150,7 +150,7 @@
             to: to.0,
             slot: self.settings.slot.0,
             incarnation: self.settings.incarnation,
-            speaks: PROTOCOL_VERSION,
+            protocol_version: PROTOCOL_VERSION,
             epoch: self.settings.epoch,
             ..PeerMessage::default()
         }
--- a/crates/coordinator/src/replica/reads.rs
+++ b/crates/coordinator/src/replica/reads.rs
@@ -13,13 +13,13 @@
     }
 
     pub(super) fn read_state(&mut self, request: &ReadRequest) -> ReadResponse {
-        let is_members_read = request.what() == ReadKind::Members;
+        let is_members_read = request.kind() == ReadKind::Members;
         if is_members_read && request.slot > 0 {
             self.membership_requested(Slot(request.slot), request.incarnation);
         }
         let mut response = self.state.read(request, self.settings.unused_after_ms);
         response.leader = self.leader().map_or_else(String::new, |s| s.0.to_string());
-        response.majority = self.has_quorum();
+        response.has_quorum = self.has_quorum();
         let stored = self.storage.state();
         let configuration = &stored.configuration;
         response.configuration = configuration.number;
--- a/crates/coordinator/src/replica/sessions.rs
+++ b/crates/coordinator/src/replica/sessions.rs
@@ -42,7 +42,7 @@
 impl Replica {
     /// Takes a gateway's message on its session's stream in.
     pub fn receive_from_gateway(&mut self, requester: RequesterId, message: ClientMessage) {
-        match message.what {
+        match message.kind {
             Some(ClientMessageKind::Hello(hello)) => self.receive_hello(requester, hello),
             Some(ClientMessageKind::Renewal(renewal)) => self.receive_renewal(requester, renewal),
             Some(ClientMessageKind::Report(report)) if self.is_configured() => {
@@ -51,9 +51,9 @@
                 self.propose(CommandKind::Report(report), requester);
             }
             Some(ClientMessageKind::Command(command)) => self.submit_in_session(requester, command),
-            Some(ClientMessageKind::Look(request)) => {
+            Some(ClientMessageKind::Read(request)) => {
                 let response = ServerMessage {
-                    looked: Some(self.read_state(&request)),
+                    read: Some(self.read_state(&request)),
                     ..ServerMessage::default()
                 };
                 self.send_to_gateway(requester, response);
@@ -77,7 +77,11 @@
         // The version of another fleet's state says nothing. A gateway that is ahead of this replica is sent nothing older.
         let is_same_fleet = hello.cluster == self.state.cluster;
         let stream = SessionStream {
-            sent_version: if is_same_fleet { hello.held } else { 0 },
+            sent_version: if is_same_fleet {
+                hello.state_version
+            } else {
+                0
+            },
             ..SessionStream::default()
         };
         self.streams.insert(requester, stream);
@@ -90,7 +94,7 @@
         match known.map(|session| SessionId(session.id)) {
             Some(session) => self.session_opened(requester, session),
             None => self.propose(
-                CommandKind::Open(open),
+                CommandKind::OpenSession(open),
                 Requester::OpeningSession(requester),
             ),
         }
@@ -105,7 +109,7 @@
         let earlier = stream.renewal.unwrap_or_default();
         stream.renewal = Some(ReceivedRenewal {
             number: earlier.number.max(RenewalNumber(renewal.number)),
-            state_version: earlier.state_version.max(renewal.applied),
+            state_version: earlier.state_version.max(renewal.applied_version),
         });
     }
 
@@ -124,7 +128,7 @@
         };
         // All elections, as a gateway has none in its cache file.
         let event = WatchEvent {
-            duties: self.state.elections().cloned().collect(),
+            elections: self.state.elections().cloned().collect(),
             ..self.state.events_since(stream.sent_version)
         };
         stream.session = session;
@@ -133,9 +137,9 @@
         let terms = self.settings.terms;
         let message = ServerMessage {
             session: session.0,
-            news: Some(event),
+            event: Some(event),
             lease_us: terms.lease.as_micros(),
-            drift: terms.drift_ppm,
+            drift_ppm: terms.drift_ppm,
             ..ServerMessage::default()
         };
         self.send_to_gateway(requester, message);
@@ -144,7 +148,7 @@
     /// Tells a gateway that its session is over, or is not opened here.
     fn end_session(&mut self, requester: RequesterId) {
         let message = ServerMessage {
-            ended: true,
+            session_ended: true,
             ..ServerMessage::default()
         };
         self.send_to_gateway(requester, message);
@@ -162,8 +166,8 @@
         response: CommandResponse,
     ) {
         let message = ServerMessage {
-            answered: number.0,
-            answer: Some(response),
+            answered_command: number.0,
+            response: Some(response),
             ..ServerMessage::default()
         };
         self.send_to_gateway(requester, message);
@@ -178,16 +182,19 @@
         if batch.is_empty() {
             return;
         }
-        let renewed = |renewal: &BatchedRenewal| wire::Renewed {
+        let renewed = |renewal: &BatchedRenewal| wire::RenewedSession {
             session: renewal.session.0,
-            applied: renewal.state_version,
+            applied_version: renewal.state_version,
         };
-        let renew = wire::Renew {
+        let renew = wire::RenewSessions {
             sessions: batch.iter().map(renewed).collect(),
-            keeper: self.own_id().0,
+            replica: self.own_id().0,
             batch: 0,
         };
-        self.propose(CommandKind::Renew(renew), Requester::Renewals(batch));
+        self.propose(
+            CommandKind::RenewSessions(renew),
+            Requester::Renewals(batch),
+        );
     }
 
     /// The renewals of a turn, in the order of their streams.
@@ -231,8 +238,8 @@
             return self.session_opened(requester, SessionId(response.id));
         }
         let message = ServerMessage {
-            ended: true,
-            answer: Some(response),
+            session_ended: true,
+            response: Some(response),
             ..ServerMessage::default()
         };
         self.send_to_gateway(requester, message);
@@ -246,7 +253,7 @@
                 continue;
             }
             let message = ServerMessage {
-                granted: renewal.number.0,
+                granted_renewal: renewal.number.0,
                 ..ServerMessage::default()
             };
             self.send_to_gateway(renewal.requester, message);
@@ -263,7 +270,7 @@
             return self.end_session(requester);
         }
         let message = ServerMessage {
-            reported: number,
+            acknowledged_report: number,
             ..ServerMessage::default()
         };
         self.send_to_gateway(requester, message);
--- a/crates/coordinator/src/replica/watchers.rs
+++ b/crates/coordinator/src/replica/watchers.rs
@@ -22,7 +22,7 @@
                 _ => self.state.events_since(since),
             };
             let message = ServerMessage {
-                news: Some(event.clone()),
+                event: Some(event.clone()),
                 ..ServerMessage::default()
             };
             last_event = Some((since, event));
--- a/crates/coordinator/src/server/metrics.rs
+++ b/crates/coordinator/src/server/metrics.rs
@@ -26,7 +26,7 @@
 fn gauges(replica: &Replica, record_count: u64) -> [Gauge; 9] {
     let state = replica.state();
     let gauge = |name, help, value| Gauge { name, help, value };
-    let led_elections = state.elections().filter(|e| e.holder > 0).count() as u64;
+    let led_elections = state.elections().filter(|e| e.leader > 0).count() as u64;
     [
         gauge(
             "majority",
--- a/crates/coordinator/src/session/cached_state.rs
+++ b/crates/coordinator/src/session/cached_state.rs
@@ -78,7 +78,7 @@
         self.rules
             .retain(|customer, _| customers.contains(customer));
         self.contracts.clear();
-        let sites: BTreeSet<&String> = event.words.iter().map(|o| &o.site).collect();
+        let sites: BTreeSet<&String> = event.site_overrides.iter().map(|o| &o.site).collect();
         self.site_overrides.retain(|site, _| sites.contains(site));
     }
 
@@ -89,7 +89,7 @@
                 changes.rules.push(set.customer.clone());
             }
         }
-        for customer in &event.rules_gone {
+        for customer in &event.removed_rules {
             if self.rules.remove(customer).is_some() {
                 changes.rules.push(customer.clone());
             }
@@ -104,7 +104,11 @@
             });
         }
         // Each is the service and the version with a blank between them.
-        for (service, version) in event.retired.iter().filter_map(|name| name.split_once(' ')) {
+        for (service, version) in event
+            .retired_contracts
+            .iter()
+            .filter_map(|name| name.split_once(' '))
+        {
             changes.contracts |= self.contracts.remove(&ServiceVersion {
                 service: service.to_string(),
                 version: version.to_string(),
@@ -114,7 +118,7 @@
     }
 
     fn apply_site_overrides(&mut self, event: &WatchEvent, changes: &mut StateChanges) {
-        for site_override in &event.words {
+        for site_override in &event.site_overrides {
             let known = self.site_overrides.get(&site_override.site);
             if known.is_none_or(|known| known.changed < site_override.changed) {
                 self.site_overrides
@@ -137,7 +141,7 @@
             whole: true,
             rules: self.rules.values().cloned().collect(),
             contracts: self.contracts.iter().map(contract).collect(),
-            words: self.site_overrides.values().cloned().collect(),
+            site_overrides: self.site_overrides.values().cloned().collect(),
             ..WatchEvent::default()
         }
     }
--- a/crates/coordinator/src/session/mod.rs
+++ b/crates/coordinator/src/session/mod.rs
@@ -52,7 +52,7 @@
 /// The client of one gateway's session.
 #[derive(Debug)]
 pub struct SessionClient {
-    open: wire::Open,
+    open: wire::OpenSession,
     id: SessionId,
     /// A session was opened since the gateway was started.
     was_opened: bool,
@@ -70,7 +70,7 @@
 impl SessionClient {
     /// A client without a session. `open`: the gateway's name, site and incarnation. `terms` hold until a replica announces its
     /// own.
-    pub fn new(open: wire::Open, terms: LeaseTerms, state: CachedState) -> SessionClient {
+    pub fn new(open: wire::OpenSession, terms: LeaseTerms, state: CachedState) -> SessionClient {
         SessionClient {
             open,
             id: NO_SESSION,
@@ -119,7 +119,7 @@
     /// The fencing token of an election that this gateway leads at `now`; `None`: it does not lead it.
     pub fn leads(&self, election: &str, now: Timestamp) -> Option<FencingToken> {
         let election = self.elections.get(election)?;
-        let is_leader = election.holder == self.id.0 && election.move_to == 0;
+        let is_leader = election.leader == self.id.0 && election.move_to == 0;
         (is_leader && self.is_valid(now)).then_some(FencingToken(election.token))
     }
 
@@ -137,7 +137,7 @@
     pub fn requested_handover(&self) -> Option<&Election> {
         self.elections
             .values()
-            .find(|e| self.is_open() && e.holder == self.id.0 && e.move_to != 0)
+            .find(|e| self.is_open() && e.leader == self.id.0 && e.move_to != 0)
     }
 
     /// Work that waits for leaders.
@@ -153,7 +153,7 @@
         self.outbox.clear();
         let hello = wire::Hello {
             open: Some(self.open.clone()),
-            held: self.state.version,
+            state_version: self.state.version,
             session: self.id.0,
             cluster: self.state.cluster,
         };
@@ -168,7 +168,7 @@
 
     fn send(&mut self, kind: ClientMessageKind) {
         if self.is_connected {
-            self.outbox.push(ClientMessage { what: Some(kind) });
+            self.outbox.push(ClientMessage { kind: Some(kind) });
         }
     }
 
@@ -204,29 +204,31 @@
     /// Takes a message of a replica in.
     pub fn receive(&mut self, now: Timestamp, message: ServerMessage) -> Received {
         self.renewal.heard(now);
-        if message.ended {
-            return self.session_ended(now, message.answer.as_ref());
+        if message.session_ended {
+            return self.session_ended(now, message.response.as_ref());
         }
         let mut received = Received::default();
         let changes = message
-            .news
+            .event
             .as_ref()
             .and_then(|event| self.receive_event(now, event));
         if message.session > 0 {
             received.session_changed = self.session_opened(now, &message);
         }
         self.renewal.acknowledge_early(now, self.state.version);
-        if message.granted > 0 {
-            self.renewal.granted(RenewalNumber(message.granted));
+        if message.granted_renewal > 0 {
+            self.renewal.granted(RenewalNumber(message.granted_renewal));
         }
-        received.report_acknowledged = self.requests.acknowledge_report(message.reported);
-        if message.answer.is_some() {
+        received.report_acknowledged = self
+            .requests
+            .acknowledge_report(message.acknowledged_report);
+        if message.response.is_some() {
             self.requests
-                .command_answered(CommandNumber(message.answered));
+                .command_answered(CommandNumber(message.answered_command));
         }
-        received.read = message.looked;
+        received.read = message.read;
         received.update = changes
-            .zip(message.news)
+            .zip(message.event)
             .map(|(changes, event)| StateUpdate { changes, event });
         received
     }
@@ -278,7 +280,7 @@
         if event.whole {
             self.elections.clear();
         }
-        for election in &event.duties {
+        for election in &event.elections {
             self.elections
                 .insert(election.name.clone(), election.clone());
         }
@@ -293,7 +295,7 @@
         if is_new {
             self.renewal.begin(LeaseTerms {
                 lease: TimeDelta::from_micros(message.lease_us).max(MIN_LEASE),
-                drift_ppm: message.drift,
+                drift_ppm: message.drift_ppm,
             });
         }
         self.id = id;
@@ -330,7 +332,7 @@
 
     /// Sends a read; its response is lost with the connection.
     pub fn read(&mut self, request: ReadRequest) {
-        self.send(ClientMessageKind::Look(request));
+        self.send(ClientMessageKind::Read(request));
     }
 
     /// Whether a report may be sent: there is a session, and the last report was acknowledged.
@@ -348,7 +350,7 @@
     pub fn resign(&mut self) {
         let was_candidate = std::mem::replace(&mut self.open.candidate, false);
         if was_candidate && self.is_open() {
-            self.submit(CommandKind::Open(self.open.clone()));
+            self.submit(CommandKind::OpenSession(self.open.clone()));
         }
     }
 
@@ -356,7 +358,7 @@
     pub fn close(&mut self) {
         if self.is_open() {
             let session = self.id.0;
-            self.submit(CommandKind::Close(wire::Close { session }));
+            self.submit(CommandKind::CloseSession(wire::CloseSession { session }));
         }
     }
 }
--- a/crates/coordinator/src/session/renewal.rs
+++ b/crates/coordinator/src/session/renewal.rs
@@ -80,7 +80,7 @@
         wire::Renewal {
             session: session.0,
             number: number.0,
-            applied: self.acknowledged_version,
+            applied_version: self.acknowledged_version,
         }
     }
 
--- a/crates/coordinator/src/session/requests.rs
+++ b/crates/coordinator/src/session/requests.rs
@@ -26,8 +26,8 @@
         let command = wire::Command {
             caller,
             number: self.last_command.0,
-            begun: state_version,
-            what: Some(kind),
+            begun_version: state_version,
+            kind: Some(kind),
             ..wire::Command::default()
         };
         self.commands.insert(self.last_command, command.clone());
--- a/crates/coordinator/src/state/contracts.rs
+++ b/crates/coordinator/src/state/contracts.rs
@@ -67,7 +67,7 @@
     }
 
     /// An operator says that a version counts as unused.
-    pub(super) fn retire_version(&mut self, retire: &wire::Retire) -> CommandResponse {
+    pub(super) fn retire_version(&mut self, retire: &wire::RetireVersion) -> CommandResponse {
         let key = ServiceVersion {
             service: retire.service.clone(),
             version: retire.version.clone(),
--- a/crates/coordinator/src/state/deduplication.rs
+++ b/crates/coordinator/src/state/deduplication.rs
@@ -100,43 +100,48 @@
         self.forgotten_at
     }
 
-    pub(super) fn to_wire(&self) -> Vec<wire::Answered> {
-        let to_wire = |(caller, record): (&u64, &CallerRecord)| wire::Answered {
+    pub(super) fn to_wire(&self) -> Vec<wire::CallerRecord> {
+        let to_wire = |(caller, record): (&u64, &CallerRecord)| wire::CallerRecord {
             caller: *caller,
-            used: record.last_index,
+            last_index: record.last_index,
             numbers: record.responses.iter().map(|r| r.number.0).collect(),
-            answers: record
+            responses: record
                 .responses
                 .iter()
                 .map(|r| r.response.encode_to_vec())
                 .collect(),
-            floor: record.forgotten_up_to.0,
+            forgotten_up_to: record.forgotten_up_to.0,
         };
         self.records.iter().map(to_wire).collect()
     }
 
     /// Reads records back; `None`: a response cannot be read.
-    pub(super) fn from_wire(list: &[wire::Answered], forgotten_at: u64) -> Option<CallerRecords> {
+    pub(super) fn from_wire(
+        list: &[wire::CallerRecord],
+        forgotten_at: u64,
+    ) -> Option<CallerRecords> {
         let mut callers = CallerRecords {
             forgotten_at,
             ..CallerRecords::default()
         };
         for answered in list {
             let record = CallerRecord {
-                last_index: answered.used,
+                last_index: answered.last_index,
                 responses: responses_from_wire(answered)?,
-                forgotten_up_to: CommandNumber(answered.floor),
+                forgotten_up_to: CommandNumber(answered.forgotten_up_to),
             };
             callers.records.insert(answered.caller, record);
-            callers.by_last_index.insert(answered.used, answered.caller);
+            callers
+                .by_last_index
+                .insert(answered.last_index, answered.caller);
         }
         Some(callers)
     }
 }
 
-fn responses_from_wire(answered: &wire::Answered) -> Option<VecDeque<RecordedResponse>> {
+fn responses_from_wire(answered: &wire::CallerRecord) -> Option<VecDeque<RecordedResponse>> {
     let mut responses = Vec::new();
-    for bytes in &answered.answers {
+    for bytes in &answered.responses {
         responses.push(CommandResponse::decode(&bytes[..]).ok()?);
     }
     let numbers = answered.numbers.iter().copied().map(CommandNumber);
--- a/crates/coordinator/src/state/elections.rs
+++ b/crates/coordinator/src/state/elections.rs
@@ -55,7 +55,7 @@
         let Some(election) = self.elections.get(name) else {
             return Err(rejected(ResponseCode::Refused, format!("no duty '{name}'")));
         };
-        if election.holder != NOBODY && election.token == token {
+        if election.leader != NOBODY && election.token == token {
             return Ok(election);
         }
         let reason = format!(
@@ -70,7 +70,7 @@
 
     /// The leaders of all elections, in the order of the elections' names.
     fn leaders(&self) -> Vec<Option<SessionId>> {
-        let holders = self.elections.values().map(|election| election.holder);
+        let holders = self.elections.values().map(|election| election.leader);
         holders.map(session_of).collect()
     }
 
@@ -102,7 +102,7 @@
     fn elect(&mut self, name: &str, leader: SessionId) {
         let changed = self.next_version();
         if let Some(election) = self.elections.get_mut(name) {
-            election.holder = leader.0;
+            election.leader = leader.0;
             election.token += 1;
             election.move_to = NOBODY;
             election.changed = changed;
@@ -113,11 +113,11 @@
     pub(super) fn vacate_elections(&mut self, session: SessionId) {
         let changed = self.next_version();
         for election in self.elections.values_mut() {
-            if election.holder != session.0 && election.move_to != session.0 {
+            if election.leader != session.0 && election.move_to != session.0 {
                 continue;
             }
-            if election.holder == session.0 {
-                election.holder = NOBODY;
+            if election.leader == session.0 {
+                election.leader = NOBODY;
             }
             election.move_to = NOBODY;
             election.changed = changed;
@@ -126,25 +126,25 @@
     }
 
     /// A leader steps down, and leaves its progress to the next.
-    pub(super) fn release_election(&mut self, release: &wire::Release) -> CommandResponse {
+    pub(super) fn release_election(&mut self, release: &wire::ReleaseElection) -> CommandResponse {
         if release.progress.len() > MAX_PROGRESS_BYTES {
             let reason = format!("progress: expected at most {MAX_PROGRESS_BYTES} bytes");
             return rejected(ResponseCode::Full, reason);
         }
-        let election = match self.check_leader(&release.duty, release.token) {
+        let election = match self.check_leader(&release.election, release.token) {
             Ok(election) => election,
             Err(stale) => return stale,
         };
         let next_leader = self.successor(election, SessionId(release.session));
-        if let Some(election) = self.elections.get_mut(&release.duty) {
+        if let Some(election) = self.elections.get_mut(&release.election) {
             election.progress.clone_from(&release.progress);
-            election.holder = NOBODY;
+            election.leader = NOBODY;
         }
         match next_leader {
-            Some(leader) => self.elect(&release.duty, leader),
+            Some(leader) => self.elect(&release.election, leader),
             None => {
                 let changed = self.next_version();
-                if let Some(election) = self.elections.get_mut(&release.duty) {
+                if let Some(election) = self.elections.get_mut(&release.election) {
                     election.changed = changed;
                 }
             }
@@ -161,15 +161,15 @@
     }
 
     /// An election is to be moved to balance the load: its leader is asked to step down.
-    pub(super) fn request_move(&mut self, request: &wire::Move) -> CommandResponse {
-        if let Err(stale) = self.check_leader(&request.duty, request.token) {
+    pub(super) fn request_move(&mut self, request: &wire::MoveElection) -> CommandResponse {
+        if let Err(stale) = self.check_leader(&request.election, request.token) {
             return stale;
         }
         if !self.sessions.contains_key(&SessionId(request.to)) {
             return rejected(ResponseCode::NoSession, "no such session");
         }
         let changed = self.next_version();
-        if let Some(election) = self.elections.get_mut(&request.duty) {
+        if let Some(election) = self.elections.get_mut(&request.election) {
             election.move_to = request.to;
             election.moved_ms = self.time_ms;
             election.changed = changed;
@@ -178,7 +178,7 @@
     }
 
     /// The next move that balances the load, of an election that was not moved for so long, in milliseconds of the agreed time.
-    pub fn next_move(&self, min_interval_ms: u64) -> Option<wire::Move> {
+    pub fn next_move(&self, min_interval_ms: u64) -> Option<wire::MoveElection> {
         // One at a time: none is asked to step down while another has not yet.
         if self.elections.values().any(|e| e.move_to != NOBODY) {
             return None;
@@ -187,8 +187,8 @@
         let election = self.elections.values().nth(election)?;
         let may_move =
             election.moved_ms == 0 || self.time_ms >= election.moved_ms + min_interval_ms;
-        may_move.then(|| wire::Move {
-            duty: election.name.clone(),
+        may_move.then(|| wire::MoveElection {
+            election: election.name.clone(),
             token: election.token,
             to: to.0,
         })
--- a/crates/coordinator/src/state/membership.rs
+++ b/crates/coordinator/src/state/membership.rs
@@ -13,7 +13,7 @@
         self.configuration = number;
         self.members = members
             .into_iter()
-            .map(|member| (ReplicaId(member.pid), member))
+            .map(|member| (ReplicaId(member.id), member))
             .collect();
     }
 
@@ -24,7 +24,7 @@
 
     /// The protocol version that every replica supports.
     pub fn supported_version(&self) -> u32 {
-        let versions = self.members.values().map(|member| member.speaks);
+        let versions = self.members.values().map(|member| member.protocol_version);
         versions
             .min()
             .unwrap_or_default()
@@ -32,13 +32,16 @@
     }
 
     /// A replica announces which commands it knows, and how often it was started.
-    pub(super) fn announce_version(&mut self, announcement: &wire::Speaks) -> CommandResponse {
+    pub(super) fn announce_version(
+        &mut self,
+        announcement: &wire::AnnounceVersion,
+    ) -> CommandResponse {
         // The fleet's state is named after the first replica that is heard.
         if self.cluster == 0 {
             self.cluster = announcement.cluster;
         }
-        if let Some(member) = self.members.get_mut(&ReplicaId(announcement.pid)) {
-            member.speaks = announcement.speaks;
+        if let Some(member) = self.members.get_mut(&ReplicaId(announcement.replica)) {
+            member.protocol_version = announcement.protocol_version;
             member.epoch = member.epoch.max(announcement.epoch);
         }
         done()
--- a/crates/coordinator/src/state/mod.rs
+++ b/crates/coordinator/src/state/mod.rs
@@ -60,7 +60,7 @@
     /// Rules in all sets.
     rule_count: usize,
     /// The latest removals of rule sets, with the versions of the state that they came with.
-    removed_rules: VecDeque<wire::Removed>,
+    removed_rules: VecDeque<wire::RemovedRules>,
     /// Removals up to this version of the state are no longer remembered.
     removed_before: u64,
     contracts: BTreeMap<ServiceVersion, AdmittedContract>,
@@ -91,7 +91,7 @@
 fn rejected(code: ResponseCode, reason: impl Into<String>) -> CommandResponse {
     CommandResponse {
         code: code as i32,
-        why: reason.into(),
+        reason: reason.into(),
         ..CommandResponse::default()
     }
 }
@@ -105,9 +105,9 @@
             return self.apply_once(command);
         }
         let number = CommandNumber(command.number);
-        if let Some(response) = self
-            .callers
-            .known_response(command.caller, number, command.begun)
+        if let Some(response) =
+            self.callers
+                .known_response(command.caller, number, command.begun_version)
         {
             return response;
         }
@@ -118,7 +118,7 @@
     }
 
     fn apply_once(&mut self, command: &wire::Command) -> CommandResponse {
-        let mut response = match &command.what {
+        let mut response = match &command.kind {
             Some(kind) => self.apply_kind(kind, command.caller),
             None => rejected(
                 ResponseCode::Unknown,
@@ -131,25 +131,25 @@
 
     fn apply_kind(&mut self, kind: &CommandKind, caller: u64) -> CommandResponse {
         match kind {
-            CommandKind::Open(open) => self.open_session(open),
-            CommandKind::Renew(renew) => self.renew_sessions(renew),
-            CommandKind::Close(close) => self.close_session(SessionId(close.session)),
-            CommandKind::Lapse(expiry) => self.expire_session(expiry),
-            CommandKind::Release(release) => self.release_election(release),
-            CommandKind::Move(request) => self.request_move(request),
-            CommandKind::Tick(tick) => self.advance_time(tick.time_ms),
-            CommandKind::Ensure(ensure) => self.ensure_election(&ensure.duty),
+            CommandKind::OpenSession(open) => self.open_session(open),
+            CommandKind::RenewSessions(renew) => self.renew_sessions(renew),
+            CommandKind::CloseSession(close) => self.close_session(SessionId(close.session)),
+            CommandKind::ExpireSession(expiry) => self.expire_session(expiry),
+            CommandKind::ReleaseElection(release) => self.release_election(release),
+            CommandKind::MoveElection(request) => self.request_move(request),
+            CommandKind::AdvanceTime(tick) => self.advance_time(tick.time_ms),
+            CommandKind::EnsureElection(ensure) => self.ensure_election(&ensure.election),
             CommandKind::Propose(propose) => self.add_proposal(propose, caller),
-            CommandKind::Judge(judgement) => self.judge_proposal(judgement),
-            CommandKind::Retire(retire) => self.retire_version(retire),
+            CommandKind::JudgeProposal(judgement) => self.judge_proposal(judgement),
+            CommandKind::RetireVersion(retire) => self.retire_version(retire),
             CommandKind::Subscribe(subscribe) => self.subscribe(subscribe),
             CommandKind::Report(report) => self.take_report(report),
-            CommandKind::Word(request) => self.override_site(request),
-            CommandKind::Publish(publish) => self.publish_site_overrides(publish),
-            CommandKind::Fold(fold) => self.fold_hits(fold.token),
+            CommandKind::OverrideSite(request) => self.override_site(request),
+            CommandKind::PublishOverrides(publish) => self.publish_site_overrides(publish),
+            CommandKind::FoldHits(fold) => self.fold_hits(fold.token),
             // The end of a configuration is handled by the replicas before it is applied.
-            CommandKind::Next(_) => done(),
-            CommandKind::Speaks(announcement) => self.announce_version(announcement),
+            CommandKind::NextConfiguration(_) => done(),
+            CommandKind::AnnounceVersion(announcement) => self.announce_version(announcement),
         }
     }
 
--- a/crates/coordinator/src/state/proposals.rs
+++ b/crates/coordinator/src/state/proposals.rs
@@ -2,7 +2,7 @@
 
 use super::{done, rejected, rules, ReplicatedState, REGISTRAR};
 use crate::protocol::{wire, CommandResponse, ResponseCode};
-use wire::propose::What as ProposedKind;
+use wire::propose::Proposed as ProposedKind;
 
 /// Proposals that wait for the registrar.
 const MAX_PROPOSALS: usize = 64;
@@ -17,14 +17,14 @@
             let reason = format!("{MAX_PROPOSALS} proposals wait for the registrar");
             return rejected(ResponseCode::Full, reason);
         }
-        let kind = match self.check_proposed(propose.what.as_ref()) {
+        let kind = match self.check_proposed(propose.proposed.as_ref()) {
             Ok(kind) => kind,
             Err(rejection) => return rejection,
         };
         self.last_proposal += 1;
         let proposal = wire::Proposal {
             id: self.last_proposal,
-            what: Some(kind),
+            proposed: Some(kind),
             force: propose.force,
             caller,
         };
@@ -40,18 +40,18 @@
     fn check_proposed(
         &self,
         proposed: Option<&ProposedKind>,
-    ) -> Result<wire::proposal::What, CommandResponse> {
+    ) -> Result<wire::proposal::Proposed, CommandResponse> {
         match proposed {
             Some(ProposedKind::Contract(contract)) => {
                 self.check_contract(contract)?;
-                Ok(wire::proposal::What::Contract(contract.clone()))
+                Ok(wire::proposal::Proposed::Contract(contract.clone()))
             }
             Some(ProposedKind::Rules(set)) => {
                 if let Some(error) = rules::rule_set_error(set) {
                     return Err(rejected(ResponseCode::Refused, error));
                 }
                 self.check_room_for_rules(set)?;
-                Ok(wire::proposal::What::Rules(set.clone()))
+                Ok(wire::proposal::Proposed::Rules(set.clone()))
             }
             None => Err(rejected(
                 ResponseCode::Refused,
@@ -62,11 +62,11 @@
 
     /// Takes the registrar's judgement. It must lead its election, and what the judgement rests on must not have changed since: of
     /// two proposals that are sound alone and not together the second is judged again.
-    pub(super) fn judge_proposal(&mut self, judgement: &wire::Judge) -> CommandResponse {
+    pub(super) fn judge_proposal(&mut self, judgement: &wire::JudgeProposal) -> CommandResponse {
         if let Err(stale) = self.check_leader(REGISTRAR, judgement.token) {
             return stale;
         }
-        if judgement.admit && judgement.speakers != self.contract_revision {
+        if judgement.admit && judgement.contract_revision != self.contract_revision {
             return rejected(
                 ResponseCode::Changed,
                 "who speaks what, or what was admitted, has changed since it was looked at",
@@ -85,19 +85,23 @@
     }
 
     /// Carries a judgement out.
-    fn verdict_of(&mut self, proposal: &wire::Proposal, judgement: &wire::Judge) -> wire::Verdict {
-        let reasons = judgement.breaks.iter().take(MAX_REASONS);
+    fn verdict_of(
+        &mut self,
+        proposal: &wire::Proposal,
+        judgement: &wire::JudgeProposal,
+    ) -> wire::Verdict {
+        let reasons = judgement.reasons.iter().take(MAX_REASONS);
         let mut verdict = wire::Verdict {
             proposal: proposal.id,
             admitted: judgement.admit,
-            breaks: reasons.cloned().collect(),
+            reasons: reasons.cloned().collect(),
             judged_ms: self.time_ms,
             ..wire::Verdict::default()
         };
         if judgement.admit {
             if let Err(rejection) = self.admit(proposal, &mut verdict) {
                 verdict.admitted = false;
-                verdict.breaks = vec![rejection.why];
+                verdict.reasons = vec![rejection.reason];
             }
         }
         if verdict.changed == 0 {
@@ -111,11 +115,11 @@
         proposal: &wire::Proposal,
         verdict: &mut wire::Verdict,
     ) -> Result<(), CommandResponse> {
-        match &proposal.what {
-            Some(wire::proposal::What::Contract(contract)) => {
+        match &proposal.proposed {
+            Some(wire::proposal::Proposed::Contract(contract)) => {
                 verdict.changed = self.admit_contract(contract)?;
             }
-            Some(wire::proposal::What::Rules(set)) => {
+            Some(wire::proposal::Proposed::Rules(set)) => {
                 self.check_room_for_rules(set)?;
                 verdict.customer.clone_from(&set.customer);
                 let admitted = self.admit_rules(set);
--- a/crates/coordinator/src/state/reads.rs
+++ b/crates/coordinator/src/state/reads.rs
@@ -13,17 +13,21 @@
             time_ms: self.time_ms,
             configuration: self.configuration,
             members: self.members.values().copied().collect(),
-            dead_after_ms: unused_after_ms,
-            speakers: self.contract_revision,
+            unused_after_ms,
+            contract_revision: self.contract_revision,
             ..ReadResponse::default()
         };
-        match request.what() {
+        match request.kind() {
             ReadKind::Status => self.read_status(&mut response),
             ReadKind::Proposals => self.read_next_proposal(&mut response),
             ReadKind::Verdict => self.read_verdict(request, &mut response),
             ReadKind::Hits => response.hits = self.hit_lines(&request.customer),
-            ReadKind::Try => response.tried = request.set.as_ref().and_then(|s| self.try_rules(s)),
-            ReadKind::Spoken => response.spoken = self.read_versions_in_use(&request.service),
+            ReadKind::Try => {
+                response.dry_run = request.rule_set.as_ref().and_then(|s| self.try_rules(s))
+            }
+            ReadKind::Spoken => {
+                response.versions_in_use = self.read_versions_in_use(&request.service)
+            }
             ReadKind::Rules => response.rules = self.read_rules(&request.customer),
             ReadKind::Members => {}
         }
@@ -32,12 +36,12 @@
 
     fn read_status(&self, response: &mut ReadResponse) {
         response.sessions = self.sessions.values().cloned().collect();
-        response.duties = self.elections.values().cloned().collect();
+        response.elections = self.elections.values().cloned().collect();
         response.departed = self.departed.values().cloned().collect();
         for (service, in_use) in &self.versions_in_use {
             let returned = in_use.back().into_iter();
             response
-                .back
+                .returned_versions
                 .extend(returned.map(|version| format!("{service} {version}")));
         }
     }
@@ -48,16 +52,16 @@
             return;
         };
         response.proposals = vec![next.clone()];
-        match &next.what {
-            Some(wire::proposal::What::Contract(contract)) => {
+        match &next.proposed {
+            Some(wire::proposal::Proposed::Contract(contract)) => {
                 let of_service = self
                     .contracts
                     .iter()
                     .filter(|(key, _)| key.service == contract.service);
-                response.admitted = of_service.map(|(_, admitted)| admitted.clone()).collect();
-                response.spoken = self.read_versions_in_use(&contract.service);
+                response.contracts = of_service.map(|(_, admitted)| admitted.clone()).collect();
+                response.versions_in_use = self.read_versions_in_use(&contract.service);
             }
-            Some(wire::proposal::What::Rules(set)) => response.tried = self.try_rules(set),
+            Some(wire::proposal::Proposed::Rules(set)) => response.dry_run = self.try_rules(set),
             None => {}
         }
     }
@@ -74,7 +78,7 @@
     }
 
     /// What a rule set would decide about its customer's recent calls; `None`: it cannot be read.
-    fn try_rules(&self, set: &wire::RuleSet) -> Option<wire::Tried> {
+    fn try_rules(&self, set: &wire::RuleSet) -> Option<wire::DryRun> {
         let rule_set = rules::rule_set_from_wire(set)?;
         let recent = self.recent_calls.get(&set.customer);
         let dry_run = recent.map(|recent| recent.dry_run(&rule_set));
@@ -82,7 +86,7 @@
     }
 
     /// Versions in use; `service` empty: of all services.
-    fn read_versions_in_use(&self, service: &str) -> Vec<wire::SpokenVersion> {
+    fn read_versions_in_use(&self, service: &str) -> Vec<wire::VersionInUse> {
         let matching = self
             .versions_in_use
             .iter()
@@ -101,17 +105,18 @@
     }
 }
 
-fn versions_to_wire(service: &str, in_use: &Spoken) -> Vec<wire::SpokenVersion> {
-    let use_to_wire = |(customer, version_use): (&String, &chalkdeck_contract::Use)| wire::Use {
-        customer: customer.clone(),
-        declared: version_use.declared,
-        calls: version_use.calls,
-        last_ms: version_use.last_ms.unwrap_or(0),
-        repeats_ms: version_use.repeats_ms.unwrap_or(0),
-    };
+fn versions_to_wire(service: &str, in_use: &Spoken) -> Vec<wire::VersionInUse> {
+    let use_to_wire =
+        |(customer, version_use): (&String, &chalkdeck_contract::Use)| wire::VersionUse {
+            customer: customer.clone(),
+            declared: version_use.declared,
+            calls: version_use.calls,
+            last_ms: version_use.last_ms.unwrap_or(0),
+            repeats_ms: version_use.repeats_ms.unwrap_or(0),
+        };
     let versions = in_use.uses.iter();
     versions
-        .map(|(version, uses)| wire::SpokenVersion {
+        .map(|(version, uses)| wire::VersionInUse {
             service: service.to_string(),
             version: version.clone(),
             uses: uses.iter().map(use_to_wire).collect(),
@@ -120,13 +125,13 @@
         .collect()
 }
 
-fn dry_run_to_wire(dry_run: &DryRun) -> wire::Tried {
+fn dry_run_to_wire(dry_run: &DryRun) -> wire::DryRun {
     let line = |(rule, count): (&String, &u64)| wire::HitLine {
         rule: rule.clone(),
         count: *count,
         ..wire::HitLine::default()
     };
-    wire::Tried {
+    wire::DryRun {
         calls: dry_run.calls,
         denied: dry_run.denied,
         locks_out: dry_run.locks_out(),
--- a/crates/coordinator/src/state/reports.rs
+++ b/crates/coordinator/src/state/reports.rs
@@ -16,17 +16,17 @@
         let Some(session) = self.sessions.get_mut(&SessionId(report.session)) else {
             return rejected(ResponseCode::NoSession, "no such session");
         };
-        let is_new = report.number > session.report;
-        session.report = session.report.max(report.number);
+        let is_new = report.number > session.last_report;
+        session.last_report = session.last_report.max(report.number);
         let incarnation = session.incarnation;
         for line in &report.hits {
             self.record_hits(incarnation, line);
         }
         if is_new {
-            for calls in &report.spoke {
+            for calls in &report.version_calls {
                 self.record_version_use(calls);
             }
-            for calls in &report.seen {
+            for calls in &report.call_counts {
                 self.record_recent_calls(calls);
             }
         }
@@ -44,7 +44,7 @@
         totals.record(incarnation, rule_version(line), line.count);
     }
 
-    fn record_recent_calls(&mut self, calls: &wire::SeenKind) {
+    fn record_recent_calls(&mut self, calls: &wire::CallCount) {
         let is_known = self.recent_calls.contains_key(&calls.customer);
         if self.recent_calls.len() >= MAX_CUSTOMERS && !is_known {
             return;
@@ -90,7 +90,7 @@
 }
 
 /// What tells one kind of recent calls from another.
-pub(super) fn call_kind(calls: &wire::SeenKind) -> CallKind {
+pub(super) fn call_kind(calls: &wire::CallCount) -> CallKind {
     CallKind {
         caller_region: calls.caller_region.clone(),
         gateway_region: calls.gateway_region.clone(),
--- a/crates/coordinator/src/state/rules.rs
+++ b/crates/coordinator/src/state/rules.rs
@@ -121,10 +121,11 @@
         let behind = self
             .sessions
             .values()
-            .filter(|session| session.applied < rules.changed);
+            .filter(|session| session.applied_version < rules.changed);
         let missing: Vec<String> = behind.map(|session| session.gateway.clone()).collect();
         let unknown = self.departed.values().filter(|departed| {
-            departed.applied < rules.changed && keeps_earlier_set(rules, departed.applied)
+            departed.applied_version < rules.changed
+                && keeps_earlier_set(rules, departed.applied_version)
         });
         Some(wire::InForce {
             in_force: missing.is_empty(),
@@ -145,7 +146,7 @@
         }
         let changed = self.next_version();
         self.rules.remove(customer);
-        self.removed_rules.push_back(wire::Removed {
+        self.removed_rules.push_back(wire::RemovedRules {
             customer: customer.to_string(),
             changed,
         });
--- a/crates/coordinator/src/state/sessions.rs
+++ b/crates/coordinator/src/state/sessions.rs
@@ -9,7 +9,7 @@
 const MAX_DEPARTED: usize = 2_000;
 
 impl ReplicatedState {
-    pub(super) fn open_session(&mut self, open: &wire::Open) -> CommandResponse {
+    pub(super) fn open_session(&mut self, open: &wire::OpenSession) -> CommandResponse {
         if open.gateway.is_empty() || open.incarnation == 0 {
             return rejected(
                 ResponseCode::Refused,
@@ -42,7 +42,7 @@
 
     /// A session that is opened again, over another connection or after a response was lost, is the same one. One that is no
     /// candidate any more leads no elections.
-    fn reopen_session(&mut self, open: &wire::Open) -> Option<CommandResponse> {
+    fn reopen_session(&mut self, open: &wire::OpenSession) -> Option<CommandResponse> {
         let session = self.sessions.values_mut().find(|session| {
             session.gateway == open.gateway && session.incarnation == open.incarnation
         })?;
@@ -57,7 +57,7 @@
 
     /// The largest incarnation that is known under the gateway's name, if it is a later one. Keeps what a later incarnation
     /// reported from being folded as that of an earlier one.
-    fn later_incarnation(&self, open: &wire::Open) -> Option<u64> {
+    fn later_incarnation(&self, open: &wire::OpenSession) -> Option<u64> {
         let of_gateway = self
             .sessions
             .values()
@@ -70,14 +70,14 @@
             .max()
     }
 
-    fn add_session(&mut self, open: &wire::Open) -> SessionId {
+    fn add_session(&mut self, open: &wire::OpenSession) -> SessionId {
         self.last_session.0 += 1;
         let session = wire::Session {
             id: self.last_session.0,
             gateway: open.gateway.clone(),
             site: open.site.clone(),
             incarnation: open.incarnation,
-            renewed: self.index,
+            renewal_index: self.index,
             candidate: open.candidate,
             ..wire::Session::default()
         };
@@ -86,18 +86,18 @@
     }
 
     /// A departed gateway is back. An earlier incarnation of it reports no more; the same one goes on with its counts.
-    fn gateway_returned(&mut self, open: &wire::Open) {
+    fn gateway_returned(&mut self, open: &wire::OpenSession) {
         let departed = self.departed.remove(&open.gateway);
         if let Some(departed) = departed.filter(|d| d.incarnation != open.incarnation) {
             self.ended_incarnations.insert(departed.incarnation);
         }
     }
 
-    pub(super) fn renew_sessions(&mut self, renew: &wire::Renew) -> CommandResponse {
+    pub(super) fn renew_sessions(&mut self, renew: &wire::RenewSessions) -> CommandResponse {
         for renewed in &renew.sessions {
             if let Some(session) = self.sessions.get_mut(&SessionId(renewed.session)) {
-                session.renewed = self.index;
-                session.applied = session.applied.max(renewed.applied);
+                session.renewal_index = self.index;
+                session.applied_version = session.applied_version.max(renewed.applied_version);
             }
         }
         done()
@@ -114,9 +114,9 @@
     }
 
     /// A session was not renewed for longer than its gateway relies on its lease.
-    pub(super) fn expire_session(&mut self, expiry: &wire::Lapse) -> CommandResponse {
+    pub(super) fn expire_session(&mut self, expiry: &wire::ExpireSession) -> CommandResponse {
         let id = SessionId(expiry.session);
-        let is_due = |session: &wire::Session| session.renewed == expiry.renewed;
+        let is_due = |session: &wire::Session| session.renewal_index == expiry.renewal_index;
         if !self.sessions.get(&id).is_some_and(is_due) {
             return rejected(ResponseCode::Changed, "renewed since, or gone");
         }
@@ -146,7 +146,7 @@
     fn gateway_departed(&mut self, session: wire::Session) {
         let departed = DepartedGateway {
             gateway: session.gateway.clone(),
-            applied: session.applied,
+            applied_version: session.applied_version,
             ended_ms: self.time_ms,
             incarnation: session.incarnation,
         };
--- a/crates/coordinator/src/state/site_overrides.rs
+++ b/crates/coordinator/src/state/site_overrides.rs
@@ -6,14 +6,14 @@
 /// Sites with an override.
 const MAX_SITES: usize = 64;
 /// What an operator can ask for.
-const KINDS: [&str; 3] = ["hold", "drain", "let-back"];
+const ACTIONS: [&str; 3] = ["hold", "drain", "let-back"];
 
 impl ReplicatedState {
-    pub(super) fn override_site(&mut self, request: &wire::Word) -> CommandResponse {
-        if !KINDS.contains(&request.word.as_str()) {
+    pub(super) fn override_site(&mut self, request: &wire::OverrideSite) -> CommandResponse {
+        if !ACTIONS.contains(&request.action.as_str()) {
             let reason = format!(
                 "word: expected hold, drain or let-back, found '{}'",
-                request.word
+                request.action
             );
             return rejected(ResponseCode::Refused, reason);
         }
@@ -26,7 +26,7 @@
         }
         let site_override = SiteOverride {
             site: request.site.clone(),
-            word: request.word.clone(),
+            action: request.action.clone(),
             changed: self.next_version(),
             published: false,
         };
@@ -36,12 +36,15 @@
     }
 
     /// The election's leader publishes overrides up to a version of the state.
-    pub(super) fn publish_site_overrides(&mut self, publish: &wire::Publish) -> CommandResponse {
+    pub(super) fn publish_site_overrides(
+        &mut self,
+        publish: &wire::PublishOverrides,
+    ) -> CommandResponse {
         if let Err(stale) = self.check_leader(SITE_OVERRIDES, publish.token) {
             return stale;
         }
         for site_override in self.site_overrides.values_mut() {
-            if site_override.published || site_override.changed > publish.upto {
+            if site_override.published || site_override.changed > publish.up_to_version {
                 continue;
             }
             self.version += 1;
--- a/crates/coordinator/src/state/snapshot.rs
+++ b/crates/coordinator/src/state/snapshot.rs
@@ -60,26 +60,26 @@
             index: self.index,
             version: self.version,
             time_ms: self.time_ms,
-            next_session: self.last_session.0,
-            next_proposal: self.last_proposal,
+            last_session: self.last_session.0,
+            last_proposal: self.last_proposal,
             sessions: self.sessions.values().cloned().collect(),
-            duties: self.elections.values().cloned().collect(),
+            elections: self.elections.values().cloned().collect(),
             rules: self.rules.values().cloned().collect(),
             departed: self.departed.values().cloned().collect(),
-            admitted: self.contracts.values().cloned().collect(),
-            spoken: self.versions_to_wire(),
+            contracts: self.contracts.values().cloned().collect(),
+            versions_in_use: self.versions_to_wire(),
             proposals: self.proposals.values().cloned().collect(),
             verdicts: self.verdicts.values().cloned().collect(),
-            words: self.site_overrides.values().cloned().collect(),
+            site_overrides: self.site_overrides.values().cloned().collect(),
             hits: self.hits_to_wire(),
-            recents: self.recent_calls_to_wire(),
-            answered: self.callers.to_wire(),
-            removed: self.removed_rules.iter().cloned().collect(),
+            recent_calls: self.recent_calls_to_wire(),
+            callers: self.callers.to_wire(),
+            removed_rules: self.removed_rules.iter().cloned().collect(),
             removed_before: self.removed_before,
             configuration: self.configuration,
             members: self.members.values().copied().collect(),
-            speakers: self.contract_revision,
-            span_ms: self.recent_span_start_ms,
+            contract_revision: self.contract_revision,
+            recent_span_start_ms: self.recent_span_start_ms,
             forgotten_at: self.callers.forgotten_at(),
             cluster: self.cluster,
         }
@@ -91,7 +91,7 @@
     /// See [`SnapshotError`].
     pub fn from_snapshot(snapshot: &StateSnapshot) -> Result<ReplicatedState, SnapshotError> {
         check_rule_sets(&snapshot.rules)?;
-        let callers = CallerRecords::from_wire(&snapshot.answered, snapshot.forgotten_at)
+        let callers = CallerRecords::from_wire(&snapshot.callers, snapshot.forgotten_at)
             .ok_or(SnapshotError::Responses)?;
         let mut state = ReplicatedState {
             index: snapshot.index,
@@ -99,54 +99,54 @@
             time_ms: snapshot.time_ms,
             cluster: snapshot.cluster,
             configuration: snapshot.configuration,
-            members: by_key(&snapshot.members, |member| ReplicaId(member.pid)),
-            last_session: SessionId(snapshot.next_session),
+            members: by_key(&snapshot.members, |member| ReplicaId(member.id)),
+            last_session: SessionId(snapshot.last_session),
             sessions: by_key(&snapshot.sessions, |session| SessionId(session.id)),
             departed: by_key(&snapshot.departed, |departed| departed.gateway.clone()),
-            elections: by_key(&snapshot.duties, |election| election.name.clone()),
+            elections: by_key(&snapshot.elections, |election| election.name.clone()),
             rules: by_key(&snapshot.rules, customer_of),
             rule_count: snapshot.rules.iter().map(rules_in).sum(),
-            removed_rules: snapshot.removed.iter().cloned().collect(),
+            removed_rules: snapshot.removed_rules.iter().cloned().collect(),
             removed_before: snapshot.removed_before,
-            contracts: by_key(&snapshot.admitted, |admitted| {
+            contracts: by_key(&snapshot.contracts, |admitted| {
                 key_of(&admitted.contract.clone().unwrap_or_default())
             }),
-            contract_revision: snapshot.speakers,
-            last_proposal: snapshot.next_proposal,
+            contract_revision: snapshot.contract_revision,
+            last_proposal: snapshot.last_proposal,
             proposals: by_key(&snapshot.proposals, |proposal| proposal.id),
             verdicts: by_key(&snapshot.verdicts, |verdict| verdict.proposal),
-            site_overrides: by_key(&snapshot.words, |o| o.site.clone()),
-            recent_span_start_ms: snapshot.span_ms,
+            site_overrides: by_key(&snapshot.site_overrides, |o| o.site.clone()),
+            recent_span_start_ms: snapshot.recent_span_start_ms,
             callers,
             ..ReplicatedState::default()
         };
-        state.restore_recent_calls(&snapshot.recents);
-        state.restore_versions(&snapshot.spoken);
+        state.restore_recent_calls(&snapshot.recent_calls);
+        state.restore_versions(&snapshot.versions_in_use);
         state.restore_hits(&snapshot.hits);
         Ok(state)
     }
 
     // ---- recent calls ----
 
-    fn recent_calls_to_wire(&self) -> Vec<wire::RecentOf> {
+    fn recent_calls_to_wire(&self) -> Vec<wire::RecentCalls> {
         let recent_calls = self.recent_calls.iter();
         recent_calls
-            .map(|(customer, recent)| wire::RecentOf {
+            .map(|(customer, recent)| wire::RecentCalls {
                 customer: customer.clone(),
-                now: recent.current().iter().map(calls_to_wire).collect(),
-                before: recent.previous().iter().map(calls_to_wire).collect(),
+                current: recent.current().iter().map(calls_to_wire).collect(),
+                previous: recent.previous().iter().map(calls_to_wire).collect(),
             })
             .collect()
     }
 
-    fn restore_recent_calls(&mut self, list: &[wire::RecentOf]) {
+    fn restore_recent_calls(&mut self, list: &[wire::RecentCalls]) {
         for stored in list {
             let mut recent = CallHistory::default();
-            for calls in &stored.before {
+            for calls in &stored.previous {
                 recent.record(call_kind(calls), calls.count);
             }
             recent.start_period();
-            for calls in &stored.now {
+            for calls in &stored.current {
                 recent.record(call_kind(calls), calls.count);
             }
             self.recent_calls.insert(stored.customer.clone(), recent);
@@ -155,14 +155,14 @@
 
     // ---- versions in use ----
 
-    fn versions_to_wire(&self) -> Vec<wire::SpokenVersion> {
+    fn versions_to_wire(&self) -> Vec<wire::VersionInUse> {
         let services = self.versions_in_use.iter();
         services
             .flat_map(|(service, in_use)| service_versions_to_wire(service, in_use))
             .collect()
     }
 
-    fn restore_versions(&mut self, list: &[wire::SpokenVersion]) {
+    fn restore_versions(&mut self, list: &[wire::VersionInUse]) {
         for version in list {
             let in_use = self
                 .versions_in_use
@@ -174,7 +174,7 @@
 
     // ---- hits ----
 
-    fn hits_to_wire(&self) -> Vec<wire::HitsOf> {
+    fn hits_to_wire(&self) -> Vec<wire::IncarnationHits> {
         let mut lines: BTreeMap<u64, Vec<wire::HitLine>> = BTreeMap::new();
         for (customer, totals) in &self.hits {
             let line = |(key, count): (&RuleVersion, &u64)| wire::HitLine {
@@ -195,7 +195,7 @@
         }
         lines
             .into_iter()
-            .map(|(incarnation, lines)| wire::HitsOf {
+            .map(|(incarnation, lines)| wire::IncarnationHits {
                 incarnation,
                 lines,
                 ended: self.ended_incarnations.contains(&incarnation),
@@ -203,7 +203,7 @@
             .collect()
     }
 
-    fn restore_hits(&mut self, list: &[wire::HitsOf]) {
+    fn restore_hits(&mut self, list: &[wire::IncarnationHits]) {
         for hits in list {
             if hits.ended {
                 self.ended_incarnations.insert(hits.incarnation);
@@ -248,8 +248,8 @@
 }
 
 /// The customer is that of the list in which it is stored.
-fn calls_to_wire((kind, count): (&CallKind, &u64)) -> wire::SeenKind {
-    wire::SeenKind {
+fn calls_to_wire((kind, count): (&CallKind, &u64)) -> wire::CallCount {
+    wire::CallCount {
         customer: String::new(),
         caller_region: kind.caller_region.clone(),
         gateway_region: kind.gateway_region.clone(),
@@ -269,9 +269,9 @@
     time_ms.checked_sub(1)
 }
 
-fn service_versions_to_wire(service: &str, in_use: &Spoken) -> Vec<wire::SpokenVersion> {
+fn service_versions_to_wire(service: &str, in_use: &Spoken) -> Vec<wire::VersionInUse> {
     let names: BTreeSet<&String> = in_use.uses.keys().chain(in_use.retired.keys()).collect();
-    let use_to_wire = |(customer, version_use): (&String, &Use)| wire::Use {
+    let use_to_wire = |(customer, version_use): (&String, &Use)| wire::VersionUse {
         customer: customer.clone(),
         declared: version_use.declared,
         calls: version_use.calls,
@@ -280,7 +280,7 @@
     };
     let version_to_wire = |name: &String| {
         let uses = in_use.uses.get(name).into_iter().flatten();
-        wire::SpokenVersion {
+        wire::VersionInUse {
             service: service.to_string(),
             version: name.clone(),
             uses: uses.map(use_to_wire).collect(),
@@ -290,7 +290,7 @@
     names.into_iter().map(version_to_wire).collect()
 }
 
-fn restore_version(in_use: &mut Spoken, version: &wire::SpokenVersion) {
+fn restore_version(in_use: &mut Spoken, version: &wire::VersionInUse) {
     if let Some(retired_ms) = optional_from_wire(version.retired_ms) {
         in_use.retired.insert(version.version.clone(), retired_ms);
     }
--- a/crates/coordinator/src/state/version_use.rs
+++ b/crates/coordinator/src/state/version_use.rs
@@ -16,7 +16,7 @@
     }
 
     /// Gateways saw calls of a version.
-    pub(super) fn record_version_use(&mut self, calls: &wire::Spoke) {
+    pub(super) fn record_version_use(&mut self, calls: &wire::VersionCalls) {
         if self.is_full_for_service(&calls.service) {
             return;
         }
@@ -60,7 +60,7 @@
             .declare(
                 &subscribe.version,
                 &subscribe.customer,
-                !subscribe.gone,
+                !subscribe.cancelled,
                 repeats_ms,
             );
         done()
--- a/crates/coordinator/src/state/watch.rs
+++ b/crates/coordinator/src/state/watch.rs
@@ -26,28 +26,28 @@
             version: self.version,
             whole,
             rules: self.rules_changed_since(since),
-            rules_gone: if whole {
+            removed_rules: if whole {
                 Vec::new()
             } else {
                 self.rules_removed_since(since)
             },
-            duties: self
+            elections: self
                 .elections
                 .values()
                 .filter(|election| election.changed > since)
                 .cloned()
                 .collect(),
             contracts: admitted.into_iter().map(name_of).collect(),
-            retired: retired.into_iter().map(retired_name).collect(),
-            words: self
+            retired_contracts: retired.into_iter().map(retired_name).collect(),
+            site_overrides: self
                 .site_overrides
                 .values()
                 .filter(|o| o.published && o.changed > since)
                 .cloned()
                 .collect(),
-            proposals: pending.proposals,
-            unfolded: pending.unfolded_hits,
-            unpublished: pending.unpublished_overrides,
+            has_proposals: pending.proposals,
+            has_unfolded_hits: pending.unfolded_hits,
+            has_unpublished_overrides: pending.unpublished_overrides,
             cluster: self.cluster,
             since,
         }
--- a/crates/coordinator/src/storage/mod.rs
+++ b/crates/coordinator/src/storage/mod.rs
@@ -63,7 +63,7 @@
 impl From<&wire::Member> for ConfigurationMember {
     fn from(member: &wire::Member) -> ConfigurationMember {
         ConfigurationMember {
-            id: ReplicaId(member.pid),
+            id: ReplicaId(member.id),
             slot: Slot(member.slot),
             incarnation: member.incarnation,
         }
@@ -74,7 +74,7 @@
     /// This member as a message; what else the message holds is taken from `other`.
     pub fn to_wire(self, other: wire::Member) -> wire::Member {
         wire::Member {
-            pid: self.id.0,
+            id: self.id.0,
             slot: self.slot.0,
             incarnation: self.incarnation,
             ..other
--- a/crates/coordinator/tests/session_client.rs
+++ b/crates/coordinator/tests/session_client.rs
@@ -12,8 +12,8 @@
     Timestamp::from_millis(millis)
 }
 
-fn open() -> wire::Open {
-    wire::Open {
+fn open() -> wire::OpenSession {
+    wire::OpenSession {
         gateway: "g".into(),
         site: "north".into(),
         incarnation: 7,
@@ -33,7 +33,7 @@
 
 fn message(event: WatchEvent) -> ServerMessage {
     ServerMessage {
-        news: Some(event),
+        event: Some(event),
         ..ServerMessage::default()
     }
 }
@@ -47,7 +47,7 @@
         ServerMessage {
             session: 5,
             lease_us: 6_000_000,
-            drift: 10_000,
+            drift_ppm: 10_000,
             ..message(event(10, 0))
         },
     );
@@ -55,7 +55,7 @@
     session.receive(
         now,
         ServerMessage {
-            granted: 1,
+            granted_renewal: 1,
             ..ServerMessage::default()
         },
     );
@@ -69,8 +69,8 @@
     messages
         .iter()
         .rev()
-        .find_map(|message| match &message.what {
-            Some(ClientMessageKind::Renewal(renewal)) => Some(renewal.applied),
+        .find_map(|message| match &message.kind {
+            Some(ClientMessageKind::Renewal(renewal)) => Some(renewal.applied_version),
             _ => None,
         })
 }
@@ -87,7 +87,7 @@
         said_hello |= session
             .take_messages()
             .iter()
-            .any(|message| matches!(message.what, Some(ClientMessageKind::Hello(_))));
+            .any(|message| matches!(message.kind, Some(ClientMessageKind::Hello(_))));
     }
     assert!(
         said_hello,
@@ -158,7 +158,7 @@
         ServerMessage {
             session: 5,
             lease_us: 6_000_000,
-            drift: 10_000,
+            drift_ppm: 10_000,
             ..Default::default()
         },
     );
@@ -171,14 +171,14 @@
     let mut session = with_valid_session(at_ms(0));
     let election = Election {
         name: "tally".into(),
-        holder: 5,
+        leader: 5,
         token: 9,
         ..Election::default()
     };
     session.receive(
         at_ms(10),
         message(WatchEvent {
-            duties: vec![election.clone()],
+            elections: vec![election.clone()],
             ..event(11, 10)
         }),
     );
@@ -186,19 +186,19 @@
     session.resign();
     session.resign();
     let opens = session.take_messages().into_iter().filter(|message| {
-        matches!(&message.what, Some(ClientMessageKind::Command(command)) if matches!(&command.what,
-            Some(CommandKind::Open(open)) if !open.candidate))
+        matches!(&message.kind, Some(ClientMessageKind::Command(command)) if matches!(&command.kind,
+            Some(CommandKind::OpenSession(open)) if !open.candidate))
     });
     assert_eq!(opens.count(), 1);
     let moved = Election {
-        holder: 6,
+        leader: 6,
         token: 10,
         ..election
     };
     session.receive(
         at_ms(20),
         message(WatchEvent {
-            duties: vec![moved],
+            elections: vec![moved],
             ..event(12, 11)
         }),
     );
@@ -219,8 +219,8 @@
         ..CommandResponse::default()
     };
     let ended = ServerMessage {
-        ended: true,
-        answer: Some(rejection),
+        session_ended: true,
+        response: Some(rejection),
         ..ServerMessage::default()
     };
     let incarnation = |session: &mut SessionClient| {
@@ -228,7 +228,7 @@
         let hello = session
             .take_messages()
             .into_iter()
-            .find_map(|message| match message.what {
+            .find_map(|message| match message.kind {
                 Some(ClientMessageKind::Hello(hello)) => hello.open,
                 _ => None,
             });
--- a/crates/coordinator/tests/session_state.rs
+++ b/crates/coordinator/tests/session_state.rs
@@ -17,13 +17,13 @@
         self.state.apply(&wire::Command {
             caller: 1,
             number: self.last_number,
-            what: Some(kind),
+            kind: Some(kind),
             ..wire::Command::default()
         })
     }
     fn open(&mut self, incarnation: u64) -> CommandResponse {
         let (gateway, site) = ("g".to_string(), "north".to_string());
-        self.submit(CommandKind::Open(wire::Open {
+        self.submit(CommandKind::OpenSession(wire::OpenSession {
             gateway,
             site,
             incarnation,
@@ -35,8 +35,11 @@
             .state
             .session(SessionId(session))
             .expect("it is open")
-            .renewed;
-        self.submit(CommandKind::Lapse(wire::Lapse { session, renewed }));
+            .renewal_index;
+        self.submit(CommandKind::ExpireSession(wire::ExpireSession {
+            session,
+            renewal_index: renewed,
+        }));
     }
     fn report(&mut self, session: u64, count: u64) {
         let line = wire::HitLine {
@@ -58,7 +61,7 @@
             .elections()
             .find(|election| election.name == HIT_TOTALS)
             .map_or(0, |d| d.token);
-        self.submit(CommandKind::Fold(wire::Fold { token }));
+        self.submit(CommandKind::FoldHits(wire::FoldHits { token }));
     }
     fn hits(&self) -> u64 {
         self.state.hit_lines("c").iter().map(|l| l.count).sum()
@@ -68,16 +71,16 @@
 #[test]
 fn hits_of_an_incarnation_that_expired_and_is_back_count_once_whatever_an_earlier_one_sends() {
     let mut state = State::default();
-    state.submit(CommandKind::Ensure(wire::Ensure {
-        duty: HIT_TOTALS.into(),
+    state.submit(CommandKind::EnsureElection(wire::EnsureElection {
+        election: HIT_TOTALS.into(),
     }));
-    let other = wire::Open {
+    let other = wire::OpenSession {
         gateway: "h".into(),
         site: "south".into(),
         incarnation: 5,
         candidate: true,
     };
-    state.submit(CommandKind::Open(other));
+    state.submit(CommandKind::OpenSession(other));
     let first = state.open(20).id;
     state.report(first, 10);
     state.expire(first);
--- a/crates/coordinator/tests/simulation/gateways.rs
+++ b/crates/coordinator/tests/simulation/gateways.rs
@@ -53,7 +53,7 @@
         let node = &mut self.gateways[gateway];
         node.life += 1;
         let settings = AgentSettings {
-            open: wire::Open {
+            open: wire::OpenSession {
                 gateway: format!("g{gateway}"),
                 site: SITES[gateway % SITES.len()].into(),
                 incarnation: (gateway as u64 + 1) << 20 | node.life,
--- a/crates/coordinator/tests/simulation/operators.rs
+++ b/crates/coordinator/tests/simulation/operators.rs
@@ -47,9 +47,9 @@
 
 fn command_of(operator: usize) -> CommandKind {
     if operator != PROPOSER {
-        return CommandKind::Word(wire::Word {
+        return CommandKind::OverrideSite(wire::OverrideSite {
             site: "north".into(),
-            word: "hold".into(),
+            action: "hold".into(),
         });
     }
     let set = wire::RuleSet {
@@ -59,7 +59,7 @@
         ..wire::RuleSet::default()
     };
     CommandKind::Propose(wire::Propose {
-        what: Some(wire::propose::What::Rules(set)),
+        proposed: Some(wire::propose::Proposed::Rules(set)),
         force: true,
     })
 }
@@ -79,7 +79,7 @@
         }
         if let Some(proposal) = node.watched_proposal {
             let request = ReadRequest {
-                what: ReadKind::Verdict as i32,
+                kind: ReadKind::Verdict as i32,
                 proposal,
                 ..ReadRequest::default()
             };
@@ -89,8 +89,8 @@
         let command = wire::Command {
             caller: node.caller,
             number: node.last_number,
-            begun: 0,
-            what: Some(command_of(operator)),
+            begun_version: 0,
+            kind: Some(command_of(operator)),
             ..wire::Command::default()
         };
         node.begun = now;
--- a/crates/grpc-gateway/src/keepers.rs
+++ b/crates/grpc-gateway/src/keepers.rs
@@ -96,7 +96,7 @@
                 (Some(cache_file), state)
             }
         };
-        let open = wire::Open {
+        let open = wire::OpenSession {
             gateway: set.name.clone(),
             site: zone.to_string(),
             incarnation: incarnation(now),
@@ -168,7 +168,7 @@
         loop {
             match self.deframer.next(MOST) {
                 Ok(None) => return,
-                Ok(Some(message)) => match wire::Down::decode(&message[..]) {
+                Ok(Some(message)) => match wire::ServerMessage::decode(&message[..]) {
                     Ok(down) => self.agent.receive(now(engine), down),
                     Err(_) => return self.lost(engine),
                 },
@@ -181,7 +181,7 @@
         }
     }
 
-    fn keep(&mut self, now: u64, news: &wire::News) {
+    fn keep(&mut self, now: u64, news: &wire::WatchEvent) {
         let Some(cache_file) = &mut self.cache_file else {
             return;
         };
@@ -234,7 +234,7 @@
     fn status(&self, now: u64) -> KeepersStatus {
         let (session, access) = (self.agent.session(), self.agent.access());
         let now = Timestamp::from_micros(now);
-        let leads = |d: &wire::Duty| Some((d.name.clone(), session.leads(&d.name, now)?.0));
+        let leads = |d: &wire::Election| Some((d.name.clone(), session.leads(&d.name, now)?.0));
         let mut sets: Vec<(String, u64)> = access
             .customers()
             .filter_map(|c| Some((c.to_string(), access.get(c)?.set().version)))
@@ -448,9 +448,9 @@
         };
         let now = engine.now();
         if keepers.keep_at.is_some_and(|at| now >= at) {
-            let whole = wire::News {
+            let whole = wire::WatchEvent {
                 whole: true,
-                ..wire::News::default()
+                ..wire::WatchEvent::default()
             };
             keepers.keep(now, &whole);
         }
@@ -499,7 +499,7 @@
                     self.take_list(listed);
                 }
             }
-            AgentAction::ApplySiteOverride(word) => self.site_word(&word.site, &word.word),
+            AgentAction::ApplySiteOverride(word) => self.site_word(&word.site, &word.action),
         }
     }
 
