--- a/crates/coordinator/src/state/reads.rs
+++ b/crates/coordinator/src/state/reads.rs
@@ -3,7 +3,7 @@
 use super::{rules, ReplicatedState};
 use crate::protocol::{wire, ReadKind, ReadRequest, ReadResponse};
 use chalkdeck_access::DryRun;
-use chalkdeck_contract::Spoken;
+use chalkdeck_contract::{VersionUse, VersionsInUse};
 
 impl ReplicatedState {
     /// Answers a read. `unused_after_ms`: a version counts as unused after so long without a call.
@@ -39,7 +39,7 @@
         response.elections = self.elections.values().cloned().collect();
         response.departed = self.departed.values().cloned().collect();
         for (service, in_use) in &self.versions_in_use {
-            let returned = in_use.back().into_iter();
+            let returned = in_use.called_after_retirement().into_iter();
             response
                 .returned_versions
                 .extend(returned.map(|version| format!("{service} {version}")));
@@ -105,15 +105,14 @@
     }
 }
 
-fn versions_to_wire(service: &str, in_use: &Spoken) -> Vec<wire::VersionInUse> {
-    let use_to_wire =
-        |(customer, version_use): (&String, &chalkdeck_contract::Use)| wire::VersionUse {
-            customer: customer.clone(),
-            declared: version_use.declared,
-            calls: version_use.calls,
-            last_ms: version_use.last_ms.unwrap_or(0),
-            repeats_ms: version_use.repeats_ms.unwrap_or(0),
-        };
+fn versions_to_wire(service: &str, in_use: &VersionsInUse) -> Vec<wire::VersionInUse> {
+    let use_to_wire = |(customer, version_use): (&String, &VersionUse)| wire::VersionUse {
+        customer: customer.clone(),
+        declared: version_use.is_declared,
+        calls: version_use.calls,
+        last_ms: version_use.last_call_ms.unwrap_or(0),
+        repeats_ms: version_use.longest_retry_ms.unwrap_or(0),
+    };
     let versions = in_use.uses.iter();
     versions
         .map(|(version, uses)| wire::VersionInUse {
