--- a/crates/cli/src/contract.rs
+++ b/crates/cli/src/contract.rs
@@ -1,51 +1,24 @@
-//! `chalkdeck contract`: versions of services, who speaks them, and whether a new one breaks them.
+//! `chalkdeck contract`: versions of services, which customers use them, and whether a new version is incompatible with them.
 
-use crate::coordinator::ReplicaArgs;
+use crate::errors::ProposedContractError;
 use crate::failure::Failure;
-use crate::rules::{propose, read};
+use crate::proposal;
+use crate::replica_args::ReplicaArgs;
 use chalkdeck_coordinator::registrar::contract_version;
 use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
-use clap::Subcommand;
+use clap::{Args, Subcommand};
 use prost::Message;
 use std::path::{Path, PathBuf};
 use wire::command::Kind as CommandKind;
 use wire::read_request::Kind as ReadKind;
 
-const MESSAGE: &str = "chalkdeck.keeper.v1.Contract";
+/// Full name of the message that describes a contract.
+const CONTRACT_MESSAGE: &str = "chalkdeck.keeper.v1.Contract";
 
-/// Why a version cannot be proposed.
-#[derive(Debug, thiserror::Error, miette::Diagnostic)]
-pub enum ContractError {
-    /// The schema does not compile.
-    #[error("{file}: {what}")]
-    #[diagnostic(
-        code(chalkdeck::contract::schema),
-        help("see the named file and line; --include names the folders that imports start at")
-    )]
-    Schema {
-        /// Its path.
-        file: String,
-        /// What the compiler says.
-        what: String,
-    },
-    /// The version is not sound by itself.
-    #[error("{file}: {source}")]
-    #[diagnostic(
-        code(chalkdeck::contract::wrong),
-        help("docs/contracts.md has each field; every method wants a promise")
-    )]
-    Wrong {
-        /// Its path.
-        file: String,
-        /// What is wrong.
-        source: chalkdeck_coordinator::registrar::ContractError,
-    },
-}
-
-/// What is done.
+/// Subcommands of `chalkdeck contract`.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Propose a version; it is admitted if it breaks none that is still spoken
+    /// Propose a version; it is admitted if it is compatible with all versions in use
     Propose {
         /// Protobuf text of chalkdeck.keeper.v1.Contract: service, version, promises of each method
         file: PathBuf,
@@ -58,24 +31,9 @@
         #[command(flatten)]
         to: ReplicaArgs,
     },
-    /// Say that a customer speaks a version, whether or not it calls now
-    Subscribe {
-        /// The customer
-        customer: String,
-        /// The service, with its package
-        service: String,
-        /// The version
-        version: String,
-        /// How long it goes on repeating a call, in milliseconds
-        #[arg(long, default_value_t = 0)]
-        repeats_ms: u64,
-        /// It no longer does
-        #[arg(long)]
-        gone: bool,
-        #[command(flatten)]
-        to: ReplicaArgs,
-    },
-    /// Say that a version counts as spoken no more, whoever called it until now
+    /// Declare that a customer uses a version, whether or not it calls now
+    Subscribe(SubscribeArgs),
+    /// Declare that a version is no longer in use, whoever called it until now
     Retire {
         /// The service, with its package
         service: String,
@@ -84,7 +42,7 @@
         #[command(flatten)]
         to: ReplicaArgs,
     },
-    /// Versions of a service, and who speaks them
+    /// Show the versions of a service, and which customers use them
     Spoken {
         /// The service; all if none is given
         service: Option<String>,
@@ -93,7 +51,26 @@
     },
 }
 
-/// Runs it.
+/// Arguments of `chalkdeck contract subscribe`.
+#[derive(Args)]
+pub struct SubscribeArgs {
+    /// The customer
+    customer: String,
+    /// The service, with its package
+    service: String,
+    /// The version
+    version: String,
+    /// How long it goes on retrying a call, in milliseconds
+    #[arg(long, default_value_t = 0)]
+    repeats_ms: u64,
+    /// It no longer does
+    #[arg(long)]
+    gone: bool,
+    #[command(flatten)]
+    to: ReplicaArgs,
+}
+
+/// Runs a subcommand.
 pub fn run(command: &Command) -> Result<(), Failure> {
     match command {
         Command::Propose {
@@ -101,78 +78,65 @@
             proto,
             include,
             to,
-        } => {
-            let contract = contract(file, proto.as_deref(), include)?;
-            let what = Some(wire::propose::Proposed::Contract(contract));
-            propose(
-                to,
-                wire::Propose {
-                    proposed: what,
-                    force: false,
-                },
-            )
-        }
-        Command::Subscribe {
-            customer,
-            service,
-            version,
-            repeats_ms,
-            gone,
-            to,
-        } => {
-            let subscribe = wire::Subscribe {
-                customer: customer.clone(),
-                service: service.clone(),
-                version: version.clone(),
-                cancelled: *gone,
-                repeats_ms: *repeats_ms,
-            };
-            to.client()?
-                .submit(CommandKind::Subscribe(subscribe), to.timeout())?;
-            println!("taken");
-            Ok(())
-        }
+        } => propose(&read_contract(file, proto.as_deref(), include)?, to),
+        Command::Subscribe(args) => subscribe(args),
         Command::Retire {
             service,
             version,
             to,
-        } => {
-            let retire = wire::RetireVersion {
-                service: service.clone(),
-                version: version.clone(),
-            };
-            to.client()?
-                .submit(CommandKind::RetireVersion(retire), to.timeout())?;
-            println!("retired; calls that still come are shown as 'retired and called again'");
-            Ok(())
+        } => retire(service, version, to),
+        Command::Spoken { service, to } => {
+            print_versions_in_use(service.as_deref().unwrap_or(""), to)
         }
-        Command::Spoken { service, to } => spoken(service.as_deref().unwrap_or(""), to),
     }
 }
 
-fn contract(
+fn propose(contract: &wire::Contract, to: &ReplicaArgs) -> Result<(), Failure> {
+    let propose = wire::Propose {
+        proposed: Some(wire::propose::Proposed::Contract(contract.clone())),
+        force: false,
+    };
+    proposal::submit(to, propose)
+}
+
+fn subscribe(args: &SubscribeArgs) -> Result<(), Failure> {
+    let subscribe = wire::Subscribe {
+        customer: args.customer.clone(),
+        service: args.service.clone(),
+        version: args.version.clone(),
+        cancelled: args.gone,
+        repeats_ms: args.repeats_ms,
+    };
+    let mut client = args.to.client()?;
+    client.submit(CommandKind::Subscribe(subscribe), args.to.timeout())?;
+    println!("taken");
+    Ok(())
+}
+
+fn retire(service: &str, version: &str, to: &ReplicaArgs) -> Result<(), Failure> {
+    let retire = wire::RetireVersion {
+        service: service.to_string(),
+        version: version.to_string(),
+    };
+    let mut client = to.client()?;
+    client.submit(CommandKind::RetireVersion(retire), to.timeout())?;
+    println!("retired; calls that still come are shown as 'retired and called again'");
+    Ok(())
+}
+
+/// Reads a contract, with the descriptors of a schema if one is given.
+fn read_contract(
     path: &Path,
-    proto: Option<&Path>,
+    schema: Option<&Path>,
     include: &[PathBuf],
 ) -> Result<wire::Contract, Failure> {
-    let mut contract: wire::Contract = read(MESSAGE, path)?;
-    if let Some(proto) = proto {
-        let own = [proto.parent().unwrap_or(Path::new(".")).to_path_buf()];
-        let include = if include.is_empty() {
-            &own[..]
-        } else {
-            include
-        };
-        let file = proto.display().to_string();
-        let set = protox::compile([proto], include).map_err(|e| ContractError::Schema {
-            file,
-            what: e.to_string(),
-        })?;
-        contract.descriptors = set.encode_to_vec();
+    let mut contract: wire::Contract = proposal::read_text(CONTRACT_MESSAGE, path)?;
+    if let Some(schema) = schema {
+        contract.descriptors = compile(schema, include)?;
     }
     match contract_version(&contract) {
         Ok(_) => Ok(contract),
-        Err(source) => Err(ContractError::Wrong {
+        Err(source) => Err(ProposedContractError::Wrong {
             file: path.display().to_string(),
             source,
         }
@@ -180,36 +144,58 @@
     }
 }
 
-fn spoken(service: &str, to: &ReplicaArgs) -> Result<(), Failure> {
+/// The encoded descriptors of a schema and its imports.
+fn compile(schema: &Path, include: &[PathBuf]) -> Result<Vec<u8>, ProposedContractError> {
+    let own_folder = [schema.parent().unwrap_or(Path::new(".")).to_path_buf()];
+    let include = if include.is_empty() {
+        &own_folder[..]
+    } else {
+        include
+    };
+    let compiled = protox::compile([schema], include);
+    let descriptors = compiled.map_err(|error| ProposedContractError::Schema {
+        file: schema.display().to_string(),
+        what: error.to_string(),
+    })?;
+    Ok(descriptors.encode_to_vec())
+}
+
+fn print_versions_in_use(service: &str, to: &ReplicaArgs) -> Result<(), Failure> {
     let request = wire::ReadRequest {
         kind: ReadKind::Spoken as i32,
         service: service.into(),
         ..wire::ReadRequest::default()
     };
-    let answer = to.client()?.read(&request, to.timeout())?;
-    for admitted in &answer.contracts {
-        let c = admitted.contract.clone().unwrap_or_default();
+    let response = to.client()?.read(&request, to.timeout())?;
+    for admitted in &response.contracts {
+        let contract = admitted.contract.clone().unwrap_or_default();
         let state = if admitted.retired {
             "retired"
         } else {
             "admitted"
         };
-        println!("{} {} {state}", c.service, c.version);
+        println!("{} {} {state}", contract.service, contract.version);
     }
-    for version in &answer.versions_in_use {
-        for u in &version.uses {
-            let word = if u.declared { "subscribes" } else { "seen" };
-            let ago = answer.time_ms.saturating_sub(u.last_ms) / 1_000;
-            let last = if u.last_ms > 0 {
-                format!(", last {ago} s ago")
-            } else {
-                String::new()
-            };
-            println!(
-                "{} {} {}: {word}, {} calls{last}",
-                version.service, version.version, u.customer, u.calls
-            );
+    for version in &response.versions_in_use {
+        for usage in &version.uses {
+            let name = format!("{} {}", version.service, version.version);
+            println!("{name} {}", describe_use(usage, response.time_ms));
         }
     }
     Ok(())
 }
+
+/// The customer that uses a version, since when and how much.
+fn describe_use(usage: &wire::VersionUse, now_ms: u64) -> String {
+    let kind = if usage.declared { "subscribes" } else { "seen" };
+    let last_call = if usage.last_ms > 0 {
+        let seconds_ago = now_ms.saturating_sub(usage.last_ms) / 1_000;
+        format!(", last {seconds_ago} s ago")
+    } else {
+        String::new()
+    };
+    format!(
+        "{}: {kind}, {} calls{last_call}",
+        usage.customer, usage.calls
+    )
+}
--- a/crates/cli/src/coordinator.rs
+++ b/crates/cli/src/coordinator.rs
@@ -1,7 +1,7 @@
 //! `chalkdeck coordinator`: a replica of the fleet's coordinator, the status of all, and operators' overrides of sites.
 
 use crate::failure::Failure;
-use chalkdeck_coordinator::client::CoordinatorClient;
+use crate::replica_args::ReplicaArgs;
 use chalkdeck_coordinator::protocol::{wire, CommandKind, ReadKind, ReadRequest, ReadResponse};
 use chalkdeck_coordinator::replica::StartMode;
 use chalkdeck_coordinator::server::ReplicaServer;
@@ -10,36 +10,13 @@
 use chalkdeck_net::signals::Signals;
 use chalkdeck_testbed::parts::process::end_with_parent;
 use chalkdeck_time::TimeDelta;
-use clap::{Args, Subcommand};
+use clap::Subcommand;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
 /// How long each replica has to tell its status.
 const STATUS_TIMEOUT: TimeDelta = TimeDelta::from_secs(2);
 
-/// Replicas to ask.
-#[derive(Args)]
-pub struct ReplicaArgs {
-    /// Addresses of the replicas, as ip:port
-    #[arg(long, alias = "keepers", value_delimiter = ',', required = true)]
-    pub replicas: Vec<SocketAddr>,
-    /// Seconds to wait for a response
-    #[arg(long, default_value_t = 10)]
-    pub wait: u64,
-}
-
-impl ReplicaArgs {
-    /// A client of these replicas.
-    pub fn client(&self) -> Result<CoordinatorClient, Failure> {
-        Ok(CoordinatorClient::new(self.replicas.clone())?)
-    }
-
-    /// How long a response is waited for.
-    pub fn timeout(&self) -> TimeDelta {
-        TimeDelta::from_secs(self.wait)
-    }
-}
-
 /// Subcommands of `chalkdeck coordinator`.
 #[derive(Subcommand)]
 pub enum Command {
@@ -85,10 +62,7 @@
             } else {
                 StartMode::Join
             };
-            if *with_parent {
-                end_with_parent();
-            }
-            serve(config, start_mode)
+            serve(config, start_mode, *with_parent)
         }
         Command::Check { config } => {
             Settings::load(config)?;
@@ -100,9 +74,12 @@
     }
 }
 
-fn serve(config: &Path, start_mode: StartMode) -> Result<(), Failure> {
+fn serve(config: &Path, start_mode: StartMode, with_parent: bool) -> Result<(), Failure> {
     let settings = Settings::load(config)?;
     logs::start("info", false);
+    if with_parent {
+        end_with_parent();
+    }
     let signals = Signals::take()?;
     let server = ReplicaServer::start(&settings, start_mode)?;
     let admin = server.admin().map_or("-".to_string(), |a| a.to_string());
--- a/crates/cli/src/failure.rs
+++ b/crates/cli/src/failure.rs
@@ -1,7 +1,6 @@
-//! How the program tells of an error: what is wrong, its code, and what an operator can do.
+//! How the program prints an error: the message, its code, and what an operator can do.
 
-use crate::contract::ContractError;
-use crate::rules::RulesError;
+use crate::errors::{ProposalError, ProposedContractError};
 use chalkdeck_coordinator::client::ClientError;
 use chalkdeck_coordinator::server::ServerError;
 use chalkdeck_coordinator::settings::SettingsError;
@@ -10,18 +9,18 @@
 use std::fmt::{Display, Formatter};
 use std::io;
 
-/// Why a command ended in failure.
+/// Why a command failed.
 pub enum Failure {
-    /// An error with a code and a help.
-    Told(Box<dyn Diagnostic>),
-    /// Any other.
+    /// An error with a code and a help text.
+    Diagnostic(Box<dyn Diagnostic>),
+    /// Any other error.
     Other(anyhow::Error),
 }
 
 impl From<anyhow::Error> for Failure {
     fn from(error: anyhow::Error) -> Failure {
         match error.downcast::<chalkdeck_grpc_gateway::StartError>() {
-            Ok(start) => Failure::Told(Box::new(start)),
+            Ok(start) => Failure::Diagnostic(Box::new(start)),
             Err(error) => Failure::Other(error),
         }
     }
@@ -31,29 +30,29 @@
         Failure::Other(error.into())
     }
 }
-macro_rules! told {
+macro_rules! impl_from_diagnostics {
     ($($error:ty),*) => {$(
         impl From<$error> for Failure {
             fn from(error: $error) -> Failure {
-                Failure::Told(Box::new(error))
+                Failure::Diagnostic(Box::new(error))
             }
         }
     )*};
 }
-told!(
+impl_from_diagnostics!(
     ConfigError,
     StartError,
     ClientError,
     ServerError,
     SettingsError,
-    RulesError,
-    ContractError
+    ProposalError,
+    ProposedContractError
 );
 
-/// The error itself, or the one within it that has a code.
-fn coded(error: &dyn Diagnostic) -> &dyn Diagnostic {
+/// The outermost error of the chain that has a code; the last one if none has.
+fn first_with_code(error: &dyn Diagnostic) -> &dyn Diagnostic {
     match error.diagnostic_source() {
-        Some(within) if error.code().is_none() => coded(within),
+        Some(source) if error.code().is_none() => first_with_code(source),
         _ => error,
     }
 }
@@ -62,17 +61,16 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
         match self {
             Failure::Other(error) => write!(f, "error: {error:#}"),
-            Failure::Told(error) => {
+            Failure::Diagnostic(error) => {
                 write!(f, "error: {error}")?;
-                let within = coded(error.as_ref());
-                within
-                    .code()
-                    .into_iter()
-                    .try_for_each(|code| write!(f, "\n  code: {code}"))?;
-                within
-                    .help()
-                    .into_iter()
-                    .try_for_each(|help| write!(f, "\n  help: {help}"))
+                let described = first_with_code(error.as_ref());
+                if let Some(code) = described.code() {
+                    write!(f, "\n  code: {code}")?;
+                }
+                if let Some(help) = described.help() {
+                    write!(f, "\n  help: {help}")?;
+                }
+                Ok(())
             }
         }
     }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -3,7 +3,10 @@
 
 mod contract;
 mod coordinator;
+mod errors;
 mod failure;
+mod proposal;
+mod replica_args;
 mod rules;
 mod site;
 
@@ -34,26 +37,24 @@
     Platform,
     /// Check settings without starting
     Check { config: PathBuf },
-    /// Gateways, counter, servers and a small load with no settings
+    /// Run gateways, counter, endpoints and a small load with no settings
     Demo(DemoArgs),
-    /// The counter: serve, tools for its log
+    /// Run the counter, or look at its log
     #[command(subcommand)]
     Counter(chalkdeck_counter::cli::Command),
-    /// Replicas of the fleet's coordinator
+    /// Run a replica of the coordinator, or ask the replicas
     #[command(subcommand, alias = "keeper")]
     Coordinator(coordinator::Command),
     /// Customers' access rules
     #[command(subcommand)]
     Rules(rules::Command),
-    /// Versions of services, and who speaks them
+    /// Versions of services, and which customers use them
     #[command(subcommand)]
     Contract(contract::Command),
-    /// Sites as gateways see them, and an operator's words to them
-    Site {
-        #[command(subcommand)]
-        word: site::Word,
-    },
-    /// What the loss of sites comes to, from a file of capacities and demand
+    /// States of sites as gateways see them, and operators' overrides
+    #[command(subcommand)]
+    Site(site::Command),
+    /// The best that remaining sites can do, from a file of capacities and demand
     #[command(subcommand)]
     Plan(chalkdeck_capacity_planner::command::Command),
     /// Stand-ins, load, faults, audits and measurements on this machine
@@ -61,18 +62,19 @@
     Testbed(Testbed),
 }
 
-fn platform() -> Result<(), Failure> {
+/// Runs a gateway with the configuration that the environment names.
+fn run_platform_gateway() -> Result<(), Failure> {
     logs::start("info", false);
     let config = Config::from_env()?;
     let signals = Signals::take()?;
-    tracing::info!(name = config.name, listen = %config.listen, "starts");
+    tracing::info!(name = config.name, listen = %config.listen, "gateway starting");
     Ok(GatewayServer::start(config)?.run(&signals)?)
 }
 
 fn run(command: Command) -> Result<(), Failure> {
     match command {
         Command::Serve(args) => serve(&args)?,
-        Command::Platform => platform()?,
+        Command::Platform => run_platform_gateway()?,
         Command::Check { config } => {
             Settings::load(&config).map_err(anyhow::Error::from)?;
             println!("{}: ok", config.display());
@@ -82,7 +84,7 @@
         Command::Coordinator(command) => coordinator::run(&command)?,
         Command::Rules(command) => rules::run(&command)?,
         Command::Contract(command) => contract::run(&command)?,
-        Command::Site { word } => site::run(&word)?,
+        Command::Site(command) => site::run(&command)?,
         Command::Plan(command) => command.run()?,
         Command::Testbed(command) => command.run_as(&["testbed"])?,
     }
--- a/crates/cli/src/rules.rs
+++ b/crates/cli/src/rules.rs
@@ -1,105 +1,23 @@
 //! `chalkdeck rules`: customers' access rules.
 
-use crate::coordinator::ReplicaArgs;
+use crate::errors::ProposalError;
 use crate::failure::Failure;
-use chalkdeck_coordinator::client::CoordinatorClient;
-use chalkdeck_coordinator::proposal_progress::{progress, ProposalProgress};
+use crate::proposal::{self, read_request};
+use crate::replica_args::ReplicaArgs;
 use chalkdeck_coordinator::state::rule_set_error;
 use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
 use chalkdeck_proto::text;
 use clap::Subcommand;
 use std::path::{Path, PathBuf};
-use std::time::{Duration, Instant};
-use wire::command::Kind as CommandKind;
 use wire::read_request::Kind as ReadKind;
 
-const MESSAGE: &str = "chalkdeck.keeper.v1.RuleSet";
-/// Between reads of how far a set has come.
-const AGAIN: Duration = Duration::from_millis(50);
+/// Full name of the message that describes a rule set.
+const RULE_SET_MESSAGE: &str = "chalkdeck.keeper.v1.RuleSet";
 
-/// Why a set is not in force.
-#[derive(Debug, thiserror::Error, miette::Diagnostic)]
-pub enum RulesError {
-    /// The file is not read.
-    #[error("{file}: {source}")]
-    #[diagnostic(
-        code(chalkdeck::rules::file),
-        help("see the path, and whether it may be read")
-    )]
-    File {
-        /// Its path.
-        file: String,
-        /// What the system says.
-        source: std::io::Error,
-    },
-    /// It is no such message.
-    #[error("{file}:{line}: {what}")]
-    #[diagnostic(
-        code(chalkdeck::rules::form),
-        help("docs/access.md and docs/contracts.md show each field")
-    )]
-    Form {
-        /// Its path.
-        file: String,
-        /// The line, from 1.
-        line: usize,
-        /// What was expected there.
-        what: String,
-    },
-    /// A set that says something that cannot be.
-    #[error("{file}: {what}")]
-    #[diagnostic(
-        code(chalkdeck::rules::wrong),
-        help("docs/access.md has the meaning and bounds of each field")
-    )]
-    Wrong {
-        /// Its path.
-        file: String,
-        /// What is wrong.
-        what: String,
-    },
-    /// The registrar did not admit it.
-    #[error("not admitted:\n  {}", breaks.join("\n  "))]
-    #[diagnostic(
-        code(chalkdeck::rules::rejected),
-        help("nothing was changed; each line says what would break, and what can be done")
-    )]
-    Rejected {
-        /// What it would break.
-        breaks: Vec<String>,
-    },
-    /// Not in force in time.
-    #[error("version {version} is admitted and not in force after {seconds} s: {} gateways have not said that they apply it: {}", missing.len(), missing.join(", "))]
-    #[diagnostic(
-        code(chalkdeck::rules::not_in_force),
-        help("it comes into force when they apply it or their sessions lapse; `chalkdeck rules wait` asks again, and the same `apply` is harmless")
-    )]
-    NotInForce {
-        /// The set's version.
-        version: u64,
-        /// How long was waited.
-        seconds: u64,
-        /// Gateways.
-        missing: Vec<String>,
-    },
-    /// Nobody judged it in time.
-    #[error("proposal {proposal} waits for a registrar after {seconds} s")]
-    #[diagnostic(
-        code(chalkdeck::rules::not_judged),
-        help("see `chalkdeck coordinator status`: the election 'registrar' needs a gateway with a session; the proposal stays")
-    )]
-    NotJudged {
-        /// Its number.
-        proposal: u64,
-        /// How long was waited.
-        seconds: u64,
-    },
-}
-
-/// What is done.
+/// Subcommands of `chalkdeck rules`.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Put a customer's set of rules into force
+    /// Put a customer's rule set into force
     Apply {
         /// Protobuf text of chalkdeck.keeper.v1.RuleSet
         file: PathBuf,
@@ -109,210 +27,106 @@
         #[command(flatten)]
         to: ReplicaArgs,
     },
-    /// Say what a set would have done to the calls of the last minutes; changes nothing
+    /// Show what a rule set would have done to the calls of the last minutes; changes nothing
     Check {
-        /// The set
+        /// Protobuf text of chalkdeck.keeper.v1.RuleSet
         file: PathBuf,
         #[command(flatten)]
         to: ReplicaArgs,
     },
-    /// Wait until the set of a customer is in force
+    /// Wait until the rule set of a customer is in force
     Wait {
         /// The customer
         customer: String,
         #[command(flatten)]
         to: ReplicaArgs,
     },
-    /// Print sets
+    /// Print rule sets
     Show {
-        /// Of one customer
+        /// Of one customer; of all if none is given
         customer: Option<String>,
         #[command(flatten)]
         to: ReplicaArgs,
     },
-    /// Hits over the whole fleet by customer, set and rule
+    /// Print hits over the whole fleet by customer, rule set version and rule
     Hits {
-        /// Of one customer
+        /// Of one customer; of all if none is given
         customer: Option<String>,
         #[command(flatten)]
         to: ReplicaArgs,
     },
 }
 
-/// Reads a message in text form.
-pub fn read<M: prost::Message + Default>(message: &str, path: &Path) -> Result<M, RulesError> {
-    let file = path.display().to_string();
-    let source = std::fs::read_to_string(path).map_err(|source| RulesError::File {
-        file: file.clone(),
-        source,
-    })?;
-    text::parse(message, &source).map_err(|e| RulesError::Form {
-        file,
-        line: e.line,
-        what: e.what,
-    })
+/// Runs a subcommand.
+pub fn run(command: &Command) -> Result<(), Failure> {
+    match command {
+        Command::Apply { file, force, to } => apply(file, *force, to),
+        Command::Check { file, to } => check(&read_rule_set(file)?, to),
+        Command::Wait { customer, to } => proposal::wait_for_rule_set(to, customer),
+        Command::Show { customer, to } => show(customer.as_deref().unwrap_or(""), to),
+        Command::Hits { customer, to } => print_hits(customer.as_deref().unwrap_or(""), to),
+    }
 }
 
-fn read_set(path: &Path) -> Result<wire::RuleSet, RulesError> {
-    let set: wire::RuleSet = read(MESSAGE, path)?;
-    match rule_set_error(&set) {
-        None => Ok(set),
-        Some(what) => Err(RulesError::Wrong {
+fn read_rule_set(path: &Path) -> Result<wire::RuleSet, ProposalError> {
+    let rule_set: wire::RuleSet = proposal::read_text(RULE_SET_MESSAGE, path)?;
+    match rule_set_error(&rule_set) {
+        None => Ok(rule_set),
+        Some(what) => Err(ProposalError::Wrong {
             file: path.display().to_string(),
             what,
         }),
     }
 }
 
-/// Runs it.
-pub fn run(command: &Command) -> Result<(), Failure> {
-    match command {
-        Command::Apply { file, force, to } => {
-            let set = read_set(file)?;
-            let what = Some(wire::propose::Proposed::Rules(set));
-            propose(
-                to,
-                wire::Propose {
-                    proposed: what,
-                    force: *force,
-                },
-            )
-        }
-        Command::Check { file, to } => check(&read_set(file)?, to),
-        Command::Wait { customer, to } => {
-            let mut client = to.client()?;
-            let request = read_request(ReadKind::Verdict, customer);
-            let answer = client.read(&request, to.timeout())?;
-            let version = answer.in_force.as_ref().map_or(0, |f| f.version);
-            if version == 0 {
-                println!("{customer} has no set");
-                return Ok(());
-            }
-            let verdict = wire::Verdict {
-                admitted: true,
-                set_version: version,
-                customer: customer.clone(),
-                ..wire::Verdict::default()
-            };
-            wait(&mut client, to, &request, Some(&verdict), 0)
-        }
-        Command::Show { customer, to } => {
-            let request = read_request(ReadKind::Rules, customer.as_deref().unwrap_or(""));
-            for set in to.client()?.read(&request, to.timeout())?.rules {
-                print!("{}", text::print(MESSAGE, &set).unwrap_or_default());
-                println!();
-            }
-            Ok(())
-        }
-        Command::Hits { customer, to } => {
-            let request = read_request(ReadKind::Hits, customer.as_deref().unwrap_or(""));
-            for h in to.client()?.read(&request, to.timeout())?.hits {
-                println!("{} {} {} {}", h.customer, h.version, h.rule, h.count);
-            }
-            Ok(())
-        }
-    }
-}
-
-fn read_request(kind: ReadKind, customer: &str) -> wire::ReadRequest {
-    wire::ReadRequest {
-        kind: kind as i32,
-        customer: customer.into(),
-        ..wire::ReadRequest::default()
-    }
+fn apply(file: &Path, force: bool, to: &ReplicaArgs) -> Result<(), Failure> {
+    let rule_set = read_rule_set(file)?;
+    let propose = wire::Propose {
+        proposed: Some(wire::propose::Proposed::Rules(rule_set)),
+        force,
+    };
+    proposal::submit(to, propose)
 }
 
-fn check(set: &wire::RuleSet, to: &ReplicaArgs) -> Result<(), Failure> {
+fn check(rule_set: &wire::RuleSet, to: &ReplicaArgs) -> Result<(), Failure> {
     let request = wire::ReadRequest {
-        rule_set: Some(set.clone()),
-        ..read_request(ReadKind::Try, &set.customer)
+        rule_set: Some(rule_set.clone()),
+        ..read_request(ReadKind::Try, &rule_set.customer)
     };
-    let tried = to
-        .client()?
-        .read(&request, to.timeout())?
-        .dry_run
-        .unwrap_or_default();
+    let response = to.client()?.read(&request, to.timeout())?;
+    let dry_run = response.dry_run.unwrap_or_default();
     println!(
         "{}: {} of {} calls of the last minutes would be denied",
-        set.customer, tried.denied, tried.calls
+        rule_set.customer, dry_run.denied, dry_run.calls
     );
-    tried
-        .by_rule
-        .iter()
-        .for_each(|line| println!("  {:<24} {}", line.rule, line.count));
-    if tried.locks_out {
+    for line in &dry_run.by_rule {
+        println!("  {:<24} {}", line.rule, line.count);
+    }
+    if dry_run.locks_out {
         println!("it would lock the customer out: `apply` wants --force");
     }
     Ok(())
 }
 
-/// Proposes and waits for what comes of it.
-pub fn propose(to: &ReplicaArgs, propose: wire::Propose) -> Result<(), Failure> {
-    let mut client = to.client()?;
-    let proposal = client
-        .submit(CommandKind::Propose(propose), to.timeout())?
-        .id;
-    let request = wire::ReadRequest {
-        proposal,
-        ..read_request(ReadKind::Verdict, "")
-    };
-    wait(&mut client, to, &request, None, proposal)
+fn show(customer: &str, to: &ReplicaArgs) -> Result<(), Failure> {
+    let request = read_request(ReadKind::Rules, customer);
+    for rule_set in to.client()?.read(&request, to.timeout())?.rules {
+        print!(
+            "{}",
+            text::print(RULE_SET_MESSAGE, &rule_set).unwrap_or_default()
+        );
+        println!();
+    }
+    Ok(())
 }
 
-fn wait(
-    client: &mut CoordinatorClient,
-    to: &ReplicaArgs,
-    request: &wire::ReadRequest,
-    known: Option<&wire::Verdict>,
-    proposal: u64,
-) -> Result<(), Failure> {
-    let until = Instant::now() + Duration::from_secs(to.wait);
-    loop {
-        let mut answer = client.read(request, to.timeout())?;
-        answer.verdict = answer.verdict.or_else(|| known.cloned());
-        let late = Instant::now() >= until;
-        match progress(&answer) {
-            ProposalProgress::Rejected(breaks) => {
-                return Err(RulesError::Rejected { breaks }.into())
-            }
-            ProposalProgress::Admitted => {
-                println!("admitted");
-                return Ok(());
-            }
-            ProposalProgress::InForce { version, unknown } => {
-                println!("version {version} is in force");
-                if !unknown.is_empty() {
-                    println!(
-                        "but for {} gateways that are cut off and go by what they last heard: {}",
-                        unknown.len(),
-                        unknown.join(", ")
-                    );
-                }
-                return Ok(());
-            }
-            ProposalProgress::Superseded { version, by } => {
-                println!("version {version} was followed by version {by} before it was in force");
-                return Ok(());
-            }
-            ProposalProgress::Pending if late => {
-                return Err(RulesError::NotJudged {
-                    proposal,
-                    seconds: to.wait,
-                }
-                .into())
-            }
-            ProposalProgress::Unacknowledged { version, gateways } if late => {
-                let missing = gateways;
-                return Err(RulesError::NotInForce {
-                    version,
-                    seconds: to.wait,
-                    missing,
-                }
-                .into());
-            }
-            ProposalProgress::Pending | ProposalProgress::Unacknowledged { .. } => {
-                std::thread::sleep(AGAIN)
-            }
-        }
+fn print_hits(customer: &str, to: &ReplicaArgs) -> Result<(), Failure> {
+    let request = read_request(ReadKind::Hits, customer);
+    for line in to.client()?.read(&request, to.timeout())?.hits {
+        println!(
+            "{} {} {} {}",
+            line.customer, line.version, line.rule, line.count
+        );
     }
+    Ok(())
 }
--- a/crates/cli/src/site.rs
+++ b/crates/cli/src/site.rs
@@ -1,95 +1,114 @@
-//! `chalkdeck site`: what gateways say of sites, and an operator's words to them.
+//! `chalkdeck site`: states of sites as gateways see them, and operators' overrides.
 
 use anyhow::{bail, Context};
 use chalkdeck_grpc_gateway::sites::SitesStatus;
 use chalkdeck_testbed::parts::control;
 use clap::{Args, Subcommand};
+use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// Gateways that are spoken to.
+/// Gateways to ask or tell.
 #[derive(Args)]
-pub struct Gateways {
+pub struct GatewayArgs {
     /// Admin ports, as ip:port
     #[arg(long, value_delimiter = ',', required = true)]
     pub admin: Vec<SocketAddr>,
 }
 
-/// What is asked or said.
+/// Subcommands of `chalkdeck site`.
 #[derive(Subcommand)]
-pub enum Word {
-    /// States of sites with what they rest on
-    Status(Gateways),
-    /// Nothing new goes to the site; its part goes to the others
-    Drain(Said),
-    /// The same of a site in trouble: it stays out whatever it answers
-    Hold(Said),
-    /// The site may come back, step by step
-    LetBack(Said),
+pub enum Command {
+    /// Show the states of sites and the evidence for them
+    Status(GatewayArgs),
+    /// Send nothing new to a site; its part goes to the others
+    Drain(OverrideArgs),
+    /// The same for a site in trouble: it stays out whatever it answers
+    Hold(OverrideArgs),
+    /// Let the site come back, step by step
+    LetBack(OverrideArgs),
 }
 
-/// A word on a site.
+/// Arguments of an override.
 #[derive(Args)]
-pub struct Said {
-    /// The zone, as the server list names it
+pub struct OverrideArgs {
+    /// The zone, as the endpoint list names it
     pub site: String,
     #[command(flatten)]
-    pub to: Gateways,
+    pub to: GatewayArgs,
 }
 
-/// Says it to every gateway, whatever one of them answers. Errors: one did not take it.
-pub fn run(word: &Word) -> anyhow::Result<()> {
-    let (to, path) = match word {
-        Word::Status(to) => (to, "/sites".to_string()),
-        Word::Drain(said) => (&said.to, format!("/sites/drain/{}", said.site)),
-        Word::Hold(said) => (&said.to, format!("/sites/hold/{}", said.site)),
-        Word::LetBack(said) => (&said.to, format!("/sites/let-back/{}", said.site)),
-    };
+impl Command {
+    fn gateways(&self) -> &GatewayArgs {
+        match self {
+            Command::Status(gateways) => gateways,
+            Command::Drain(args) | Command::Hold(args) | Command::LetBack(args) => &args.to,
+        }
+    }
+
+    /// The path on the admin port that carries out the subcommand.
+    fn admin_path(&self) -> String {
+        match self {
+            Command::Status(_) => "/sites".to_string(),
+            Command::Drain(args) => format!("/sites/drain/{}", args.site),
+            Command::Hold(args) => format!("/sites/hold/{}", args.site),
+            Command::LetBack(args) => format!("/sites/let-back/{}", args.site),
+        }
+    }
+}
+
+/// Runs a subcommand at every gateway, also after one of them failed. Errors: one did not take it.
+pub fn run(command: &Command) -> anyhow::Result<()> {
+    let path = command.admin_path();
+    let gateways = &command.gateways().admin;
     let mut failed = 0;
-    for admin in &to.admin {
-        match ask(*admin, &path) {
-            Ok(status) => print!("{}", show(*admin, &status)),
-            Err(e) => {
+    for admin in gateways {
+        match request_status(*admin, &path) {
+            Ok(status) => print!("{}", describe(*admin, &status)),
+            Err(error) => {
                 failed += 1;
-                eprintln!("{admin}: {e:#}");
+                eprintln!("{admin}: {error:#}");
             }
         }
     }
     if failed > 0 {
-        bail!("{failed} of {} gateways did not take it", to.admin.len());
+        bail!("{failed} of {} gateways did not take it", gateways.len());
     }
     Ok(())
 }
 
-fn ask(admin: SocketAddr, path: &str) -> anyhow::Result<SitesStatus> {
+fn request_status(admin: SocketAddr, path: &str) -> anyhow::Result<SitesStatus> {
     let text = control::get(admin, path)?;
     serde_json::from_str(&text).context("expected what a gateway says of sites")
 }
 
-fn show(admin: SocketAddr, status: &SitesStatus) -> String {
-    let mut out = format!(
+fn describe(admin: SocketAddr, status: &SitesStatus) -> String {
+    let mut text = format!(
         "{admin}  in {}  lets in {:.0}% of the work offered\n",
         status.own,
         100.0 * status.level
     );
-    for s in &status.sites {
-        let room = s.room.map_or("no bound met".to_string(), |r| {
-            format!("room {r:.1} units/s")
-        });
-        let pace = if s.pace < 1.0 {
-            format!(", pace {:.0}%", 100.0 * s.pace)
+    for site in &status.sites {
+        let capacity = match site.room {
+            None => "no bound met".to_string(),
+            Some(capacity) => format!("room {capacity:.1} units/s"),
+        };
+        let ramp = if site.pace < 1.0 {
+            format!(", pace {:.0}%", 100.0 * site.pace)
         } else {
             String::new()
         };
-        out += &format!(
-            "  {:<16} {:<18} {:>5.1}% of the load, {:.0} of {:.0} places taken, {room}{pace}; for {:.1} s: {}\n",
-            s.site,
-            s.state,
-            100.0 * s.share,
-            s.out,
-            s.places,
-            s.for_s,
-            s.evidence
+        // Writing to a String cannot fail.
+        let _ = writeln!(
+            text,
+            "  {:<16} {:<18} {:>5.1}% of the load, {:.0} of {:.0} places taken, {capacity}{ramp}; for {:.1} s: {}",
+            site.site,
+            site.state,
+            100.0 * site.share,
+            site.out,
+            site.places,
+            site.for_s,
+            site.evidence
         );
     }
-    out
+    text
 }
--- a/crates/cli/tests/access.rs
+++ b/crates/cli/tests/access.rs
@@ -163,19 +163,17 @@
         .contains("broken.txtpb:2:"));
 }
 
+/// Puts a rule set of customer `c` into force that denies callers of one region, by a rule of the region's name.
+fn deny_region(fleet: &Fleet, region: &str) {
+    let rule = format!("rules {{ id: '{region}' action: DENY caller_regions: '{region}' }}");
+    apply(fleet, &fleet.set("c", "KEEP", "ALLOW", &rule));
+}
+
 #[test]
 fn hits_are_exact_over_lost_links_and_lose_at_most_a_report_where_a_gateway_is_killed() {
     let mut fleet = Fleet::start(3, 3);
     fleet.add_server("");
-    apply(
-        &fleet,
-        &fleet.set(
-            "c",
-            "KEEP",
-            "ALLOW",
-            "rules { id: 'eu' action: DENY caller_regions: 'eu' }",
-        ),
-    );
+    deny_region(&fleet, "eu");
     let mut callers: Vec<Caller> = (0..3).map(|g| Caller::new(fleet.grpc(g))).collect();
     let mut calls = 0;
     let mut call = |callers: &mut [Caller], rounds: usize| {
@@ -203,15 +201,7 @@
     let sent = call(&mut callers, 10);
     until("all are told", || (hits(&fleet, "c") == sent).then_some(()));
     // A new set ends the counts of the one before and keeps them.
-    apply(
-        &fleet,
-        &fleet.set(
-            "c",
-            "KEEP",
-            "ALLOW",
-            "rules { id: 'us' action: DENY caller_regions: 'us' }",
-        ),
-    );
+    deny_region(&fleet, "us");
     let sent = call(&mut callers, 10);
     until("both sets' are told", || {
         (hits(&fleet, "c") == sent).then_some(())
--- a/crates/cli/tests/contracts.rs
+++ b/crates/cli/tests/contracts.rs
@@ -71,9 +71,14 @@
         "subscribers repeat: {repeats}"
     );
 
-    // What gateways see counts as well, by customer, with its age.
-    fleet.does(&["contract", "subscribe", "estate-1", SERVICE, "1", "--gone"]);
     let mut caller = Caller::new(fleet.grpc(1));
+    calls_seen_by_gateways_count_as_use(&fleet, &mut caller, &moved);
+    retired_version_that_is_called_again_counts_as_used(&fleet, &mut caller, &moved);
+}
+
+/// What gateways see counts as well as subscriptions, by customer, with its age.
+fn calls_seen_by_gateways_count_as_use(fleet: &Fleet, caller: &mut Caller, moved: &[String; 2]) {
+    fleet.does(&["contract", "subscribe", "estate-1", SERVICE, "1", "--gone"]);
     caller.call(&[("x-customer", "seed-7"), ("x-protocol-version", "1")]);
     until("the call was reported", || {
         fleet
@@ -81,16 +86,22 @@
             .contains("1 seed-7: seen, 1 calls")
             .then_some(())
     });
-    let rejected = fleet.fails(&propose(&moved));
+    let rejected = fleet.fails(&propose(moved));
     assert!(
         rejected.contains("seed-7 (1 calls") && !rejected.contains("estate-1"),
         "{rejected}"
     );
+}
 
-    // Retired by an explicit word it is admitted; a version thought dead that comes back is told.
+/// A version that was retired no longer counts, until it is called again; that is shown in the status.
+fn retired_version_that_is_called_again_counts_as_used(
+    fleet: &Fleet,
+    caller: &mut Caller,
+    moved: &[String; 2],
+) {
     fleet.does(&["contract", "retire", SERVICE, "1"]);
     fleet.does(&["contract", "retire", SERVICE, "3"]);
-    assert!(fleet.does(&propose(&moved)).contains("admitted"));
+    assert!(fleet.does(&propose(moved)).contains("admitted"));
     caller.call(&[("x-customer", "seed-7"), ("x-protocol-version", "1")]);
     until("it is told to be back", || {
         fleet
@@ -99,7 +110,7 @@
             .then_some(())
     });
     let third = version(
-        &fleet,
+        fleet,
         "5",
         "string field = 3; int32 acres = 2; bool wet = 5;",
         "KEYED",
--- a/crates/cli/tests/fleet/mod.rs
+++ b/crates/cli/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
 //! Keepers and gateways as processes of the program, with a relay's links between them, and a server and callers of the test's own.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test program uses a part of it")]
 
 use chalkdeck_grpc_gateway::keepers::KeepersStatus;
 use chalkdeck_net::grpc::{self, Code};
--- a/crates/cli/tests/measured.rs
+++ b/crates/cli/tests/measured.rs
@@ -26,6 +26,10 @@
 
 #[test]
 #[ignore = "a measurement"]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one measurement, whose steps follow each other"
+)]
 fn hand_over_and_rules_in_force_over_forty_gateways() {
     let mut fleet = Fleet::start(KEEPERS, GATEWAYS);
     println!("{KEEPERS} keepers, {GATEWAYS} gateways, lease {LEASE_MS} ms");
@@ -129,6 +133,10 @@
 
 #[test]
 #[ignore = "a measurement"]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one measurement, whose steps follow each other"
+)]
 fn calls_with_two_hundred_thousand_rules_beside_none() {
     let mut fleet = Fleet::start(3, 1);
     fleet.add_server("");
