--- a/crates/coordinator/src/server/mod.rs
+++ b/crates/coordinator/src/server/mod.rs
@@ -43,9 +43,11 @@
 const MAX_TURN_WAIT: TimeDelta = TimeDelta::from_millis(50);
 /// Token of the timer of ticks.
 const TICK_TIMER: u64 = 1;
-/// The least bytes of log between two snapshots, and how many times the configuration's own state that is at least.
-const MIN_SNAPSHOT_BYTES: usize = 16 << 20;
-const SNAPSHOT_TO_STATE_RATIO: usize = 2;
+/// Bytes of log after which a snapshot is written, for each byte of the state that the configuration began with: a snapshot holds
+/// that state, too.
+const LOG_TO_STATE_RATIO: usize = 2;
+/// A smaller state counts as this many bytes.
+const MIN_STATE_BYTES: usize = 16 << 20;
 
 /// Limits of a replica's connections.
 pub fn connection_limits() -> Limits {
@@ -338,7 +340,7 @@
             source,
         })?;
     let state_bytes = opened.state.configuration.base.len();
-    let threshold = state_bytes.max(MIN_SNAPSHOT_BYTES) * SNAPSHOT_TO_STATE_RATIO;
+    let threshold = state_bytes.max(MIN_STATE_BYTES) * LOG_TO_STATE_RATIO;
     opened.log.set_snapshot_threshold(threshold);
     Ok(opened)
 }
