--- a/crates/coordinator/src/agent/connection.rs
+++ b/crates/coordinator/src/agent/connection.rs
@@ -88,3 +88,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/coordinator/src/session/cached_state.rs
+++ b/crates/coordinator/src/session/cached_state.rs
@@ -157,3 +157,6 @@
             })
     }
 }
+
+#[cfg(test)]
+mod tests;
