--- a/crates/grpc-gateway/src/carry.rs
+++ b/crates/grpc-gateway/src/carry.rs
@@ -221,7 +221,7 @@
             .into_iter()
             .for_each(|(class, units)| self.site_ended(server, outcome, took, class, units));
         self.decisions.push(Event::AttemptEnded(AttemptResult {
-            id: id.call,
+            request: id.call,
             attempt: id.number,
             endpoint: server,
             outcome,
--- a/crates/policy/benches/request.rs
+++ b/crates/policy/benches/request.rs
@@ -122,7 +122,7 @@
                     ..
                 } => {
                     let end = AttemptResult {
-                        id,
+                        request: id,
                         attempt: 0,
                         endpoint: server,
                         outcome: Outcome::Ok,
--- a/crates/policy/src/api/messages.rs
+++ b/crates/policy/src/api/messages.rs
@@ -5,7 +5,7 @@
     Timestamp, ZoneId,
 };
 
-/// Whether an endpoint takes new attempts, as the endpoint list tells.
+/// Whether an endpoint takes new attempts, by the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
     /// It does.
@@ -111,7 +111,7 @@
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
     /// The request.
-    pub id: RequestId,
+    pub request: RequestId,
     /// Which of its attempts, from 0.
     pub attempt: usize,
     /// The endpoint.
@@ -222,7 +222,7 @@
     Reject {
         /// The request.
         request: RequestId,
-        /// When the client may come back.
+        /// When the client may retry.
         retry_after: Option<TimeDelta>,
     },
     /// Final answer of an admission-only request: admitted. Its end is
--- a/crates/policy/src/api/settings.rs
+++ b/crates/policy/src/api/settings.rs
@@ -92,9 +92,9 @@
     pub allow_cancel: bool,
     /// Endpoints may be probed.
     pub allow_probes: bool,
-    /// Rejections tell when to come back.
+    /// Rejections carry a retry-after.
     pub send_retry_after: bool,
-    /// The longest time to come back that a client follows.
+    /// The longest retry-after that a client follows.
     pub max_retry_after: TimeDelta,
     /// The counter service may be called.
     pub use_counter: bool,
@@ -105,8 +105,8 @@
     /// Updates of the endpoint list come only after
     /// [`Action::Subscribe`](super::Action::Subscribe).
     pub requires_subscription: bool,
-    /// A connection that is not established by then has failed: an attempt reaches its endpoint this
-    /// much later at the most.
+    /// A connection that is not established by then has failed: an attempt reaches its endpoint
+    /// this much later at the most.
     pub dial_timeout: TimeDelta,
     /// How long past its deadline a final answer still counts.
     pub answer_slack: TimeDelta,
--- a/crates/policy/src/api/status.rs
+++ b/crates/policy/src/api/status.rs
@@ -1,4 +1,4 @@
-//! What can be asked of the engine between events.
+//! What can be read off the engine between events.
 
 use super::{EndpointId, TimeDelta};
 
--- a/crates/policy/src/counter/sampling.rs
+++ b/crates/policy/src/counter/sampling.rs
@@ -5,7 +5,7 @@
 use crate::smoothing::{smooth, SAMPLE_WEIGHT, SHARED_SAMPLE_WEIGHT};
 
 /// At first, and when a probe was answered, as many requests call as all requests of this many
-/// gateways: more at once may overload a counter that just came back.
+/// gateways: more at once may overload a counter that just recovered.
 const INITIAL_GATEWAYS: f64 = 30.0;
 /// The least sample rate, so that recovery is noticed.
 const MIN_SAMPLE_RATE: f64 = 0.05;
@@ -79,7 +79,7 @@
         self.rate = initial_rate(gateways);
     }
 
-    /// Learns from the time that a call took; a failed one took its time-out. A queue that builds
+    /// Learns from the latency of a call; a failed one counts as the time-out. A queue that builds
     /// up at the counter reduces the rate before calls fail, once for calls that were in flight
     /// together. A quick answer counts for the requests that did not call, too.
     pub(crate) fn observe_latency(
--- a/crates/policy/src/customer.rs
+++ b/crates/policy/src/customer.rs
@@ -8,8 +8,8 @@
 
 /// How long a customer without requests or attempts is kept.
 pub(crate) const CUSTOMER_EXPIRY: TimeDelta = TimeDelta::from_secs(120);
-/// How long a customer that was heard to be over its quota counts as such for requests that are not
-/// sampled.
+/// How long a customer that was over its quota by the last total counts as such for requests that
+/// are not sampled.
 const OVER_QUOTA_MEMORY: TimeDelta = TimeDelta::from_secs(15);
 /// How long after a rejection a request like it counts as its retry.
 const RETRY_DETECTION_SPAN: TimeDelta = TimeDelta::from_secs(1);
@@ -37,7 +37,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Customer {
     pub(crate) last_rejection: Option<Rejection>,
-    /// When it was last heard to be over its quota, if it was at the last total.
+    /// When the last total arrived, if it was over the quota.
     pub(crate) over_quota_at: Option<Timestamp>,
     pub(crate) plan: PlanId,
     /// Number of gateways that its requests come through.
@@ -85,7 +85,7 @@
             && now < rejection.at + RETRY_DETECTION_SPAN
     }
 
-    /// Whether it was over its quota when last heard, and that is not long ago.
+    /// Whether it was over its quota by the last total, and that is recent.
     pub(crate) fn was_over_quota(&self, now: Timestamp) -> bool {
         self.over_quota_at
             .is_some_and(|at| now < at + OVER_QUOTA_MEMORY)
--- a/crates/policy/src/endpoint/mod.rs
+++ b/crates/policy/src/endpoint/mod.rs
@@ -11,7 +11,7 @@
 pub(crate) const INITIAL_LIMIT: f64 = 2.0;
 /// The least concurrency limit, so that an endpoint's recovery is noticed.
 const MIN_LIMIT: f64 = 0.1;
-/// What an answer that tells of congestion leaves of the limit: it gives way fast.
+/// What an answer that indicates congestion leaves of the limit: it gives way fast.
 const LIMIT_DECREASE: f64 = 0.7;
 /// What a quick answer adds to a limit that is in use: it comes back slowly.
 const LIMIT_INCREASE: f64 = 0.03;
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Whether it may be used now as far as outlier detection tells.
+    /// Whether outlier detection allows attempts now.
     pub(crate) fn is_healthy(&self, now: Timestamp) -> bool {
         now >= self.ejected_until && (!self.is_on_trial || self.in_flight < 1.0)
     }
--- a/crates/policy/src/endpoint/outlier.rs
+++ b/crates/policy/src/endpoint/outlier.rs
@@ -24,7 +24,7 @@
     }
 
     /// Takes a failed connect. Returns whether it is the first: one connection may break while a
-    /// request goes out, the second in a row tells of the endpoint.
+    /// request goes out, the second in a row indicates trouble with the endpoint.
     pub(crate) fn observe_connect_failure(&mut self, now: Timestamp) -> bool {
         let known = self.connect_failures;
         self.connect_failures = Some(ConnectFailures {
@@ -60,7 +60,7 @@
     }
 
     /// Takes a failure: an endpoint without room rests shortly, one out of line is ejected, for a
-    /// time that is spread by the jitter factor.
+    /// time that is multiplied by the jitter factor.
     pub(crate) fn eject_if_outlier(
         &mut self,
         now: Timestamp,
--- a/crates/policy/src/engine/arrival.rs
+++ b/crates/policy/src/engine/arrival.rs
@@ -6,7 +6,7 @@
 use crate::timers::TimerPurpose;
 
 impl DecisionEngine {
-    /// Takes a request and decides it, or asks the counter first.
+    /// Takes a request, and decides it or calls the counter first.
     pub(super) fn on_request(&mut self, mut incoming: IncomingRequest) {
         let id = incoming.id;
         let class = incoming.class;
--- a/crates/policy/src/engine/attempt_results.rs
+++ b/crates/policy/src/engine/attempt_results.rs
@@ -1,4 +1,4 @@
-//! The end of an attempt: what it tells of its endpoint and of the fleet, and what becomes of the
+//! The end of an attempt: what it shows about its endpoint and the fleet, and what happens to the
 //! request.
 
 use super::DecisionEngine;
@@ -7,20 +7,20 @@
 use crate::request::Attempt;
 
 /// An answer that takes, with twice its endpoint's usual time, more than this part of the objective
-/// tells of congestion.
+/// indicates congestion.
 const LATE_OBJECTIVE_PART: f64 = 0.85;
 /// Usual times of the endpoint that count into it.
 const LATE_USUAL_TIMES: u64 = 2;
 /// An answer within this part of the objective is quick.
 const QUICK_OBJECTIVE_PART: f64 = 0.25;
-/// Connects that fail for longer than this, with no answer between, tell of a restart.
+/// Connects that fail for longer than this, with no answer between, indicate a restart.
 const RESTART_CONNECT_FAILURES: TimeDelta = TimeDelta::from_millis(700);
-/// The least factor of chance for the length of an ejection.
+/// The least random factor for the length of an ejection.
 const MIN_EJECTION_JITTER: f64 = 0.75;
 /// The spread of that factor.
 const EJECTION_JITTER_SPREAD: f64 = 0.5;
 
-/// What the end of one attempt tells of its endpoint.
+/// What the end of one attempt shows about its endpoint.
 struct AttemptEvidence {
     endpoint: EndpointId,
     outcome: Outcome,
@@ -32,12 +32,13 @@
 }
 
 impl AttemptEvidence {
-    /// Whether it tells nothing of the endpoint, as a straggler that was given up.
+    /// Whether it shows nothing about the endpoint: a straggler that was given up.
     fn is_void(&self) -> bool {
         self.is_straggler && matches!(self.outcome, Outcome::Cancelled | Outcome::Timeout)
     }
 
-    /// Whether the endpoint holds too much. Trade-off: just after a short stall it looks so, too.
+    /// Whether the endpoint has too many attempts in flight. Trade-off: just after a short stall it
+    /// seems so, too.
     fn is_congested(&self, endpoint: &Endpoint) -> bool {
         let usual = TimeDelta::from_micros(LATE_USUAL_TIMES * endpoint.latency as u64);
         let is_late = matches!(self.outcome, Outcome::Ok | Outcome::Cancelled)
@@ -46,7 +47,7 @@
         !self.is_void() && (is_late || has_no_room)
     }
 
-    /// Whether the endpoint could hold more.
+    /// Whether the endpoint could take more attempts at once.
     fn is_quick_answer(&self) -> bool {
         let quick = self.objective.mul_f64(QUICK_OBJECTIVE_PART);
         self.outcome == Outcome::Ok && self.elapsed < quick
@@ -68,7 +69,7 @@
         let Some(attempt) = self.close_attempt(result) else {
             return;
         };
-        let id = result.id;
+        let id = result.request;
         let outcome = result.outcome;
         let request = &self.requests[&id];
         let objective = request.class(&self.settings).latency_objective;
@@ -96,7 +97,7 @@
 
     /// Notes that an attempt is no longer in flight; none if it is not known, or ended before.
     fn close_attempt(&mut self, result: &AttemptResult) -> Option<Attempt> {
-        let request = self.requests.get_mut(&result.id)?;
+        let request = self.requests.get_mut(&result.request)?;
         let attempt = request.attempts.get_mut(result.attempt)?;
         if !attempt.is_in_flight || attempt.endpoint != result.endpoint {
             return None;
--- a/crates/policy/src/engine/completion.rs
+++ b/crates/policy/src/engine/completion.rs
@@ -9,8 +9,8 @@
 const MICROS_PER_SECOND: f64 = 1e6;
 
 impl DecisionEngine {
-    /// Rejects a request, with the time to come back where that is allowed; fails it where a retry
-    /// could do harm.
+    /// Rejects a request, with a retry-after where that is allowed; fails it where a retry could do
+    /// harm.
     pub(super) fn reject_or_fail(&mut self, id: RequestId) {
         let Some(class) = self.requests.get(&id).map(|request| request.incoming.class) else {
             return;
@@ -36,8 +36,8 @@
         self.finish(id, Some(answer));
     }
 
-    /// Time to come back after a rejection under a quota: when the quota has the request's units,
-    /// and not before endpoints that are short of room should get it again.
+    /// Retry-after of a rejection under a quota: when the quota has the request's units again, and
+    /// not before the endpoints should get it again.
     fn quota_retry_after(
         &self,
         request: &OpenRequest,
--- a/crates/policy/src/engine/concurrency_slots.rs
+++ b/crates/policy/src/engine/concurrency_slots.rs
@@ -8,10 +8,10 @@
 use crate::token_bucket::TokenBucket;
 use crate::window::UNITS_TOLERANCE;
 
-/// Part of a plan's slots that starts without an answer of the counter may fill: those with one
+/// Part of a plan's slots that starts without an answer of the counter may fill: counted starts
 /// need the others, and starts come in bursts.
 const UNCOUNTED_SLOTS_PART: f64 = 0.5;
-/// The shortest time that a slot is taken to be held, in microseconds.
+/// The shortest time for which a slot is assumed to be in use, in microseconds.
 const MIN_HOLD_MICROS: f64 = 1.0;
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
--- a/crates/policy/src/engine/counter_calls.rs
+++ b/crates/policy/src/engine/counter_calls.rs
@@ -5,11 +5,12 @@
 use crate::counter::calls::{counter_key, CounterAdd, CounterCall, CounterPurpose};
 use crate::window::{QuotaWindow, CONCURRENCY_EPOCH};
 
-/// The longest life of a counter: older ones are asked for by nobody.
+/// The longest time to live of a counter: no gateway reads older ones.
 const MAX_COUNTER_LIFE: TimeDelta = TimeDelta::from_secs(60);
 
 impl DecisionEngine {
-    /// The counter tells nothing of this customer for a while: then the local bucket alone decides.
+    /// Whether the counter gives no answers for this customer at present, so that the local bucket
+    /// decides.
     pub(crate) fn is_counter_unavailable(&self, customer: CustomerId) -> bool {
         let is_own_breaker_open = self
             .customers
--- a/crates/policy/src/engine/counter_replies.rs
+++ b/crates/policy/src/engine/counter_replies.rs
@@ -104,14 +104,14 @@
     }
 
     /// Failures of the same customer in a row count once for the common breaker, while that
-    /// customer's own breaker opens: one busy key that fills its part of the counter must not cut
+    /// customer's own breaker opens: one busy key that uses up its part of the counter must not cut
     /// off all customers.
     fn record_counter_failure(&mut self, call: &CounterCall, outcome: Outcome) {
         let now = self.now;
         let timeout = self.settings.counter_timeout;
         let counter = &mut self.counter;
-        // A call that its connection took along tells nothing of a counter that answered others a
-        // moment ago.
+        // A call that failed with its connection is no evidence against a counter that answered
+        // others a moment ago.
         let is_connection_failure = !matches!(outcome, Outcome::Timeout | Outcome::Rejected);
         let replied_recently = now < counter.last_reply_at + timeout;
         if is_connection_failure && !call.is_probe && replied_recently {
--- a/crates/policy/src/engine/endpoint_updates.rs
+++ b/crates/policy/src/engine/endpoint_updates.rs
@@ -6,7 +6,7 @@
 
 /// The shortest wait before another subscription, after one failed.
 const RESUBSCRIBE_MIN_MICROS: u64 = 500_000;
-/// What chance adds to it at the most, so that gateways don't come back as one wave.
+/// The most that is added to it at random, so that gateways don't subscribe as one wave.
 const RESUBSCRIBE_SPREAD_MICROS: u64 = 500_000;
 
 impl DecisionEngine {
@@ -32,9 +32,8 @@
         self.send_pending();
     }
 
-    /// Takes one line. An endpoint that started again begins a slow start, and nothing that was
-    /// held against its earlier life counts; its debt is drawn by chance, so that gateways don't
-    /// all send at once.
+    /// Takes one line. An endpoint that started again begins a slow start, and failures before its
+    /// start no longer count; its debt is random, so that gateways don't all send at once.
     fn apply_entry(&mut self, entry: &EndpointEntry) {
         let now = self.now;
         let duration = self.settings.slow_start_duration;
--- a/crates/policy/src/engine/mod.rs
+++ b/crates/policy/src/engine/mod.rs
@@ -1,7 +1,7 @@
 //! The decision engine: one event in, the actions that follow out.
 //!
-//! The engine holds the parts that each keep one concern's state; the modules below hold the steps
-//! that need several of them.
+//! The engine consists of parts that each own the state of one concern; the modules below have the
+//! steps that need several of them.
 
 mod arrival;
 mod attempt_results;
@@ -62,8 +62,8 @@
 }
 
 impl DecisionEngine {
-    /// An engine as it starts, knowing nothing but its settings. The seed is the source of all
-    /// chance.
+    /// An engine as it starts, knowing nothing but its settings. All random numbers come from the
+    /// seed.
     ///
     /// # Errors
     ///
@@ -88,7 +88,7 @@
             zone_shares: Vec::new(),
             settings,
         };
-        // These go out with the first event, whichever that is.
+        // These are handed out with the first event, whichever that is.
         engine.set_timer(TimerPurpose::CustomerExpiry, CUSTOMER_EXPIRY);
         engine.subscribe();
         Ok(engine)
--- a/crates/policy/src/engine/pending.rs
+++ b/crates/policy/src/engine/pending.rs
@@ -10,7 +10,7 @@
 const MAX_WAIT_PART: f64 = 0.3;
 /// How often waiting requests are tried.
 const RETRY_INTERVAL: TimeDelta = TimeDelta::from_millis(10);
-/// Steps of a priority density that are told apart when requests are sorted.
+/// Resolution of the priority density by which requests are sorted, in steps for each unit.
 const DENSITY_STEPS: f64 = 1e6;
 
 impl DecisionEngine {
--- a/crates/policy/src/engine/quota.rs
+++ b/crates/policy/src/engine/quota.rs
@@ -8,19 +8,19 @@
 use crate::window::{QuotaWindow, WindowPosition, CONCURRENCY_EPOCH};
 
 /// Retries are sampled with the sample rate to this power: they were rejected a moment ago, so they
-/// come last.
+/// are sampled last.
 pub(super) const RETRY_EXPONENT: f64 = 3.0;
 /// Units from which on somebody could use them: fewer are given back with the next call only.
 const USABLE_UNITS: f64 = 1.0;
 
-/// What the counter told for a request.
+/// What is known from the counter for a request.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum CounterAnswer {
     /// The total over all gateways, with this request.
     Total(f64),
     /// The request was not sampled: the last total decides.
     NotSampled,
-    /// The counter cannot be asked, or the call failed.
+    /// The counter cannot be called, or the call failed.
     Unavailable,
 }
 
@@ -63,7 +63,7 @@
         let total = self.customers[&customer].window.known_total();
         let is_known_full = self.available_units(customer, total) < units && total > 0.0;
         if is_known_full && !self.counter.breaker.is_open() {
-            // A call could only tell the same.
+            // A call could only confirm that.
             return self.reject_or_fail(id);
         }
         let retry_factor = if is_retry { RETRY_EXPONENT } else { 1.0 };
@@ -90,7 +90,7 @@
         ((represented - 1.0) * units).min(burst - units).max(0.0)
     }
 
-    /// Decides a request by what the counter told.
+    /// Decides a request by what is known from the counter.
     pub(super) fn decide(&mut self, id: RequestId, purpose: CounterPurpose, answer: CounterAnswer) {
         match purpose {
             CounterPurpose::Quota => self.decide_by_quota(id, answer),
--- a/crates/policy/src/engine/selection.rs
+++ b/crates/policy/src/engine/selection.rs
@@ -18,15 +18,15 @@
 const FAILURE_PENALTY: f64 = 3.0;
 /// What each earlier attempt of the request at the endpoint adds to the score.
 const REPEAT_PENALTY: f64 = 4.0;
-/// Part of the score that is drawn by chance, so that gateways differ.
+/// Part of the score that is random, so that gateways differ.
 const RANDOM_PART: f64 = 0.1;
 /// Part that another zone than the gateway's adds where sites are not watched, scaled by the
 /// gateway's limit share.
 const OTHER_ZONE_PART: f64 = 0.05;
 /// Part that an endpoint outside the drawn zone adds where sites are watched.
 const OUTSIDE_DRAWN_ZONE_PART: f64 = 4.0;
-/// Factor for an endpoint on trial: it is used sooner, or one that failed would never be tried
-/// again.
+/// Factor for an endpoint on trial: it is preferred, or one that failed would never get the attempt
+/// that ends its trial.
 const TRIAL_FACTOR: f64 = 0.3;
 
 /// What one selection compares endpoints by.
@@ -36,7 +36,7 @@
     limit_share: f64,
     /// Some endpoint in service is healthy.
     is_any_healthy: bool,
-    /// Chance of this selection.
+    /// Random number of this selection.
     salt: u64,
     /// Where the request goes first; none: sites are not watched.
     drawn_zone: Option<ZoneId>,
@@ -98,7 +98,7 @@
     }
 
     /// The best of some endpoints drawn from a large subset: the best of many is hardly better, and
-    /// a look at all costs more the larger the fleet is. None: the subset is small, or none of
+    /// comparing all costs more the larger the fleet is. None: the subset is small, or none of
     /// those drawn will do.
     fn best_of_drawn(&self, selection: &Selection, subset_size: usize) -> Option<Candidate> {
         if subset_size <= MAX_CANDIDATES {
--- a/crates/policy/src/engine/shedding.rs
+++ b/crates/policy/src/engine/shedding.rs
@@ -1,11 +1,11 @@
-//! Whether a request is shed before the endpoints, and when its client may come back.
+//! Whether a request is shed before an endpoint is selected, and when its client may retry.
 
 use super::DecisionEngine;
 use crate::api::{ClassId, RequestId, TimeDelta};
 use crate::shedding::overload::OVERLOAD_ACCEPT_RATE;
 
-/// The longest time to come back after a rejection for load, as part of the latency objective:
-/// later would miss it.
+/// The longest retry-after of a request that is shed, as part of the latency objective: a later
+/// retry would miss it.
 const MAX_RETRY_AFTER_PART: f64 = 0.3;
 
 impl DecisionEngine {
@@ -28,17 +28,16 @@
         self.are_limits_fractional() && self.rng.f64() > chance
     }
 
-    /// Whether the endpoints count as overloaded: only where concurrency limits cannot tell, and
-    /// sites are not watched.
+    /// Whether the endpoints count as overloaded: only where concurrency limits are below one
+    /// attempt, and sites are not watched.
     pub(super) fn is_overloaded(&self) -> bool {
         self.shedder.accept_rate < OVERLOAD_ACCEPT_RATE
             && self.are_limits_fractional()
             && self.shedder.threshold.is_none()
     }
 
-    /// When a client may come back after a rejection that no window ends: soon, or the answer
-    /// misses the latency objective; spread by chance and later the more is shed, so that retries
-    /// don't arrive as one wave.
+    /// Draws the retry-after of a rejection for load: short, or the answer misses the latency
+    /// objective; random and longer the more is shed, so that retries don't arrive as one wave.
     pub(super) fn draw_retry_after(&mut self, class: ClassId) -> Option<TimeDelta> {
         let objective = self.settings.classes[class.0].latency_objective;
         let part = MAX_RETRY_AFTER_PART * self.rng.f64() * (1.0 - self.shedder.accept_rate);
--- a/crates/policy/src/engine/slow_start.rs
+++ b/crates/policy/src/engine/slow_start.rs
@@ -1,19 +1,21 @@
 //! Slow start: an endpoint that just started gets a growing part of a warm one's work.
 //!
 //! It is given the work that a warm one of its weight gets from this gateway, times the part of its
-//! capacity that it must have by now. Warm endpoints bear that load, and each gateway scales its
+//! capacity that it must have by now. Warm endpoints sustain that load, and each gateway scales its
 //! own, so the sum stays in proportion.
 
 use super::DecisionEngine;
 use crate::api::{TimeDelta, Timestamp};
 use crate::endpoint::Endpoint;
 
-/// How long leave to send to an endpoint in slow start holds unused where many gateways share it:
-/// hundreds of gateways that each saved up one request would push it over.
+/// How long units for an endpoint in slow start stay valid unused where many gateways share it:
+/// hundreds of gateways that each saved up one request would overload it.
 const UNUSED_LEAVE_SPAN: TimeDelta = TimeDelta::from_millis(250);
-/// Part of the load that topples an endpoint which it may get: half, up to the load of a warm one.
+/// Part of the load that overloads an endpoint in slow start which is safe to send: half, and never
+/// more than the load of a warm one.
 const SAFE_OVERLOAD_PART: f64 = 0.5;
-/// Warm endpoints are the measure while all have at most this many times their weight.
+/// The rate is measured over the warm endpoints while all endpoints together have at most this many
+/// times their weight.
 const MAX_WEIGHT_PER_WARM: f64 = 3.0;
 /// The least total weight; against a division by zero.
 const MIN_WEIGHT: f64 = 1e-9;
--- a/crates/policy/src/engine/status.rs
+++ b/crates/policy/src/engine/status.rs
@@ -21,7 +21,7 @@
     }
 
     /// How a customer stands with its quota, or with its concurrency limit where the plan has no
-    /// rate. Asks nobody.
+    /// rate. Makes no call.
     pub fn quota_status(&self, now: Timestamp, customer: CustomerId, plan: PlanId) -> QuotaStatus {
         let plan = &self.settings.plans[plan.0];
         if plan.rate <= 0.0 {
--- a/crates/policy/src/engine/subset.rs
+++ b/crates/policy/src/engine/subset.rs
@@ -19,7 +19,7 @@
 /// Attempts that all gateways together may have in flight at one endpoint when learning starts.
 /// Low: a limit that must first be cut costs late answers.
 const INITIAL_FLEET_LIMIT: f64 = 6.0;
-/// Endpoints that one selection looks at where the subset is larger.
+/// The most endpoints that one selection compares, if the subset is larger.
 pub(super) const MAX_CANDIDATES: usize = 48;
 /// The fewest gateways for an endpoint; against a division by zero.
 const MIN_SHARING: f64 = 1e-9;
@@ -53,13 +53,13 @@
         (INITIAL_FLEET_LIMIT / INITIAL_LIMIT / sharing.max(MIN_SHARING)).min(1.0)
     }
 
-    /// Whether so many gateways share the endpoints that limits start below one attempt and tell
+    /// Whether so many gateways share the endpoints that limits start below one attempt and bound
     /// little.
     pub(super) fn are_limits_fractional(&self) -> bool {
         INITIAL_LIMIT * self.limit_share() < 1.0
     }
 
-    /// Whether an endpoint may be used now as far as outlier detection tells.
+    /// Whether outlier detection allows attempts to an endpoint now.
     pub(super) fn is_healthy(&self, endpoint: &Endpoint) -> bool {
         endpoint.is_healthy(self.now)
     }
--- a/crates/policy/src/shedding/mod.rs
+++ b/crates/policy/src/shedding/mod.rs
@@ -1,4 +1,4 @@
-//! Load shedding before the endpoints: requests are rejected by chance as answers come late, those
+//! Load shedding before the endpoints: requests are rejected at random as answers are late, those
 //! of little weight first.
 
 pub(crate) mod overload;
@@ -28,7 +28,7 @@
     pub(crate) accept_rate: f64,
     /// Smoothed priority weight of all requests.
     usual_weight: f64,
-    /// Smoothed share of attempts that tell of congestion.
+    /// Smoothed share of attempts that indicate congestion.
     late_share: f64,
     /// When the last attempt ended.
     last_result_at: Timestamp,
@@ -64,7 +64,7 @@
         self.accept_rate.powf(exponent)
     }
 
-    /// Takes the end of an attempt, which tells of congestion or doesn't.
+    /// Takes the end of an attempt, which indicates congestion or does not.
     pub(crate) fn observe_result(&mut self, now: Timestamp, is_congested: bool) {
         let idle_share = decayed_share(now - self.last_result_at);
         self.last_result_at = now;
--- a/crates/policy/src/shedding/overload.rs
+++ b/crates/policy/src/shedding/overload.rs
@@ -2,8 +2,8 @@
 //!
 //! Many gateways with an attempt or two each can keep endpoints full though most requests are shed.
 //! In overload each gateway may have in flight a part of what it had on average in calm, so that
-//! where answers take ten times as long, a tenth is sent. Trade-off: it also holds requests back
-//! where endpoints hang without being overloaded.
+//! where answers take ten times as long, a tenth is sent. Trade-off: it also delays requests where
+//! endpoints hang without being overloaded.
 
 /// Accept rate below which the endpoints count as overloaded.
 pub(crate) const OVERLOAD_ACCEPT_RATE: f64 = 0.4;
--- a/crates/policy/src/token_bucket.rs
+++ b/crates/policy/src/token_bucket.rs
@@ -2,12 +2,13 @@
 
 use crate::api::Timestamp;
 
-/// A store of units that fills at a rate. Its level may be negative: that debt is filled up first.
+/// Units that accumulate at a rate, up to a capacity. Its level may be negative: that debt is
+/// filled up first.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TokenBucket {
     /// Units in the bucket at `refilled_at`.
     pub(crate) level: f64,
-    /// The most units it holds.
+    /// The most units in it.
     pub(crate) capacity: f64,
     /// Units a second.
     pub(crate) rate: f64,
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -186,7 +186,7 @@
         let ended = matches!(outcome, Outcome::Ok | Outcome::Cancelled);
         let (elapsed, report) = (TimeDelta::from_micros(elapsed), LoadReport::default());
         let result = AttemptResult {
-            id,
+            request: id,
             attempt,
             endpoint,
             outcome,
--- a/crates/policy/tests/endpoints.rs
+++ b/crates/policy/tests/endpoints.rs
@@ -261,7 +261,7 @@
         TimeDelta::from_micros(300 * MS),
     );
     let result = AttemptResult {
-        id,
+        request: id,
         attempt: 0,
         endpoint,
         outcome,
--- a/crates/policy/tests/recording/mod.rs
+++ b/crates/policy/tests/recording/mod.rs
@@ -426,7 +426,7 @@
             (outcome == Outcome::Ok && self.random.f64() < 0.1).then(|| self.random.f64() * 4.0);
         let report = LoadReport::default();
         let end = AttemptResult {
-            id,
+            request: id,
             attempt,
             endpoint: server,
             outcome,
--- a/crates/resp-gateway/src/server/actions.rs
+++ b/crates/resp-gateway/src/server/actions.rs
@@ -114,7 +114,7 @@
             .value
             .is_some_and(|value| self.reply(request, Frame::BulkString(value)));
         self.decisions.push(Event::AttemptEnded(AttemptResult {
-            id: request,
+            request,
             attempt: end.attempt.number,
             endpoint: end.endpoint,
             outcome: end.outcome,
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -65,7 +65,7 @@
 
     fn attempt_result(&mut self, fields: &Fields) -> Result<AttemptResult> {
         Ok(AttemptResult {
-            id: RequestId(fields.whole("ref")?),
+            request: RequestId(fields.whole("ref")?),
             attempt: fields.whole_or("trial", 0)? as usize,
             endpoint: self.addresses.id(fields.text("backend")?),
             outcome: fields.outcome()?,
