--- a/crates/policy/tests/admission_only.rs
+++ b/crates/policy/tests/admission_only.rs
@@ -32,7 +32,7 @@
             "answered at once"
         );
     }
-    // Twenty units at once, of which this gateway has half unheard.
+    // Twenty units at once, of which this gateway has half without the counter.
     assert!((4..=20).contains(&granted_in_all), "{granted_in_all}");
 }
 
@@ -48,7 +48,7 @@
         "no deadline"
     );
     let (b, out) = rig.request(OWN, 2, 5, 1.0);
-    assert!(!is_granted(&out, b), "one place of two is this gateway's");
+    assert!(!is_granted(&out, b), "one slot of two is this gateway's");
     rig.handle(Event::ClientDisconnected(a));
     let (c, out) = rig.request(OWN, 2, 5, 1.0);
     assert!(is_granted(&out, c));
@@ -64,21 +64,18 @@
     let mut rig = Rig::new(set, 0);
     let count = |out: &[Action]| {
         out.iter().find_map(|a| {
-            if let Action::AddToCounter {
-                key: name, amount, ..
-            } = a
-            {
-                Some((*name, *amount))
+            if let Action::AddToCounter { key, amount, .. } = a {
+                Some((*key, *amount))
             } else {
                 None
             }
         })
     };
     let (a, out) = rig.request(OWN, 0, 5, 4.0);
-    let (name, amount) = count(&out).expect("it asks");
+    let (key, amount) = count(&out).expect("it is counted");
     assert_eq!(amount, 4.0);
     let out = rig.handle(Event::CounterReplied {
-        key: name,
+        key,
         outcome: Outcome::Ok,
         total: 4.0,
     });
@@ -98,8 +95,8 @@
     assert_eq!(status.remaining, 19.0);
     let (_, out) = rig.request(OWN, 0, 5, 2.0);
     assert_eq!(
-        count(&out).expect("it asks").1,
+        count(&out).expect("it is counted").1,
         -1.0,
-        "two more, and three that came back"
+        "two more, and three that were given back"
     );
 }
--- a/crates/policy/tests/circuit_breaker.rs
+++ b/crates/policy/tests/circuit_breaker.rs
@@ -7,9 +7,9 @@
 fn call_fails(rig: &mut Rig, customer: u64) -> bool {
     let (_, out) = rig.request(0, 0, customer, 1.0);
     let made = counter_calls(&out);
-    for (name, _) in &made {
+    for (key, _) in &made {
         rig.handle(Event::CounterReplied {
-            key: *name,
+            key: *key,
             outcome: Outcome::Rejected,
             total: 0.0,
         });
@@ -17,7 +17,7 @@
     !made.is_empty()
 }
 
-/// Lets three calls fail; with calls failing only a part of the requests asks.
+/// Lets three calls fail; with calls failing only a part of the requests is sampled.
 fn open_breaker(rig: &mut Rig) {
     assert_eq!(
         (1..100).filter(|c| call_fails(rig, *c)).count(),
@@ -30,7 +30,7 @@
 fn three_failures_in_a_row_open_the_breaker() {
     let mut rig = Rig::new(settings(), 4);
     open_breaker(&mut rig);
-    assert!(!call_fails(&mut rig, 4), "open: nobody asks");
+    assert!(!call_fails(&mut rig, 4), "open: no calls");
 }
 
 #[test]
@@ -38,11 +38,11 @@
     let mut rig = Rig::new(settings(), 4);
     call_fails(&mut rig, 1);
     call_fails(&mut rig, 2);
-    // With calls failing only a part of the requests asks; among twenty customers some do.
-    let asked = (10..30)
+    // With calls failing only a part of the requests is sampled; among twenty customers some are.
+    let called = (10..30)
         .filter(|c| !counter_calls(&rig.request(0, 0, *c, 1.0).1).is_empty())
         .count();
-    assert!(asked > 0);
+    assert!(called > 0);
 }
 
 #[test]
@@ -57,17 +57,17 @@
     assert_eq!(probe.len(), 1, "half-open: one probe");
     assert!(
         counter_calls(&rig.request(0, 0, 6, 1.0).1).is_empty(),
-        "while the probe is out nobody else asks"
+        "while the probe is in flight there is no other call"
     );
     rig.handle(Event::CounterReplied {
         key: probe[0].0,
         outcome: Outcome::Ok,
         total: 1.0,
     });
-    let asked = (10..30)
+    let called = (10..30)
         .filter(|c| !nonzero_adds(&rig.request(0, 0, *c, 1.0).1).is_empty())
         .count();
-    assert!(asked > 0, "closed again");
+    assert!(called > 0, "closed again");
 }
 
 #[test]
@@ -89,9 +89,9 @@
         .flat_map(|c| counter_calls(&rig.request(0, 0, c, 1.0).1))
         .collect();
     rig.advance(80 * MS);
-    calls.iter().for_each(|(name, _)| {
+    calls.iter().for_each(|(key, _)| {
         drop(rig.handle(Event::CounterReplied {
-            key: *name,
+            key: *key,
             outcome: Outcome::Timeout,
             total: 0.0,
         }))
@@ -105,13 +105,13 @@
     for _ in 0..10 {
         call_fails(&mut rig, 1);
     }
-    let asked = (10..60)
+    let called = (10..60)
         .filter(|c| !nonzero_adds(&rig.request(0, 0, *c, 1.0).1).is_empty())
         .count();
-    assert!(asked > 0, "others still ask");
+    assert!(called > 0, "others still call");
     assert!(
         !call_fails(&mut rig, 1),
-        "the hot customer's own breaker is open"
+        "the busy customer's own breaker is open"
     );
 }
 
@@ -122,7 +122,7 @@
     for _ in 0..2_000 {
         customer += 1;
         let (_, out) = rig.request(0, 0, customer, 1.0);
-        for (name, amount) in counter_calls(&out) {
+        for (key, amount) in counter_calls(&out) {
             // Two failures, one answer, and again: three in a row never come.
             calls += u32::from(amount != 0.0);
             let outcome = if amount == 0.0 || calls % 3 == 0 {
@@ -131,16 +131,16 @@
                 Outcome::Rejected
             };
             rig.handle(Event::CounterReplied {
-                key: name,
+                key,
                 outcome,
                 total: amount,
             });
         }
     }
-    let asked = (0..200)
+    let called = (0..200)
         .filter(|c| !nonzero_adds(&rig.request(0, 0, 1_000 + c, 1.0).1).is_empty())
         .count();
-    assert_eq!(asked, 0, "open");
+    assert_eq!(called, 0, "open");
 }
 
 #[test]
@@ -165,106 +165,106 @@
 
 #[test]
 fn broken_connections_open_the_breaker_only_while_no_call_is_answered() {
-    let heard = |heard: bool| {
+    let calls_made = |is_answering: bool| {
         let mut rig = Rig::new(settings(), 4);
-        let mut asked = 0;
+        let mut called = 0;
         for customer in 1..=400 {
             let (_, out) = rig.request(0, 0, customer, 1.0);
-            for (name, _) in counter_calls(&out) {
-                asked += 1;
+            for (key, _) in counter_calls(&out) {
+                called += 1;
                 // One in two breaks; the counter may answer the others.
-                let answered = heard && asked % 2 == 0;
+                let answered = is_answering && called % 2 == 0;
                 let (outcome, total) = if answered {
                     (Outcome::Ok, 1.0)
                 } else {
                     (Outcome::Reset, 0.0)
                 };
                 rig.handle(Event::CounterReplied {
-                    key: name,
+                    key,
                     outcome,
                     total,
                 });
             }
             rig.advance(10 * MS);
         }
-        asked
+        called
     };
-    // The first breaks before anything was heard, and costs some of the next their call.
-    assert!(heard(true) >= 350, "{}", heard(true));
-    assert!(heard(false) <= 8, "{}", heard(false));
+    // The first breaks before anything was answered, and costs some of the next their call.
+    assert!(calls_made(true) >= 350, "{}", calls_made(true));
+    assert!(calls_made(false) <= 8, "{}", calls_made(false));
 }
 
 #[test]
 fn answers_later_than_usual_reduce_the_sample_rate_before_calls_fail() {
-    // Most takes as long as it always did; then a line builds up, or none does.
-    let asked = |usual: u64, later: u64| {
+    // Calls take the usual time at first; then a queue builds up, or none does.
+    let called = |usual: u64, later: u64| {
         let mut rig = Rig::new(settings(), 4);
-        let mut asked = 0;
+        let mut called = 0;
         for customer in 1..=400 {
             let (_, out) = rig.request(0, 0, customer, 1.0);
             rig.advance(if customer <= 100 { usual } else { later });
-            counter_calls(&out).iter().for_each(|(name, _)| {
+            counter_calls(&out).iter().for_each(|(key, _)| {
                 drop(rig.handle(Event::CounterReplied {
-                    key: *name,
+                    key: *key,
                     outcome: Outcome::Ok,
                     total: 1.0,
                 }))
             });
-            asked += counter_calls(&out).len();
+            called += counter_calls(&out).len();
         }
-        asked
+        called
     };
-    assert_eq!(asked(2 * MS, 2 * MS), 400);
-    // The first answer cannot be told from a line.
+    assert_eq!(called(2 * MS, 2 * MS), 400);
+    // The first answer cannot be distinguished from a queue.
     assert!(
-        asked(30 * MS, 30 * MS) >= 390,
-        "a counter that is far away is no line"
+        called(30 * MS, 30 * MS) >= 390,
+        "a counter that is far away is no queue"
     );
     assert!(
-        (110..200).contains(&asked(2 * MS, 60 * MS)),
+        (110..200).contains(&called(2 * MS, 60 * MS)),
         "{}",
-        asked(2 * MS, 60 * MS)
+        called(2 * MS, 60 * MS)
     );
 }
 
 #[test]
 fn calls_in_flight_together_reduce_the_sample_rate_once_and_it_recovers_within_seconds() {
     let mut rig = Rig::new(settings(), 4);
-    // Thirty calls meet one line at the counter: all are answered late.
+    // Thirty calls meet one queue at the counter: all are answered late.
     let out: Vec<_> = (1..=30)
         .flat_map(|c| counter_calls(&rig.request(0, 0, c, 1.0).1))
         .collect();
     rig.advance(60 * MS);
-    out.iter().for_each(|(name, _)| {
+    out.iter().for_each(|(key, _)| {
         drop(rig.handle(Event::CounterReplied {
-            key: *name,
+            key: *key,
             outcome: Outcome::Ok,
             total: 1.0,
         }))
     });
     let count_calls = |rig: &mut Rig, customers: std::ops::Range<u64>| {
-        let mut asked = 0;
+        let mut called = 0;
         for customer in customers {
-            for (name, _) in counter_calls(&rig.request(0, 0, customer, 1.0).1) {
+            for (key, _) in counter_calls(&rig.request(0, 0, customer, 1.0).1) {
                 rig.advance(2 * MS);
                 rig.handle(Event::CounterReplied {
-                    key: name,
+                    key,
                     outcome: Outcome::Ok,
                     total: 1.0,
                 });
-                asked += 1;
+                called += 1;
             }
         }
-        asked
+        called
     };
-    assert!(count_calls(&mut rig, 100..120) >= 14, "cut once");
-    // Cut again and again, each time by calls of their own.
+    assert!(count_calls(&mut rig, 100..120) >= 14, "reduced once");
+    // Reduced again and again, each time by calls of their own.
     for customer in 200..300 {
         let out = counter_calls(&rig.request(0, 0, customer, 1.0).1);
         rig.advance(60 * MS);
-        out.iter().for_each(|(name, _)| {
+        out.iter().for_each(|(key, _)| {
             drop(rig.handle(Event::CounterReplied {
-                key: *name,
+                key: *key,
                 outcome: Outcome::Ok,
                 total: 1.0,
             }))
@@ -273,6 +273,6 @@
     count_calls(&mut rig, 400..700);
     assert!(
         count_calls(&mut rig, 700..720) >= 18,
-        "three hundred requests later nearly all ask"
+        "three hundred requests later nearly all are sampled"
     );
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -35,8 +35,8 @@
     }
 }
 
-/// Classes: 0 safe, 1 keyed by cell, 2 unsafe, 3 keyed by all. Plans: 0 ten units a second and twenty at
-/// once, 1 the same under a ceiling twice as high, 2 two attempts out at once, 3 no quota.
+/// Classes: 0 idempotent, 1 keyed by cell, 2 non-idempotent, 3 keyed by all. Plans: 0 ten units a second and twenty at
+/// once, 1 the same under a ceiling twice as high, 2 two concurrency slots, 3 no quota.
 pub fn settings() -> Settings {
     let ceiling = Plan {
         ceiling_rate: 20.0,
@@ -123,7 +123,7 @@
     }
     /// Lets time pass, raising timers as they fire, and returns the actions on them.
     pub fn advance(&mut self, span: u64) -> Vec<Action> {
-        let (end, mut led) = (self.now + span, Vec::new());
+        let (end, mut actions) = (self.now + span, Vec::new());
         while let Some(&(at, id)) = self
             .timers
             .iter()
@@ -132,10 +132,10 @@
         {
             self.timers.retain(|t| t.1 != id);
             self.now = self.now.max(at);
-            led.extend(self.handle(Event::Timer(id)));
+            actions.extend(self.handle(Event::Timer(id)));
         }
         self.now = end;
-        led
+        actions
     }
     pub fn request(
         &mut self,
--- a/crates/policy/tests/counter_sampling.rs
+++ b/crates/policy/tests/counter_sampling.rs
@@ -3,7 +3,7 @@
 use chalkdeck::api::*;
 use common::*;
 
-/// One of three hundred gateways; classes 0 and 1 are safe and worth one and four.
+/// One of three hundred gateways; classes 0 and 1 are idempotent and weigh one and four.
 fn gateway_of_many(seed: u64) -> Rig {
     let mut set = Settings {
         gateways: 300,
@@ -17,7 +17,7 @@
     Rig::seeded(seed, set, 50)
 }
 
-/// A request of a customer; what it led to, once it was served where it was sent on.
+/// A request of a customer; its actions, once it was answered where it was sent.
 fn counter_adds_of(rig: &mut Rig, class: usize, customer: u64, units: f64) -> Vec<Action> {
     let (id, out) = rig.request(class, 0, customer, units);
     sent_attempts(&out)
@@ -26,28 +26,28 @@
     out
 }
 
-/// A request that asks: its id, the count's name and the amount.
+/// A request that is sampled: its id, the counter key and the amount.
 fn sampled_request(rig: &mut Rig, customer: u64, units: f64) -> (RequestId, CounterKey, f64) {
-    let asked = (0..2_000).find_map(|_| {
+    let called = (0..2_000).find_map(|_| {
         let (id, out) = rig.request(0, 0, customer, units);
         sent_attempts(&out)
             .iter()
             .for_each(|(_, s)| drop(rig.end_attempt(id, 0, *s, Outcome::Ok)));
         nonzero_adds(&out)
             .first()
-            .map(|(name, amount)| (id, *name, *amount))
+            .map(|(key, amount)| (id, *key, *amount))
     });
-    asked.expect("one of them asks")
+    called.expect("one of them is sampled")
 }
 
-/// Answers with a line at the counter until few ask.
+/// Answers as with a queue at the counter until few requests are sampled.
 fn fail_all_calls(rig: &mut Rig) {
     for customer in 10_000..10_400 {
         let out = counter_adds_of(rig, 0, customer, 1.0);
         rig.advance(if customer < 10_100 { 2 * MS } else { 40 * MS });
-        for (name, amount) in counter_calls(&out) {
+        for (key, amount) in counter_calls(&out) {
             for (id, endpoint) in sent_attempts(&rig.handle(Event::CounterReplied {
-                key: name,
+                key,
                 outcome: Outcome::Ok,
                 total: amount,
             })) {
@@ -60,14 +60,14 @@
 #[test]
 fn at_start_one_in_ten_of_three_hundred_gateways_calls_the_counter_and_all_of_a_few_do() {
     let first = |gateways: u32| {
-        let asks = |seed: &u64| {
+        let calls_counter = |seed: &u64| {
             let set = Settings {
                 gateways,
                 ..settings()
             };
             !counter_calls(&Rig::seeded(*seed, set, 50).request(0, 0, 1, 1.0).1).is_empty()
         };
-        (0..300).filter(asks).count()
+        (0..300).filter(calls_counter).count()
     };
     assert!((10..60).contains(&first(300)), "{}", first(300));
     assert_eq!(first(30), 300);
@@ -77,14 +77,14 @@
 fn when_calls_fail_requests_of_high_value_are_sampled_first() {
     let mut rig = gateway_of_many(7);
     fail_all_calls(&mut rig);
-    let mut asked = [0, 0];
+    let mut called = [0, 0];
     for i in 0..600 {
         let class = usize::from(i % 3 == 0);
-        for (name, _) in counter_calls(&counter_adds_of(&mut rig, class, 20_000 + i, 1.0)) {
-            asked[class] += 1;
+        for (key, _) in counter_calls(&counter_adds_of(&mut rig, class, 20_000 + i, 1.0)) {
+            called[class] += 1;
             rig.advance(40 * MS);
             for (id, endpoint) in sent_attempts(&rig.handle(Event::CounterReplied {
-                key: name,
+                key,
                 outcome: Outcome::Ok,
                 total: 1.0,
             })) {
@@ -92,8 +92,8 @@
             }
         }
     }
-    // 400 cheap ones, 200 that are worth four times as much.
-    assert!(asked[1] > 3 * asked[0] && asked[0] > 0, "{asked:?}");
+    // 400 of low weight, 200 that weigh four times as much.
+    assert!(called[1] > 3 * called[0] && called[0] > 0, "{called:?}");
 }
 
 #[test]
@@ -107,11 +107,11 @@
             let out = counter_adds_of(&mut rig, 0, customer, 1.0);
             // Each answer comes as late as leaves the share as it is.
             rig.advance(11_600);
-            for (name, amount) in counter_calls(&out) {
+            for (key, amount) in counter_calls(&out) {
                 counted += amount;
                 assert!(amount <= 20.0, "never more than a burst");
                 for (id, endpoint) in sent_attempts(&rig.handle(Event::CounterReplied {
-                    key: name,
+                    key,
                     outcome: Outcome::Ok,
                     total: amount,
                 })) {
@@ -131,15 +131,15 @@
 fn an_unsampled_request_is_decided_by_the_last_total() {
     let mut rig = gateway_of_many(7);
     let went = |rig: &mut Rig| {
-        let unasked = (0..200).find_map(|_| {
+        let unsampled = (0..200).find_map(|_| {
             Some(counter_adds_of(rig, 0, 1, 0.5)).filter(|out| counter_calls(out).is_empty())
         });
-        !sent_attempts(&unasked.expect("few ask")).is_empty()
+        !sent_attempts(&unsampled.expect("few are sampled")).is_empty()
     };
-    assert!(went(&mut rig), "nothing was heard of the customer yet");
-    let (id, name, amount) = sampled_request(&mut rig, 1, 0.5);
+    assert!(went(&mut rig), "no total of the customer is known yet");
+    let (id, key, amount) = sampled_request(&mut rig, 1, 0.5);
     let out = rig.handle(Event::CounterReplied {
-        key: name,
+        key,
         outcome: Outcome::Ok,
         total: amount + 20.0,
     });
@@ -154,11 +154,11 @@
 fn a_sampled_request_is_decided_by_its_own_units_and_gives_back_all_that_it_added() {
     let mut rig = gateway_of_many(7);
     fail_all_calls(&mut rig);
-    let (id, name, amount) = sampled_request(&mut rig, 1, 1.0);
+    let (id, key, amount) = sampled_request(&mut rig, 1, 1.0);
     assert!(amount > 4.0, "it stands for others: {amount}");
     // Nineteen units of others and its own one fit; those that it stands for would not.
     let out = rig.handle(Event::CounterReplied {
-        key: name,
+        key,
         outcome: Outcome::Ok,
         total: amount + 19.0,
     });
@@ -168,9 +168,9 @@
         "{out:?}"
     );
 
-    let (id, name, amount) = sampled_request(&mut rig, 2, 4.0);
+    let (id, key, amount) = sampled_request(&mut rig, 2, 4.0);
     let out = rig.handle(Event::CounterReplied {
-        key: name,
+        key,
         outcome: Outcome::Ok,
         total: amount + 17.0,
     });
--- a/crates/policy/tests/endpoints.rs
+++ b/crates/policy/tests/endpoints.rs
@@ -108,7 +108,7 @@
     );
     assert!(
         is_rejected(&rig.advance(400 * MS), id),
-        "not past what the aim allows"
+        "not past what the latency objective allows"
     );
 }
 
@@ -119,11 +119,11 @@
     let mut rig = Rig::new(set, 1);
     let (first, endpoint) = rig.send_request(0);
     rig.send_request(0);
-    let (cheap, _) = rig.request(0, 3, 1, 1.0);
-    let (dear, _) = rig.request(3, 3, 1, 1.0);
+    let (low_priority, _) = rig.request(0, 3, 1, 1.0);
+    let (high_priority, _) = rig.request(3, 3, 1, 1.0);
     let out = rig.end_attempt(first, 0, endpoint, Outcome::Ok);
-    assert_eq!(sent_attempts(&out), [(dear, endpoint)]);
-    assert_ne!(cheap, dear);
+    assert_eq!(sent_attempts(&out), [(high_priority, endpoint)]);
+    assert_ne!(low_priority, high_priority);
 }
 
 #[test]
@@ -146,9 +146,9 @@
         for i in 0..200 {
             rig.advance(7 * MS);
             let (id, out) = rig.request((i % 4) as usize, (i % 3) as usize, i % 5, 1.0);
-            for (name, _) in counter_calls(&out) {
+            for (key, _) in counter_calls(&out) {
                 let out = rig.handle(Event::CounterReplied {
-                    key: name,
+                    key,
                     outcome: Outcome::Ok,
                     total: (i % 17) as f64,
                 });
@@ -190,7 +190,7 @@
     let at_once = (0..8)
         .map(|_| sent_attempts(&rig.request(0, 3, 1, 1.0).1).len())
         .sum::<usize>();
-    assert_eq!(at_once, 1, "one attempt out over all four");
+    assert_eq!(at_once, 1, "one attempt in flight over all four");
 }
 
 #[test]
@@ -221,9 +221,9 @@
     assert_eq!(
         wait,
         3 * S,
-        "at a endpoint like the others it may take its time"
+        "at an endpoint like the others it may take its time"
     );
-    // The further attempt goes to the other endpoint and stays out there.
+    // The further attempt goes to the other endpoint and stays in flight there.
     rig.end_attempt_after(id, 0, silent, Outcome::Timeout, 3 * S);
     rig.advance(2 * S);
     let (endpoint, wait) = waits(&rig.request(0, 3, 1, 1.0).1, rig.now);
@@ -231,27 +231,27 @@
     assert!(wait < 800 * MS, "and not for the whole time: {wait}");
 }
 
-/// Sends one request that stays out while others are answered after `elapsed`; returns it, its endpoint and what that led to
+/// Sends one request that stays in flight while others are answered after `elapsed`; returns it, its endpoint and the actions
 /// within half a second.
 fn one_straggler(elapsed: u64) -> (Rig, RequestId, EndpointId, Vec<Action>) {
     let mut rig = Rig::new(settings(), 1);
     let (id, endpoint) = rig.send_request(0);
     let begun = rig.now;
-    let mut led = Vec::new();
+    let mut actions = Vec::new();
     while rig.now < begun + 500 * MS {
         let (other, out) = rig.request(0, 3, 9, 1.0);
-        led.extend(rig.advance(elapsed));
+        actions.extend(rig.advance(elapsed));
         sent_attempts(&out)
             .iter()
             .for_each(|(_, s)| drop(rig.end_attempt(other, 0, *s, Outcome::Ok)));
     }
-    (rig, id, endpoint, led)
+    (rig, id, endpoint, actions)
 }
 
 #[test]
 fn a_straggler_is_cancelled_and_retried() {
-    let (mut rig, id, endpoint, led) = one_straggler(20 * MS);
-    assert!(led.contains(&Action::CancelAttempt {
+    let (mut rig, id, endpoint, actions) = one_straggler(20 * MS);
+    assert!(actions.contains(&Action::CancelAttempt {
         request: id,
         attempt: 0
     }));
@@ -274,17 +274,18 @@
     assert_eq!(
         sent_attempts(&out),
         [(id, endpoint)],
-        "the endpoint is neither cut nor put aside"
+        "the limit is not cut and the endpoint not ejected"
     );
 }
 
 #[test]
 fn where_all_answers_are_late_nothing_is_cancelled() {
-    let (_, _, _, led) = one_straggler(300 * MS);
+    let (_, _, _, actions) = one_straggler(300 * MS);
     assert!(
-        !led.iter()
+        !actions
+            .iter()
             .any(|a| matches!(a, Action::CancelAttempt { .. })),
-        "{led:?}"
+        "{actions:?}"
     );
 }
 
@@ -292,12 +293,12 @@
 fn stragglers_at_an_endpoint_that_answers_quickly_leave_its_limit() {
     let mut rig = Rig::new(settings(), 1);
     let out_at_once = |rig: &mut Rig| {
-        let asked: Vec<_> = (0..8).map(|_| rig.request(2, 3, 9, 1.0)).collect();
-        let sent: Vec<_> = asked
+        let called: Vec<_> = (0..8).map(|_| rig.request(2, 3, 9, 1.0)).collect();
+        let sent: Vec<_> = called
             .iter()
             .flat_map(|(_, out)| sent_attempts(out))
             .collect();
-        for (id, _) in asked
+        for (id, _) in called
             .iter()
             .filter(|(id, _)| !sent.iter().any(|s| s.0 == *id))
         {
@@ -311,7 +312,7 @@
     };
     let before = out_at_once(&mut rig);
     for _ in 0..10 {
-        // Unsafe: it waits until its client goes.
+        // Non-idempotent: it waits until its client goes.
         let (id, endpoint) = rig.send_request(2);
         for _ in 0..5 {
             let (other, _) = rig.request(0, 3, 9, 1.0);
--- a/crates/policy/tests/many_gateways.rs
+++ b/crates/policy/tests/many_gateways.rs
@@ -58,23 +58,23 @@
 
 #[test]
 fn with_fractional_limits_late_answers_shed_and_quick_ones_do_not() {
-    let refusals = |elapsed: u64| {
+    let rejections = |elapsed: u64| {
         let mut rig = gateway_of(200, 3, 50);
-        let mut refusals = 0;
+        let mut rejections = 0;
         for _ in 0..200 {
             rig.advance(700 * MS);
             let (id, out) = rig.request(0, 3, 1, 1.0);
-            refusals += u32::from(is_rejected(&out, id));
+            rejections += u32::from(is_rejected(&out, id));
             for (_, endpoint) in sent_attempts(&out) {
                 rig.advance(elapsed);
                 rig.end_attempt_after(id, 0, endpoint, Outcome::Ok, elapsed);
             }
         }
-        refusals
+        rejections
     };
-    assert_eq!(refusals(50 * MS), 0);
+    assert_eq!(rejections(50 * MS), 0);
     assert!(
-        refusals(700 * MS) > 100,
+        rejections(700 * MS) > 100,
         "one at a time, never two out, and still it sheds"
     );
 }
@@ -89,7 +89,7 @@
         let (id, mut out) = request_of_many_gateways(&mut rig, is_retry);
         // Every third call is turned away, so the breaker stays closed.
         let mut failed = false;
-        for (name, _) in counter_calls(&out) {
+        for (key, _) in counter_calls(&out) {
             calls += 1;
             failed = calls % 3 == 0;
             let outcome = if failed {
@@ -98,7 +98,7 @@
                 Outcome::Ok
             };
             out.extend(rig.handle(Event::CounterReplied {
-                key: name,
+                key,
                 outcome,
                 total: 2.0,
             }));
@@ -117,14 +117,14 @@
 fn a_local_share_below_one_request_still_admits_one() {
     let mut rig = gateway_of(200, 3, 50);
     rig.advance(300 * MS);
-    let asked = (0..100).find_map(|_| {
+    let called = (0..100).find_map(|_| {
         let (id, out) = request_of_many_gateways(&mut rig, false);
         sent_attempts(&out)
             .iter()
             .for_each(|(_, s)| drop(rig.end_attempt(id, 0, *s, Outcome::Ok)));
         (!counter_calls(&out).is_empty()).then_some((id, out))
     });
-    let (id, out) = asked.expect("one of a hundred asks");
+    let (id, out) = called.expect("one of a hundred is sampled");
     let out = rig.handle(Event::CounterReplied {
         key: counter_calls(&out)[0].0,
         outcome: Outcome::Rejected,
@@ -149,9 +149,9 @@
         ..IncomingRequest::default()
     };
     let mut out = rig.handle(Event::RequestArrived(a));
-    for (name, _) in counter_calls(&out) {
+    for (key, _) in counter_calls(&out) {
         out.extend(rig.handle(Event::CounterReplied {
-            key: name,
+            key,
             outcome: Outcome::Rejected,
             total: 0.0,
         }));
@@ -209,7 +209,7 @@
 
 #[test]
 fn with_the_counter_down_hundreds_of_gateways_share_two_slots_by_their_sum() {
-    // One customer with two places asks at each of 200 gateways twice a second; answers take 100 ms.
+    // One customer with two slots sends a request to each of 200 gateways twice a second; answers take 100 ms.
     let mut rigs: Vec<Rig> = (0..200).map(|me| gateway_of(200, me, 50)).collect();
     let mut later = 0;
     for round in 0..120 {
@@ -230,7 +230,7 @@
     let out_on_average = later as f64 * 0.1 / 41.0;
     assert!(
         (0.5..=2.0).contains(&out_on_average),
-        "{out_on_average} out in two places"
+        "{out_on_average} in flight in two slots"
     );
 }
 
@@ -241,8 +241,8 @@
     let mut sent = 0;
     for step in 0..2_000u64 {
         let mut out = rig.advance(50 * MS);
-        let jam = step >= 600;
-        let takes = if jam { 1_500 * MS } else { 100 * MS };
+        let is_overloaded = step >= 600;
+        let takes = if is_overloaded { 1_500 * MS } else { 100 * MS };
         for (until, id, endpoint) in std::mem::take(&mut waiting) {
             if until > rig.now {
                 waiting.push((until, id, endpoint));
@@ -250,8 +250,8 @@
             }
             out.extend(rig.end_attempt_after(id, 0, endpoint, Outcome::Ok, takes));
         }
-        // In the jam clients repeat what was refused.
-        if jam || step % 10 == 0 {
+        // In overload clients retry what was rejected.
+        if is_overloaded || step % 10 == 0 {
             out.extend(rig.request(0, 3, 1, 1.0).1);
         }
         for (id, endpoint) in sent_attempts(&out) {
@@ -262,7 +262,7 @@
     // What passes by chance alone has 1.2 out on average, 39 sends; calm and the jam's first moments had a third.
     assert!(
         (1..=20).contains(&sent),
-        "{sent} sent into the jam in fifty seconds"
+        "{sent} sent in overload in fifty seconds"
     );
 }
 
@@ -305,7 +305,7 @@
             waits
                 .iter()
                 .all(|w| *w > TimeDelta::from_micros(0) && *w < TimeDelta::from_micros(240 * MS)),
-            "well within the aim"
+            "well within the latency objective"
         );
         waits.dedup();
         assert!(!retry_after || waits.len() > 50, "spread by chance");
--- a/crates/policy/tests/quota_window.rs
+++ b/crates/policy/tests/quota_window.rs
@@ -48,7 +48,7 @@
 #[test]
 fn over_the_allowance_a_request_is_rejected_its_units_given_back_and_retry_after_set() {
     let mut rig = Rig::new(settings(), 4);
-    // Far beyond what any store can hold: twice the burst and more.
+    // Far beyond what any bucket can hold: twice the burst and more.
     let (id, out) = request_with_total(&mut rig, 4.0, 43.0);
     let Some(Action::Reject {
         retry_after: Some(wait),
@@ -57,7 +57,7 @@
         .iter()
         .find(|a| matches!(a, Action::Reject { request: r, .. } if *r == id))
     else {
-        panic!("refused with advice: {out:?}");
+        panic!("rejected with a retry-after: {out:?}");
     };
     assert!(wait.as_micros() > 0 && wait.as_micros() <= 2 * S);
     assert!(sent_attempts(&out).is_empty());
@@ -138,14 +138,14 @@
     let mut last = None;
     for _ in 0..100 {
         let (id, out) = rig.request(0, 0, 1, 1.0);
-        for (name, amount) in counter_calls(&out) {
-            total = if last.replace(name).is_some_and(|n| n != name) {
+        for (key, amount) in counter_calls(&out) {
+            total = if last.replace(key).is_some_and(|n| n != key) {
                 amount
             } else {
                 total + amount
             };
             let out = rig.handle(Event::CounterReplied {
-                key: name,
+                key,
                 outcome: Outcome::Ok,
                 total,
             });
@@ -177,12 +177,12 @@
     let (id, out) = rig.request(0, 0, 1, 4.0);
     let back = out.iter().find_map(|a| match a {
         Action::Reject {
-            request: refused,
+            request: rejected,
             retry_after: back,
-        } if *refused == id => *back,
+        } if *rejected == id => *back,
         _ => None,
     });
-    let back = back.expect("it is refused with a time").as_micros();
+    let back = back.expect("it is rejected with a retry-after").as_micros();
     assert!((380 * MS..=400 * MS).contains(&back), "{back}");
 }
 
@@ -203,8 +203,8 @@
             .map(|a| a.1)
     });
     assert!(
-        next.expect("somebody asks") >= 3.0,
-        "its own unit and what went on unheard"
+        next.expect("a request is sampled") >= 3.0,
+        "its own unit and what was admitted without the counter"
     );
 }
 
@@ -231,33 +231,33 @@
 fn a_concurrency_slot_is_counted_and_freed() {
     let mut rig = Rig::new(settings(), 4);
     let (id, out) = rig.request(0, 2, 1, 1.0);
-    let (name, one) = nonzero_adds(&out)[0];
+    let (key, one) = nonzero_adds(&out)[0];
     assert_eq!(one, 1.0);
     let out = rig.handle(Event::CounterReplied {
-        key: name,
+        key,
         outcome: Outcome::Ok,
         total: 1.0,
     });
     let endpoint = sent_attempts(&out)[0].1;
     let out = rig.end_attempt(id, 0, endpoint, Outcome::Ok);
-    assert_eq!(nonzero_adds(&out), [(name, -1.0)]);
+    assert_eq!(nonzero_adds(&out), [(key, -1.0)]);
     rig.handle(Event::CounterReplied {
-        key: name,
+        key,
         outcome: Outcome::Ok,
         total: 0.0,
     });
     let (id, out) = rig.request(0, 2, 1, 1.0);
-    assert_eq!(nonzero_adds(&out), [(name, 1.0)]);
+    assert_eq!(nonzero_adds(&out), [(key, 1.0)]);
     let out = rig.handle(Event::CounterReplied {
-        key: name,
+        key,
         outcome: Outcome::Ok,
         total: 3.0,
     });
     assert!(is_rejected(&out, id), "two are out elsewhere");
     assert_eq!(
         nonzero_adds(&out),
-        [(name, -1.0)],
-        "and the place goes back"
+        [(key, -1.0)],
+        "and the slot is given back"
     );
 }
 
@@ -281,10 +281,10 @@
         for _ in 0..4 {
             rig.advance(2 * S);
             let (id, out) = rig.request(0, 0, 1, 4.0);
-            for (name, amount) in counter_calls(&out) {
+            for (key, amount) in counter_calls(&out) {
                 let total = if amount > 0.0 { 4.0 + others } else { 0.0 };
                 let out = rig.handle(Event::CounterReplied {
-                    key: name,
+                    key,
                     outcome: Outcome::Ok,
                     total,
                 });
@@ -297,9 +297,9 @@
         for _ in 0..300 {
             rig.advance(100 * MS);
             let (id, mut out) = rig.request(0, 0, 1, 1.0);
-            for (name, _) in counter_calls(&out.clone()) {
+            for (key, _) in counter_calls(&out.clone()) {
                 out.extend(rig.handle(Event::CounterReplied {
-                    key: name,
+                    key,
                     outcome: Outcome::Rejected,
                     total: 0.0,
                 }));
--- a/crates/policy/tests/request_guarantees.rs
+++ b/crates/policy/tests/request_guarantees.rs
@@ -213,7 +213,7 @@
     lowest_ceiling_level_with(|n, _| answer(n), |_, _| true)
 }
 
-/// The same, with the amount of each call told, and gateways that have traffic only at some steps.
+/// The same, with the amount of each call, and gateways that have traffic only at some steps.
 fn lowest_ceiling_level_with(
     answer: impl Fn(u64, f64) -> Option<f64>,
     busy: impl Fn(usize, u64) -> bool,
@@ -236,19 +236,19 @@
             let mut pending = out;
             while !pending.is_empty() {
                 let mut next = Vec::new();
-                for (name, amount) in counter_calls(&pending) {
+                for (key, amount) in counter_calls(&pending) {
                     call += 1;
-                    let (mut outcome, mut heard) = (Outcome::Rejected, 0.0);
+                    let (mut outcome, mut answered_total) = (Outcome::Rejected, 0.0);
                     if let Some(kept) = answer(call, amount) {
                         totals.values_mut().for_each(|t| *t *= kept);
-                        let total = totals.entry(name).or_insert(0.0);
+                        let total = totals.entry(key).or_insert(0.0);
                         *total += amount;
-                        (outcome, heard) = (Outcome::Ok, *total);
+                        (outcome, answered_total) = (Outcome::Ok, *total);
                     }
                     next.extend(rig.handle(Event::CounterReplied {
-                        key: name,
+                        key,
                         outcome,
-                        total: heard,
+                        total: answered_total,
                     }));
                 }
                 for (_, endpoint) in sent_attempts(&pending) {
@@ -303,7 +303,7 @@
     }
 }
 
-/// Hundreds of gateways with the same steady flow over one fleet, all told of a endpoint in slow start at once.
+/// Hundreds of gateways with the same steady flow over one fleet, all with an update about an endpoint in slow start at once.
 #[test]
 fn hundreds_of_gateways_do_not_overload_an_endpoint_in_slow_start() {
     let (gateways, endpoints) = (200, 20);
@@ -335,7 +335,7 @@
             rig
         })
         .collect();
-    // A warm endpoint gets 50 of these a second; a cold one tips at twice its part of that.
+    // A warm endpoint gets 50 of these a second; one in slow start is overloaded at twice its part of that.
     let (mut second, mut total) = (std::collections::VecDeque::new(), 0);
     for tick in 0..50 {
         let got = rigs
--- a/crates/policy/tests/zone_shares.rs
+++ b/crates/policy/tests/zone_shares.rs
@@ -79,7 +79,7 @@
         !to.is_empty() && to.len() < 40 && to.iter().all(|s| s.0 < 4),
         "{to:?}"
     );
-    // Open, the far zone takes what the near one has no place for.
+    // Open, the far zone takes what the near one has no room for.
     let mut rig = self::rig();
     rig.handle(Event::ZoneSharesChanged {
         shares: shares((1.0, true), (0.0, true)),
@@ -135,7 +135,7 @@
         };
         (0..400).map(|_| one(&mut rig)).sum::<usize>()
     };
-    // All are worth one: the more units, the less for each.
+    // All weigh one: the more units, the less for each.
     assert_eq!((let_in(1.0), let_in(4.0)), (400, 0));
     let half = let_in(2.0);
     assert!((140..260).contains(&half), "{half} of 400");
@@ -155,7 +155,7 @@
         shares: vec![near],
         threshold: all(),
     });
-    // Fill the one endpoint; then a large request of more worth waits before a small one of less.
+    // Fill the one endpoint; then a large request of more weight waits before a small one of less.
     let mut out = Vec::new();
     loop {
         let sent = sent_attempts(&rig.request(3, 3, 1, 4.0).1);
