--- a/crates/policy/tests/recorded_decisions.rs
+++ b/crates/policy/tests/recorded_decisions.rs
@@ -1,6 +1,6 @@
 //! Decisions are the same as those recorded from commit d5a4349, byte for byte.
 //!
-//! Each seed draws settings and plays a closed loop of one gateway with clients, a counter and servers that fail in turns. The text
+//! Each seed draws settings and plays a closed loop of one gateway with clients, a counter and endpoints that fail in turns. The text
 //! of every action goes into a digest. The recorded line also has counts of events and actions, so that a difference can be read.
 //!
 //! The figures go through `exp` and `powf` of the C library, so a machine whose library rounds these otherwise may differ.
--- a/crates/policy/tests/recording/mod.rs
+++ b/crates/policy/tests/recording/mod.rs
@@ -1,11 +1,11 @@
-//! One gateway in a closed loop with simulated clients, counter and servers; what it does is digested.
+//! One gateway in a closed loop with simulated clients, counter and endpoints; what it does is digested.
 
 mod peers;
 mod settings;
 
 use chalkdeck::api::*;
 use chalkdeck::DecisionEngine;
-use peers::{CounterState, ServerState};
+use peers::{CounterState, EndpointSimulation};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fmt::{self, Display};
 
@@ -14,7 +14,7 @@
 pub const MILLISECOND: u64 = 1_000;
 pub const SECOND: u64 = 1_000_000;
 
-/// What one seed came to, as one line of the recorded file.
+/// The result of one seed, as one line of the recorded file.
 pub struct Summary {
     seed: u64,
     counts: BTreeMap<&'static str, u64>,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Plays a seed and returns what it came to.
+/// Plays a seed and returns its result.
 pub fn play(seed: u64) -> Summary {
     let mut world = World::new(seed);
     while world.counts.get("events").copied().unwrap_or(0) < EVENTS_PER_SEED {
@@ -83,21 +83,21 @@
     },
     ClientLeaves(RequestId),
     StreamStarts(RequestId),
-    BodyDropped(RequestId),
-    UnitsSettle(RequestId),
+    BodyDiscarded(RequestId),
+    UnitsSettled(RequestId),
     ListMoves,
-    SitesMove,
+    ZoneSharesMove,
     FaultsMove,
 }
 
 struct OpenAttempt {
-    server: EndpointId,
+    endpoint: EndpointId,
     sent: u64,
     is_open: bool,
 }
 
 struct OpenRequest {
-    arrival: IncomingRequest,
+    incoming: IncomingRequest,
     attempts: Vec<OpenAttempt>,
     is_answered: bool,
 }
@@ -110,10 +110,10 @@
     sequence: u64,
     pending: BTreeMap<(u64, u64), Pending>,
     requests: HashMap<u64, OpenRequest>,
-    servers: BTreeMap<u64, ServerState>,
+    endpoints: BTreeMap<u64, EndpointSimulation>,
     counter: CounterState,
-    has_sites: bool,
-    arrivals_a_second: f64,
+    has_zone_shares: bool,
+    arrivals_per_second: f64,
     customers: u64,
     next_request: u64,
     counts: BTreeMap<&'static str, u64>,
@@ -125,11 +125,11 @@
         let mut random = fastrand::Rng::with_seed(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let settings = settings::draw(&mut random);
         let engine = DecisionEngine::new(seed, settings.clone()).expect("sound settings");
-        let server_count = [3, 12, 60, 200][random.usize(..4)];
+        let endpoint_count = [3, 12, 60, 200][random.usize(..4)];
         let mut world = World {
             engine,
-            has_sites: random.f64() < 0.3,
-            arrivals_a_second: [4.0, 30.0, 200.0][random.usize(..3)],
+            has_zone_shares: random.f64() < 0.3,
+            arrivals_per_second: [4.0, 30.0, 200.0][random.usize(..3)],
             customers: [3, 20, 400][random.usize(..3)],
             settings,
             random,
@@ -137,26 +137,26 @@
             sequence: 0,
             pending: BTreeMap::new(),
             requests: HashMap::new(),
-            servers: (0..server_count)
-                .map(|i| (i, ServerState::default()))
+            endpoints: (0..endpoint_count)
+                .map(|i| (i, EndpointSimulation::default()))
                 .collect(),
             counter: CounterState::default(),
             next_request: 1,
             counts: BTreeMap::new(),
             digest: Digest(0xcbf2_9ce4_8422_2325),
         };
-        let entries = (0..server_count)
+        let entries = (0..endpoint_count)
             .map(|i| peers::entry(i, EndpointState::InService, None))
             .collect();
-        world.tell(Event::EndpointsUpdated {
+        world.handle(Event::EndpointsUpdated {
             scope: UpdateScope::Complete,
             entries,
         });
         world.schedule(0, Pending::NextArrival);
         world.schedule(2 * SECOND, Pending::ListMoves);
         world.schedule(SECOND, Pending::FaultsMove);
-        if world.has_sites {
-            world.schedule(3 * SECOND, Pending::SitesMove);
+        if world.has_zone_shares {
+            world.schedule(3 * SECOND, Pending::ZoneSharesMove);
         }
         world
     }
@@ -180,8 +180,8 @@
         self.now = self.now.max(at);
         match what {
             Pending::NextArrival => self.draw_arrival(),
-            Pending::Arrives(arrival) => self.arrive(arrival),
-            Pending::TimerDue(id) => self.tell(Event::Timer(id)),
+            Pending::Arrives(incoming) => self.arrive(incoming),
+            Pending::TimerDue(id) => self.handle(Event::Timer(id)),
             Pending::AttemptEnds {
                 id,
                 attempt,
@@ -191,7 +191,7 @@
                 key,
                 outcome,
                 total,
-            } => self.tell(Event::CounterReplied {
+            } => self.handle(Event::CounterReplied {
                 key,
                 outcome,
                 total,
@@ -199,21 +199,21 @@
             Pending::ClientLeaves(id) => self.client_leaves(id),
             Pending::StreamStarts(id) => {
                 if self.requests.get(&id.0).is_some_and(|r| !r.is_answered) {
-                    self.tell(Event::ResponseStarted(id));
+                    self.handle(Event::ResponseStarted(id));
                 }
             }
-            Pending::BodyDropped(id) => self.tell(Event::BodyDiscarded(id)),
-            Pending::UnitsSettle(id) => {
+            Pending::BodyDiscarded(id) => self.handle(Event::BodyDiscarded(id)),
+            Pending::UnitsSettled(id) => {
                 let units = self.random.f64() * 5.0;
-                self.tell(Event::UnitsSettled { request: id, units });
+                self.handle(Event::UnitsSettled { request: id, units });
             }
             Pending::ListMoves => self.move_list(),
-            Pending::SitesMove => self.move_sites(),
+            Pending::ZoneSharesMove => self.move_zone_shares(),
             Pending::FaultsMove => self.move_faults(),
         }
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         self.count("events");
         let mut actions = Vec::new();
         self.engine
@@ -253,7 +253,7 @@
             }
             Action::Grant(id) => {
                 self.record("grant", &id.0.to_string());
-                self.schedule(20 * MILLISECOND, Pending::UnitsSettle(id));
+                self.schedule(20 * MILLISECOND, Pending::UnitsSettled(id));
                 self.schedule(60 * MILLISECOND, Pending::ClientLeaves(id));
             }
             Action::CancelAttempt { request, attempt } => {
@@ -284,7 +284,7 @@
                     self.schedule(700 * MILLISECOND, Pending::ListMoves);
                 }
             }
-            Action::Probe(server) => self.record("probe", &server.0.to_string()),
+            Action::Probe(endpoint) => self.record("probe", &endpoint.0.to_string()),
             Action::FetchEndpoints => self.record("fetch", ""),
         }
     }
@@ -303,7 +303,7 @@
     }
 
     fn draw_arrival(&mut self) {
-        let gap = -(1.0 - self.random.f64()).ln() / self.arrivals_a_second;
+        let gap = -(1.0 - self.random.f64()).ln() / self.arrivals_per_second;
         self.schedule((gap * 1e6) as u64 + 1, Pending::NextArrival);
         let class = ClassId(self.random.usize(..self.settings.classes.len()));
         let customer = (self.random.f64().powi(2) * self.customers as f64) as u64;
@@ -312,7 +312,7 @@
         } else {
             1
         };
-        let arrival = IncomingRequest {
+        let incoming = IncomingRequest {
             id: RequestId(0),
             class,
             plan: PlanId(customer as usize % self.settings.plans.len()),
@@ -324,15 +324,15 @@
             units: f64::from(self.random.u32(1..=4)),
             is_retry: false,
         };
-        self.arrive(arrival);
+        self.arrive(incoming);
     }
 
-    fn arrive(&mut self, mut arrival: IncomingRequest) {
+    fn arrive(&mut self, mut incoming: IncomingRequest) {
         let id = RequestId(self.next_request);
         self.next_request += 1;
-        arrival.id = id;
+        incoming.id = id;
         let request = OpenRequest {
-            arrival: arrival.clone(),
+            incoming: incoming.clone(),
             attempts: Vec::new(),
             is_answered: false,
         };
@@ -342,9 +342,9 @@
             self.schedule(after, Pending::ClientLeaves(id));
         }
         if self.random.f64() < 0.05 {
-            self.schedule(30 * MILLISECOND, Pending::BodyDropped(id));
+            self.schedule(30 * MILLISECOND, Pending::BodyDiscarded(id));
         }
-        self.tell(Event::RequestArrived(arrival));
+        self.handle(Event::RequestArrived(incoming));
     }
 
     fn retry_later(&mut self, id: RequestId, after: u64) {
@@ -352,7 +352,7 @@
             return;
         };
         request.is_answered = true;
-        let again = request.arrival.clone();
+        let again = request.incoming.clone();
         if again.is_retry || self.random.f64() < 0.5 {
             return;
         }
@@ -374,29 +374,29 @@
         if let Some(request) = self.requests.get_mut(&id.0) {
             request.is_answered = true;
         }
-        self.tell(Event::ClientDisconnected(id));
+        self.handle(Event::ClientDisconnected(id));
     }
 
-    fn send(&mut self, id: RequestId, server: EndpointId, until: u64) {
+    fn send(&mut self, id: RequestId, endpoint: EndpointId, until: u64) {
         let Some(request) = self.requests.get_mut(&id.0) else {
             return;
         };
         request.attempts.push(OpenAttempt {
-            server,
+            endpoint,
             sent: self.now,
             is_open: true,
         });
         let attempt = request.attempts.len() - 1;
-        let is_stream = self.settings.classes[request.arrival.class.0].is_streaming;
-        let state = self.servers.entry(server.0).or_default();
-        let (outcome, took) = state.serve(self.now, &mut self.random);
-        let (outcome, at) = if self.now + took >= until {
+        let is_stream = self.settings.classes[request.incoming.class.0].is_streaming;
+        let state = self.endpoints.entry(endpoint.0).or_default();
+        let (outcome, elapsed) = state.serve(self.now, &mut self.random);
+        let (outcome, at) = if self.now + elapsed >= until {
             (Outcome::Timeout, until)
         } else {
-            (outcome, self.now + took)
+            (outcome, self.now + elapsed)
         };
         if is_stream && outcome == Outcome::Ok {
-            self.schedule_at(self.now + took / 2, Pending::StreamStarts(id));
+            self.schedule_at(self.now + elapsed / 2, Pending::StreamStarts(id));
         }
         self.schedule_at(
             at,
@@ -416,10 +416,10 @@
             return;
         };
         open.is_open = false;
-        let (server, took) = (open.server, TimeDelta::from_micros(self.now - open.sent));
+        let (endpoint, elapsed) = (open.endpoint, TimeDelta::from_micros(self.now - open.sent));
         request.is_answered |= outcome == Outcome::Ok;
         let ended = request.is_answered;
-        if let Some(state) = self.servers.get_mut(&server.0) {
+        if let Some(state) = self.endpoints.get_mut(&endpoint.0) {
             state.in_flight = state.in_flight.saturating_sub(1);
         }
         let settled =
@@ -428,30 +428,30 @@
         let end = AttemptResult {
             request: id,
             attempt,
-            endpoint: server,
+            endpoint,
             outcome,
-            elapsed: took,
+            elapsed,
             request_finished: ended,
             settled_units: settled,
             load_report: report,
         };
-        self.tell(Event::AttemptEnded(end));
+        self.handle(Event::AttemptEnded(end));
     }
 
     fn move_list(&mut self) {
         self.schedule(1_500 * MILLISECOND, Pending::ListMoves);
         if self.random.f64() < 0.1 {
-            return self.tell(Event::EndpointsUpdated {
+            return self.handle(Event::EndpointsUpdated {
                 scope: UpdateScope::Unavailable,
                 entries: Vec::new(),
             });
         }
         let changed: BTreeSet<u64> = (0..2)
-            .map(|_| self.random.u64(..self.servers.len() as u64 + 1))
+            .map(|_| self.random.u64(..self.endpoints.len() as u64 + 1))
             .collect();
         let mut entries = Vec::new();
         for number in changed {
-            let listed = match self.random.u32(..8) {
+            let state_in_list = match self.random.u32(..8) {
                 0 => EndpointState::Draining,
                 1 => EndpointState::Removed,
                 _ => EndpointState::InService,
@@ -459,18 +459,18 @@
             let restarted = self.random.f64() < 0.3;
             let started = restarted.then(|| self.now - self.random.u64(..SECOND));
             if restarted {
-                self.servers.insert(number, ServerState::default());
+                self.endpoints.insert(number, EndpointSimulation::default());
             }
-            entries.push(peers::entry(number, listed, started));
+            entries.push(peers::entry(number, state_in_list, started));
         }
-        self.tell(Event::EndpointsUpdated {
+        self.handle(Event::EndpointsUpdated {
             scope: UpdateScope::Incremental,
             entries,
         });
     }
 
-    fn move_sites(&mut self) {
-        self.schedule(500 * MILLISECOND, Pending::SitesMove);
+    fn move_zone_shares(&mut self) {
+        self.schedule(500 * MILLISECOND, Pending::ZoneSharesMove);
         let north = self.random.f64();
         let share = |zone: u32, share: f64, open: bool| ZoneShare {
             zone: ZoneId(zone),
@@ -480,22 +480,19 @@
         let open = self.random.f64() < 0.9;
         let shares = vec![share(0, north, open), share(1, 1.0 - north, true)];
         let from = if self.random.f64() < 0.5 { 0.0 } else { 0.2 };
-        let floor = SheddingThreshold {
+        let threshold = SheddingThreshold {
             admit_above: from + 0.3,
             reject_below: from,
             admit_fraction: self.random.f64(),
         };
-        self.tell(Event::ZoneSharesChanged {
-            shares,
-            threshold: floor,
-        });
+        self.handle(Event::ZoneSharesChanged { shares, threshold });
     }
 
     fn move_faults(&mut self) {
         self.schedule(900 * MILLISECOND, Pending::FaultsMove);
         self.counter.draw_fault(&mut self.random);
         let overload = self.random.f64() < 0.15;
-        for state in self.servers.values_mut() {
+        for state in self.endpoints.values_mut() {
             state.draw_fault(overload, &mut self.random);
         }
     }
--- a/crates/policy/tests/recording/peers.rs
+++ b/crates/policy/tests/recording/peers.rs
@@ -1,4 +1,4 @@
-//! Simulated counter and servers, with faults that come and go.
+//! Simulated counter and endpoints, with faults that come and go.
 
 use chalkdeck::api::{
     CellId, CounterKey, EndpointEntry, EndpointId, EndpointState, Outcome, Timestamp, ZoneId,
@@ -7,20 +7,20 @@
 
 use super::MILLISECOND;
 
-/// The line of a server in the server list: two zones, cells of two servers.
-pub fn entry(number: u64, listed: EndpointState, started: Option<u64>) -> EndpointEntry {
+/// The line of an endpoint in the endpoint list: two zones, cells of two endpoints.
+pub fn entry(number: u64, state_in_list: EndpointState, started: Option<u64>) -> EndpointEntry {
     EndpointEntry {
         endpoint: EndpointId(number),
         zone: ZoneId((number % 2) as u32),
         cell: CellId(number / 2),
-        state: listed,
+        state: state_in_list,
         weight: 1.0 + (number % 3) as f64 * 0.5,
         started_at: started.map(Timestamp::from_micros),
     }
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-enum ServerFault {
+enum EndpointFault {
     #[default]
     None,
     Overloaded,
@@ -32,30 +32,30 @@
     Resetting,
 }
 
-/// A server as the world has it.
+/// A endpoint as simulated.
 #[derive(Clone, Debug, Default)]
-pub struct ServerState {
-    fault: ServerFault,
+pub struct EndpointSimulation {
+    fault: EndpointFault,
     pub in_flight: u64,
 }
 
-impl ServerState {
+impl EndpointSimulation {
     pub fn draw_fault(&mut self, overload: bool, random: &mut fastrand::Rng) {
         if overload {
-            self.fault = ServerFault::Overloaded;
+            self.fault = EndpointFault::Overloaded;
             return;
         }
-        if random.f64() < 0.5 && self.fault != ServerFault::Overloaded {
+        if random.f64() < 0.5 && self.fault != EndpointFault::Overloaded {
             return;
         }
         self.fault = match random.u32(..40) {
-            0 => ServerFault::Slow,
-            1 => ServerFault::Failing,
-            2 => ServerFault::Silent,
-            3 => ServerFault::Full,
-            4 => ServerFault::Unreachable,
-            5 => ServerFault::Resetting,
-            _ => ServerFault::None,
+            0 => EndpointFault::Slow,
+            1 => EndpointFault::Failing,
+            2 => EndpointFault::Silent,
+            3 => EndpointFault::Full,
+            4 => EndpointFault::Unreachable,
+            5 => EndpointFault::Resetting,
+            _ => EndpointFault::None,
         };
     }
 
@@ -65,13 +65,13 @@
         let work = (10 + random.u64(..90)) * MILLISECOND * (1 + self.in_flight / 4);
         let fails = random.f64() < 0.7;
         match self.fault {
-            ServerFault::Overloaded => (Outcome::Ok, work * 10),
-            ServerFault::Slow => (Outcome::Ok, work * 6),
-            ServerFault::Failing if fails => (Outcome::Error, 5 * MILLISECOND),
-            ServerFault::Silent => (Outcome::Timeout, u64::MAX / 4),
-            ServerFault::Full => (Outcome::Rejected, 2 * MILLISECOND),
-            ServerFault::Unreachable => (Outcome::ConnectFailed, 100 * MILLISECOND),
-            ServerFault::Resetting if fails => (Outcome::Reset, work / 2),
+            EndpointFault::Overloaded => (Outcome::Ok, work * 10),
+            EndpointFault::Slow => (Outcome::Ok, work * 6),
+            EndpointFault::Failing if fails => (Outcome::Error, 5 * MILLISECOND),
+            EndpointFault::Silent => (Outcome::Timeout, u64::MAX / 4),
+            EndpointFault::Full => (Outcome::Rejected, 2 * MILLISECOND),
+            EndpointFault::Unreachable => (Outcome::ConnectFailed, 100 * MILLISECOND),
+            EndpointFault::Resetting if fails => (Outcome::Reset, work / 2),
             _ if random.f64() < 0.005 => (Outcome::Timeout, u64::MAX / 4),
             _ => (Outcome::Ok, work),
         }
@@ -95,7 +95,7 @@
     pub total: f64,
 }
 
-/// The counter as the world has it. Answers for one name come in the order of the calls.
+/// The counter as simulated. Answers for one key come in the order of the calls.
 #[derive(Debug, Default)]
 pub struct CounterState {
     fault: CounterFault,
@@ -119,14 +119,14 @@
 
     pub fn add(
         &mut self,
-        name: CounterKey,
+        key: CounterKey,
         amount: f64,
         now: u64,
         timeout: u64,
         random: &mut fastrand::Rng,
     ) -> CounterAnswer {
         let quick = MILLISECOND + random.u64(..4 * MILLISECOND);
-        let (outcome, took, is_counted) = match self.fault {
+        let (outcome, elapsed, is_counted) = match self.fault {
             CounterFault::None if random.f64() < 0.003 => (Outcome::Reset, quick, true),
             CounterFault::None => (Outcome::Ok, quick, true),
             CounterFault::Slow if random.f64() < 0.4 => (Outcome::Timeout, timeout, true),
@@ -135,15 +135,15 @@
             CounterFault::Full => (Outcome::Rejected, quick, false),
             CounterFault::Resetting => (Outcome::Reset, quick, random.f64() < 0.5),
         };
-        let total = self.totals.entry(name.0).or_insert(0.0);
+        let total = self.totals.entry(key.0).or_insert(0.0);
         if is_counted {
             *total += amount;
         }
         if random.f64() < 0.3 {
             *total += random.f64() * 3.0;
         }
-        let last = self.last_answer.entry(name.0).or_insert(0);
-        *last = (now + took).max(*last);
+        let last = self.last_answer.entry(key.0).or_insert(0);
+        *last = (now + elapsed).max(*last);
         CounterAnswer {
             at: *last,
             outcome,
