--- a/crates/grpc-gateway/src/call_flow/accept.rs
+++ b/crates/grpc-gateway/src/call_flow/accept.rs
@@ -22,7 +22,7 @@
             Ok(asked) => asked,
             Err(why) => return self.reject(front, id, why),
         };
-        let who = match self.admits(&mut asked, head, conn) {
+        let who = match self.admit_call(&mut asked, head, conn) {
             Ok(who) => who,
             Err(why) => return self.reject(front, id, why),
         };
--- a/crates/grpc-gateway/src/keepers.rs
+++ b/crates/grpc-gateway/src/keepers.rs
@@ -1,26 +1,25 @@
 //! The fleet's shared state at a gateway: the session with a keeper over gRPC, what is kept on disk, and what calls, streams, the
 //! server list and sites hear of it. What is decided is decided in `chalkdeck_coordinator::agent` and `chalkdeck_access`.
 
-use crate::base::asked::{Asked, Rejected};
 use crate::base::failed::KeepersError;
 use crate::base::server::Server;
 use crate::base::settings::{KeeperSettings, Settings};
-use crate::calls::Who;
 use crate::shell::{Due, Shell};
-use chalkdeck::api::{EndpointState, RequestId};
-use chalkdeck_access::{Call, RegionTable, Verdict};
+use chalkdeck::api::EndpointState;
+use chalkdeck_access::RegionTable;
 use chalkdeck_contract::{hold_back, ServerContract};
 use chalkdeck_coordinator::agent::{AgentAction, AgentSettings, GatewayAgent};
 use chalkdeck_coordinator::cache_file::CacheFile;
 use chalkdeck_coordinator::server::{connection_limits, SESSION_PATH};
 use chalkdeck_net::clock::incarnation;
-use chalkdeck_net::grpc::{self, Code, Deframer};
+use chalkdeck_net::grpc::{self, Deframer};
 use chalkdeck_net::{ConnId, Engine, StreamId};
 use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
 use chalkdeck_time::{TimeDelta, Timestamp};
-use http::request;
 use prost::Message;
 
+mod access;
+
 /// How often what is due is looked at, in microseconds.
 const TICK: u64 = 20_000;
 /// The longest message of a keeper: the whole state of 200,000 rules fits.
@@ -256,184 +255,7 @@
     }
 }
 
-fn rejected(code: Code, kind: &'static str, what: String) -> Rejected {
-    Rejected {
-        code: Some(code),
-        what,
-        kind,
-    }
-}
-
-fn denied(rule: &str, version: u64, stale: bool) -> String {
-    if stale {
-        format!("denied: this gateway's session has lapsed, and set {version} says DENY then")
-    } else {
-        format!("denied by rule {rule} of set {version}")
-    }
-}
-
 impl Shell {
-    // ---- calls ----
-
-    /// Whether the customer's rules admit a call; where a stream may have to end later, who calls.
-    pub(crate) fn admits(
-        &mut self,
-        asked: &mut Asked,
-        head: &request::Parts,
-        conn: ConnId,
-    ) -> Result<Option<Box<Who>>, Rejected> {
-        let Shell {
-            keepers: Some(keepers),
-            set,
-            engine,
-            ..
-        } = self
-        else {
-            return Ok(None);
-        };
-        if !keepers.agent.has_state() {
-            return Err(unknown());
-        }
-        let text = |name: &http::HeaderName| head.headers.get(name).and_then(|v| v.to_str().ok());
-        let customer = text(&set.customer_metadata).unwrap_or("");
-        let told = keepers.set.region_metadata.as_ref().and_then(text);
-        let found = || {
-            engine
-                .came_from(conn)
-                .and_then(|a| keepers.regions.region_of(a))
-        };
-        let caller = told.or_else(found).unwrap_or("").to_string();
-        keepers
-            .set
-            .region_metadata
-            .iter()
-            .for_each(|name| drop(asked.headers.remove(name)));
-        let class = asked.arrival.class.0;
-        let call = Call {
-            caller_region: &caller,
-            gateway_region: &keepers.set.region,
-            path: head.uri.path(),
-            class: &set.class_names[class],
-        };
-        let version = text(&keepers.set.version_metadata);
-        match keepers
-            .agent
-            .admit_call(now(engine), customer, &call, version)
-        {
-            Verdict::Denied {
-                rule,
-                version,
-                is_stale: stale,
-            } => Err(rejected(
-                Code::PermissionDenied,
-                "denied",
-                denied(&rule, version, stale),
-            )),
-            Verdict::Admitted if set.policy.classes[class].is_streaming => {
-                Ok(Some(Box::new(Who {
-                    customer: customer.to_string(),
-                    caller,
-                })))
-            }
-            Verdict::Admitted => Ok(None),
-        }
-    }
-
-    /// The same for a request of the limits front; the error's text says why not.
-    pub(crate) fn admits_ask(
-        &mut self,
-        conn: ConnId,
-        customer: &str,
-        command: &str,
-    ) -> Option<String> {
-        let Shell {
-            keepers: Some(keepers),
-            set,
-            engine,
-            metrics,
-            ..
-        } = self
-        else {
-            return None;
-        };
-        let count = |kind: &str| {
-            metrics
-                .rejected
-                .get_or_create(&crate::metrics::Kind { kind: kind.into() })
-                .inc();
-        };
-        if !keepers.agent.has_state() {
-            let why = unknown();
-            count(why.kind);
-            return Some(format!("UNAVAILABLE {}", why.what));
-        }
-        let class = set.resp.as_ref().map_or(0, |r| r.class);
-        let caller = engine
-            .came_from(conn)
-            .and_then(|a| keepers.regions.region_of(a))
-            .unwrap_or("");
-        let call = Call {
-            caller_region: caller,
-            gateway_region: &keepers.set.region,
-            path: command,
-            class: &set.class_names[class],
-        };
-        match keepers.agent.admit_call(now(engine), customer, &call, None) {
-            Verdict::Admitted => None,
-            Verdict::Denied {
-                rule,
-                version,
-                is_stale: stale,
-            } => {
-                count("denied");
-                Some(format!("DENIED {}", denied(&rule, version, stale)))
-            }
-        }
-    }
-
-    /// Ends the streams that rules do not admit any more; of these customers, or of all.
-    fn end_denied(&mut self, customers: Option<&[String]>) {
-        let Shell {
-            keepers: Some(keepers),
-            calls,
-            set,
-            engine,
-            ..
-        } = self
-        else {
-            return;
-        };
-        let now = now(engine);
-        let mut over: Vec<(RequestId, String)> = Vec::new();
-        for call in calls.all() {
-            let Some(who) = call.who.as_deref().filter(|_| !call.is_done()) else {
-                continue;
-            };
-            if customers.is_some_and(|c| !c.contains(&who.customer)) {
-                continue;
-            }
-            let like = Call {
-                caller_region: &who.caller,
-                gateway_region: &keepers.set.region,
-                path: call.path.path(),
-                class: &set.class_names[call.arrival.class.0],
-            };
-            if let Verdict::Denied {
-                rule,
-                version,
-                is_stale: stale,
-            } = keepers.agent.may_continue(now, &who.customer, &like)
-            {
-                over.push((call.arrival.id, denied(&rule, version, stale)));
-            }
-        }
-        for (id, why) in over {
-            self.break_off(id, Code::PermissionDenied, &why);
-        }
-    }
-
-    // ---- the session ----
-
     /// Looks at what is due.
     pub(crate) fn keeper_tick(&mut self) {
         let Shell {
@@ -488,8 +310,8 @@
                 }
             }
             AgentAction::Persist(news) => keepers.keep(engine.now(), &news),
-            AgentAction::RecheckStreams(customers) => self.end_denied(Some(&customers)),
-            AgentAction::RecheckAllStreams => self.end_denied(None),
+            AgentAction::RecheckStreams(customers) => self.end_denied_streams(Some(&customers)),
+            AgentAction::RecheckAllStreams => self.end_denied_streams(None),
             AgentAction::ContractsChanged => {
                 // Kept again as it is taken over.
                 let listed = std::mem::take(&mut keepers.listed);
@@ -591,11 +413,6 @@
     Timestamp::from_micros(engine.now())
 }
 
-fn unknown() -> Rejected {
-    let what = "this gateway has not heard yet which calls its customers' rules deny";
-    rejected(Code::Unavailable, "rules_unknown", what.to_string())
-}
-
 /// Takes part, where the settings say so.
 pub(crate) fn of(set: &Settings, now: u64) -> Result<Option<Keepers>, KeepersError> {
     set.keepers
--- /dev/null
+++ b/crates/grpc-gateway/src/keepers/access.rs
@@ -0,0 +1,187 @@
+//! What the customers' access rules decide about calls, RESP commands and streams that are under way.
+
+use super::now;
+use crate::base::asked::{Asked, Rejected};
+use crate::calls::Who;
+use crate::metrics;
+use crate::shell::Shell;
+use chalkdeck::api::RequestId;
+use chalkdeck_access::{Call, RegionTable, Verdict};
+use chalkdeck_net::grpc::Code;
+use chalkdeck_net::{ConnId, Engine};
+use http::request;
+
+/// What a gateway answers that has no copy of the shared state yet, and so no rules.
+const NO_RULES: &str = "this gateway has not heard yet which calls its customers' rules deny";
+/// The kinds of rejections, as metrics name them.
+const KIND_DENIED: &str = "denied";
+const KIND_RULES_UNKNOWN: &str = "rules_unknown";
+
+impl Shell {
+    /// Decides a call by its customer's rules. Returns who calls if a later change of the rules may end the call.
+    ///
+    /// # Errors
+    /// The call is denied, or the rules are not known.
+    pub(crate) fn admit_call(
+        &mut self,
+        asked: &mut Asked,
+        head: &request::Parts,
+        conn: ConnId,
+    ) -> Result<Option<Box<Who>>, Rejected> {
+        let Shell {
+            keepers: Some(keepers),
+            set,
+            engine,
+            ..
+        } = self
+        else {
+            return Ok(None);
+        };
+        if !keepers.agent.has_state() {
+            return Err(rules_unknown());
+        }
+        let metadata =
+            |name: &http::HeaderName| head.headers.get(name).and_then(|value| value.to_str().ok());
+        let customer = metadata(&set.customer_metadata).unwrap_or("");
+        let region_metadata = keepers.set.region_metadata.as_ref();
+        let caller_region = region_metadata
+            .and_then(metadata)
+            .or_else(|| region_of(&keepers.regions, engine, conn))
+            .unwrap_or("")
+            .to_string();
+        if let Some(name) = region_metadata {
+            asked.headers.remove(name);
+        }
+        let class = asked.arrival.class.0;
+        let call = Call {
+            caller_region: &caller_region,
+            gateway_region: &keepers.set.region,
+            path: head.uri.path(),
+            class: &set.class_names[class],
+        };
+        let version = metadata(&keepers.set.version_metadata);
+        let verdict = keepers
+            .agent
+            .admit_call(now(engine), customer, &call, version);
+        if let Some(what) = denial(&verdict) {
+            return Err(Rejected {
+                code: Some(Code::PermissionDenied),
+                what,
+                kind: KIND_DENIED,
+            });
+        }
+        if !set.policy.classes[class].is_streaming {
+            return Ok(None);
+        }
+        Ok(Some(Box::new(Who {
+            customer: customer.to_string(),
+            caller: caller_region,
+        })))
+    }
+
+    /// Decides a RESP command by its customer's rules. Returns the text of an error if it is not admitted.
+    pub(crate) fn admit_command(
+        &mut self,
+        conn: ConnId,
+        customer: &str,
+        command: &str,
+    ) -> Option<String> {
+        let Shell {
+            keepers: Some(keepers),
+            set,
+            engine,
+            metrics,
+            ..
+        } = self
+        else {
+            return None;
+        };
+        let count = |kind: &str| {
+            let kind = metrics::Kind { kind: kind.into() };
+            metrics.rejected.get_or_create(&kind).inc();
+        };
+        if !keepers.agent.has_state() {
+            let rejected = rules_unknown();
+            count(rejected.kind);
+            return Some(format!("UNAVAILABLE {}", rejected.what));
+        }
+        let class = set.resp.as_ref().map_or(0, |resp| resp.class);
+        let call = Call {
+            caller_region: region_of(&keepers.regions, engine, conn).unwrap_or(""),
+            gateway_region: &keepers.set.region,
+            path: command,
+            class: &set.class_names[class],
+        };
+        let verdict = keepers.agent.admit_call(now(engine), customer, &call, None);
+        let denied = denial(&verdict)?;
+        count(KIND_DENIED);
+        Some(format!("DENIED {denied}"))
+    }
+
+    /// Ends the streams that the rules no longer admit: of these customers, or of all.
+    pub(super) fn end_denied_streams(&mut self, customers: Option<&[String]>) {
+        for (id, reason) in self.denied_streams(customers) {
+            self.break_off(id, Code::PermissionDenied, &reason);
+        }
+    }
+
+    /// Streams that the rules no longer admit, each with the reason.
+    fn denied_streams(&self, customers: Option<&[String]>) -> Vec<(RequestId, String)> {
+        let Some(keepers) = &self.keepers else {
+            return Vec::new();
+        };
+        let now = now(&self.engine);
+        let mut denied = Vec::new();
+        for call in self.calls.all().filter(|call| !call.is_done()) {
+            let Some(who) = call.who.as_deref() else {
+                continue;
+            };
+            if customers.is_some_and(|customers| !customers.contains(&who.customer)) {
+                continue;
+            }
+            let rules_call = Call {
+                caller_region: &who.caller,
+                gateway_region: &keepers.set.region,
+                path: call.path.path(),
+                class: &self.set.class_names[call.arrival.class.0],
+            };
+            let verdict = keepers.agent.may_continue(now, &who.customer, &rules_call);
+            if let Some(reason) = denial(&verdict) {
+                denied.push((call.arrival.id, reason));
+            }
+        }
+        denied
+    }
+}
+
+/// The region of the address that a connection came from.
+fn region_of<'a>(regions: &'a RegionTable, engine: &Engine, conn: ConnId) -> Option<&'a str> {
+    let address = engine.came_from(conn)?;
+    regions.region_of(address)
+}
+
+/// Why a call is denied, as its client reads it; `None` if it is admitted.
+fn denial(verdict: &Verdict) -> Option<String> {
+    match verdict {
+        Verdict::Admitted => None,
+        Verdict::Denied {
+            version,
+            is_stale: true,
+            ..
+        } => Some(format!(
+            "denied: this gateway's session has lapsed, and set {version} says DENY then"
+        )),
+        Verdict::Denied { rule, version, .. } => {
+            Some(format!("denied by rule {rule} of set {version}"))
+        }
+    }
+}
+
+/// Without any copy of the shared state it is not known what is denied, so nothing is admitted.
+fn rules_unknown() -> Rejected {
+    Rejected {
+        code: Some(Code::Unavailable),
+        what: NO_RULES.to_string(),
+        kind: KIND_RULES_UNKNOWN,
+    }
+}
--- a/crates/grpc-gateway/src/resp/mod.rs
+++ b/crates/grpc-gateway/src/resp/mod.rs
@@ -247,7 +247,7 @@
                 "ERR too many tickets on this connection".into(),
             ));
         }
-        if let Some(why) = self.admits_ask(conn, customer, command) {
+        if let Some(why) = self.admit_command(conn, customer, command) {
             return self.resp_say(conn, Reply::Error(why));
         }
         let (id, now) = (self.calls.next_id(), self.engine.now());
