--- a/crates/grpc-gateway/src/call_flow/accept.rs
+++ b/crates/grpc-gateway/src/call_flow/accept.rs
@@ -4,27 +4,30 @@
 use crate::calls::Call;
 use crate::front;
 use crate::metrics;
+use crate::request_buffer::RequestBuffer;
 use crate::shell::Shell;
 use chalkdeck::api::RequestId;
 use chalkdeck_net::{grpc, ConnId, StreamId};
 use http::request;
 
 impl Shell {
+    /// A client opened a stream. `ended`: its request has no body.
     pub(crate) fn on_call(
         &mut self,
-        front: StreamId,
+        stream: StreamId,
         conn: ConnId,
         head: &request::Parts,
         ended: bool,
     ) {
-        let (id, now) = (self.calls.next_id(), self.engine.now());
+        let id = self.calls.next_id();
+        let now = self.engine.now();
         let mut asked = match front::read(&self.set, id, now, head) {
             Ok(asked) => asked,
-            Err(why) => return self.reject(front, id, why),
+            Err(rejected) => return self.reject_invalid(stream, id, &rejected),
         };
-        let who = match self.admit_call(&mut asked, head, conn) {
-            Ok(who) => who,
-            Err(why) => return self.reject(front, id, why),
+        let caller = match self.admit_call(&mut asked, head, conn) {
+            Ok(caller) => caller,
+            Err(rejected) => return self.reject_invalid(stream, id, &rejected),
         };
         tracing::debug!(
             call = id.0,
@@ -32,31 +35,32 @@
             units = asked.arrival.units,
             "taken"
         );
-        let arrival = asked.arrival.clone();
-        let call = Call::new(asked, front, now, self.set.keep_bytes, ended);
-        self.calls.insert(Call { who, ..call });
+        let request = asked.arrival.clone();
+        let buffer = RequestBuffer::new(self.set.keep_bytes, ended);
+        let call = Call::new(asked, stream, now, buffer);
+        self.calls.insert(Call { caller, ..call });
         self.metrics.taken.inc();
         self.metrics.open.inc();
-        self.enter(arrival);
+        self.enter(request);
     }
 
-    fn reject(&mut self, front: StreamId, id: RequestId, why: Rejected) {
-        tracing::info!(call = id.0, kind = why.kind, reason = %why.what, "call rejected as invalid");
-        self.metrics
-            .rejected
-            .get_or_create(&metrics::Kind {
-                kind: why.kind.to_string(),
-            })
-            .inc();
-        let Some(code) = why.code else {
-            let mut response = http::Response::new(());
-            *response.status_mut() = http::StatusCode::UNSUPPORTED_MEDIA_TYPE;
-            return self.engine.respond(front, response, true);
+    /// Answers a call that cannot be accepted, before the decisions hear of it.
+    fn reject_invalid(&mut self, stream: StreamId, id: RequestId, rejected: &Rejected) {
+        tracing::info!(call = id.0, kind = rejected.kind, reason = %rejected.what, "call rejected as invalid");
+        let kind = metrics::Kind {
+            kind: rejected.kind.to_string(),
         };
-        self.engine.respond(
-            front,
-            grpc::trailers_only(grpc::trailers(code, &why.what)),
-            true,
-        );
+        self.metrics.rejected.get_or_create(&kind).inc();
+        let response = match rejected.code {
+            Some(code) => grpc::trailers_only(grpc::trailers(code, &rejected.what)),
+            None => unsupported_media_type(),
+        };
+        self.engine.respond(stream, response, true);
     }
 }
+
+fn unsupported_media_type() -> http::Response<()> {
+    let mut response = http::Response::new(());
+    *response.status_mut() = http::StatusCode::UNSUPPORTED_MEDIA_TYPE;
+    response
+}
--- a/crates/grpc-gateway/src/call_flow/attempts.rs
+++ b/crates/grpc-gateway/src/call_flow/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts at endpoints: how they are sent, and how they end.
 
-use crate::calls::{Answer, Attempt, Call};
+use crate::calls::{Attempt, Call, ResponseState};
 use crate::fault::Fault;
 use crate::pool::{AttemptId, Found};
 use crate::shell::{Due, Shell};
@@ -10,8 +10,12 @@
 use http::uri::{Authority, PathAndQuery, Scheme};
 use http::{HeaderName, HeaderValue};
 
+/// An attempt with this deadline is not timed out before its call.
+const NO_ATTEMPT_DEADLINE: u64 = u64::MAX;
+
 impl Shell {
-    pub(crate) fn send(&mut self, id: RequestId, server: EndpointId, until: u64) {
+    /// Starts an attempt, which times out at `deadline`.
+    pub(crate) fn send_attempt(&mut self, id: RequestId, endpoint: EndpointId, deadline: u64) {
         let now = self.engine.now();
         let Some(call) = self.calls.get(id) else {
             return;
@@ -21,208 +25,227 @@
             number: call.attempts.len(),
         };
         call.attempts.push(Attempt {
-            server,
+            endpoint,
             stream: None,
-            sent: now,
-            out: true,
-            skip: 0,
+            started_at: now,
+            is_open: true,
+            returned_bytes: 0,
         });
-        call.answer = Answer::None;
-        let call_deadline = call.arrival.deadline.as_micros();
-        tracing::debug!(call = id.0, attempt = attempt.number, endpoint = ?self.pool.address(server), "attempt forwarded");
-        // At the deadline itself the decisions end the call, and with it what is out.
-        if until < call_deadline {
-            self.due_in(until.saturating_sub(now), Due::GiveUp(attempt));
+        call.response = ResponseState::Pending;
+        let call_deadline = call.request.deadline.as_micros();
+        tracing::debug!(call = id.0, attempt = attempt.number, endpoint = ?self.pool.address(endpoint), "attempt forwarded");
+        // At the call's deadline the decisions end the call, and its attempt with it.
+        if deadline < call_deadline {
+            self.due_in(deadline.saturating_sub(now), Due::GiveUp(attempt));
         }
-        self.site_sent(server);
-        self.place(attempt, server);
+        self.site_sent(endpoint);
+        self.connect_attempt(attempt, endpoint);
     }
 
-    /// Finds a connection for an attempt. Connections that take nothing new are dropped on the way.
-    fn place(&mut self, attempt: AttemptId, server: EndpointId) {
-        let server = self.freshest.unwrap_or(server);
+    /// Finds a connection for an attempt. Connections that take no new stream are dropped on the way.
+    fn connect_attempt(&mut self, attempt: AttemptId, endpoint: EndpointId) {
+        let endpoint = self.freshest.unwrap_or(endpoint);
         for _ in 0..=self.set.server_connections {
-            match self.pool.find(&mut self.engine, server, attempt) {
+            match self.pool.find(&mut self.engine, endpoint, attempt) {
                 Found::Ready(conn) => {
-                    if self.open_on(conn, attempt) {
+                    if self.open_attempt_stream(conn, attempt) {
                         return;
                     }
-                    self.drop_link(conn);
+                    self.drop_endpoint_connection(conn);
                 }
                 Found::Waits { fresh: Some(conn) } => {
                     return self.due_in(self.set.connect_timeout, Due::Connect(conn));
                 }
                 Found::Waits { fresh: None } => return,
-                Found::Full => return self.ended(attempt, Outcome::Rejected, false),
+                Found::Full => return self.end_attempt(attempt, Outcome::Rejected, false),
                 Found::Unreachable => break,
             }
         }
-        self.ended(attempt, Outcome::ConnectFailed, false);
+        self.end_attempt(attempt, Outcome::ConnectFailed, false);
     }
 
-    pub(super) fn open_on(&mut self, conn: ConnId, attempt: AttemptId) -> bool {
+    /// Opens a stream for an attempt and sends what was received of the request. Returns false if the connection takes no stream.
+    pub(super) fn open_attempt_stream(&mut self, conn: ConnId, attempt: AttemptId) -> bool {
         let now = self.engine.now();
         let Some(call) = self.calls.get(attempt.call) else {
             return true;
         };
-        let Some(authority) = self.pool.authority(call.attempts[attempt.number].server) else {
+        let Some(authority) = self.pool.authority(call.attempts[attempt.number].endpoint) else {
             return false;
         };
-        let mut head = http::Request::new(());
-        *head.method_mut() = http::Method::POST;
-        *head.uri_mut() = uri(authority, call.path.clone());
-        *head.headers_mut() = call.headers.clone();
-        head.headers_mut()
-            .insert(TE, HeaderValue::from_static("trailers"));
-        let stream = self.set.policy.classes[call.arrival.class.0].is_streaming;
-        if let Some(left) = timeout_left(call, stream, now) {
-            head.headers_mut()
-                .insert(grpc::TIMEOUT, grpc::timeout(left));
-        }
-        let before = call.tries_before.saturating_add(attempt.number as u32);
-        if before > 0 {
-            head.headers_mut().insert(
-                HeaderName::from_static(grpc::ATTEMPTS),
-                HeaderValue::from(before),
-            );
-        }
+        let has_stream_class = self.set.policy.classes[call.request.class.0].is_streaming;
+        let head = attempt_head(
+            call,
+            authority,
+            attempt,
+            timeout(call, has_stream_class, now),
+        );
         let Some(stream) = self.engine.open(conn, head, false) else {
             return false;
         };
-        let replay = call.kept.replay();
-        let ended = call.kept.ended;
+        let replay = call.request_buffer.replay();
+        let is_request_complete = call.request_buffer.is_complete;
         call.attempts[attempt.number].stream = Some(stream);
-        call.attempts[attempt.number].skip = replay.skip;
-        self.calls.bind(stream, attempt);
-        replay
-            .chunks
-            .into_iter()
-            .for_each(|chunk| self.engine.send(stream, chunk));
-        if ended {
+        call.attempts[attempt.number].returned_bytes = replay.returned_bytes;
+        self.calls.bind_attempt_stream(stream, attempt);
+        for chunk in replay.chunks {
+            self.engine.send(stream, chunk);
+        }
+        if is_request_complete {
             self.engine.finish(stream, None);
         }
         if self.fault == Some(Fault::Repeat) {
-            self.send_twin(conn, attempt);
+            self.send_duplicate(conn, attempt);
         }
-        if replay.gone {
+        if replay.is_discarded {
             self.decisions.push(Event::BodyDiscarded(attempt.call));
         }
         true
     }
 
-    /// An attempt ended; `answered`: with it the call has its final answer.
-    pub(crate) fn ended(&mut self, id: AttemptId, outcome: Outcome, answered: bool) {
+    /// Injected fault: sends the attempt twice, against the second rule.
+    fn send_duplicate(&mut self, conn: ConnId, attempt: AttemptId) {
+        let Some(call) = self.calls.get(attempt.call) else {
+            return;
+        };
+        let Some(mut head) = grpc::request("twin", call.path.as_str()) else {
+            return;
+        };
+        head.headers_mut().extend(call.headers.clone());
+        if let Some(stream) = self.engine.open(conn, head, false) {
+            self.engine.finish(stream, None);
+        }
+    }
+
+    /// Injected fault: forwards a rejected call, against the fifth rule. The decisions have forgotten the call; whatever the endpoint
+    /// answers is passed on. Returns false if it cannot be forwarded.
+    pub(super) fn send_rejected(&mut self, id: RequestId) -> bool {
+        let Some(endpoint) = self.pool.any() else {
+            return false;
+        };
+        let is_unsent = self
+            .calls
+            .get(id)
+            .is_some_and(|call| call.attempts.is_empty());
+        if is_unsent {
+            self.send_attempt(id, endpoint, NO_ATTEMPT_DEADLINE);
+        }
+        is_unsent
+    }
+
+    /// An attempt ended. `is_final`: the call has its final answer by it.
+    pub(crate) fn end_attempt(&mut self, id: AttemptId, outcome: Outcome, is_final: bool) {
         let now = self.engine.now();
-        let Some(attempt) = self.calls.attempt(id) else {
+        let Some(attempt) = self.calls.open_attempt(id) else {
             return;
         };
-        attempt.out = false;
-        let (server, took, stream) = (
-            attempt.server,
-            now.saturating_sub(attempt.sent),
-            attempt.stream,
-        );
-        stream.into_iter().for_each(|s| self.calls.unbind(s));
+        attempt.is_open = false;
+        let endpoint = attempt.endpoint;
+        let latency = now.saturating_sub(attempt.started_at);
+        if let Some(stream) = attempt.stream {
+            self.calls.release_attempt_stream(stream);
+        }
         tracing::debug!(
             call = id.call.0,
             attempt = id.number,
             ?outcome,
-            took,
+            took = latency,
             "attempt ended"
         );
         self.metrics.attempt(outcome);
-        let call = self.calls.get(id.call);
-        let done = call.as_ref().is_some_and(|c| c.is_done());
-        let asked = call.map(|c| (c.arrival.class.0, c.arrival.units));
-        asked
-            .into_iter()
-            .for_each(|(class, units)| self.site_ended(server, outcome, took, class, units));
+        let mut is_call_complete = false;
+        if let Some(call) = self.calls.get(id.call) {
+            is_call_complete = call.is_complete();
+            let (class, units) = (call.request.class.0, call.request.units);
+            self.site_ended(endpoint, outcome, latency, class, units);
+        }
         self.decisions.push(Event::AttemptEnded(AttemptResult {
             id: id.call,
             attempt: id.number,
-            endpoint: server,
+            endpoint,
             outcome,
-            elapsed: TimeDelta::from_micros(took),
-            request_finished: answered || done,
+            elapsed: TimeDelta::from_micros(latency),
+            request_finished: is_final || is_call_complete,
             settled_units: None,
             load_report: LoadReport::default(),
         }));
-        self.calls.forget_if_over(id.call);
+        self.calls.remove_if_over(id.call);
     }
 
-    pub(crate) fn call_off(&mut self, id: AttemptId, outcome: Outcome) {
-        let Some(attempt) = self.calls.attempt(id) else {
+    /// Resets an attempt's stream and ends it with this outcome.
+    pub(crate) fn cancel_attempt(&mut self, id: AttemptId, outcome: Outcome) {
+        let Some(attempt) = self.calls.open_attempt(id) else {
             return;
         };
-        let sent = attempt.stream;
-        sent.into_iter()
-            .for_each(|s| self.engine.reset(s, h2::Reason::CANCEL));
-        // Without a stream it was still waiting for a connection.
-        let outcome = if sent.is_some() {
-            outcome
-        } else {
-            Outcome::ConnectFailed
+        let Some(stream) = attempt.stream else {
+            // It was still waiting for a connection.
+            return self.end_attempt(id, Outcome::ConnectFailed, false);
         };
-        self.ended(id, outcome, false);
+        self.engine.reset(stream, h2::Reason::CANCEL);
+        self.end_attempt(id, outcome, false);
     }
 
-    pub(crate) fn give_up(&mut self, id: AttemptId) {
-        let started = self
+    /// An attempt's own deadline passed. A response that has started goes on.
+    pub(crate) fn time_out_attempt(&mut self, id: AttemptId) {
+        let is_streaming = self
             .calls
             .get(id.call)
-            .is_some_and(|c| matches!(c.answer, Answer::Started));
-        if !started && self.calls.attempt(id).is_some() {
-            self.drop_held(id.call);
-            self.call_off(id, Outcome::Timeout);
+            .is_some_and(|call| call.is_streaming());
+        if !is_streaming && self.calls.open_attempt(id).is_some() {
+            self.discard_buffered_response(id.call);
+            self.cancel_attempt(id, Outcome::Timeout);
         }
     }
 
-    pub(super) fn drop_link(&mut self, conn: ConnId) {
+    pub(super) fn drop_endpoint_connection(&mut self, conn: ConnId) {
         for attempt in self.pool.forget(conn).unwrap_or_default() {
-            self.ended(attempt, Outcome::ConnectFailed, false);
+            self.end_attempt(attempt, Outcome::ConnectFailed, false);
         }
     }
+}
 
-    /// The fault that breaks the second rule.
-    fn send_twin(&mut self, conn: ConnId, attempt: AttemptId) {
-        let Some(call) = self.calls.get(attempt.call) else {
-            return;
-        };
-        let Some(mut head) = grpc::request("twin", call.path.as_str()) else {
-            return;
-        };
-        head.headers_mut().extend(call.headers.clone());
-        if let Some(stream) = self.engine.open(conn, head, false) {
-            self.engine.finish(stream, None);
-        }
+/// The head of an attempt's request.
+fn attempt_head(
+    call: &Call,
+    authority: Authority,
+    attempt: AttemptId,
+    timeout: Option<u64>,
+) -> http::Request<()> {
+    let mut head = http::Request::new(());
+    *head.method_mut() = http::Method::POST;
+    *head.uri_mut() = uri(authority, call.path.clone());
+    *head.headers_mut() = call.headers.clone();
+    let headers = head.headers_mut();
+    headers.insert(TE, HeaderValue::from_static("trailers"));
+    if let Some(timeout) = timeout {
+        headers.insert(grpc::TIMEOUT, grpc::timeout(timeout));
     }
-
-    /// The fault that breaks the fifth rule. The decisions have let the call go; whatever comes back is passed on.
-    pub(super) fn send_refused(&mut self, id: RequestId) -> bool {
-        let server = self.pool.any();
-        let attempts = self.calls.get(id).map_or(1, |c| c.attempts.len());
-        let Some(server) = server.filter(|_| attempts == 0) else {
-            return false;
-        };
-        self.send(id, server, u64::MAX);
-        true
+    let earlier_attempts = call.client_attempts.saturating_add(attempt.number as u32);
+    if earlier_attempts > 0 {
+        headers.insert(
+            HeaderName::from_static(grpc::ATTEMPTS),
+            HeaderValue::from(earlier_attempts),
+        );
     }
+    head
 }
 
 fn uri(authority: Authority, path: PathAndQuery) -> http::Uri {
     let mut parts = http::uri::Parts::default();
-    (parts.scheme, parts.authority, parts.path_and_query) =
-        (Some(Scheme::HTTP), Some(authority), Some(path));
+    parts.scheme = Some(Scheme::HTTP);
+    parts.authority = Some(authority);
+    parts.path_and_query = Some(path);
     // All three parts are there, so it cannot fail.
     http::Uri::from_parts(parts).unwrap_or_default()
 }
 
-/// What is left for a server: up to the call's deadline; for a stream, which may outlive it, up to the client's own.
-fn timeout_left(call: &Call, stream: bool, now: u64) -> Option<u64> {
-    let until = if stream {
+/// The time that is left for an endpoint, in microseconds: up to the call's deadline; for a stream, which may outlive it, up to the
+/// client's own.
+fn timeout(call: &Call, has_stream_class: bool, now: u64) -> Option<u64> {
+    let deadline = if has_stream_class {
         call.client_deadline?
     } else {
-        call.arrival.deadline.as_micros()
+        call.request.deadline.as_micros()
     };
-    Some(until.saturating_sub(now).max(1))
+    Some(deadline.saturating_sub(now).max(1))
 }
--- a/crates/grpc-gateway/src/call_flow/cancellation.rs
+++ b/crates/grpc-gateway/src/call_flow/cancellation.rs
@@ -1,6 +1,5 @@
-//! Calls that end before their answer: by a deadline, a rule, a shutdown or their client.
+//! Calls that end before their answer: by a deadline, an access rule, a shutdown or their client.
 
-use crate::calls::Answer;
 use crate::metrics::End;
 use crate::pool::AttemptId;
 use crate::shell::{Due, Shell};
@@ -8,60 +7,56 @@
 use chalkdeck_net::grpc::{self, Code};
 
 impl Shell {
-    pub(crate) fn client_deadline(&mut self, id: RequestId) {
+    /// The deadline that was set for a call when it arrived, or when its stream started, has passed.
+    pub(crate) fn on_client_deadline(&mut self, id: RequestId) {
         let now = self.engine.now();
-        let Some(call) = self.calls.get(id).filter(|c| !c.is_done()) else {
+        let Some(call) = self.calls.get_open(id) else {
             return;
         };
-        let stream = self.set.policy.classes[call.arrival.class.0].is_streaming;
+        let has_stream_class = self.set.policy.classes[call.request.class.0].is_streaming;
         match call.client_deadline {
             // A stream without a deadline of its client's has none once it has started.
-            None if stream => {}
-            // It is later than the longest first answer that its class allows.
-            Some(at) if stream && at > now => self.due_in(at - now, Due::Deadline(id)),
-            _ => self.break_off(id, Code::DeadlineExceeded, "the deadline passed on the way"),
+            None if has_stream_class => {}
+            // The client's deadline is later than the first answer may be by the class.
+            Some(deadline) if has_stream_class && deadline > now => {
+                self.due_in(deadline - now, Due::Deadline(id));
+            }
+            _ => self.abort_call(id, Code::DeadlineExceeded, "the deadline passed on the way"),
         }
     }
 
-    /// The client has given up by its own clock, or this gateway stops: what is out is called off.
-    pub(crate) fn break_off(&mut self, id: RequestId, code: Code, why: &str) {
-        let Some(call) = self.calls.get(id).filter(|c| !c.is_done()) else {
+    /// Ends a call with this status and cancels its attempts.
+    pub(crate) fn abort_call(&mut self, id: RequestId, code: Code, reason: &str) {
+        let Some(call) = self.calls.get_open(id) else {
             return;
         };
-        let (front, started) = (call.front, matches!(call.answer, Answer::Started));
-        let last = call
-            .attempts
-            .len()
-            .checked_sub(1)
-            .map(|number| AttemptId { call: id, number });
-        if started {
-            self.engine.finish(front, Some(grpc::trailers(code, why)));
+        let stream = call.client_stream;
+        let streaming_attempt = call.last_attempt().filter(|_| call.is_streaming());
+        let trailers = grpc::trailers(code, reason);
+        if call.is_streaming() {
+            self.engine.finish(stream, Some(trailers));
         } else {
-            self.engine
-                .respond(front, grpc::trailers_only(grpc::trailers(code, why)), true);
+            let response = grpc::trailers_only(trailers);
+            self.engine.respond(stream, response, true);
         }
-        self.decisions.push(Event::ClientDisconnected(id));
-        self.close_call(id, End::Failed);
-        last.filter(|_| started)
-            .into_iter()
-            .for_each(|a| self.call_off(a, Outcome::Cancelled));
+        self.end_for_client(id, End::Failed, streaming_attempt);
     }
 
-    pub(super) fn client_gone(&mut self, id: RequestId) {
+    /// The client reset its stream, or its connection is gone.
+    pub(super) fn on_client_gone(&mut self, id: RequestId) {
         let Some(call) = self.calls.get(id) else {
             return;
         };
-        let started = matches!(call.answer, Answer::Started);
-        let last = call
-            .attempts
-            .len()
-            .checked_sub(1)
-            .map(|number| AttemptId { call: id, number });
+        let streaming_attempt = call.last_attempt().filter(|_| call.is_streaming());
+        self.end_for_client(id, End::Gone, streaming_attempt);
+    }
+
+    /// The decisions cancel the attempts of a call without a response; a response that has started ends with its client.
+    fn end_for_client(&mut self, id: RequestId, end: End, streaming_attempt: Option<AttemptId>) {
         self.decisions.push(Event::ClientDisconnected(id));
-        self.close_call(id, End::Gone);
-        // A started answer belongs to the client and ends with it.
-        last.filter(|_| started)
-            .into_iter()
-            .for_each(|a| self.call_off(a, Outcome::Cancelled));
+        self.complete_call(id, end);
+        if let Some(attempt) = streaming_attempt {
+            self.cancel_attempt(attempt, Outcome::Cancelled);
+        }
     }
 }
--- a/crates/grpc-gateway/src/call_flow/events.rs
+++ b/crates/grpc-gateway/src/call_flow/events.rs
@@ -1,8 +1,10 @@
-//! What happens on connections and streams, handed to the calls that it belongs to.
+//! What happens on connections and streams, handed to the session, the counter or the call that it belongs to.
 
-use crate::calls::Answer;
+use super::responses::ResponseForm;
+use crate::calls::{BufferedResponse, ResponseState};
 use crate::metrics::End;
 use crate::outcome;
+use crate::pool::AttemptId;
 use crate::shell::Shell;
 use bytes::Bytes;
 use chalkdeck::api::{Event, Outcome, RequestId};
@@ -15,34 +17,31 @@
         if self.keeper_connected(conn) {
             return;
         }
-        if let Shell {
-            counter: Some(counter),
-            engine,
-            ..
-        } = self
-        {
-            if let Some(told) = counter.connected(engine, conn) {
+        if let Some(counter) = &mut self.counter {
+            if let Some(told) = counter.connected(&mut self.engine, conn) {
                 return self.counted(told);
             }
         }
         for attempt in self.pool.connected(conn).unwrap_or_default() {
-            if self.calls.attempt(attempt).is_some() && !self.open_on(conn, attempt) {
-                self.ended(attempt, Outcome::Rejected, false);
+            let is_open = self.calls.open_attempt(attempt).is_some();
+            if is_open && !self.open_attempt_stream(conn, attempt) {
+                self.end_attempt(attempt, Outcome::Rejected, false);
             }
         }
     }
 
-    pub(crate) fn on_closed(&mut self, conn: ConnId, why: &str) {
+    pub(crate) fn on_closed(&mut self, conn: ConnId, reason: &str) {
         if self.keeper_closed(conn) {
             return;
         }
         if let Some(told) = self.counter.as_mut().and_then(|c| c.closed(conn)) {
-            tracing::warn!(reason = why, "counter connection closed");
+            tracing::warn!(reason, "counter connection closed");
             return self.counted(told);
         }
-        self.drop_link(conn);
+        self.drop_endpoint_connection(conn);
     }
 
+    /// The head of a response arrived. `ended`: nothing follows it.
     pub(crate) fn on_head(&mut self, stream: StreamId, head: Box<response::Parts>, ended: bool) {
         if self.keeper_heard(stream, &[], ended) {
             return;
@@ -55,27 +54,36 @@
             };
             return self.counted(told);
         }
-        let Some(id) = self.calls.of_back(stream) else {
-            return;
-        };
+        if let Some(id) = self.calls.of_attempt_stream(stream) {
+            self.on_response_head(stream, id, head, ended);
+        }
+    }
+
+    fn on_response_head(
+        &mut self,
+        stream: StreamId,
+        id: AttemptId,
+        head: Box<response::Parts>,
+        ended: bool,
+    ) {
         if head.status != http::StatusCode::OK || !grpc::is_grpc(&head.headers) {
             self.engine.reset(stream, h2::Reason::CANCEL);
-            let what = format!("the server answered HTTP {}", head.status.as_u16());
-            return self.turned_away(id, Outcome::Error, what);
+            let message = format!("the server answered HTTP {}", head.status.as_u16());
+            return self.end_without_answer(id, Outcome::Error, message);
         }
         if ended {
-            return self.on_answer(id, head.headers, true);
+            return self.on_response_end(id, head.headers, ResponseForm::TrailersOnly);
         }
         let Some(call) = self.calls.get(id.call) else {
             return;
         };
-        call.answer = Answer::Held {
+        call.response = ResponseState::Buffered(BufferedResponse {
             head,
             chunks: Vec::new(),
             bytes: 0,
-        };
-        if self.set.policy.classes[call.arrival.class.0].is_streaming {
-            self.begin_stream(id.call);
+        });
+        if self.set.policy.classes[call.request.class.0].is_streaming {
+            self.start_streaming(id.call);
         }
     }
 
@@ -87,74 +95,81 @@
             let told = counter.on_data(&mut self.engine, stream, &data);
             return self.counted(told);
         }
-        if let Some(id) = self.calls.of_front(stream) {
-            return self.on_request_bytes(id, data);
+        if let Some(id) = self.calls.of_client_stream(stream) {
+            return self.on_request_data(id, data);
+        }
+        match self.calls.of_attempt_stream(stream) {
+            Some(id) => self.on_response_data(stream, id, data),
+            None => self.engine.consume(stream, data.len()),
         }
-        let Some(id) = self.calls.of_back(stream) else {
-            return self.engine.consume(stream, data.len());
+    }
+
+    fn on_request_data(&mut self, id: RequestId, data: Bytes) {
+        let Some(call) = self.calls.get(id) else {
+            return;
         };
-        let most = self.set.keep_bytes;
+        let client_stream = call.client_stream;
+        let attempt_stream = call.attempt_stream();
+        let appended = call.request_buffer.append(&data, attempt_stream.is_some());
+        if appended.window > 0 {
+            self.engine.consume(client_stream, appended.window);
+        }
+        if let Some(stream) = attempt_stream {
+            self.engine.send(stream, data);
+        }
+        if appended.is_discarded {
+            self.decisions.push(Event::BodyDiscarded(id));
+        }
+    }
+
+    fn on_response_data(&mut self, stream: StreamId, id: AttemptId, data: Bytes) {
+        let limit = self.set.keep_bytes;
         let Some(call) = self.calls.get(id.call) else {
             return;
         };
-        match &mut call.answer {
-            Answer::Held { chunks, bytes, .. } => {
-                *bytes += data.len();
-                let too_much = *bytes > most;
+        match &mut call.response {
+            ResponseState::Buffered(buffered) => {
+                buffered.bytes += data.len();
+                let is_too_long = buffered.bytes > limit;
                 self.engine.consume(stream, data.len());
-                chunks.push(data);
-                if too_much {
-                    self.begin_stream(id.call);
+                buffered.chunks.push(data);
+                if is_too_long {
+                    self.start_streaming(id.call);
                 }
             }
-            Answer::Started => {
-                let front = call.front;
-                self.engine.send(front, data);
+            ResponseState::Streaming => self.engine.send(call.client_stream, data),
+            ResponseState::Pending | ResponseState::Complete => {
+                self.engine.consume(stream, data.len());
             }
-            Answer::None | Answer::Done => self.engine.consume(stream, data.len()),
         }
     }
 
-    fn on_request_bytes(&mut self, id: RequestId, data: Bytes) {
-        let Some(call) = self.calls.get(id) else {
+    /// Bytes that were sent on a stream have left the gateway: the window of the stream that they came from is returned.
+    pub(crate) fn on_sent(&mut self, stream: StreamId, bytes: usize) {
+        if let Some(id) = self.calls.of_attempt_stream(stream) {
+            return self.on_request_sent(id, bytes);
+        }
+        let Some(call) = self.calls.get_by_client_stream(stream) else {
             return;
         };
-        let (front, back) = (call.front, call.back());
-        let taken = call.kept.take(&data, back.is_some());
-        if taken.consume > 0 {
-            self.engine.consume(front, taken.consume);
-        }
-        if let Some(back) = back {
-            self.engine.send(back, data);
-        }
-        if taken.gone {
-            self.decisions.push(Event::BodyDiscarded(id));
+        let already_returned = bytes.min(call.response_returned_bytes);
+        call.response_returned_bytes -= already_returned;
+        if let Some(attempt_stream) = call.attempt_stream() {
+            self.engine
+                .consume(attempt_stream, bytes - already_returned);
         }
     }
 
-    pub(crate) fn on_sent(&mut self, stream: StreamId, bytes: usize) {
-        if let Some(id) = self.calls.of_back(stream) {
-            let Some(call) = self.calls.get(id.call) else {
-                return;
-            };
-            let front = call.front;
-            let consume = call.kept.sent(&mut call.attempts[id.number].skip, bytes);
-            return self.engine.consume(front, consume);
-        }
-        let Some(call) = self
-            .calls
-            .of_front(stream)
-            .and_then(|id| self.calls.get(id))
-        else {
+    fn on_request_sent(&mut self, id: AttemptId, bytes: usize) {
+        let Some(call) = self.calls.get(id.call) else {
             return;
         };
-        let known = bytes.min(call.answer_skip);
-        call.answer_skip -= known;
-        let back = call.back();
-        back.into_iter()
-            .for_each(|back| self.engine.consume(back, bytes - known));
+        let returned_bytes = &mut call.attempts[id.number].returned_bytes;
+        let window = call.request_buffer.record_sent(returned_bytes, bytes);
+        self.engine.consume(call.client_stream, window);
     }
 
+    /// The other side has sent all that it will send on a stream.
     pub(crate) fn on_end(&mut self, stream: StreamId, trailers: Option<HeaderMap>) {
         if self.keeper_heard(stream, &[], true) {
             return;
@@ -163,23 +178,19 @@
             let told = counter.on_over(&mut self.engine);
             return self.counted(told);
         }
-        if let Some(call) = self
-            .calls
-            .of_front(stream)
-            .and_then(|id| self.calls.get(id))
-        {
-            call.kept.ended = true;
-            let back = call.back();
-            return back
-                .into_iter()
-                .for_each(|back| self.engine.finish(back, None));
-        }
-        let Some(id) = self.calls.of_back(stream) else {
+        if let Some(call) = self.calls.get_by_client_stream(stream) {
+            call.request_buffer.is_complete = true;
+            if let Some(attempt_stream) = call.attempt_stream() {
+                self.engine.finish(attempt_stream, None);
+            }
             return;
-        };
-        self.on_answer(id, trailers.unwrap_or_default(), false);
+        }
+        if let Some(id) = self.calls.of_attempt_stream(stream) {
+            self.on_response_end(id, trailers.unwrap_or_default(), ResponseForm::Whole);
+        }
     }
 
+    /// A stream was reset, or its connection is gone.
     pub(crate) fn on_broken(&mut self, stream: StreamId, how: Broken) {
         if self.keeper_heard(stream, &[], true) {
             return;
@@ -188,27 +199,23 @@
             let told = counter.on_over(&mut self.engine);
             return self.counted(told);
         }
-        if let Some(id) = self.calls.of_front(stream) {
-            return self.client_gone(id);
+        if let Some(id) = self.calls.of_client_stream(stream) {
+            return self.on_client_gone(id);
         }
-        let Some(id) = self.calls.of_back(stream) else {
-            return;
+        if let Some(id) = self.calls.of_attempt_stream(stream) {
+            self.on_attempt_broken(id, outcome::of_break(how));
+        }
+    }
+
+    fn on_attempt_broken(&mut self, id: AttemptId, outcome: Outcome) {
+        let streaming_call = self.calls.get(id.call).filter(|call| call.is_streaming());
+        let Some(call) = streaming_call else {
+            return self.end_without_answer(id, outcome, String::new());
         };
-        let started = self
-            .calls
-            .get(id.call)
-            .is_some_and(|c| matches!(c.answer, Answer::Started));
-        if !started {
-            return self.turned_away(id, outcome::of_break(how), String::new());
-        }
-        if let Some(call) = self.calls.get(id.call) {
-            let front = call.front;
-            self.engine.finish(
-                front,
-                Some(grpc::trailers(Code::Unavailable, "the answer broke off")),
-            );
-        }
-        self.close_call(id.call, End::Failed);
-        self.ended(id, outcome::of_break(how), true);
+        let stream = call.client_stream;
+        let trailers = grpc::trailers(Code::Unavailable, "the answer broke off");
+        self.engine.finish(stream, Some(trailers));
+        self.complete_call(id.call, End::Failed);
+        self.end_attempt(id, outcome, true);
     }
 }
--- a/crates/grpc-gateway/src/call_flow/responses.rs
+++ b/crates/grpc-gateway/src/call_flow/responses.rs
@@ -1,6 +1,6 @@
 //! Final answers to clients, and responses of endpoints on their way to them.
 
-use crate::calls::Answer;
+use crate::calls::{BufferedResponse, ResponseState};
 use crate::fault::Fault;
 use crate::metrics::End;
 use crate::outcome::{self, Ended};
@@ -8,164 +8,177 @@
 use crate::shell::{Due, Shell};
 use chalkdeck::api::{Event, Outcome, RequestId};
 use chalkdeck_net::grpc::{self, Code};
+use chalkdeck_net::StreamId;
 use http::{HeaderMap, HeaderValue};
 
+/// What a client reads of a rejection whose endpoint, if there was one, gave no reason.
+const REJECTED: &str = "over the quota or no room to serve it";
+/// What a client reads of a failure whose endpoint gave no reason.
+const FAILED: &str = "no answer; it may have run";
+/// A call that fails so many timer intervals before its deadline or later has failed by it.
+const DEADLINE_TOLERANCE_TIMERS: u64 = 3;
+const MICROS_PER_SECOND: f64 = 1e6;
+
+/// Which parts of a response there are.
+#[derive(Clone, Copy, PartialEq)]
+pub(super) enum ResponseForm {
+    /// A head, perhaps a body, and trailers.
+    Whole,
+    /// Trailers only, which are also the head.
+    TrailersOnly,
+}
+
 impl Shell {
-    pub(crate) fn refuse(&mut self, id: RequestId, back_in: Option<u64>) {
-        if self.resp_refused(id, back_in) {
+    /// The decisions reject a call. `retry_after`: the time in microseconds after which it may be sent again.
+    pub(crate) fn reject_call(&mut self, id: RequestId, retry_after: Option<u64>) {
+        if self.resp_refused(id, retry_after) {
             return;
         }
-        if self.fault == Some(Fault::Ceiling) && self.send_refused(id) {
+        if self.fault == Some(Fault::Ceiling) && self.send_rejected(id) {
             return;
         }
         let Some(call) = self.calls.get(id) else {
             return;
         };
-        let message = call
-            .server_said
-            .clone()
-            .unwrap_or("over the quota or no room to serve it".to_string());
-        let mut trailers = grpc::trailers(Code::ResourceExhausted, &message);
-        grpc::advise(&mut trailers, Code::ResourceExhausted, &message, back_in);
+        let message = call.endpoint_message.as_deref().unwrap_or(REJECTED);
+        let mut trailers = grpc::trailers(Code::ResourceExhausted, message);
+        grpc::advise(&mut trailers, Code::ResourceExhausted, message, retry_after);
         self.answer(id, grpc::trailers_only(trailers), End::Refused);
     }
 
-    pub(crate) fn fail(&mut self, id: RequestId) {
+    /// The decisions let a call fail.
+    pub(crate) fn fail_call(&mut self, id: RequestId) {
         let now = self.engine.now();
+        let tolerance = DEADLINE_TOLERANCE_TIMERS * self.set.policy.timer_resolution.as_micros();
         let Some(call) = self.calls.get(id) else {
             return;
         };
-        let late = now + 3 * self.set.policy.timer_resolution.as_micros()
-            >= call.arrival.deadline.as_micros();
-        let code = if late {
+        let code = if now + tolerance >= call.request.deadline.as_micros() {
             Code::DeadlineExceeded
         } else {
             Code::Unavailable
         };
-        let message = call
-            .server_said
-            .clone()
-            .unwrap_or("no answer; it may have run".to_string());
-        self.answer(
-            id,
-            grpc::trailers_only(grpc::trailers(code, &message)),
-            End::Failed,
-        );
+        let message = call.endpoint_message.as_deref().unwrap_or(FAILED);
+        let trailers = grpc::trailers(code, message);
+        self.answer(id, grpc::trailers_only(trailers), End::Failed);
     }
 
-    pub(super) fn answer(&mut self, id: RequestId, response: http::Response<()>, end: End) {
-        let fault = self.fault;
-        let Some(call) = self.calls.get(id).filter(|c| !c.is_done()) else {
+    /// Sends the gateway's own answer.
+    fn answer(&mut self, id: RequestId, response: http::Response<()>, end: End) {
+        let Some(call) = self.calls.get_open(id) else {
             return;
         };
-        let front = call.front;
-        if fault != Some(Fault::Lose) {
-            self.engine.respond(front, response, true);
+        let stream = call.client_stream;
+        if self.fault != Some(Fault::Lose) {
+            self.engine.respond(stream, response, true);
         }
-        self.close_call(id, end);
+        self.complete_call(id, end);
     }
 
-    /// The call has its final answer or its client is gone.
-    pub(super) fn close_call(&mut self, id: RequestId, end: End) {
+    /// The call has its final answer, or its client is gone.
+    pub(super) fn complete_call(&mut self, id: RequestId, end: End) {
         let now = self.engine.now();
         self.left(id);
-        let Some(call) = self.calls.get(id).filter(|c| !c.is_done()) else {
+        let Some(call) = self.calls.get_open(id) else {
             return;
         };
-        call.answer = Answer::Done;
-        call.kept.drop_all();
-        let (front, took) = (call.front, now.saturating_sub(call.arrived));
-        let (class, plan) = (call.arrival.class.0, call.arrival.plan.0);
-        self.calls.unbind_front(front);
-        tracing::debug!(call = id.0, ?end, duration_us = took, "call completed");
+        call.response = ResponseState::Complete;
+        call.request_buffer.clear();
+        let stream = call.client_stream;
+        let duration = now.saturating_sub(call.arrived_at);
+        let (class, plan) = (call.request.class.0, call.request.plan.0);
+        self.calls.release_client_stream(stream);
+        tracing::debug!(call = id.0, ?end, duration_us = duration, "call completed");
         self.metrics.ended(class, plan, end);
-        self.metrics.took.observe(took as f64 / 1e6);
+        self.metrics
+            .took
+            .observe(duration as f64 / MICROS_PER_SECOND);
         self.metrics.open.dec();
-        self.site_final(class, end, took);
-        self.calls.forget_if_over(id);
+        self.site_final(class, end, duration);
+        self.calls.remove_if_over(id);
     }
 
-    /// Hands what was kept back to the client; from now on bytes follow as they come.
-    pub(super) fn begin_stream(&mut self, id: RequestId) {
+    /// Sends the buffered response to the client. From here on bytes are forwarded as they are received.
+    pub(super) fn start_streaming(&mut self, id: RequestId) {
         let Some(call) = self.calls.get(id) else {
             return;
         };
-        let Answer::Held {
-            head,
-            chunks,
-            bytes,
-        } = std::mem::replace(&mut call.answer, Answer::Started)
-        else {
+        let state = std::mem::replace(&mut call.response, ResponseState::Streaming);
+        let ResponseState::Buffered(buffered) = state else {
             return;
         };
-        call.answer_skip = bytes;
-        let (front, call_deadline) = (call.front, call.arrival.deadline.as_micros());
-        self.engine
-            .respond(front, http::Response::from_parts(*head, ()), false);
-        chunks
-            .into_iter()
-            .for_each(|chunk| self.engine.send(front, chunk));
+        call.response_returned_bytes = buffered.bytes;
+        let stream = call.client_stream;
+        let call_deadline = call.request.deadline.as_micros();
+        self.send_buffered(stream, buffered);
         self.decisions.push(Event::ResponseStarted(id));
-        // A stream may last for long; the door is for what is to be answered soon.
+        // A stream may last for long, while the admission queue is for calls with an answer soon.
         self.left(id);
-        // From here on the decisions keep no deadline for it; the client's own stays.
+        // The decisions keep no deadline for it from here on; the client's own stays.
         let left = call_deadline.saturating_sub(self.engine.now());
         self.due_in(left, Due::Deadline(id));
     }
 
-    /// An attempt's answer is whole. `only`: these trailers are all of it, else its head came before.
-    pub(super) fn on_answer(&mut self, id: AttemptId, trailers: HeaderMap, only: bool) {
+    fn send_buffered(&mut self, stream: StreamId, buffered: BufferedResponse) {
+        let head = http::Response::from_parts(*buffered.head, ());
+        self.engine.respond(stream, head, false);
+        for chunk in buffered.chunks {
+            self.engine.send(stream, chunk);
+        }
+    }
+
+    /// The response of an attempt has ended with these trailers.
+    pub(super) fn on_response_end(
+        &mut self,
+        id: AttemptId,
+        trailers: HeaderMap,
+        form: ResponseForm,
+    ) {
         let Ended { outcome, is_answer } = outcome::of_status(&trailers);
         let Some(call) = self.calls.get(id.call) else {
             return;
         };
-        let (front, started) = (call.front, matches!(call.answer, Answer::Started));
-        if !is_answer && !started {
-            return self.turned_away(id, outcome, grpc::message_of(&trailers));
+        if !is_answer && !call.is_streaming() {
+            return self.end_without_answer(id, outcome, grpc::message_of(&trailers));
         }
-        if call.is_done() {
-            return self.ended(id, outcome, true);
+        if call.is_complete() {
+            return self.end_attempt(id, outcome, true);
         }
-        if only {
-            self.engine
-                .respond(front, grpc::trailers_only(trailers), true);
+        let stream = call.client_stream;
+        if form == ResponseForm::TrailersOnly {
+            let response = grpc::trailers_only(trailers);
+            self.engine.respond(stream, response, true);
         } else {
-            if let Answer::Held { head, chunks, .. } =
-                std::mem::replace(&mut call.answer, Answer::Started)
-            {
-                self.engine
-                    .respond(front, http::Response::from_parts(*head, ()), false);
-                chunks
-                    .into_iter()
-                    .for_each(|chunk| self.engine.send(front, chunk));
+            let state = std::mem::replace(&mut call.response, ResponseState::Streaming);
+            if let ResponseState::Buffered(buffered) = state {
+                self.send_buffered(stream, buffered);
             }
-            self.engine.finish(front, Some(with_status(trailers)));
+            self.engine.finish(stream, Some(with_status(trailers)));
         }
-        self.close_call(id.call, End::Served);
-        self.ended(id, outcome, true);
+        self.complete_call(id.call, End::Served);
+        self.end_attempt(id, outcome, true);
     }
 
-    /// A server's end that is no answer: what follows is decided elsewhere.
-    pub(super) fn turned_away(&mut self, id: AttemptId, outcome: Outcome, said: String) {
+    /// An attempt ended without an answer for the client. The decisions say what follows.
+    pub(super) fn end_without_answer(&mut self, id: AttemptId, outcome: Outcome, message: String) {
         if let Some(call) = self.calls.get(id.call) {
-            call.server_said = Some(said).filter(|s| !s.is_empty());
+            call.endpoint_message = Some(message).filter(|message| !message.is_empty());
         }
-        self.drop_held(id.call);
-        self.ended(id, outcome, false);
+        self.discard_buffered_response(id.call);
+        self.end_attempt(id, outcome, false);
     }
 
-    pub(super) fn drop_held(&mut self, id: RequestId) {
-        if let Some(call) = self
-            .calls
-            .get(id)
-            .filter(|c| matches!(c.answer, Answer::Held { .. }))
-        {
-            call.answer = Answer::None;
+    pub(super) fn discard_buffered_response(&mut self, id: RequestId) {
+        let Some(call) = self.calls.get(id) else {
+            return;
+        };
+        if matches!(call.response, ResponseState::Buffered(_)) {
+            call.response = ResponseState::Pending;
         }
     }
 }
 
-/// A server that ended without a status gave none that a client could read.
+/// Adds a status that a client can read to trailers without one.
 fn with_status(mut trailers: HeaderMap) -> HeaderMap {
     if Code::read(&trailers).is_none() {
         trailers.insert(grpc::STATUS, HeaderValue::from(Code::Unknown as i32));
--- a/crates/grpc-gateway/src/calls.rs
+++ b/crates/grpc-gateway/src/calls.rs
@@ -1,7 +1,8 @@
-//! The calls that a gateway holds, and by which streams it knows them.
+//! The calls that a gateway has open, found by their streams.
 
 use crate::base::asked::Asked;
-use crate::body::Kept;
+use crate::pool::AttemptId;
+use crate::request_buffer::RequestBuffer;
 use bytes::Bytes;
 use chalkdeck::api::{EndpointId, IncomingRequest, RequestId};
 use chalkdeck_net::StreamId;
@@ -9,158 +10,201 @@
 use http::{response, HeaderMap};
 use rustc_hash::FxHashMap;
 
-use crate::pool::AttemptId;
-
-/// How far the answer to the client is.
-pub(crate) enum Answer {
-    /// Nothing was sent.
-    None,
-    /// A head and bytes of an attempt are kept back until its end.
-    Held {
-        head: Box<response::Parts>,
-        chunks: Vec<Bytes>,
-        bytes: usize,
-    },
-    /// The head was sent; bytes follow as they come.
-    Started,
+/// How far the response to the client is.
+pub(crate) enum ResponseState {
+    /// Nothing was received from an endpoint.
+    Pending,
+    /// The head and the body of an attempt's response are buffered until its end.
+    Buffered(BufferedResponse),
+    /// The head was sent; the body is forwarded as it is received.
+    Streaming,
     /// The final answer was sent, or the client is gone.
-    Done,
+    Complete,
+}
+
+/// A response that is not yet sent to the client.
+pub(crate) struct BufferedResponse {
+    pub(crate) head: Box<response::Parts>,
+    pub(crate) chunks: Vec<Bytes>,
+    pub(crate) bytes: usize,
 }
 
-/// One attempt at a server.
+/// One attempt at an endpoint.
 pub(crate) struct Attempt {
-    pub(crate) server: EndpointId,
+    pub(crate) endpoint: EndpointId,
+    /// Without a stream it waits for a connection.
     pub(crate) stream: Option<StreamId>,
-    pub(crate) sent: u64,
-    pub(crate) out: bool,
-    /// First bytes of its body whose window was given back before.
-    pub(crate) skip: usize,
+    /// When it was started, in microseconds of the loop's clock.
+    pub(crate) started_at: u64,
+    /// Whether it has not ended yet.
+    pub(crate) is_open: bool,
+    /// First bytes of the request's body whose window was returned before.
+    pub(crate) returned_bytes: usize,
 }
 
-/// Who calls on a stream, for rules that may come to forbid it.
-pub(crate) struct Who {
+/// The caller of a stream, whom a change of the access rules may come to deny.
+pub(crate) struct Caller {
     pub(crate) customer: String,
-    /// The caller's region.
-    pub(crate) caller: String,
+    pub(crate) region: String,
 }
 
-/// One call of a client.
+/// One call of a client. Times are in microseconds of the loop's clock.
 pub(crate) struct Call {
-    pub(crate) front: StreamId,
-    pub(crate) arrival: IncomingRequest,
-    pub(crate) arrived: u64,
+    pub(crate) client_stream: StreamId,
+    pub(crate) request: IncomingRequest,
+    pub(crate) arrived_at: u64,
+    /// The client's own deadline, if it gave one.
     pub(crate) client_deadline: Option<u64>,
     pub(crate) path: PathAndQuery,
     pub(crate) headers: HeaderMap,
-    pub(crate) tries_before: u32,
-    /// Only of streams, and only where there are rules.
-    pub(crate) who: Option<Box<Who>>,
-    pub(crate) kept: Kept,
+    /// Attempts that the client made before.
+    pub(crate) client_attempts: u32,
+    /// Only of streams, and only where there are access rules.
+    pub(crate) caller: Option<Box<Caller>>,
+    pub(crate) request_buffer: RequestBuffer,
     pub(crate) attempts: Vec<Attempt>,
-    pub(crate) answer: Answer,
-    /// First bytes of the answer whose window was given back when they were kept.
-    pub(crate) answer_skip: usize,
-    /// What a server last said when it turned the call away.
-    pub(crate) server_said: Option<String>,
+    pub(crate) response: ResponseState,
+    /// First bytes of the response whose window was returned when they were buffered.
+    pub(crate) response_returned_bytes: usize,
+    /// What an endpoint said when it last ended an attempt without an answer.
+    pub(crate) endpoint_message: Option<String>,
 }
 
 impl Call {
-    pub(crate) fn new(asked: Asked, front: StreamId, now: u64, keep: usize, ended: bool) -> Call {
+    pub(crate) fn new(
+        asked: Asked,
+        client_stream: StreamId,
+        arrived_at: u64,
+        request_buffer: RequestBuffer,
+    ) -> Call {
         Call {
-            front,
-            arrival: asked.arrival,
-            arrived: now,
+            client_stream,
+            request: asked.arrival,
+            arrived_at,
             client_deadline: asked.client_deadline,
             path: asked.path,
             headers: asked.headers,
-            tries_before: asked.tries_before,
-            who: None,
-            kept: Kept::new(keep, ended),
+            client_attempts: asked.tries_before,
+            caller: None,
+            request_buffer,
             attempts: Vec::new(),
-            answer: Answer::None,
-            answer_skip: 0,
-            server_said: None,
+            response: ResponseState::Pending,
+            response_returned_bytes: 0,
+            endpoint_message: None,
         }
     }
-    /// The attempt that is out with a stream of its own.
-    pub(crate) fn back(&self) -> Option<StreamId> {
-        self.attempts
-            .last()
-            .filter(|a| a.out)
-            .and_then(|a| a.stream)
+
+    /// The stream of the open attempt.
+    pub(crate) fn attempt_stream(&self) -> Option<StreamId> {
+        let last = self.attempts.last()?;
+        last.stream.filter(|_| last.is_open)
     }
-    pub(crate) fn is_done(&self) -> bool {
-        matches!(self.answer, Answer::Done)
+
+    pub(crate) fn last_attempt(&self) -> Option<AttemptId> {
+        let number = self.attempts.len().checked_sub(1)?;
+        Some(AttemptId {
+            call: self.request.id,
+            number,
+        })
     }
-    pub(crate) fn is_out(&self) -> bool {
-        self.attempts.iter().any(|a| a.out)
+
+    pub(crate) fn is_streaming(&self) -> bool {
+        matches!(self.response, ResponseState::Streaming)
+    }
+
+    /// Whether the final answer was sent, or the client is gone.
+    pub(crate) fn is_complete(&self) -> bool {
+        matches!(self.response, ResponseState::Complete)
+    }
+
+    fn has_open_attempt(&self) -> bool {
+        self.attempts.iter().any(|attempt| attempt.is_open)
     }
 }
 
-/// All calls of a gateway. Bounded by the streams that its clients may open.
+/// All calls of a gateway. Their number is bounded by the streams that clients may open.
 #[derive(Default)]
 pub(crate) struct Calls {
     by_id: FxHashMap<RequestId, Box<Call>>,
-    by_front: FxHashMap<StreamId, RequestId>,
-    by_back: FxHashMap<StreamId, AttemptId>,
-    next: u64,
-    /// Calls without their final answer.
+    by_client_stream: FxHashMap<StreamId, RequestId>,
+    by_attempt_stream: FxHashMap<StreamId, AttemptId>,
+    last_id: u64,
+    /// The number of calls without a final answer.
     pub(crate) open: usize,
 }
 
 impl Calls {
     pub(crate) fn next_id(&mut self) -> RequestId {
-        self.next += 1;
-        RequestId(self.next)
+        self.last_id += 1;
+        RequestId(self.last_id)
     }
+
     pub(crate) fn insert(&mut self, call: Call) {
-        self.by_front.insert(call.front, call.arrival.id);
-        self.by_id.insert(call.arrival.id, Box::new(call));
+        let id = call.request.id;
+        self.by_client_stream.insert(call.client_stream, id);
+        self.by_id.insert(id, Box::new(call));
         self.open += 1;
     }
+
     pub(crate) fn get(&mut self, id: RequestId) -> Option<&mut Call> {
         self.by_id.get_mut(&id).map(Box::as_mut)
     }
-    pub(crate) fn of_front(&self, stream: StreamId) -> Option<RequestId> {
-        self.by_front.get(&stream).copied()
+
+    /// The call, while it has no final answer.
+    pub(crate) fn get_open(&mut self, id: RequestId) -> Option<&mut Call> {
+        self.get(id).filter(|call| !call.is_complete())
+    }
+
+    pub(crate) fn of_client_stream(&self, stream: StreamId) -> Option<RequestId> {
+        self.by_client_stream.get(&stream).copied()
+    }
+
+    pub(crate) fn get_by_client_stream(&mut self, stream: StreamId) -> Option<&mut Call> {
+        let id = self.of_client_stream(stream)?;
+        self.get(id)
     }
-    pub(crate) fn of_back(&self, stream: StreamId) -> Option<AttemptId> {
-        self.by_back.get(&stream).copied()
+
+    pub(crate) fn of_attempt_stream(&self, stream: StreamId) -> Option<AttemptId> {
+        self.by_attempt_stream.get(&stream).copied()
     }
-    pub(crate) fn bind(&mut self, stream: StreamId, attempt: AttemptId) {
-        self.by_back.insert(stream, attempt);
+
+    pub(crate) fn bind_attempt_stream(&mut self, stream: StreamId, attempt: AttemptId) {
+        self.by_attempt_stream.insert(stream, attempt);
     }
-    pub(crate) fn unbind(&mut self, stream: StreamId) {
-        self.by_back.remove(&stream);
+
+    pub(crate) fn release_attempt_stream(&mut self, stream: StreamId) {
+        self.by_attempt_stream.remove(&stream);
     }
-    /// The attempt, while it is out.
-    pub(crate) fn attempt(&mut self, id: AttemptId) -> Option<&mut Attempt> {
-        self.by_id
-            .get_mut(&id.call)?
-            .attempts
-            .get_mut(id.number)
-            .filter(|a| a.out)
-    }
-    /// Forgets a call that has its answer and nothing out.
-    pub(crate) fn forget_if_over(&mut self, id: RequestId) {
-        if self
-            .by_id
-            .get(&id)
-            .is_some_and(|c| c.is_done() && !c.is_out())
-        {
-            self.by_id.remove(&id);
+
+    /// Forgets the stream of a client that gets nothing more.
+    pub(crate) fn release_client_stream(&mut self, stream: StreamId) {
+        if self.by_client_stream.remove(&stream).is_some() {
+            self.open -= 1;
         }
     }
-    /// The client hears nothing more of it.
-    pub(crate) fn unbind_front(&mut self, front: StreamId) {
-        if self.by_front.remove(&front).is_some() {
-            self.open -= 1;
+
+    /// The attempt, while it is open.
+    pub(crate) fn open_attempt(&mut self, id: AttemptId) -> Option<&mut Attempt> {
+        let attempts = &mut self.by_id.get_mut(&id.call)?.attempts;
+        attempts
+            .get_mut(id.number)
+            .filter(|attempt| attempt.is_open)
+    }
+
+    /// Forgets a call that is complete and has no open attempt.
+    pub(crate) fn remove_if_over(&mut self, id: RequestId) {
+        let call = self.by_id.get(&id);
+        if call.is_some_and(|call| call.is_complete() && !call.has_open_attempt()) {
+            self.by_id.remove(&id);
         }
     }
+
     pub(crate) fn all(&self) -> impl Iterator<Item = &Call> {
         self.by_id.values().map(Box::as_ref)
     }
+
+    /// Ids of the calls without a final answer.
     pub(crate) fn open_ids(&self) -> Vec<RequestId> {
-        self.by_front.values().copied().collect()
+        self.by_client_stream.values().copied().collect()
     }
 }
--- a/crates/grpc-gateway/src/entry.rs
+++ b/crates/grpc-gateway/src/entry.rs
@@ -89,7 +89,7 @@
                 let most = self.set.policy.max_retry_after.as_micros();
                 let back = retry_after.as_micros().min(most);
                 let back = self.set.policy.send_retry_after.then_some(back);
-                self.refuse(id, back);
+                self.reject_call(id, back);
             }
         }
     }
--- a/crates/grpc-gateway/src/keepers/access.rs
+++ b/crates/grpc-gateway/src/keepers/access.rs
@@ -2,7 +2,7 @@
 
 use super::now;
 use crate::base::asked::{Asked, Rejected};
-use crate::calls::Who;
+use crate::calls::Caller;
 use crate::metrics;
 use crate::shell::Shell;
 use chalkdeck::api::RequestId;
@@ -27,7 +27,7 @@
         asked: &mut Asked,
         head: &request::Parts,
         conn: ConnId,
-    ) -> Result<Option<Box<Who>>, Rejected> {
+    ) -> Result<Option<Box<Caller>>, Rejected> {
         let Shell {
             keepers: Some(keepers),
             set,
@@ -73,9 +73,9 @@
         if !set.policy.classes[class].is_streaming {
             return Ok(None);
         }
-        Ok(Some(Box::new(Who {
+        Ok(Some(Box::new(Caller {
             customer: customer.to_string(),
-            caller: caller_region,
+            region: caller_region,
         })))
     }
 
@@ -121,7 +121,7 @@
     /// Ends the streams that the rules no longer admit: of these customers, or of all.
     pub(super) fn end_denied_streams(&mut self, customers: Option<&[String]>) {
         for (id, reason) in self.denied_streams(customers) {
-            self.break_off(id, Code::PermissionDenied, &reason);
+            self.abort_call(id, Code::PermissionDenied, &reason);
         }
     }
 
@@ -132,22 +132,24 @@
         };
         let now = now(&self.engine);
         let mut denied = Vec::new();
-        for call in self.calls.all().filter(|call| !call.is_done()) {
-            let Some(who) = call.who.as_deref() else {
+        for call in self.calls.all().filter(|call| !call.is_complete()) {
+            let Some(caller) = call.caller.as_deref() else {
                 continue;
             };
-            if customers.is_some_and(|customers| !customers.contains(&who.customer)) {
+            if customers.is_some_and(|customers| !customers.contains(&caller.customer)) {
                 continue;
             }
             let rules_call = Call {
-                caller_region: &who.caller,
+                caller_region: &caller.region,
                 gateway_region: &keepers.set.region,
                 path: call.path.path(),
-                class: &self.set.class_names[call.arrival.class.0],
+                class: &self.set.class_names[call.request.class.0],
             };
-            let verdict = keepers.agent.may_continue(now, &who.customer, &rules_call);
+            let verdict = keepers
+                .agent
+                .may_continue(now, &caller.customer, &rules_call);
             if let Some(reason) = denial(&verdict) {
-                denied.push((call.arrival.id, reason));
+                denied.push((call.request.id, reason));
             }
         }
         denied
--- a/crates/grpc-gateway/src/lib.rs
+++ b/crates/grpc-gateway/src/lib.rs
@@ -6,7 +6,6 @@
 #![warn(missing_docs)]
 
 mod base;
-mod body;
 mod call_flow;
 mod calls;
 mod counter;
@@ -21,6 +20,7 @@
 mod outcome;
 mod pool;
 pub mod relay;
+mod request_buffer;
 pub mod resp;
 pub mod settings;
 mod shell;
--- a/crates/grpc-gateway/src/shell.rs
+++ b/crates/grpc-gateway/src/shell.rs
@@ -220,7 +220,7 @@
     /// What is still open are streams without an end of their own: they are told.
     fn end_stop(&mut self) -> io::Result<()> {
         for id in self.calls.open_ids() {
-            self.break_off(id, Code::Unavailable, "the gateway stops");
+            self.abort_call(id, Code::Unavailable, "the gateway stops");
         }
         self.settle();
         self.keeper_leaves();
@@ -305,17 +305,17 @@
                 request: id,
                 endpoint: server,
                 deadline: until,
-            } => self.send(id, server, until.as_micros()),
+            } => self.send_attempt(id, server, until.as_micros()),
             Action::Reject {
                 request: id,
                 retry_after: back_in,
-            } => self.refuse(id, back_in.map(|m| m.as_micros())),
+            } => self.reject_call(id, back_in.map(|m| m.as_micros())),
             Action::Grant(id) => self.granted(id),
-            Action::Fail(id) => self.fail(id),
+            Action::Fail(id) => self.fail_call(id),
             Action::CancelAttempt {
                 request: call,
                 attempt: number,
-            } => self.call_off(AttemptId { call, number }, Outcome::Cancelled),
+            } => self.cancel_attempt(AttemptId { call, number }, Outcome::Cancelled),
             Action::AddToCounter {
                 key: name,
                 amount,
@@ -338,8 +338,8 @@
             Some(Due::Lease(id)) => self.lease_over(id),
             Some(Due::Stalled(conn)) => self.resp_stalled(conn),
             Some(Due::Resume(conn)) => self.resp_resume(conn),
-            Some(Due::GiveUp(attempt)) => self.give_up(attempt),
-            Some(Due::Deadline(id)) => self.client_deadline(id),
+            Some(Due::GiveUp(attempt)) => self.time_out_attempt(attempt),
+            Some(Due::Deadline(id)) => self.on_client_deadline(id),
             Some(Due::Count) => self.count_times_out(),
             Some(Due::Connect(conn)) if !self.pool.is_connecting(conn) => {}
             Some(Due::Connect(conn)) => {
@@ -459,7 +459,7 @@
         let unsent = self.pool.update(&mut self.engine, &servers);
         unsent
             .into_iter()
-            .for_each(|attempt| self.ended(attempt, Outcome::ConnectFailed, false));
+            .for_each(|attempt| self.end_attempt(attempt, Outcome::ConnectFailed, false));
         self.site_list(&servers);
         let mut entries: Vec<_> = servers.into_iter().map(|s| s.entry).collect();
         for entry in &mut entries {
