--- a/crates/client/examples/views.rs
+++ b/crates/client/examples/views.rs
@@ -1,12 +1,12 @@
-//! Calls a gateway of the demo: `cargo run -p chalkdeck-client --example views -- 127.0.0.1:PORT`.
+//! Calls the gateways of the demo: `cargo run -p chalkdeck-client --example views -- 127.0.0.1:PORT`.
 use bytes::Bytes;
-use chalkdeck_client::{Call, Client, Repeat, Settings};
+use chalkdeck_client::{Call, Client, Idempotency, Settings};
 use std::time::Duration;
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let gateways = std::env::args()
         .skip(1)
-        .map(|a| a.parse())
+        .map(|address| address.parse())
         .collect::<Result<Vec<_>, _>>()?;
     let client = Client::start(Settings::default(), gateways)?;
     for number in 0..20 {
@@ -14,15 +14,15 @@
             path: "/farm.v1.Farm/View".into(),
             message: Bytes::from(format!("view {number}")),
             metadata: vec![("x-customer".into(), "harvest-1".into())],
-            repeat: Repeat::Safe,
+            idempotency: Idempotency::Idempotent,
             key: None,
             timeout: Duration::from_secs(1),
         });
         println!(
-            "{:?} after {} tries, {} bytes",
+            "{:?} after {} attempts, {} bytes",
             reply.outcome,
-            reply.tries,
-            reply.message.map_or(0, |m| m.len())
+            reply.attempts,
+            reply.message.map_or(0, |message| message.len())
         );
     }
     println!("{:?}", client.stats());
--- /dev/null
+++ b/crates/client/src/driver/connections.rs
@@ -0,0 +1,120 @@
+//! The list of gateways and the connections to them.
+
+use super::{Driver, GATEWAY_FILE_TIMER};
+use crate::core::{Event, GatewayId};
+use crate::gateway_file::{self, GatewayFileError};
+use chalkdeck_net::{ConnId, Limits};
+use chalkdeck_time::TimeDelta;
+use std::net::SocketAddr;
+
+/// How often the gateway file is checked for changes.
+const GATEWAY_FILE_INTERVAL: TimeDelta = TimeDelta::from_millis(200);
+/// Streams that may be open at once on one connection.
+const STREAMS_PER_CONNECTION: u32 = 10_000;
+
+/// A gateway and the connection to it.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct GatewayConnection {
+    /// `None` if the gateway is no longer in the list.
+    pub(super) address: Option<SocketAddr>,
+    pub(super) connection: Option<ConnId>,
+}
+
+impl Driver {
+    /// Replaces the list. A gateway whose address has changed gets a new connection.
+    pub(super) fn set_gateways(&mut self, addresses: &[SocketAddr]) {
+        let count = self.gateways.len().max(addresses.len());
+        self.gateways.resize_with(count, GatewayConnection::default);
+        for index in 0..count {
+            let address = addresses.get(index).copied();
+            self.set_address(GatewayId(index), address);
+        }
+        let count = addresses.len();
+        self.core_events.push(Event::GatewaysListed { count });
+    }
+
+    fn set_address(&mut self, id: GatewayId, address: Option<SocketAddr>) {
+        let gateway = &mut self.gateways[id.0];
+        if gateway.address == address {
+            return;
+        }
+        gateway.address = address;
+        if let Some(connection) = gateway.connection.take() {
+            self.engine.close(connection);
+            self.disconnected(id);
+        }
+    }
+
+    pub(super) fn connect(&mut self, id: GatewayId) {
+        let Some(address) = self.gateways.get(id.0).and_then(|gateway| gateway.address) else {
+            return;
+        };
+        let limits = Limits {
+            streams: STREAMS_PER_CONNECTION,
+            keepalive: self.keepalive_interval.as_micros(),
+            ..Limits::default()
+        };
+        let Ok(connection) = self.engine.connect(address, limits) else {
+            return self.disconnected(id);
+        };
+        self.gateways[id.0].connection = Some(connection);
+        self.last_connect += 1;
+        self.connects.insert(self.last_connect, connection);
+        let timeout_at = self.now() + self.connect_timeout;
+        self.engine.timer(timeout_at.as_micros(), self.last_connect);
+    }
+
+    pub(super) fn on_connected(&mut self, connection: ConnId) {
+        let Some(gateway) = self.gateway_of(connection) else {
+            return;
+        };
+        self.connects.retain(|_, other| *other != connection);
+        self.metrics.record_connect();
+        self.core_events.push(Event::Connected { gateway });
+    }
+
+    pub(super) fn on_closed(&mut self, connection: ConnId) {
+        let Some(gateway) = self.gateway_of(connection) else {
+            return;
+        };
+        self.gateways[gateway.0].connection = None;
+        self.disconnected(gateway);
+    }
+
+    /// Closes a connection that was not established in time.
+    pub(super) fn on_connect_timeout(&mut self, token: u64) {
+        if let Some(connection) = self.connects.remove(&token) {
+            self.engine.close(connection);
+        }
+    }
+
+    fn gateway_of(&self, connection: ConnId) -> Option<GatewayId> {
+        let mut gateways = self.gateways.iter();
+        let index = gateways.position(|gateway| gateway.connection == Some(connection))?;
+        Some(GatewayId(index))
+    }
+
+    /// Reads the gateway file if it has changed, and checks again later.
+    pub(super) fn check_gateway_file(&mut self) {
+        let next_check = self.now() + GATEWAY_FILE_INTERVAL;
+        let Some(watch) = &mut self.gateway_file else {
+            return;
+        };
+        self.engine
+            .timer(next_check.as_micros(), GATEWAY_FILE_TIMER);
+        let Some(read) = watch.look() else {
+            return;
+        };
+        let addresses = read
+            .map_err(GatewayFileError::from)
+            .and_then(|bytes| gateway_file::parse(&bytes));
+        match addresses {
+            Ok(addresses) => self.set_gateways(&addresses),
+            Err(error) => tracing::error!(
+                file = %watch.path().display(),
+                %error,
+                "gateway list not readable: keeping the last good one"
+            ),
+        }
+    }
+}
--- /dev/null
+++ b/crates/client/src/gateway_file.rs
@@ -0,0 +1,42 @@
+//! Files that list gateways: one `ip:port` a line, `#` begins a comment.
+
+use chalkdeck_net::watch::WatchError;
+use std::net::SocketAddr;
+use std::str::Utf8Error;
+
+/// Why a list of gateways is not used; the last good one stays in force.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum GatewayFileError {
+    /// The file cannot be read.
+    #[error(transparent)]
+    Read(#[from] WatchError),
+    /// The file is not text.
+    #[error("expected UTF-8 text")]
+    Text(#[from] Utf8Error),
+    /// A line is not an address.
+    #[error("line {line}: expected ip:port, found '{found}'")]
+    Address {
+        /// Number of the line, from 1.
+        line: usize,
+        /// Its text without the comment.
+        found: String,
+    },
+}
+
+/// The addresses in a file's bytes.
+pub(crate) fn parse(bytes: &[u8]) -> Result<Vec<SocketAddr>, GatewayFileError> {
+    let text = std::str::from_utf8(bytes)?;
+    let mut addresses = Vec::new();
+    for (index, line) in text.lines().enumerate() {
+        let address = line.split('#').next().unwrap_or("").trim();
+        if address.is_empty() {
+            continue;
+        }
+        let parsed = address.parse().map_err(|_| GatewayFileError::Address {
+            line: index + 1,
+            found: address.to_owned(),
+        })?;
+        addresses.push(parsed);
+    }
+    Ok(addresses)
+}
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,24 +1,27 @@
-//! A client of a gateway fleet that keeps deadlines, repeats a call only where that is harmless, honours refusals with
-//! their time to come back, and spreads its reconnects.
+//! A client of a fleet of gateways. It keeps deadlines, retries a call only where that is harmless, honours the retry times of
+//! rejections, and spreads its reconnects.
 //!
-//! [`core::Core`] decides all of it and does no I/O; [`Client`] carries it over sockets from a thread of its own.
+//! [`core::ClientCore`] decides all of it and does no I/O; [`Client`] carries out its actions over sockets on a thread of its
+//! own.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
-mod budget;
+mod attempt_headers;
+mod call;
+mod client;
+mod command;
 pub mod core;
 mod driver;
-mod gateways;
-mod handle;
+mod gateway_file;
+mod metrics;
 mod settings;
-mod stats;
 mod stream;
 #[cfg(feature = "tower")]
 pub mod tower;
-mod wire;
 
-pub use crate::core::{Outcome, Repeat, Settings, SettingsError};
-pub use handle::{Call, Client, Full, Handle, Reply, StartError};
-pub use settings::TextError;
-pub use stats::Stats;
-pub use stream::{Stream, StreamEvent};
+pub use crate::core::{Idempotency, Outcome};
+pub use call::{Call, CallHandle, Reply, TooManyCalls};
+pub use chalkdeck_time::{TimeDelta, Timestamp};
+pub use client::{Client, StartError};
+pub use metrics::Stats;
+pub use settings::{Settings, SettingsError, TextError};
+pub use stream::{Stream, StreamEvent, StreamFull};
--- /dev/null
+++ b/crates/client/src/settings/text.rs
@@ -0,0 +1,73 @@
+//! Settings from protobuf text.
+
+use super::{Settings, TextError};
+use chalkdeck_proto::chalkdeck::client::v1 as wire;
+use chalkdeck_time::TimeDelta;
+
+/// Full name of the settings' message.
+const MESSAGE: &str = "chalkdeck.client.v1.Settings";
+
+impl Settings {
+    /// Parses `chalkdeck.client.v1.Settings` in text form; what is absent or zero keeps its default.
+    ///
+    /// # Errors
+    ///
+    /// The error names the line, or the field if a value is out of range.
+    pub fn parse(text: &str) -> Result<Settings, TextError> {
+        let wire: wire::Settings = chalkdeck_proto::text::parse(MESSAGE, text)?;
+        let settings = from_wire(&wire);
+        settings.check().map_err(|error| TextError {
+            line: 1,
+            what: error.to_string(),
+        })?;
+        Ok(settings)
+    }
+}
+
+fn from_wire(wire: &wire::Settings) -> Settings {
+    let default = Settings::default();
+    let max_attempts = match wire.tries {
+        0 => default.max_attempts,
+        tries => tries,
+    };
+    Settings {
+        max_attempts,
+        initial_backoff: millis_or(wire.backoff_first_ms, default.initial_backoff),
+        max_backoff: millis_or(wire.backoff_most_ms, default.max_backoff),
+        retry_jitter: number_or(wire.spread, default.retry_jitter),
+        retry_budget: number_or(wire.budget, default.retry_budget),
+        retry_budget_refill: number_or(wire.earn, default.retry_budget_refill),
+        initial_reconnect_window: millis_or(
+            wire.reconnect_first_ms,
+            default.initial_reconnect_window,
+        ),
+        max_reconnect_window: millis_or(wire.reconnect_most_ms, default.max_reconnect_window),
+        connect_timeout: millis_or(wire.connect_timeout_ms, default.connect_timeout),
+        keepalive_interval: millis_or(wire.keepalive_ms, default.keepalive_interval),
+        ejection_time: millis_or(wire.rest_ms, default.ejection_time),
+        max_in_flight_per_gateway: count_or(wire.outstanding, default.max_in_flight_per_gateway),
+        max_pending: count_or(wire.queue, default.max_pending),
+        ..default
+    }
+}
+
+fn millis_or(millis: u32, default: TimeDelta) -> TimeDelta {
+    match millis {
+        0 => default,
+        millis => TimeDelta::from_millis(u64::from(millis)),
+    }
+}
+
+fn count_or(count: u32, default: usize) -> usize {
+    match count {
+        0 => default,
+        count => count as usize,
+    }
+}
+
+fn number_or(number: f64, default: f64) -> f64 {
+    if number == 0.0 {
+        return default;
+    }
+    number
+}
--- a/crates/client/tests/core.rs
+++ b/crates/client/tests/core.rs
@@ -1,379 +1,555 @@
 //! The core in simulated time.
-use chalkdeck_client::core::{Action, CallId, Core, Event, Outcome, Repeat, Settings, TryEnd};
+
+use chalkdeck_client::core::{Action, AttemptOutcome, CallId, ClientCore, Event, GatewayId};
+use chalkdeck_client::{Idempotency, Outcome, Settings, TimeDelta, Timestamp};
+use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
 
-const MS: u64 = 1_000;
-const S: u64 = 1_000_000;
+const GATEWAYS: usize = 3;
+const START: Timestamp = Timestamp::from_millis(1_000);
+const SECOND: TimeDelta = TimeDelta::from_secs(1);
+
+const fn millis(millis: u64) -> TimeDelta {
+    TimeDelta::from_millis(millis)
+}
+
+fn rejected_for(retry_after: TimeDelta) -> AttemptOutcome {
+    AttemptOutcome::Rejected {
+        retry_after: Some(retry_after),
+    }
+}
 
-struct Rig {
-    core: Core,
-    now: u64,
-    /// Everything that was done, with its time.
-    done: Vec<(u64, Action)>,
+/// An action and when it was wanted.
+struct Recorded {
+    at: Timestamp,
+    action: Action,
 }
 
-impl Rig {
-    fn new(set: Settings) -> Rig {
-        let mut rig = Rig {
-            core: Core::new(set).expect("sound settings"),
-            now: S,
-            done: Vec::new(),
+/// A core whose gateways are connected.
+struct Harness {
+    core: ClientCore,
+    now: Timestamp,
+    recorded: Vec<Recorded>,
+}
+
+impl Harness {
+    fn new(settings: Settings) -> Harness {
+        let mut harness = Harness {
+            core: ClientCore::new(settings).expect("sound settings"),
+            now: START,
+            recorded: Vec::new(),
         };
-        rig.tell(Event::Gateways(3));
-        (0..3).for_each(|g| drop(rig.tell(Event::Connected(g))));
-        rig
+        harness.handle(Event::GatewaysListed { count: GATEWAYS });
+        for index in 0..GATEWAYS {
+            let gateway = GatewayId(index);
+            harness.handle(Event::Connected { gateway });
+        }
+        harness
     }
-    fn tell(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.core.handle(self.now, event, &mut out);
-        self.done.extend(out.iter().map(|a| (self.now, a.clone())));
-        out
+
+    fn handle(&mut self, event: Event) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.core.handle(self.now, event, &mut actions);
+        let at = self.now;
+        self.recorded
+            .extend(actions.iter().map(|&action| Recorded { at, action }));
+        actions
     }
-    fn pass(&mut self, span: u64) -> Vec<Action> {
+
+    fn disconnect_all(&mut self) {
+        for index in 0..GATEWAYS {
+            let gateway = GatewayId(index);
+            self.handle(Event::Disconnected { gateway });
+        }
+    }
+
+    /// Lets time pass, with all wakes in it.
+    fn advance(&mut self, span: TimeDelta) -> Vec<Action> {
         let end = self.now + span;
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         while let Some(at) = self.core.next_wake().filter(|at| *at <= end) {
             self.now = self.now.max(at);
-            out.extend(self.tell(Event::Tick));
+            actions.extend(self.handle(Event::Tick));
         }
         self.now = end;
-        out
+        actions
+    }
+
+    fn start_call(&mut self, id: u64, idempotency: Idempotency, timeout: TimeDelta) -> Vec<Action> {
+        let deadline = self.now + timeout;
+        self.handle(Event::CallStarted {
+            call: CallId(id),
+            idempotency,
+            deadline,
+        })
     }
-    fn call(&mut self, id: u64, repeat: Repeat, span: u64) -> Vec<Action> {
-        let deadline = self.now + span;
-        self.tell(Event::Call(CallId(id), repeat, deadline))
+
+    fn end_attempt(&mut self, id: u64, attempt: u32, outcome: AttemptOutcome) -> Vec<Action> {
+        self.handle(Event::AttemptEnded {
+            call: CallId(id),
+            attempt,
+            outcome,
+        })
     }
-    fn end(&mut self, id: u64, number: u32, end: TryEnd) -> Vec<Action> {
-        self.tell(Event::Ended(CallId(id), number, end))
+
+    fn sent_attempts(&self) -> usize {
+        let recorded = self.recorded.iter();
+        recorded
+            .filter(|recorded| is_send(&recorded.action))
+            .count()
+    }
+
+    fn last_sent_at(&self) -> Option<Timestamp> {
+        let mut newest_first = self.recorded.iter().rev();
+        let sent = newest_first.find(|recorded| is_send(&recorded.action))?;
+        Some(sent.at)
     }
 }
 
-fn sends(out: &[Action]) -> usize {
-    out.iter()
-        .filter(|a| matches!(a, Action::Send { .. }))
-        .count()
+fn is_send(action: &Action) -> bool {
+    matches!(action, Action::SendAttempt { .. })
 }
-fn finish(out: &[Action]) -> Option<Outcome> {
-    out.iter().find_map(|a| {
-        if let Action::Finish(_, outcome) = a {
-            Some(*outcome)
-        } else {
-            None
-        }
+
+fn count_sends(actions: &[Action]) -> usize {
+    actions.iter().filter(|action| is_send(action)).count()
+}
+
+fn outcome_in(actions: &[Action]) -> Option<Outcome> {
+    actions.iter().find_map(|action| match action {
+        Action::CompleteCall { outcome, .. } => Some(*outcome),
+        _ => None,
     })
 }
 
 #[test]
-fn repeats_by_class() {
-    let keyed = Repeat::Keyed { window: 3 * S };
+fn attempt_ends_without_an_answer_then_idempotency_decides_on_a_retry() {
+    let keyed = Idempotency::Keyed {
+        key_window: SECOND * 3,
+    };
     let cases = [
-        (Repeat::Safe, TryEnd::MayHaveRun, true),
-        (Repeat::Unsafe, TryEnd::MayHaveRun, false),
-        (Repeat::Unsafe, TryEnd::NeverRan, true),
-        (Repeat::Unsafe, TryEnd::Refused(Some(10 * MS)), true),
-        (keyed, TryEnd::MayHaveRun, true),
+        (Idempotency::Idempotent, AttemptOutcome::MayHaveRun, true),
+        (
+            Idempotency::NonIdempotent,
+            AttemptOutcome::MayHaveRun,
+            false,
+        ),
+        (
+            Idempotency::NonIdempotent,
+            AttemptOutcome::NotProcessed,
+            true,
+        ),
+        (Idempotency::NonIdempotent, rejected_for(millis(10)), true),
+        (keyed, AttemptOutcome::MayHaveRun, true),
     ];
-    for (repeat, end, again) in cases {
-        let mut rig = Rig::new(Settings::default());
-        assert_eq!(sends(&rig.call(1, repeat, 5 * S)), 1);
-        let mut out = rig.end(1, 0, end);
-        out.extend(rig.pass(2 * S));
-        assert_eq!(sends(&out) == 1, again, "{repeat:?} {end:?}");
-        assert_eq!(finish(&out) == Some(Outcome::Failed), !again);
+    for (idempotency, outcome, is_retried) in cases {
+        let mut harness = Harness::new(Settings::default());
+        let sends = count_sends(&harness.start_call(1, idempotency, SECOND * 5));
+        assert_eq!(sends, 1);
+        let mut actions = harness.end_attempt(1, 0, outcome);
+        actions.extend(harness.advance(SECOND * 2));
+        assert_eq!(
+            count_sends(&actions) == 1,
+            is_retried,
+            "{idempotency:?} {outcome:?}"
+        );
+        assert_eq!(outcome_in(&actions) == Some(Outcome::Failed), !is_retried);
     }
 }
 
 #[test]
-fn a_key_is_not_used_after_its_window() {
-    let mut rig = Rig::new(Settings {
-        backoff_first: 400 * MS,
-        backoff_most: 400 * MS,
+fn key_window_ends_before_the_retry_then_the_call_fails() {
+    let mut harness = Harness::new(Settings {
+        initial_backoff: millis(400),
+        max_backoff: millis(400),
         ..Settings::default()
     });
-    rig.call(1, Repeat::Keyed { window: 300 * MS }, 5 * S);
-    let out = rig.end(1, 0, TryEnd::MayHaveRun);
+    let keyed = |key_window| Idempotency::Keyed { key_window };
+    harness.start_call(1, keyed(millis(300)), SECOND * 5);
+    let actions = harness.end_attempt(1, 0, AttemptOutcome::MayHaveRun);
     assert_eq!(
-        finish(&out),
+        outcome_in(&actions),
         Some(Outcome::Failed),
-        "the wait would outlast the window"
+        "the backoff would outlast the window"
+    );
+    // No gateway is connected while the window passes between two attempts.
+    let mut harness = Harness::new(Settings::default());
+    harness.start_call(2, keyed(millis(200)), SECOND * 5);
+    harness.end_attempt(2, 0, AttemptOutcome::MayHaveRun);
+    harness.disconnect_all();
+    harness.advance(millis(250));
+    let gateway = GatewayId(0);
+    let actions = harness.handle(Event::Connected { gateway });
+    assert_eq!(
+        (count_sends(&actions), outcome_in(&actions)),
+        (0, Some(Outcome::Failed))
     );
-    // No gateway stands while the window passes between two tries.
-    let mut rig = Rig::new(Settings::default());
-    rig.call(2, Repeat::Keyed { window: 200 * MS }, 5 * S);
-    rig.end(2, 0, TryEnd::MayHaveRun);
-    (0..3).for_each(|g| drop(rig.tell(Event::Lost(g))));
-    rig.pass(250 * MS);
-    let out = rig.tell(Event::Connected(0));
-    assert_eq!((sends(&out), finish(&out)), (0, Some(Outcome::Failed)));
 }
 
 #[test]
-fn come_back_times_are_honoured_and_spread() {
-    let mut first = Vec::new();
+fn calls_are_rejected_with_a_retry_time_then_retries_come_after_it_and_spread() {
+    let mut delays = Vec::new();
     for seed in 0..200 {
-        let mut rig = Rig::new(Settings {
+        let mut harness = Harness::new(Settings {
             seed,
             ..Settings::default()
         });
-        rig.call(1, Repeat::Safe, 5 * S);
-        rig.end(1, 0, TryEnd::Refused(Some(S)));
-        let begin = rig.now;
-        assert_eq!(sends(&rig.pass(S - 1)), 0, "not before its time");
-        assert_eq!(sends(&rig.pass(S)), 1);
-        let at = rig
-            .done
-            .iter()
-            .rev()
-            .find(|d| matches!(d.1, Action::Send { .. }))
-            .expect("it was sent")
-            .0;
-        first.push(at - begin);
+        harness.start_call(1, Idempotency::Idempotent, SECOND * 5);
+        harness.end_attempt(1, 0, rejected_for(SECOND));
+        let rejected_at = harness.now;
+        let just_before = SECOND - TimeDelta::from_micros(1);
+        assert_eq!(
+            count_sends(&harness.advance(just_before)),
+            0,
+            "not before its time"
+        );
+        assert_eq!(count_sends(&harness.advance(SECOND)), 1);
+        let sent_at = harness.last_sent_at().expect("it was sent");
+        delays.push(sent_at - rejected_at);
     }
-    first.sort_unstable();
+    delays.sort_unstable();
     assert!(
-        first[0] >= S && first[199] <= S + S / 2 && first[150] - first[50] > S / 8,
-        "{first:?}"
+        delays[0] >= SECOND
+            && delays[199] <= millis(1_500)
+            && delays[150] - delays[50] > millis(125),
+        "{delays:?}"
     );
 }
 
 #[test]
-fn a_refusal_past_the_deadline_is_told_at_once() {
-    for (back, outcome) in [
-        (2 * S, 2 * S),
-        (365 * 86_400 * S, 365 * 86_400 * S),
-        (u64::MAX, u64::MAX),
-    ] {
-        let mut rig = Rig::new(Settings::default());
-        rig.call(1, Repeat::Unsafe, S);
-        let out = rig.end(1, 0, TryEnd::Refused(Some(back)));
-        assert_eq!(finish(&out), Some(Outcome::Refused(Some(outcome))));
+fn retry_time_is_after_the_deadline_then_the_rejection_is_told_at_once() {
+    let retry_times = [SECOND * 2, SECOND * (365 * 86_400), TimeDelta::MAX];
+    for retry_after in retry_times {
+        let mut harness = Harness::new(Settings::default());
+        harness.start_call(1, Idempotency::NonIdempotent, SECOND);
+        let actions = harness.end_attempt(1, 0, rejected_for(retry_after));
+        let retry_after = Some(retry_after);
+        assert_eq!(
+            outcome_in(&actions),
+            Some(Outcome::Rejected { retry_after })
+        );
     }
 }
 
 #[test]
-fn what_may_have_run_is_never_told_as_refused() {
-    let mut rig = Rig::new(Settings {
-        tries: 2,
+fn earlier_attempt_may_have_run_then_the_call_is_not_told_as_rejected() {
+    let mut harness = Harness::new(Settings {
+        max_attempts: 2,
         ..Settings::default()
     });
-    rig.call(1, Repeat::Keyed { window: 5 * S }, 5 * S);
-    rig.end(1, 0, TryEnd::MayHaveRun);
-    rig.pass(S);
-    let out = rig.end(1, 1, TryEnd::Refused(Some(MS)));
-    assert_eq!(finish(&out), Some(Outcome::Failed));
+    let key_window = SECOND * 5;
+    harness.start_call(1, Idempotency::Keyed { key_window }, SECOND * 5);
+    harness.end_attempt(1, 0, AttemptOutcome::MayHaveRun);
+    harness.advance(SECOND);
+    let actions = harness.end_attempt(1, 1, rejected_for(millis(1)));
+    assert_eq!(outcome_in(&actions), Some(Outcome::Failed));
 }
 
 #[test]
-fn nothing_good_comes_after_the_deadline() {
-    for end in [TryEnd::Answered, TryEnd::Refused(None), TryEnd::MayHaveRun] {
-        let mut rig = Rig::new(Settings::default());
-        rig.call(1, Repeat::Unsafe, 100 * MS);
-        // The answer and the deadline in one poll: the core hears the answer first, but late.
-        rig.now += 100 * MS;
-        let out = rig.end(1, 0, end);
+fn attempt_ends_at_the_deadline_then_the_deadline_is_exceeded() {
+    for outcome in [
+        AttemptOutcome::Answered,
+        AttemptOutcome::Rejected { retry_after: None },
+        AttemptOutcome::MayHaveRun,
+    ] {
+        let mut harness = Harness::new(Settings::default());
+        harness.start_call(1, Idempotency::NonIdempotent, millis(100));
+        // The answer and the deadline in one turn of the event loop: the core is told the answer first, but late.
+        harness.now = harness.now + millis(100);
+        let actions = harness.end_attempt(1, 0, outcome);
         assert!(
-            matches!(finish(&out), Some(Outcome::Deadline { .. })),
-            "{end:?}"
+            matches!(outcome_in(&actions), Some(Outcome::DeadlineExceeded { .. })),
+            "{outcome:?}"
         );
-        assert!(rig.pass(S).is_empty());
+        assert!(harness.advance(SECOND).is_empty());
     }
 }
 
 #[test]
-fn a_cancel_and_a_refusal_in_one_poll_end_the_call_once() {
-    let mut rig = Rig::new(Settings::default());
-    rig.call(1, Repeat::Safe, S);
-    let out = rig.tell(Event::Cancel(CallId(1)));
-    assert_eq!(finish(&out), Some(Outcome::Cancelled));
-    assert!(out.contains(&Action::CallOff(CallId(1), 0)));
-    assert!(rig.end(1, 0, TryEnd::Refused(Some(MS))).is_empty());
-    assert!(rig.pass(2 * S).is_empty());
+fn call_is_cancelled_and_rejected_in_one_turn_then_it_ends_once() {
+    let mut harness = Harness::new(Settings::default());
+    let call = CallId(1);
+    harness.start_call(1, Idempotency::Idempotent, SECOND);
+    let actions = harness.handle(Event::CallCancelled { call });
+    assert_eq!(outcome_in(&actions), Some(Outcome::Cancelled));
+    assert!(actions.contains(&Action::CancelAttempt { call, attempt: 0 }));
+    assert!(harness
+        .end_attempt(1, 0, rejected_for(millis(1)))
+        .is_empty());
+    assert!(harness.advance(SECOND * 2).is_empty());
 }
 
 #[test]
-fn waiting_calls_are_bounded_and_a_clock_that_steps_back_harms_nothing() {
-    let mut rig = Rig::new(Settings {
-        queue: 5,
+fn no_gateway_is_connected_then_pending_calls_are_bounded_and_end_by_their_deadlines() {
+    let mut harness = Harness::new(Settings {
+        max_pending: 5,
         ..Settings::default()
     });
-    (0..3).for_each(|g| drop(rig.tell(Event::Lost(g))));
-    let full = (0..8)
-        .filter(|&i| finish(&rig.call(i, Repeat::Safe, S)) == Some(Outcome::Full))
-        .count();
-    assert_eq!(full, 3);
-    rig.now -= S / 2;
-    rig.tell(Event::Tick);
-    rig.now += 3 * S;
-    let out = rig.tell(Event::Tick);
-    assert_eq!(
-        out.iter()
-            .filter(|a| matches!(a, Action::Finish(_, Outcome::Deadline { sent: false })))
-            .count(),
-        5
+    harness.disconnect_all();
+    let mut too_many = 0;
+    for id in 0..8 {
+        let actions = harness.start_call(id, Idempotency::Idempotent, SECOND);
+        too_many += usize::from(outcome_in(&actions) == Some(Outcome::TooManyCalls));
+    }
+    assert_eq!(too_many, 3);
+    // A clock that steps back does no harm.
+    harness.now = harness.now - millis(500);
+    harness.handle(Event::Tick);
+    harness.now = harness.now + SECOND * 3;
+    let actions = harness.handle(Event::Tick);
+    let exceeded = Outcome::DeadlineExceeded {
+        may_have_run: false,
+    };
+    let ended = actions.iter().filter(
+        |action| matches!(action, Action::CompleteCall { outcome, .. } if *outcome == exceeded),
     );
+    assert_eq!(ended.count(), 5);
 }
 
-/// An outage of ten seconds: how often first calls are tried, and how soon calls succeed after it.
-#[test]
-fn an_outage_is_not_made_worse_and_ends_soon() {
-    let (mut tries, mut calls, mut last_bad) = (0_u64, 0_u64, 0);
-    for client in 0..50 {
-        let mut rig = Rig::new(Settings {
-            seed: client,
-            ..Settings::default()
-        });
-        let down = |t: u64| (11 * S..21 * S).contains(&t);
-        let mut ends: BinaryHeap<std::cmp::Reverse<(u64, u64, u32)>> = BinaryHeap::new();
-        for i in 0..1_500 {
-            let out = rig.call(i, Repeat::Safe, S);
-            let mut fresh = out;
-            fresh.extend(rig.pass(20 * MS));
-            loop {
-                for a in fresh.drain(..) {
-                    if let Action::Send { call, number, .. } = a {
-                        tries += 1;
-                        ends.push(std::cmp::Reverse((rig.now + 5 * MS, call.0, number)));
-                    }
-                    if let Action::Finish(_, o) = a {
-                        calls += 1;
-                        last_bad = if o == Outcome::Answered {
-                            last_bad
-                        } else {
-                            last_bad.max(rig.now)
-                        };
+/// An attempt that is in flight; ordered by its end.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct InFlight {
+    ends_at: Timestamp,
+    call: u64,
+    attempt: u32,
+}
+
+/// Calls of one client through an outage.
+#[derive(Default)]
+struct Outage {
+    attempts: u64,
+    calls: u64,
+    last_failure: Timestamp,
+    in_flight: BinaryHeap<Reverse<InFlight>>,
+}
+
+impl Outage {
+    const START: Timestamp = Timestamp::from_millis(11_000);
+    const END: Timestamp = Timestamp::from_millis(21_000);
+
+    fn record(&mut self, now: Timestamp, actions: &[Action]) {
+        for action in actions {
+            match *action {
+                Action::SendAttempt { call, attempt, .. } => {
+                    self.attempts += 1;
+                    let ends_at = now + millis(5);
+                    let call = call.0;
+                    self.in_flight.push(Reverse(InFlight {
+                        ends_at,
+                        call,
+                        attempt,
+                    }));
+                }
+                Action::CompleteCall { outcome, .. } => {
+                    self.calls += 1;
+                    if outcome != Outcome::Answered {
+                        self.last_failure = self.last_failure.max(now);
                     }
                 }
-                let Some(std::cmp::Reverse((at, call, number))) =
-                    ends.peek().copied().filter(|e| e.0 .0 <= rig.now)
-                else {
-                    break;
-                };
-                ends.pop();
-                let end = if down(at) {
-                    TryEnd::MayHaveRun
-                } else {
-                    TryEnd::Answered
-                };
-                fresh = rig.end(call, number, end);
+                _ => {}
             }
         }
     }
-    let amplification = tries as f64 / calls as f64;
+
+    /// The next attempt that has ended by now, and how.
+    fn next_end(&mut self, now: Timestamp) -> Option<(InFlight, AttemptOutcome)> {
+        let Reverse(next) = self.in_flight.peek().copied()?;
+        if next.ends_at > now {
+            return None;
+        }
+        self.in_flight.pop();
+        let is_down = (Outage::START..Outage::END).contains(&next.ends_at);
+        let outcome = if is_down {
+            AttemptOutcome::MayHaveRun
+        } else {
+            AttemptOutcome::Answered
+        };
+        Some((next, outcome))
+    }
+
+    fn run_client(&mut self, seed: u64) {
+        let mut harness = Harness::new(Settings {
+            seed,
+            ..Settings::default()
+        });
+        self.in_flight.clear();
+        for id in 0..1_500 {
+            let mut actions = harness.start_call(id, Idempotency::Idempotent, SECOND);
+            actions.extend(harness.advance(millis(20)));
+            self.record(harness.now, &actions);
+            while let Some((ended, outcome)) = self.next_end(harness.now) {
+                let actions = harness.end_attempt(ended.call, ended.attempt, outcome);
+                self.record(harness.now, &actions);
+            }
+        }
+    }
+}
+
+#[test]
+fn servers_fail_for_ten_seconds_then_retries_are_few_and_calls_succeed_soon_after() {
+    let mut outage = Outage::default();
+    for seed in 0..50 {
+        outage.run_client(seed);
+    }
+    let amplification = outage.attempts as f64 / outage.calls as f64;
     assert!(amplification <= 1.2, "{amplification}");
-    assert!(last_bad < 23 * S, "calls fail until {last_bad}");
+    assert!(
+        outage.last_failure < Timestamp::from_millis(23_000),
+        "calls fail until {:?}",
+        outage.last_failure
+    );
 }
 
-/// Ten thousand clients lose all gateways at once: connects are spread over the window.
 #[test]
-fn reconnects_of_ten_thousand_clients_are_spread() {
-    let window = 2 * S;
-    let mut slots = [0_u64; 20];
+fn ten_thousand_clients_lose_all_gateways_then_their_connects_are_spread() {
+    const SLOTS: usize = 20;
+    let window = SECOND * 2;
+    let mut connects_by_slot = [0_u64; SLOTS];
     for seed in 0..10_000 {
-        let set = Settings {
+        let mut harness = Harness::new(Settings {
             seed,
-            reconnect_first: window,
-            reconnect_most: window,
+            initial_reconnect_window: window,
+            max_reconnect_window: window,
             ..Settings::default()
-        };
-        let mut rig = Rig::new(set);
-        rig.done.clear();
-        (0..3).for_each(|g| drop(rig.tell(Event::Lost(g))));
-        let begin = rig.now;
-        rig.pass(window);
-        for (at, action) in &rig.done {
-            if matches!(action, Action::Connect(_)) {
-                slots[(((at - begin) / (100 * MS)) as usize).min(19)] += 1;
+        });
+        harness.recorded.clear();
+        harness.disconnect_all();
+        let lost_at = harness.now;
+        harness.advance(window);
+        for recorded in &harness.recorded {
+            if matches!(recorded.action, Action::Connect { .. }) {
+                let slot = (recorded.at - lost_at).as_millis() / 100;
+                connects_by_slot[(slot as usize).min(SLOTS - 1)] += 1;
             }
         }
     }
-    let even = 30_000 / 20;
-    assert_eq!(slots.iter().sum::<u64>(), 30_000);
-    assert!(slots.iter().all(|s| *s < even * 5 / 4), "{slots:?}");
+    let even = 30_000 / SLOTS as u64;
+    assert_eq!(connects_by_slot.iter().sum::<u64>(), 30_000);
+    assert!(
+        connects_by_slot.iter().all(|count| *count < even * 5 / 4),
+        "{connects_by_slot:?}"
+    );
 }
 
-/// All orders of ends for short calls: at most one try is out, nothing is sent after the deadline, one end a call, and
-/// the budget never falls below zero.
-#[test]
-fn every_short_history_keeps_the_promises() {
-    let ends = [
-        TryEnd::Answered,
-        TryEnd::Refused(Some(20 * MS)),
-        TryEnd::Refused(None),
-        TryEnd::NeverRan,
-        TryEnd::MayHaveRun,
-    ];
-    let repeats = [
-        Repeat::Safe,
-        Repeat::Keyed { window: 150 * MS },
-        Repeat::Unsafe,
+/// An attempt that may have run.
+#[derive(Clone, Copy)]
+struct MayHaveRun {
+    /// Attempts that were sent until then.
+    sent: u32,
+}
+
+/// Steps of the exhaustive test: five outcomes of attempts, then these.
+const STEP_DISCONNECT: u32 = 5;
+const STEP_CANCEL: u32 = 7;
+const STEP_KINDS: u32 = 8;
+const STEPS: u32 = 5;
+
+/// Plays a history whose steps are the digits of a code.
+fn play_history(code: u32, idempotency: Idempotency) {
+    let outcomes = [
+        AttemptOutcome::Answered,
+        rejected_for(millis(20)),
+        AttemptOutcome::Rejected { retry_after: None },
+        AttemptOutcome::NotProcessed,
+        AttemptOutcome::MayHaveRun,
     ];
-    // Each step: one end (0..5), a lost gateway (5), time (6), the caller's cancel (7).
-    for code in 0..8_u32.pow(5) {
-        for repeat in repeats {
-            let mut rig = Rig::new(Settings {
-                budget: 2.0,
-                ..Settings::default()
-            });
-            rig.call(1, repeat, 400 * MS);
-            let deadline = rig.now + 400 * MS;
-            let (mut rest, mut maybe_ran, mut ended) = (code, None, HashSet::new());
-            for _ in 0..5 {
-                let tried = rig
-                    .done
-                    .iter()
-                    .filter(|d| matches!(d.1, Action::Send { .. }))
-                    .count() as u32;
-                match rest % 8 {
-                    i @ 0..=4 if tried > 0 => {
-                        // A try ends once; what is told of it later is no news.
-                        let first = ended.insert(tried);
-                        if first && ends[i as usize] == TryEnd::MayHaveRun {
-                            maybe_ran.get_or_insert((tried, rig.now));
-                        }
-                        rig.end(1, tried - 1, ends[i as usize]);
-                    }
-                    5 => drop(rig.tell(Event::Lost(0))),
-                    7 => drop(rig.tell(Event::Cancel(CallId(1)))),
-                    _ => drop(rig.pass(90 * MS)),
+    let mut harness = Harness::new(Settings {
+        retry_budget: 2.0,
+        ..Settings::default()
+    });
+    harness.start_call(1, idempotency, millis(400));
+    let deadline = harness.now + millis(400);
+    let mut may_have_run = None;
+    let mut ended = HashSet::new();
+    let mut remaining = code;
+    for _ in 0..STEPS {
+        let sent = harness.sent_attempts() as u32;
+        match remaining % STEP_KINDS {
+            kind @ 0..STEP_DISCONNECT if sent > 0 => {
+                let outcome = outcomes[kind as usize];
+                // An attempt ends once; what the core is told of it later must change nothing.
+                let is_first = ended.insert(sent);
+                if is_first && outcome == AttemptOutcome::MayHaveRun {
+                    may_have_run.get_or_insert(MayHaveRun { sent });
                 }
-                rest /= 8;
-                assert!(rig.core.budget() >= 0.0);
+                harness.end_attempt(1, sent - 1, outcome);
+            }
+            STEP_DISCONNECT => {
+                let gateway = GatewayId(0);
+                harness.handle(Event::Disconnected { gateway });
+            }
+            STEP_CANCEL => {
+                let call = CallId(1);
+                harness.handle(Event::CallCancelled { call });
+            }
+            _ => {
+                harness.advance(millis(90));
             }
-            rig.pass(S);
-            check(&rig, repeat, deadline, maybe_ran);
         }
+        remaining /= STEP_KINDS;
+        assert!(harness.core.retry_budget() >= 0.0);
     }
+    harness.advance(SECOND);
+    check_history(&harness, idempotency, deadline, may_have_run);
 }
 
-fn check(rig: &Rig, repeat: Repeat, deadline: u64, maybe_ran: Option<(u32, u64)>) {
-    let mut seen: BTreeMap<u32, u64> = BTreeMap::new();
-    let mut finished: HashMap<CallId, Outcome> = HashMap::new();
-    for (at, action) in &rig.done {
+fn check_history(
+    harness: &Harness,
+    idempotency: Idempotency,
+    deadline: Timestamp,
+    may_have_run: Option<MayHaveRun>,
+) {
+    let mut sent: BTreeMap<u32, Timestamp> = BTreeMap::new();
+    let mut completed: HashMap<CallId, Outcome> = HashMap::new();
+    for Recorded { at, action } in &harness.recorded {
         match action {
-            Action::Send { number, left, .. } => {
-                assert!(*at < deadline && *left == deadline - at && finished.is_empty());
-                assert!(seen.insert(*number, *at).is_none(), "a try is sent once");
-                if let Some((tried, _)) = maybe_ran.filter(|m| *number >= m.0) {
+            Action::SendAttempt {
+                attempt, time_left, ..
+            } => {
+                assert!(*at < deadline && *time_left == deadline - *at && completed.is_empty());
+                assert!(
+                    sent.insert(*attempt, *at).is_none(),
+                    "an attempt is sent once"
+                );
+                if let Some(earlier) = may_have_run.filter(|earlier| *attempt >= earlier.sent) {
                     assert_ne!(
-                        repeat,
-                        Repeat::Unsafe,
-                        "sent again after try {tried} may have run"
+                        idempotency,
+                        Idempotency::NonIdempotent,
+                        "sent again after attempt {} may have run",
+                        earlier.sent
                     );
                 }
             }
-            Action::Finish(id, outcome) => {
-                assert!(finished.insert(*id, *outcome).is_none(), "one end")
+            Action::CompleteCall { call, outcome } => {
+                assert!(completed.insert(*call, *outcome).is_none(), "one outcome");
             }
             _ => {}
         }
     }
-    assert_eq!(finished.len(), 1, "every call ends");
-    let refused = matches!(
-        finished.values().next(),
-        Some(Outcome::Refused(_) | Outcome::NotSent)
+    assert_eq!(completed.len(), 1, "every call ends");
+    let invites_retry = matches!(
+        completed.values().next(),
+        Some(Outcome::Rejected { .. } | Outcome::NotSent)
     );
     assert!(
-        !(refused && maybe_ran.is_some() && repeat != Repeat::Safe),
+        !(invites_retry && may_have_run.is_some() && idempotency != Idempotency::Idempotent),
         "told as harmless, but it may have run"
     );
 }
+
+/// All orders of events for short calls: one attempt at a time, nothing sent after the deadline, one outcome for each call,
+/// and a retry budget that is never below zero.
+#[test]
+fn every_short_history_is_played_then_all_promises_hold() {
+    let idempotencies = [
+        Idempotency::Idempotent,
+        Idempotency::Keyed {
+            key_window: millis(150),
+        },
+        Idempotency::NonIdempotent,
+    ];
+    for code in 0..STEP_KINDS.pow(STEPS) {
+        for idempotency in idempotencies {
+            play_history(code, idempotency);
+        }
+    }
+}
--- a/crates/client/tests/recording/mod.rs
+++ b/crates/client/tests/recording/mod.rs
@@ -1,6 +1,7 @@
 //! A core in a closed loop with simulated callers and gateways; its actions are digested.
 
-use chalkdeck_client::core::{Action, CallId, Core, Event, Outcome, Repeat, Settings, TryEnd};
+use chalkdeck_client::core::{Action, AttemptOutcome, CallId, ClientCore, Event, GatewayId};
+use chalkdeck_client::{Idempotency, Outcome, Settings, TimeDelta, Timestamp};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::fmt::{self, Display};
@@ -46,7 +47,9 @@
 /// Plays a seed and returns what it came to.
 pub fn play(seed: u64) -> Summary {
     let mut simulation = Simulation::new(seed);
-    simulation.push(Event::Gateways(simulation.gateways));
+    simulation.push(Event::GatewaysListed {
+        count: simulation.gateways,
+    });
     while simulation.count("events") < EVENTS_PER_SEED {
         simulation.step();
     }
@@ -96,7 +99,7 @@
 
 struct Simulation {
     rng: fastrand::Rng,
-    core: Core,
+    core: ClientCore,
     health: Health,
     now: u64,
     next_call: u64,
@@ -107,23 +110,23 @@
 }
 
 fn draw_settings(rng: &mut fastrand::Rng) -> Settings {
-    let backoff_first = rng.u64(MILLISECOND..60 * MILLISECOND);
-    let reconnect_first = rng.u64(50 * MILLISECOND..SECOND);
+    let initial_backoff = TimeDelta::from_micros(rng.u64(MILLISECOND..60 * MILLISECOND));
+    let initial_reconnect_window = TimeDelta::from_micros(rng.u64(50 * MILLISECOND..SECOND));
     Settings {
-        tries: rng.u32(1..6),
-        backoff_first,
-        backoff_most: backoff_first * rng.u64(1..40),
-        spread: 2.0 * rng.f64(),
-        budget: 20.0 * rng.f64(),
-        earn: rng.f64() / 2.0,
-        reconnect_first,
-        reconnect_most: reconnect_first * rng.u64(1..20),
-        connect_timeout: SECOND,
-        keepalive: 0,
-        rest: rng.u64(10 * MILLISECOND..SECOND),
-        outstanding: rng.usize(1..40),
-        queue: rng.usize(2..60),
-        least_left: rng.u64(0..10 * MILLISECOND),
+        max_attempts: rng.u32(1..6),
+        initial_backoff,
+        max_backoff: initial_backoff * rng.u64(1..40),
+        retry_jitter: 2.0 * rng.f64(),
+        retry_budget: 20.0 * rng.f64(),
+        retry_budget_refill: rng.f64() / 2.0,
+        initial_reconnect_window,
+        max_reconnect_window: initial_reconnect_window * rng.u64(1..20),
+        connect_timeout: TimeDelta::from_secs(1),
+        keepalive_interval: TimeDelta::ZERO,
+        ejection_time: TimeDelta::from_micros(rng.u64(10 * MILLISECOND..SECOND)),
+        max_in_flight_per_gateway: rng.usize(1..40),
+        max_pending: rng.usize(2..60),
+        min_time_left: TimeDelta::from_micros(rng.u64(0..10 * MILLISECOND)),
         seed: rng.u64(..),
     }
 }
@@ -134,7 +137,7 @@
         let settings = draw_settings(&mut rng);
         let gateways = rng.usize(1..6);
         Simulation {
-            core: Core::new(settings).expect("sound settings"),
+            core: ClientCore::new(settings).expect("sound settings"),
             rng,
             health: Health::Good,
             now: SECOND,
@@ -158,7 +161,7 @@
     fn step(&mut self) {
         let call_at = self.now + self.rng.u64(100..6 * MILLISECOND);
         let pending_at = self.pending.peek().map(|Reverse((at, _))| *at);
-        let wake_at = self.core.next_wake();
+        let wake_at = self.next_wake();
         let at = [pending_at, wake_at, Some(call_at)]
             .into_iter()
             .flatten()
@@ -177,7 +180,8 @@
         }
         if self.rng.u16(..800) == 0 {
             self.gateways = self.rng.usize(1..6);
-            self.push(Event::Gateways(self.gateways));
+            let count = self.gateways;
+            self.push(Event::GatewaysListed { count });
         }
         if self.rng.u16(..500) == 0 {
             self.step_clock_back();
@@ -194,7 +198,9 @@
         };
         if let Health::Unreachable = self.health {
             for gateway in 0..self.gateways {
-                self.push(Event::Lost(gateway));
+                self.push(Event::Disconnected {
+                    gateway: GatewayId(gateway),
+                });
             }
         }
     }
@@ -210,19 +216,23 @@
     fn begin_call(&mut self) {
         let call = self.next_call;
         self.next_call += 1;
-        let repeat = match self.rng.u8(..4) {
-            0 => Repeat::Unsafe,
-            1 => Repeat::Keyed {
-                window: self.rng.u64(10 * MILLISECOND..2 * SECOND),
+        let idempotency = match self.rng.u8(..4) {
+            0 => Idempotency::NonIdempotent,
+            1 => Idempotency::Keyed {
+                key_window: TimeDelta::from_micros(self.rng.u64(10 * MILLISECOND..2 * SECOND)),
             },
-            _ => Repeat::Safe,
+            _ => Idempotency::Idempotent,
         };
         let timeout = self.rng.u64(MILLISECOND..2 * SECOND);
         if self.rng.u8(..12) == 0 {
             let at = self.now + self.rng.u64(..SECOND / 10);
             self.schedule(at, Pending::CallerCancels { call });
         }
-        self.push(Event::Call(CallId(call), repeat, self.now + timeout));
+        self.push(Event::CallStarted {
+            call: CallId(call),
+            idempotency,
+            deadline: Timestamp::from_micros(self.now + timeout),
+        });
     }
 
     fn schedule(&mut self, at: u64, pending: Pending) {
@@ -235,29 +245,38 @@
         };
         match pending {
             Pending::ConnectEnds { gateway } => {
+                let gateway = GatewayId(gateway);
                 if matches!(self.health, Health::Unreachable) || self.rng.u8(..10) == 0 {
-                    self.push(Event::Lost(gateway));
+                    self.push(Event::Disconnected { gateway });
                 } else {
-                    self.push(Event::Connected(gateway));
+                    self.push(Event::Connected { gateway });
                 }
             }
             Pending::AttemptEnds { call, attempt } => {
-                let end = self.draw_end();
-                self.push(Event::Ended(CallId(call), attempt, end));
+                let outcome = self.draw_outcome();
+                self.push(Event::AttemptEnded {
+                    call: CallId(call),
+                    attempt,
+                    outcome,
+                });
+            }
+            Pending::ResponseStarts { call } => {
+                self.push(Event::RetryRuledOut { call: CallId(call) });
+            }
+            Pending::CallerCancels { call } => {
+                self.push(Event::CallCancelled { call: CallId(call) });
             }
-            Pending::ResponseStarts { call } => self.push(Event::Started(CallId(call))),
-            Pending::CallerCancels { call } => self.push(Event::Cancel(CallId(call))),
         }
     }
 
-    fn draw_end(&mut self) -> TryEnd {
+    fn draw_outcome(&mut self) -> AttemptOutcome {
         let good = match self.health {
             Health::Good | Health::Slow => 95,
             Health::Rejecting | Health::Failing => 20,
             Health::Unreachable => 0,
         };
         if self.rng.u8(..100) < good {
-            return TryEnd::Answered;
+            return AttemptOutcome::Answered;
         }
         let kind = match self.health {
             Health::Rejecting => self.rng.u8(..2),
@@ -265,57 +284,67 @@
             Health::Good | Health::Slow => self.rng.u8(..4),
         };
         match kind {
-            0 => TryEnd::Refused(Some(self.rng.u64(..SECOND / 2))),
-            1 => TryEnd::Refused(None),
-            2 => TryEnd::NeverRan,
-            _ => TryEnd::MayHaveRun,
+            0 => AttemptOutcome::Rejected {
+                retry_after: Some(TimeDelta::from_micros(self.rng.u64(..SECOND / 2))),
+            },
+            1 => AttemptOutcome::Rejected { retry_after: None },
+            2 => AttemptOutcome::NotProcessed,
+            _ => AttemptOutcome::MayHaveRun,
         }
     }
 
     /// Gives the core an event and carries out what it answers.
     fn push(&mut self, event: Event) {
         let mut actions = Vec::new();
-        self.core.handle(self.now, event, &mut actions);
+        let now = Timestamp::from_micros(self.now);
+        self.core.handle(now, event, &mut actions);
         self.add("events");
         for action in actions {
             self.carry_out(&action);
         }
-        let wake = self.core.next_wake();
-        let budget = self.core.budget().to_bits();
+        let wake = self.next_wake();
+        let budget = self.core.retry_budget().to_bits();
         self.digest.add(&format!("wake {wake:?} budget {budget};"));
     }
 
+    fn next_wake(&self) -> Option<u64> {
+        self.core.next_wake().map(Timestamp::as_micros)
+    }
+
     fn carry_out(&mut self, action: &Action) {
         match *action {
-            Action::Connect(gateway) => {
+            Action::Connect {
+                gateway: GatewayId(gateway),
+            } => {
                 self.add("connect");
                 self.digest.add(&format!("connect {gateway};"));
                 let at = self.now + self.rng.u64(..50 * MILLISECOND);
                 self.schedule(at, Pending::ConnectEnds { gateway });
             }
-            Action::Send {
+            Action::SendAttempt {
                 call,
-                number,
-                gateway,
-                left,
+                attempt,
+                gateway: GatewayId(gateway),
+                time_left,
             } => {
+                let left = time_left.as_micros();
                 self.add("send");
-                if number > 0 {
+                if attempt > 0 {
                     self.add("retry");
                 }
                 self.digest
-                    .add(&format!("send {} {number} {gateway} {left};", call.0));
-                self.schedule_attempt(call.0, number);
+                    .add(&format!("send {} {attempt} {gateway} {left};", call.0));
+                self.schedule_attempt(call.0, attempt);
             }
-            Action::CallOff(call, number) => {
+            Action::CancelAttempt { call, attempt } => {
                 self.add("cancel_attempt");
-                self.digest.add(&format!("cancel {} {number};", call.0));
+                self.digest.add(&format!("cancel {} {attempt};", call.0));
             }
-            Action::Finish(call, outcome) => {
+            Action::CompleteCall { call, outcome } => {
                 let kind = kind_of(outcome);
                 self.add(kind);
                 let retry_after = match outcome {
-                    Outcome::Refused(retry_after) => retry_after,
+                    Outcome::Rejected { retry_after } => retry_after.map(TimeDelta::as_micros),
                     _ => None,
                 };
                 self.digest
@@ -341,12 +370,14 @@
 fn kind_of(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Answered => "answered",
-        Outcome::Refused(_) => "rejected",
+        Outcome::Rejected { .. } => "rejected",
         Outcome::NotSent => "not_sent",
         Outcome::Failed => "failed",
-        Outcome::Deadline { sent: true } => "deadline_sent",
-        Outcome::Deadline { sent: false } => "deadline_unsent",
-        Outcome::Full => "full",
+        Outcome::DeadlineExceeded { may_have_run: true } => "deadline_sent",
+        Outcome::DeadlineExceeded {
+            may_have_run: false,
+        } => "deadline_unsent",
+        Outcome::TooManyCalls => "full",
         Outcome::Cancelled => "cancelled",
     }
 }
--- a/crates/client/tests/tower.rs
+++ b/crates/client/tests/tower.rs
@@ -1,7 +1,7 @@
 //! The tower service under tonic's own client, against a gateway that is scripted in a thread.
 use bytes::{Buf, BufMut, Bytes};
-use chalkdeck_client::tower::{Fleet, Terms, TermsLayer};
-use chalkdeck_client::{Client, Repeat, Settings};
+use chalkdeck_client::tower::{CallKind, CallOptions, CallOptionsLayer, FleetService};
+use chalkdeck_client::{Client, Idempotency, Settings, TimeDelta};
 use chalkdeck_net::grpc::{self, Code};
 use chalkdeck_net::{Engine, Event, Limits, StreamId};
 use futures_executor::block_on;
@@ -15,7 +15,7 @@
 use tonic::codec::{Codec, DecodeBuf, Decoder, EncodeBuf, Encoder};
 use tower_layer::Layer;
 
-/// Messages as they are.
+/// Messages as bytes, without an encoding.
 #[derive(Clone, Default)]
 struct Raw;
 impl Codec for Raw {
@@ -46,64 +46,74 @@
     }
 }
 
-type Script = Box<dyn FnMut(&mut Engine, Seen) + Send>;
-enum Seen {
-    Asked(StreamId, HeaderMap, usize),
+type Script = Box<dyn FnMut(&mut Engine, Received) + Send>;
+
+/// What a gateway receives.
+enum Received {
+    /// An attempt, with its number from 1.
+    Attempt {
+        stream: StreamId,
+        headers: HeaderMap,
+        number: usize,
+    },
     Data(StreamId, Bytes),
     End(StreamId),
     Reset,
 }
 
-struct Played {
+/// A gateway on a thread of its own.
+struct ScriptedGateway {
     address: SocketAddr,
-    over: Arc<AtomicBool>,
+    is_stopped: Arc<AtomicBool>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
-impl Drop for Played {
+impl Drop for ScriptedGateway {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
-        self.thread
-            .take()
-            .into_iter()
-            .for_each(|t| t.join().expect("no panic in the script"));
+        self.is_stopped.store(true, Ordering::Relaxed);
+        if let Some(thread) = self.thread.take() {
+            thread.join().expect("no panic in the script");
+        }
     }
 }
 
-fn play(mut script: Script) -> Played {
+fn start_gateway(mut script: Script) -> ScriptedGateway {
     let mut engine = Engine::new().expect("a poll handle");
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let (_, address) = engine
         .listen(any, Limits::default(), false, false)
         .expect("a port");
-    let over = Arc::new(AtomicBool::new(false));
-    let ends = over.clone();
+    let is_stopped = Arc::new(AtomicBool::new(false));
+    let stop_flag = is_stopped.clone();
     let thread = std::thread::spawn(move || {
-        let (mut events, mut asked) = (Vec::new(), 0);
-        while !ends.load(Ordering::Relaxed) {
+        let mut events = Vec::new();
+        let mut attempts = 0;
+        while !stop_flag.load(Ordering::Relaxed) {
             engine.turn(5_000, &mut events).expect("a turn");
             for event in events.drain(..) {
                 match event {
                     Event::Opened { stream, head, .. } => {
-                        asked += 1;
-                        script(
-                            &mut engine,
-                            Seen::Asked(stream, head.headers.clone(), asked),
-                        );
+                        attempts += 1;
+                        let attempt = Received::Attempt {
+                            stream,
+                            headers: head.headers.clone(),
+                            number: attempts,
+                        };
+                        script(&mut engine, attempt);
                     }
                     Event::Data { stream, data } => {
                         engine.consume(stream, data.len());
-                        script(&mut engine, Seen::Data(stream, data));
+                        script(&mut engine, Received::Data(stream, data));
                     }
-                    Event::End { stream, .. } => script(&mut engine, Seen::End(stream)),
-                    Event::Broken { .. } => script(&mut engine, Seen::Reset),
+                    Event::End { stream, .. } => script(&mut engine, Received::End(stream)),
+                    Event::Broken { .. } => script(&mut engine, Received::Reset),
                     _ => {}
                 }
             }
         }
     });
-    Played {
+    ScriptedGateway {
         address,
-        over,
+        is_stopped,
         thread: Some(thread),
     }
 }
@@ -114,9 +124,9 @@
     engine.finish(stream, Some(grpc::trailers(Code::Ok, "")));
 }
 
-fn fleet(gateway: &Played) -> Fleet {
+fn service(gateway: &ScriptedGateway) -> FleetService {
     let client = Client::start(Settings::default(), vec![gateway.address]).expect("a client");
-    Fleet::new(Arc::new(client))
+    FleetService::new(Arc::new(client))
 }
 
 fn path() -> http::uri::PathAndQuery {
@@ -124,11 +134,16 @@
 }
 
 #[test]
-fn a_stock_client_calls_through_the_fleet_and_a_keyed_call_goes_again_under_its_key() {
+fn keyed_attempt_of_a_tonic_client_is_reset_then_retry_has_its_key() {
     let keys = Arc::new(Mutex::new(Vec::new()));
     let seen = keys.clone();
-    let gateway = play(Box::new(move |engine, event| {
-        let Seen::Asked(stream, headers, number) = event else {
+    let gateway = start_gateway(Box::new(move |engine, event| {
+        let Received::Attempt {
+            stream,
+            headers,
+            number,
+        } = event
+        else {
             return;
         };
         assert_eq!(headers["x-customer"], "someone");
@@ -140,14 +155,17 @@
             _ => answer(engine, stream, b"sold"),
         }
     }));
-    let keyed = |path: &str| {
+    let options = |path: &str| {
         assert_eq!(path, "/farm.v1.Farm/Sell");
-        Terms {
-            repeat: Repeat::Keyed { window: 5_000_000 },
-            ..Terms::default()
+        CallOptions {
+            idempotency: Idempotency::Keyed {
+                key_window: TimeDelta::from_secs(5),
+            },
+            ..CallOptions::default()
         }
     };
-    let mut client = tonic::client::Grpc::new(TermsLayer::new(keyed).layer(fleet(&gateway)));
+    let mut client =
+        tonic::client::Grpc::new(CallOptionsLayer::new(options).layer(service(&gateway)));
     let mut request = tonic::Request::new(Bytes::from_static(b"one pumpkin"));
     request
         .metadata_mut()
@@ -159,9 +177,9 @@
 }
 
 #[test]
-fn without_terms_a_call_is_unsafe_and_a_refusal_keeps_its_time() {
-    let gateway = play(Box::new(|engine, event| {
-        let Seen::Asked(stream, _, number) = event else {
+fn call_has_no_options_then_it_is_not_retried_and_a_rejection_keeps_its_pushback() {
+    let gateway = start_gateway(Box::new(|engine, event| {
+        let Received::Attempt { stream, number, .. } = event else {
             return;
         };
         if number == 1 {
@@ -171,14 +189,14 @@
         trailers.insert(grpc::PUSHBACK, HeaderValue::from_static("60000"));
         engine.respond(stream, grpc::trailers_only(trailers), true);
     }));
-    let mut client = tonic::client::Grpc::new(fleet(&gateway));
-    let ask = || tonic::Request::new(Bytes::from_static(b"one pumpkin"));
-    let failed = block_on(client.unary(ask(), path(), Raw)).expect_err("may have run");
+    let mut client = tonic::client::Grpc::new(service(&gateway));
+    let request = || tonic::Request::new(Bytes::from_static(b"one pumpkin"));
+    let failed = block_on(client.unary(request(), path(), Raw)).expect_err("may have run");
     assert_eq!(failed.code(), tonic::Code::Unavailable);
-    let refused = block_on(client.unary(ask(), path(), Raw)).expect_err("refused");
-    assert_eq!(refused.code(), tonic::Code::ResourceExhausted);
+    let rejected = block_on(client.unary(request(), path(), Raw)).expect_err("rejected");
+    assert_eq!(rejected.code(), tonic::Code::ResourceExhausted);
     assert_eq!(
-        refused
+        rejected
             .metadata()
             .get("grpc-retry-pushback-ms")
             .expect("a time"),
@@ -187,12 +205,14 @@
 }
 
 #[test]
-fn a_dropped_call_is_called_off_and_a_deadline_ends_one() {
-    let (asked, resets) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
-    let counts = (asked.clone(), resets.clone());
-    let gateway = play(Box::new(move |_, event| match event {
-        Seen::Asked(..) => drop(counts.0.fetch_add(1, Ordering::SeqCst)),
-        Seen::Reset => drop(counts.1.fetch_add(1, Ordering::SeqCst)),
+fn call_is_late_or_dropped_then_its_attempt_is_reset() {
+    let attempts = Arc::new(AtomicUsize::new(0));
+    let resets = Arc::new(AtomicUsize::new(0));
+    let attempt_counter = attempts.clone();
+    let reset_counter = resets.clone();
+    let gateway = start_gateway(Box::new(move |_, event| match event {
+        Received::Attempt { .. } => drop(attempt_counter.fetch_add(1, Ordering::SeqCst)),
+        Received::Reset => drop(reset_counter.fetch_add(1, Ordering::SeqCst)),
         _ => {}
     }));
     let until = |what: &str, holds: &mut dyn FnMut() -> bool| {
@@ -202,7 +222,7 @@
             std::thread::yield_now();
         }
     };
-    let mut client = tonic::client::Grpc::new(fleet(&gateway));
+    let mut client = tonic::client::Grpc::new(service(&gateway));
     let mut request = tonic::Request::new(Bytes::from_static(b"one pumpkin"));
     request.set_timeout(Duration::from_millis(100));
     let late = block_on(client.unary(request, path(), Raw)).expect_err("late");
@@ -218,7 +238,7 @@
             Poll::Ready(call.as_mut().poll(cx).is_pending())
         }));
         assert!(pending, "nobody answers");
-        asked.load(Ordering::SeqCst) == 2
+        attempts.load(Ordering::SeqCst) == 2
     });
     assert_eq!(resets.load(Ordering::SeqCst), 1);
     drop(call);
@@ -228,38 +248,38 @@
 }
 
 #[test]
-fn a_stream_talks_both_ways() {
-    let gateway = play(Box::new(|engine, event| match event {
-        Seen::Asked(stream, ..) => engine.respond(stream, grpc::head(), false),
-        Seen::Data(stream, data) => engine.send(stream, data),
-        Seen::End(stream) => engine.finish(stream, Some(grpc::trailers(Code::Ok, ""))),
-        Seen::Reset => {}
+fn stream_is_echoed_then_all_messages_come_back() {
+    let gateway = start_gateway(Box::new(|engine, event| match event {
+        Received::Attempt { stream, .. } => engine.respond(stream, grpc::head(), false),
+        Received::Data(stream, data) => engine.send(stream, data),
+        Received::End(stream) => engine.finish(stream, Some(grpc::trailers(Code::Ok, ""))),
+        Received::Reset => {}
     }));
-    let mut client = tonic::client::Grpc::new(fleet(&gateway));
+    let mut client = tonic::client::Grpc::new(service(&gateway));
     let messages: Vec<Bytes> = (0..200)
         .map(|i| Bytes::from(vec![i as u8; 20_000]))
         .collect();
     let mut request = tonic::Request::new(futures_util::stream::iter(messages.clone()));
-    request.extensions_mut().insert(Terms {
-        streaming: true,
-        ..Terms::default()
+    request.extensions_mut().insert(CallOptions {
+        kind: CallKind::Streaming,
+        ..CallOptions::default()
     });
-    let heard = block_on(async {
+    let received = block_on(async {
         let mut answers = client
             .streaming(request, path(), Raw)
             .await
             .expect("a stream")
             .into_inner();
-        let mut heard = Vec::new();
+        let mut received = Vec::new();
         while let Some(message) = answers.message().await.expect("whole") {
-            heard.push(message);
+            received.push(message);
         }
-        heard
+        received
     });
     assert!(
-        heard == messages,
+        received == messages,
         "{} of {} messages came back",
-        heard.len(),
+        received.len(),
         messages.len()
     );
 }
--- a/crates/testbed/src/load/command.rs
+++ b/crates/testbed/src/load/command.rs
@@ -7,7 +7,7 @@
 use crate::parts::report::Summary;
 use crate::parts::script;
 use anyhow::{bail, Context};
-use chalkdeck_client::Repeat;
+use chalkdeck_client::Idempotency;
 use chalkdeck_net::signals::Signals;
 use chalkdeck_proto::chalkdeck::config::v1::Gateway;
 use chalkdeck_proto::chalkdeck::lab::v1::{Load as Shape, Mix};
@@ -114,13 +114,16 @@
 }
 
 /// By the classes of the routes; a path without one is not repeated.
-fn repeats(gateway: &Gateway, shape: &Shape) -> Vec<Repeat> {
+fn repeats(gateway: &Gateway, shape: &Shape) -> Vec<Idempotency> {
     let class = |path: &str| {
         let route = gateway.routes.iter().find(|r| r.path == path)?;
         gateway.classes.iter().find(|c| c.name == route.class)
     };
-    let repeat =
-        |m: &Mix| class(&m.path).map_or(Repeat::Unsafe, |c| library::repeat_of(c, m.keyed));
+    let repeat = |m: &Mix| {
+        class(&m.path).map_or(Idempotency::NonIdempotent, |c| {
+            library::repeat_of(c, m.keyed)
+        })
+    };
     shape.mix.iter().map(repeat).collect()
 }
 
--- a/crates/testbed/src/load/library.rs
+++ b/crates/testbed/src/load/library.rs
@@ -5,7 +5,7 @@
 use crate::parts::report::Figures;
 use anyhow::Context;
 use bytes::Bytes;
-use chalkdeck_client::{Call, Client, Outcome, Repeat, Reply, Settings};
+use chalkdeck_client::{Call, Client, Idempotency, Outcome, Reply, Settings, TimeDelta};
 use chalkdeck_net::clock::monotonic;
 use chalkdeck_net::signals::Signals;
 use chalkdeck_proto::chalkdeck::config::v1::{class, Class};
@@ -19,7 +19,7 @@
     pub gateways: Vec<SocketAddr>,
     pub shape: Shape,
     /// For each place of the mix, whether its calls may go again.
-    pub repeats: Vec<Repeat>,
+    pub repeats: Vec<Idempotency>,
     pub seconds: f64,
     /// Instead of a rate, so many calls out at all times, from one client for all customers.
     pub outstanding: Option<usize>,
@@ -181,7 +181,7 @@
         );
         let ended = self.ended.clone();
         let client = i % self.clients.len();
-        self.clients[client].begin(call, move |reply| {
+        self.clients[client].start_call(call, move |reply| {
             let at = monotonic();
             drop(ended.send(Ended {
                 id,
@@ -214,14 +214,14 @@
             reply,
         } = ended;
         self.open -= 1;
-        self.figures.tries += u64::from(reply.tries);
+        self.figures.tries += u64::from(reply.attempts);
         let end = match reply.outcome {
             Outcome::Answered => End::Served,
-            Outcome::Refused(_) | Outcome::NotSent => End::Refused,
-            Outcome::Failed | Outcome::Deadline { .. } => End::Failed,
-            Outcome::Full | Outcome::Cancelled => End::Other,
+            Outcome::Rejected { .. } | Outcome::NotSent => End::Refused,
+            Outcome::Failed | Outcome::DeadlineExceeded { .. } => End::Failed,
+            Outcome::TooManyCalls | Outcome::Cancelled => End::Other,
         };
-        let status = reply.code.map_or(-1, |c| c as i32);
+        let status = reply.status.map_or(-1, |c| c as i32);
         self.log.line(&Line::Answer {
             t: at,
             id,
@@ -240,19 +240,19 @@
 
 /// What a class allows its client. A key is dropped by its group only, and a client does not choose the cell: unless every
 /// server drops it, what may have run is left to the gateways to repeat.
-pub fn repeat_of(class: &Class, keyed: bool) -> Repeat {
+pub fn repeat_of(class: &Class, keyed: bool) -> Idempotency {
     match class.effect() {
-        class::Effect::Safe => Repeat::Safe,
-        class::Effect::Keyed if keyed && class.group() == class::Group::All => Repeat::Keyed {
-            window: u64::from(class.window_ms) * 1_000,
+        class::Effect::Safe => Idempotency::Idempotent,
+        class::Effect::Keyed if keyed && class.group() == class::Group::All => Idempotency::Keyed {
+            key_window: TimeDelta::from_millis(u64::from(class.window_ms)),
         },
-        _ => Repeat::Unsafe,
+        _ => Idempotency::NonIdempotent,
     }
 }
 
 fn call_of(
     mix: &Mix,
-    repeat: Repeat,
+    repeat: Idempotency,
     id: &str,
     customer: String,
     key: String,
@@ -265,7 +265,7 @@
             ("x-call-id".into(), id.into()),
             ("x-customer".into(), customer),
         ],
-        repeat,
+        idempotency: repeat,
         key: Some(key).filter(|k| !k.is_empty()),
         timeout: Duration::from_millis(u64::from(mix.timeout_ms)),
     }
--- a/crates/testbed/src/measure/reconnect.rs
+++ b/crates/testbed/src/measure/reconnect.rs
@@ -7,7 +7,8 @@
 use crate::rig::demo;
 use crate::rig::fleet::{any, Fleet};
 use anyhow::{bail, Context};
-use chalkdeck_client::core::{Action, Core, Event, Settings};
+use chalkdeck_client::core::{Action, ClientCore, Event, GatewayId};
+use chalkdeck_client::{Settings, TimeDelta, Timestamp};
 use chalkdeck_net::grpc::{self, Code};
 use chalkdeck_net::{ConnId, Engine, Event as NetEvent, Limits, StreamId};
 use clap::Args;
@@ -55,7 +56,7 @@
 struct Crowd {
     engine: Engine,
     address: SocketAddr,
-    cores: Vec<Core>,
+    cores: Vec<ClientCore>,
     naive: bool,
     conns: HashMap<ConnId, usize>,
     /// Which client a timer is for.
@@ -76,15 +77,15 @@
         let core = |seed: u64| {
             let set = Settings {
                 seed,
-                reconnect_first: WINDOW,
-                reconnect_most: 4 * WINDOW,
+                initial_reconnect_window: TimeDelta::from_micros(WINDOW),
+                max_reconnect_window: TimeDelta::from_micros(4 * WINDOW),
                 ..Settings::default()
             };
-            Core::new(set).map_err(anyhow::Error::from)
+            ClientCore::new(set).map_err(anyhow::Error::from)
         };
         let cores = (0..args.clients as u64)
             .map(core)
-            .collect::<anyhow::Result<Vec<Core>>>()?;
+            .collect::<anyhow::Result<Vec<ClientCore>>>()?;
         let (conns, due, begun) = (HashMap::new(), HashMap::new(), Vec::new());
         let engine = Engine::new()?;
         Ok(Crowd {
@@ -109,20 +110,20 @@
             if self.naive {
                 self.connect(i);
             } else {
-                self.tell(i, Event::Gateways(1));
+                self.tell(i, Event::GatewaysListed { count: 1 });
             }
         }
     }
 
     fn tell(&mut self, i: usize, event: Event) {
         let mut actions = Vec::new();
-        let now = self.engine.now();
+        let now = Timestamp::from_micros(self.engine.now());
         self.cores[i].handle(now, event, &mut actions);
-        if actions.iter().any(|a| matches!(a, Action::Connect(_))) {
+        if actions.iter().any(|a| matches!(a, Action::Connect { .. })) {
             self.connect(i);
         }
         if let Some(at) = self.cores[i].next_wake() {
-            self.wake_at(at, i);
+            self.wake_at(at.as_micros(), i);
         }
     }
 
@@ -148,7 +149,12 @@
         if self.naive {
             self.wake_at(self.engine.now() + NAIVE, i);
         } else {
-            self.tell(i, Event::Lost(0));
+            self.tell(
+                i,
+                Event::Disconnected {
+                    gateway: GatewayId(0),
+                },
+            );
         }
     }
 
@@ -162,7 +168,12 @@
                     self.up += 1;
                     self.standing.push(conn);
                     if let Some(&i) = self.conns.get(&conn).filter(|_| !self.naive) {
-                        self.tell(i, Event::Connected(0));
+                        self.tell(
+                            i,
+                            Event::Connected {
+                                gateway: GatewayId(0),
+                            },
+                        );
                     }
                 }
                 NetEvent::Closed { conn, reached, .. } => {
