--- a/crates/cli/src/contract.rs
+++ b/crates/cli/src/contract.rs
@@ -1,15 +1,15 @@
 //! `chalkdeck contract`: versions of services, who speaks them, and whether a new one breaks them.
 
+use crate::coordinator::ReplicaArgs;
 use crate::failure::Failure;
-use crate::keeper::Keepers;
 use crate::rules::{propose, read};
-use chalkdeck_coordinator::registrar::version_of;
+use chalkdeck_coordinator::registrar::contract_version;
 use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
 use clap::Subcommand;
 use prost::Message;
 use std::path::{Path, PathBuf};
-use wire::command::What;
-use wire::look_request::What as Look;
+use wire::command::Kind as CommandKind;
+use wire::read_request::Kind as ReadKind;
 
 const MESSAGE: &str = "chalkdeck.keeper.v1.Contract";
 
@@ -56,7 +56,7 @@
         #[arg(long)]
         include: Vec<PathBuf>,
         #[command(flatten)]
-        to: Keepers,
+        to: ReplicaArgs,
     },
     /// Say that a customer speaks a version, whether or not it calls now
     Subscribe {
@@ -73,7 +73,7 @@
         #[arg(long)]
         gone: bool,
         #[command(flatten)]
-        to: Keepers,
+        to: ReplicaArgs,
     },
     /// Say that a version counts as spoken no more, whoever called it until now
     Retire {
@@ -82,14 +82,14 @@
         /// The version
         version: String,
         #[command(flatten)]
-        to: Keepers,
+        to: ReplicaArgs,
     },
     /// Versions of a service, and who speaks them
     Spoken {
         /// The service; all if none is given
         service: Option<String>,
         #[command(flatten)]
-        to: Keepers,
+        to: ReplicaArgs,
     },
 }
 
@@ -103,8 +103,14 @@
             to,
         } => {
             let contract = contract(file, proto.as_deref(), include)?;
-            let what = Some(wire::propose::What::Contract(contract));
-            propose(to, wire::Propose { what, force: false })
+            let what = Some(wire::propose::Proposed::Contract(contract));
+            propose(
+                to,
+                wire::Propose {
+                    proposed: what,
+                    force: false,
+                },
+            )
         }
         Command::Subscribe {
             customer,
@@ -118,11 +124,11 @@
                 customer: customer.clone(),
                 service: service.clone(),
                 version: version.clone(),
-                gone: *gone,
+                cancelled: *gone,
                 repeats_ms: *repeats_ms,
             };
-            to.asking()?
-                .tell(What::Subscribe(subscribe), to.patience())?;
+            to.client()?
+                .submit(CommandKind::Subscribe(subscribe), to.timeout())?;
             println!("taken");
             Ok(())
         }
@@ -131,11 +137,12 @@
             version,
             to,
         } => {
-            let retire = wire::Retire {
+            let retire = wire::RetireVersion {
                 service: service.clone(),
                 version: version.clone(),
             };
-            to.asking()?.tell(What::Retire(retire), to.patience())?;
+            to.client()?
+                .submit(CommandKind::RetireVersion(retire), to.timeout())?;
             println!("retired; calls that still come are shown as 'retired and called again'");
             Ok(())
         }
@@ -163,7 +170,7 @@
         })?;
         contract.descriptors = set.encode_to_vec();
     }
-    match version_of(&contract) {
+    match contract_version(&contract) {
         Ok(_) => Ok(contract),
         Err(source) => Err(ContractError::Wrong {
             file: path.display().to_string(),
@@ -173,14 +180,14 @@
     }
 }
 
-fn spoken(service: &str, to: &Keepers) -> Result<(), Failure> {
-    let request = wire::LookRequest {
-        what: Look::Spoken as i32,
+fn spoken(service: &str, to: &ReplicaArgs) -> Result<(), Failure> {
+    let request = wire::ReadRequest {
+        kind: ReadKind::Spoken as i32,
         service: service.into(),
-        ..wire::LookRequest::default()
+        ..wire::ReadRequest::default()
     };
-    let answer = to.asking()?.look(&request, to.patience())?;
-    for admitted in &answer.admitted {
+    let answer = to.client()?.read(&request, to.timeout())?;
+    for admitted in &answer.contracts {
         let c = admitted.contract.clone().unwrap_or_default();
         let state = if admitted.retired {
             "retired"
@@ -189,7 +196,7 @@
         };
         println!("{} {} {state}", c.service, c.version);
     }
-    for version in &answer.spoken {
+    for version in &answer.versions_in_use {
         for u in &version.uses {
             let word = if u.declared { "subscribes" } else { "seen" };
             let ago = answer.time_ms.saturating_sub(u.last_ms) / 1_000;
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -2,14 +2,14 @@
 #![forbid(unsafe_code)]
 
 mod contract;
+mod coordinator;
 mod failure;
-mod keeper;
 mod rules;
 mod site;
 
 use chalkdeck_grpc_gateway::{logs, Settings};
 use chalkdeck_net::signals::Signals;
-use chalkdeck_resp_gateway::{Config, Shell};
+use chalkdeck_resp_gateway::{Config, GatewayServer};
 use chalkdeck_testbed::cli::Command as Testbed;
 use chalkdeck_testbed::rig::demo::DemoArgs;
 use chalkdeck_testbed::rig::serve::{serve, ServeArgs};
@@ -39,9 +39,9 @@
     /// The counter: serve, tools for its log
     #[command(subcommand)]
     Counter(chalkdeck_counter::cli::Command),
-    /// Keepers of the fleet's shared state
-    #[command(subcommand)]
-    Keeper(keeper::Command),
+    /// Replicas of the fleet's coordinator
+    #[command(subcommand, alias = "keeper")]
+    Coordinator(coordinator::Command),
     /// Customers' access rules
     #[command(subcommand)]
     Rules(rules::Command),
@@ -66,7 +66,7 @@
     let config = Config::from_env()?;
     let signals = Signals::take()?;
     tracing::info!(name = config.name, listen = %config.listen, "starts");
-    Ok(Shell::start(config)?.run(&signals)?)
+    Ok(GatewayServer::start(config)?.run(&signals)?)
 }
 
 fn run(command: Command) -> Result<(), Failure> {
@@ -79,7 +79,7 @@
         }
         Command::Demo(args) => Testbed::Demo(args).run_as(&["testbed"])?,
         Command::Counter(command) => command.run()?,
-        Command::Keeper(command) => keeper::run(&command)?,
+        Command::Coordinator(command) => coordinator::run(&command)?,
         Command::Rules(command) => rules::run(&command)?,
         Command::Contract(command) => contract::run(&command)?,
         Command::Site { word } => site::run(&word)?,
