--- a/crates/resp-gateway/tests/world/mod.rs
+++ b/crates/resp-gateway/tests/world/mod.rs
@@ -6,7 +6,7 @@
 use chalkdeck_net::clock::{Clock, Jumps};
 use chalkdeck_resp_gateway::{Config, GatewayServer};
 use fastrand::Rng;
-use peers::{Attempt, Client, Counter, Discovery, Endpoint, Moment};
+use peers::{Attempt, Client, Counter, Discovery, Endpoint};
 use std::collections::HashMap;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -14,8 +14,6 @@
 
 const ENDPOINTS: usize = 3;
 const MAX_CLIENTS: usize = 6;
-/// The grace of the gateway's settings, and some turns of the loop, in microseconds.
-const DRAIN_GRACE: u64 = 2_000_000 + 100_000;
 /// The platform kills a gateway so long after SIGTERM: the longest deadline and some time.
 const KILL_DELAY: u64 = 3_700_000;
 /// Turns of the loop after which the end of a connection, which waits in a socket, was noticed.
@@ -172,6 +170,8 @@
         let Some(key) = self.any_client(rng) else {
             return;
         };
+        // Its turn is noted, which `Client::ask` cannot do.
+        self.finish_command(key);
         for _ in 0..rng.usize(1..4) {
             let class = rng
                 .choice([Class::View, Class::Sale, Class::Order])
@@ -269,16 +269,11 @@
 
     /// Takes what came to the peers and compares it with what may come.
     fn observe(&mut self) {
-        let now = self.clock.now();
-        let moment = Moment {
-            time: now,
-            turn: self.turns,
-        };
-        self.discovery.serve(&self.endpoints, moment);
+        self.discovery.serve(&self.endpoints, self.turns);
         self.counter.read();
         for place in 0..ENDPOINTS {
             for attempt in self.endpoints[place].arrivals() {
-                self.check_arrival(place, &attempt, now);
+                self.check_arrival(place, &attempt);
                 self.attempts.push(attempt);
             }
         }
@@ -288,23 +283,20 @@
         }
     }
 
-    /// Whether an endpoint drains and the gateway has had the time and the turns of its loop to apply that.
-    fn must_not_be_used(&self, place: usize, now: u64) -> bool {
-        let is_draining = self.endpoints[place].is_draining();
-        is_draining
-            && self.discovery.sent_at().is_some_and(|sent| {
-                now > sent.time + DRAIN_GRACE && self.turns > sent.turn + TURNS_TO_NOTICE
-            })
+    /// Whether an endpoint must get no attempt of a request that was written before this turn: the endpoint drains, and the gateway had
+    /// applied that before it could read the request.
+    fn must_not_be_used(&self, place: usize, request_turn: u64) -> bool {
+        let acknowledged_in = self.discovery.acknowledged_in();
+        self.endpoints[place].is_draining()
+            && acknowledged_in.is_some_and(|turn| request_turn >= turn)
     }
 
-    fn check_arrival(&mut self, place: usize, attempt: &Attempt, now: u64) {
-        if self.must_not_be_used(place, now) {
-            self.fault = Some(format!("{} went to an endpoint that drains", attempt.id));
-        }
+    fn check_arrival(&mut self, place: usize, attempt: &Attempt) {
         let Some(request) = self.requests.get_mut(&attempt.id) else {
             self.fault = Some(format!("{} was never sent by a client", attempt.id));
             return;
         };
+        let request_turn = request.turn;
         let may_have_run = request.arrived - request.rejected;
         request.arrived += 1;
         if request.class == Class::Sale && may_have_run > 0 {
@@ -317,6 +309,9 @@
                 attempt.id
             ));
         }
+        if self.must_not_be_used(place, request_turn) {
+            self.fault = Some(format!("{} went to an endpoint that drains", attempt.id));
+        }
     }
 
     fn check_answers(&mut self, key: u64) {
--- a/crates/resp-gateway/tests/world/peers.rs
+++ b/crates/resp-gateway/tests/world/peers.rs
@@ -352,15 +352,6 @@
     }
 }
 
-/// A moment of a test.
-#[derive(Clone, Copy, Debug)]
-pub struct Moment {
-    /// The time of the gateway's clock.
-    pub time: u64,
-    /// The number of turns of the gateway's loop.
-    pub turn: u64,
-}
-
 /// How discovery writes a response.
 #[derive(Clone, Copy)]
 enum ResponseForm {
@@ -376,8 +367,8 @@
     connections: Vec<(TcpStream, BytesMut)>,
     index: u64,
     form: ResponseForm,
-    /// When the present list was last sent complete.
-    sent_at: Option<Moment>,
+    /// The turn of the gateway's loop after which it first asked for what follows the present list, so that it has applied that list.
+    acknowledged_in: Option<u64>,
 }
 
 impl Discovery {
@@ -388,7 +379,7 @@
             connections: Vec::new(),
             index: 1,
             form,
-            sent_at: None,
+            acknowledged_in: None,
         }
     }
 
@@ -399,7 +390,7 @@
     /// The list is another one from here on; its first response may have any form.
     pub fn change(&mut self, rng: &mut Rng) {
         self.index += 1;
-        self.sent_at = None;
+        self.acknowledged_in = None;
         self.form = rng
             .choice([
                 ResponseForm::Length,
@@ -410,12 +401,12 @@
             .expect("one of four");
     }
 
-    /// When the present list was last sent complete.
-    pub fn sent_at(&self) -> Option<Moment> {
-        self.sent_at
+    /// The turn of the gateway's loop after which it had certainly applied the present list.
+    pub fn acknowledged_in(&self) -> Option<u64> {
+        self.acknowledged_in
     }
 
-    pub fn serve(&mut self, endpoints: &[Endpoint], now: Moment) {
+    pub fn serve(&mut self, endpoints: &[Endpoint], turn: u64) {
         while let Some(stream) = accept(&self.listener) {
             self.connections.push((stream, BytesMut::new()));
         }
@@ -434,9 +425,12 @@
             let pending = bytes
                 .windows(known.len())
                 .any(|part| part == known.as_bytes());
+            if pending {
+                self.acknowledged_in.get_or_insert(turn);
+            }
             if asked && !pending {
                 bytes.clear();
-                if !self.respond(&mut stream, &body, now) {
+                if !self.respond(&mut stream, &body) {
                     continue;
                 }
             }
@@ -446,21 +440,16 @@
     }
 
     /// Returns whether the connection goes on. Each other form is used once, then responses are complete and have a length.
-    fn respond(&mut self, stream: &mut TcpStream, body: &str, now: Moment) -> bool {
+    fn respond(&mut self, stream: &mut TcpStream, body: &str) -> bool {
         let with_length = format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         );
         let without_length = format!("HTTP/1.1 200 OK\r\n\r\n{body}");
         match std::mem::replace(&mut self.form, ResponseForm::Length) {
-            ResponseForm::Length => {
-                let is_sent = stream.write_all(with_length.as_bytes()).is_ok();
-                self.sent_at = is_sent.then_some(now);
-                is_sent
-            }
+            ResponseForm::Length => stream.write_all(with_length.as_bytes()).is_ok(),
             ResponseForm::EndsWithConnection => {
-                let is_sent = stream.write_all(without_length.as_bytes()).is_ok();
-                self.sent_at = is_sent.then_some(now);
+                let _ = stream.write_all(without_length.as_bytes());
                 false
             }
             ResponseForm::BrokenOff => {
