--- a/crates/resp-gateway/src/endpoint_connections.rs
+++ b/crates/resp-gateway/src/endpoint_connections.rs
@@ -3,6 +3,7 @@
 
 mod connection;
 mod keep_alive;
+mod pool;
 
 use crate::attempt::{AbortReason, AttemptEnd, AttemptId};
 use crate::clock;
@@ -16,6 +17,7 @@
 use chalkdeck_time::{TimeDelta, Timestamp};
 use connection::{write_command, ActiveAttempt, Connection};
 use keep_alive::KeepAlive;
+use pool::ConnectionPool;
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::net::SocketAddr;
 
@@ -46,10 +48,7 @@
 /// All connections to endpoints.
 pub(crate) struct EndpointConnections {
     addresses: FxHashMap<EndpointId, SocketAddr>,
-    connections: FxHashMap<ConnId, Connection>,
-    by_attempt: FxHashMap<AttemptId, ConnId>,
-    /// Idle connections, the one used last at the end.
-    idle: FxHashMap<EndpointId, Vec<ConnId>>,
+    pool: ConnectionPool,
     max_connections: usize,
     reply_limits: MessageLimits,
     /// Bytes of incomplete replies that may be held.
@@ -69,9 +68,7 @@
         let max_value_bytes = (memory_bytes * VALUE_MEMORY_FRACTION) as usize;
         EndpointConnections {
             addresses: FxHashMap::default(),
-            connections: FxHashMap::default(),
-            by_attempt: FxHashMap::default(),
-            idle: FxHashMap::default(),
+            pool: ConnectionPool::default(),
             max_connections,
             reply_limits: MessageLimits {
                 max_elements: MAX_REPLY_ITEMS,
@@ -88,7 +85,7 @@
 
     /// Whether this is a connection to an endpoint.
     pub(crate) fn owns(&self, conn: ConnId) -> bool {
-        self.connections.contains_key(&conn)
+        self.pool.contains(conn)
     }
 
     /// Applies an endpoint update. Idle connections to endpoints that were removed, drain or moved are closed; attempts go on.
@@ -123,14 +120,12 @@
         endpoint: EndpointId,
         address: Option<SocketAddr>,
     ) {
-        let Some(idle) = self.idle.get(&endpoint) else {
-            return;
-        };
         let leads_elsewhere = |conn: &&ConnId| {
-            let connection = self.connections.get(conn);
+            let connection = self.pool.get(**conn);
             connection.is_none_or(|connection| address != Some(connection.address))
         };
-        let stale: Vec<ConnId> = idle.iter().filter(leads_elsewhere).copied().collect();
+        let idle = self.pool.idle_of(endpoint).iter();
+        let stale: Vec<ConnId> = idle.filter(leads_elsewhere).copied().collect();
         for conn in stale {
             self.close(engine, conn);
         }
@@ -151,20 +146,16 @@
             deadline,
             unwritten: None,
         };
-        if let Some(conn) = self.take_idle(engine, endpoint) {
+        if let Some(conn) = self.find_reusable(engine, endpoint) {
             write_command(engine, conn, command, deadline);
-            self.by_attempt.insert(id, conn);
-            if let Some(connection) = self.connections.get_mut(&conn) {
-                connection.active = Some(attempt);
-            }
+            self.pool.begin_attempt(conn, attempt);
             return SendResult::Written;
         }
         match self.dial(engine, endpoint) {
             Ok((conn, address)) => {
                 attempt.unwritten = Some(command.clone());
                 let connection = Connection::dialing(endpoint, address, attempt);
-                self.connections.insert(conn, connection);
-                self.by_attempt.insert(id, conn);
+                self.pool.insert(conn, connection);
                 SendResult::Dialing(conn)
             }
             Err(outcome) => {
@@ -183,7 +174,7 @@
         let Some(address) = self.addresses.get(&endpoint).copied() else {
             return Err(Outcome::ConnectFailed);
         };
-        if self.connections.len() >= self.max_connections && !self.close_longest_idle(engine) {
+        if self.pool.len() >= self.max_connections && !self.close_longest_idle(engine) {
             return Err(Outcome::NeverSent);
         }
         match engine.connect_raw(address) {
@@ -192,24 +183,16 @@
         }
     }
 
-    /// Takes an idle connection that is established and quiet. One that ended, or on which bytes are waiting, is closed.
-    fn take_idle(&mut self, engine: &mut Engine, endpoint: EndpointId) -> Option<ConnId> {
+    /// Finds an idle connection that is established and quiet. One that has expired or ended, or on which bytes are waiting, is closed.
+    fn find_reusable(&mut self, engine: &mut Engine, endpoint: EndpointId) -> Option<ConnId> {
         let now = clock::now(engine);
+        let keep_alive = self.keep_alive.current();
         loop {
-            let is_idle_for = |conn: &ConnId, time| {
-                let connection = self.connections.get(conn);
-                connection.map(|connection| connection.is_idle_for(now, time))
-            };
-            let idle = self.idle.get(&endpoint)?;
-            let conn = *idle
-                .iter()
-                .rev()
-                .find(|conn| is_idle_for(conn, SETTLE_TIME) == Some(true))?;
-            let is_expired = is_idle_for(&conn, self.keep_alive.current()) != Some(false);
+            let conn = self.pool.last_used_idle(endpoint, now, SETTLE_TIME)?;
+            let connection = self.pool.get(conn);
+            let is_expired =
+                connection.is_none_or(|connection| connection.is_idle_for(now, keep_alive));
             if !is_expired && engine.is_quiet(conn) {
-                if let Some(idle) = self.idle.get_mut(&endpoint) {
-                    idle.retain(|other| *other != conn);
-                }
                 return Some(conn);
             }
             self.close(engine, conn);
@@ -222,31 +205,16 @@
     }
 
     fn forget(&mut self, conn: ConnId) -> Option<Connection> {
-        let connection = self.connections.remove(&conn)?;
+        let connection = self.pool.remove(conn)?;
         self.partial_bytes = self
             .partial_bytes
             .saturating_sub(connection.partial_reply.len());
-        if let Some(idle) = self.idle.get_mut(&connection.endpoint) {
-            idle.retain(|other| *other != conn);
-            if idle.is_empty() {
-                self.idle.remove(&connection.endpoint);
-            }
-        }
-        if let Some(active) = &connection.active {
-            self.by_attempt.remove(&active.id);
-        }
         Some(connection)
     }
 
     /// Makes room for a connection to another endpoint; returns whether there was an idle one to close.
     fn close_longest_idle(&mut self, engine: &mut Engine) -> bool {
-        let longest_idle = self
-            .connections
-            .iter()
-            .filter(|(_, connection)| connection.active.is_none())
-            .min_by_key(|(conn, connection)| (connection.idle_since, **conn))
-            .map(|(conn, _)| *conn);
-        let Some(conn) = longest_idle else {
+        let Some(conn) = self.pool.longest_idle() else {
             return false;
         };
         self.close(engine, conn);
@@ -255,22 +223,15 @@
 
     /// Closes connections that have been idle for longer than they are kept. Called at a fixed interval.
     pub(crate) fn sweep(&mut self, engine: &mut Engine) {
-        let now = clock::now(engine);
         let keep_alive = self.keep_alive.current();
-        let expired: Vec<ConnId> = self
-            .connections
-            .iter()
-            .filter(|(_, connection)| connection.is_idle_for(now, keep_alive))
-            .map(|(conn, _)| *conn)
-            .collect();
-        for conn in expired {
+        for conn in self.pool.idle_for(clock::now(engine), keep_alive) {
             self.close(engine, conn);
         }
     }
 
     /// A connection was established.
     pub(crate) fn on_connected(&mut self, engine: &mut Engine, conn: ConnId) {
-        let Some(connection) = self.connections.get_mut(&conn) else {
+        let Some(connection) = self.pool.get_mut(conn) else {
             return;
         };
         let Some(active) = &mut connection.active else {
@@ -288,7 +249,7 @@
         conn: ConnId,
         data: &[u8],
     ) -> Option<AttemptEnd> {
-        let connection = self.connections.get_mut(&conn)?;
+        let connection = self.pool.get_mut(conn)?;
         if connection.active.is_none() {
             // No attempt waits for them.
             self.close(engine, conn);
@@ -316,7 +277,7 @@
         conn: ConnId,
         reply: EndpointReply,
     ) -> Option<AttemptEnd> {
-        let connection = self.connections.get_mut(&conn)?;
+        let connection = self.pool.get_mut(conn)?;
         // More than one reply, or bytes that no endpoint sends: it must not be used again.
         let is_reusable = reply != EndpointReply::Invalid
             && connection.partial_reply.is_empty()
@@ -326,12 +287,11 @@
         if let Some(idle_time) = connection.idle_time_before_attempt() {
             self.keep_alive.on_reply(idle_time);
         }
-        let active = connection.active.take()?;
         let endpoint = connection.endpoint;
-        self.by_attempt.remove(&active.id);
+        let active = self.pool.take_attempt(conn)?;
         let now = clock::now(engine);
         if is_reusable {
-            self.keep_idle(now, conn);
+            self.pool.keep_idle(conn, now);
         } else {
             self.close(engine, conn);
         }
@@ -354,14 +314,6 @@
         })
     }
 
-    fn keep_idle(&mut self, now: Timestamp, conn: ConnId) {
-        let Some(connection) = self.connections.get_mut(&conn) else {
-            return;
-        };
-        connection.idle_since = Some(now);
-        self.idle.entry(connection.endpoint).or_default().push(conn);
-    }
-
     /// A connection has ended, with so many bytes that were not written. Returns the end of the attempt on it.
     pub(crate) fn on_closed(
         &mut self,
@@ -369,7 +321,7 @@
         conn: ConnId,
         unsent: usize,
     ) -> Option<AttemptEnd> {
-        let idle_time = self.connections.get(&conn)?.idle_time_before_attempt();
+        let idle_time = self.pool.get(conn)?.idle_time_before_attempt();
         let end = self.end_attempt(now, conn, unsent)?;
         if let Some(idle_time) = idle_time.filter(|_| end.outcome == Outcome::Reset) {
             self.keep_alive.on_reset(idle_time, end.elapsed);
@@ -399,7 +351,7 @@
         attempt: AttemptId,
         reason: AbortReason,
     ) -> Option<AttemptEnd> {
-        let conn = *self.by_attempt.get(&attempt)?;
+        let conn = self.pool.find_attempt(attempt)?;
         let unsent = engine.unsent(conn);
         let mut end = self.end_attempt(clock::now(engine), conn, unsent)?;
         engine.close(conn);
@@ -419,7 +371,7 @@
         engine: &mut Engine,
         conn: ConnId,
     ) -> Option<AttemptEnd> {
-        if !self.connections.get(&conn)?.is_dialing() {
+        if !self.pool.get(conn)?.is_dialing() {
             return None;
         }
         let end = self.end_attempt(clock::now(engine), conn, 0);
