--- a/crates/coordinator/src/state/contracts.rs
+++ b/crates/coordinator/src/state/contracts.rs
@@ -18,7 +18,7 @@
                 "expected the service's name and the version's",
             ));
         }
-        if contract.descriptors.len() > chalkdeck_contract::MOST_BYTES {
+        if contract.descriptors.len() > chalkdeck_contract::MAX_DESCRIPTOR_BYTES {
             let reason = format!("descriptors: {} bytes", contract.descriptors.len());
             return Err(rejected(ResponseCode::Full, reason));
         }
@@ -67,7 +67,7 @@
     }
 
     /// An operator says that a version counts as unused.
-    pub(super) fn retire_version(&mut self, retire: &wire::Retire) -> CommandResponse {
+    pub(super) fn retire_version(&mut self, retire: &wire::RetireVersion) -> CommandResponse {
         let key = ServiceVersion {
             service: retire.service.clone(),
             version: retire.version.clone(),
--- a/crates/coordinator/src/state/version_use.rs
+++ b/crates/coordinator/src/state/version_use.rs
@@ -16,7 +16,7 @@
     }
 
     /// Gateways saw calls of a version.
-    pub(super) fn record_version_use(&mut self, calls: &wire::Spoke) {
+    pub(super) fn record_version_use(&mut self, calls: &wire::VersionCalls) {
         if self.is_full_for_service(&calls.service) {
             return;
         }
@@ -30,7 +30,7 @@
         }
         let is_known_user = known_uses.is_some_and(|uses| uses.contains_key(&calls.customer));
         let is_retired = in_use.retired.contains_key(&calls.version);
-        in_use.seen(&calls.version, &calls.customer, calls.calls, self.time_ms);
+        in_use.record_calls(&calls.version, &calls.customer, calls.calls, self.time_ms);
         // A judgement rests on who uses what.
         if !is_known_user || is_retired {
             self.contract_revision += 1;
@@ -60,7 +60,7 @@
             .declare(
                 &subscribe.version,
                 &subscribe.customer,
-                !subscribe.gone,
+                !subscribe.cancelled,
                 repeats_ms,
             );
         done()
--- a/crates/grpc-gateway/src/keepers.rs
+++ b/crates/grpc-gateway/src/keepers.rs
@@ -9,6 +9,7 @@
 use crate::shell::{Due, Shell};
 use chalkdeck::api::{EndpointState, RequestId};
 use chalkdeck_access::{Call, RegionTable, Verdict};
+use chalkdeck_contract::{hold_back, ServerContract};
 use chalkdeck_coordinator::agent::{AgentAction, AgentSettings, GatewayAgent};
 use chalkdeck_coordinator::cache_file::CacheFile;
 use chalkdeck_coordinator::server::{connection_limits, SESSION_PATH};
@@ -96,7 +97,7 @@
                 (Some(cache_file), state)
             }
         };
-        let open = wire::Open {
+        let open = wire::OpenSession {
             gateway: set.name.clone(),
             site: zone.to_string(),
             incarnation: incarnation(now),
@@ -168,7 +169,7 @@
         loop {
             match self.deframer.next(MOST) {
                 Ok(None) => return,
-                Ok(Some(message)) => match wire::Down::decode(&message[..]) {
+                Ok(Some(message)) => match wire::ServerMessage::decode(&message[..]) {
                     Ok(down) => self.agent.receive(now(engine), down),
                     Err(_) => return self.lost(engine),
                 },
@@ -181,7 +182,7 @@
         }
     }
 
-    fn keep(&mut self, now: u64, news: &wire::News) {
+    fn keep(&mut self, now: u64, news: &wire::WatchEvent) {
         let Some(cache_file) = &mut self.cache_file else {
             return;
         };
@@ -205,25 +206,22 @@
     /// Marks servers whose version was not admitted as draining: nothing new goes to them.
     fn hold_back(&mut self, servers: &mut [Server]) {
         let state = self.agent.session().state();
-        let told = servers.iter().map(|s| {
-            (
-                s.entry.state == EndpointState::InService,
-                s.contract.as_deref(),
-            )
+        let contracts = servers.iter().map(|server| ServerContract {
+            is_in_service: server.entry.state == EndpointState::InService,
+            contract: server.contract.as_deref(),
         });
-        let back =
-            chalkdeck_contract::hold_back(told, |service, version| state.admits(service, version));
+        let back = hold_back(contracts, |service, version| state.admits(service, version));
         self.held_back.clear();
         for (server, _) in servers
             .iter_mut()
-            .zip(&back.held)
+            .zip(&back.is_held_back)
             .filter(|(_, held)| **held)
         {
             server.entry.state = EndpointState::Draining;
             self.held_back.push(server.address.to_string());
         }
-        if back.last_resort != std::mem::replace(&mut self.last_resort, back.last_resort)
-            && back.last_resort
+        if back.is_last_resort != std::mem::replace(&mut self.last_resort, back.is_last_resort)
+            && back.is_last_resort
         {
             tracing::error!(
                 "no endpoint in service has an admitted contract version: using all of them"
@@ -234,7 +232,7 @@
     fn status(&self, now: u64) -> KeepersStatus {
         let (session, access) = (self.agent.session(), self.agent.access());
         let now = Timestamp::from_micros(now);
-        let leads = |d: &wire::Duty| Some((d.name.clone(), session.leads(&d.name, now)?.0));
+        let leads = |d: &wire::Election| Some((d.name.clone(), session.leads(&d.name, now)?.0));
         let mut sets: Vec<(String, u64)> = access
             .customers()
             .filter_map(|c| Some((c.to_string(), access.get(c)?.set().version)))
@@ -448,9 +446,9 @@
         };
         let now = engine.now();
         if keepers.keep_at.is_some_and(|at| now >= at) {
-            let whole = wire::News {
+            let whole = wire::WatchEvent {
                 whole: true,
-                ..wire::News::default()
+                ..wire::WatchEvent::default()
             };
             keepers.keep(now, &whole);
         }
@@ -499,7 +497,7 @@
                     self.take_list(listed);
                 }
             }
-            AgentAction::ApplySiteOverride(word) => self.site_word(&word.site, &word.word),
+            AgentAction::ApplySiteOverride(word) => self.site_word(&word.site, &word.action),
         }
     }
 
