--- a/crates/policy/src/counter/circuit_breaker.rs
+++ b/crates/policy/src/counter/circuit_breaker.rs
@@ -2,6 +2,9 @@
 
 use crate::api::{TimeDelta, Timestamp};
 
+#[cfg(test)]
+mod tests;
+
 /// Failures in a row that open it, as in the rate limiter that this one came from.
 const FAILURES_TO_OPEN: f64 = 3.0;
 /// How long it stays open before one call probes, as in the same source.
--- a/crates/policy/src/token_bucket.rs
+++ b/crates/policy/src/token_bucket.rs
@@ -2,6 +2,9 @@
 
 use crate::api::Timestamp;
 
+#[cfg(test)]
+mod tests;
+
 /// Units that accumulate at a rate, up to a capacity. Its level may be negative: that debt is
 /// filled up first.
 #[derive(Clone, Debug, Default)]
--- a/crates/policy/src/window.rs
+++ b/crates/policy/src/window.rs
@@ -4,6 +4,9 @@
 use crate::counter::calls::CounterPurpose;
 use crate::hash::mix_bits;
 
+#[cfg(test)]
+mod tests;
+
 /// Life of one count of attempts in flight: what a killed gateway counted there is forgotten after
 /// it.
 pub(crate) const CONCURRENCY_EPOCH: TimeDelta = TimeDelta::from_secs(5);
--- /dev/null
+++ b/crates/policy/src/window/tests.rs
@@ -0,0 +1,83 @@
+use super::{QuotaWindow, WindowCounter, WindowPosition};
+use crate::api::{CustomerId, Plan, TimeDelta, Timestamp};
+use crate::counter::calls::CounterPurpose;
+
+const START: Timestamp = Timestamp::from_millis(1_000);
+
+fn plan() -> Plan {
+    Plan {
+        rate: 10.0,
+        burst: 20.0,
+        max_concurrency: 0.0,
+        priority_multiplier: 1.0,
+        over_quota_weight: 0.0,
+        over_quota_cost: 1.0,
+        ceiling_rate: 0.0,
+        ceiling_burst: 0.0,
+        ceiling_slack: 0.0,
+    }
+}
+
+#[test]
+fn plan_without_a_ceiling_then_a_window_admits_one_burst_in_its_time() {
+    let window = QuotaWindow::of(&plan());
+    assert_eq!(window.length, TimeDelta::from_secs(2));
+    assert_eq!(window.allowance, 20.0);
+}
+
+#[test]
+fn plan_with_a_ceiling_then_a_window_has_half_of_both() {
+    let window = QuotaWindow::of(&Plan {
+        ceiling_rate: 20.0,
+        ceiling_burst: 40.0,
+        ..plan()
+    });
+    assert_eq!(window.length, TimeDelta::from_secs(1));
+    assert_eq!(window.allowance, 10.0);
+}
+
+#[test]
+fn a_window_ends_then_the_next_index_begins() {
+    let length = TimeDelta::from_secs(2);
+    let customer = CustomerId(7);
+    let position = WindowPosition::at(START, customer, length);
+    let next = WindowPosition::at(START + position.remaining, customer, length);
+    assert_eq!(next.index, position.index + 1);
+    assert_eq!(next.remaining, length);
+}
+
+#[test]
+fn a_total_is_observed_then_later_units_are_taken_off_what_it_left() {
+    let mut counter = WindowCounter {
+        stored: 20.0,
+        stored_at: START,
+        ..WindowCounter::default()
+    };
+    counter.observe_total(START, 5.0, &plan());
+    assert_eq!(counter.available(START, 5.0, &plan()), 15.0);
+    counter.unposted = 3.0;
+    assert_eq!(counter.known_total(), 8.0);
+    assert_eq!(
+        counter.available(START, counter.known_total(), &plan()),
+        12.0
+    );
+}
+
+#[test]
+fn a_total_below_the_own_units_then_the_lost_ones_are_posted_again() {
+    let mut counter = WindowCounter::default();
+    assert_eq!(counter.confirm_add(6.0, 6.0, CounterPurpose::Quota), 0.0);
+    let lost = counter.confirm_add(2.0, 2.0, CounterPurpose::Quota);
+    assert_eq!(lost, 6.0);
+    assert_eq!((counter.unposted, counter.posted), (6.0, 2.0));
+}
+
+#[test]
+fn a_count_of_slots_below_the_own_ones_then_nothing_is_posted_again() {
+    let mut counter = WindowCounter::default();
+    assert_eq!(
+        counter.confirm_add(6.0, 1.0, CounterPurpose::Concurrency),
+        0.0
+    );
+    assert_eq!((counter.unposted, counter.posted), (0.0, 6.0));
+}
