--- a/crates/client/src/core.rs
+++ b/crates/client/src/core.rs
@@ -210,6 +210,25 @@
         let Some(gateway) = call.in_flight_at.take() else {
             return;
         };
+        // What arrives after the deadline is never handed over as an answer.
+        let is_late = self.now >= call.deadline;
+        call.record(outcome);
+        let last_outcome = call.last_outcome;
+        let may_have_run = call.may_have_run_since.is_some();
+        self.record_at_gateway(gateway, outcome);
+        if is_late {
+            let may_have_run = may_have_run || outcome == AttemptOutcome::Answered;
+            return self.complete(id, Outcome::DeadlineExceeded { may_have_run });
+        }
+        if outcome == AttemptOutcome::Answered {
+            self.retry_budget.earn();
+            return self.complete(id, last_outcome);
+        }
+        self.retry_or_complete(id, outcome);
+    }
+
+    /// Counts the outcome of an attempt for the health of its gateway.
+    fn record_at_gateway(&mut self, gateway: GatewayId, outcome: AttemptOutcome) {
         match outcome {
             AttemptOutcome::Answered | AttemptOutcome::Rejected { .. } => {
                 self.gateways.attempt_succeeded(gateway);
@@ -219,30 +238,6 @@
                     .attempt_failed(gateway, self.now, &self.settings);
             }
         }
-        // What arrives after the deadline is never handed over as an answer.
-        if self.now >= call.deadline {
-            let ran = matches!(
-                outcome,
-                AttemptOutcome::Answered | AttemptOutcome::MayHaveRun
-            );
-            let may_have_run = call.may_have_run_since.is_some() || ran;
-            return self.complete(id, Outcome::DeadlineExceeded { may_have_run });
-        }
-        match outcome {
-            AttemptOutcome::Answered => {
-                self.retry_budget.earn();
-                return self.complete(id, Outcome::Answered);
-            }
-            AttemptOutcome::Rejected { retry_after } => {
-                call.last_outcome = Outcome::Rejected { retry_after };
-            }
-            AttemptOutcome::NotProcessed => call.last_outcome = Outcome::NotSent,
-            AttemptOutcome::MayHaveRun => {
-                call.mark_may_have_run();
-                call.last_outcome = Outcome::Failed;
-            }
-        }
-        self.retry_or_complete(id, outcome);
     }
 
     /// Schedules a retry, or completes the call at once if there can be none.
--- a/crates/client/src/core/call_state.rs
+++ b/crates/client/src/core/call_state.rs
@@ -1,6 +1,6 @@
 //! State of one call.
 
-use super::messages::{GatewayId, Idempotency, Outcome};
+use super::messages::{AttemptOutcome, GatewayId, Idempotency, Outcome};
 use chalkdeck_time::{TimeDelta, Timestamp};
 
 /// A call that has no outcome yet.
@@ -57,6 +57,19 @@
         }
     }
 
+    /// Records how the last attempt ended.
+    pub(super) fn record(&mut self, outcome: AttemptOutcome) {
+        self.last_outcome = match outcome {
+            AttemptOutcome::Answered => Outcome::Answered,
+            AttemptOutcome::Rejected { retry_after } => Outcome::Rejected { retry_after },
+            AttemptOutcome::NotProcessed => Outcome::NotSent,
+            AttemptOutcome::MayHaveRun => {
+                self.mark_may_have_run();
+                Outcome::Failed
+            }
+        };
+    }
+
     /// The last attempt may have run.
     pub(super) fn mark_may_have_run(&mut self) {
         self.may_have_run_since.get_or_insert(self.sent_at);
--- a/crates/counter/tests/kill.rs
+++ b/crates/counter/tests/kill.rs
@@ -328,6 +328,9 @@
         .gateways
         .iter()
         .all(|gateway| gateway.epoch == u64::from(kills) + 1));
-    println!("{kills} kills, {} adds told", acknowledged.len());
+    println!(
+        "{kills} kills, {} increments acknowledged",
+        acknowledged.len()
+    );
     let _ = std::fs::remove_dir_all(&folder);
 }
