--- a/crates/cli/tests/fleet/mod.rs
+++ b/crates/cli/tests/fleet/mod.rs
@@ -1,7 +1,7 @@
 //! Keepers and gateways as processes of the program, with a relay's links between them, and a server and callers of the test's own.
 #![allow(dead_code, reason = "each test program uses a part of it")]
 
-use chalkdeck_grpc_gateway::keepers::KeepersStatus;
+use chalkdeck_grpc_gateway::coordinator_link::CoordinatorStatus;
 use chalkdeck_net::grpc::{self, Code};
 use chalkdeck_net::{ConnId, Engine, Event, Limits, StreamId};
 use chalkdeck_testbed::parts::control;
@@ -216,7 +216,7 @@
         self.gateway(g).address("grpc").expect("told")
     }
     /// What a gateway says of the shared state; none: it does not run or does not answer.
-    pub fn status(&self, g: usize) -> Option<KeepersStatus> {
+    pub fn status(&self, g: usize) -> Option<CoordinatorStatus> {
         let admin = self.gateways[g].as_ref()?.address("admin").ok()?;
         // One that stands still is not waited for.
         let mut stream = TcpStream::connect(admin).ok()?;
--- a/crates/grpc-gateway/src/base/failed.rs
+++ b/crates/grpc-gateway/src/base/failed.rs
@@ -37,19 +37,19 @@
         help("the field is named; docs/operate.md has its bounds")
     )]
     Decisions(#[from] chalkdeck::api::SettingsError),
-    /// See [`WordsError`].
+    /// See [`SiteOverridesError`].
     #[error(transparent)]
     #[diagnostic(transparent)]
-    Words(#[from] WordsError),
-    /// See [`KeepersError`].
+    SiteOverrides(#[from] SiteOverridesError),
+    /// See [`CoordinatorError`].
     #[error(transparent)]
     #[diagnostic(transparent)]
-    Keepers(#[from] KeepersError),
+    CoordinatorLink(#[from] CoordinatorError),
 }
 
 /// Why an operator's words on sites are not read, or not kept.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
-pub enum WordsError {
+pub enum SiteOverridesError {
     /// The file is not read or written.
     #[error("{}: {source}", file.display())]
     #[diagnostic(
@@ -87,7 +87,7 @@
 
 /// Why a word on sites is not taken.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
-pub enum AskedError {
+pub enum SiteRequestError {
     /// The settings watch no sites.
     #[error("sites are not watched: settings have no 'sites {{ on: true }}'")]
     #[diagnostic(
@@ -127,12 +127,12 @@
         code(chalkdeck::gateway::word_kept),
         help("nothing was changed; see the file of sites.words_file")
     )]
-    Kept(#[from] WordsError),
+    Kept(#[from] SiteOverridesError),
 }
 
 /// Why the shared state cannot be taken part in.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
-pub enum KeepersError {
+pub enum CoordinatorError {
     /// See [`CacheFileError`].
     #[error(transparent)]
     #[diagnostic(transparent)]
--- a/crates/grpc-gateway/src/base/settings.rs
+++ b/crates/grpc-gateway/src/base/settings.rs
@@ -50,7 +50,7 @@
 
 /// The fleet's shared state, as a gateway reaches it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct KeeperSettings {
+pub struct CoordinatorSettings {
     /// Where the keepers are.
     pub addresses: Vec<SocketAddr>,
     /// This gateway's name in the fleet.
@@ -107,7 +107,7 @@
     /// Where an operator's words on sites are kept; none: nowhere.
     pub site_words: Option<PathBuf>,
     /// The fleet's shared state; none: there is none.
-    pub keepers: Option<KeeperSettings>,
+    pub keepers: Option<CoordinatorSettings>,
     /// The name of the own zone.
     pub zone_name: String,
     /// The counter's parts, in the order that all gateways have; none: there is no counter.
--- a/crates/grpc-gateway/src/call_flow/accept.rs
+++ b/crates/grpc-gateway/src/call_flow/accept.rs
@@ -3,14 +3,14 @@
 use crate::base::asked::Rejected;
 use crate::calls::Call;
 use crate::front;
+use crate::gateway_server::GatewayServer;
 use crate::metrics;
 use crate::request_buffer::RequestBuffer;
-use crate::shell::Shell;
 use chalkdeck::api::RequestId;
 use chalkdeck_net::{grpc, ConnId, StreamId};
 use http::request;
 
-impl Shell {
+impl GatewayServer {
     /// A client opened a stream. `ended`: its request has no body.
     pub(crate) fn on_call(
         &mut self,
--- a/crates/grpc-gateway/src/call_flow/attempts.rs
+++ b/crates/grpc-gateway/src/call_flow/attempts.rs
@@ -2,8 +2,8 @@
 
 use crate::calls::{Attempt, Call, ResponseState};
 use crate::fault::Fault;
+use crate::gateway_server::{GatewayServer, TimerPurpose};
 use crate::pool::{AttemptId, Found};
-use crate::shell::{Due, Shell};
 use chalkdeck::api::{AttemptResult, EndpointId, Event, LoadReport, Outcome, RequestId, TimeDelta};
 use chalkdeck_net::{grpc, ConnId};
 use http::header::TE;
@@ -13,7 +13,7 @@
 /// An attempt with this deadline is not timed out before its call.
 const NO_ATTEMPT_DEADLINE: u64 = u64::MAX;
 
-impl Shell {
+impl GatewayServer {
     /// Starts an attempt, which times out at `deadline`.
     pub(crate) fn send_attempt(&mut self, id: RequestId, endpoint: EndpointId, deadline: u64) {
         let now = self.engine.now();
@@ -36,9 +36,12 @@
         tracing::debug!(call = id.0, attempt = attempt.number, endpoint = ?self.pool.address(endpoint), "attempt forwarded");
         // At the call's deadline the decisions end the call, and its attempt with it.
         if deadline < call_deadline {
-            self.due_in(deadline.saturating_sub(now), Due::GiveUp(attempt));
+            self.set_timer(
+                deadline.saturating_sub(now),
+                TimerPurpose::AttemptTimeout(attempt),
+            );
         }
-        self.site_sent(endpoint);
+        self.report_attempt_sent(endpoint);
         self.connect_attempt(attempt, endpoint);
     }
 
@@ -54,7 +57,8 @@
                     self.drop_endpoint_connection(conn);
                 }
                 Found::Waits { fresh: Some(conn) } => {
-                    return self.due_in(self.set.connect_timeout, Due::Connect(conn));
+                    return self
+                        .set_timer(self.set.connect_timeout, TimerPurpose::ConnectTimeout(conn));
                 }
                 Found::Waits { fresh: None } => return,
                 Found::Full => return self.end_attempt(attempt, Outcome::Rejected, false),
@@ -157,7 +161,7 @@
         if let Some(call) = self.calls.get(id.call) {
             is_call_complete = call.is_complete();
             let (class, units) = (call.request.class.0, call.request.units);
-            self.site_ended(endpoint, outcome, latency, class, units);
+            self.report_attempt_ended(endpoint, outcome, latency, class, units);
         }
         self.decisions.push(Event::AttemptEnded(AttemptResult {
             request: id.call,
--- a/crates/grpc-gateway/src/call_flow/cancellation.rs
+++ b/crates/grpc-gateway/src/call_flow/cancellation.rs
@@ -1,12 +1,12 @@
 //! Calls that end before their answer: by a deadline, an access rule, a shutdown or their client.
 
+use crate::gateway_server::{GatewayServer, TimerPurpose};
 use crate::metrics::End;
 use crate::pool::AttemptId;
-use crate::shell::{Due, Shell};
 use chalkdeck::api::{Event, Outcome, RequestId};
 use chalkdeck_net::grpc::{self, Code};
 
-impl Shell {
+impl GatewayServer {
     /// The deadline that was set for a call when it arrived, or when its stream started, has passed.
     pub(crate) fn on_client_deadline(&mut self, id: RequestId) {
         let now = self.engine.now();
@@ -19,7 +19,7 @@
             None if has_stream_class => {}
             // The client's deadline is later than the first answer may be by the class.
             Some(deadline) if has_stream_class && deadline > now => {
-                self.due_in(deadline - now, Due::Deadline(id));
+                self.set_timer(deadline - now, TimerPurpose::ClientDeadline(id));
             }
             _ => self.abort_call(id, Code::DeadlineExceeded, "the deadline passed on the way"),
         }
--- a/crates/grpc-gateway/src/call_flow/events.rs
+++ b/crates/grpc-gateway/src/call_flow/events.rs
@@ -2,19 +2,19 @@
 
 use super::responses::ResponseForm;
 use crate::calls::{BufferedResponse, ResponseState};
+use crate::gateway_server::GatewayServer;
 use crate::metrics::End;
 use crate::outcome;
 use crate::pool::AttemptId;
-use crate::shell::Shell;
 use bytes::Bytes;
 use chalkdeck::api::{Event, Outcome, RequestId};
 use chalkdeck_net::grpc::{self, Code};
 use chalkdeck_net::{Broken, ConnId, StreamId};
 use http::{response, HeaderMap};
 
-impl Shell {
+impl GatewayServer {
     pub(crate) fn on_connected(&mut self, conn: ConnId) {
-        if self.keeper_connected(conn) {
+        if self.on_coordinator_connected(conn) {
             return;
         }
         if let Some(counter) = &mut self.counter {
@@ -31,7 +31,7 @@
     }
 
     pub(crate) fn on_closed(&mut self, conn: ConnId, reason: &str) {
-        if self.keeper_closed(conn) {
+        if self.on_coordinator_closed(conn) {
             return;
         }
         if let Some(told) = self.counter.as_mut().and_then(|c| c.closed(conn)) {
@@ -43,7 +43,7 @@
 
     /// The head of a response arrived. `ended`: nothing follows it.
     pub(crate) fn on_head(&mut self, stream: StreamId, head: Box<response::Parts>, ended: bool) {
-        if self.keeper_heard(stream, &[], ended) {
+        if self.on_coordinator_data(stream, &[], ended) {
             return;
         }
         if let Some(counter) = self.counter.as_mut().and_then(|c| c.of(stream)) {
@@ -88,7 +88,7 @@
     }
 
     pub(crate) fn on_data(&mut self, stream: StreamId, data: Bytes) {
-        if self.keeper_heard(stream, &data, false) {
+        if self.on_coordinator_data(stream, &data, false) {
             return;
         }
         if let Some(counter) = self.counter.as_mut().and_then(|c| c.of(stream)) {
@@ -171,7 +171,7 @@
 
     /// The other side has sent all that it will send on a stream.
     pub(crate) fn on_end(&mut self, stream: StreamId, trailers: Option<HeaderMap>) {
-        if self.keeper_heard(stream, &[], true) {
+        if self.on_coordinator_data(stream, &[], true) {
             return;
         }
         if let Some(counter) = self.counter.as_mut().and_then(|c| c.of(stream)) {
@@ -192,7 +192,7 @@
 
     /// A stream was reset, or its connection is gone.
     pub(crate) fn on_broken(&mut self, stream: StreamId, how: Broken) {
-        if self.keeper_heard(stream, &[], true) {
+        if self.on_coordinator_data(stream, &[], true) {
             return;
         }
         if let Some(counter) = self.counter.as_mut().and_then(|c| c.of(stream)) {
--- a/crates/grpc-gateway/src/call_flow/responses.rs
+++ b/crates/grpc-gateway/src/call_flow/responses.rs
@@ -2,10 +2,10 @@
 
 use crate::calls::{BufferedResponse, ResponseState};
 use crate::fault::Fault;
+use crate::gateway_server::{GatewayServer, TimerPurpose};
 use crate::metrics::End;
 use crate::outcome::{self, Ended};
 use crate::pool::AttemptId;
-use crate::shell::{Due, Shell};
 use chalkdeck::api::{Event, Outcome, RequestId};
 use chalkdeck_net::grpc::{self, Code};
 use chalkdeck_net::StreamId;
@@ -28,7 +28,7 @@
     TrailersOnly,
 }
 
-impl Shell {
+impl GatewayServer {
     /// The decisions reject a call. `retry_after`: the time in microseconds after which it may be sent again.
     pub(crate) fn reject_call(&mut self, id: RequestId, retry_after: Option<u64>) {
         if self.resp_refused(id, retry_after) {
@@ -94,7 +94,7 @@
             .took
             .observe(duration as f64 / MICROS_PER_SECOND);
         self.metrics.open.dec();
-        self.site_final(class, end, duration);
+        self.report_request_completed(class, end, duration);
         self.calls.remove_if_over(id);
     }
 
@@ -116,7 +116,7 @@
         self.left(id);
         // The decisions keep no deadline for it from here on; the client's own stays.
         let left = call_deadline.saturating_sub(self.engine.now());
-        self.due_in(left, Due::Deadline(id));
+        self.set_timer(left, TimerPurpose::ClientDeadline(id));
     }
 
     fn send_buffered(&mut self, stream: StreamId, buffered: BufferedResponse) {
--- a/crates/grpc-gateway/src/keepers.rs
+++ b/crates/grpc-gateway/src/coordinator_link.rs
@@ -1,10 +1,10 @@
 //! The fleet's shared state at a gateway: the session with a keeper over gRPC, what is kept on disk, and what calls, streams, the
 //! server list and sites hear of it. What is decided is decided in `chalkdeck_coordinator::agent` and `chalkdeck_access`.
 
-use crate::base::failed::KeepersError;
+use crate::base::failed::CoordinatorError;
 use crate::base::server::Server;
-use crate::base::settings::{KeeperSettings, Settings};
-use crate::shell::{Due, Shell};
+use crate::base::settings::{CoordinatorSettings, Settings};
+use crate::gateway_server::{GatewayServer, TimerPurpose};
 use chalkdeck::api::EndpointState;
 use chalkdeck_access::RegionTable;
 use chalkdeck_contract::{hold_back, ServerContract};
@@ -29,7 +29,7 @@
 
 /// What `/keepers` shows.
 #[derive(Debug, Default, Clone, serde::Serialize, serde::Deserialize)]
-pub struct KeepersStatus {
+pub struct CoordinatorStatus {
     /// This gateway's name in the fleet.
     pub name: String,
     /// The keeper that it speaks to, or dials next.
@@ -56,9 +56,9 @@
     pub disk_fails: bool,
 }
 
-pub(crate) struct Keepers {
+pub(crate) struct CoordinatorLink {
     agent: GatewayAgent,
-    set: KeeperSettings,
+    set: CoordinatorSettings,
     regions: RegionTable,
     cache_file: Option<CacheFile>,
     /// The disk failed: tried again from then on.
@@ -72,18 +72,23 @@
     last_resort: bool,
 }
 
-impl Keepers {
+impl CoordinatorLink {
     /// Errors: a file that is there and not sound; better no start than rules forgotten.
-    pub(crate) fn new(set: &KeeperSettings, zone: &str, now: u64) -> Result<Keepers, KeepersError> {
+    pub(crate) fn new(
+        set: &CoordinatorSettings,
+        zone: &str,
+        now: u64,
+    ) -> Result<CoordinatorLink, CoordinatorError> {
         let regions = match &set.regions {
             None => RegionTable::default(),
             Some(file) => {
-                let text =
-                    std::fs::read_to_string(file).map_err(|source| KeepersError::RegionsFile {
+                let text = std::fs::read_to_string(file).map_err(|source| {
+                    CoordinatorError::RegionsFile {
                         file: file.clone(),
                         source,
-                    })?;
-                RegionTable::parse(&text).map_err(|source| KeepersError::Regions {
+                    }
+                })?;
+                RegionTable::parse(&text).map_err(|source| CoordinatorError::Regions {
                     file: file.clone(),
                     source,
                 })?
@@ -114,7 +119,7 @@
         if cache_file.is_some() {
             agent.state_persisted(now, version);
         }
-        Ok(Keepers {
+        Ok(CoordinatorLink {
             agent,
             set: set.clone(),
             regions,
@@ -228,7 +233,7 @@
         }
     }
 
-    fn status(&self, now: u64) -> KeepersStatus {
+    fn status(&self, now: u64) -> CoordinatorStatus {
         let (session, access) = (self.agent.session(), self.agent.access());
         let now = Timestamp::from_micros(now);
         let leads = |d: &wire::Election| Some((d.name.clone(), session.leads(&d.name, now)?.0));
@@ -238,7 +243,7 @@
             .collect();
         sets.sort_unstable();
         sets.truncate(1_000);
-        KeepersStatus {
+        CoordinatorStatus {
             name: self.set.name.clone(),
             keeper: self.set.addresses[self.agent.replica_index()].to_string(),
             session: session.id().0,
@@ -255,10 +260,10 @@
     }
 }
 
-impl Shell {
+impl GatewayServer {
     /// Looks at what is due.
-    pub(crate) fn keeper_tick(&mut self) {
-        let Shell {
+    pub(crate) fn tick_coordinator(&mut self) {
+        let GatewayServer {
             keepers: Some(keepers),
             engine,
             ..
@@ -275,12 +280,12 @@
             keepers.keep(now, &whole);
         }
         keepers.agent.tick(Timestamp::from_micros(now));
-        self.due_in(TICK, Due::Keepers);
-        self.keeper_acts();
+        self.set_timer(TICK, TimerPurpose::Coordinator);
+        self.run_coordinator_actions();
     }
 
     /// Carries out what the shared state asks for, until nothing follows.
-    fn keeper_acts(&mut self) {
+    fn run_coordinator_actions(&mut self) {
         loop {
             let Some(keepers) = &mut self.keepers else {
                 return;
@@ -289,12 +294,13 @@
             if acts.is_empty() {
                 return;
             }
-            acts.into_iter().for_each(|act| self.keeper_act(act));
+            acts.into_iter()
+                .for_each(|act| self.run_coordinator_action(act));
         }
     }
 
-    fn keeper_act(&mut self, act: AgentAction) {
-        let Shell {
+    fn run_coordinator_action(&mut self, act: AgentAction) {
+        let GatewayServer {
             keepers: Some(keepers),
             engine,
             ..
@@ -319,12 +325,14 @@
                     self.take_list(listed);
                 }
             }
-            AgentAction::ApplySiteOverride(word) => self.site_word(&word.site, &word.action),
+            AgentAction::ApplySiteOverride(word) => {
+                self.apply_site_override(&word.site, &word.action)
+            }
         }
     }
 
     /// The list as it is to be used: servers of versions that were not admitted are held back.
-    pub(crate) fn keeper_list(&mut self, servers: &mut [Server]) {
+    pub(crate) fn hold_back_endpoints(&mut self, servers: &mut [Server]) {
         if let Some(keepers) = &mut self.keepers {
             keepers.listed = servers.to_vec();
             keepers.hold_back(servers);
@@ -332,8 +340,8 @@
     }
 
     /// Whether it was the connection to a keeper.
-    pub(crate) fn keeper_connected(&mut self, conn: ConnId) -> bool {
-        let Shell {
+    pub(crate) fn on_coordinator_connected(&mut self, conn: ConnId) -> bool {
+        let GatewayServer {
             keepers: Some(keepers),
             engine,
             ..
@@ -344,13 +352,13 @@
         let own = keepers.conn == Some(conn);
         if own {
             keepers.connected(engine, conn);
-            self.keeper_acts();
+            self.run_coordinator_actions();
         }
         own
     }
-    /// See [`Shell::keeper_connected`].
-    pub(crate) fn keeper_closed(&mut self, conn: ConnId) -> bool {
-        let Shell {
+    /// See [`GatewayServer::on_coordinator_connected`].
+    pub(crate) fn on_coordinator_closed(&mut self, conn: ConnId) -> bool {
+        let GatewayServer {
             keepers: Some(keepers),
             engine,
             ..
@@ -361,13 +369,18 @@
         let own = keepers.conn == Some(conn);
         if own {
             keepers.lost(engine);
-            self.keeper_acts();
+            self.run_coordinator_actions();
         }
         own
     }
     /// Whether it was the session's stream; `over`: nothing more comes on it.
-    pub(crate) fn keeper_heard(&mut self, stream: StreamId, data: &[u8], over: bool) -> bool {
-        let Shell {
+    pub(crate) fn on_coordinator_data(
+        &mut self,
+        stream: StreamId,
+        data: &[u8],
+        over: bool,
+    ) -> bool {
+        let GatewayServer {
             keepers: Some(keepers),
             engine,
             ..
@@ -382,28 +395,28 @@
             if over && keepers.stream == Some(stream) {
                 keepers.lost(engine);
             }
-            self.keeper_acts();
+            self.run_coordinator_actions();
         }
         own
     }
 
     /// A stop begins: duties go on at once; the session stands as long as calls may need it.
-    pub(crate) fn keeper_resigns(&mut self) {
+    pub(crate) fn resign_leaderships(&mut self) {
         self.keepers.iter_mut().for_each(|k| k.agent.resign());
-        self.keeper_acts();
+        self.run_coordinator_actions();
     }
     /// The gateway ends.
-    pub(crate) fn keeper_leaves(&mut self) {
+    pub(crate) fn close_coordinator_session(&mut self) {
         self.keepers.iter_mut().for_each(|k| k.agent.close());
-        self.keeper_acts();
+        self.run_coordinator_actions();
     }
 
     /// Whether calls can be taken as far as the shared state is concerned.
-    pub(crate) fn keeper_ready(&self) -> bool {
+    pub(crate) fn has_shared_state(&self) -> bool {
         self.keepers.as_ref().is_none_or(|k| k.agent.has_state())
     }
     /// `/keepers`; none: there is no shared state.
-    pub(crate) fn keeper_status(&self) -> Option<KeepersStatus> {
+    pub(crate) fn coordinator_status(&self) -> Option<CoordinatorStatus> {
         Some(self.keepers.as_ref()?.status(self.engine.now()))
     }
 }
@@ -414,9 +427,9 @@
 }
 
 /// Takes part, where the settings say so.
-pub(crate) fn of(set: &Settings, now: u64) -> Result<Option<Keepers>, KeepersError> {
+pub(crate) fn of(set: &Settings, now: u64) -> Result<Option<CoordinatorLink>, CoordinatorError> {
     set.keepers
         .as_ref()
-        .map(|k| Keepers::new(k, &set.zone_name, now))
+        .map(|k| CoordinatorLink::new(k, &set.zone_name, now))
         .transpose()
 }
--- a/crates/grpc-gateway/src/keepers/access.rs
+++ b/crates/grpc-gateway/src/coordinator_link/access.rs
@@ -3,8 +3,8 @@
 use super::now;
 use crate::base::asked::{Asked, Rejected};
 use crate::calls::Caller;
+use crate::gateway_server::GatewayServer;
 use crate::metrics;
-use crate::shell::Shell;
 use chalkdeck::api::RequestId;
 use chalkdeck_access::{Call, RegionTable, Verdict};
 use chalkdeck_net::grpc::Code;
@@ -17,7 +17,7 @@
 const KIND_DENIED: &str = "denied";
 const KIND_RULES_UNKNOWN: &str = "rules_unknown";
 
-impl Shell {
+impl GatewayServer {
     /// Decides a call by its customer's rules. Returns who calls if a later change of the rules may end the call.
     ///
     /// # Errors
@@ -28,7 +28,7 @@
         head: &request::Parts,
         conn: ConnId,
     ) -> Result<Option<Box<Caller>>, Rejected> {
-        let Shell {
+        let GatewayServer {
             keepers: Some(keepers),
             set,
             engine,
@@ -86,7 +86,7 @@
         customer: &str,
         command: &str,
     ) -> Option<String> {
-        let Shell {
+        let GatewayServer {
             keepers: Some(keepers),
             set,
             engine,
--- a/crates/grpc-gateway/src/entry.rs
+++ b/crates/grpc-gateway/src/entry.rs
@@ -1,6 +1,6 @@
 //! Between the fronts and the decisions: requests go through the fair queue.
 
-use crate::shell::Shell;
+use crate::gateway_server::GatewayServer;
 use chalkdeck::api::{Event, IncomingRequest, RequestId, TimeDelta, Timestamp};
 use chalkdeck_admission_queue::{self as admission_queue, FairQueue, Settings, Verdict};
 use rustc_hash::FxHashMap;
@@ -22,12 +22,12 @@
     }
 }
 
-impl Shell {
+impl GatewayServer {
     /// A request came in at a front.
     pub(crate) fn enter(&mut self, arrival: IncomingRequest) {
-        self.site_offered(&arrival);
+        self.report_request_offered(&arrival);
         let now = Timestamp::from_micros(self.engine.now());
-        let Shell {
+        let GatewayServer {
             entry: Some(entry),
             decisions,
             set,
--- a/crates/grpc-gateway/src/shell.rs
+++ b/crates/grpc-gateway/src/gateway_server.rs
@@ -5,12 +5,12 @@
 use crate::base::failed::StartError;
 use crate::base::settings::Settings;
 use crate::calls::Calls;
+use crate::coordinator_link::{self, CoordinatorLink};
 use crate::counter::Told;
 use crate::counters::{Counters, News};
 use crate::endpoints::{self, LookError, Server};
 use crate::entry::Entry;
 use crate::fault::Fault;
-use crate::keepers::{self, Keepers};
 use crate::metrics::Metrics;
 use crate::pool::{AttemptId, Pool};
 use crate::resp::Resp;
@@ -35,24 +35,25 @@
 
 /// What a timer of the loop is for.
 #[derive(Clone, Copy)]
-pub(crate) enum Due {
-    Policy(TimerId),
-    GiveUp(AttemptId),
-    /// A ticket of the RESP front.
-    Lease(RequestId),
-    /// A RESP client that may stand still.
-    Stalled(ConnId),
-    Resume(ConnId),
-    Deadline(RequestId),
-    Count,
-    Connect(ConnId),
-    Look,
-    Sites,
-    Keepers,
+pub(crate) enum TimerPurpose {
+    /// A timer that the decisions have set.
+    Decision(TimerId),
+    AttemptTimeout(AttemptId),
+    /// A RESP client's lease on its admitted request ends.
+    RespLease(RequestId),
+    /// A RESP client may have stopped reading or writing.
+    RespStallCheck(ConnId),
+    RespResume(ConnId),
+    ClientDeadline(RequestId),
+    CounterTimeout,
+    ConnectTimeout(ConnId),
+    EndpointPoll,
+    SitePlan,
+    Coordinator,
 }
 
 /// A running gateway.
-pub struct Shell {
+pub struct GatewayServer {
     pub(crate) engine: Engine,
     pub(crate) decisions: Decisions,
     pub(crate) set: Settings,
@@ -65,11 +66,11 @@
     pub(crate) resp: Option<Resp>,
     pub(crate) entry: Option<Entry>,
     pub(crate) sites: Option<Sites>,
-    pub(crate) keepers: Option<Keepers>,
+    pub(crate) keepers: Option<CoordinatorLink>,
     pub(crate) pool: Pool,
     watch: Watch,
     pub(crate) metrics: Metrics,
-    dues: Dues<Due>,
+    dues: Dues<TimerPurpose>,
     events: Vec<NetEvent>,
     stop_by: Option<u64>,
     pub(crate) fault: Option<Fault>,
@@ -78,7 +79,7 @@
     pub(crate) freshest: Option<EndpointId>,
 }
 
-impl Shell {
+impl GatewayServer {
     /// Binds the sockets and reads the server list. `shared`: other instances listen at the same address.
     /// `file`: where settings are read again from. Errors: see [`StartError`].
     pub fn start(
@@ -86,7 +87,7 @@
         file: Option<PathBuf>,
         seed: u64,
         shared: bool,
-    ) -> Result<Shell, StartError> {
+    ) -> Result<GatewayServer, StartError> {
         let mut engine = Engine::new().map_err(StartError::Poll)?;
         let mut bind = |address, http1| {
             let bound = engine.listen(address, set.front, shared, http1);
@@ -107,8 +108,8 @@
         });
         let resp = resp.transpose()?;
         let counter = Counters::new(&set.counter, engine.now());
-        let keepers = keepers::of(&set, engine.now())?;
-        let mut shell = Shell {
+        let keepers = coordinator_link::of(&set, engine.now())?;
+        let mut gateway = GatewayServer {
             engine,
             decisions: Decisions::new(policy),
             file,
@@ -132,13 +133,13 @@
             freshest: None,
             set,
         };
-        shell.look();
-        if shell.sites.is_some() {
-            shell.site_look();
-            shell.settle();
+        gateway.look();
+        if gateway.sites.is_some() {
+            gateway.refresh_site_plan();
+            gateway.settle();
         }
-        shell.keeper_tick();
-        Ok(shell)
+        gateway.tick_coordinator();
+        Ok(gateway)
     }
 
     /// Puts a fault into the carrying code, for audits.
@@ -200,7 +201,7 @@
         self.engine.unlisten(self.listener);
         self.engine.drain(self.listener);
         self.resp_stop();
-        self.keeper_resigns();
+        self.resign_leaderships();
         tracing::info!(
             open = self.calls.open,
             "graceful shutdown: rejecting new calls, finishing open ones"
@@ -223,7 +224,7 @@
             self.abort_call(id, Code::Unavailable, "the gateway stops");
         }
         self.settle();
-        self.keeper_leaves();
+        self.close_coordinator_session();
         let flush_by = self.engine.now() + LONGEST_WAIT;
         while self.engine.held().1 > 0 && self.engine.now() < flush_by {
             self.turn(1_000)?;
@@ -247,7 +248,7 @@
         self.door_turn();
         self.settle();
         self.resp_let_go();
-        if let Shell {
+        if let GatewayServer {
             counter: Some(counter),
             engine,
             ..
@@ -282,7 +283,7 @@
             NetEvent::End { stream, trailers } => self.on_end(stream, trailers),
             NetEvent::Sent { stream, bytes } => self.on_sent(stream, bytes),
             NetEvent::Broken { stream, how } => self.on_broken(stream, how),
-            NetEvent::Timer(token) => self.on_due(token),
+            NetEvent::Timer(token) => self.on_timer(token),
             NetEvent::Get { conn, path } => self.on_get(conn, &path),
         }
     }
@@ -321,40 +322,42 @@
                 amount,
                 time_to_live: life,
             } => self.count(name, amount, life.as_micros()),
-            Action::SetTimer { timer, after } => self.due_in(after.as_micros(), Due::Policy(timer)),
+            Action::SetTimer { timer, after } => {
+                self.set_timer(after.as_micros(), TimerPurpose::Decision(timer))
+            }
             Action::FetchEndpoints => self.look(),
             // The settings allow neither probes nor subscriptions: the list is watched.
             Action::Probe(_) | Action::Subscribe => {}
         }
     }
 
-    pub(crate) fn due_in(&mut self, after: u64, due: Due) {
+    pub(crate) fn set_timer(&mut self, after: u64, due: TimerPurpose) {
         self.dues.set(&mut self.engine, after, due);
     }
 
-    fn on_due(&mut self, token: u64) {
+    fn on_timer(&mut self, token: u64) {
         match self.dues.take(token) {
-            Some(Due::Policy(timer)) => self.decisions.push(Event::Timer(timer)),
-            Some(Due::Lease(id)) => self.lease_over(id),
-            Some(Due::Stalled(conn)) => self.resp_stalled(conn),
-            Some(Due::Resume(conn)) => self.resp_resume(conn),
-            Some(Due::GiveUp(attempt)) => self.time_out_attempt(attempt),
-            Some(Due::Deadline(id)) => self.on_client_deadline(id),
-            Some(Due::Count) => self.count_times_out(),
-            Some(Due::Connect(conn)) if !self.pool.is_connecting(conn) => {}
-            Some(Due::Connect(conn)) => {
+            Some(TimerPurpose::Decision(timer)) => self.decisions.push(Event::Timer(timer)),
+            Some(TimerPurpose::RespLease(id)) => self.lease_over(id),
+            Some(TimerPurpose::RespStallCheck(conn)) => self.resp_stalled(conn),
+            Some(TimerPurpose::RespResume(conn)) => self.resp_resume(conn),
+            Some(TimerPurpose::AttemptTimeout(attempt)) => self.time_out_attempt(attempt),
+            Some(TimerPurpose::ClientDeadline(id)) => self.on_client_deadline(id),
+            Some(TimerPurpose::CounterTimeout) => self.count_times_out(),
+            Some(TimerPurpose::ConnectTimeout(conn)) if !self.pool.is_connecting(conn) => {}
+            Some(TimerPurpose::ConnectTimeout(conn)) => {
                 self.engine.close(conn);
                 self.on_closed(conn, "not made in time");
             }
-            Some(Due::Look) => self.look(),
-            Some(Due::Sites) => self.site_look(),
-            Some(Due::Keepers) => self.keeper_tick(),
+            Some(TimerPurpose::EndpointPoll) => self.look(),
+            Some(TimerPurpose::SitePlan) => self.refresh_site_plan(),
+            Some(TimerPurpose::Coordinator) => self.tick_coordinator(),
             None => {}
         }
     }
 
     fn count(&mut self, name: CounterKey, amount: f64, life: u64) {
-        let Shell {
+        let GatewayServer {
             counter: Some(counter),
             engine,
             ..
@@ -374,13 +377,16 @@
             return;
         };
         if !std::mem::replace(&mut self.counts_watched, true) {
-            self.due_in(until.saturating_sub(self.engine.now()), Due::Count);
+            self.set_timer(
+                until.saturating_sub(self.engine.now()),
+                TimerPurpose::CounterTimeout,
+            );
         }
     }
 
     fn count_times_out(&mut self) {
         self.counts_watched = false;
-        let Shell {
+        let GatewayServer {
             counter: Some(counter),
             engine,
             ..
@@ -409,7 +415,7 @@
                 News::WentBack => tracing::warn!("counter went back to an earlier state"),
             }
         }
-        self.site_counted(&told);
+        self.report_counter_results(&told);
         for Told {
             name,
             outcome,
@@ -429,7 +435,7 @@
 
     /// Reads the server list again if it changed. A broken one leaves the last good list in force.
     fn look(&mut self) {
-        self.due_in(self.set.poll, Due::Look);
+        self.set_timer(self.set.poll, TimerPurpose::EndpointPoll);
         self.pool.close_idle(&mut self.engine);
         let Some(bytes) = self.watch.look() else {
             return;
@@ -455,12 +461,12 @@
 
     /// Uses a list from here on.
     pub(crate) fn take_list(&mut self, mut servers: Vec<Server>) {
-        self.keeper_list(&mut servers);
+        self.hold_back_endpoints(&mut servers);
         let unsent = self.pool.update(&mut self.engine, &servers);
         unsent
             .into_iter()
             .for_each(|attempt| self.end_attempt(attempt, Outcome::ConnectFailed, false));
-        self.site_list(&servers);
+        self.report_endpoint_list(&servers);
         let mut entries: Vec<_> = servers.into_iter().map(|s| s.entry).collect();
         for entry in &mut entries {
             if self.fault == Some(Fault::Drains) {
@@ -512,7 +518,7 @@
         self.metrics.connections.set(connections as i64);
         match path {
             "/healthz" if self.stop_by.is_some() => self.engine.reply(conn, 503, "stopping\n"),
-            "/healthz" if !self.keeper_ready() => {
+            "/healthz" if !self.has_shared_state() => {
                 self.engine.reply(
                     conn,
                     503,
@@ -524,12 +530,12 @@
                 let text = self.metrics.text();
                 self.engine.reply(conn, 200, &text);
             }
-            path if path.starts_with("/sites") => match self.site_asked(path) {
+            path if path.starts_with("/sites") => match self.answer_site_request(path) {
                 Ok(text) => self.engine.reply(conn, 200, &text),
                 Err(what) => self.engine.reply(conn, 400, &format!("{what}\n")),
             },
             "/keepers" => match self
-                .keeper_status()
+                .coordinator_status()
                 .and_then(|s| serde_json::to_string(&s).ok())
             {
                 Some(text) => self.engine.reply(conn, 200, &text),
--- a/crates/grpc-gateway/src/lib.rs
+++ b/crates/grpc-gateway/src/lib.rs
@@ -1,4 +1,4 @@
-//! The gateway as a library: settings, routes, the shell that carries calls, and what it needs.
+//! The gateway as a library: settings, routes, the gateway that carries calls, and what it needs.
 //!
 //! The decisions are those of the package `chalkdeck`; this package raises its events from what happens on sockets and
 //! carries out its actions.
@@ -8,13 +8,14 @@
 mod base;
 mod call_flow;
 mod calls;
+pub mod coordinator_link;
 mod counter;
 mod counters;
 pub mod endpoints;
 pub mod entry;
 mod fault;
 mod front;
-pub mod keepers;
+mod gateway_server;
 pub mod logs;
 mod metrics;
 mod outcome;
@@ -23,10 +24,9 @@
 mod request_buffer;
 pub mod resp;
 pub mod settings;
-mod shell;
+mod site_overrides;
 pub mod sites;
-mod words;
 
-pub use base::failed::{AskedError, KeepersError, StartError, WordsError};
+pub use base::failed::{CoordinatorError, SiteOverridesError, SiteRequestError, StartError};
+pub use gateway_server::GatewayServer;
 pub use settings::{Settings, SettingsError};
-pub use shell::Shell;
--- a/crates/grpc-gateway/src/resp/mod.rs
+++ b/crates/grpc-gateway/src/resp/mod.rs
@@ -6,7 +6,7 @@
 mod wire;
 
 pub use crate::base::settings::RespSettings;
-use crate::shell::{Due, Shell};
+use crate::gateway_server::{GatewayServer, TimerPurpose};
 use bytes::Bytes;
 use chalkdeck::api::{ClassId, CustomerId, Event, IncomingRequest, PlanId, RequestId, Timestamp};
 use chalkdeck_net::{ConnId, Engine, Limits, ListenerId};
@@ -100,7 +100,7 @@
     micros.div_ceil(1_000_000) as i64
 }
 
-impl Shell {
+impl GatewayServer {
     /// Where RESP comes in.
     pub fn resp_listen(&self) -> Option<SocketAddr> {
         self.resp.as_ref().map(|r| r.listen)
@@ -174,7 +174,7 @@
     }
 
     fn resp_command(&mut self, conn: ConnId, words: &[Bytes]) {
-        let Shell {
+        let GatewayServer {
             set,
             resp: Some(resp),
             ..
@@ -251,7 +251,7 @@
             return self.resp_say(conn, Reply::Error(why));
         }
         let (id, now) = (self.calls.next_id(), self.engine.now());
-        let Shell {
+        let GatewayServer {
             resp: Some(resp), ..
         } = self
         else {
@@ -323,7 +323,7 @@
                 secret,
             },
         );
-        self.due_in(lease, Due::Lease(id));
+        self.set_timer(lease, TimerPurpose::RespLease(id));
         let ticket = Reply::Bulk(ticket_text(id, secret).into());
         let reply = vec![Reply::Integer(1), ticket, Reply::Integer(remaining)];
         self.resp_answer(&ask, Reply::Array(reply));
@@ -431,7 +431,7 @@
             && !std::mem::replace(&mut session.resumes, true)
         {
             // In the loop's next turn, so that a long pipeline does not keep the others waiting.
-            self.due_in(0, Due::Resume(conn));
+            self.set_timer(0, TimerPurpose::RespResume(conn));
         }
     }
 
@@ -440,7 +440,7 @@
             .resp_session(conn)
             .is_some_and(|s| !std::mem::replace(&mut s.watched, true))
         {
-            self.due_in(STALLED, Due::Stalled(conn));
+            self.set_timer(STALLED, TimerPurpose::RespStallCheck(conn));
         }
     }
 
--- a/crates/grpc-gateway/src/settings.rs
+++ b/crates/grpc-gateway/src/settings.rs
@@ -1,7 +1,9 @@
 //! Settings of a gateway: read from protobuf text, checked, and turned into what the decisions take.
 
 use crate::base::server::zone_of;
-pub use crate::base::settings::{KeeperSettings, RespSettings, Route, Settings, SettingsError};
+pub use crate::base::settings::{
+    CoordinatorSettings, RespSettings, Route, Settings, SettingsError,
+};
 use chalkdeck::api::{self, Idempotency, KeyScope, TimeDelta};
 use chalkdeck_net::Limits;
 use chalkdeck_proto::chalkdeck::config::v1 as wire;
@@ -261,7 +263,7 @@
     }))
 }
 
-fn keepers(source: &Source, wire: &wire::Gateway) -> Result<Option<KeeperSettings>> {
+fn keepers(source: &Source, wire: &wire::Gateway) -> Result<Option<CoordinatorSettings>> {
     let Some(keepers) = &wire.keepers else {
         return Ok(None);
     };
@@ -285,7 +287,7 @@
     };
     let some = |text: &str| Some(text.to_string()).filter(|t| !t.is_empty());
     let region_metadata = some(&keepers.region_metadata);
-    Ok(Some(KeeperSettings {
+    Ok(Some(CoordinatorSettings {
         addresses,
         name: some(&keepers.name).unwrap_or_else(|| format!("{}/{}", wire.zone, wire.number)),
         region: some(&keepers.region).unwrap_or_else(|| wire.zone.clone()),
--- a/crates/grpc-gateway/src/words.rs
+++ b/crates/grpc-gateway/src/site_overrides.rs
@@ -1,6 +1,6 @@
 //! An operator's words on sites, kept over restarts: a gateway that starts in the middle of a drain must know of it.
 
-use crate::base::failed::WordsError;
+use crate::base::failed::SiteOverridesError;
 use chalkdeck_proto::chalkdeck::config::v1::HeldSites;
 use chalkdeck_proto::text;
 use std::collections::BTreeSet;
@@ -13,16 +13,16 @@
 const MOST: usize = 256;
 
 /// Names of sites that are kept out.
-pub(crate) struct Words {
+pub(crate) struct SiteOverrides {
     file: Option<PathBuf>,
     held: BTreeSet<String>,
 }
 
-impl Words {
+impl SiteOverrides {
     /// Reads them. Errors: a file that is there but is not sound, with its line; better no start than a drain forgotten.
-    pub(crate) fn read(file: Option<&Path>) -> Result<Words, WordsError> {
+    pub(crate) fn read(file: Option<&Path>) -> Result<SiteOverrides, SiteOverridesError> {
         let Some(path) = file else {
-            return Ok(Words {
+            return Ok(SiteOverrides {
                 file: None,
                 held: BTreeSet::new(),
             });
@@ -30,14 +30,14 @@
         let held = match std::fs::read_to_string(path) {
             Err(e) if e.kind() == io::ErrorKind::NotFound => BTreeSet::new(),
             Err(source) => {
-                return Err(WordsError::File {
+                return Err(SiteOverridesError::File {
                     file: path.into(),
                     source,
                 })
             }
             Ok(content) => {
                 let held: HeldSites =
-                    text::parse(MESSAGE, &content).map_err(|e| WordsError::Form {
+                    text::parse(MESSAGE, &content).map_err(|e| SiteOverridesError::Form {
                         file: path.into(),
                         line: e.line,
                         what: e.what,
@@ -45,7 +45,7 @@
                 held.sites.into_iter().collect()
             }
         };
-        Ok(Words {
+        Ok(SiteOverrides {
             file: Some(path.to_path_buf()),
             held,
         })
@@ -56,7 +56,7 @@
     }
 
     /// Keeps a word. Errors: it could not be written; then it is not taken either.
-    pub(crate) fn keep(&mut self, site: &str, out: bool) -> Result<(), WordsError> {
+    pub(crate) fn keep(&mut self, site: &str, out: bool) -> Result<(), SiteOverridesError> {
         let mut held = self.held.clone();
         if out {
             held.insert(site.to_string());
@@ -64,7 +64,7 @@
             held.remove(site);
         }
         if held.len() > MOST {
-            return Err(WordsError::Most(MOST));
+            return Err(SiteOverridesError::Most(MOST));
         }
         if let Some(file) = &self.file {
             let message = HeldSites {
@@ -73,7 +73,7 @@
             let content = text::print(MESSAGE, &message).unwrap_or_default();
             let new = file.with_extension("new");
             let written = std::fs::write(&new, content).and_then(|()| std::fs::rename(&new, file));
-            written.map_err(|source| WordsError::File {
+            written.map_err(|source| SiteOverridesError::File {
                 file: file.clone(),
                 source,
             })?;
--- a/crates/grpc-gateway/src/sites.rs
+++ b/crates/grpc-gateway/src/sites.rs
@@ -1,12 +1,12 @@
 //! Between the sockets and the site core: tells it what happens, brings its plan to the decisions, and shows it.
 
-use crate::base::failed::{AskedError, WordsError};
+use crate::base::failed::{SiteOverridesError, SiteRequestError};
 use crate::base::server::{zone_of, Server};
 use crate::base::settings::Settings;
 use crate::counter::Told;
+use crate::gateway_server::{GatewayServer, TimerPurpose};
 use crate::metrics::End;
-use crate::shell::{Due, Shell};
-use crate::words::Words;
+use crate::site_overrides::SiteOverrides;
 use chalkdeck::api::{
     self, EndpointId, EndpointState, IncomingRequest, Outcome, ZoneId, ZoneShare,
 };
@@ -29,7 +29,7 @@
     core: FailoverCore,
     names: BTreeMap<SiteId, String>,
     told: Option<FailoverPlan>,
-    words: Words,
+    words: SiteOverrides,
 }
 
 /// One site as the admin port shows it.
@@ -70,7 +70,7 @@
 
 impl Sites {
     /// Errors: the file of an operator's words is not sound.
-    pub(crate) fn new(set: &Settings) -> Result<Sites, WordsError> {
+    pub(crate) fn new(set: &Settings) -> Result<Sites, SiteOverridesError> {
         let own = site_of(set.policy.zone);
         let core = FailoverCore::new(FailoverSettings {
             own_site: own,
@@ -80,7 +80,7 @@
             warm_up: set.policy.slow_start_duration,
             overload_factor: set.policy.overload_multiple,
         });
-        let words = Words::read(set.site_words.as_deref())?;
+        let words = SiteOverrides::read(set.site_words.as_deref())?;
         Ok(Sites {
             core,
             names: BTreeMap::from([(own, set.zone_name.clone())]),
@@ -104,7 +104,7 @@
         };
         let lines: Vec<_> = servers.iter().map(line).collect();
         self.on(now, Event::EndpointsListed(&lines));
-        // Words of an earlier life count from the first list that names their site on.
+        // SiteOverrides of an earlier life count from the first list that names their site on.
         for held in self.words.held() {
             let event = Event::OverrideSet {
                 site: site_of(zone_of(held)),
@@ -175,16 +175,16 @@
         && near(a.threshold.admit_fraction, b.threshold.admit_fraction)
 }
 
-impl Shell {
-    pub(crate) fn site_list(&mut self, servers: &[Server]) {
+impl GatewayServer {
+    pub(crate) fn report_endpoint_list(&mut self, servers: &[Server]) {
         let now = self.engine.now();
         self.sites.iter_mut().for_each(|s| s.list(now, servers));
-        self.site_plan();
+        self.apply_site_plan();
     }
 
     /// Requests whose callers do the work themselves take no room here.
-    pub(crate) fn site_offered(&mut self, arrival: &IncomingRequest) {
-        let Shell {
+    pub(crate) fn report_request_offered(&mut self, arrival: &IncomingRequest) {
+        let GatewayServer {
             sites: Some(sites),
             set,
             ..
@@ -205,14 +205,14 @@
         sites.on(self.engine.now(), offered);
     }
 
-    pub(crate) fn site_sent(&mut self, server: EndpointId) {
+    pub(crate) fn report_attempt_sent(&mut self, server: EndpointId) {
         let now = self.engine.now();
         if let Some(sites) = &mut self.sites {
             sites.on(now, Event::AttemptSent(failover::EndpointId(server.0)));
         }
     }
 
-    pub(crate) fn site_ended(
+    pub(crate) fn report_attempt_ended(
         &mut self,
         server: EndpointId,
         outcome: Outcome,
@@ -220,7 +220,7 @@
         class: usize,
         units: f64,
     ) {
-        let Shell {
+        let GatewayServer {
             sites: Some(sites),
             set,
             ..
@@ -240,8 +240,8 @@
     }
 
     /// A call of that class had its final answer after so long.
-    pub(crate) fn site_final(&mut self, class: usize, end: End, waited: u64) {
-        let Shell {
+    pub(crate) fn report_request_completed(&mut self, class: usize, end: End, waited: u64) {
+        let GatewayServer {
             sites: Some(sites),
             set,
             ..
@@ -263,7 +263,7 @@
         sites.on(self.engine.now(), Event::RequestCompleted(completed));
     }
 
-    pub(crate) fn site_counted(&mut self, told: &[Told]) {
+    pub(crate) fn report_counter_results(&mut self, told: &[Told]) {
         let (Some(sites), Some(last)) = (&mut self.sites, told.last()) else {
             return;
         };
@@ -276,9 +276,9 @@
     }
 
     /// Looks at the plan again and tells the decisions what moved.
-    pub(crate) fn site_look(&mut self) {
-        self.due_in(LOOK, Due::Sites);
-        let Shell {
+    pub(crate) fn refresh_site_plan(&mut self) {
+        self.set_timer(LOOK, TimerPurpose::SitePlan);
+        let GatewayServer {
             sites: Some(sites),
             decisions,
             engine,
@@ -297,10 +297,10 @@
             })
             .collect();
         sites.on(engine.now(), Event::ConcurrencyReported(&reported));
-        self.site_plan();
+        self.apply_site_plan();
     }
 
-    fn site_plan(&mut self) {
+    fn apply_site_plan(&mut self) {
         let now = self.engine.now();
         let Some(sites) = &mut self.sites else { return };
         let mut plan = sites.plan(now);
@@ -340,7 +340,7 @@
 
     /// A word that reached the whole fleet; it counts from the first list that names its site on, and is kept like one that was
     /// said here.
-    pub(crate) fn site_word(&mut self, name: &str, word: &str) {
+    pub(crate) fn apply_site_override(&mut self, name: &str, word: &str) {
         let now = self.engine.now();
         let Some(sites) = &mut self.sites else { return };
         let site_override = match word {
@@ -369,19 +369,19 @@
             site_override,
         };
         sites.on(now, event);
-        self.site_plan();
+        self.apply_site_plan();
     }
 
     /// `/sites`, and `/sites/drain/NAME`, `/sites/hold/NAME`, `/sites/let-back/NAME`. Errors: what was expected.
-    pub(crate) fn site_asked(&mut self, path: &str) -> Result<String, AskedError> {
+    pub(crate) fn answer_site_request(&mut self, path: &str) -> Result<String, SiteRequestError> {
         let now = self.engine.now();
-        let Shell {
+        let GatewayServer {
             sites: Some(sites),
             set,
             ..
         } = self
         else {
-            return Err(AskedError::Off);
+            return Err(SiteRequestError::Off);
         };
         if let Some((word, name)) = path
             .strip_prefix("/sites/")
@@ -391,12 +391,12 @@
                 "drain" => SiteOverride::Drain,
                 "hold" => SiteOverride::HoldOut,
                 "let-back" => SiteOverride::Restore,
-                _ => return Err(AskedError::Word(word.to_string())),
+                _ => return Err(SiteRequestError::Word(word.to_string())),
             };
             let site = site_of(zone_of(name));
             if sites.names.get(&site).is_none_or(|known| known != name) {
                 let known: Vec<&str> = sites.names.values().map(String::as_str).collect();
-                return Err(AskedError::Site {
+                return Err(SiteRequestError::Site {
                     known: known.join(", "),
                     found: name.to_string(),
                 });
@@ -415,10 +415,10 @@
             };
             sites.on(now, event);
         } else if path != "/sites" {
-            return Err(AskedError::Path);
+            return Err(SiteRequestError::Path);
         }
         let status = sites.status(now, set);
-        self.site_plan();
+        self.apply_site_plan();
         // Plain numbers and texts always have their form.
         Ok(serde_json::to_string(&status).unwrap_or_default())
     }
--- a/crates/grpc-gateway/tests/common/mod.rs
+++ b/crates/grpc-gateway/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use bytes::Bytes;
-use chalkdeck_grpc_gateway::{Settings, Shell};
+use chalkdeck_grpc_gateway::{GatewayServer, Settings};
 use chalkdeck_net::grpc::{self, Code, Deframer};
 use chalkdeck_net::unary::Gather;
 use chalkdeck_net::{Broken, ConnId, Engine, Event, Limits, ListenerId, StreamId};
@@ -186,7 +186,7 @@
 }
 
 pub struct Rig {
-    pub shell: Shell,
+    pub gateway: GatewayServer,
     pub servers: Peer,
     pub counter: Peer,
     pub client: Peer,
@@ -275,12 +275,12 @@
         let file = dir.join("gateway.txtpb");
         std::fs::write(&file, text).expect("settings");
         let set = Settings::load(&file).expect("sound settings");
-        let shell = Shell::start(set, Some(file), 7, false).expect("a gateway");
+        let gateway = GatewayServer::start(set, Some(file), 7, false).expect("a gateway");
         let mut client = Peer::new();
-        let conn = client.connect(shell.listen());
+        let conn = client.connect(gateway.listen());
         let (totals, adds, answered) = (HashMap::new(), 0, 0);
         let mut rig = Rig {
-            shell,
+            gateway,
             servers: peer,
             counter,
             client,
@@ -302,7 +302,7 @@
     }
     pub fn turn(&mut self) {
         self.client.turn();
-        self.shell.turn(300).expect("a turn");
+        self.gateway.turn(300).expect("a turn");
         self.servers.turn();
         self.counter.turn();
         self.count();
@@ -399,7 +399,7 @@
     }
     /// A figure of the gateway's own, summed over labels that contain `label`.
     pub fn metric(&mut self, name: &str, label: &str) -> f64 {
-        let text = self.shell.metrics();
+        let text = self.gateway.metrics();
         let lines = text
             .lines()
             .filter(|l| l.starts_with(name) && l.contains(label));
--- a/crates/grpc-gateway/tests/life.rs
+++ b/crates/grpc-gateway/tests/life.rs
@@ -70,7 +70,7 @@
     let file = rig.dir.join("gateway.txtpb");
     let text = std::fs::read_to_string(&file).expect("settings");
     std::fs::write(&file, text.replace("default_plan: \"free\"", "")).expect("settings");
-    rig.shell.reload();
+    rig.gateway.reload();
     let call = rig.call(VIEW, &[]);
     assert_eq!(
         rig.ended(call),
@@ -82,7 +82,7 @@
         "fleet: \"many\"".to_string(),
     ] {
         std::fs::write(&file, wrong).expect("settings");
-        rig.shell.reload();
+        rig.gateway.reload();
         let call = rig.call(VIEW, &[]);
         assert_eq!(
             rig.ended(call),
@@ -100,7 +100,7 @@
     let signals = Signals::default();
     signals.ask_stop();
     let Rig {
-        shell,
+        gateway,
         servers,
         client,
         conn,
@@ -108,7 +108,7 @@
         ..
     } = &mut rig;
     std::thread::scope(|scope| {
-        let stopped = scope.spawn(|| shell.run(&signals).map(|()| shell.open_calls()));
+        let stopped = scope.spawn(|| gateway.run(&signals).map(|()| gateway.open_calls()));
         servers.answer(stream, b"fine");
         let end = std::time::Instant::now() + std::time::Duration::from_secs(20);
         while !client.seen.get(&call).is_some_and(|s| s.ended) {
--- a/crates/grpc-gateway/tests/resp.rs
+++ b/crates/grpc-gateway/tests/resp.rs
@@ -37,7 +37,7 @@
         let (ends, (tell, hear)) = (over.clone(), channel());
         let thread = std::thread::spawn(move || {
             let mut rig = Rig::with(1, CounterMood::Answers, &edits(front));
-            tell.send(rig.shell.resp_listen().expect("a RESP port"))
+            tell.send(rig.gateway.resp_listen().expect("a RESP port"))
                 .expect("a test that listens");
             while !ends.load(Ordering::Relaxed) {
                 rig.turn();
@@ -210,7 +210,7 @@
 fn one_quota_over_both_fronts() {
     let mut rig = Rig::with(1, CounterMood::Answers, &edits(FRONT));
     let mut stream =
-        TcpStream::connect(rig.shell.resp_listen().expect("a port")).expect("a connection");
+        TcpStream::connect(rig.gateway.resp_listen().expect("a port")).expect("a connection");
     stream.set_nonblocking(true).expect("a mode");
     stream
         .write_all(&b"CL.THROTTLE slow 1 1 1 4\r\n".repeat(3))
--- a/crates/grpc-gateway/tests/sites.rs
+++ b/crates/grpc-gateway/tests/sites.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use chalkdeck_grpc_gateway::sites::SitesStatus;
-use chalkdeck_grpc_gateway::{Settings, Shell};
+use chalkdeck_grpc_gateway::{GatewayServer, Settings};
 use common::*;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -37,7 +37,7 @@
 
 /// Asks the admin port while the gateway turns.
 fn get(rig: &mut Rig, path: &str) -> (String, String) {
-    let admin = rig.shell.admin().expect("an admin port");
+    let admin = rig.gateway.admin().expect("an admin port");
     let mut stream = TcpStream::connect(admin).expect("it listens");
     write!(stream, "GET {path} HTTP/1.1\r\nhost: x\r\n\r\n").expect("sent");
     stream.set_nonblocking(true).expect("a socket");
@@ -94,7 +94,7 @@
         assert_eq!(goes_to(&mut rig), rig.addresses[1]);
     }
     let set = Settings::load(&rig.dir.join("gateway.txtpb")).expect("sound settings");
-    rig.shell = Shell::start(set, None, 9, false).expect("a gateway");
+    rig.gateway = GatewayServer::start(set, None, 9, false).expect("a gateway");
     assert_eq!(state(&sites(&mut rig, "/sites"), "a"), "held out");
     assert_eq!(
         state(&sites(&mut rig, "/sites/let-back/a"), "a"),
--- a/crates/grpc-gateway/tests/stops.rs
+++ b/crates/grpc-gateway/tests/stops.rs
@@ -26,7 +26,7 @@
                 }
             }
             if step == stop_at {
-                rig.shell.stop();
+                rig.gateway.stop();
             }
             rig.turn();
             while served < rig.servers.opened.len() && rng.bool() {
@@ -34,11 +34,11 @@
                 rig.servers.answer(stream, b"fine");
                 served += 1;
             }
-            if rig.shell.stopped() {
+            if rig.gateway.stopped() {
                 break;
             }
         }
-        assert!(rig.shell.stopped(), "seed {seed}");
+        assert!(rig.gateway.stopped(), "seed {seed}");
         // From here on the gateway does not run any more.
         (0..20).for_each(|_| rig.client.turn());
         for call in calls {
@@ -55,9 +55,9 @@
 #[test]
 fn one_that_is_still_greeting_hears_of_the_stop_too() {
     let mut rig = Rig::new(1);
-    let late = rig.client.connect(rig.shell.listen());
-    rig.shell.stop();
-    rig.until("all have gone", |r| r.shell.stopped());
+    let late = rig.client.connect(rig.gateway.listen());
+    rig.gateway.stop();
+    rig.until("all have gone", |r| r.gateway.stopped());
     rig.until("the client hears of it", |r| {
         r.client.closed.contains(&late)
     });
@@ -116,7 +116,7 @@
     for seed in 0..150 {
         let mut rng = Rng::with_seed(seed);
         let mut rig = Rig::with(1, CounterMood::Answers, &edits);
-        let address = rig.shell.resp_listen().expect("a RESP port");
+        let address = rig.gateway.resp_listen().expect("a RESP port");
         let asker = |_| {
             let stream = TcpStream::connect(address).expect("a connection");
             stream
@@ -135,14 +135,14 @@
         for step in 0..5_000 {
             askers.iter_mut().for_each(|a| a.moves(&mut rng));
             if step == stop_at {
-                rig.shell.stop();
+                rig.gateway.stop();
             }
             rig.turn();
-            if rig.shell.stopped() {
+            if rig.gateway.stopped() {
                 break;
             }
         }
-        assert!(rig.shell.stopped(), "seed {seed}");
+        assert!(rig.gateway.stopped(), "seed {seed}");
         drop(rig);
         for asker in &mut askers {
             while !asker.over {
--- a/crates/testbed/src/rig/serve.rs
+++ b/crates/testbed/src/rig/serve.rs
@@ -2,7 +2,7 @@
 
 use crate::parts::process::{begin, end_with_parent};
 use chalkdeck_grpc_gateway::relay::Relay;
-use chalkdeck_grpc_gateway::{logs, Settings, Shell};
+use chalkdeck_grpc_gateway::{logs, GatewayServer, Settings};
 use chalkdeck_net::signals::Signals;
 use clap::Args;
 use std::net::SocketAddr;
@@ -37,7 +37,7 @@
         end_with_parent();
     }
     let signals = Signals::take()?;
-    let mut shell = Shell::start(set, Some(args.config.clone()), fastrand::u64(..), false)?;
+    let mut shell = GatewayServer::start(set, Some(args.config.clone()), fastrand::u64(..), false)?;
     if let Some(fault) = &args.fault {
         shell.inject(fault.parse().map_err(anyhow::Error::msg)?);
     }
