--- a/crates/cli/tests/fleet/mod.rs
+++ b/crates/cli/tests/fleet/mod.rs
@@ -402,17 +402,22 @@
                 } => {
                     self.ended.insert(
                         stream,
-                        (Code::read(&head.headers), grpc::message_of(&head.headers)),
+                        (
+                            Code::from_trailers(&head.headers),
+                            grpc::message_of(&head.headers),
+                        ),
                     );
                 }
                 Event::Head { stream, .. } => self.heads.push(stream),
                 Event::Data { stream, data } => self.engine.consume(stream, data.len()),
                 Event::End { stream, trailers } => {
                     let trailers = trailers.unwrap_or_default();
-                    self.ended
-                        .insert(stream, (Code::read(&trailers), grpc::message_of(&trailers)));
+                    self.ended.insert(
+                        stream,
+                        (Code::from_trailers(&trailers), grpc::message_of(&trailers)),
+                    );
                 }
-                Event::Broken { stream, .. } => {
+                Event::StreamFailed { stream, .. } => {
                     drop(self.ended.insert(stream, (None, "broken".into())))
                 }
                 _ => {}
--- a/crates/client/src/driver.rs
+++ b/crates/client/src/driver.rs
@@ -6,10 +6,10 @@
 use crate::stream::{StreamEvent, MOST_QUEUED};
 use crate::wire::{addresses_of, end_of, head, FileError};
 use bytes::Bytes;
+use chalkdeck_net::file_watch::FileWatch;
 use chalkdeck_net::grpc::{self, Code, FrameError};
-use chalkdeck_net::unary::Gather;
-use chalkdeck_net::watch::Watch;
-use chalkdeck_net::{Broken, ConnId, Engine, Event as NetEvent, Limits, StreamId};
+use chalkdeck_net::unary::UnaryMessage;
+use chalkdeck_net::{ConnId, Engine, Event as NetEvent, Limits, StreamError, StreamId};
 use http::HeaderMap;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
     stream: Option<StreamId>,
     code: Option<Code>,
     text: String,
-    gather: Gather,
+    gather: UnaryMessage,
     tries: u32,
     begun: u64,
     span: tracing::Span,
@@ -56,7 +56,7 @@
     connects: HashMap<u64, ConnId>,
     next: u64,
     todo: Vec<Event>,
-    watch: Option<Watch>,
+    watch: Option<FileWatch>,
     pub(crate) stats: Arc<Counters>,
     stopped: bool,
 }
@@ -157,7 +157,8 @@
         self.todo
             .push(Event::Call(id, call.repeat, begun.saturating_add(left)));
         let span = tracing::debug_span!("call", id = id.0, path = %call.path, outcome = tracing::field::Empty);
-        let (stream, code, text, gather, tries) = (None, None, String::new(), Gather::default(), 0);
+        let (stream, code, text, gather, tries) =
+            (None, None, String::new(), UnaryMessage::default(), 0);
         self.open.insert(
             id,
             Open {
@@ -209,7 +210,7 @@
     fn look(&mut self) {
         let Some(watch) = &mut self.watch else { return };
         self.engine.timer(self.engine.now() + LOOK, LOOK_TOKEN);
-        let Some(bytes) = watch.look() else { return };
+        let Some(bytes) = watch.poll() else { return };
         match bytes
             .map_err(FileError::from)
             .and_then(|b| addresses_of(&b))
@@ -315,7 +316,7 @@
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
-        (open.code, open.gather, open.text) = (None, Gather::default(), String::new());
+        (open.code, open.gather, open.text) = (None, UnaryMessage::default(), String::new());
         let head = head(&open.call, self.addresses[place], number, left);
         let stream = head
             .zip(self.conns[place])
@@ -382,11 +383,11 @@
             NetEvent::End { stream, trailers } => {
                 self.on_end(stream, &trailers.unwrap_or_default())
             }
-            NetEvent::Broken { stream, how } => self.ended(
+            NetEvent::StreamFailed { stream, error } => self.ended(
                 stream,
-                match how {
-                    Broken::Refused | Broken::GoneAway => TryEnd::NeverRan,
-                    Broken::Reset(_) | Broken::Lost => TryEnd::MayHaveRun,
+                match error {
+                    StreamError::Refused | StreamError::GoneAway => TryEnd::NeverRan,
+                    StreamError::Reset(_) | StreamError::Lost => TryEnd::MayHaveRun,
                 },
             ),
             _ => {}
@@ -442,7 +443,7 @@
             .get(&stream)
             .and_then(|t| self.open.get_mut(&t.0))
         {
-            open.code = Code::read(trailers);
+            open.code = Code::from_trailers(trailers);
             open.text = grpc::message_of(trailers);
         }
         self.ended(stream, end_of(trailers));
--- a/crates/client/src/handle.rs
+++ b/crates/client/src/handle.rs
@@ -6,8 +6,8 @@
 use crate::stream::{Stream, StreamEvent};
 use bytes::Bytes;
 use chalkdeck_net::clock::Clock;
+use chalkdeck_net::file_watch::FileWatch;
 use chalkdeck_net::grpc::{Code, Deframer};
-use chalkdeck_net::watch::Watch;
 use chalkdeck_net::{engine::LoopWaker, Engine};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -73,7 +73,7 @@
     Finish(CallId),
     Cancel(CallId),
     Gateways(Vec<SocketAddr>),
-    Watch(Watch),
+    Watch(FileWatch),
     Stop,
 }
 
@@ -170,7 +170,7 @@
         file: std::path::PathBuf,
     ) -> Result<Client, StartError> {
         let client = Client::start(settings, Vec::new())?;
-        client.door.tell(Command::Watch(Watch::new(file)));
+        client.door.tell(Command::Watch(FileWatch::new(file)));
         Ok(client)
     }
 
--- a/crates/client/src/wire.rs
+++ b/crates/client/src/wire.rs
@@ -2,8 +2,8 @@
 
 use crate::core::TryEnd;
 use crate::handle::Call;
+use chalkdeck_net::file_watch::FileWatchError;
 use chalkdeck_net::grpc::{self, Code};
-use chalkdeck_net::watch::WatchError;
 use http::{HeaderMap, HeaderName, HeaderValue};
 use std::net::SocketAddr;
 
@@ -40,7 +40,7 @@
 /// What an answer's end says. A refusal is marked by its pushback; one that cannot be read gives no time.
 pub(crate) fn end_of(trailers: &HeaderMap) -> TryEnd {
     let pushback = trailers.get(grpc::PUSHBACK);
-    match Code::read(trailers) {
+    match Code::from_trailers(trailers) {
         Some(Code::ResourceExhausted) if pushback.is_some() => {
             let ms = pushback
                 .and_then(|v| v.to_str().ok())
@@ -59,7 +59,7 @@
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum FileError {
     #[error(transparent)]
-    Read(#[from] WatchError),
+    Read(#[from] FileWatchError),
     #[error("expected UTF-8 text")]
     Text(#[from] std::str::Utf8Error),
     #[error("line {line}: expected ip:port, found '{found}'")]
--- a/crates/client/tests/tower.rs
+++ b/crates/client/tests/tower.rs
@@ -95,7 +95,7 @@
                         script(&mut engine, Seen::Data(stream, data));
                     }
                     Event::End { stream, .. } => script(&mut engine, Seen::End(stream)),
-                    Event::Broken { .. } => script(&mut engine, Seen::Reset),
+                    Event::StreamFailed { .. } => script(&mut engine, Seen::Reset),
                     _ => {}
                 }
             }
--- a/crates/coordinator/src/client.rs
+++ b/crates/coordinator/src/client.rs
@@ -8,7 +8,7 @@
 use crate::server::{connection_limits, MAX_STATE_BYTES, READ_PATH, SUBMIT_PATH};
 use chalkdeck_net::clock::incarnation;
 use chalkdeck_net::grpc::{self, Code};
-use chalkdeck_net::unary::Gather;
+use chalkdeck_net::unary::UnaryMessage;
 use chalkdeck_net::{ConnId, Engine, Event, StreamId};
 use chalkdeck_time::{TimeDelta, Timestamp};
 use prost::Message;
@@ -231,7 +231,7 @@
             path,
             request: request.encode_to_vec(),
             stream: None,
-            response: Gather::default(),
+            response: UnaryMessage::default(),
         };
         if is_connected {
             call.open(&mut self.engine);
@@ -266,7 +266,7 @@
     path: &'a str,
     request: Vec<u8>,
     stream: Option<StreamId>,
-    response: Gather,
+    response: UnaryMessage,
 }
 
 /// How far a call has come.
@@ -306,13 +306,13 @@
                 }
             }
             Event::End { stream, trailers } if self.is_own(stream) => {
-                let status = trailers.as_ref().and_then(Code::read);
+                let status = trailers.as_ref().and_then(Code::from_trailers);
                 match self.response.message() {
                     Some(body) if status == Some(Code::Ok) => CallState::Answered(body.to_vec()),
                     _ => CallState::Failed,
                 }
             }
-            Event::Broken { stream, .. }
+            Event::StreamFailed { stream, .. }
             | Event::Head {
                 stream,
                 ended: true,
--- a/crates/coordinator/src/server/mod.rs
+++ b/crates/coordinator/src/server/mod.rs
@@ -202,7 +202,7 @@
                 self.on_data(stream, &data);
             }
             Event::End { stream, .. } => self.on_end(stream),
-            Event::Broken { stream, .. } => {
+            Event::StreamFailed { stream, .. } => {
                 self.incoming_closed(stream);
                 self.peers.stream_closed(stream);
             }
--- a/crates/coordinator/src/server/peers.rs
+++ b/crates/coordinator/src/server/peers.rs
@@ -4,7 +4,7 @@
 use crate::ids::Slot;
 use crate::protocol::{PeerMessage, ReadRequest, ReadResponse};
 use chalkdeck_net::grpc;
-use chalkdeck_net::unary::Gather;
+use chalkdeck_net::unary::UnaryMessage;
 use chalkdeck_net::{ConnId, Engine, StreamId};
 use chalkdeck_time::{TimeDelta, Timestamp};
 use prost::Message;
@@ -88,7 +88,7 @@
     /// By place in the list of addresses; the replica's own is not used.
     peers: Vec<PeerConnection>,
     /// Reads under way, by their streams.
-    reads: FxHashMap<StreamId, Gather>,
+    reads: FxHashMap<StreamId, UnaryMessage>,
 }
 
 impl PeerConnections {
@@ -145,7 +145,7 @@
         };
         engine.send(stream, grpc::frame(&request.encode_to_vec()));
         engine.finish(stream, None);
-        self.reads.insert(stream, Gather::default());
+        self.reads.insert(stream, UnaryMessage::default());
     }
 
     /// Gives up connections that are not established in time.
--- a/crates/counter/src/metrics.rs
+++ b/crates/counter/src/metrics.rs
@@ -69,7 +69,7 @@
     pub(crate) fn new() -> Metrics {
         let answers_by_status: Family<StatusLabel, Counter> = Family::default();
         let answer_counter = |number: i32| {
-            let status = format!("{:?}", Code::of(number)).to_lowercase();
+            let status = format!("{:?}", Code::from_number(number)).to_lowercase();
             answers_by_status
                 .get_or_create(&StatusLabel { status })
                 .clone()
--- a/crates/counter/src/server.rs
+++ b/crates/counter/src/server.rs
@@ -123,7 +123,7 @@
                 self.on_data(stream, &data);
             }
             Event::End { stream, .. } => self.on_stream_ended(stream),
-            Event::Broken { stream, .. } => {
+            Event::StreamFailed { stream, .. } => {
                 self.streams.remove(&stream);
             }
             // Pending increments of a lost connection are not counted: nobody would get the answers.
--- a/crates/counter/tests/service.rs
+++ b/crates/counter/tests/service.rs
@@ -94,7 +94,7 @@
                     self.answers.push(answer);
                 }
             }
-            Event::End { .. } | Event::Broken { .. } => self.is_over = true,
+            Event::End { .. } | Event::StreamFailed { .. } => self.is_over = true,
             Event::Closed { conn, .. } if conn == self.connection => self.is_over = true,
             _ => {}
         }
--- a/crates/grpc-gateway/src/call_flow/events.rs
+++ b/crates/grpc-gateway/src/call_flow/events.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use chalkdeck::api::{Event, Outcome, RequestId};
 use chalkdeck_net::grpc::{self, Code};
-use chalkdeck_net::{Broken, ConnId, StreamId};
+use chalkdeck_net::{ConnId, StreamError, StreamId};
 use http::{response, HeaderMap};
 
 impl Shell {
@@ -180,7 +180,7 @@
         self.on_answer(id, trailers.unwrap_or_default(), false);
     }
 
-    pub(crate) fn on_broken(&mut self, stream: StreamId, how: Broken) {
+    pub(crate) fn on_broken(&mut self, stream: StreamId, how: StreamError) {
         if self.keeper_heard(stream, &[], true) {
             return;
         }
--- a/crates/grpc-gateway/src/call_flow/responses.rs
+++ b/crates/grpc-gateway/src/call_flow/responses.rs
@@ -26,7 +26,7 @@
             .clone()
             .unwrap_or("over the quota or no room to serve it".to_string());
         let mut trailers = grpc::trailers(Code::ResourceExhausted, &message);
-        grpc::advise(&mut trailers, Code::ResourceExhausted, &message, back_in);
+        grpc::add_retry_info(&mut trailers, Code::ResourceExhausted, &message, back_in);
         self.answer(id, grpc::trailers_only(trailers), End::Refused);
     }
 
@@ -167,7 +167,7 @@
 
 /// A server that ended without a status gave none that a client could read.
 fn with_status(mut trailers: HeaderMap) -> HeaderMap {
-    if Code::read(&trailers).is_none() {
+    if Code::from_trailers(&trailers).is_none() {
         trailers.insert(grpc::STATUS, HeaderValue::from(Code::Unknown as i32));
     }
     trailers
--- a/crates/grpc-gateway/src/counter.rs
+++ b/crates/grpc-gateway/src/counter.rs
@@ -306,7 +306,7 @@
                 return told;
             };
             self.news.extend(self.standing.heard(&answer));
-            if Code::of(answer.status) == Code::Aborted {
+            if Code::from_number(answer.status) == Code::Aborted {
                 self.caller = incarnation(engine.now());
             }
             let outcome = outcome_of(&answer);
@@ -321,7 +321,7 @@
 }
 
 fn outcome_of(answer: &AddResponse) -> Outcome {
-    match Code::of(answer.status) {
+    match Code::from_number(answer.status) {
         Code::Ok if answer.total.is_finite() => Outcome::Ok,
         Code::Unavailable | Code::ResourceExhausted => Outcome::Rejected,
         _ => Outcome::Error,
--- a/crates/grpc-gateway/src/endpoints.rs
+++ b/crates/grpc-gateway/src/endpoints.rs
@@ -8,7 +8,7 @@
 pub use crate::base::server::Server;
 use crate::base::server::{number_of, zone_of};
 use chalkdeck::api::{CellId, EndpointEntry, EndpointId, EndpointState, Timestamp};
-use chalkdeck_net::watch::WatchError;
+use chalkdeck_net::file_watch::FileWatchError;
 use chalkdeck_proto::envoy::config::core::v3::{address, socket_address, HealthStatus};
 use chalkdeck_proto::envoy::config::endpoint::v3::{
     lb_endpoint, ClusterLoadAssignment, LbEndpoint, LocalityLbEndpoints,
@@ -35,7 +35,7 @@
 pub enum LookError {
     /// Its file was not read.
     #[error(transparent)]
-    Read(#[from] WatchError),
+    Read(#[from] FileWatchError),
     /// It is no list.
     #[error(transparent)]
     List(#[from] ListError),
--- a/crates/grpc-gateway/src/keepers.rs
+++ b/crates/grpc-gateway/src/keepers.rs
@@ -299,7 +299,7 @@
         let told = keepers.set.region_metadata.as_ref().and_then(text);
         let found = || {
             engine
-                .came_from(conn)
+                .peer_ip(conn)
                 .and_then(|a| keepers.regions.region_of(a))
         };
         let caller = told.or_else(found).unwrap_or("").to_string();
@@ -369,7 +369,7 @@
         }
         let class = set.resp.as_ref().map_or(0, |r| r.class);
         let caller = engine
-            .came_from(conn)
+            .peer_ip(conn)
             .and_then(|a| keepers.regions.region_of(a))
             .unwrap_or("");
         let call = Call {
--- a/crates/grpc-gateway/src/outcome.rs
+++ b/crates/grpc-gateway/src/outcome.rs
@@ -2,7 +2,7 @@
 
 use chalkdeck::api::Outcome;
 use chalkdeck_net::grpc::{Code, UNPROCESSED};
-use chalkdeck_net::Broken;
+use chalkdeck_net::StreamError;
 use http::HeaderMap;
 
 /// How an attempt ended, and whether the server's answer is the client's.
@@ -16,7 +16,7 @@
 /// or from its time running out; every other status is the service's own word and goes to the client as it is.
 pub(crate) fn of_status(trailers: &HeaderMap) -> Ended {
     let is = |outcome, is_answer| Ended { outcome, is_answer };
-    match Code::read(trailers) {
+    match Code::from_trailers(trailers) {
         Some(Code::Unavailable) if trailers.get(UNPROCESSED).is_some_and(|v| v == "1") => {
             is(Outcome::Rejected, false)
         }
@@ -28,10 +28,10 @@
 }
 
 /// By how its stream broke off.
-pub(crate) fn of_break(how: Broken) -> Outcome {
+pub(crate) fn of_break(how: StreamError) -> Outcome {
     match how {
-        Broken::Refused | Broken::GoneAway => Outcome::Rejected,
-        Broken::Reset(_) | Broken::Lost => Outcome::Reset,
+        StreamError::Refused | StreamError::GoneAway => Outcome::Rejected,
+        StreamError::Reset(_) | StreamError::Lost => Outcome::Reset,
     }
 }
 
--- a/crates/grpc-gateway/src/outcome/tests.rs
+++ b/crates/grpc-gateway/src/outcome/tests.rs
@@ -11,10 +11,12 @@
     assert!(of_status(&trailers).outcome.never_ran());
     assert!(!of_status(&HeaderMap::new()).outcome.never_ran());
     assert!(
-        !of_break(Broken::Lost).never_ran()
-            && !of_break(Broken::Reset(h2::Reason::CANCEL)).never_ran()
+        !of_break(StreamError::Lost).never_ran()
+            && !of_break(StreamError::Reset(h2::Reason::CANCEL)).never_ran()
+    );
+    assert!(
+        of_break(StreamError::Refused).never_ran() && of_break(StreamError::GoneAway).never_ran()
     );
-    assert!(of_break(Broken::Refused).never_ran() && of_break(Broken::GoneAway).never_ran());
 }
 
 #[test]
--- a/crates/grpc-gateway/src/pool.rs
+++ b/crates/grpc-gateway/src/pool.rs
@@ -141,8 +141,8 @@
             .links
             .iter()
             .filter(|l| l.up)
-            .max_by_key(|l| engine.room(l.conn));
-        if let Some(link) = up.filter(|l| engine.room(l.conn) > 0) {
+            .max_by_key(|l| engine.available_streams(l.conn));
+        if let Some(link) = up.filter(|l| engine.available_streams(l.conn) > 0) {
             return Found::Ready(link.conn);
         }
         let streams = self.limits.streams as usize;
--- a/crates/grpc-gateway/src/relay.rs
+++ b/crates/grpc-gateway/src/relay.rs
@@ -94,7 +94,7 @@
                 };
                 self.engine.consume(other, bytes);
             }
-            Event::Broken { stream, .. } => {
+            Event::StreamFailed { stream, .. } => {
                 let Some(&other) = self.peer.get(&stream) else {
                     return;
                 };
--- a/crates/grpc-gateway/src/resp/mod.rs
+++ b/crates/grpc-gateway/src/resp/mod.rs
@@ -541,6 +541,6 @@
     pub(crate) fn resp_is_alone(&self) -> bool {
         self.resp
             .as_ref()
-            .is_none_or(|r| self.engine.held_by(r.listener) == 0)
+            .is_none_or(|r| self.engine.connections_of(r.listener) == 0)
     }
 }
--- a/crates/grpc-gateway/src/shell.rs
+++ b/crates/grpc-gateway/src/shell.rs
@@ -21,10 +21,10 @@
 };
 use chalkdeck::DecisionEngine;
 use chalkdeck::Decisions;
-use chalkdeck_net::due::Dues;
+use chalkdeck_net::file_watch::FileWatch;
 use chalkdeck_net::grpc::Code;
 use chalkdeck_net::signals::Signals;
-use chalkdeck_net::watch::Watch;
+use chalkdeck_net::timer_queue::TimerQueue;
 use chalkdeck_net::{ConnId, Engine, Event as NetEvent, ListenerId};
 use std::io;
 use std::net::SocketAddr;
@@ -67,9 +67,9 @@
     pub(crate) sites: Option<Sites>,
     pub(crate) keepers: Option<Keepers>,
     pub(crate) pool: Pool,
-    watch: Watch,
+    watch: FileWatch,
     pub(crate) metrics: Metrics,
-    dues: Dues<Due>,
+    dues: TimerQueue<Due>,
     events: Vec<NetEvent>,
     stop_by: Option<u64>,
     pub(crate) fault: Option<Fault>,
@@ -122,9 +122,9 @@
             sites: set.sites.then(|| Sites::new(&set)).transpose()?,
             keepers,
             pool: Pool::new(set.server_connections, set.server_streams, set.keepalive),
-            watch: Watch::new(set.endpoints.clone()),
+            watch: FileWatch::new(set.endpoints.clone()),
             metrics: Metrics::new(&set.class_names, &set.plan_names),
-            dues: Dues::default(),
+            dues: TimerQueue::default(),
             events: Vec::new(),
             stop_by: None,
             fault: None,
@@ -211,7 +211,9 @@
     /// passed. Until a client has heard that it may open nothing, what it opens is taken and answered.
     pub fn stopped(&self) -> bool {
         let alone = || {
-            self.calls.open == 0 && self.engine.held_by(self.listener) == 0 && self.resp_is_alone()
+            self.calls.open == 0
+                && self.engine.connections_of(self.listener) == 0
+                && self.resp_is_alone()
         };
         self.stop_by
             .is_some_and(|by| self.engine.now() >= by || alone())
@@ -225,7 +227,7 @@
         self.settle();
         self.keeper_leaves();
         let flush_by = self.engine.now() + LONGEST_WAIT;
-        while self.engine.held().1 > 0 && self.engine.now() < flush_by {
+        while self.engine.stream_count() > 0 && self.engine.now() < flush_by {
             self.turn(1_000)?;
         }
         for _ in 0..3 {
@@ -281,7 +283,7 @@
             NetEvent::Data { stream, data } => self.on_data(stream, data),
             NetEvent::End { stream, trailers } => self.on_end(stream, trailers),
             NetEvent::Sent { stream, bytes } => self.on_sent(stream, bytes),
-            NetEvent::Broken { stream, how } => self.on_broken(stream, how),
+            NetEvent::StreamFailed { stream, error } => self.on_broken(stream, error),
             NetEvent::Timer(token) => self.on_due(token),
             NetEvent::Get { conn, path } => self.on_get(conn, &path),
         }
@@ -431,7 +433,7 @@
     fn look(&mut self) {
         self.due_in(self.set.poll, Due::Look);
         self.pool.close_idle(&mut self.engine);
-        let Some(bytes) = self.watch.look() else {
+        let Some(bytes) = self.watch.poll() else {
             return;
         };
         let list = |b: Vec<u8>| endpoints::read(self.watch.path(), &b).map_err(LookError::from);
@@ -501,14 +503,14 @@
             return;
         }
         if new.endpoints != self.set.endpoints {
-            self.watch = Watch::new(new.endpoints.clone());
+            self.watch = FileWatch::new(new.endpoints.clone());
         }
         self.set = new;
         tracing::info!("settings reloaded");
     }
 
     fn on_get(&mut self, conn: ConnId, path: &str) {
-        let (connections, _) = self.engine.held();
+        let connections = self.engine.connection_count();
         self.metrics.connections.set(connections as i64);
         match path {
             "/healthz" if self.stop_by.is_some() => self.engine.reply(conn, 503, "stopping\n"),
--- a/crates/grpc-gateway/tests/calls.rs
+++ b/crates/grpc-gateway/tests/calls.rs
@@ -1,7 +1,7 @@
 //! Calls of all kinds from a client over the gateway to a server and back.
 mod common;
 use chalkdeck_net::grpc::{self, Code};
-use chalkdeck_net::Broken;
+use chalkdeck_net::StreamError;
 use common::*;
 
 #[test]
@@ -255,7 +255,7 @@
         });
         assert_eq!(
             rig.servers.seen[&stream].broken,
-            Some(Broken::Reset(h2::Reason::CANCEL))
+            Some(StreamError::Reset(h2::Reason::CANCEL))
         );
         assert_eq!(rig.metric("chalkdeck_calls_ended_total", "gone"), 1.0);
         assert_eq!(rig.servers.opened.len(), 1, "nothing is sent for it after");
--- a/crates/grpc-gateway/tests/common/mod.rs
+++ b/crates/grpc-gateway/tests/common/mod.rs
@@ -4,8 +4,8 @@
 use bytes::Bytes;
 use chalkdeck_grpc_gateway::{Settings, Shell};
 use chalkdeck_net::grpc::{self, Code, Deframer};
-use chalkdeck_net::unary::Gather;
-use chalkdeck_net::{Broken, ConnId, Engine, Event, Limits, ListenerId, StreamId};
+use chalkdeck_net::unary::UnaryMessage;
+use chalkdeck_net::{ConnId, Engine, Event, Limits, ListenerId, StreamError, StreamId};
 use chalkdeck_proto::chalkdeck::counter::v1::{AddRequest, AddResponse};
 use http::{HeaderMap, HeaderName, HeaderValue};
 use prost::Message;
@@ -28,17 +28,17 @@
     pub headers: HeaderMap,
     pub head: Option<http::StatusCode>,
     pub bytes: usize,
-    pub gather: Gather,
+    pub gather: UnaryMessage,
     pub deframer: Deframer,
     pub messages: Vec<Bytes>,
     pub trailers: Option<HeaderMap>,
     pub ended: bool,
-    pub broken: Option<Broken>,
+    pub broken: Option<StreamError>,
 }
 
 impl Seen {
     pub fn code(&self) -> Option<Code> {
-        self.trailers.as_ref().and_then(Code::read)
+        self.trailers.as_ref().and_then(Code::from_trailers)
     }
 }
 
@@ -155,8 +155,8 @@
                 );
                 (seen.trailers, seen.ended) = (trailers, true);
             }
-            Event::Broken { stream, how } => {
-                self.seen.entry(stream).or_default().broken = Some(how)
+            Event::StreamFailed { stream, error } => {
+                self.seen.entry(stream).or_default().broken = Some(error)
             }
             Event::Sent { .. } | Event::Timer(_) | Event::Get { .. } | Event::Bytes { .. } => {}
         }
--- a/crates/grpc-gateway/tests/life.rs
+++ b/crates/grpc-gateway/tests/life.rs
@@ -119,7 +119,7 @@
         }
         assert_eq!(client.seen[&call].code(), Some(Code::Ok));
         assert_eq!(stopped.join().expect("it runs").expect("it stops well"), 0);
-        while !client.closed.contains(conn) && client.engine.room(*conn) > 0 {
+        while !client.closed.contains(conn) && client.engine.available_streams(*conn) > 0 {
             assert!(std::time::Instant::now() < end, "the client hears of it");
             client.turn();
             if client
--- a/crates/grpc-gateway/tests/servers.rs
+++ b/crates/grpc-gateway/tests/servers.rs
@@ -1,7 +1,7 @@
 //! Servers that fail in the ways for which the gateway is there.
 mod common;
 use chalkdeck_net::grpc::{self, Code};
-use chalkdeck_net::{Broken, StreamId};
+use chalkdeck_net::{StreamError, StreamId};
 use common::*;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -440,7 +440,7 @@
     let code = rig.ended(call);
     assert!([Code::ResourceExhausted, Code::DeadlineExceeded].contains(&code));
     rig.until("the reset", |r| {
-        r.servers.seen[&stream].broken == Some(Broken::Reset(h2::Reason::CANCEL))
+        r.servers.seen[&stream].broken == Some(StreamError::Reset(h2::Reason::CANCEL))
     });
 }
 
--- a/crates/grpc-gateway/tests/stops.rs
+++ b/crates/grpc-gateway/tests/stops.rs
@@ -1,7 +1,7 @@
 //! Stops under clients that go on sending: what a gateway took is answered, and what it did not take its client knows of.
 mod common;
 use chalkdeck_net::grpc::{self, Code};
-use chalkdeck_net::Broken;
+use chalkdeck_net::StreamError;
 use common::*;
 use fastrand::Rng;
 use std::io::{ErrorKind, Read, Write};
@@ -45,7 +45,7 @@
             let seen = rig.heard(call);
             let told = seen.is_some_and(|s| {
                 s.code() == Some(Code::Ok)
-                    || matches!(s.broken, Some(Broken::GoneAway | Broken::Refused))
+                    || matches!(s.broken, Some(StreamError::GoneAway | StreamError::Refused))
             });
             assert!(told, "seed {seed}: {call:?} heard {seen:?}");
         }
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -1,57 +1,67 @@
-//! Clocks. Both count microseconds.
+//! Clocks. All of them count microseconds.
 
 use rustix::time::{clock_gettime, ClockId};
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
 use std::sync::Arc;
 
+const MICROS_PER_SECOND: u64 = 1_000_000;
+const NANOS_PER_MICRO: u64 = 1_000;
+/// The low bits of an incarnation, which are random.
+const INCARNATION_RANDOM_BITS: u32 = 12;
+
 fn read(id: ClockId) -> u64 {
-    let t = clock_gettime(id);
-    t.tv_sec as u64 * 1_000_000 + t.tv_nsec as u64 / 1_000
+    let time = clock_gettime(id);
+    time.tv_sec as u64 * MICROS_PER_SECOND + time.tv_nsec as u64 / NANOS_PER_MICRO
 }
 
-/// The machine's monotonic time: never steps, equal in all processes of this machine.
+/// The machine's monotonic time: it never steps and is the same in all processes of this machine.
 pub fn monotonic() -> u64 {
     read(ClockId::Monotonic)
 }
 
-/// A number for one life of a process that began at `now`: above that of any earlier life, and apart from those that began in
-/// the same microsecond.
+/// The number of an incarnation of a process that started at `now`: above that of any earlier incarnation, and distinct from those
+/// that started in the same microsecond.
 pub fn incarnation(now: u64) -> u64 {
-    (now << 12) | fastrand::u64(..1 << 12)
+    (now << INCARNATION_RANDOM_BITS) | fastrand::u64(..1 << INCARNATION_RANDOM_BITS)
 }
 
-/// Time since the Unix epoch as it was at the start, moved on by the monotonic clock, so that it never steps.
+/// Time since the Unix epoch as it was at the start, advanced by the monotonic clock, so that it never steps.
 #[derive(Clone, Debug)]
 pub struct Clock {
-    ahead: u64,
+    /// The Unix time at the start of the monotonic clock.
+    offset: u64,
     jumps: Option<Arc<Jumps>>,
 }
 
-/// Makes a clock jump, for tests of what hangs on it. Like the clock it belongs to, time does not go back: it stands until
-/// what was lost has been made up, or goes on from there once it has jumped.
+/// Makes a clock jump, for tests of what depends on it. Like the clock itself, its time does not go back: after a jump back of the
+/// source it goes on from where it was.
 #[derive(Debug, Default)]
 pub struct Jumps {
-    by: AtomicI64,
-    held: AtomicI64,
-    last: AtomicU64,
+    /// The sum of all jumps.
+    total: AtomicI64,
+    /// What was added so that time does not go back.
+    correction: AtomicI64,
+    /// The latest time that was read.
+    latest: AtomicU64,
 }
 
 impl Jumps {
     /// Moves the source of time by so many microseconds, back if negative.
     pub fn jump(&self, by: i64) {
-        self.by.fetch_add(by, Ordering::SeqCst);
+        self.total.fetch_add(by, Ordering::SeqCst);
     }
 
-    /// A source that went back is taken to go on from where it was.
+    /// The time for this reading of the source.
     fn steady(&self, source: u64) -> u64 {
-        let moved =
-            source as i64 + self.by.load(Ordering::SeqCst) + self.held.load(Ordering::SeqCst);
-        let last = self.last.fetch_max(moved.max(0) as u64, Ordering::SeqCst);
-        let back = last as i64 - moved;
+        let moved = source as i64
+            + self.total.load(Ordering::SeqCst)
+            + self.correction.load(Ordering::SeqCst);
+        let latest = self.latest.fetch_max(moved.max(0) as u64, Ordering::SeqCst);
+        let back = latest as i64 - moved;
         if back > 0 {
-            self.held.fetch_add(back, Ordering::SeqCst);
+            self.correction.fetch_add(back, Ordering::SeqCst);
         }
-        last.max(moved.max(0) as u64)
+        latest.max(moved.max(0) as u64)
     }
 }
 
@@ -59,7 +69,7 @@
     /// Reads the machine's date once.
     pub fn start() -> Clock {
         Clock {
-            ahead: read(ClockId::Realtime).saturating_sub(monotonic()),
+            offset: read(ClockId::Realtime).saturating_sub(monotonic()),
             jumps: None,
         }
     }
@@ -72,7 +82,7 @@
     }
     /// Microseconds since the Unix epoch.
     pub fn now(&self) -> u64 {
-        let source = monotonic() + self.ahead;
+        let source = monotonic() + self.offset;
         self.jumps
             .as_ref()
             .map_or(source, |jumps| jumps.steady(source))
--- a/crates/net/src/close.rs
+++ b/crates/net/src/close_reason.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-/// How a connection came to its end. Only an orderly end says that all the peer wrote has arrived.
+/// How a connection ended. Only an orderly end means that all that the peer wrote was received.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CloseReason {
     /// The peer ended its direction in order, after its last byte.
--- /dev/null
+++ b/crates/net/src/connection.rs
@@ -0,0 +1,361 @@
+//! One connection of either side, from its socket to the `h2` state that runs over it.
+
+use crate::close_reason::CloseReason;
+use crate::h2_socket::H2Socket;
+use crate::http1::{Http1, Http1Progress};
+use crate::limits::Limits;
+use crate::plain_connection::{PlainConnection, PlainProgress};
+use bytes::Bytes;
+use mio::net::TcpStream;
+use std::future::Future;
+use std::io;
+use std::net::IpAddr;
+use std::pin::Pin;
+use std::task::{Context, Poll, Waker};
+
+/// Streams that a client has reset and that `h2` still remembers.
+const MAX_REMEMBERED_RESETS: usize = 64;
+
+/// Both halves of the client side of HTTP/2.
+type ClientHalves = (
+    h2::client::SendRequest<Bytes>,
+    h2::client::Connection<H2Socket, Bytes>,
+);
+type ClientHandshake = Pin<Box<dyn Future<Output = Result<ClientHalves, h2::Error>> + Send>>;
+
+/// What runs over a socket.
+pub(crate) enum Transport {
+    /// The socket is being connected.
+    Connecting(Option<TcpStream>, Protocol),
+    ClientHandshake(ClientHandshake),
+    Client(
+        h2::client::SendRequest<Bytes>,
+        Box<h2::client::Connection<H2Socket, Bytes>>,
+    ),
+    ServerHandshake(Box<h2::server::Handshake<H2Socket, Bytes>>),
+    Server(Box<h2::server::Connection<H2Socket, Bytes>>),
+    Http1(Http1),
+    Plain(PlainConnection),
+    Closed,
+}
+
+/// What a connection carries.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Protocol {
+    Http2,
+    Http1,
+    Plain,
+}
+
+/// The streams that a client reset within one second.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct ResetCounter {
+    second: u64,
+    resets: u32,
+}
+
+impl ResetCounter {
+    /// Counts a reset in this second; returns the number in it.
+    pub(crate) fn count(&mut self, second: u64) -> u32 {
+        if self.second != second {
+            *self = ResetCounter { second, resets: 0 };
+        }
+        self.resets += 1;
+        self.resets
+    }
+}
+
+pub(crate) struct Connection {
+    pub(crate) transport: Transport,
+    pub(crate) waker: Waker,
+    pub(crate) limits: Limits,
+    /// The key of the listener that accepted it.
+    pub(crate) listener: Option<u64>,
+    /// The address of the client, where it was accepted.
+    pub(crate) peer_ip: Option<IpAddr>,
+    /// Streams that are open on it.
+    pub(crate) open_streams: usize,
+    /// It was established.
+    pub(crate) is_reached: bool,
+    pub(crate) reset_counter: ResetCounter,
+    ping: Option<h2::PingPong>,
+    /// A ping was sent and not answered yet.
+    pub(crate) awaits_pong: bool,
+    /// Its client is asked to open nothing new as soon as that can be sent.
+    is_draining: bool,
+}
+
+/// What polling a connection led to.
+pub(crate) enum Progress {
+    /// Nothing more for now.
+    Wait,
+    /// A connection that was made from here is established.
+    Connected,
+    /// A client opened a stream.
+    Opened(
+        Box<http::Request<h2::RecvStream>>,
+        h2::server::SendResponse<Bytes>,
+    ),
+    /// A GET on an HTTP/1.1 port.
+    Get(String),
+    /// Bytes on a plain connection.
+    Bytes {
+        data: Bytes,
+        /// There may be more to read at once.
+        may_have_more: bool,
+    },
+    /// It has ended.
+    Closed(CloseReason),
+}
+
+impl Connection {
+    pub(crate) fn accepted(
+        stream: TcpStream,
+        peer_ip: IpAddr,
+        limits: Limits,
+        listener: u64,
+        protocol: Protocol,
+        waker: Waker,
+    ) -> Connection {
+        let transport = match protocol {
+            Protocol::Http2 => {
+                let handshake = server_builder(&limits).handshake(H2Socket(stream));
+                Transport::ServerHandshake(Box::new(handshake))
+            }
+            Protocol::Http1 => Transport::Http1(Http1::new(stream)),
+            Protocol::Plain => Transport::Plain(PlainConnection::new(stream)),
+        };
+        Connection {
+            listener: Some(listener),
+            peer_ip: Some(peer_ip),
+            is_reached: true,
+            ..Connection::new(transport, limits, waker)
+        }
+    }
+
+    pub(crate) fn connecting(
+        stream: TcpStream,
+        limits: Limits,
+        protocol: Protocol,
+        waker: Waker,
+    ) -> Connection {
+        Connection::new(Transport::Connecting(Some(stream), protocol), limits, waker)
+    }
+
+    fn new(transport: Transport, limits: Limits, waker: Waker) -> Connection {
+        Connection {
+            transport,
+            waker,
+            limits,
+            listener: None,
+            peer_ip: None,
+            open_streams: 0,
+            is_reached: false,
+            reset_counter: ResetCounter::default(),
+            ping: None,
+            awaits_pong: false,
+            is_draining: false,
+        }
+    }
+
+    /// How many further streams may be opened now, by our limit and by that of the peer.
+    pub(crate) fn available_streams(&self) -> usize {
+        let Transport::Client(sender, _) = &self.transport else {
+            return 0;
+        };
+        let max_streams = sender
+            .current_max_send_streams()
+            .min(self.limits.streams as usize);
+        max_streams.saturating_sub(self.open_streams)
+    }
+
+    /// Bytes queued on a plain connection that were not written.
+    pub(crate) fn unsent(&self) -> usize {
+        match &self.transport {
+            Transport::Plain(plain) => plain.unsent(),
+            _ => 0,
+        }
+    }
+
+    /// Asks the client to open nothing new; during the handshake, as soon as that is over.
+    pub(crate) fn drain(&mut self) {
+        self.is_draining = true;
+        if let Transport::Server(server) = &mut self.transport {
+            server.graceful_shutdown();
+        }
+        self.waker.wake_by_ref();
+    }
+
+    /// Sends a ping.
+    pub(crate) fn send_ping(&mut self) {
+        if let Some(ping) = &mut self.ping {
+            self.awaits_pong = ping.send_ping(h2::Ping::opaque()).is_ok();
+            self.waker.wake_by_ref();
+        }
+    }
+
+    /// Makes progress as far as one result.
+    pub(crate) fn poll(&mut self) -> Progress {
+        let waker = self.waker.clone();
+        let mut context = Context::from_waker(&waker);
+        self.poll_pong(&mut context);
+        loop {
+            if let Some(progress) = self.advance(&mut context) {
+                return progress;
+            }
+        }
+    }
+
+    fn poll_pong(&mut self, context: &mut Context<'_>) {
+        let Some(ping) = self.ping.as_mut().filter(|_| self.awaits_pong) else {
+            return;
+        };
+        if ping.poll_pong(context).is_ready() {
+            self.awaits_pong = false;
+        }
+    }
+
+    /// Polls the transport; none: there is another transport now, which is to be polled.
+    fn advance(&mut self, context: &mut Context<'_>) -> Option<Progress> {
+        match &mut self.transport {
+            Transport::Connecting(..) => self.poll_connecting(),
+            Transport::ClientHandshake(_) => self.poll_client_handshake(context),
+            Transport::Client(_, client) => match Pin::new(client.as_mut()).poll(context) {
+                Poll::Pending => Some(Progress::Wait),
+                Poll::Ready(end) => Some(Progress::Closed(h2_end(end.err()))),
+            },
+            Transport::ServerHandshake(_) => self.poll_server_handshake(context),
+            Transport::Server(server) => Some(match server.poll_accept(context) {
+                Poll::Pending => Progress::Wait,
+                Poll::Ready(None) => Progress::Closed(h2_end(None)),
+                Poll::Ready(Some(Err(error))) => Progress::Closed(h2_end(Some(error))),
+                Poll::Ready(Some(Ok((request, respond)))) => {
+                    Progress::Opened(Box::new(request), respond)
+                }
+            }),
+            Transport::Http1(http1) => Some(match http1.poll() {
+                Http1Progress::Wait => Progress::Wait,
+                Http1Progress::Get(path) => Progress::Get(path),
+                Http1Progress::Closed => Progress::Closed(CloseReason::PeerEnded),
+            }),
+            Transport::Plain(plain) => Some(match plain.poll() {
+                PlainProgress::Wait => Progress::Wait,
+                PlainProgress::Bytes {
+                    data,
+                    may_have_more,
+                } => Progress::Bytes {
+                    data,
+                    may_have_more,
+                },
+                PlainProgress::Closed(reason) => Progress::Closed(reason),
+            }),
+            Transport::Closed => Some(Progress::Wait),
+        }
+    }
+
+    fn poll_connecting(&mut self) -> Option<Progress> {
+        let Transport::Connecting(slot, protocol) = &mut self.transport else {
+            return None;
+        };
+        let stream = match poll_established(slot) {
+            Poll::Pending => return Some(Progress::Wait),
+            Poll::Ready(Err(error)) => return Some(failed(&error)),
+            Poll::Ready(Ok(stream)) => stream,
+        };
+        self.is_reached = true;
+        if *protocol == Protocol::Plain {
+            self.transport = Transport::Plain(PlainConnection::new(stream));
+            return Some(Progress::Connected);
+        }
+        let handshake = client_builder(&self.limits).handshake(H2Socket(stream));
+        self.transport = Transport::ClientHandshake(Box::pin(handshake));
+        None
+    }
+
+    fn poll_client_handshake(&mut self, context: &mut Context<'_>) -> Option<Progress> {
+        let Transport::ClientHandshake(handshake) = &mut self.transport else {
+            return None;
+        };
+        match handshake.as_mut().poll(context) {
+            Poll::Pending => Some(Progress::Wait),
+            Poll::Ready(Err(error)) => Some(failed(&error)),
+            Poll::Ready(Ok((sender, mut client))) => {
+                self.ping = client.ping_pong();
+                self.transport = Transport::Client(sender, Box::new(client));
+                context.waker().wake_by_ref();
+                Some(Progress::Connected)
+            }
+        }
+    }
+
+    fn poll_server_handshake(&mut self, context: &mut Context<'_>) -> Option<Progress> {
+        let Transport::ServerHandshake(handshake) = &mut self.transport else {
+            return None;
+        };
+        match Pin::new(handshake.as_mut()).poll(context) {
+            Poll::Pending => Some(Progress::Wait),
+            Poll::Ready(Err(error)) => Some(failed(&error)),
+            Poll::Ready(Ok(mut server)) => {
+                if self.is_draining {
+                    server.graceful_shutdown();
+                }
+                self.transport = Transport::Server(Box::new(server));
+                None
+            }
+        }
+    }
+}
+
+fn failed(error: &impl std::fmt::Display) -> Progress {
+    Progress::Closed(CloseReason::Failed(error.to_string()))
+}
+
+fn h2_end(error: Option<h2::Error>) -> CloseReason {
+    match error {
+        Some(error) => CloseReason::Failed(error.to_string()),
+        None => CloseReason::PeerEnded,
+    }
+}
+
+/// Takes the socket out of its slot once it is connected.
+fn poll_established(slot: &mut Option<TcpStream>) -> Poll<io::Result<TcpStream>> {
+    let Some(stream) = slot else {
+        return Poll::Pending;
+    };
+    if let Ok(Some(error)) | Err(error) = stream.take_error() {
+        return Poll::Ready(Err(error));
+    }
+    match stream.peer_addr() {
+        Ok(_) => Poll::Ready(
+            slot.take()
+                .ok_or_else(|| io::ErrorKind::NotConnected.into()),
+        ),
+        Err(error) if error.kind() == io::ErrorKind::NotConnected => Poll::Pending,
+        Err(error) => Poll::Ready(Err(error)),
+    }
+}
+
+fn server_builder(limits: &Limits) -> h2::server::Builder {
+    let mut builder = h2::server::Builder::new();
+    builder
+        .max_concurrent_streams(limits.streams)
+        .initial_window_size(limits.stream_window)
+        .initial_connection_window_size(limits.connection_window)
+        .max_header_list_size(limits.header_bytes)
+        .max_send_buffer_size(limits.stream_window as usize)
+        .max_concurrent_reset_streams(MAX_REMEMBERED_RESETS)
+        .max_pending_accept_reset_streams(MAX_REMEMBERED_RESETS);
+    builder
+}
+
+fn client_builder(limits: &Limits) -> h2::client::Builder {
+    let mut builder = h2::client::Builder::new();
+    builder
+        .enable_push(false)
+        .initial_max_send_streams(limits.streams as usize)
+        .initial_window_size(limits.stream_window)
+        .initial_connection_window_size(limits.connection_window)
+        .max_header_list_size(limits.header_bytes)
+        .max_send_buffer_size(limits.stream_window as usize);
+    builder
+}
--- /dev/null
+++ b/crates/net/src/engine/connections.rs
@@ -0,0 +1,221 @@
+//! Connections of all protocols: made, polled, pinged and closed.
+
+use super::Engine;
+use crate::close_reason::CloseReason;
+use crate::connection::{Connection, Progress, Protocol, Transport};
+use crate::event::Event;
+use crate::http1::Http1Progress;
+use crate::ids::{ConnId, ListenerId};
+use crate::limits::Limits;
+use crate::ready_queue::Priority;
+use mio::net::TcpStream;
+use mio::{Interest, Token};
+use std::cmp::Reverse;
+use std::io;
+use std::net::{IpAddr, SocketAddr};
+
+/// Streams that one connection may open before others have their turn.
+const OPENS_PER_CONNECTION: usize = 8;
+
+impl Engine {
+    /// Begins an HTTP/2 connection; `Connected` or `Closed` follows.
+    ///
+    /// # Errors
+    /// No socket is left, or the connection is refused at once.
+    pub fn connect(&mut self, address: SocketAddr, limits: Limits) -> io::Result<ConnId> {
+        self.dial(address, limits, Protocol::Http2)
+    }
+
+    /// Begins a plain connection, on which nothing may be queued before `Connected`.
+    ///
+    /// # Errors
+    /// As `connect`.
+    pub fn connect_raw(&mut self, address: SocketAddr) -> io::Result<ConnId> {
+        self.dial(address, Limits::default(), Protocol::Plain)
+    }
+
+    fn dial(
+        &mut self,
+        address: SocketAddr,
+        limits: Limits,
+        protocol: Protocol,
+    ) -> io::Result<ConnId> {
+        let mut stream = TcpStream::connect(address)?;
+        let _ = stream.set_nodelay(true);
+        let key = self.next_key();
+        let interest = Interest::READABLE | Interest::WRITABLE;
+        self.poll
+            .registry()
+            .register(&mut stream, Token(key as usize), interest)?;
+        let waker = self.ready.waker(key, Priority::High);
+        let connection = Connection::connecting(stream, limits, protocol, waker);
+        self.connections.insert(key, connection);
+        Ok(ConnId(key))
+    }
+
+    /// The number of open connections of a listener, also of one that does not listen any more.
+    pub fn connections_of(&self, listener: ListenerId) -> usize {
+        self.connections
+            .values()
+            .filter(|connection| connection.listener == Some(listener.0))
+            .count()
+    }
+
+    /// The number of open connections.
+    pub fn connection_count(&self) -> usize {
+        self.connections.len()
+    }
+
+    /// The address of the client of a connection; none: it is not open, or was made from here.
+    pub fn peer_ip(&self, conn: ConnId) -> Option<IpAddr> {
+        self.connections.get(&conn.0)?.peer_ip
+    }
+
+    /// Asks all clients of a listener's connections to open nothing new (GOAWAY); open streams go on.
+    pub fn drain(&mut self, listener: ListenerId) {
+        let connections = self.connections.values_mut();
+        for connection in connections.filter(|connection| connection.listener == Some(listener.0)) {
+            connection.drain();
+        }
+    }
+
+    /// Closes a connection at once.
+    pub fn close(&mut self, conn: ConnId) {
+        self.close_with_reason(conn, h2::Reason::NO_ERROR);
+    }
+
+    pub(super) fn close_with_reason(&mut self, conn: ConnId, reason: h2::Reason) {
+        let Some(connection) = self.connections.get_mut(&conn.0) else {
+            return;
+        };
+        match &mut connection.transport {
+            Transport::Server(server) => server.abrupt_shutdown(reason),
+            transport => *transport = Transport::Closed,
+        }
+        connection.waker.wake_by_ref();
+        if matches!(connection.transport, Transport::Closed) {
+            self.remove_connection(conn.0, CloseReason::Local);
+        }
+    }
+
+    /// Answers a GET and closes its connection.
+    pub fn reply(&mut self, conn: ConnId, status: u16, body: &str) {
+        let Some(Connection {
+            transport: Transport::Http1(http1),
+            waker,
+            ..
+        }) = self.connections.get_mut(&conn.0)
+        else {
+            return;
+        };
+        match http1.reply(status, body) {
+            Http1Progress::Closed => self.remove_connection(conn.0, CloseReason::Local),
+            Http1Progress::Wait | Http1Progress::Get(_) => waker.wake_by_ref(),
+        }
+    }
+
+    /// Pings connections at their intervals. Without it the calls on a connection that is half open would wait for their time-outs.
+    pub(super) fn send_pings(&mut self, now: u64) {
+        while let Some(Reverse((at, key))) = self.pings.peek().copied() {
+            if at > now {
+                return;
+            }
+            self.pings.pop();
+            let Some(connection) = self.connections.get_mut(&key) else {
+                continue;
+            };
+            if connection.awaits_pong {
+                let reason = CloseReason::Failed("no answer to a ping".to_string());
+                self.remove_connection(key, reason);
+                continue;
+            }
+            connection.send_ping();
+            let next = now + connection.limits.keepalive;
+            self.pings.push(Reverse((next, key)));
+        }
+    }
+
+    /// Polls a connection until it waits, or others have their turn.
+    pub(super) fn poll_connection(&mut self, key: u64) {
+        let mut opened = 0;
+        while let Some(connection) = self.connections.get_mut(&key) {
+            match connection.poll() {
+                Progress::Wait => return,
+                Progress::Connected => self.on_connected(key),
+                Progress::Get(path) => {
+                    let conn = ConnId(key);
+                    self.events.push_back(Event::Get { conn, path });
+                    return;
+                }
+                Progress::Bytes {
+                    data,
+                    may_have_more,
+                } => return self.on_plain_bytes(key, data, may_have_more),
+                Progress::Opened(request, respond) => {
+                    connection.open_streams += 1;
+                    opened += 1;
+                    let is_others_turn = opened >= OPENS_PER_CONNECTION;
+                    if is_others_turn {
+                        connection.waker.wake_by_ref();
+                    }
+                    self.on_stream_opened(key, *request, respond);
+                    if is_others_turn {
+                        return;
+                    }
+                }
+                Progress::Closed(reason) => return self.remove_connection(key, reason),
+            }
+        }
+    }
+
+    fn on_connected(&mut self, key: u64) {
+        let conn = ConnId(key);
+        self.events.push_back(Event::Connected { conn });
+        let keepalive = self
+            .connections
+            .get(&key)
+            .map_or(0, |connection| connection.limits.keepalive);
+        if keepalive > 0 {
+            self.pings.push(Reverse((self.now() + keepalive, key)));
+        }
+    }
+
+    /// One piece of bytes a turn, so that no connection delays the others or fills the memory: the rest stays in the socket until the
+    /// next turn.
+    fn on_plain_bytes(&mut self, key: u64, data: bytes::Bytes, may_have_more: bool) {
+        if may_have_more {
+            self.unread.push(key);
+        }
+        if !data.is_empty() {
+            self.unhandled.insert(key);
+            let conn = ConnId(key);
+            self.events.push_back(Event::Bytes { conn, data });
+        }
+    }
+
+    pub(super) fn remove_connection(&mut self, key: u64, reason: CloseReason) {
+        let Some(connection) = self.connections.remove(&key) else {
+            return;
+        };
+        if let Some(listener_key) = connection.listener {
+            self.on_accepted_closed(listener_key);
+        }
+        self.events.push_back(Event::Closed {
+            conn: ConnId(key),
+            reached: connection.is_reached,
+            unsent: connection.unsent(),
+            reason,
+        });
+    }
+
+    /// A connection of a listener has ended: one that waits can be accepted.
+    fn on_accepted_closed(&mut self, listener_key: u64) {
+        let Some(listener) = self.listeners.get_mut(&listener_key) else {
+            return;
+        };
+        listener.open_connections -= 1;
+        if std::mem::take(&mut listener.is_full) {
+            self.accept(listener_key, super::listeners::ACCEPTS_PER_TURN);
+        }
+    }
+}
--- /dev/null
+++ b/crates/net/src/engine/listeners.rs
@@ -0,0 +1,155 @@
+//! Listeners and the connections that they accept.
+
+use super::Engine;
+use crate::connection::{Connection, Protocol};
+use crate::event::Event;
+use crate::ids::{ConnId, ListenerId};
+use crate::limits::Limits;
+use crate::listener::{Accepted, Listener, PortSharing};
+use crate::ready_queue::Priority;
+use mio::net::TcpStream;
+use mio::{Interest, Token};
+use std::io;
+use std::net::{IpAddr, SocketAddr};
+
+/// Connections that a listener accepts in one turn. Open connections are not delayed while thousands of clients reconnect.
+pub(super) const ACCEPTS_PER_TURN: usize = 32;
+
+impl Engine {
+    /// Listens at `address` for HTTP/2 or, with `http1`, for GETs over HTTP/1.1; port 0 takes a free one. `shared`: other threads
+    /// listen there, too.
+    ///
+    /// # Errors
+    /// The address cannot be bound.
+    pub fn listen(
+        &mut self,
+        address: SocketAddr,
+        limits: Limits,
+        shared: bool,
+        http1: bool,
+    ) -> io::Result<(ListenerId, SocketAddr)> {
+        let sharing = if shared {
+            PortSharing::Shared
+        } else {
+            PortSharing::Exclusive
+        };
+        let protocol = if http1 {
+            Protocol::Http1
+        } else {
+            Protocol::Http2
+        };
+        self.add_listener(Listener::bind(address, limits, sharing, protocol)?)
+    }
+
+    /// Listens at `address` for plain connections.
+    ///
+    /// # Errors
+    /// The address cannot be bound.
+    pub fn listen_raw(
+        &mut self,
+        address: SocketAddr,
+        limits: Limits,
+    ) -> io::Result<(ListenerId, SocketAddr)> {
+        let listener = Listener::bind(address, limits, PortSharing::Exclusive, Protocol::Plain)?;
+        self.add_listener(listener)
+    }
+
+    fn add_listener(&mut self, mut listener: Listener) -> io::Result<(ListenerId, SocketAddr)> {
+        let local_address = listener.socket.local_addr()?;
+        let key = self.next_key();
+        self.poll.registry().register(
+            &mut listener.socket,
+            Token(key as usize),
+            Interest::READABLE,
+        )?;
+        self.listeners.insert(key, listener);
+        Ok((ListenerId(key), local_address))
+    }
+
+    /// Stops to listen; open connections stay. What waits is accepted first, up to the listener's limit: the system has completed
+    /// these connections, so their clients may have sent on them already.
+    pub fn unlisten(&mut self, listener: ListenerId) {
+        self.accept(listener.0, usize::MAX);
+        self.listeners.remove(&listener.0);
+    }
+
+    /// Stops to listen once there is room and nothing waits; returns whether it does not listen any more. A listener that holds as
+    /// many connections as it may goes on until those that the system has completed were accepted: an end would reset them with
+    /// what their clients sent.
+    pub fn unlisten_if_empty(&mut self, listener: ListenerId) -> bool {
+        self.accept(listener.0, usize::MAX);
+        let may_have_waiting = self
+            .listeners
+            .get(&listener.0)
+            .is_some_and(Listener::may_have_waiting);
+        if !may_have_waiting {
+            self.listeners.remove(&listener.0);
+        }
+        !may_have_waiting
+    }
+
+    /// Retries to accept where that failed: a listener may have no connection whose end would wake it.
+    pub(super) fn retry_accepts(&mut self) {
+        let now = self.now();
+        let keys: Vec<u64> = self
+            .listeners
+            .iter()
+            .filter(|(_, listener)| listener.is_retry_due(now))
+            .map(|(key, _)| *key)
+            .collect();
+        for key in keys {
+            self.accept(key, ACCEPTS_PER_TURN);
+        }
+    }
+
+    /// Accepts at most so many of the connections that wait.
+    pub(super) fn accept(&mut self, key: u64, max: usize) {
+        for _ in 0..max {
+            let now = self.now();
+            let Some(listener) = self.listeners.get_mut(&key) else {
+                return;
+            };
+            match listener.accept(now) {
+                Accepted::Connection(stream, peer_ip) => self.add_accepted(key, stream, peer_ip),
+                Accepted::Failed(error) => {
+                    tracing::warn!(%error, "accept failed: retrying");
+                    return;
+                }
+                Accepted::NoneWaiting | Accepted::Full => return,
+            }
+        }
+        self.accepting.push(key);
+    }
+
+    fn add_accepted(&mut self, listener_key: u64, mut stream: TcpStream, peer_ip: IpAddr) {
+        let _ = stream.set_nodelay(true);
+        let key = self.next_key();
+        let interest = Interest::READABLE | Interest::WRITABLE;
+        let registered = self
+            .poll
+            .registry()
+            .register(&mut stream, Token(key as usize), interest);
+        if registered.is_err() {
+            return;
+        }
+        let Some(listener) = self.listeners.get_mut(&listener_key) else {
+            return;
+        };
+        listener.open_connections += 1;
+        let waker = self.ready.waker(key, Priority::Low);
+        waker.wake_by_ref();
+        let connection = Connection::accepted(
+            stream,
+            peer_ip,
+            listener.limits,
+            listener_key,
+            listener.protocol,
+            waker,
+        );
+        self.connections.insert(key, connection);
+        self.events.push_back(Event::Accepted {
+            listener: ListenerId(listener_key),
+            conn: ConnId(key),
+        });
+    }
+}
--- /dev/null
+++ b/crates/net/src/engine/streams.rs
@@ -0,0 +1,172 @@
+//! HTTP/2 streams: opened, written, polled and reset.
+
+use super::Engine;
+use crate::connection::{Connection, Transport};
+use crate::event::Event;
+use crate::ids::{ConnId, StreamId};
+use crate::ready_queue::Priority;
+use crate::stream::{Outgoing, Stream};
+use bytes::Bytes;
+use http::{HeaderMap, Request, Response};
+
+/// Microseconds in a second.
+const MICROS_PER_SECOND: u64 = 1_000_000;
+
+impl Engine {
+    /// How many further streams may be opened on a connection now.
+    pub fn available_streams(&self, conn: ConnId) -> usize {
+        self.connections
+            .get(&conn.0)
+            .map_or(0, Connection::available_streams)
+    }
+
+    /// The number of open streams of a connection.
+    pub fn open_streams(&self, conn: ConnId) -> usize {
+        self.connections
+            .get(&conn.0)
+            .map_or(0, |connection| connection.open_streams)
+    }
+
+    /// The number of open streams.
+    pub fn stream_count(&self) -> usize {
+        self.streams.len()
+    }
+
+    /// Opens a stream. `ended`: it has no body. None when the connection is not established or takes no further stream.
+    pub fn open(&mut self, conn: ConnId, head: Request<()>, ended: bool) -> Option<StreamId> {
+        let key = self.last_key + 1;
+        let waker = self.ready.waker(key, Priority::High);
+        let connection = self
+            .connections
+            .get_mut(&conn.0)
+            .filter(|connection| connection.available_streams() > 0)?;
+        let Transport::Client(sender, _) = &mut connection.transport else {
+            return None;
+        };
+        let (response, body) = sender.send_request(head, ended).ok()?;
+        self.last_key = key;
+        connection.open_streams += 1;
+        let outgoing = if ended {
+            Outgoing::Done
+        } else {
+            Outgoing::Body(body)
+        };
+        waker.wake_by_ref();
+        let stream = Stream::sent(StreamId(key), conn, waker, response, outgoing);
+        self.streams.insert(key, Box::new(stream));
+        Some(StreamId(key))
+    }
+
+    /// Sends the head of a response. `end`: it is the whole response.
+    pub fn respond(&mut self, stream: StreamId, head: Response<()>, end: bool) {
+        if let Some(stream) = self.streams.get_mut(&stream.0) {
+            stream.respond(head, end);
+        }
+    }
+
+    /// Queues bytes.
+    pub fn send(&mut self, stream: StreamId, data: Bytes) {
+        if let Some(stream) = self.streams.get_mut(&stream.0) {
+            stream.send(data);
+        }
+    }
+
+    /// Ends our direction after what is queued.
+    pub fn finish(&mut self, stream: StreamId, trailers: Option<HeaderMap>) {
+        if let Some(stream) = self.streams.get_mut(&stream.0) {
+            stream.finish(trailers);
+        }
+    }
+
+    /// Resets a stream; no further event names it.
+    pub fn reset(&mut self, stream: StreamId, reason: h2::Reason) {
+        if let Some(stream) = self.streams.get_mut(&stream.0) {
+            stream.reset(reason);
+        }
+        self.remove_stream(stream.0);
+    }
+
+    /// Lets the peer send so many bytes more.
+    pub fn consume(&mut self, stream: StreamId, bytes: usize) {
+        if let Some(stream) = self.streams.get_mut(&stream.0) {
+            stream.consume(bytes);
+        }
+    }
+
+    /// Bytes queued on a stream that the peer's window does not take yet.
+    pub fn queued(&self, stream: StreamId) -> usize {
+        self.streams
+            .get(&stream.0)
+            .map_or(0, |stream| stream.queued_bytes())
+    }
+
+    /// Whether the stream can still make progress.
+    pub fn is_open(&self, stream: StreamId) -> bool {
+        self.streams.contains_key(&stream.0)
+    }
+
+    /// Polls a stream.
+    pub(super) fn poll_stream(&mut self, key: u64) {
+        let Some(stream) = self.streams.get_mut(&key) else {
+            return;
+        };
+        stream.poll(&mut self.events);
+        let conn = stream.conn;
+        let was_reset = stream.was_reset();
+        if stream.is_over() {
+            self.remove_stream(key);
+        }
+        if was_reset {
+            self.count_reset(conn);
+        }
+    }
+
+    /// Closes the connection of a client that opens and resets streams without end: each of them costs work for nobody.
+    fn count_reset(&mut self, conn: ConnId) {
+        let second = self.now() / MICROS_PER_SECOND;
+        let Some(connection) = self.connections.get_mut(&conn.0) else {
+            return;
+        };
+        let resets = connection.reset_counter.count(second);
+        if resets > connection.limits.resets && connection.listener.is_some() {
+            tracing::warn!(
+                resets,
+                "closing the connection of a client that resets too many streams"
+            );
+            self.close_with_reason(conn, h2::Reason::ENHANCE_YOUR_CALM);
+        }
+    }
+
+    fn remove_stream(&mut self, key: u64) {
+        let Some(stream) = self.streams.remove(&key) else {
+            return;
+        };
+        if let Some(connection) = self.connections.get_mut(&stream.conn.0) {
+            connection.open_streams -= 1;
+        }
+    }
+
+    /// A client opened a stream.
+    pub(super) fn on_stream_opened(
+        &mut self,
+        conn_key: u64,
+        request: Request<h2::RecvStream>,
+        respond: h2::server::SendResponse<Bytes>,
+    ) {
+        let key = self.next_key();
+        let (head, body) = request.into_parts();
+        let ended = body.is_end_stream();
+        let waker = self.ready.waker(key, Priority::High);
+        waker.wake_by_ref();
+        let (id, conn) = (StreamId(key), ConnId(conn_key));
+        self.events.push_back(Event::Opened {
+            stream: id,
+            conn,
+            head: Box::new(head),
+            ended,
+        });
+        self.opened_in_turn += 1;
+        let stream = Stream::opened(id, conn, waker, body, respond);
+        self.streams.insert(key, Box::new(stream));
+    }
+}
--- a/crates/net/src/grpc.rs
+++ b/crates/net/src/grpc.rs
@@ -1,4 +1,4 @@
-//! gRPC over HTTP/2 as its public specification has it: framing, time-outs, status and its details.
+//! gRPC over HTTP/2 as its public specification states it: framing, time-outs, status and its details.
 
 use base64::engine::{
     general_purpose::STANDARD_NO_PAD, DecodePaddingMode, GeneralPurpose, GeneralPurposeConfig,
@@ -12,25 +12,41 @@
 
 /// Status codes of gRPC.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-#[allow(missing_docs)]
 #[repr(i32)]
 pub enum Code {
+    /// Success.
     Ok = 0,
+    /// The caller cancelled the call.
     Cancelled = 1,
+    /// An unknown error.
     Unknown = 2,
+    /// The request is invalid in any state of the system.
     InvalidArgument = 3,
+    /// The deadline passed before the call ended.
     DeadlineExceeded = 4,
+    /// What was requested does not exist.
     NotFound = 5,
+    /// What was to be created exists already.
     AlreadyExists = 6,
+    /// The caller is not permitted to do this.
     PermissionDenied = 7,
+    /// A quota or a resource is used up.
     ResourceExhausted = 8,
+    /// The state of the system does not allow the call.
     FailedPrecondition = 9,
+    /// The call was aborted, mostly by a conflict.
     Aborted = 10,
+    /// The request is beyond a valid range.
     OutOfRange = 11,
+    /// The method is not implemented.
     Unimplemented = 12,
+    /// An invariant is broken.
     Internal = 13,
+    /// The service is not available now; a retry may succeed.
     Unavailable = 14,
+    /// Data is lost or corrupted.
     DataLoss = 15,
+    /// The caller has no valid credentials.
     Unauthenticated = 16,
 }
 
@@ -54,43 +70,48 @@
     Code::Unauthenticated,
 ];
 
-/// Metadata of a status.
+/// The name of the status in trailers.
 pub const STATUS: &str = "grpc-status";
 /// The message of a status, percent-encoded.
 pub const MESSAGE: &str = "grpc-message";
 /// `google.rpc.Status` in base64.
 pub const DETAILS: &str = "grpc-status-details-bin";
-/// Milliseconds until a client may come back; negative: not at all.
+/// Milliseconds until a client may retry; negative: it must not.
 pub const PUSHBACK: &str = "grpc-retry-pushback-ms";
-/// How many tries of this call a client made before.
+/// How many attempts of this call a client made before.
 pub const ATTEMPTS: &str = "grpc-previous-rpc-attempts";
-/// The key of a keyed call.
+/// The idempotency key of a call.
 pub const KEY: &str = "x-idempotency-key";
-/// The trailer by which a server says, with "1", that it did not look at a call.
+/// The trailer by which a server states, with "1", that it did not process a call.
 pub const UNPROCESSED: &str = "x-chalkdeck-unprocessed";
-/// What is left of a call's deadline.
+/// The time that is left until a call's deadline.
 pub const TIMEOUT: &str = "grpc-timeout";
 
+/// The bytes before a message: whether it is compressed, and its length.
+const FRAME_HEADER_BYTES: usize = 5;
+/// The digits of the longest time-out.
+const MAX_TIMEOUT_DIGITS: usize = 8;
+/// The name of the message in status details that tells when to retry.
 const RETRY_INFO: &str = "google.rpc.RetryInfo";
 const GRPC: HeaderValue = HeaderValue::from_static("application/grpc");
 const ESCAPED: &AsciiSet = &CONTROLS.add(b'%');
 
 impl Code {
     /// The code of a number; numbers that the specification does not know are UNKNOWN.
-    pub fn of(number: i32) -> Code {
+    pub fn from_number(number: i32) -> Code {
         usize::try_from(number)
             .ok()
             .and_then(|i| CODES.get(i).copied())
             .unwrap_or(Code::Unknown)
     }
-    /// The status in trailers (or in the head of a trailers-only answer), where there is one.
-    pub fn read(trailers: &HeaderMap) -> Option<Code> {
+    /// The status in trailers, or in the head of a trailers-only response, where there is one.
+    pub fn from_trailers(trailers: &HeaderMap) -> Option<Code> {
         let text = trailers.get(STATUS)?.to_str().ok()?;
-        Some(text.parse().map_or(Code::Unknown, Code::of))
+        Some(text.parse().map_or(Code::Unknown, Code::from_number))
     }
 }
 
-/// A content type of gRPC (`application/grpc`, also with a `+` or `;` part).
+/// Whether the content type is one of gRPC (`application/grpc`, also with a `+` or `;` part).
 pub fn is_grpc(headers: &HeaderMap) -> bool {
     let Some(Ok(kind)) = headers.get(CONTENT_TYPE).map(HeaderValue::to_str) else {
         return false;
@@ -102,7 +123,10 @@
 /// A `grpc-timeout` in microseconds, rounded up. At most eight digits and a unit, else nothing.
 pub fn parse_timeout(text: &str) -> Option<u64> {
     let (digits, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
-    if digits.is_empty() || digits.len() > 8 || !digits.bytes().all(|b| b.is_ascii_digit()) {
+    if digits.is_empty()
+        || digits.len() > MAX_TIMEOUT_DIGITS
+        || !digits.bytes().all(|b| b.is_ascii_digit())
+    {
         return None;
     }
     let value: u64 = digits.parse().ok()?;
@@ -158,7 +182,7 @@
     map
 }
 
-/// A whole answer that is nothing but a status.
+/// A response that consists of a status only.
 pub fn trailers_only(mut trailers: HeaderMap) -> Response<()> {
     let mut response = Response::new(());
     trailers.insert(CONTENT_TYPE, GRPC);
@@ -166,14 +190,14 @@
     response
 }
 
-/// The head of an answer whose messages follow.
+/// The head of a response whose messages follow.
 pub fn head() -> Response<()> {
     let mut response = Response::new(());
     response.headers_mut().insert(CONTENT_TYPE, GRPC);
     response
 }
 
-/// A call's head.
+/// The head of a call; none where the authority and path form no URI.
 pub fn request(authority: &str, path: &str) -> Option<Request<()>> {
     let uri = format!("http://{authority}{path}");
     let request = Request::post(uri)
@@ -182,9 +206,9 @@
     request.body(()).ok()
 }
 
-/// Adds what a refused client should know: when to come back (microseconds), or that it should not.
-pub fn advise(map: &mut HeaderMap, code: Code, message: &str, back_in: Option<u64>) {
-    let Some(micros) = back_in else {
+/// Adds to the trailers of a rejected call when its client may retry, in microseconds; none: it must not.
+pub fn add_retry_info(map: &mut HeaderMap, code: Code, message: &str, retry_after: Option<u64>) {
+    let Some(micros) = retry_after else {
         map.insert(PUSHBACK, HeaderValue::from_static("-1"));
         return;
     };
@@ -210,7 +234,7 @@
     }
 }
 
-/// The come-back time in status details, in microseconds.
+/// The time after which a client may retry by the status details, in microseconds.
 pub fn retry_info(trailers: &HeaderMap) -> Option<u64> {
     let lenient =
         GeneralPurposeConfig::new().with_decode_padding_mode(DecodePaddingMode::Indifferent);
@@ -230,23 +254,23 @@
     )
 }
 
-/// Appends a message with its frame.
+/// Appends a message with its frame header.
 pub fn push_frame(out: &mut BytesMut, message: &impl Message) {
     out.put_u8(0);
     out.put_u32(message.encoded_len() as u32);
     message.encode(out).expect("a buffer that grows");
 }
 
-/// One message with its five bytes before it, uncompressed.
+/// One message with its frame header, uncompressed.
 pub fn frame(message: &[u8]) -> Bytes {
-    let mut out = BytesMut::with_capacity(5 + message.len());
+    let mut out = BytesMut::with_capacity(FRAME_HEADER_BYTES + message.len());
     out.put_u8(0);
     out.put_u32(message.len() as u32);
     out.put_slice(message);
     out.freeze()
 }
 
-/// Why bytes are no messages.
+/// Why received bytes are not messages.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
     /// The message is longer than allowed.
@@ -257,33 +281,36 @@
     Compressed,
 }
 
-/// Takes bytes as they come and gives messages.
+/// Takes bytes as they are received and returns messages.
 #[derive(Debug, Default)]
 pub struct Deframer {
     bytes: BytesMut,
 }
 
 impl Deframer {
-    /// Takes bytes.
+    /// Takes received bytes.
     pub fn push(&mut self, data: &[u8]) {
         self.bytes.extend_from_slice(data);
     }
-    /// The next whole message of at most `most` bytes.
-    pub fn next(&mut self, most: usize) -> Result<Option<Bytes>, FrameError> {
-        if self.bytes.len() < 5 {
+    /// The next complete message.
+    ///
+    /// # Errors
+    /// It is longer than `max_bytes`, or compressed.
+    pub fn next(&mut self, max_bytes: usize) -> Result<Option<Bytes>, FrameError> {
+        if self.bytes.len() < FRAME_HEADER_BYTES {
             return Ok(None);
         }
         if self.bytes[0] != 0 {
             return Err(FrameError::Compressed);
         }
-        let length = (&self.bytes[1..5]).get_u32() as usize;
-        if length > most {
-            return Err(FrameError::TooLong(length, most));
+        let length = (&self.bytes[1..FRAME_HEADER_BYTES]).get_u32() as usize;
+        if length > max_bytes {
+            return Err(FrameError::TooLong(length, max_bytes));
         }
-        if self.bytes.len() < 5 + length {
+        if self.bytes.len() < FRAME_HEADER_BYTES + length {
             return Ok(None);
         }
-        self.bytes.advance(5);
+        self.bytes.advance(FRAME_HEADER_BYTES);
         Ok(Some(self.bytes.split_to(length).freeze()))
     }
 }
--- a/crates/net/src/http1.rs
+++ b/crates/net/src/http1.rs
@@ -4,19 +4,25 @@
 use std::io::{self, Read, Write};
 
 /// The longest request head that is read.
-const HEAD_BYTES: usize = 8 * 1024;
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// The most headers of a request.
+const MAX_HEADERS: usize = 64;
+/// Bytes that one read takes at the most.
+const READ_BYTES: usize = 2_048;
 
 pub(crate) struct Http1 {
     stream: TcpStream,
     head: Vec<u8>,
     out: Vec<u8>,
-    asked: bool,
+    /// The request was received whole.
+    is_received: bool,
 }
 
-pub(crate) enum Step {
+/// What polling the connection led to.
+pub(crate) enum Http1Progress {
     Wait,
     Get(String),
-    Close,
+    Closed,
 }
 
 impl Http1 {
@@ -25,42 +31,44 @@
             stream,
             head: Vec::new(),
             out: Vec::new(),
-            asked: false,
+            is_received: false,
         }
     }
 
-    pub(crate) fn poll(&mut self) -> Step {
-        if self.asked {
+    pub(crate) fn poll(&mut self) -> Http1Progress {
+        if self.is_received {
             return self.flush();
         }
-        let mut chunk = [0; 2048];
+        let mut buffer = [0; READ_BYTES];
         loop {
-            match self.stream.read(&mut chunk) {
-                Ok(0) => return Step::Close,
-                Ok(n) => self.head.extend_from_slice(&chunk[..n]),
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Step::Wait,
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
-                Err(_) => return Step::Close,
+            match self.stream.read(&mut buffer) {
+                Ok(0) => return Http1Progress::Closed,
+                Ok(length) => self.head.extend_from_slice(&buffer[..length]),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
+                    return Http1Progress::Wait
+                }
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
+                Err(_) => return Http1Progress::Closed,
             }
-            let mut headers = [httparse::EMPTY_HEADER; 64];
+            let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
             let mut request = httparse::Request::new(&mut headers);
             match request.parse(&self.head) {
                 Ok(httparse::Status::Complete(_)) => {
-                    self.asked = true;
+                    self.is_received = true;
                     let path = request.path.unwrap_or("/").to_string();
                     if request.method == Some("GET") {
-                        return Step::Get(path);
+                        return Http1Progress::Get(path);
                     }
                     return self.reply(405, "only GET is served here\n");
                 }
-                Ok(httparse::Status::Partial) if self.head.len() < HEAD_BYTES => {}
+                Ok(httparse::Status::Partial) if self.head.len() < MAX_HEAD_BYTES => {}
                 _ => return self.reply(400, "no HTTP/1.1 request of a bearable size\n"),
             }
         }
     }
 
-    pub(crate) fn reply(&mut self, status: u16, body: &str) -> Step {
-        self.asked = true;
+    pub(crate) fn reply(&mut self, status: u16, body: &str) -> Http1Progress {
+        self.is_received = true;
         let head = format!(
             "HTTP/1.1 {status} {}\r\ncontent-type: text/plain; charset=utf-8\r\ncontent-length: {}\r\nconnection: close\r\n\r\n",
             http::StatusCode::from_u16(status).ok().and_then(|s| s.canonical_reason()).unwrap_or("-"),
@@ -71,16 +79,18 @@
         self.flush()
     }
 
-    fn flush(&mut self) -> Step {
+    fn flush(&mut self) -> Http1Progress {
         while !self.out.is_empty() {
             match self.stream.write(&self.out) {
-                Ok(n) => drop(self.out.drain(..n)),
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Step::Wait,
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return Step::Close,
+                Ok(length) => drop(self.out.drain(..length)),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
+                    return Http1Progress::Wait
+                }
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(_) => return Http1Progress::Closed,
             }
         }
         let _ = self.stream.shutdown(std::net::Shutdown::Write);
-        Step::Close
+        Http1Progress::Closed
     }
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,25 +1,29 @@
-//! Carrying code: a poll loop over mio that speaks HTTP/2 through `h2`, driven by hand, and gRPC's framing.
+//! The event loop over mio: HTTP/2 through `h2`, plain connections, HTTP/1.1 for health and metrics, and the framing of gRPC.
 //!
-//! It moves bytes and keeps clocks. What to send, to answer or to give up is decided by its caller.
+//! It moves bytes and keeps time. What is sent, answered or aborted is decided by its caller.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod clock;
-mod close;
-mod conn;
-pub mod due;
+mod close_reason;
+mod connection;
 pub mod engine;
+mod event;
+pub mod file_watch;
 pub mod grpc;
+mod h2_socket;
 mod http1;
-mod io;
+mod ids;
+mod limits;
 mod listener;
-mod plain;
-mod raw;
+mod plain_connection;
+mod ready_queue;
 pub mod signals;
 mod stream;
+pub mod timer_queue;
 pub mod unary;
-mod wake;
-pub mod watch;
 
-pub use close::CloseReason;
-pub use engine::{Broken, ConnId, Engine, Event, Limits, ListenerId, StreamId};
+pub use close_reason::CloseReason;
+pub use engine::Engine;
+pub use event::{Event, StreamError};
+pub use ids::{ConnId, ListenerId, StreamId};
+pub use limits::Limits;
--- a/crates/net/src/signals.rs
+++ b/crates/net/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals as flags that a loop looks at.
+//! Signals as flags that a loop checks.
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,7 +12,10 @@
 }
 
 impl Signals {
-    /// Takes over SIGTERM and SIGINT (stop) and SIGHUP (reload).
+    /// Handles SIGTERM and SIGINT (stop) and SIGHUP (reload) from here on.
+    ///
+    /// # Errors
+    /// The system refuses a handler.
     pub fn take() -> std::io::Result<Signals> {
         let signals = Signals::default();
         for signal in [SIGTERM, SIGINT] {
@@ -21,15 +24,15 @@
         signal_hook::flag::register(SIGHUP, signals.reload.clone())?;
         Ok(signals)
     }
-    /// Asks to stop as a signal would.
+    /// Requests a stop as a signal would.
     pub fn ask_stop(&self) {
         self.stop.store(true, Ordering::Relaxed);
     }
-    /// A stop was asked for.
+    /// Whether a stop was requested.
     pub fn stop(&self) -> bool {
         self.stop.load(Ordering::Relaxed)
     }
-    /// A reload was asked for since the last look.
+    /// Whether a reload was requested since the last call.
     pub fn reload(&self) -> bool {
         self.reload.swap(false, Ordering::Relaxed)
     }
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -1,6 +1,7 @@
-//! One HTTP/2 stream of either side: what comes in is handed on, what goes out waits here for the peer's window.
+//! One HTTP/2 stream of either side: what is received is handed on, what is sent waits here for the peer's window.
 
-use crate::engine::{Broken, Event, StreamId};
+use crate::event::{Event, StreamError};
+use crate::ids::{ConnId, StreamId};
 use bytes::Bytes;
 use h2::client::ResponseFuture;
 use h2::server::SendResponse;
@@ -11,62 +12,68 @@
 use std::pin::Pin;
 use std::task::{Context, Poll, Waker};
 
-pub(crate) enum Incoming {
-    /// The answer's head is still to come.
+/// The most window that is asked for at once.
+const MAX_RESERVED_BYTES: usize = 1 << 20;
+
+/// The direction from the peer.
+enum Incoming {
+    /// The head of the response is not received yet.
     Head(ResponseFuture),
     Body(RecvStream),
     Done,
 }
 
+/// The direction to the peer.
 pub(crate) enum Outgoing {
-    /// The answer's head is still to be sent.
+    /// The head of the response is not sent yet.
     Head(SendResponse<Bytes>),
     Body(SendStream<Bytes>),
     Done,
 }
 
+/// How our direction ends, once the queued bytes are sent.
 enum End {
+    /// It does not end yet.
     Open,
-    Plain,
+    WithoutTrailers,
     Trailers(HeaderMap),
 }
 
 pub(crate) struct Stream {
     id: StreamId,
-    pub(crate) conn: u64,
+    pub(crate) conn: ConnId,
     pub(crate) waker: Waker,
-    server_side: bool,
+    is_server_side: bool,
     incoming: Incoming,
     outgoing: Outgoing,
     flow: Option<h2::FlowControl>,
     queue: VecDeque<Bytes>,
-    queued: usize,
+    queued_bytes: usize,
     end: End,
-    broken: bool,
-    taken_back: bool,
+    has_failed: bool,
+    is_cancelled: bool,
 }
 
-fn why(error: &h2::Error) -> Broken {
+fn stream_error(error: &h2::Error) -> StreamError {
     let remote_goaway = error.is_go_away() && error.is_remote();
     match error.reason() {
         Some(h2::Reason::REFUSED_STREAM) if error.is_reset() && error.is_remote() => {
-            Broken::Refused
+            StreamError::Refused
         }
-        _ if remote_goaway => Broken::GoneAway,
-        Some(reason) if error.is_reset() => Broken::Reset(reason),
-        _ => Broken::Lost,
+        _ if remote_goaway => StreamError::GoneAway,
+        Some(reason) if error.is_reset() => StreamError::Reset(reason),
+        _ => StreamError::Lost,
     }
 }
 
 impl Stream {
     pub(crate) fn opened(
         id: StreamId,
-        conn: u64,
+        conn: ConnId,
         waker: Waker,
-        body: RecvStream,
+        mut body: RecvStream,
         out: SendResponse<Bytes>,
     ) -> Stream {
-        let mut body = body;
         let flow = Some(body.flow_control().clone());
         Stream::new(
             id,
@@ -79,7 +86,7 @@
     }
     pub(crate) fn sent(
         id: StreamId,
-        conn: u64,
+        conn: ConnId,
         waker: Waker,
         head: ResponseFuture,
         out: Outgoing,
@@ -88,43 +95,43 @@
     }
     fn new(
         id: StreamId,
-        conn: u64,
+        conn: ConnId,
         waker: Waker,
         incoming: Incoming,
         outgoing: Outgoing,
         flow: Option<h2::FlowControl>,
     ) -> Stream {
-        let server_side = matches!(outgoing, Outgoing::Head(_));
+        let is_server_side = matches!(outgoing, Outgoing::Head(_));
         let queue = VecDeque::new();
         Stream {
             id,
             conn,
             waker,
-            server_side,
+            is_server_side,
             incoming,
             outgoing,
             flow,
             queue,
-            queued: 0,
+            queued_bytes: 0,
             end: End::Open,
-            broken: false,
-            taken_back: false,
+            has_failed: false,
+            is_cancelled: false,
         }
     }
 
-    /// Whether nothing of it can move any more.
-    pub(crate) fn over(&self) -> bool {
+    /// Whether it can make no more progress.
+    pub(crate) fn is_over(&self) -> bool {
         let sent = matches!(self.outgoing, Outgoing::Done);
-        let heard = matches!(self.incoming, Incoming::Done);
-        self.broken || if self.server_side { sent } else { heard }
+        let received = matches!(self.incoming, Incoming::Done);
+        self.has_failed || if self.is_server_side { sent } else { received }
     }
 
-    /// A client took its call back.
+    /// Whether its client has reset it.
     pub(crate) fn was_reset(&self) -> bool {
-        self.server_side && self.taken_back
+        self.is_server_side && self.is_cancelled
     }
 
-    /// Sends the answer's head. Nothing happens when it was sent before.
+    /// Sends the head of the response. Nothing happens when it was sent before.
     pub(crate) fn respond(&mut self, head: Response<()>, end: bool) {
         if let Outgoing::Head(out) = &mut self.outgoing {
             self.outgoing = match out.send_response(head, end) {
@@ -137,13 +144,13 @@
     }
     pub(crate) fn send(&mut self, data: Bytes) {
         if !data.is_empty() && !matches!(self.outgoing, Outgoing::Done) {
-            self.queued += data.len();
+            self.queued_bytes += data.len();
             self.queue.push_back(data);
             self.waker.wake_by_ref();
         }
     }
     pub(crate) fn finish(&mut self, trailers: Option<HeaderMap>) {
-        self.end = trailers.map_or(End::Plain, End::Trailers);
+        self.end = trailers.map_or(End::WithoutTrailers, End::Trailers);
         self.waker.wake_by_ref();
     }
     pub(crate) fn reset(&mut self, reason: h2::Reason) {
@@ -152,42 +159,46 @@
             Outgoing::Body(out) => out.send_reset(reason),
             Outgoing::Done => {}
         }
-        self.broken = true;
+        self.has_failed = true;
     }
     pub(crate) fn consume(&mut self, bytes: usize) {
-        // Fails only when more is given back than came, or the stream is over.
+        // Fails only when more is given back than was received, or the stream is over.
         let _ = self.flow.as_mut().map(|flow| flow.release_capacity(bytes));
     }
-    pub(crate) fn queued(&self) -> usize {
-        self.queued
+    pub(crate) fn queued_bytes(&self) -> usize {
+        self.queued_bytes
     }
 
-    /// Moves both directions on as far as they go.
+    /// Makes progress in both directions as far as possible.
     pub(crate) fn poll(&mut self, out: &mut VecDeque<Event>) {
-        if self.broken {
+        if self.has_failed {
             return;
         }
         let waker = self.waker.clone();
-        let mut cx = Context::from_waker(&waker);
+        let mut context = Context::from_waker(&waker);
         let result = self
-            .poll_in(&mut cx, out)
-            .and_then(|()| self.poll_out(&mut cx, out));
-        if let Err(how) = result {
-            self.broken = true;
-            self.taken_back = matches!(how, Broken::Reset(_));
-            out.push_back(Event::Broken {
+            .poll_in(&mut context, out)
+            .and_then(|()| self.poll_out(&mut context, out));
+        if let Err(error) = result {
+            self.has_failed = true;
+            self.is_cancelled = matches!(error, StreamError::Reset(_));
+            out.push_back(Event::StreamFailed {
                 stream: self.id,
-                how,
+                error,
             });
         }
     }
 
-    fn poll_in(&mut self, cx: &mut Context<'_>, out: &mut VecDeque<Event>) -> Result<(), Broken> {
+    fn poll_in(
+        &mut self,
+        context: &mut Context<'_>,
+        out: &mut VecDeque<Event>,
+    ) -> Result<(), StreamError> {
         if let Incoming::Head(head) = &mut self.incoming {
-            let Poll::Ready(head) = Pin::new(head).poll(cx) else {
+            let Poll::Ready(head) = Pin::new(head).poll(context) else {
                 return Ok(());
             };
-            let (head, mut body) = head.map_err(|e| why(&e))?.into_parts();
+            let (head, mut body) = head.map_err(|error| stream_error(&error))?.into_parts();
             self.flow = Some(body.flow_control().clone());
             let ended = body.is_end_stream();
             out.push_back(Event::Head {
@@ -205,7 +216,7 @@
             let Incoming::Body(body) = &mut self.incoming else {
                 return Ok(());
             };
-            match body.poll_data(cx) {
+            match body.poll_data(context) {
                 Poll::Pending => return Ok(()),
                 Poll::Ready(Some(Ok(data))) => {
                     if !data.is_empty() {
@@ -215,12 +226,12 @@
                         });
                     }
                 }
-                Poll::Ready(Some(Err(e))) => return Err(why(&e)),
+                Poll::Ready(Some(Err(error))) => return Err(stream_error(&error)),
                 Poll::Ready(None) => {
-                    let Poll::Ready(trailers) = body.poll_trailers(cx) else {
+                    let Poll::Ready(trailers) = body.poll_trailers(context) else {
                         return Ok(());
                     };
-                    let trailers = trailers.map_err(|e| why(&e))?;
+                    let trailers = trailers.map_err(|error| stream_error(&error))?;
                     out.push_back(Event::End {
                         stream: self.id,
                         trailers,
@@ -231,51 +242,55 @@
         }
     }
 
-    fn poll_out(&mut self, cx: &mut Context<'_>, out: &mut VecDeque<Event>) -> Result<(), Broken> {
-        if self.server_side {
+    fn poll_out(
+        &mut self,
+        context: &mut Context<'_>,
+        out: &mut VecDeque<Event>,
+    ) -> Result<(), StreamError> {
+        if self.is_server_side {
             let reset = match &mut self.outgoing {
-                Outgoing::Head(head) => head.poll_reset(cx),
-                Outgoing::Body(body) => body.poll_reset(cx),
+                Outgoing::Head(head) => head.poll_reset(context),
+                Outgoing::Body(body) => body.poll_reset(context),
                 Outgoing::Done => Poll::Pending,
             };
             match reset {
-                Poll::Ready(Ok(reason)) => return Err(Broken::Reset(reason)),
-                Poll::Ready(Err(e)) => return Err(why(&e)),
+                Poll::Ready(Ok(reason)) => return Err(StreamError::Reset(reason)),
+                Poll::Ready(Err(error)) => return Err(stream_error(&error)),
                 Poll::Pending => {}
             }
         }
-        let before = self.queued;
-        let result = self.flush(cx);
-        if before > self.queued {
+        let before = self.queued_bytes;
+        let result = self.flush(context);
+        if before > self.queued_bytes {
             out.push_back(Event::Sent {
                 stream: self.id,
-                bytes: before - self.queued,
+                bytes: before - self.queued_bytes,
             });
         }
         result
     }
 
-    fn flush(&mut self, cx: &mut Context<'_>) -> Result<(), Broken> {
+    fn flush(&mut self, context: &mut Context<'_>) -> Result<(), StreamError> {
         let Outgoing::Body(body) = &mut self.outgoing else {
             return Ok(());
         };
         while let Some(chunk) = self.queue.front_mut() {
             if body.capacity() == 0 {
-                body.reserve_capacity(self.queued.min(1 << 20));
-                match body.poll_capacity(cx) {
+                body.reserve_capacity(self.queued_bytes.min(MAX_RESERVED_BYTES));
+                match body.poll_capacity(context) {
                     Poll::Pending => return Ok(()),
                     Poll::Ready(Some(Ok(_))) if body.capacity() > 0 => {}
                     Poll::Ready(Some(Ok(_))) => continue,
-                    Poll::Ready(Some(Err(e))) => return Err(why(&e)),
+                    Poll::Ready(Some(Err(error))) => return Err(stream_error(&error)),
                     Poll::Ready(None) => return self.out_closed(),
                 }
             }
             let part = chunk.split_to(body.capacity().min(chunk.len()));
-            self.queued -= part.len();
+            self.queued_bytes -= part.len();
             if chunk.is_empty() {
                 self.queue.pop_front();
             }
-            let last = self.queue.is_empty() && matches!(self.end, End::Plain);
+            let last = self.queue.is_empty() && matches!(self.end, End::WithoutTrailers);
             if body.send_data(part, last).is_err() {
                 return self.out_closed();
             }
@@ -286,21 +301,21 @@
         }
         let sent = match std::mem::replace(&mut self.end, End::Open) {
             End::Open => return Ok(()),
-            End::Plain => body.send_data(Bytes::new(), true),
+            End::WithoutTrailers => body.send_data(Bytes::new(), true),
             End::Trailers(trailers) => body.send_trailers(trailers),
         };
         self.outgoing = Outgoing::Done;
-        // A peer that hears no more of us is told by the other direction.
+        // A peer that takes no more of our direction is reported by the other direction.
         sent.or(Ok(()))
     }
 
-    /// The peer wants no more of what we send. A client still hears the answer; a server has lost its client.
-    fn out_closed(&mut self) -> Result<(), Broken> {
+    /// The peer takes no more of our direction. A client still receives the response; a server has lost its client.
+    fn out_closed(&mut self) -> Result<(), StreamError> {
         self.queue.clear();
-        self.queued = 0;
+        self.queued_bytes = 0;
         self.outgoing = Outgoing::Done;
-        if self.server_side {
-            return Err(Broken::Lost);
+        if self.is_server_side {
+            return Err(StreamError::Lost);
         }
         Ok(())
     }
--- a/crates/net/src/unary.rs
+++ b/crates/net/src/unary.rs
@@ -1,25 +1,28 @@
-//! Whole messages one way: what a unary call's bytes add up to.
+//! The single message of one direction of a unary call.
 
 use crate::grpc::{Deframer, FrameError};
 use bytes::Bytes;
 
-/// Gathers the single message of a unary request or answer.
+/// The message of a unary request or response, as it is received.
 #[derive(Debug, Default)]
-pub struct Gather {
+pub struct UnaryMessage {
     deframer: Deframer,
     message: Option<Bytes>,
 }
 
-impl Gather {
-    /// Takes bytes; a message longer than `most` is an error.
-    pub fn push(&mut self, data: &[u8], most: usize) -> Result<(), FrameError> {
+impl UnaryMessage {
+    /// Takes received bytes. Further messages than the first one are ignored.
+    ///
+    /// # Errors
+    /// A message is longer than `max_bytes`, or compressed.
+    pub fn push(&mut self, data: &[u8], max_bytes: usize) -> Result<(), FrameError> {
         self.deframer.push(data);
-        while let Some(message) = self.deframer.next(most)? {
+        while let Some(message) = self.deframer.next(max_bytes)? {
             self.message.get_or_insert(message);
         }
         Ok(())
     }
-    /// The message, once it is whole.
+    /// The message, once it is complete.
     pub fn message(&self) -> Option<&Bytes> {
         self.message.as_ref()
     }
--- a/crates/net/tests/descriptors.rs
+++ b/crates/net/tests/descriptors.rs
@@ -1,4 +1,4 @@
-//! Out of descriptors: alone in its process, as the limit is the process's.
+//! Out of descriptors: the only test of its process, as the limit is that of the process.
 
 use chalkdeck_net::{Engine, Event, Limits};
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_listener_that_had_no_descriptor_takes_the_connection_in_once_there_is_one() {
+fn no_descriptor_left_then_connection_accepted_once_there_is_one() {
     let mut engine = Engine::new().expect("a poll handle");
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let (_, address) = engine
@@ -45,7 +45,7 @@
     while !events.iter().any(|e| matches!(e, Event::Accepted { .. })) {
         assert!(
             begun.elapsed() < Duration::from_secs(5),
-            "it is never taken in"
+            "it is never accepted"
         );
         engine.turn(10_000, &mut events).expect("a turn");
     }
--- a/crates/net/tests/flood.rs
+++ b/crates/net/tests/flood.rs
@@ -1,4 +1,4 @@
-//! A peer that sends at full speed takes its share of a turn and no more.
+//! A peer that sends at full speed gets its share of a turn and no more.
 
 use chalkdeck_net::{Engine, Event, Limits};
 use std::io::{ErrorKind, Write};
@@ -8,7 +8,7 @@
 const PIECE: usize = 16 << 10;
 
 #[test]
-fn one_turn_hands_over_one_piece_of_a_connection_and_the_rest_later() {
+fn flood_on_one_connection_then_one_piece_a_turn() {
     let mut engine = Engine::new().expect("a poll handle");
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let (_, address) = engine
--- a/crates/net/tests/listener.rs
+++ b/crates/net/tests/listener.rs
@@ -1,4 +1,4 @@
-//! A listener at its bounds: connections that the system completed are never left behind.
+//! A listener at its limit: connections that the system completed are always accepted.
 
 use chalkdeck_net::{ConnId, Engine, Event, Limits};
 use std::io::{Read, Write};
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_full_listener_goes_on_until_what_waits_there_was_taken_in() {
+fn full_listener_then_listens_until_waiting_connections_are_accepted() {
     let mut engine = Engine::new().expect("a poll handle");
     let limits = Limits {
         connections: 1,
--- a/crates/resp-gateway/src/server.rs
+++ b/crates/resp-gateway/src/server.rs
@@ -21,7 +21,7 @@
 use bytes::Bytes;
 use chalkdeck::api::{RequestId, TimerId};
 use chalkdeck::Decisions;
-use chalkdeck_net::due::Dues;
+use chalkdeck_net::timer_queue::TimerQueue;
 use chalkdeck_net::{ConnId, Engine, Event as NetEvent, ListenerId};
 use chalkdeck_resp::ReplySlot;
 use chalkdeck_time::Timestamp;
@@ -67,7 +67,7 @@
     /// The listener still accepts connections.
     is_listening: bool,
     local_address: SocketAddr,
-    timers: Dues<TimerPurpose>,
+    timers: TimerQueue<TimerPurpose>,
     sessions: Sessions,
     requests: FxHashMap<RequestId, OpenRequest>,
     /// Open requests by the ids that clients gave them.
--- a/crates/resp-gateway/src/server/lifecycle.rs
+++ b/crates/resp-gateway/src/server/lifecycle.rs
@@ -61,7 +61,7 @@
         };
         let has_no_clients = self.sessions.is_shutting_down()
             && !self.is_listening
-            && self.engine.held_by(self.listener) == 0;
+            && self.engine.connections_of(self.listener) == 0;
         has_no_clients || clock::now(&self.engine) >= since + KILL_DELAY + self.longest_deadline()
     }
 
--- a/crates/resp-gateway/src/server/start.rs
+++ b/crates/resp-gateway/src/server/start.rs
@@ -9,7 +9,7 @@
 use chalkdeck::api::{RequestId, SettingsError};
 use chalkdeck::{DecisionEngine, Decisions};
 use chalkdeck_net::clock::Clock;
-use chalkdeck_net::due::Dues;
+use chalkdeck_net::timer_queue::TimerQueue;
 use chalkdeck_net::{Engine, Limits};
 use rustc_hash::FxHashMap;
 use std::io;
@@ -127,7 +127,7 @@
             listener,
             is_listening: true,
             local_address,
-            timers: Dues::<TimerPurpose>::default(),
+            timers: TimerQueue::<TimerPurpose>::default(),
             sessions: Sessions::new(limits.clients, max_command_bytes),
             requests: FxHashMap::default(),
             requests_by_client_id: FxHashMap::default(),
--- a/crates/resp-gateway/src/sessions/closing.rs
+++ b/crates/resp-gateway/src/sessions/closing.rs
@@ -48,7 +48,7 @@
         let mut timed_out = Vec::new();
         let mut paused = Vec::new();
         for (conn, session) in &mut self.by_conn {
-            session.note_written(engine.taken(*conn), engine.unsent(*conn), now);
+            session.note_written(engine.written_bytes(*conn), engine.unsent(*conn), now);
             if session.is_write_timed_out(now)
                 || session.is_read_timed_out(now) && engine.is_quiet(*conn)
             {
--- a/crates/resp-gateway/src/sessions/shutdown_tests.rs
+++ b/crates/resp-gateway/src/sessions/shutdown_tests.rs
@@ -152,7 +152,7 @@
     }
 
     fn has_connections(&self) -> bool {
-        self.test_loop.engine.held().0 > 0
+        self.test_loop.engine.connection_count() > 0
     }
 
     /// Plays one shutdown; returns what of it went wrong.
--- a/crates/testbed/src/load/calls.rs
+++ b/crates/testbed/src/load/calls.rs
@@ -246,7 +246,7 @@
                 self.figures.bytes += data.len() as u64;
             }
             Event::End { stream, trailers } => self.on_end(stream, &trailers.unwrap_or_default()),
-            Event::Broken { stream, .. } => self.ended(stream, End::Lost, -1, None),
+            Event::StreamFailed { stream, .. } => self.ended(stream, End::Lost, -1, None),
             Event::Timer(token) => {
                 if let Some(due) = self.due.remove(&token) {
                     self.on_due(due);
@@ -435,7 +435,7 @@
     }
 
     fn on_end(&mut self, stream: StreamId, trailers: &HeaderMap) {
-        let code = Code::read(trailers);
+        let code = Code::from_trailers(trailers);
         let pushback = trailers
             .get(grpc::PUSHBACK)
             .and_then(|v| v.to_str().ok())
--- a/crates/testbed/src/measure/reconnect.rs
+++ b/crates/testbed/src/measure/reconnect.rs
@@ -228,7 +228,7 @@
         let Some(begun) = calls.open.remove(&stream) else {
             return;
         };
-        if Code::read(trailers) == Some(Code::Ok) {
+        if Code::from_trailers(trailers) == Some(Code::Ok) {
             calls.served += 1;
             calls.took.saturating_record(now - begun);
         }
--- a/crates/testbed/src/stand_ins/counter.rs
+++ b/crates/testbed/src/stand_ins/counter.rs
@@ -4,7 +4,7 @@
 use crate::parts::process::begin;
 use chalkdeck_net::grpc::{self, Code, Deframer};
 use chalkdeck_net::signals::Signals;
-use chalkdeck_net::unary::Gather;
+use chalkdeck_net::unary::UnaryMessage;
 use chalkdeck_net::{Engine, Event, Limits, StreamId};
 use chalkdeck_proto::chalkdeck::counter::v1::{AddRequest, AddResponse};
 use clap::Args;
@@ -37,7 +37,7 @@
     listen: SocketAddr,
     control: SocketAddr,
     numbers: HashMap<u64, Number>,
-    asking: HashMap<StreamId, Gather>,
+    asking: HashMap<StreamId, UnaryMessage>,
     /// Streams of many adds.
     streams: HashMap<StreamId, Deframer>,
     late: HashMap<u64, (StreamId, AddResponse)>,
@@ -99,7 +99,9 @@
                 self.engine.respond(stream, grpc::head(), false);
                 self.streams.insert(stream, Deframer::default());
             }
-            Event::Opened { stream, .. } => drop(self.asking.insert(stream, Gather::default())),
+            Event::Opened { stream, .. } => {
+                drop(self.asking.insert(stream, UnaryMessage::default()))
+            }
             Event::Data { stream, data } => {
                 self.engine.consume(stream, data.len());
                 if self.streams.contains_key(&stream) {
@@ -118,7 +120,7 @@
                     .finish(stream, Some(grpc::trailers(Code::Ok, "")));
             }
             Event::End { stream, .. } => self.on_asked(stream),
-            Event::Broken { stream, .. } => {
+            Event::StreamFailed { stream, .. } => {
                 self.asking.remove(&stream);
                 self.streams.remove(&stream);
             }
--- a/crates/testbed/src/stand_ins/farm.rs
+++ b/crates/testbed/src/stand_ins/farm.rs
@@ -192,7 +192,7 @@
                 stream, conn, head, ..
             } => self.on_call(stream, conn, &head),
             Event::Data { stream, data } => self.engine.consume(stream, data.len()),
-            Event::Broken { stream, .. } => self.on_cancel(stream),
+            Event::StreamFailed { stream, .. } => self.on_cancel(stream),
             Event::Timer(token) => match self.due.remove(&token) {
                 Some(Due::Done(stream)) => self.on_done(stream),
                 Some(Due::Message(stream)) => self.on_message(stream),
