--- a/crates/client/src/attempt_headers.rs
+++ b/crates/client/src/attempt_headers.rs
@@ -39,7 +39,7 @@
     let is_not_processed = trailers
         .get(grpc::UNPROCESSED)
         .is_some_and(|value| value == NOT_PROCESSED);
-    match Code::read(trailers) {
+    match Code::from_trailers(trailers) {
         Some(Code::ResourceExhausted) if pushback.is_some() => AttemptOutcome::Rejected {
             retry_after: pushback.and_then(parse_pushback),
         },
--- a/crates/client/src/driver/attempts.rs
+++ b/crates/client/src/driver/attempts.rs
@@ -94,7 +94,7 @@
     pub(super) fn on_response_ended(&mut self, stream: StreamId, trailers: &HeaderMap) {
         let call = self.attempts.get(&stream).map(|id| id.call);
         if let Some(open_call) = call.and_then(|call| self.calls.get_mut(&call)) {
-            open_call.status = Code::read(trailers);
+            open_call.status = Code::from_trailers(trailers);
             open_call.status_message = grpc::message_of(trailers);
         }
         self.end_attempt(stream, attempt_outcome(trailers));
--- a/crates/client/src/driver/connections.rs
+++ b/crates/client/src/driver/connections.rs
@@ -102,7 +102,7 @@
         };
         self.engine
             .timer(next_check.as_micros(), GATEWAY_FILE_TIMER);
-        let Some(read) = watch.look() else {
+        let Some(read) = watch.poll() else {
             return;
         };
         let addresses = read
--- a/crates/grpc-gateway/src/keepers/access.rs
+++ b/crates/grpc-gateway/src/keepers/access.rs
@@ -158,7 +158,7 @@
 
 /// The region of the address that a connection came from.
 fn region_of<'a>(regions: &'a RegionTable, engine: &Engine, conn: ConnId) -> Option<&'a str> {
-    let address = engine.came_from(conn)?;
+    let address = engine.peer_ip(conn)?;
     regions.region_of(address)
 }
 
