--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -8,7 +8,7 @@
 use crate::settings::{Settings, SettingsError};
 use crate::stream::{Stream, StreamEvent, StreamState};
 use chalkdeck_net::clock::Clock;
-use chalkdeck_net::watch::Watch;
+use chalkdeck_net::file_watch::FileWatch;
 use chalkdeck_net::Engine;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -89,7 +89,7 @@
         file: PathBuf,
     ) -> Result<Client, StartError> {
         let client = Client::start(settings, Vec::new())?;
-        let watch = Watch::new(file);
+        let watch = FileWatch::new(file);
         client.commands.send(Command::WatchGatewayFile { watch });
         Ok(client)
     }
--- a/crates/client/src/command.rs
+++ b/crates/client/src/command.rs
@@ -5,7 +5,7 @@
 use crate::stream::StreamState;
 use bytes::Bytes;
 use chalkdeck_net::engine::LoopWaker;
-use chalkdeck_net::watch::Watch;
+use chalkdeck_net::file_watch::FileWatch;
 use std::net::SocketAddr;
 use std::sync::mpsc::Sender;
 
@@ -35,7 +35,7 @@
     /// Replace the list of gateways.
     SetGateways { addresses: Vec<SocketAddr> },
     /// Read the list of gateways from a file.
-    WatchGatewayFile { watch: Watch },
+    WatchGatewayFile { watch: FileWatch },
     /// End the thread.
     Stop,
 }
--- a/crates/client/src/driver.rs
+++ b/crates/client/src/driver.rs
@@ -10,8 +10,8 @@
 use crate::metrics::Metrics;
 use attempts::AttemptId;
 use calls::{OpenCall, Responder};
-use chalkdeck_net::watch::Watch;
-use chalkdeck_net::{Broken, ConnId, Engine, Event as NetEvent, StreamId};
+use chalkdeck_net::file_watch::FileWatch;
+use chalkdeck_net::{ConnId, Engine, Event as NetEvent, StreamError, StreamId};
 use chalkdeck_time::{TimeDelta, Timestamp};
 use connections::GatewayConnection;
 use std::collections::HashMap;
@@ -42,7 +42,7 @@
     last_connect: u64,
     /// Events that the core has not handled yet.
     core_events: Vec<Event>,
-    gateway_file: Option<Watch>,
+    gateway_file: Option<FileWatch>,
     metrics: Arc<Metrics>,
     is_stopped: bool,
 }
@@ -180,7 +180,7 @@
             NetEvent::End { stream, trailers } => {
                 self.on_response_ended(stream, &trailers.unwrap_or_default());
             }
-            NetEvent::Broken { stream, how } => self.end_attempt(stream, outcome_of(how)),
+            NetEvent::StreamFailed { stream, error } => self.end_attempt(stream, outcome_of(error)),
             _ => {}
         }
     }
@@ -190,9 +190,9 @@
     }
 }
 
-fn outcome_of(broken: Broken) -> AttemptOutcome {
-    match broken {
-        Broken::Refused | Broken::GoneAway => AttemptOutcome::NotProcessed,
-        Broken::Reset(_) | Broken::Lost => AttemptOutcome::MayHaveRun,
+fn outcome_of(error: StreamError) -> AttemptOutcome {
+    match error {
+        StreamError::Refused | StreamError::GoneAway => AttemptOutcome::NotProcessed,
+        StreamError::Reset(_) | StreamError::Lost => AttemptOutcome::MayHaveRun,
     }
 }
--- a/crates/client/src/driver/calls.rs
+++ b/crates/client/src/driver/calls.rs
@@ -6,7 +6,7 @@
 use crate::core::{CallId, Event, Idempotency, Outcome};
 use crate::stream::{StreamEvent, StreamState};
 use chalkdeck_net::grpc::Code;
-use chalkdeck_net::unary::Gather;
+use chalkdeck_net::unary::UnaryMessage;
 use chalkdeck_net::StreamId;
 use chalkdeck_time::{TimeDelta, Timestamp};
 
@@ -26,7 +26,7 @@
     pub(super) status: Option<Code>,
     pub(super) status_message: String,
     /// The message of a unary answer.
-    pub(super) answer: Gather,
+    pub(super) answer: UnaryMessage,
     /// Attempts that were sent.
     pub(super) attempts: u32,
     started_at: Timestamp,
@@ -38,7 +38,7 @@
     pub(super) fn clear_answer(&mut self) {
         self.status = None;
         self.status_message.clear();
-        self.answer = Gather::default();
+        self.answer = UnaryMessage::default();
     }
 
     /// The stream's state, if the call is a stream.
@@ -74,7 +74,7 @@
             stream: None,
             status: None,
             status_message: String::new(),
-            answer: Gather::default(),
+            answer: UnaryMessage::default(),
             attempts: 0,
             started_at,
             span,
--- a/crates/client/src/gateway_file.rs
+++ b/crates/client/src/gateway_file.rs
@@ -1,6 +1,6 @@
 //! Files that list gateways: one `ip:port` a line, `#` begins a comment.
 
-use chalkdeck_net::watch::WatchError;
+use chalkdeck_net::file_watch::FileWatchError;
 use std::net::SocketAddr;
 use std::str::Utf8Error;
 
@@ -9,7 +9,7 @@
 pub(crate) enum GatewayFileError {
     /// The file cannot be read.
     #[error(transparent)]
-    Read(#[from] WatchError),
+    Read(#[from] FileWatchError),
     /// The file is not text.
     #[error("expected UTF-8 text")]
     Text(#[from] Utf8Error),
--- a/crates/client/tests/tower.rs
+++ b/crates/client/tests/tower.rs
@@ -105,7 +105,7 @@
                         script(&mut engine, Received::Data(stream, data));
                     }
                     Event::End { stream, .. } => script(&mut engine, Received::End(stream)),
-                    Event::Broken { .. } => script(&mut engine, Received::Reset),
+                    Event::StreamFailed { .. } => script(&mut engine, Received::Reset),
                     _ => {}
                 }
             }
--- a/crates/grpc-gateway/src/call_flow/events.rs
+++ b/crates/grpc-gateway/src/call_flow/events.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use chalkdeck::api::{Event, Outcome, RequestId};
 use chalkdeck_net::grpc::{self, Code};
-use chalkdeck_net::{Broken, ConnId, StreamId};
+use chalkdeck_net::{ConnId, StreamError, StreamId};
 use http::{response, HeaderMap};
 
 impl GatewayServer {
@@ -191,7 +191,7 @@
     }
 
     /// A stream was reset, or its connection is gone.
-    pub(crate) fn on_broken(&mut self, stream: StreamId, how: Broken) {
+    pub(crate) fn on_broken(&mut self, stream: StreamId, how: StreamError) {
         if self.on_coordinator_data(stream, &[], true) {
             return;
         }
--- a/crates/grpc-gateway/src/call_flow/responses.rs
+++ b/crates/grpc-gateway/src/call_flow/responses.rs
@@ -42,7 +42,7 @@
         };
         let message = call.endpoint_message.as_deref().unwrap_or(REJECTED);
         let mut trailers = grpc::trailers(Code::ResourceExhausted, message);
-        grpc::advise(&mut trailers, Code::ResourceExhausted, message, retry_after);
+        grpc::add_retry_info(&mut trailers, Code::ResourceExhausted, message, retry_after);
         self.answer(id, grpc::trailers_only(trailers), End::Refused);
     }
 
@@ -180,7 +180,7 @@
 
 /// Adds a status that a client can read to trailers without one.
 fn with_status(mut trailers: HeaderMap) -> HeaderMap {
-    if Code::read(&trailers).is_none() {
+    if Code::from_trailers(&trailers).is_none() {
         trailers.insert(grpc::STATUS, HeaderValue::from(Code::Unknown as i32));
     }
     trailers
