--- a/crates/cli/src/site.rs
+++ b/crates/cli/src/site.rs
@@ -84,16 +84,16 @@
 fn describe(admin: SocketAddr, status: &SitesStatus) -> String {
     let mut text = format!(
         "{admin}  in {}  lets in {:.0}% of the work offered\n",
-        status.own,
-        100.0 * status.level
+        status.own_site,
+        100.0 * status.admission
     );
     for site in &status.sites {
-        let capacity = match site.room {
+        let capacity = match site.capacity {
             None => "no bound met".to_string(),
             Some(capacity) => format!("room {capacity:.1} units/s"),
         };
-        let ramp = if site.pace < 1.0 {
-            format!(", pace {:.0}%", 100.0 * site.pace)
+        let ramp = if site.ramp < 1.0 {
+            format!(", pace {:.0}%", 100.0 * site.ramp)
         } else {
             String::new()
         };
@@ -104,9 +104,9 @@
             site.site,
             site.state,
             100.0 * site.share,
-            site.out,
-            site.places,
-            site.for_s,
+            site.in_flight,
+            site.concurrency_limit,
+            site.state_seconds,
             site.evidence
         );
     }
--- a/crates/grpc-gateway/src/base/failed.rs
+++ b/crates/grpc-gateway/src/base/failed.rs
@@ -1,4 +1,4 @@
-//! Why a gateway does not start, or does not take an operator's word.
+//! Why a gateway does not start, or does not apply an operator's override.
 
 use chalkdeck_access::RegionError;
 use chalkdeck_coordinator::cache_file::CacheFileError;
@@ -44,13 +44,13 @@
     /// See [`CoordinatorError`].
     #[error(transparent)]
     #[diagnostic(transparent)]
-    CoordinatorLink(#[from] CoordinatorError),
+    Coordinator(#[from] CoordinatorError),
 }
 
-/// Why an operator's words on sites are not read, or not kept.
+/// Why the operators' overrides of sites can't be read or persisted.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum SiteOverridesError {
-    /// The file is not read or written.
+    /// The file can't be read or written.
     #[error("{}: {source}", file.display())]
     #[diagnostic(
         code(chalkdeck::gateway::words_file),
@@ -62,7 +62,7 @@
         /// What the system says.
         source: io::Error,
     },
-    /// It is no such file.
+    /// The file can't be parsed.
     #[error("{}:{line}: {what}", file.display())]
     #[diagnostic(
         code(chalkdeck::gateway::words_form),
@@ -82,33 +82,33 @@
         code(chalkdeck::gateway::words_most),
         help("let back sites that are gone")
     )]
-    Most(usize),
+    TooMany(usize),
 }
 
-/// Why a word on sites is not taken.
+/// Why a request about sites is rejected.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum SiteRequestError {
-    /// The settings watch no sites.
+    /// Sites are not watched by the settings.
     #[error("sites are not watched: settings have no 'sites {{ on: true }}'")]
     #[diagnostic(
         code(chalkdeck::gateway::sites_off),
         help("say it to gateways that watch sites")
     )]
     Off,
-    /// No such word.
+    /// No such override.
     #[error("expected drain, hold or let-back, found '{0}'")]
     #[diagnostic(
         code(chalkdeck::gateway::site_word),
         help("see docs/site-loss.md for what each does")
     )]
-    Word(String),
+    UnknownOverride(String),
     /// No such site.
     #[error("expected one of {known}, found '{found}'")]
     #[diagnostic(
         code(chalkdeck::gateway::site_name),
         help("sites are named as the server list names its zones")
     )]
-    Site {
+    UnknownSite {
         /// Sites that the list names.
         known: String,
         /// What was asked for.
@@ -121,16 +121,16 @@
         help("`chalkdeck site` says it rightly")
     )]
     Path,
-    /// Not kept, so not taken.
+    /// It could not be persisted, so it is not applied.
     #[error("the word could not be kept: {0}")]
     #[diagnostic(
         code(chalkdeck::gateway::word_kept),
         help("nothing was changed; see the file of sites.words_file")
     )]
-    Kept(#[from] SiteOverridesError),
+    NotPersisted(#[from] SiteOverridesError),
 }
 
-/// Why the shared state cannot be taken part in.
+/// Why the gateway can't take part in the shared state.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum CoordinatorError {
     /// See [`CacheFileError`].
--- a/crates/grpc-gateway/src/call_flow/attempts.rs
+++ b/crates/grpc-gateway/src/call_flow/attempts.rs
@@ -4,6 +4,7 @@
 use crate::fault::Fault;
 use crate::gateway_server::{GatewayServer, TimerPurpose};
 use crate::pool::{AttemptId, Found};
+use crate::sites::AttemptReport;
 use chalkdeck::api::{AttemptResult, EndpointId, Event, LoadReport, Outcome, RequestId, TimeDelta};
 use chalkdeck_net::{grpc, ConnId};
 use http::header::TE;
@@ -161,7 +162,13 @@
         if let Some(call) = self.calls.get(id.call) {
             is_call_complete = call.is_complete();
             let (class, units) = (call.request.class.0, call.request.units);
-            self.report_attempt_ended(endpoint, outcome, latency, class, units);
+            self.report_attempt_ended(&AttemptReport {
+                endpoint,
+                outcome,
+                latency: TimeDelta::from_micros(latency),
+                class,
+                units,
+            });
         }
         self.decisions.push(Event::AttemptEnded(AttemptResult {
             request: id.call,
--- a/crates/grpc-gateway/src/call_flow/responses.rs
+++ b/crates/grpc-gateway/src/call_flow/responses.rs
@@ -6,7 +6,7 @@
 use crate::metrics::End;
 use crate::outcome::{self, Ended};
 use crate::pool::AttemptId;
-use chalkdeck::api::{Event, Outcome, RequestId};
+use chalkdeck::api::{Event, Outcome, RequestId, TimeDelta};
 use chalkdeck_net::grpc::{self, Code};
 use chalkdeck_net::StreamId;
 use http::{HeaderMap, HeaderValue};
@@ -94,7 +94,7 @@
             .took
             .observe(duration as f64 / MICROS_PER_SECOND);
         self.metrics.open.dec();
-        self.report_request_completed(class, end, duration);
+        self.report_request_completed(class, end, TimeDelta::from_micros(duration));
         self.calls.remove_if_over(id);
     }
 
--- a/crates/grpc-gateway/src/gateway_server.rs
+++ b/crates/grpc-gateway/src/gateway_server.rs
@@ -14,7 +14,7 @@
 use crate::metrics::Metrics;
 use crate::pool::{AttemptId, Pool};
 use crate::resp::Resp;
-use crate::sites::Sites;
+use crate::sites::SiteMonitor;
 use chalkdeck::api::{
     Action, CounterKey, EndpointId, EndpointState, Event, Outcome, RequestId, TimerId, Timestamp,
     UpdateScope,
@@ -65,7 +65,7 @@
     pub(crate) counter: Option<Counters>,
     pub(crate) resp: Option<Resp>,
     pub(crate) entry: Option<Entry>,
-    pub(crate) sites: Option<Sites>,
+    pub(crate) sites: Option<SiteMonitor>,
     pub(crate) keepers: Option<CoordinatorLink>,
     pub(crate) pool: Pool,
     watch: FileWatch,
@@ -120,7 +120,7 @@
             counter,
             resp,
             entry: set.door.clone().map(Entry::new),
-            sites: set.sites.then(|| Sites::new(&set)).transpose()?,
+            sites: set.sites.then(|| SiteMonitor::new(&set)).transpose()?,
             keepers,
             pool: Pool::new(set.server_connections, set.server_streams, set.keepalive),
             watch: FileWatch::new(set.endpoints.clone()),
@@ -333,6 +333,12 @@
         }
     }
 
+    /// The loop's clock, as deciding code takes it.
+    pub(crate) fn now(&self) -> Timestamp {
+        Timestamp::from_micros(self.engine.now())
+    }
+
+    /// Sets a timer that fires after so many microseconds.
     pub(crate) fn set_timer(&mut self, after: u64, due: TimerPurpose) {
         self.timers.set(&mut self.engine, after, due);
     }
--- a/crates/grpc-gateway/src/site_overrides.rs
+++ b/crates/grpc-gateway/src/site_overrides.rs
@@ -1,4 +1,4 @@
-//! An operator's words on sites, kept over restarts: a gateway that starts in the middle of a drain must know of it.
+//! Operators' overrides of sites, persisted over restarts: a gateway that starts in the middle of a drain must know of it.
 
 use crate::base::failed::SiteOverridesError;
 use chalkdeck_proto::chalkdeck::config::v1::HeldSites;
@@ -9,79 +9,106 @@
 
 /// The name of the file's message.
 const MESSAGE: &str = "chalkdeck.config.v1.HeldSites";
-/// Sites that may be kept out at once.
-const MOST: usize = 256;
+/// Sites that may be out of service by override at once.
+const MAX_SITES: usize = 256;
+/// The extension of the file that replaces the old one by rename.
+const NEW_FILE_EXTENSION: &str = "new";
 
-/// Names of sites that are kept out.
+/// What an override asks for, as far as it outlasts the process.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum SitePlacement {
+    /// The site gets no new requests until it is restored.
+    OutOfService,
+    /// The site is used again.
+    InService,
+}
+
+/// Names of the sites that operators have taken out of service.
 pub(crate) struct SiteOverrides {
+    /// Where they are persisted; `None`: nowhere.
     file: Option<PathBuf>,
-    held: BTreeSet<String>,
+    out_of_service: BTreeSet<String>,
 }
 
 impl SiteOverrides {
-    /// Reads them. Errors: a file that is there but is not sound, with its line; better no start than a drain forgotten.
-    pub(crate) fn read(file: Option<&Path>) -> Result<SiteOverrides, SiteOverridesError> {
-        let Some(path) = file else {
-            return Ok(SiteOverrides {
-                file: None,
-                held: BTreeSet::new(),
-            });
-        };
-        let held = match std::fs::read_to_string(path) {
-            Err(e) if e.kind() == io::ErrorKind::NotFound => BTreeSet::new(),
-            Err(source) => {
-                return Err(SiteOverridesError::File {
-                    file: path.into(),
-                    source,
-                })
-            }
-            Ok(content) => {
-                let held: HeldSites =
-                    text::parse(MESSAGE, &content).map_err(|e| SiteOverridesError::Form {
-                        file: path.into(),
-                        line: e.line,
-                        what: e.what,
-                    })?;
-                held.sites.into_iter().collect()
-            }
+    /// Reads the persisted overrides.
+    ///
+    /// # Errors
+    /// The file is there but can't be read or parsed; the line is named. A start that forgot a drain would be worse than no start.
+    pub(crate) fn load(file: Option<&Path>) -> Result<SiteOverrides, SiteOverridesError> {
+        let out_of_service = match file {
+            Some(path) => read_sites(path)?,
+            None => BTreeSet::new(),
         };
         Ok(SiteOverrides {
-            file: Some(path.to_path_buf()),
-            held,
+            file: file.map(Path::to_path_buf),
+            out_of_service,
         })
     }
 
-    pub(crate) fn held(&self) -> impl Iterator<Item = &str> {
-        self.held.iter().map(String::as_str)
+    /// The sites that are out of service, by name.
+    pub(crate) fn out_of_service(&self) -> impl Iterator<Item = &str> {
+        self.out_of_service.iter().map(String::as_str)
     }
 
-    /// Keeps a word. Errors: it could not be written; then it is not taken either.
-    pub(crate) fn keep(&mut self, site: &str, out: bool) -> Result<(), SiteOverridesError> {
-        let mut held = self.held.clone();
-        if out {
-            held.insert(site.to_string());
-        } else {
-            held.remove(site);
-        }
-        if held.len() > MOST {
-            return Err(SiteOverridesError::Most(MOST));
+    /// Persists an override of a site.
+    ///
+    /// # Errors
+    /// It could not be written, or there are too many; then nothing is changed.
+    pub(crate) fn persist(
+        &mut self,
+        site: &str,
+        placement: SitePlacement,
+    ) -> Result<(), SiteOverridesError> {
+        let mut sites = self.out_of_service.clone();
+        match placement {
+            SitePlacement::OutOfService => sites.insert(site.to_string()),
+            SitePlacement::InService => sites.remove(site),
+        };
+        if sites.len() > MAX_SITES {
+            return Err(SiteOverridesError::TooMany(MAX_SITES));
         }
         if let Some(file) = &self.file {
-            let message = HeldSites {
-                sites: held.iter().cloned().collect(),
-            };
-            let content = text::print(MESSAGE, &message).unwrap_or_default();
-            let new = file.with_extension("new");
-            let written = std::fs::write(&new, content).and_then(|()| std::fs::rename(&new, file));
-            written.map_err(|source| SiteOverridesError::File {
+            replace_file(file, &sites).map_err(|source| SiteOverridesError::File {
                 file: file.clone(),
                 source,
             })?;
         }
-        self.held = held;
+        self.out_of_service = sites;
         Ok(())
     }
 }
 
+fn read_sites(path: &Path) -> Result<BTreeSet<String>, SiteOverridesError> {
+    let content = match std::fs::read_to_string(path) {
+        Ok(content) => content,
+        Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(BTreeSet::new()),
+        Err(source) => {
+            return Err(SiteOverridesError::File {
+                file: path.into(),
+                source,
+            })
+        }
+    };
+    let message: HeldSites =
+        text::parse(MESSAGE, &content).map_err(|error| SiteOverridesError::Form {
+            file: path.into(),
+            line: error.line,
+            what: error.what,
+        })?;
+    Ok(message.sites.into_iter().collect())
+}
+
+/// Writes the new file beside the old one and renames it, so that readers never see a part.
+fn replace_file(file: &Path, sites: &BTreeSet<String>) -> io::Result<()> {
+    let message = HeldSites {
+        sites: sites.iter().cloned().collect(),
+    };
+    let content = text::print(MESSAGE, &message).unwrap_or_default();
+    let new_file = file.with_extension(NEW_FILE_EXTENSION);
+    std::fs::write(&new_file, content)?;
+    std::fs::rename(&new_file, file)
+}
+
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/crates/grpc-gateway/src/sites/admin.rs
@@ -0,0 +1,121 @@
+//! Operators' overrides of sites, given on the admin port of one gateway or to all of them through the coordinator.
+
+use super::monitor::site_of;
+use super::SiteMonitor;
+use crate::base::failed::SiteRequestError;
+use crate::base::server::zone_of;
+use crate::gateway_server::GatewayServer;
+use crate::site_overrides::SitePlacement;
+use chalkdeck_site_failover::{Event, SiteOverride};
+use chalkdeck_time::Timestamp;
+
+const STATUS_PATH: &str = "/sites";
+const OVERRIDE_PREFIX: &str = "/sites/";
+
+impl GatewayServer {
+    /// Applies an override that came from the coordinator. It counts from the first list that names its site on, and is
+    /// persisted like one that was given here.
+    pub(crate) fn apply_site_override(&mut self, site_name: &str, action: &str) {
+        let now = self.now();
+        let Some(sites) = &mut self.sites else { return };
+        let site_override = parse_override(action).unwrap_or(SiteOverride::Restore);
+        let persisted = sites
+            .overrides
+            .persist(site_name, placement_of(site_override));
+        if let Err(error) = persisted {
+            tracing::error!(
+                site = site_name,
+                site_override = action,
+                %error,
+                "site override not persisted: it lasts until this gateway restarts"
+            );
+        }
+        tracing::warn!(
+            site = site_name,
+            site_override = action,
+            "site override received from the coordinator"
+        );
+        sites.set_override(now, site_name, site_override);
+        self.apply_site_plan();
+    }
+
+    /// Answers `/sites`, `/sites/drain/NAME`, `/sites/hold/NAME` and `/sites/let-back/NAME` with the status as JSON.
+    ///
+    /// # Errors
+    /// Sites are not watched, the path is no request, or the override could not be persisted.
+    pub(crate) fn answer_site_request(&mut self, path: &str) -> Result<String, SiteRequestError> {
+        let now = self.now();
+        let sites = self.sites.as_mut().ok_or(SiteRequestError::Off)?;
+        let override_request = path
+            .strip_prefix(OVERRIDE_PREFIX)
+            .and_then(|rest| rest.split_once('/'));
+        if let Some((action, site_name)) = override_request {
+            sites.override_by_operator(now, action, site_name)?;
+        } else if path != STATUS_PATH {
+            return Err(SiteRequestError::Path);
+        }
+        let status = sites.status(now, &self.set);
+        self.apply_site_plan();
+        // Plain numbers and texts always have their JSON form.
+        Ok(serde_json::to_string(&status).unwrap_or_default())
+    }
+}
+
+impl SiteMonitor {
+    fn override_by_operator(
+        &mut self,
+        now: Timestamp,
+        action: &str,
+        site_name: &str,
+    ) -> Result<(), SiteRequestError> {
+        let site_override = parse_override(action)
+            .ok_or_else(|| SiteRequestError::UnknownOverride(action.to_string()))?;
+        self.require_known_site(site_name)?;
+        self.overrides
+            .persist(site_name, placement_of(site_override))?;
+        tracing::warn!(
+            site = site_name,
+            site_override = action,
+            "site override received from an operator"
+        );
+        self.set_override(now, site_name, site_override);
+        Ok(())
+    }
+
+    fn require_known_site(&self, site_name: &str) -> Result<(), SiteRequestError> {
+        let known_name = self.names.get(&site_of(zone_of(site_name)));
+        if known_name.is_some_and(|known_name| known_name == site_name) {
+            return Ok(());
+        }
+        let known: Vec<&str> = self.names.values().map(String::as_str).collect();
+        Err(SiteRequestError::UnknownSite {
+            known: known.join(", "),
+            found: site_name.to_string(),
+        })
+    }
+
+    fn set_override(&mut self, now: Timestamp, site_name: &str, site_override: SiteOverride) {
+        let event = Event::OverrideSet {
+            site: site_of(zone_of(site_name)),
+            site_override,
+        };
+        self.handle(now, event);
+    }
+}
+
+/// The override by its name on the admin port and in the shared state.
+fn parse_override(action: &str) -> Option<SiteOverride> {
+    match action {
+        "drain" => Some(SiteOverride::Drain),
+        "hold" => Some(SiteOverride::HoldOut),
+        "let-back" => Some(SiteOverride::Restore),
+        _ => None,
+    }
+}
+
+fn placement_of(site_override: SiteOverride) -> SitePlacement {
+    match site_override {
+        SiteOverride::Drain | SiteOverride::HoldOut => SitePlacement::OutOfService,
+        SiteOverride::Restore => SitePlacement::InService,
+    }
+}
--- a/crates/grpc-gateway/tests/sites.rs
+++ b/crates/grpc-gateway/tests/sites.rs
@@ -1,4 +1,4 @@
-//! Sites on the admin port of a gateway: what it shows, an operator's words, and what these do to calls.
+//! Sites on the admin port of a gateway: what it shows, operators' overrides, and what these do to calls.
 mod common;
 
 use chalkdeck_grpc_gateway::sites::SitesStatus;
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_drained_site_gets_nothing_and_the_word_outlasts_the_gateway() {
+fn site_is_drained_then_it_gets_nothing_even_after_a_restart() {
     let mut rig = rig();
     assert_eq!(state(&sites(&mut rig, "/sites"), "a"), "serving");
     assert_eq!(goes_to(&mut rig), rig.addresses[0], "near first");
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn words_that_make_no_sense_are_answered_so_and_change_nothing() {
+fn invalid_override_then_an_error_and_no_change() {
     let mut rig = rig();
     for (path, named) in [
         ("/sites/drain/mars", "'mars'"),
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn without_the_setting_the_port_says_so() {
+fn sites_are_not_watched_then_the_admin_port_says_so() {
     let mut rig = Rig::new(1);
     let (head, body) = get(&mut rig, "/sites");
     assert!(
