--- a/crates/cli/tests/access.rs
+++ b/crates/cli/tests/access.rs
@@ -213,7 +213,9 @@
     fleet.kill_gateway(2);
     fleet.start_gateway(2);
     callers[2] = Caller::new(fleet.grpc(2));
-    until("it has a session", || fleet.status(2).filter(|s| s.stands));
+    until("it has a session", || {
+        fleet.status(2).filter(|s| s.is_session_valid)
+    });
     let more = call(&mut callers, 10) - sent;
     until("the rest is told", || {
         (hits(&fleet, "c") >= sent - 40 + more).then_some(())
@@ -246,7 +248,9 @@
     assert!(health.is_err_and(|e| e.to_string().contains("no keeper was heard")));
     fleet.cut_off("g1", false);
     until("it has heard", || {
-        fleet.status(1).filter(|s| s.stands && s.sets.len() == 2)
+        fleet
+            .status(1)
+            .filter(|s| s.is_session_valid && s.rule_sets.len() == 2)
     });
     assert!(!caller.admits("keeps") && caller.admits("denies"));
     // All keepers gone, and the gateway started anew: what it kept on disk holds.
--- a/crates/cli/tests/contracts.rs
+++ b/crates/cli/tests/contracts.rs
@@ -204,7 +204,7 @@
     until("it is held back", || {
         fleet
             .status(0)
-            .filter(|s| s.held_back == [early.to_string()] && !s.last_resort)
+            .filter(|s| s.held_back == [early.to_string()] && !s.is_last_resort)
     });
     let mut caller = Caller::new(fleet.grpc(0));
     until("the other serves", || {
@@ -218,7 +218,7 @@
     until("the last resort", || {
         fleet
             .status(0)
-            .filter(|s| s.last_resort && s.held_back.is_empty())
+            .filter(|s| s.is_last_resort && s.held_back.is_empty())
     });
     assert_eq!(
         caller.call(&[("x-customer", "a")]).0,
@@ -235,6 +235,6 @@
     until("the admitted one alone serves", || {
         fleet
             .status(0)
-            .filter(|s| s.held_back == [good.to_string()] && !s.last_resort)
+            .filter(|s| s.held_back == [good.to_string()] && !s.is_last_resort)
     });
 }
--- a/crates/cli/tests/duties.rs
+++ b/crates/cli/tests/duties.rs
@@ -83,7 +83,7 @@
     std::thread::sleep(Duration::from_millis(3 * LEASE_MS).saturating_sub(begun.elapsed()));
     fleet.signal(stalled.0, Signal::CONT);
     until("it has a session again", || {
-        fleet.status(stalled.0).filter(|s| s.stands)
+        fleet.status(stalled.0).filter(|s| s.is_session_valid)
     });
     tokens.look(&fleet);
     registrar_acts(&fleet, "d");
@@ -97,13 +97,13 @@
         told(&format!("cut, way {way}"), begun);
         let cut = fleet.status(old.0).expect("it answers");
         assert!(
-            !cut.duties.iter().any(|d| d.0 == DUTY),
+            !cut.leaderships.iter().any(|l| l.election == DUTY),
             "cut off, it holds nothing: {cut:?}"
         );
         registrar_acts(&fleet, way);
         fleet.links(&format!("from=g{}&heal=1", old.0));
         until("it has a session again", || {
-            fleet.status(old.0).filter(|s| s.stands)
+            fleet.status(old.0).filter(|s| s.is_session_valid)
         });
         old = tokens.look(&fleet).unwrap_or(new);
     }
@@ -120,7 +120,7 @@
             .all(|g| {
                 fleet
                     .status(g)
-                    .is_some_and(|s| !s.stands && s.duties.is_empty())
+                    .is_some_and(|s| !s.is_session_valid && s.leaderships.is_empty())
             })
             .then_some(())
     });
--- a/crates/cli/tests/fleet/mod.rs
+++ b/crates/cli/tests/fleet/mod.rs
@@ -59,7 +59,11 @@
         let mut fleet = Fleet::without_gateways(keepers, gateways);
         (0..gateways).for_each(|g| fleet.start_gateway(g));
         // One that has heard nothing yet takes no calls.
-        let stands = |g| fleet.status(g).is_some_and(|s| s.stands && s.knows);
+        let stands = |g| {
+            fleet
+                .status(g)
+                .is_some_and(|s| s.is_session_valid && s.has_state)
+        };
         until("all have sessions", || {
             (0..gateways).all(stands).then_some(())
         });
@@ -232,9 +236,9 @@
     pub fn held(&self) -> BTreeMap<String, (usize, u64)> {
         let all = (0..self.gateways.len()).filter_map(|g| Some((g, self.status(g)?)));
         all.flat_map(|(g, s)| {
-            s.duties
+            s.leaderships
                 .into_iter()
-                .map(move |(name, token)| (name, (g, token)))
+                .map(move |leadership| (leadership.election, (g, leadership.token)))
         })
         .collect()
     }
--- a/crates/cli/tests/measured.rs
+++ b/crates/cli/tests/measured.rs
@@ -62,7 +62,7 @@
             end(fleet, old.0);
             until("all have sessions", || {
                 (0..GATEWAYS)
-                    .all(|g| fleet.status(g).is_some_and(|s| s.stands))
+                    .all(|g| fleet.status(g).is_some_and(|s| s.is_session_valid))
                     .then_some(())
             });
         }
--- a/crates/grpc-gateway/src/base/settings.rs
+++ b/crates/grpc-gateway/src/base/settings.rs
@@ -48,10 +48,10 @@
     pub connections: usize,
 }
 
-/// The fleet's shared state, as a gateway reaches it.
+/// How a gateway reaches the coordinator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CoordinatorSettings {
-    /// Where the keepers are.
+    /// Addresses of the replicas.
     pub addresses: Vec<SocketAddr>,
     /// This gateway's name in the fleet.
     pub name: String,
@@ -61,12 +61,12 @@
     pub region_metadata: Option<http::HeaderName>,
     /// A table of prefixes and regions.
     pub regions: Option<PathBuf>,
-    /// Where the last known state is kept.
+    /// The cache file of the shared state.
     pub state: Option<PathBuf>,
     /// Between reports, in microseconds.
-    pub report: u64,
-    /// Whether it may hold duties.
-    pub candidate: bool,
+    pub report_interval: u64,
+    /// Whether it may lead elections.
+    pub is_candidate: bool,
     /// The metadata in which a caller tells the version that it speaks.
     pub version_metadata: http::HeaderName,
 }
@@ -106,8 +106,8 @@
     pub site_floor: bool,
     /// Where an operator's words on sites are kept; none: nowhere.
     pub site_words: Option<PathBuf>,
-    /// The fleet's shared state; none: there is none.
-    pub keepers: Option<CoordinatorSettings>,
+    /// How the coordinator is reached; `None`: there is none.
+    pub coordinator: Option<CoordinatorSettings>,
     /// The name of the own zone.
     pub zone_name: String,
     /// The counter's parts, in the order that all gateways have; none: there is no counter.
--- a/crates/grpc-gateway/src/call_flow/events.rs
+++ b/crates/grpc-gateway/src/call_flow/events.rs
@@ -2,6 +2,7 @@
 
 use super::responses::ResponseForm;
 use crate::calls::{BufferedResponse, ResponseState};
+use crate::coordinator_link::StreamProgress;
 use crate::gateway_server::GatewayServer;
 use crate::metrics::End;
 use crate::outcome;
@@ -43,7 +44,7 @@
 
     /// The head of a response arrived. `ended`: nothing follows it.
     pub(crate) fn on_head(&mut self, stream: StreamId, head: Box<response::Parts>, ended: bool) {
-        if self.on_coordinator_data(stream, &[], ended) {
+        if self.on_coordinator_data(stream, &[], StreamProgress::from_ended(ended)) {
             return;
         }
         if let Some(counter) = self.counter.as_mut().and_then(|c| c.of(stream)) {
@@ -88,7 +89,7 @@
     }
 
     pub(crate) fn on_data(&mut self, stream: StreamId, data: Bytes) {
-        if self.on_coordinator_data(stream, &data, false) {
+        if self.on_coordinator_data(stream, &data, StreamProgress::Open) {
             return;
         }
         if let Some(counter) = self.counter.as_mut().and_then(|c| c.of(stream)) {
@@ -171,7 +172,7 @@
 
     /// The other side has sent all that it will send on a stream.
     pub(crate) fn on_end(&mut self, stream: StreamId, trailers: Option<HeaderMap>) {
-        if self.on_coordinator_data(stream, &[], true) {
+        if self.on_coordinator_data(stream, &[], StreamProgress::Ended) {
             return;
         }
         if let Some(counter) = self.counter.as_mut().and_then(|c| c.of(stream)) {
@@ -192,7 +193,7 @@
 
     /// A stream was reset, or its connection is gone.
     pub(crate) fn on_broken(&mut self, stream: StreamId, how: StreamError) {
-        if self.on_coordinator_data(stream, &[], true) {
+        if self.on_coordinator_data(stream, &[], StreamProgress::Ended) {
             return;
         }
         if let Some(counter) = self.counter.as_mut().and_then(|c| c.of(stream)) {
--- a/crates/grpc-gateway/src/coordinator_link/access.rs
+++ b/crates/grpc-gateway/src/coordinator_link/access.rs
@@ -1,6 +1,6 @@
 //! What the customers' access rules decide about calls, RESP commands and streams that are under way.
 
-use super::now;
+use super::connection::loop_time;
 use crate::base::asked::{Asked, Rejected};
 use crate::calls::Caller;
 use crate::gateway_server::GatewayServer;
@@ -29,7 +29,7 @@
         conn: ConnId,
     ) -> Result<Option<Box<Caller>>, Rejected> {
         let GatewayServer {
-            keepers: Some(keepers),
+            coordinator: Some(link),
             set,
             engine,
             ..
@@ -37,16 +37,16 @@
         else {
             return Ok(None);
         };
-        if !keepers.agent.has_state() {
+        if !link.agent.has_state() {
             return Err(rules_unknown());
         }
         let metadata =
             |name: &http::HeaderName| head.headers.get(name).and_then(|value| value.to_str().ok());
         let customer = metadata(&set.customer_metadata).unwrap_or("");
-        let region_metadata = keepers.set.region_metadata.as_ref();
+        let region_metadata = link.settings.region_metadata.as_ref();
         let caller_region = region_metadata
             .and_then(metadata)
-            .or_else(|| region_of(&keepers.regions, engine, conn))
+            .or_else(|| region_of(&link.regions, engine, conn))
             .unwrap_or("")
             .to_string();
         if let Some(name) = region_metadata {
@@ -55,14 +55,14 @@
         let class = asked.arrival.class.0;
         let call = Call {
             caller_region: &caller_region,
-            gateway_region: &keepers.set.region,
+            gateway_region: &link.settings.region,
             path: head.uri.path(),
             class: &set.class_names[class],
         };
-        let version = metadata(&keepers.set.version_metadata);
-        let verdict = keepers
+        let version = metadata(&link.settings.version_metadata);
+        let verdict = link
             .agent
-            .admit_call(now(engine), customer, &call, version);
+            .admit_call(loop_time(engine), customer, &call, version);
         if let Some(what) = denial(&verdict) {
             return Err(Rejected {
                 code: Some(Code::PermissionDenied),
@@ -87,7 +87,7 @@
         command: &str,
     ) -> Option<String> {
         let GatewayServer {
-            keepers: Some(keepers),
+            coordinator: Some(link),
             set,
             engine,
             metrics,
@@ -100,19 +100,21 @@
             let kind = metrics::Kind { kind: kind.into() };
             metrics.rejected.get_or_create(&kind).inc();
         };
-        if !keepers.agent.has_state() {
+        if !link.agent.has_state() {
             let rejected = rules_unknown();
             count(rejected.kind);
             return Some(format!("UNAVAILABLE {}", rejected.what));
         }
         let class = set.resp.as_ref().map_or(0, |resp| resp.class);
         let call = Call {
-            caller_region: region_of(&keepers.regions, engine, conn).unwrap_or(""),
-            gateway_region: &keepers.set.region,
+            caller_region: region_of(&link.regions, engine, conn).unwrap_or(""),
+            gateway_region: &link.settings.region,
             path: command,
             class: &set.class_names[class],
         };
-        let verdict = keepers.agent.admit_call(now(engine), customer, &call, None);
+        let verdict = link
+            .agent
+            .admit_call(loop_time(engine), customer, &call, None);
         let denied = denial(&verdict)?;
         count(KIND_DENIED);
         Some(format!("DENIED {denied}"))
@@ -127,10 +129,10 @@
 
     /// Streams that the rules no longer admit, each with the reason.
     fn denied_streams(&self, customers: Option<&[String]>) -> Vec<(RequestId, String)> {
-        let Some(keepers) = &self.keepers else {
+        let Some(link) = &self.coordinator else {
             return Vec::new();
         };
-        let now = now(&self.engine);
+        let now = self.now();
         let mut denied = Vec::new();
         for call in self.calls.all().filter(|call| !call.is_complete()) {
             let Some(caller) = call.caller.as_deref() else {
@@ -141,13 +143,11 @@
             }
             let rules_call = Call {
                 caller_region: &caller.region,
-                gateway_region: &keepers.set.region,
+                gateway_region: &link.settings.region,
                 path: call.path.path(),
                 class: &self.set.class_names[call.request.class.0],
             };
-            let verdict = keepers
-                .agent
-                .may_continue(now, &caller.customer, &rules_call);
+            let verdict = link.agent.may_continue(now, &caller.customer, &rules_call);
             if let Some(reason) = denial(&verdict) {
                 denied.push((call.request.id, reason));
             }
--- /dev/null
+++ b/crates/grpc-gateway/src/coordinator_link/connection.rs
@@ -0,0 +1,87 @@
+//! The connection to one replica and the session's stream on it.
+
+use super::CoordinatorLink;
+use chalkdeck_coordinator::server::{connection_limits, SESSION_PATH};
+use chalkdeck_net::grpc::{self, Deframer};
+use chalkdeck_net::{ConnId, Engine};
+use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
+use chalkdeck_time::Timestamp;
+use prost::Message;
+
+/// The longest message of a replica: the whole state of 200,000 rules fits.
+const MAX_MESSAGE_BYTES: usize = 256 << 20;
+
+impl CoordinatorLink {
+    /// Connects to a replica, by its place in the settings' addresses. A connection to another one is closed.
+    pub(super) fn connect(&mut self, engine: &mut Engine, replica_index: usize) {
+        self.close_connection(engine);
+        let address = self.settings.addresses[replica_index];
+        match engine.connect(address, connection_limits()) {
+            Ok(conn) => self.conn = Some(conn),
+            Err(_) => self.agent.connection_lost(loop_time(engine)),
+        }
+    }
+
+    /// The connection is established: the session's stream is opened on it.
+    pub(super) fn open_session_stream(&mut self, engine: &mut Engine, conn: ConnId) {
+        let authority = self.settings.addresses[self.agent.replica_index()].to_string();
+        let head = grpc::request(&authority, SESSION_PATH);
+        self.stream = head.and_then(|head| engine.open(conn, head, false));
+        match self.stream {
+            Some(_) => self.agent.connected(loop_time(engine)),
+            None => self.abandon_connection(engine),
+        }
+    }
+
+    /// Closes the connection and lets the agent choose what follows.
+    pub(super) fn abandon_connection(&mut self, engine: &mut Engine) {
+        self.close_connection(engine);
+        self.agent.connection_lost(loop_time(engine));
+    }
+
+    /// Passes the messages in these bytes to the agent. A malformed one ends the connection.
+    pub(super) fn receive(&mut self, engine: &mut Engine, data: &[u8]) {
+        self.deframer.push(data);
+        // The agent may leave the replica because of a message.
+        while self.stream.is_some() {
+            match self.next_message() {
+                Ok(Some(message)) => self.agent.receive(loop_time(engine), message),
+                Ok(None) => return,
+                Err(MalformedMessage) => return self.abandon_connection(engine),
+            }
+        }
+    }
+
+    /// Sends a message to the replica, if the session's stream is open.
+    pub(super) fn send(&self, engine: &mut Engine, message: &wire::ClientMessage) {
+        if let Some(stream) = self.stream {
+            engine.send(stream, grpc::frame(&message.encode_to_vec()));
+        }
+    }
+
+    fn next_message(&mut self) -> Result<Option<wire::ServerMessage>, MalformedMessage> {
+        let frame = self
+            .deframer
+            .next(MAX_MESSAGE_BYTES)
+            .map_err(|_| MalformedMessage)?;
+        let Some(frame) = frame else { return Ok(None) };
+        let message = wire::ServerMessage::decode(&frame[..]).map_err(|_| MalformedMessage)?;
+        Ok(Some(message))
+    }
+
+    fn close_connection(&mut self, engine: &mut Engine) {
+        self.stream = None;
+        self.deframer = Deframer::default();
+        if let Some(conn) = self.conn.take() {
+            engine.close(conn);
+        }
+    }
+}
+
+/// A replica sent bytes that are no message.
+struct MalformedMessage;
+
+/// The loop's clock, as deciding code takes it.
+pub(super) fn loop_time(engine: &Engine) -> Timestamp {
+    Timestamp::from_micros(engine.now())
+}
--- /dev/null
+++ b/crates/grpc-gateway/src/coordinator_link/mod.rs
@@ -0,0 +1,131 @@
+//! A gateway's link to the coordinator: the session with a replica over gRPC, the state that is cached on disk, and what calls,
+//! streams, the endpoint list and sites are told of it. The decisions are made in `chalkdeck_coordinator::agent` and
+//! `chalkdeck_access`.
+
+mod access;
+mod connection;
+mod contracts;
+mod events;
+mod persistence;
+mod status;
+
+pub(crate) use events::StreamProgress;
+pub use status::{CoordinatorStatus, LeadershipStatus, RuleSetStatus};
+
+use crate::base::failed::CoordinatorError;
+use crate::base::server::Server;
+use crate::base::settings::{CoordinatorSettings, Settings};
+use chalkdeck_access::RegionTable;
+use chalkdeck_coordinator::agent::{AgentSettings, GatewayAgent};
+use chalkdeck_coordinator::cache_file::CacheFile;
+use chalkdeck_net::clock::incarnation;
+use chalkdeck_net::grpc::Deframer;
+use chalkdeck_net::{ConnId, StreamId};
+use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
+use chalkdeck_time::{TimeDelta, Timestamp};
+use std::path::Path;
+
+/// The gateway's part in the fleet, with the connection and the files that carry it.
+pub(crate) struct CoordinatorLink {
+    agent: GatewayAgent,
+    settings: CoordinatorSettings,
+    regions: RegionTable,
+    /// Where the state is cached; `None`: nowhere.
+    cache_file: Option<CacheFile>,
+    /// When a failed write to the cache file is tried again.
+    persist_retry_at: Option<Timestamp>,
+    conn: Option<ConnId>,
+    /// The session's stream.
+    stream: Option<StreamId>,
+    deframer: Deframer,
+    /// The endpoint list as it was read.
+    listed: Vec<Server>,
+    /// Addresses of endpoints whose contract version was not admitted.
+    held_back: Vec<String>,
+    /// No endpoint in service has an admitted contract version, so all are used.
+    is_last_resort: bool,
+}
+
+impl CoordinatorLink {
+    /// Reads the files and begins without a connection. `None`: the settings name no coordinator.
+    ///
+    /// # Errors
+    /// A file is there but can't be read or parsed. A start that forgot access rules would be worse than no start.
+    pub(crate) fn from_settings(
+        settings: &Settings,
+        now: Timestamp,
+    ) -> Result<Option<CoordinatorLink>, CoordinatorError> {
+        match &settings.coordinator {
+            Some(coordinator) => {
+                CoordinatorLink::new(coordinator, &settings.zone_name, now).map(Some)
+            }
+            None => Ok(None),
+        }
+    }
+
+    fn new(
+        settings: &CoordinatorSettings,
+        zone_name: &str,
+        now: Timestamp,
+    ) -> Result<CoordinatorLink, CoordinatorError> {
+        let regions = match &settings.regions {
+            Some(file) => read_regions(file)?,
+            None => RegionTable::default(),
+        };
+        let (cache_file, state) = match &settings.state {
+            Some(file) => {
+                let (cache_file, state) = CacheFile::open(file)?;
+                (Some(cache_file), state)
+            }
+            None => (None, Default::default()),
+        };
+        let version = state.version;
+        let mut agent = GatewayAgent::new(agent_settings(settings, zone_name, now), state, now);
+        if cache_file.is_some() {
+            agent.state_persisted(now, version);
+        }
+        Ok(CoordinatorLink {
+            agent,
+            settings: settings.clone(),
+            regions,
+            cache_file,
+            persist_retry_at: None,
+            conn: None,
+            stream: None,
+            deframer: Deframer::default(),
+            listed: Vec::new(),
+            held_back: Vec::new(),
+            is_last_resort: false,
+        })
+    }
+}
+
+fn agent_settings(
+    settings: &CoordinatorSettings,
+    zone_name: &str,
+    now: Timestamp,
+) -> AgentSettings {
+    let open = wire::OpenSession {
+        gateway: settings.name.clone(),
+        site: zone_name.to_string(),
+        incarnation: incarnation(now.as_micros()),
+        candidate: settings.is_candidate,
+    };
+    AgentSettings {
+        open,
+        replica_count: settings.addresses.len(),
+        report_interval: TimeDelta::from_micros(settings.report_interval),
+        seed: fastrand::u64(..),
+    }
+}
+
+fn read_regions(file: &Path) -> Result<RegionTable, CoordinatorError> {
+    let text = std::fs::read_to_string(file).map_err(|source| CoordinatorError::RegionsFile {
+        file: file.to_path_buf(),
+        source,
+    })?;
+    RegionTable::parse(&text).map_err(|source| CoordinatorError::Regions {
+        file: file.to_path_buf(),
+        source,
+    })
+}
--- a/crates/grpc-gateway/src/gateway_server.rs
+++ b/crates/grpc-gateway/src/gateway_server.rs
@@ -5,7 +5,7 @@
 use crate::base::failed::StartError;
 use crate::base::settings::Settings;
 use crate::calls::Calls;
-use crate::coordinator_link::{self, CoordinatorLink};
+use crate::coordinator_link::CoordinatorLink;
 use crate::counter::Told;
 use crate::counters::{Counters, News};
 use crate::endpoints::{self, LookError, Server};
@@ -66,7 +66,7 @@
     pub(crate) resp: Option<Resp>,
     pub(crate) entry: Option<Entry>,
     pub(crate) sites: Option<SiteMonitor>,
-    pub(crate) keepers: Option<CoordinatorLink>,
+    pub(crate) coordinator: Option<CoordinatorLink>,
     pub(crate) pool: Pool,
     watch: FileWatch,
     pub(crate) metrics: Metrics,
@@ -108,7 +108,8 @@
         });
         let resp = resp.transpose()?;
         let counter = Counters::new(&set.counter, engine.now());
-        let keepers = coordinator_link::of(&set, engine.now())?;
+        let coordinator =
+            CoordinatorLink::from_settings(&set, Timestamp::from_micros(engine.now()))?;
         let mut gateway = GatewayServer {
             engine,
             decisions: Decisions::new(policy),
@@ -121,7 +122,7 @@
             resp,
             entry: set.door.clone().map(Entry::new),
             sites: set.sites.then(|| SiteMonitor::new(&set)).transpose()?,
-            keepers,
+            coordinator,
             pool: Pool::new(set.server_connections, set.server_streams, set.keepalive),
             watch: FileWatch::new(set.endpoints.clone()),
             metrics: Metrics::new(&set.class_names, &set.plan_names),
@@ -505,7 +506,7 @@
                 (s.listen, s.admin, s.sites),
                 s.counter.clone(),
                 s.resp.clone(),
-                s.keepers.clone(),
+                s.coordinator.clone(),
             )
         };
         if fixed(&new) != fixed(&self.set) {
--- a/crates/grpc-gateway/src/settings.rs
+++ b/crates/grpc-gateway/src/settings.rs
@@ -156,7 +156,7 @@
         if let Some(folder) = path.parent() {
             settings.endpoints = folder.join(&settings.endpoints);
             settings.site_words = settings.site_words.map(|file| folder.join(file));
-            if let Some(keepers) = &mut settings.keepers {
+            if let Some(keepers) = &mut settings.coordinator {
                 keepers.regions = keepers.regions.take().map(|file| folder.join(file));
                 keepers.state = keepers.state.take().map(|file| folder.join(file));
             }
@@ -263,7 +263,10 @@
     }))
 }
 
-fn keepers(source: &Source, wire: &wire::Gateway) -> Result<Option<CoordinatorSettings>> {
+fn coordinator_settings(
+    source: &Source,
+    wire: &wire::Gateway,
+) -> Result<Option<CoordinatorSettings>> {
     let Some(keepers) = &wire.keepers else {
         return Ok(None);
     };
@@ -296,8 +299,8 @@
             .transpose()?,
         regions: some(&keepers.regions_file).map(PathBuf::from),
         state: some(&keepers.state_file).map(PathBuf::from),
-        report: u64::from(or(keepers.report_ms, 1_000)) * 1_000,
-        candidate: !keepers.no_duties,
+        report_interval: u64::from(or(keepers.report_ms, 1_000)) * 1_000,
+        is_candidate: !keepers.no_duties,
         version_metadata: match keepers.version_metadata.as_str() {
             "" => http::HeaderName::from_static("x-protocol-version"),
             name => metadata("version_metadata", name)?,
@@ -449,7 +452,7 @@
             .iter()
             .find(|s| !s.words_file.is_empty())
             .map(|s| PathBuf::from(&s.words_file)),
-        keepers: keepers(source, wire)?,
+        coordinator: coordinator_settings(source, wire)?,
         zone_name: wire.zone.clone(),
         counter: parts,
         resp,
