--- a/crates/grpc-gateway/tests/sites.rs
+++ b/crates/grpc-gateway/tests/sites.rs
@@ -1,8 +1,8 @@
-//! Sites on the admin port of a gateway: what it shows, an operator's words, and what these do to calls.
+//! Sites on the admin port of a gateway: what it shows, operators' overrides, and what these do to calls.
 mod common;
 
 use chalkdeck_grpc_gateway::sites::SitesStatus;
-use chalkdeck_grpc_gateway::{Settings, Shell};
+use chalkdeck_grpc_gateway::{GatewayServer, Settings};
 use common::*;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -37,7 +37,7 @@
 
 /// Asks the admin port while the gateway turns.
 fn get(rig: &mut Rig, path: &str) -> (String, String) {
-    let admin = rig.shell.admin().expect("an admin port");
+    let admin = rig.gateway.admin().expect("an admin port");
     let mut stream = TcpStream::connect(admin).expect("it listens");
     write!(stream, "GET {path} HTTP/1.1\r\nhost: x\r\n\r\n").expect("sent");
     stream.set_nonblocking(true).expect("a socket");
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_drained_site_gets_nothing_and_the_word_outlasts_the_gateway() {
+fn site_is_drained_then_it_gets_nothing_even_after_a_restart() {
     let mut rig = rig();
     assert_eq!(state(&sites(&mut rig, "/sites"), "a"), "serving");
     assert_eq!(goes_to(&mut rig), rig.addresses[0], "near first");
@@ -94,7 +94,7 @@
         assert_eq!(goes_to(&mut rig), rig.addresses[1]);
     }
     let set = Settings::load(&rig.dir.join("gateway.txtpb")).expect("sound settings");
-    rig.shell = Shell::start(set, None, 9, false).expect("a gateway");
+    rig.gateway = GatewayServer::start(set, None, 9, false).expect("a gateway");
     assert_eq!(state(&sites(&mut rig, "/sites"), "a"), "held out");
     assert_eq!(
         state(&sites(&mut rig, "/sites/let-back/a"), "a"),
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn words_that_make_no_sense_are_answered_so_and_change_nothing() {
+fn invalid_override_then_an_error_and_no_change() {
     let mut rig = rig();
     for (path, named) in [
         ("/sites/drain/mars", "'mars'"),
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn without_the_setting_the_port_says_so() {
+fn sites_are_not_watched_then_the_admin_port_says_so() {
     let mut rig = Rig::new(1);
     let (head, body) = get(&mut rig, "/sites");
     assert!(
