--- a/crates/grpc-gateway/src/call_flow/accept.rs
+++ b/crates/grpc-gateway/src/call_flow/accept.rs
@@ -21,7 +21,7 @@
     ) {
         let id = self.calls.next_id();
         let now = self.engine.now();
-        let mut asked = match front::read(&self.set, id, now, head) {
+        let mut asked = match front::read(&self.settings, id, now, head) {
             Ok(asked) => asked,
             Err(rejected) => return self.reject_invalid(stream, id, &rejected),
         };
@@ -36,7 +36,7 @@
             "taken"
         );
         let request = asked.arrival.clone();
-        let buffer = RequestBuffer::new(self.set.keep_bytes, ended);
+        let buffer = RequestBuffer::new(self.settings.keep_bytes, ended);
         let call = Call::new(asked, stream, now, buffer);
         self.calls.insert(Call { caller, ..call });
         self.metrics.taken.inc();
--- a/crates/grpc-gateway/src/call_flow/attempts.rs
+++ b/crates/grpc-gateway/src/call_flow/attempts.rs
@@ -49,7 +49,7 @@
     /// Finds a connection for an attempt. Connections that take no new stream are dropped on the way.
     fn connect_attempt(&mut self, attempt: AttemptId, endpoint: EndpointId) {
         let endpoint = self.freshest.unwrap_or(endpoint);
-        for _ in 0..=self.set.server_connections {
+        for _ in 0..=self.settings.server_connections {
             match self.pool.find(&mut self.engine, endpoint, attempt) {
                 Found::Ready(conn) => {
                     if self.open_attempt_stream(conn, attempt) {
@@ -58,8 +58,10 @@
                     self.drop_endpoint_connection(conn);
                 }
                 Found::Waits { fresh: Some(conn) } => {
-                    return self
-                        .set_timer(self.set.connect_timeout, TimerPurpose::ConnectTimeout(conn));
+                    return self.set_timer(
+                        self.settings.connect_timeout,
+                        TimerPurpose::ConnectTimeout(conn),
+                    );
                 }
                 Found::Waits { fresh: None } => return,
                 Found::Full => return self.end_attempt(attempt, Outcome::Rejected, false),
@@ -78,7 +80,7 @@
         let Some(authority) = self.pool.authority(call.attempts[attempt.number].endpoint) else {
             return false;
         };
-        let has_stream_class = self.set.policy.classes[call.request.class.0].is_streaming;
+        let has_stream_class = self.settings.policy.classes[call.request.class.0].is_streaming;
         let head = attempt_head(
             call,
             authority,
--- a/crates/grpc-gateway/src/call_flow/cancellation.rs
+++ b/crates/grpc-gateway/src/call_flow/cancellation.rs
@@ -13,7 +13,7 @@
         let Some(call) = self.calls.get_open(id) else {
             return;
         };
-        let has_stream_class = self.set.policy.classes[call.request.class.0].is_streaming;
+        let has_stream_class = self.settings.policy.classes[call.request.class.0].is_streaming;
         match call.client_deadline {
             // A stream without a deadline of its client's has none once it has started.
             None if has_stream_class => {}
--- a/crates/grpc-gateway/src/call_flow/events.rs
+++ b/crates/grpc-gateway/src/call_flow/events.rs
@@ -20,7 +20,7 @@
         }
         if let Some(counter) = &mut self.counter {
             if let Some(told) = counter.connected(&mut self.engine, conn) {
-                return self.counted(told);
+                return self.on_counter_results(told);
             }
         }
         for attempt in self.pool.connected(conn).unwrap_or_default() {
@@ -37,7 +37,7 @@
         }
         if let Some(told) = self.counter.as_mut().and_then(|c| c.closed(conn)) {
             tracing::warn!(reason, "counter connection closed");
-            return self.counted(told);
+            return self.on_counter_results(told);
         }
         self.drop_endpoint_connection(conn);
     }
@@ -53,7 +53,7 @@
             } else {
                 Vec::new()
             };
-            return self.counted(told);
+            return self.on_counter_results(told);
         }
         if let Some(id) = self.calls.of_attempt_stream(stream) {
             self.on_response_head(stream, id, head, ended);
@@ -83,7 +83,7 @@
             chunks: Vec::new(),
             bytes: 0,
         });
-        if self.set.policy.classes[call.request.class.0].is_streaming {
+        if self.settings.policy.classes[call.request.class.0].is_streaming {
             self.start_streaming(id.call);
         }
     }
@@ -94,7 +94,7 @@
         }
         if let Some(counter) = self.counter.as_mut().and_then(|c| c.of(stream)) {
             let told = counter.on_data(&mut self.engine, stream, &data);
-            return self.counted(told);
+            return self.on_counter_results(told);
         }
         if let Some(id) = self.calls.of_client_stream(stream) {
             return self.on_request_data(id, data);
@@ -124,7 +124,7 @@
     }
 
     fn on_response_data(&mut self, stream: StreamId, id: AttemptId, data: Bytes) {
-        let limit = self.set.keep_bytes;
+        let limit = self.settings.keep_bytes;
         let Some(call) = self.calls.get(id.call) else {
             return;
         };
@@ -177,7 +177,7 @@
         }
         if let Some(counter) = self.counter.as_mut().and_then(|c| c.of(stream)) {
             let told = counter.on_over(&mut self.engine);
-            return self.counted(told);
+            return self.on_counter_results(told);
         }
         if let Some(call) = self.calls.get_by_client_stream(stream) {
             call.request_buffer.is_complete = true;
@@ -198,7 +198,7 @@
         }
         if let Some(counter) = self.counter.as_mut().and_then(|c| c.of(stream)) {
             let told = counter.on_over(&mut self.engine);
-            return self.counted(told);
+            return self.on_counter_results(told);
         }
         if let Some(id) = self.calls.of_client_stream(stream) {
             return self.on_client_gone(id);
--- a/crates/grpc-gateway/src/call_flow/responses.rs
+++ b/crates/grpc-gateway/src/call_flow/responses.rs
@@ -49,7 +49,8 @@
     /// The decisions let a call fail.
     pub(crate) fn fail_call(&mut self, id: RequestId) {
         let now = self.engine.now();
-        let tolerance = DEADLINE_TOLERANCE_TIMERS * self.set.policy.timer_resolution.as_micros();
+        let tolerance =
+            DEADLINE_TOLERANCE_TIMERS * self.settings.policy.timer_resolution.as_micros();
         let Some(call) = self.calls.get(id) else {
             return;
         };
--- a/crates/grpc-gateway/src/coordinator_link/access.rs
+++ b/crates/grpc-gateway/src/coordinator_link/access.rs
@@ -30,7 +30,7 @@
     ) -> Result<Option<Box<Caller>>, Rejected> {
         let GatewayServer {
             coordinator: Some(link),
-            set,
+            settings,
             engine,
             ..
         } = self
@@ -42,7 +42,7 @@
         }
         let metadata =
             |name: &http::HeaderName| head.headers.get(name).and_then(|value| value.to_str().ok());
-        let customer = metadata(&set.customer_metadata).unwrap_or("");
+        let customer = metadata(&settings.customer_metadata).unwrap_or("");
         let region_metadata = link.settings.region_metadata.as_ref();
         let caller_region = region_metadata
             .and_then(metadata)
@@ -57,7 +57,7 @@
             caller_region: &caller_region,
             gateway_region: &link.settings.region,
             path: head.uri.path(),
-            class: &set.class_names[class],
+            class: &settings.class_names[class],
         };
         let version = metadata(&link.settings.version_metadata);
         let verdict = link
@@ -70,7 +70,7 @@
                 kind: KIND_DENIED,
             });
         }
-        if !set.policy.classes[class].is_streaming {
+        if !settings.policy.classes[class].is_streaming {
             return Ok(None);
         }
         Ok(Some(Box::new(Caller {
@@ -88,7 +88,7 @@
     ) -> Option<String> {
         let GatewayServer {
             coordinator: Some(link),
-            set,
+            settings,
             engine,
             metrics,
             ..
@@ -105,12 +105,12 @@
             count(rejected.kind);
             return Some(format!("UNAVAILABLE {}", rejected.what));
         }
-        let class = set.resp.as_ref().map_or(0, |resp| resp.class);
+        let class = settings.resp.as_ref().map_or(0, |resp| resp.class);
         let call = Call {
             caller_region: region_of(&link.regions, engine, conn).unwrap_or(""),
             gateway_region: &link.settings.region,
             path: command,
-            class: &set.class_names[class],
+            class: &settings.class_names[class],
         };
         let verdict = link
             .agent
@@ -145,7 +145,7 @@
                 caller_region: &caller.region,
                 gateway_region: &link.settings.region,
                 path: call.path.path(),
-                class: &self.set.class_names[call.request.class.0],
+                class: &self.settings.class_names[call.request.class.0],
             };
             let verdict = link.agent.may_continue(now, &caller.customer, &rules_call);
             if let Some(reason) = denial(&verdict) {
--- a/crates/grpc-gateway/src/coordinator_link/events.rs
+++ b/crates/grpc-gateway/src/coordinator_link/events.rs
@@ -82,7 +82,7 @@
         // It is remembered again as it is taken over.
         let listed = std::mem::take(&mut link.listed);
         if !listed.is_empty() {
-            self.take_list(listed);
+            self.apply_endpoint_list(listed);
         }
     }
 
--- a/crates/grpc-gateway/src/counter.rs
+++ b/crates/grpc-gateway/src/counter.rs
@@ -24,7 +24,7 @@
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Told {
+pub(crate) struct CounterResult {
     pub(crate) name: CounterKey,
     pub(crate) outcome: Outcome,
     pub(crate) total: f64,
@@ -33,7 +33,7 @@
 /// Answers of each name in the order of its calls, whatever the order in which they come.
 #[derive(Debug, Default)]
 pub(crate) struct InOrder {
-    names: FxHashMap<CounterKey, VecDeque<(u64, Option<Told>)>>,
+    names: FxHashMap<CounterKey, VecDeque<(u64, Option<CounterResult>)>>,
 }
 
 impl InOrder {
@@ -41,7 +41,7 @@
         self.names.entry(name).or_default().push_back((call, None));
     }
     /// A call ended; returns what can be told now. A call that ended before is no news.
-    pub(crate) fn ended(&mut self, call: u64, told: Told) -> Vec<Told> {
+    pub(crate) fn ended(&mut self, call: u64, told: CounterResult) -> Vec<CounterResult> {
         let Some(queue) = self.names.get_mut(&told.name) else {
             return Vec::new();
         };
@@ -127,7 +127,7 @@
         amount: f64,
         life: u64,
         until: u64,
-    ) -> Vec<Told> {
+    ) -> Vec<CounterResult> {
         self.next += 1;
         let call = self.next;
         let full = self.open.len() >= MOST_OPEN;
@@ -172,13 +172,13 @@
         }
     }
 
-    fn end(&mut self, call: u64, outcome: Outcome, total: f64) -> Vec<Told> {
+    fn end(&mut self, call: u64, outcome: Outcome, total: f64) -> Vec<CounterResult> {
         let Some(open) = self.open.remove(&call) else {
             return Vec::new();
         };
         self.order.ended(
             call,
-            Told {
+            CounterResult {
                 name: open.name,
                 outcome,
                 total,
@@ -199,7 +199,7 @@
     }
 
     /// Ends all calls whose time is up. Waiting for a connection proves that a call was never sent.
-    pub(crate) fn timed_out(&mut self, engine: &mut Engine) -> Vec<Told> {
+    pub(crate) fn timed_out(&mut self, engine: &mut Engine) -> Vec<CounterResult> {
         let now = engine.now();
         let mut told = Vec::new();
         while self.next_timeout().is_some_and(|at| at <= now) {
@@ -220,7 +220,7 @@
         told
     }
 
-    fn drop_link(&mut self, engine: &mut Engine) -> Vec<Told> {
+    fn drop_link(&mut self, engine: &mut Engine) -> Vec<CounterResult> {
         let link = std::mem::replace(&mut self.link, Link::None);
         self.out.clear();
         let (conn, outcome) = match &link {
@@ -233,7 +233,7 @@
     }
 
     /// Ends all calls in their order.
-    fn end_all(&mut self, outcome: Outcome) -> Vec<Told> {
+    fn end_all(&mut self, outcome: Outcome) -> Vec<CounterResult> {
         let mut calls: Vec<u64> = self.open.keys().copied().collect();
         calls.sort_unstable();
         calls
@@ -243,7 +243,11 @@
     }
 
     /// A connection stands: whether it is the counter's.
-    pub(crate) fn connected(&mut self, engine: &mut Engine, conn: ConnId) -> Option<Vec<Told>> {
+    pub(crate) fn connected(
+        &mut self,
+        engine: &mut Engine,
+        conn: ConnId,
+    ) -> Option<Vec<CounterResult>> {
         let Link::Connecting(own, waiting) = &mut self.link else {
             return None;
         };
@@ -264,7 +268,7 @@
     }
 
     /// A connection is over: whether it was the counter's.
-    pub(crate) fn closed(&mut self, conn: ConnId) -> Option<Vec<Told>> {
+    pub(crate) fn closed(&mut self, conn: ConnId) -> Option<Vec<CounterResult>> {
         let outcome = match &self.link {
             Link::Connecting(own, _) if *own == conn => Outcome::ConnectFailed,
             Link::Up(own, ..) if *own == conn => Outcome::Reset,
@@ -284,7 +288,7 @@
         engine: &mut Engine,
         stream: StreamId,
         data: &[u8],
-    ) -> Vec<Told> {
+    ) -> Vec<CounterResult> {
         engine.consume(stream, data.len());
         self.heard = engine.now();
         let Link::Up(_, _, deframer) = &mut self.link else {
@@ -315,7 +319,7 @@
     }
 
     /// The stream is over, by its head, its trailers or a reset; the connection goes with it.
-    pub(crate) fn on_over(&mut self, engine: &mut Engine) -> Vec<Told> {
+    pub(crate) fn on_over(&mut self, engine: &mut Engine) -> Vec<CounterResult> {
         self.drop_link(engine)
     }
 }
--- a/crates/grpc-gateway/src/counter/tests.rs
+++ b/crates/grpc-gateway/src/counter/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn told(name: u64, total: f64) -> Told {
-    Told {
+fn told(name: u64, total: f64) -> CounterResult {
+    CounterResult {
         name: CounterKey(name),
         outcome: Outcome::Ok,
         total,
--- a/crates/grpc-gateway/src/counters.rs
+++ b/crates/grpc-gateway/src/counters.rs
@@ -1,7 +1,7 @@
 //! The counter's parts, each with its own link: a name belongs to one of them by its number, and the loss of one part leaves
 //! the others. What each part's answers say of its counts is followed here.
 
-use crate::counter::{Counter, Told};
+use crate::counter::{Counter, CounterResult};
 use chalkdeck::api::CounterKey;
 use chalkdeck_net::{ConnId, Engine, StreamId};
 use chalkdeck_proto::chalkdeck::counter::v1::AddResponse;
@@ -75,18 +75,22 @@
             .filter_map(Counter::next_timeout)
             .min()
     }
-    pub(crate) fn timed_out(&mut self, engine: &mut Engine) -> Vec<Told> {
+    pub(crate) fn timed_out(&mut self, engine: &mut Engine) -> Vec<CounterResult> {
         self.parts
             .iter_mut()
             .flat_map(|p| p.timed_out(engine))
             .collect()
     }
-    pub(crate) fn connected(&mut self, engine: &mut Engine, conn: ConnId) -> Option<Vec<Told>> {
+    pub(crate) fn connected(
+        &mut self,
+        engine: &mut Engine,
+        conn: ConnId,
+    ) -> Option<Vec<CounterResult>> {
         self.parts
             .iter_mut()
             .find_map(|p| p.connected(engine, conn))
     }
-    pub(crate) fn closed(&mut self, conn: ConnId) -> Option<Vec<Told>> {
+    pub(crate) fn closed(&mut self, conn: ConnId) -> Option<Vec<CounterResult>> {
         self.parts.iter_mut().find_map(|p| p.closed(conn))
     }
     /// The part whose stream it is.
--- a/crates/grpc-gateway/src/entry.rs
+++ b/crates/grpc-gateway/src/entry.rs
@@ -30,7 +30,7 @@
         let GatewayServer {
             entry: Some(entry),
             decisions,
-            set,
+            settings,
             ..
         } = self
         else {
@@ -47,7 +47,7 @@
         let request = admission_queue::Request {
             id: admission_queue::RequestId(arrival.id.0),
             customer: admission_queue::CustomerId(arrival.customer.0),
-            weight: set.policy.plans[arrival.plan.0].priority_multiplier,
+            weight: settings.policy.plans[arrival.plan.0].priority_multiplier,
             units: arrival.units,
             deadline: arrival.deadline,
             quota_reset,
@@ -86,9 +86,9 @@
                 let id = RequestId(id.0);
                 entry.arrivals.remove(&id);
                 self.metrics.door_refused.inc();
-                let most = self.set.policy.max_retry_after.as_micros();
+                let most = self.settings.policy.max_retry_after.as_micros();
                 let back = retry_after.as_micros().min(most);
-                let back = self.set.policy.send_retry_after.then_some(back);
+                let back = self.settings.policy.send_retry_after.then_some(back);
                 self.reject_call(id, back);
             }
         }
--- /dev/null
+++ b/crates/grpc-gateway/src/gateway_server/event_loop.rs
@@ -0,0 +1,120 @@
+//! The loop: waits for events of the sockets, passes each to its part, and carries out the actions of the decisions.
+
+use super::{GatewayServer, TimerPurpose};
+use crate::pool::AttemptId;
+use chalkdeck::api::{Action, Outcome};
+use chalkdeck_net::signals::Signals;
+use chalkdeck_net::Event as NetEvent;
+use std::io;
+
+/// The longest wait of the loop, in microseconds; signals are checked that often.
+pub(super) const MAX_WAIT: u64 = 100_000;
+
+impl GatewayServer {
+    /// Serves calls until a signal asks for a shutdown and that is complete, at the latest by the longest deadline.
+    ///
+    /// # Errors
+    /// The system call that waits has failed.
+    pub fn run(&mut self, signals: &Signals) -> io::Result<()> {
+        loop {
+            self.turn(MAX_WAIT)?;
+            if signals.reload() {
+                self.reload();
+            }
+            if signals.stop() {
+                self.shut_down();
+            }
+            if self.is_shut_down() {
+                return self.finish_shutdown();
+            }
+        }
+    }
+
+    /// Waits for events, at most so many microseconds, and handles them.
+    ///
+    /// # Errors
+    /// The system call that waits has failed.
+    pub fn turn(&mut self, max_wait: u64) -> io::Result<()> {
+        let mut events = std::mem::take(&mut self.events);
+        self.engine.turn(self.door_wait(max_wait), &mut events)?;
+        for event in events.drain(..) {
+            self.on_event(event);
+            self.run_decisions();
+        }
+        self.events = events;
+        self.door_turn();
+        self.run_decisions();
+        self.resp_let_go();
+        if let Some(counter) = &mut self.counter {
+            counter.flush(&mut self.engine);
+        }
+        Ok(())
+    }
+
+    fn on_event(&mut self, event: NetEvent) {
+        match event {
+            NetEvent::Accepted { listener, conn } => self.resp_accepted(listener, conn),
+            NetEvent::Bytes { conn, data } => self.resp_bytes(conn, &data),
+            NetEvent::Opened {
+                stream,
+                conn,
+                head,
+                ended,
+            } => self.on_call(stream, conn, &head, ended),
+            NetEvent::Connected { conn } => self.on_connected(conn),
+            NetEvent::Closed { conn, reason, .. } => {
+                self.resp_closed(conn);
+                self.on_closed(conn, &reason.to_string());
+            }
+            NetEvent::Head {
+                stream,
+                head,
+                ended,
+            } => self.on_head(stream, head, ended),
+            NetEvent::Data { stream, data } => self.on_data(stream, data),
+            NetEvent::End { stream, trailers } => self.on_end(stream, trailers),
+            NetEvent::Sent { stream, bytes } => self.on_sent(stream, bytes),
+            NetEvent::StreamFailed { stream, error } => self.on_broken(stream, error),
+            NetEvent::Timer(token) => self.on_timer(token),
+            NetEvent::Get { conn, path } => self.on_get(conn, &path),
+        }
+    }
+
+    /// Passes pending events to the decisions and carries out their actions, until none follows.
+    pub(super) fn run_decisions(&mut self) {
+        while let Some(action) = self.decisions.next_action(self.now()) {
+            self.run_action(action);
+        }
+    }
+
+    fn run_action(&mut self, action: Action) {
+        match action {
+            Action::SendAttempt {
+                request,
+                endpoint,
+                deadline,
+            } => self.send_attempt(request, endpoint, deadline.as_micros()),
+            Action::Reject {
+                request,
+                retry_after,
+            } => self.reject_call(request, retry_after.map(|after| after.as_micros())),
+            Action::Grant(request) => self.granted(request),
+            Action::Fail(request) => self.fail_call(request),
+            Action::CancelAttempt {
+                request: call,
+                attempt: number,
+            } => self.cancel_attempt(AttemptId { call, number }, Outcome::Cancelled),
+            Action::AddToCounter {
+                key,
+                amount,
+                time_to_live,
+            } => self.add_to_counter(key, amount, time_to_live.as_micros()),
+            Action::SetTimer { timer, after } => {
+                self.set_timer(after.as_micros(), TimerPurpose::Decision(timer));
+            }
+            Action::FetchEndpoints => self.poll_endpoint_list(),
+            // The settings allow neither probes nor subscriptions: the list's file is watched.
+            Action::Probe(_) | Action::Subscribe => {}
+        }
+    }
+}
--- /dev/null
+++ b/crates/grpc-gateway/src/gateway_server/shutdown.rs
@@ -0,0 +1,70 @@
+//! Graceful shutdown: nothing new is accepted, open calls are finished, streams without an end are aborted.
+
+use super::event_loop::MAX_WAIT;
+use super::GatewayServer;
+use chalkdeck_net::grpc::Code;
+use std::io;
+
+/// The wait of one turn while the last responses are written, in microseconds.
+const FLUSH_WAIT: u64 = 1_000;
+/// Turns after the last stream has ended, so that its bytes leave the sockets.
+const FINAL_TURNS: usize = 3;
+
+impl GatewayServer {
+    /// Begins a graceful shutdown: clients are asked to open nothing new, and open calls are finished.
+    pub fn shut_down(&mut self) {
+        if self.shutdown_deadline.is_some() {
+            return;
+        }
+        self.shutdown_deadline = Some(self.engine.now() + self.longest_call_deadline());
+        self.engine.unlisten(self.listener);
+        self.engine.drain(self.listener);
+        self.resp_stop();
+        self.resign_leaderships();
+        tracing::info!(
+            open = self.calls.open,
+            "graceful shutdown: rejecting new calls, finishing open ones"
+        );
+    }
+
+    /// Whether a shutdown is complete: nothing is open and no client is left that could still open something, or the longest
+    /// deadline has passed. Calls that a client opens before it has read that it must not are accepted and answered.
+    pub fn is_shut_down(&self) -> bool {
+        self.shutdown_deadline
+            .is_some_and(|deadline| self.engine.now() >= deadline || self.has_no_clients())
+    }
+
+    fn has_no_clients(&self) -> bool {
+        self.calls.open == 0
+            && self.engine.connections_of(self.listener) == 0
+            && self.resp_is_alone()
+    }
+
+    /// The longest deadline of a class, in microseconds.
+    fn longest_call_deadline(&self) -> u64 {
+        let classes = &self.settings.policy.classes;
+        classes
+            .iter()
+            .map(|class| class.deadline.as_micros())
+            .max()
+            .unwrap_or(0)
+    }
+
+    /// Aborts what is still open, which are streams without an end of their own, and flushes the sockets.
+    pub(super) fn finish_shutdown(&mut self) -> io::Result<()> {
+        for id in self.calls.open_ids() {
+            self.abort_call(id, Code::Unavailable, "the gateway stops");
+        }
+        self.run_decisions();
+        self.close_coordinator_session();
+        let flush_deadline = self.engine.now() + MAX_WAIT;
+        while self.engine.stream_count() > 0 && self.engine.now() < flush_deadline {
+            self.turn(FLUSH_WAIT)?;
+        }
+        for _ in 0..FINAL_TURNS {
+            self.turn(FLUSH_WAIT)?;
+        }
+        tracing::info!("stopped");
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/grpc-gateway/src/gateway_server/startup.rs
@@ -0,0 +1,104 @@
+//! How a gateway starts: sockets are bound, files read, parts created.
+
+use super::GatewayServer;
+use crate::base::failed::StartError;
+use crate::base::settings::Settings;
+use crate::calls::Calls;
+use crate::coordinator_link::CoordinatorLink;
+use crate::counters::Counters;
+use crate::entry::Entry;
+use crate::metrics::Metrics;
+use crate::pool::Pool;
+use crate::resp::Resp;
+use crate::sites::SiteMonitor;
+use chalkdeck::api::Timestamp;
+use chalkdeck::{DecisionEngine, Decisions};
+use chalkdeck_net::file_watch::FileWatch;
+use chalkdeck_net::timer_queue::TimerQueue;
+use chalkdeck_net::Engine;
+use std::path::PathBuf;
+
+impl GatewayServer {
+    /// Binds the sockets and reads the endpoint list. `shared`: other instances listen at the same address.
+    /// `settings_file`: where settings are read again from.
+    ///
+    /// # Errors
+    /// See [`StartError`].
+    pub fn start(
+        settings: Settings,
+        settings_file: Option<PathBuf>,
+        seed: u64,
+        shared: bool,
+    ) -> Result<GatewayServer, StartError> {
+        let mut engine = Engine::new().map_err(StartError::Poll)?;
+        let mut bind = |address, http1| {
+            let bound = engine.listen(address, settings.front, shared, http1);
+            bound.map_err(|source| StartError::Listen { address, source })
+        };
+        let (listener, listen_address) = bind(settings.listen, false)?;
+        let admin_address = match settings.admin {
+            Some(address) => Some(bind(address, true)?.1),
+            None => None,
+        };
+        let decision_engine = DecisionEngine::new(seed, settings.policy.clone())?;
+        let resp = start_resp(&mut engine, &settings)?;
+        let counter = Counters::new(&settings.counter, engine.now());
+        let now = Timestamp::from_micros(engine.now());
+        let coordinator = CoordinatorLink::from_settings(&settings, now)?;
+        let sites = settings
+            .sites
+            .then(|| SiteMonitor::new(&settings))
+            .transpose()?;
+        let mut gateway = GatewayServer {
+            engine,
+            decisions: Decisions::new(decision_engine),
+            settings_file,
+            listener,
+            listen_address,
+            admin_address,
+            calls: Calls::default(),
+            counter,
+            resp,
+            entry: settings.door.clone().map(Entry::new),
+            sites,
+            coordinator,
+            pool: Pool::new(
+                settings.server_connections,
+                settings.server_streams,
+                settings.keepalive,
+            ),
+            endpoint_file: FileWatch::new(settings.endpoints.clone()),
+            metrics: Metrics::new(&settings.class_names, &settings.plan_names),
+            timers: TimerQueue::default(),
+            events: Vec::new(),
+            shutdown_deadline: None,
+            fault: None,
+            is_counter_timer_set: false,
+            freshest: None,
+            settings,
+        };
+        gateway.begin();
+        Ok(gateway)
+    }
+
+    /// Reads the endpoint list and sets the first timers.
+    fn begin(&mut self) {
+        self.poll_endpoint_list();
+        if self.sites.is_some() {
+            self.refresh_site_plan();
+            self.run_decisions();
+        }
+        self.tick_coordinator();
+    }
+}
+
+fn start_resp(engine: &mut Engine, settings: &Settings) -> Result<Option<Resp>, StartError> {
+    let Some(resp) = &settings.resp else {
+        return Ok(None);
+    };
+    let started = Resp::start(engine, resp).map_err(|source| StartError::Listen {
+        address: resp.listen,
+        source,
+    })?;
+    Ok(Some(started))
+}
--- /dev/null
+++ b/crates/grpc-gateway/src/gateway_server/timers.rs
@@ -0,0 +1,64 @@
+//! Timers of the loop: what each is for, and what happens when it fires.
+
+use super::GatewayServer;
+use crate::pool::AttemptId;
+use chalkdeck::api::{Event, RequestId, TimerId, Timestamp};
+use chalkdeck_net::ConnId;
+
+/// What a timer of the loop is for.
+#[derive(Clone, Copy)]
+pub(crate) enum TimerPurpose {
+    /// A timer that the decisions have set.
+    Decision(TimerId),
+    AttemptTimeout(AttemptId),
+    /// A RESP client's lease on its admitted request ends.
+    RespLease(RequestId),
+    /// A RESP client may have stopped reading or writing.
+    RespStallCheck(ConnId),
+    RespResume(ConnId),
+    ClientDeadline(RequestId),
+    CounterTimeout,
+    ConnectTimeout(ConnId),
+    EndpointPoll,
+    SitePlan,
+    Coordinator,
+}
+
+impl GatewayServer {
+    /// The loop's clock, as deciding code takes it.
+    pub(crate) fn now(&self) -> Timestamp {
+        Timestamp::from_micros(self.engine.now())
+    }
+
+    /// Sets a timer that fires after so many microseconds.
+    pub(crate) fn set_timer(&mut self, after: u64, purpose: TimerPurpose) {
+        self.timers.set(&mut self.engine, after, purpose);
+    }
+
+    /// A timer of the loop has fired.
+    pub(super) fn on_timer(&mut self, token: u64) {
+        let Some(purpose) = self.timers.take(token) else {
+            return;
+        };
+        match purpose {
+            TimerPurpose::Decision(timer) => self.decisions.push(Event::Timer(timer)),
+            TimerPurpose::RespLease(id) => self.lease_over(id),
+            TimerPurpose::RespStallCheck(conn) => self.resp_stalled(conn),
+            TimerPurpose::RespResume(conn) => self.resp_resume(conn),
+            TimerPurpose::AttemptTimeout(attempt) => self.time_out_attempt(attempt),
+            TimerPurpose::ClientDeadline(id) => self.on_client_deadline(id),
+            TimerPurpose::CounterTimeout => self.on_counter_timeout(),
+            TimerPurpose::ConnectTimeout(conn) => self.on_connect_timeout(conn),
+            TimerPurpose::EndpointPoll => self.poll_endpoint_list(),
+            TimerPurpose::SitePlan => self.refresh_site_plan(),
+            TimerPurpose::Coordinator => self.tick_coordinator(),
+        }
+    }
+
+    fn on_connect_timeout(&mut self, conn: ConnId) {
+        if self.pool.is_connecting(conn) {
+            self.engine.close(conn);
+            self.on_closed(conn, "not made in time");
+        }
+    }
+}
--- a/crates/grpc-gateway/src/resp/mod.rs
+++ b/crates/grpc-gateway/src/resp/mod.rs
@@ -175,7 +175,7 @@
 
     fn resp_command(&mut self, conn: ConnId, words: &[Bytes]) {
         let GatewayServer {
-            set,
+            settings,
             resp: Some(resp),
             ..
         } = self
@@ -185,7 +185,7 @@
         let Some(session) = resp.sessions.get_mut(&conn) else {
             return;
         };
-        let password = set.resp.as_ref().map_or("", |r| r.password.as_str());
+        let password = settings.resp.as_ref().map_or("", |r| r.password.as_str());
         let command = match command::read(words) {
             Ok(command) => command,
             Err(why) => return session.ready(Reply::Error(why)),
@@ -203,7 +203,7 @@
                 units,
                 lease,
             } => {
-                let lease = lease.or(self.set.resp.as_ref().map(|r| r.lease));
+                let lease = lease.or(self.settings.resp.as_ref().map(|r| r.lease));
                 self.resp_ask(conn, (&customer, "/CHALK.TAKE"), units, lease);
             }
             Command::Give { ticket, units } => {
@@ -226,10 +226,10 @@
         lease: Option<u64>,
     ) {
         let (most, plan) = (
-            self.set.policy.max_request_units,
-            self.set.plan_for(customer),
+            self.settings.policy.max_request_units,
+            self.settings.plan_for(customer),
         );
-        let class = self.set.resp.as_ref().map_or(0, |r| r.class);
+        let class = self.settings.resp.as_ref().map_or(0, |r| r.class);
         let Some(resp) = &mut self.resp else { return };
         let Some(session) = resp.sessions.get_mut(&conn) else {
             return;
@@ -277,9 +277,9 @@
             class: ClassId(class),
             plan,
             customer,
-            customer_gateways: self.set.spread,
+            customer_gateways: self.settings.spread,
             deadline: Timestamp::from_micros(
-                now + self.set.policy.classes[class].deadline.as_micros(),
+                now + self.settings.policy.classes[class].deadline.as_micros(),
             ),
             units,
             is_retry: false,
@@ -391,7 +391,7 @@
     }
 
     fn resp_peek(&self, customer: &str) -> Reply {
-        let Some(plan) = self.set.plan_for(customer) else {
+        let Some(plan) = self.settings.plan_for(customer) else {
             return Reply::Error("NOPLAN this customer has no plan".into());
         };
         let now = Timestamp::from_micros(self.engine.now());
--- a/crates/grpc-gateway/src/sites/admin.rs
+++ b/crates/grpc-gateway/src/sites/admin.rs
@@ -54,7 +54,7 @@
         } else if path != STATUS_PATH {
             return Err(SiteRequestError::Path);
         }
-        let status = sites.status(now, &self.set);
+        let status = sites.status(now, &self.settings);
         self.apply_site_plan();
         // Plain numbers and texts always have their JSON form.
         Ok(serde_json::to_string(&status).unwrap_or_default())
--- a/crates/grpc-gateway/src/sites/events.rs
+++ b/crates/grpc-gateway/src/sites/events.rs
@@ -1,7 +1,7 @@
 //! Events of the failover core, raised from the endpoint list, calls, attempts and counter calls.
 
 use crate::base::server::Server;
-use crate::counter::Told;
+use crate::counter::CounterResult;
 use crate::gateway_server::GatewayServer;
 use crate::metrics::End;
 use chalkdeck::api::{EndpointId, IncomingRequest, Outcome};
@@ -32,7 +32,7 @@
 
     /// A request has arrived. Requests whose callers do the work themselves take no capacity here.
     pub(crate) fn report_request_offered(&mut self, request: &IncomingRequest) {
-        let policy = &self.set.policy;
+        let policy = &self.settings.policy;
         let class = &policy.classes[request.class.0];
         if class.admission_only {
             return;
@@ -56,7 +56,7 @@
             endpoint: failover::EndpointId(report.endpoint.0),
             evidence: evidence_of(report.outcome),
             latency: report.latency,
-            objective: self.set.policy.classes[report.class].latency_objective,
+            objective: self.settings.policy.classes[report.class].latency_objective,
             units: report.units,
         };
         self.report_to_sites(Event::AttemptEnded(ended));
@@ -72,13 +72,13 @@
         let completed = CompletedRequest {
             answer,
             latency,
-            objective: self.set.policy.classes[class].latency_objective,
+            objective: self.settings.policy.classes[class].latency_objective,
         };
         self.report_to_sites(Event::RequestCompleted(completed));
     }
 
     /// Calls to the counter have ended; the last one tells whether it can be reached.
-    pub(crate) fn report_counter_results(&mut self, results: &[Told]) {
+    pub(crate) fn report_counter_results(&mut self, results: &[CounterResult]) {
         let Some(last) = results.last() else { return };
         let event = match last.outcome {
             Outcome::Ok => Event::CounterAnswered,
--- a/crates/grpc-gateway/tests/stops.rs
+++ b/crates/grpc-gateway/tests/stops.rs
@@ -26,7 +26,7 @@
                 }
             }
             if step == stop_at {
-                rig.gateway.stop();
+                rig.gateway.shut_down();
             }
             rig.turn();
             while served < rig.servers.opened.len() && rng.bool() {
@@ -34,11 +34,11 @@
                 rig.servers.answer(stream, b"fine");
                 served += 1;
             }
-            if rig.gateway.stopped() {
+            if rig.gateway.is_shut_down() {
                 break;
             }
         }
-        assert!(rig.gateway.stopped(), "seed {seed}");
+        assert!(rig.gateway.is_shut_down(), "seed {seed}");
         // From here on the gateway does not run any more.
         (0..20).for_each(|_| rig.client.turn());
         for call in calls {
@@ -56,8 +56,8 @@
 fn one_that_is_still_greeting_hears_of_the_stop_too() {
     let mut rig = Rig::new(1);
     let late = rig.client.connect(rig.gateway.listen());
-    rig.gateway.stop();
-    rig.until("all have gone", |r| r.gateway.stopped());
+    rig.gateway.shut_down();
+    rig.until("all have gone", |r| r.gateway.is_shut_down());
     rig.until("the client hears of it", |r| {
         r.client.closed.contains(&late)
     });
@@ -135,14 +135,14 @@
         for step in 0..5_000 {
             askers.iter_mut().for_each(|a| a.moves(&mut rng));
             if step == stop_at {
-                rig.gateway.stop();
+                rig.gateway.shut_down();
             }
             rig.turn();
-            if rig.gateway.stopped() {
+            if rig.gateway.is_shut_down() {
                 break;
             }
         }
-        assert!(rig.gateway.stopped(), "seed {seed}");
+        assert!(rig.gateway.is_shut_down(), "seed {seed}");
         drop(rig);
         for asker in &mut askers {
             while !asker.over {
