--- a/crates/grpc-gateway/src/call_flow/events.rs
+++ b/crates/grpc-gateway/src/call_flow/events.rs
@@ -19,8 +19,8 @@
             return;
         }
         if let Some(counter) = &mut self.counter {
-            if let Some(told) = counter.connected(&mut self.engine, conn) {
-                return self.on_counter_results(told);
+            if let Some(results) = counter.connected(&mut self.engine, conn) {
+                return self.on_counter_results(results);
             }
         }
         for attempt in self.pool.connected(conn).unwrap_or_default() {
@@ -35,9 +35,9 @@
         if self.on_coordinator_closed(conn) {
             return;
         }
-        if let Some(told) = self.counter.as_mut().and_then(|c| c.closed(conn)) {
+        if let Some(results) = self.counter.as_mut().and_then(|c| c.closed(conn)) {
             tracing::warn!(reason, "counter connection closed");
-            return self.on_counter_results(told);
+            return self.on_counter_results(results);
         }
         self.drop_endpoint_connection(conn);
     }
@@ -47,13 +47,17 @@
         if self.on_coordinator_data(stream, &[], StreamProgress::from_ended(ended)) {
             return;
         }
-        if let Some(counter) = self.counter.as_mut().and_then(|c| c.of(stream)) {
-            let told = if ended {
-                counter.on_over(&mut self.engine)
+        if let Some(counter) = self
+            .counter
+            .as_mut()
+            .and_then(|counter| counter.partition_of_stream(stream))
+        {
+            let results = if ended {
+                counter.on_stream_ended(&mut self.engine)
             } else {
                 Vec::new()
             };
-            return self.on_counter_results(told);
+            return self.on_counter_results(results);
         }
         if let Some(id) = self.calls.of_attempt_stream(stream) {
             self.on_response_head(stream, id, head, ended);
@@ -92,9 +96,13 @@
         if self.on_coordinator_data(stream, &data, StreamProgress::Open) {
             return;
         }
-        if let Some(counter) = self.counter.as_mut().and_then(|c| c.of(stream)) {
-            let told = counter.on_data(&mut self.engine, stream, &data);
-            return self.on_counter_results(told);
+        if let Some(counter) = self
+            .counter
+            .as_mut()
+            .and_then(|counter| counter.partition_of_stream(stream))
+        {
+            let results = counter.on_data(&mut self.engine, stream, &data);
+            return self.on_counter_results(results);
         }
         if let Some(id) = self.calls.of_client_stream(stream) {
             return self.on_request_data(id, data);
@@ -175,9 +183,13 @@
         if self.on_coordinator_data(stream, &[], StreamProgress::Ended) {
             return;
         }
-        if let Some(counter) = self.counter.as_mut().and_then(|c| c.of(stream)) {
-            let told = counter.on_over(&mut self.engine);
-            return self.on_counter_results(told);
+        if let Some(counter) = self
+            .counter
+            .as_mut()
+            .and_then(|counter| counter.partition_of_stream(stream))
+        {
+            let results = counter.on_stream_ended(&mut self.engine);
+            return self.on_counter_results(results);
         }
         if let Some(call) = self.calls.get_by_client_stream(stream) {
             call.request_buffer.is_complete = true;
@@ -196,9 +208,13 @@
         if self.on_coordinator_data(stream, &[], StreamProgress::Ended) {
             return;
         }
-        if let Some(counter) = self.counter.as_mut().and_then(|c| c.of(stream)) {
-            let told = counter.on_over(&mut self.engine);
-            return self.on_counter_results(told);
+        if let Some(counter) = self
+            .counter
+            .as_mut()
+            .and_then(|counter| counter.partition_of_stream(stream))
+        {
+            let results = counter.on_stream_ended(&mut self.engine);
+            return self.on_counter_results(results);
         }
         if let Some(id) = self.calls.of_client_stream(stream) {
             return self.on_client_gone(id);
--- /dev/null
+++ b/crates/grpc-gateway/src/counter_client/result_order.rs
@@ -0,0 +1,64 @@
+//! Results of counter calls in the order in which the calls of each key were made.
+
+use chalkdeck::api::{CounterKey, Outcome};
+use rustc_hash::FxHashMap;
+use std::collections::VecDeque;
+
+/// The number of a call, from 1 in the order of the calls.
+pub(super) type CallNumber = u64;
+
+/// How a call to the counter has ended.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct CounterResult {
+    pub(crate) key: CounterKey,
+    pub(crate) outcome: Outcome,
+    /// The total after the increment; 0 unless the outcome is `Ok`.
+    pub(crate) total: f64,
+}
+
+#[derive(Debug)]
+struct Slot {
+    call: CallNumber,
+    /// `None` while the call is open.
+    result: Option<CounterResult>,
+}
+
+/// Orders the results of each key by its calls, whatever the order in which they arrive.
+#[derive(Debug, Default)]
+pub(super) struct ResultOrder {
+    slots: FxHashMap<CounterKey, VecDeque<Slot>>,
+}
+
+impl ResultOrder {
+    /// A call is made.
+    pub(super) fn call_started(&mut self, key: CounterKey, call: CallNumber) {
+        let slot = Slot { call, result: None };
+        self.slots.entry(key).or_default().push_back(slot);
+    }
+
+    /// A call has ended. Returns the results that no earlier open call holds up; a second end of a call is ignored.
+    pub(super) fn call_ended(
+        &mut self,
+        call: CallNumber,
+        result: CounterResult,
+    ) -> Vec<CounterResult> {
+        let Some(queue) = self.slots.get_mut(&result.key) else {
+            return Vec::new();
+        };
+        if let Some(slot) = queue.iter_mut().find(|slot| slot.call == call) {
+            slot.result.get_or_insert(result);
+        }
+        let mut ready = Vec::new();
+        while let Some(result) = queue.front().and_then(|slot| slot.result) {
+            ready.push(result);
+            queue.pop_front();
+        }
+        if queue.is_empty() {
+            self.slots.remove(&result.key);
+        }
+        ready
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/grpc-gateway/src/gateway_server/counter_calls.rs
+++ b/crates/grpc-gateway/src/gateway_server/counter_calls.rs
@@ -1,8 +1,7 @@
 //! Calls to the shared counter: they are sent for the decisions, and their results are passed back.
 
 use super::{GatewayServer, TimerPurpose};
-use crate::counter::CounterResult;
-use crate::counters::{Counters, News};
+use crate::counter_client::{CounterClient, CounterResult, Increment, StateChange};
 use chalkdeck::api::{CounterKey, Event};
 
 impl GatewayServer {
@@ -11,17 +10,20 @@
         let Some(counter) = &mut self.counter else {
             return;
         };
-        let engine = &mut self.engine;
-        let deadline = engine.now() + self.settings.policy.counter_timeout.as_micros();
-        let part = counter.part_of(key);
-        let results = part.add(engine, key, amount, time_to_live, deadline);
+        let increment = Increment {
+            key,
+            amount,
+            time_to_live,
+            deadline: self.engine.now() + self.settings.policy.counter_timeout.as_micros(),
+        };
+        let results = counter.add(&mut self.engine, &increment);
         self.set_counter_timer();
         self.on_counter_results(results);
     }
 
     /// All calls have the same time-out, so the earliest one times out first and one timer serves all.
     fn set_counter_timer(&mut self) {
-        let Some(deadline) = self.counter.as_mut().and_then(Counters::next_timeout) else {
+        let Some(deadline) = self.counter.as_mut().and_then(CounterClient::next_timeout) else {
             return;
         };
         if self.is_counter_timer_set {
@@ -38,35 +40,35 @@
         let Some(counter) = &mut self.counter else {
             return;
         };
-        let results = counter.timed_out(&mut self.engine);
+        let results = counter.time_out_calls(&mut self.engine);
         self.set_counter_timer();
         self.on_counter_results(results);
     }
 
     /// Passes the results of counter calls to the metrics, the sites and the decisions.
     pub(crate) fn on_counter_results(&mut self, results: Vec<CounterResult>) {
-        self.report_counter_news();
+        self.report_counter_state_changes();
         self.report_counter_results(&results);
         for result in results {
-            self.metrics.count(result.outcome);
+            self.metrics.counter_call(result.outcome);
             self.decisions.push(Event::CounterReplied {
-                key: result.name,
+                key: result.key,
                 outcome: result.outcome,
                 total: result.total,
             });
         }
     }
 
-    fn report_counter_news(&mut self) {
+    fn report_counter_state_changes(&mut self) {
         let Some(counter) = &mut self.counter else {
             return;
         };
-        for news in counter.news() {
-            self.metrics.counter_news(news);
-            match news {
-                News::Recovered => tracing::info!("counter restarted with its counts"),
-                News::Emptied => tracing::warn!("counter lost its counts"),
-                News::WentBack => tracing::warn!("counter went back to an earlier state"),
+        for change in counter.take_state_changes() {
+            self.metrics.counter_state_change(change);
+            match change {
+                StateChange::Recovered => tracing::info!("counter restarted with its counts"),
+                StateChange::Emptied => tracing::warn!("counter lost its counts"),
+                StateChange::WentBack => tracing::warn!("counter went back to an earlier state"),
             }
         }
     }
--- a/crates/grpc-gateway/src/gateway_server/mod.rs
+++ b/crates/grpc-gateway/src/gateway_server/mod.rs
@@ -16,7 +16,7 @@
 use crate::base::settings::Settings;
 use crate::calls::Calls;
 use crate::coordinator_link::CoordinatorLink;
-use crate::counters::Counters;
+use crate::counter_client::CounterClient;
 use crate::entry::Entry;
 use crate::fault::Fault;
 use crate::metrics::Metrics;
@@ -42,7 +42,7 @@
     listen_address: SocketAddr,
     admin_address: Option<SocketAddr>,
     pub(crate) calls: Calls,
-    pub(crate) counter: Option<Counters>,
+    pub(crate) counter: Option<CounterClient>,
     pub(crate) resp: Option<Resp>,
     pub(crate) entry: Option<Entry>,
     pub(crate) sites: Option<SiteMonitor>,
--- a/crates/grpc-gateway/src/gateway_server/startup.rs
+++ b/crates/grpc-gateway/src/gateway_server/startup.rs
@@ -5,7 +5,7 @@
 use crate::base::settings::Settings;
 use crate::calls::Calls;
 use crate::coordinator_link::CoordinatorLink;
-use crate::counters::Counters;
+use crate::counter_client::CounterClient;
 use crate::entry::Entry;
 use crate::metrics::Metrics;
 use crate::pool::Pool;
@@ -42,7 +42,7 @@
         };
         let decision_engine = DecisionEngine::new(seed, settings.policy.clone())?;
         let resp = start_resp(&mut engine, &settings)?;
-        let counter = Counters::new(&settings.counter, engine.now());
+        let counter = CounterClient::new(&settings.counter, engine.now());
         let now = Timestamp::from_micros(engine.now());
         let coordinator = CoordinatorLink::from_settings(&settings, now)?;
         let sites = settings
--- a/crates/grpc-gateway/src/metrics.rs
+++ b/crates/grpc-gateway/src/metrics.rs
@@ -1,6 +1,6 @@
 //! Plain metrics of one gateway.
 
-use crate::counters::News;
+use crate::counter_client::StateChange;
 use chalkdeck::api::Outcome;
 use prometheus_client::encoding::{text, EncodeLabelSet};
 use prometheus_client::metrics::counter::Counter;
@@ -140,12 +140,12 @@
     pub(crate) fn attempt(&self, outcome: Outcome) {
         inc(&self.attempts, outcome);
     }
-    pub(crate) fn count(&self, outcome: Outcome) {
+    pub(crate) fn counter_call(&self, outcome: Outcome) {
         inc(&self.counts, outcome);
     }
 
-    pub(crate) fn counter_news(&self, news: News) {
-        let kind = format!("{news:?}").to_lowercase();
+    pub(crate) fn counter_state_change(&self, change: StateChange) {
+        let kind = state_change_label(change).to_string();
         self.news.get_or_create(&Kind { kind }).inc();
     }
 
@@ -202,6 +202,15 @@
     }
 }
 
+/// The value of the label `kind` of a state change.
+fn state_change_label(change: StateChange) -> &'static str {
+    match change {
+        StateChange::Recovered => "recovered",
+        StateChange::Emptied => "emptied",
+        StateChange::WentBack => "wentback",
+    }
+}
+
 fn inc(counters: &ByOutcome, outcome: Outcome) {
     if let Some((_, counter)) = counters.iter().find(|c| c.0 == outcome) {
         counter.inc();
--- a/crates/grpc-gateway/src/sites/events.rs
+++ b/crates/grpc-gateway/src/sites/events.rs
@@ -1,7 +1,7 @@
 //! Events of the failover core, raised from the endpoint list, calls, attempts and counter calls.
 
 use crate::base::server::Server;
-use crate::counter::CounterResult;
+use crate::counter_client::CounterResult;
 use crate::gateway_server::GatewayServer;
 use crate::metrics::End;
 use chalkdeck::api::{EndpointId, IncomingRequest, Outcome};
