--- a/crates/grpc-gateway/src/call_flow/accept.rs
+++ b/crates/grpc-gateway/src/call_flow/accept.rs
@@ -4,7 +4,6 @@
 use crate::calls::Call;
 use crate::front;
 use crate::gateway_server::GatewayServer;
-use crate::metrics;
 use crate::request_buffer::RequestBuffer;
 use chalkdeck::api::RequestId;
 use chalkdeck_net::{grpc, ConnId, StreamId};
@@ -39,18 +38,15 @@
         let buffer = RequestBuffer::new(self.settings.keep_bytes, ended);
         let call = Call::new(asked, stream, now, buffer);
         self.calls.insert(Call { caller, ..call });
-        self.metrics.taken.inc();
-        self.metrics.open.inc();
+        self.metrics.accepted_calls.inc();
+        self.metrics.open_calls.inc();
         self.enter(request);
     }
 
     /// Answers a call that cannot be accepted, before the decisions hear of it.
     fn reject_invalid(&mut self, stream: StreamId, id: RequestId, rejected: &Rejected) {
         tracing::info!(call = id.0, kind = rejected.kind, reason = %rejected.what, "call rejected as invalid");
-        let kind = metrics::Kind {
-            kind: rejected.kind.to_string(),
-        };
-        self.metrics.rejected.get_or_create(&kind).inc();
+        self.metrics.input_rejected(rejected.kind);
         let response = match rejected.code {
             Some(code) => grpc::trailers_only(grpc::trailers(code, &rejected.what)),
             None => unsupported_media_type(),
--- a/crates/grpc-gateway/src/call_flow/attempts.rs
+++ b/crates/grpc-gateway/src/call_flow/attempts.rs
@@ -159,7 +159,7 @@
             took = latency,
             "attempt ended"
         );
-        self.metrics.attempt(outcome);
+        self.metrics.attempt_ended(outcome);
         let mut is_call_complete = false;
         if let Some(call) = self.calls.get(id.call) {
             is_call_complete = call.is_complete();
--- a/crates/grpc-gateway/src/call_flow/cancellation.rs
+++ b/crates/grpc-gateway/src/call_flow/cancellation.rs
@@ -1,7 +1,7 @@
 //! Calls that end before their answer: by a deadline, an access rule, a shutdown or their client.
 
 use crate::gateway_server::{GatewayServer, TimerPurpose};
-use crate::metrics::End;
+use crate::metrics::CallEnd;
 use crate::pool::AttemptId;
 use chalkdeck::api::{Event, Outcome, RequestId};
 use chalkdeck_net::grpc::{self, Code};
@@ -39,7 +39,7 @@
             let response = grpc::trailers_only(trailers);
             self.engine.respond(stream, response, true);
         }
-        self.end_for_client(id, End::Failed, streaming_attempt);
+        self.end_for_client(id, CallEnd::Failed, streaming_attempt);
     }
 
     /// The client reset its stream, or its connection is gone.
@@ -48,11 +48,16 @@
             return;
         };
         let streaming_attempt = call.last_attempt().filter(|_| call.is_streaming());
-        self.end_for_client(id, End::Gone, streaming_attempt);
+        self.end_for_client(id, CallEnd::Cancelled, streaming_attempt);
     }
 
     /// The decisions cancel the attempts of a call without a response; a response that has started ends with its client.
-    fn end_for_client(&mut self, id: RequestId, end: End, streaming_attempt: Option<AttemptId>) {
+    fn end_for_client(
+        &mut self,
+        id: RequestId,
+        end: CallEnd,
+        streaming_attempt: Option<AttemptId>,
+    ) {
         self.decisions.push(Event::ClientDisconnected(id));
         self.complete_call(id, end);
         if let Some(attempt) = streaming_attempt {
--- a/crates/grpc-gateway/src/call_flow/events.rs
+++ b/crates/grpc-gateway/src/call_flow/events.rs
@@ -4,7 +4,7 @@
 use crate::calls::{BufferedResponse, ResponseState};
 use crate::coordinator_link::StreamProgress;
 use crate::gateway_server::GatewayServer;
-use crate::metrics::End;
+use crate::metrics::CallEnd;
 use crate::outcome;
 use crate::pool::AttemptId;
 use bytes::Bytes;
@@ -232,7 +232,7 @@
         let stream = call.client_stream;
         let trailers = grpc::trailers(Code::Unavailable, "the answer broke off");
         self.engine.finish(stream, Some(trailers));
-        self.complete_call(id.call, End::Failed);
+        self.complete_call(id.call, CallEnd::Failed);
         self.end_attempt(id, outcome, true);
     }
 }
--- a/crates/grpc-gateway/src/call_flow/responses.rs
+++ b/crates/grpc-gateway/src/call_flow/responses.rs
@@ -3,7 +3,7 @@
 use crate::calls::{BufferedResponse, ResponseState};
 use crate::fault::Fault;
 use crate::gateway_server::{GatewayServer, TimerPurpose};
-use crate::metrics::End;
+use crate::metrics::CallEnd;
 use crate::outcome::{self, Ended};
 use crate::pool::AttemptId;
 use chalkdeck::api::{Event, Outcome, RequestId, TimeDelta};
@@ -43,7 +43,7 @@
         let message = call.endpoint_message.as_deref().unwrap_or(REJECTED);
         let mut trailers = grpc::trailers(Code::ResourceExhausted, message);
         grpc::add_retry_info(&mut trailers, Code::ResourceExhausted, message, retry_after);
-        self.answer(id, grpc::trailers_only(trailers), End::Refused);
+        self.answer(id, grpc::trailers_only(trailers), CallEnd::Rejected);
     }
 
     /// The decisions let a call fail.
@@ -61,11 +61,11 @@
         };
         let message = call.endpoint_message.as_deref().unwrap_or(FAILED);
         let trailers = grpc::trailers(code, message);
-        self.answer(id, grpc::trailers_only(trailers), End::Failed);
+        self.answer(id, grpc::trailers_only(trailers), CallEnd::Failed);
     }
 
     /// Sends the gateway's own answer.
-    fn answer(&mut self, id: RequestId, response: http::Response<()>, end: End) {
+    fn answer(&mut self, id: RequestId, response: http::Response<()>, end: CallEnd) {
         let Some(call) = self.calls.get_open(id) else {
             return;
         };
@@ -77,7 +77,7 @@
     }
 
     /// The call has its final answer, or its client is gone.
-    pub(super) fn complete_call(&mut self, id: RequestId, end: End) {
+    pub(super) fn complete_call(&mut self, id: RequestId, end: CallEnd) {
         let now = self.engine.now();
         self.left(id);
         let Some(call) = self.calls.get_open(id) else {
@@ -90,11 +90,11 @@
         let (class, plan) = (call.request.class.0, call.request.plan.0);
         self.calls.release_client_stream(stream);
         tracing::debug!(call = id.0, ?end, duration_us = duration, "call completed");
-        self.metrics.ended(class, plan, end);
+        self.metrics.call_completed(class, plan, end);
         self.metrics
-            .took
+            .call_duration
             .observe(duration as f64 / MICROS_PER_SECOND);
-        self.metrics.open.dec();
+        self.metrics.open_calls.dec();
         self.report_request_completed(class, end, TimeDelta::from_micros(duration));
         self.calls.remove_if_over(id);
     }
@@ -156,7 +156,7 @@
             }
             self.engine.finish(stream, Some(with_status(trailers)));
         }
-        self.complete_call(id.call, End::Served);
+        self.complete_call(id.call, CallEnd::Served);
         self.end_attempt(id, outcome, true);
     }
 
--- a/crates/grpc-gateway/src/coordinator_link/access.rs
+++ b/crates/grpc-gateway/src/coordinator_link/access.rs
@@ -4,7 +4,6 @@
 use crate::base::asked::{Asked, Rejected};
 use crate::calls::Caller;
 use crate::gateway_server::GatewayServer;
-use crate::metrics;
 use chalkdeck::api::RequestId;
 use chalkdeck_access::{Call, RegionTable, Verdict};
 use chalkdeck_net::grpc::Code;
@@ -96,13 +95,9 @@
         else {
             return None;
         };
-        let count = |kind: &str| {
-            let kind = metrics::Kind { kind: kind.into() };
-            metrics.rejected.get_or_create(&kind).inc();
-        };
         if !link.agent.has_state() {
             let rejected = rules_unknown();
-            count(rejected.kind);
+            metrics.input_rejected(rejected.kind);
             return Some(format!("UNAVAILABLE {}", rejected.what));
         }
         let class = settings.resp.as_ref().map_or(0, |resp| resp.class);
@@ -116,7 +111,7 @@
             .agent
             .admit_call(loop_time(engine), customer, &call, None);
         let denied = denial(&verdict)?;
-        count(KIND_DENIED);
+        metrics.input_rejected(KIND_DENIED);
         Some(format!("DENIED {denied}"))
     }
 
--- a/crates/grpc-gateway/src/entry.rs
+++ b/crates/grpc-gateway/src/entry.rs
@@ -69,7 +69,9 @@
         verdicts.drain(..).for_each(|v| self.judged(v));
         if let Some(entry) = &mut self.entry {
             entry.verdicts = verdicts;
-            self.metrics.door_waiting.set(entry.queue.queued() as i64);
+            self.metrics
+                .queued_requests
+                .set(entry.queue.queued() as i64);
         }
     }
 
@@ -85,7 +87,7 @@
             Verdict::Reject { id, retry_after } => {
                 let id = RequestId(id.0);
                 entry.arrivals.remove(&id);
-                self.metrics.door_refused.inc();
+                self.metrics.queue_rejections.inc();
                 let most = self.settings.policy.max_retry_after.as_micros();
                 let back = retry_after.as_micros().min(most);
                 let back = self.settings.policy.send_retry_after.then_some(back);
--- a/crates/grpc-gateway/src/gateway_server/counter_calls.rs
+++ b/crates/grpc-gateway/src/gateway_server/counter_calls.rs
@@ -50,7 +50,7 @@
         self.report_counter_state_changes();
         self.report_counter_results(&results);
         for result in results {
-            self.metrics.counter_call(result.outcome);
+            self.metrics.counter_call_ended(result.outcome);
             self.decisions.push(Event::CounterReplied {
                 key: result.key,
                 outcome: result.outcome,
@@ -64,7 +64,7 @@
             return;
         };
         for change in counter.take_state_changes() {
-            self.metrics.counter_state_change(change);
+            self.metrics.counter_state_changed(change);
             match change {
                 StateChange::Recovered => tracing::info!("counter restarted with its counts"),
                 StateChange::Emptied => tracing::warn!("counter lost its counts"),
--- a/crates/grpc-gateway/src/gateway_server/endpoint_list.rs
+++ b/crates/grpc-gateway/src/gateway_server/endpoint_list.rs
@@ -17,11 +17,11 @@
         match self.parse_endpoint_list(content) {
             Ok(servers) => {
                 tracing::info!(endpoints = servers.len(), "endpoint list read");
-                self.metrics.servers.set(servers.len() as i64);
+                self.metrics.endpoints.set(servers.len() as i64);
                 self.apply_endpoint_list(servers);
             }
             Err(error) => {
-                self.metrics.list_failures.inc();
+                self.metrics.endpoint_list_failures.inc();
                 tracing::error!(
                     file = %self.endpoint_file.path().display(),
                     %error,
--- a/crates/grpc-gateway/src/metrics.rs
+++ b/crates/grpc-gateway/src/metrics.rs
@@ -1,4 +1,6 @@
-//! Plain metrics of one gateway.
+//! The metrics of one gateway in the Prometheus text form.
+//!
+//! Names and label values are read by dashboards and alerts, so they stay whatever fields and variants are called.
 
 use crate::counter_client::StateChange;
 use chalkdeck::api::Outcome;
@@ -9,172 +11,272 @@
 use prometheus_client::metrics::histogram::{exponential_buckets, Histogram};
 use prometheus_client::registry::Registry;
 
-/// A class, a plan and how the call ended.
+/// The upper bound of the shortest bucket of call durations, in seconds.
+const FIRST_BUCKET_SECONDS: f64 = 0.000_25;
+const BUCKET_FACTOR: f64 = 2.0;
+const BUCKET_COUNT: u16 = 16;
+
+/// The labels of completed calls. Field names are label names.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-pub(crate) struct Call {
-    pub(crate) class: String,
-    pub(crate) plan: String,
-    pub(crate) end: &'static str,
+struct CallLabels {
+    class: String,
+    plan: String,
+    end: &'static str,
 }
 
-/// One label.
+/// The only label of a metric. The field name is the label name.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-pub(crate) struct Kind {
-    pub(crate) kind: String,
+struct KindLabel {
+    kind: String,
 }
 
-/// How a call ended.
+/// How a call has ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum End {
+pub(crate) enum CallEnd {
     Served,
-    Refused,
+    Rejected,
     Failed,
-    Gone,
+    /// The client has left.
+    Cancelled,
+}
+
+const ALL_CALL_ENDS: [CallEnd; 4] = [
+    CallEnd::Served,
+    CallEnd::Rejected,
+    CallEnd::Failed,
+    CallEnd::Cancelled,
+];
+
+impl CallEnd {
+    /// The value of the label `end`.
+    fn label(self) -> &'static str {
+        match self {
+            CallEnd::Served => "served",
+            CallEnd::Rejected => "refused",
+            CallEnd::Failed => "failed",
+            CallEnd::Cancelled => "gone",
+        }
+    }
 }
 
-/// Counters by outcome, found without a look-up.
-type ByOutcome = Vec<(Outcome, Counter)>;
+/// A counter of one way in which a call ends.
+struct EndCounter {
+    end: CallEnd,
+    counter: Counter,
+}
+
+/// A counter of one outcome.
+struct OutcomeCounter {
+    outcome: Outcome,
+    counter: Counter,
+}
 
+/// All metrics of a gateway.
 pub(crate) struct Metrics {
     registry: Registry,
-    pub(crate) taken: Counter,
-    pub(crate) resp_asks: Counter,
-    pub(crate) door_refused: Counter,
-    pub(crate) door_waiting: Gauge,
-    /// By class, then plan, then end.
-    ended: Vec<Vec<[Counter; 4]>>,
-    attempts: ByOutcome,
-    counts: ByOutcome,
-    news: Family<Kind, Counter>,
-    pub(crate) rejected: Family<Kind, Counter>,
-    pub(crate) open: Gauge,
+    pub(crate) accepted_calls: Counter,
+    pub(crate) resp_requests: Counter,
+    pub(crate) queue_rejections: Counter,
+    pub(crate) queued_requests: Gauge,
+    /// By class, then by plan; counters are found without a look-up of labels.
+    completed_calls: Vec<Vec<Vec<EndCounter>>>,
+    attempts: Vec<OutcomeCounter>,
+    counter_calls: Vec<OutcomeCounter>,
+    counter_state_changes: Family<KindLabel, Counter>,
+    invalid_input: Family<KindLabel, Counter>,
+    pub(crate) open_calls: Gauge,
     pub(crate) connections: Gauge,
-    pub(crate) servers: Gauge,
-    pub(crate) list_failures: Counter,
-    pub(crate) took: Histogram,
+    pub(crate) endpoints: Gauge,
+    pub(crate) endpoint_list_failures: Counter,
+    /// In seconds.
+    pub(crate) call_duration: Histogram,
 }
 
 impl Metrics {
+    /// Registers all metrics; every class with every plan begins at zero.
     pub(crate) fn new(classes: &[String], plans: &[String]) -> Metrics {
-        let (ended, attempts, counts) = (Family::default(), Family::default(), Family::default());
-        let by_plan = |class: &String| {
-            plans
-                .iter()
-                .map(|plan| by_end(&ended, class, plan))
-                .collect()
-        };
-        let mut m = Metrics {
+        let completed_calls = Family::default();
+        let attempts = Family::default();
+        let counter_calls = Family::default();
+        let buckets = exponential_buckets(FIRST_BUCKET_SECONDS, BUCKET_FACTOR, BUCKET_COUNT);
+        let mut metrics = Metrics {
             registry: Registry::with_prefix("chalkdeck"),
-            taken: Counter::default(),
-            resp_asks: Counter::default(),
-            door_refused: Counter::default(),
-            door_waiting: Gauge::default(),
-            ended: classes.iter().map(by_plan).collect(),
-            attempts: by_outcome(&attempts),
-            counts: by_outcome(&counts),
-            news: Family::default(),
-            rejected: Family::default(),
-            open: Gauge::default(),
+            accepted_calls: Counter::default(),
+            resp_requests: Counter::default(),
+            queue_rejections: Counter::default(),
+            queued_requests: Gauge::default(),
+            completed_calls: counters_by_class(&completed_calls, classes, plans),
+            attempts: counters_by_outcome(&attempts),
+            counter_calls: counters_by_outcome(&counter_calls),
+            counter_state_changes: Family::default(),
+            invalid_input: Family::default(),
+            open_calls: Gauge::default(),
             connections: Gauge::default(),
-            servers: Gauge::default(),
-            list_failures: Counter::default(),
-            took: Histogram::new(exponential_buckets(0.000_25, 2.0, 16)),
+            endpoints: Gauge::default(),
+            endpoint_list_failures: Counter::default(),
+            call_duration: Histogram::new(buckets),
         };
-        let r = &mut m.registry;
-        r.register("calls_taken", "Calls taken", m.taken.clone());
-        r.register(
+        metrics.register_arrivals();
+        metrics.register_outcomes(completed_calls, attempts, counter_calls);
+        metrics.register_levels();
+        metrics
+    }
+
+    fn register_arrivals(&mut self) {
+        let registry = &mut self.registry;
+        registry.register("calls_taken", "Calls taken", self.accepted_calls.clone());
+        registry.register(
             "resp_asks",
             "Requests that came over RESP",
-            m.resp_asks.clone(),
+            self.resp_requests.clone(),
         );
-        r.register(
+        registry.register(
             "door_refused",
             "Requests refused at the door",
-            m.door_refused.clone(),
+            self.queue_rejections.clone(),
         );
-        r.register(
+        registry.register(
             "door_waiting",
             "Requests that wait at the door",
-            m.door_waiting.clone(),
+            self.queued_requests.clone(),
+        );
+    }
+
+    fn register_outcomes(
+        &mut self,
+        completed_calls: Family<CallLabels, Counter>,
+        attempts: Family<KindLabel, Counter>,
+        counter_calls: Family<KindLabel, Counter>,
+    ) {
+        let registry = &mut self.registry;
+        registry.register(
+            "calls_ended",
+            "Calls by class, plan and end",
+            completed_calls,
         );
-        r.register("calls_ended", "Calls by class, plan and end", ended);
-        r.register("attempts", "Attempts by how they ended", attempts);
-        r.register(
+        registry.register("attempts", "Attempts by how they ended", attempts);
+        registry.register(
             "counter_calls",
             "Calls to the counter by how they ended",
-            counts,
+            counter_calls,
         );
-        r.register(
+        registry.register(
             "counter_news",
             "Changes of the counter's counts as its answers tell them",
-            m.news.clone(),
+            self.counter_state_changes.clone(),
         );
-        r.register(
+        registry.register(
             "calls_rejected",
             "Input that is no call, by what was wrong",
-            m.rejected.clone(),
+            self.invalid_input.clone(),
         );
-        r.register("calls_open", "Calls without their answer", m.open.clone());
-        r.register(
+    }
+
+    fn register_levels(&mut self) {
+        let registry = &mut self.registry;
+        registry.register(
+            "calls_open",
+            "Calls without their answer",
+            self.open_calls.clone(),
+        );
+        registry.register(
             "connections",
             "Connections of all kinds",
-            m.connections.clone(),
+            self.connections.clone(),
         );
-        r.register("servers", "Servers on the list", m.servers.clone());
-        r.register(
+        registry.register("servers", "Servers on the list", self.endpoints.clone());
+        registry.register(
             "server_list_failures",
             "Server lists that could not be read",
-            m.list_failures.clone(),
+            self.endpoint_list_failures.clone(),
         );
-        r.register(
+        registry.register(
             "call_seconds",
             "Time from a call's head to its final answer",
-            m.took.clone(),
+            self.call_duration.clone(),
         );
-        m
     }
 
-    pub(crate) fn ended(&self, class: usize, plan: usize, end: End) {
-        self.ended[class][plan][end as usize].inc();
+    /// Counts a completed call of a class and a plan, by their indexes.
+    pub(crate) fn call_completed(&self, class: usize, plan: usize, end: CallEnd) {
+        let counters = &self.completed_calls[class][plan];
+        if let Some(found) = counters.iter().find(|counter| counter.end == end) {
+            found.counter.inc();
+        }
     }
-    pub(crate) fn attempt(&self, outcome: Outcome) {
-        inc(&self.attempts, outcome);
+
+    /// Counts an attempt that has ended.
+    pub(crate) fn attempt_ended(&self, outcome: Outcome) {
+        count_outcome(&self.attempts, outcome);
     }
-    pub(crate) fn counter_call(&self, outcome: Outcome) {
-        inc(&self.counts, outcome);
+
+    /// Counts a call to the counter that has ended.
+    pub(crate) fn counter_call_ended(&self, outcome: Outcome) {
+        count_outcome(&self.counter_calls, outcome);
     }
 
-    pub(crate) fn counter_state_change(&self, change: StateChange) {
+    /// Counts a change of the counter's state.
+    pub(crate) fn counter_state_changed(&self, change: StateChange) {
         let kind = state_change_label(change).to_string();
-        self.news.get_or_create(&Kind { kind }).inc();
+        self.counter_state_changes
+            .get_or_create(&KindLabel { kind })
+            .inc();
+    }
+
+    /// Counts input that is not accepted as a call; `kind` says what is wrong with it.
+    pub(crate) fn input_rejected(&self, kind: &str) {
+        let kind = kind.to_string();
+        self.invalid_input.get_or_create(&KindLabel { kind }).inc();
     }
 
+    /// All metrics as text.
     pub(crate) fn text(&self) -> String {
-        let mut out = String::new();
-        match text::encode(&mut out, &self.registry) {
-            Ok(()) => out,
-            Err(e) => format!("# {e}\n"),
+        let mut output = String::new();
+        match text::encode(&mut output, &self.registry) {
+            Ok(()) => output,
+            Err(error) => format!("# {error}\n"),
         }
     }
 }
 
-fn by_end(family: &Family<Call, Counter>, class: &str, plan: &str) -> [Counter; 4] {
-    ["served", "refused", "failed", "gone"].map(|end| {
-        let labels = Call {
+fn counters_by_class(
+    family: &Family<CallLabels, Counter>,
+    classes: &[String],
+    plans: &[String],
+) -> Vec<Vec<Vec<EndCounter>>> {
+    let of_class = |class: &String| {
+        plans
+            .iter()
+            .map(|plan| counters_by_end(family, class, plan))
+            .collect()
+    };
+    classes.iter().map(of_class).collect()
+}
+
+fn counters_by_end(
+    family: &Family<CallLabels, Counter>,
+    class: &str,
+    plan: &str,
+) -> Vec<EndCounter> {
+    let of_end = |end: CallEnd| {
+        let labels = CallLabels {
             class: class.to_string(),
             plan: plan.to_string(),
-            end,
+            end: end.label(),
         };
-        family.get_or_create(&labels).clone()
-    })
+        let counter = family.get_or_create(&labels).clone();
+        EndCounter { end, counter }
+    };
+    ALL_CALL_ENDS.into_iter().map(of_end).collect()
 }
 
-fn by_outcome(family: &Family<Kind, Counter>) -> ByOutcome {
-    let counter = |outcome: Outcome| {
+fn counters_by_outcome(family: &Family<KindLabel, Counter>) -> Vec<OutcomeCounter> {
+    let of_outcome = |outcome: Outcome| {
         let kind = outcome_label(outcome).to_string();
-        family.get_or_create(&Kind { kind }).clone()
+        let counter = family.get_or_create(&KindLabel { kind }).clone();
+        OutcomeCounter { outcome, counter }
     };
-    ALL_OUTCOMES.into_iter().map(|o| (o, counter(o))).collect()
+    ALL_OUTCOMES.into_iter().map(of_outcome).collect()
 }
 
 const ALL_OUTCOMES: [Outcome; 8] = [
@@ -188,7 +290,7 @@
     Outcome::NeverSent,
 ];
 
-/// The value of the label `kind`. Dashboards go by it, so it stays whatever the variants are called.
+/// The value of the label `kind` of an outcome.
 fn outcome_label(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "ok",
@@ -211,8 +313,8 @@
     }
 }
 
-fn inc(counters: &ByOutcome, outcome: Outcome) {
-    if let Some((_, counter)) = counters.iter().find(|c| c.0 == outcome) {
-        counter.inc();
+fn count_outcome(counters: &[OutcomeCounter], outcome: Outcome) {
+    if let Some(found) = counters.iter().find(|counter| counter.outcome == outcome) {
+        found.counter.inc();
     }
 }
--- a/crates/grpc-gateway/src/resp/mod.rs
+++ b/crates/grpc-gateway/src/resp/mod.rs
@@ -271,7 +271,7 @@
                 lease,
             },
         );
-        self.metrics.resp_asks.inc();
+        self.metrics.resp_requests.inc();
         self.enter(IncomingRequest {
             id,
             class: ClassId(class),
--- a/crates/grpc-gateway/src/sites/events.rs
+++ b/crates/grpc-gateway/src/sites/events.rs
@@ -3,7 +3,7 @@
 use crate::base::server::Server;
 use crate::counter_client::CounterResult;
 use crate::gateway_server::GatewayServer;
-use crate::metrics::End;
+use crate::metrics::CallEnd;
 use chalkdeck::api::{EndpointId, IncomingRequest, Outcome};
 use chalkdeck_site_failover::{
     self as failover, AttemptEvidence, CompletedRequest, EndedAttempt, Event, FinalAnswer,
@@ -63,11 +63,16 @@
     }
 
     /// A request of a class had its final answer after `latency`; one that its client left says nothing about sites.
-    pub(crate) fn report_request_completed(&mut self, class: usize, end: End, latency: TimeDelta) {
+    pub(crate) fn report_request_completed(
+        &mut self,
+        class: usize,
+        end: CallEnd,
+        latency: TimeDelta,
+    ) {
         let answer = match end {
-            End::Gone => return,
-            End::Served => FinalAnswer::Served,
-            End::Refused | End::Failed => FinalAnswer::Rejected,
+            CallEnd::Cancelled => return,
+            CallEnd::Served => FinalAnswer::Served,
+            CallEnd::Rejected | CallEnd::Failed => FinalAnswer::Rejected,
         };
         let completed = CompletedRequest {
             answer,
