--- a/crates/grpc-gateway/src/base/settings.rs
+++ b/crates/grpc-gateway/src/base/settings.rs
@@ -38,7 +38,7 @@
 pub struct RespSettings {
     /// Where it listens.
     pub listen: SocketAddr,
-    /// Asked of clients; empty: none.
+    /// CallHead of clients; empty: none.
     pub password: String,
     /// The class that its requests have; callers do the work themselves.
     pub class: usize,
--- a/crates/grpc-gateway/src/call_flow/accept.rs
+++ b/crates/grpc-gateway/src/call_flow/accept.rs
@@ -1,8 +1,8 @@
 //! Calls as they arrive from clients.
 
-use crate::base::asked::Rejected;
+use crate::base::call_head::InvalidCall;
+use crate::call_head;
 use crate::calls::Call;
-use crate::front;
 use crate::gateway_server::GatewayServer;
 use crate::request_buffer::RequestBuffer;
 use chalkdeck::api::RequestId;
@@ -20,35 +20,35 @@
     ) {
         let id = self.calls.next_id();
         let now = self.engine.now();
-        let mut asked = match front::read(&self.settings, id, now, head) {
-            Ok(asked) => asked,
+        let mut call_head = match call_head::parse(&self.settings, id, now, head) {
+            Ok(call_head) => call_head,
             Err(rejected) => return self.reject_invalid(stream, id, &rejected),
         };
-        let caller = match self.admit_call(&mut asked, head, conn) {
+        let caller = match self.admit_call(&mut call_head, head, conn) {
             Ok(caller) => caller,
             Err(rejected) => return self.reject_invalid(stream, id, &rejected),
         };
         tracing::debug!(
             call = id.0,
-            path = asked.path.as_str(),
-            units = asked.arrival.units,
+            path = call_head.path.as_str(),
+            units = call_head.request.units,
             "taken"
         );
-        let request = asked.arrival.clone();
+        let request = call_head.request.clone();
         let buffer = RequestBuffer::new(self.settings.keep_bytes, ended);
-        let call = Call::new(asked, stream, now, buffer);
+        let call = Call::new(call_head, stream, now, buffer);
         self.calls.insert(Call { caller, ..call });
         self.metrics.accepted_calls.inc();
         self.metrics.open_calls.inc();
-        self.enter(request);
+        self.enqueue_request(request);
     }
 
     /// Answers a call that cannot be accepted, before the decisions hear of it.
-    fn reject_invalid(&mut self, stream: StreamId, id: RequestId, rejected: &Rejected) {
-        tracing::info!(call = id.0, kind = rejected.kind, reason = %rejected.what, "call rejected as invalid");
+    fn reject_invalid(&mut self, stream: StreamId, id: RequestId, rejected: &InvalidCall) {
+        tracing::info!(call = id.0, kind = rejected.kind, reason = %rejected.reason, "call rejected as invalid");
         self.metrics.input_rejected(rejected.kind);
         let response = match rejected.code {
-            Some(code) => grpc::trailers_only(grpc::trailers(code, &rejected.what)),
+            Some(code) => grpc::trailers_only(grpc::trailers(code, &rejected.reason)),
             None => unsupported_media_type(),
         };
         self.engine.respond(stream, response, true);
--- a/crates/grpc-gateway/src/call_flow/responses.rs
+++ b/crates/grpc-gateway/src/call_flow/responses.rs
@@ -79,7 +79,7 @@
     /// The call has its final answer, or its client is gone.
     pub(super) fn complete_call(&mut self, id: RequestId, end: CallEnd) {
         let now = self.engine.now();
-        self.left(id);
+        self.release_from_queue(id);
         let Some(call) = self.calls.get_open(id) else {
             return;
         };
@@ -114,7 +114,7 @@
         self.send_buffered(stream, buffered);
         self.decisions.push(Event::ResponseStarted(id));
         // A stream may last for long, while the admission queue is for calls with an answer soon.
-        self.left(id);
+        self.release_from_queue(id);
         // The decisions keep no deadline for it from here on; the client's own stays.
         let left = call_deadline.saturating_sub(self.engine.now());
         self.set_timer(left, TimerPurpose::ClientDeadline(id));
--- a/crates/grpc-gateway/src/calls.rs
+++ b/crates/grpc-gateway/src/calls.rs
@@ -1,6 +1,6 @@
 //! The calls that a gateway has open, found by their streams.
 
-use crate::base::asked::Asked;
+use crate::base::call_head::CallHead;
 use crate::pool::AttemptId;
 use crate::request_buffer::RequestBuffer;
 use bytes::Bytes;
@@ -72,19 +72,19 @@
 
 impl Call {
     pub(crate) fn new(
-        asked: Asked,
+        head: CallHead,
         client_stream: StreamId,
         arrived_at: u64,
         request_buffer: RequestBuffer,
     ) -> Call {
         Call {
             client_stream,
-            request: asked.arrival,
+            request: head.request,
             arrived_at,
-            client_deadline: asked.client_deadline,
-            path: asked.path,
-            headers: asked.headers,
-            client_attempts: asked.tries_before,
+            client_deadline: head.client_deadline,
+            path: head.path,
+            headers: head.headers,
+            client_attempts: head.previous_attempts,
             caller: None,
             request_buffer,
             attempts: Vec::new(),
--- a/crates/grpc-gateway/src/coordinator_link/access.rs
+++ b/crates/grpc-gateway/src/coordinator_link/access.rs
@@ -1,7 +1,7 @@
 //! What the customers' access rules decide about calls, RESP commands and streams that are under way.
 
 use super::connection::loop_time;
-use crate::base::asked::{Asked, Rejected};
+use crate::base::call_head::{CallHead, InvalidCall};
 use crate::calls::Caller;
 use crate::gateway_server::GatewayServer;
 use chalkdeck::api::RequestId;
@@ -23,10 +23,10 @@
     /// The call is denied, or the rules are not known.
     pub(crate) fn admit_call(
         &mut self,
-        asked: &mut Asked,
+        call_head: &mut CallHead,
         head: &request::Parts,
         conn: ConnId,
-    ) -> Result<Option<Box<Caller>>, Rejected> {
+    ) -> Result<Option<Box<Caller>>, InvalidCall> {
         let GatewayServer {
             coordinator: Some(link),
             settings,
@@ -49,9 +49,9 @@
             .unwrap_or("")
             .to_string();
         if let Some(name) = region_metadata {
-            asked.headers.remove(name);
+            call_head.headers.remove(name);
         }
-        let class = asked.arrival.class.0;
+        let class = call_head.request.class.0;
         let call = Call {
             caller_region: &caller_region,
             gateway_region: &link.settings.region,
@@ -62,10 +62,10 @@
         let verdict = link
             .agent
             .admit_call(loop_time(engine), customer, &call, version);
-        if let Some(what) = denial(&verdict) {
-            return Err(Rejected {
+        if let Some(reason) = denial(&verdict) {
+            return Err(InvalidCall {
                 code: Some(Code::PermissionDenied),
-                what,
+                reason,
                 kind: KIND_DENIED,
             });
         }
@@ -98,7 +98,7 @@
         if !link.agent.has_state() {
             let rejected = rules_unknown();
             metrics.input_rejected(rejected.kind);
-            return Some(format!("UNAVAILABLE {}", rejected.what));
+            return Some(format!("UNAVAILABLE {}", rejected.reason));
         }
         let class = settings.resp.as_ref().map_or(0, |resp| resp.class);
         let call = Call {
@@ -175,10 +175,10 @@
 }
 
 /// Without any copy of the shared state it is not known what is denied, so nothing is admitted.
-fn rules_unknown() -> Rejected {
-    Rejected {
+fn rules_unknown() -> InvalidCall {
+    InvalidCall {
         code: Some(Code::Unavailable),
-        what: NO_RULES.to_string(),
+        reason: NO_RULES.to_string(),
         kind: KIND_RULES_UNKNOWN,
     }
 }
--- a/crates/grpc-gateway/src/gateway_server/event_loop.rs
+++ b/crates/grpc-gateway/src/gateway_server/event_loop.rs
@@ -36,13 +36,14 @@
     /// The system call that waits has failed.
     pub fn turn(&mut self, max_wait: u64) -> io::Result<()> {
         let mut events = std::mem::take(&mut self.events);
-        self.engine.turn(self.door_wait(max_wait), &mut events)?;
+        self.engine
+            .turn(self.wait_until_queue_wakes(max_wait), &mut events)?;
         for event in events.drain(..) {
             self.on_event(event);
             self.run_decisions();
         }
         self.events = events;
-        self.door_turn();
+        self.admit_queued_requests();
         self.run_decisions();
         self.resp_let_go();
         if let Some(counter) = &mut self.counter {
--- a/crates/grpc-gateway/src/gateway_server/mod.rs
+++ b/crates/grpc-gateway/src/gateway_server/mod.rs
@@ -17,10 +17,10 @@
 use crate::calls::Calls;
 use crate::coordinator_link::CoordinatorLink;
 use crate::counter_client::CounterClient;
-use crate::entry::Entry;
 use crate::fault::Fault;
 use crate::metrics::Metrics;
 use crate::pool::Pool;
+use crate::request_queue::RequestQueue;
 use crate::resp::Resp;
 use crate::sites::SiteMonitor;
 use chalkdeck::api::EndpointId;
@@ -44,7 +44,7 @@
     pub(crate) calls: Calls,
     pub(crate) counter: Option<CounterClient>,
     pub(crate) resp: Option<Resp>,
-    pub(crate) entry: Option<Entry>,
+    pub(crate) request_queue: Option<RequestQueue>,
     pub(crate) sites: Option<SiteMonitor>,
     pub(crate) coordinator: Option<CoordinatorLink>,
     pub(crate) pool: Pool,
--- a/crates/grpc-gateway/src/gateway_server/startup.rs
+++ b/crates/grpc-gateway/src/gateway_server/startup.rs
@@ -6,9 +6,9 @@
 use crate::calls::Calls;
 use crate::coordinator_link::CoordinatorLink;
 use crate::counter_client::CounterClient;
-use crate::entry::Entry;
 use crate::metrics::Metrics;
 use crate::pool::Pool;
+use crate::request_queue::RequestQueue;
 use crate::resp::Resp;
 use crate::sites::SiteMonitor;
 use chalkdeck::api::Timestamp;
@@ -59,7 +59,7 @@
             calls: Calls::default(),
             counter,
             resp,
-            entry: settings.door.clone().map(Entry::new),
+            request_queue: settings.door.clone().map(RequestQueue::new),
             sites,
             coordinator,
             pool: Pool::new(
--- a/crates/grpc-gateway/src/lib.rs
+++ b/crates/grpc-gateway/src/lib.rs
@@ -7,13 +7,12 @@
 
 mod base;
 mod call_flow;
+mod call_head;
 mod calls;
 pub mod coordinator_link;
 mod counter_client;
 pub mod endpoints;
-pub mod entry;
 mod fault;
-mod front;
 mod gateway_server;
 pub mod logs;
 mod metrics;
@@ -21,6 +20,7 @@
 mod pool;
 pub mod relay;
 mod request_buffer;
+mod request_queue;
 pub mod resp;
 pub mod settings;
 mod site_overrides;
--- a/crates/grpc-gateway/src/resp/mod.rs
+++ b/crates/grpc-gateway/src/resp/mod.rs
@@ -272,7 +272,7 @@
             },
         );
         self.metrics.resp_requests.inc();
-        self.enter(IncomingRequest {
+        self.enqueue_request(IncomingRequest {
             id,
             class: ClassId(class),
             plan,
@@ -289,7 +289,7 @@
     /// Leave is given.
     pub(crate) fn granted(&mut self, id: RequestId) {
         let now = Timestamp::from_micros(self.engine.now());
-        self.left(id);
+        self.release_from_queue(id);
         let Some(ask) = self.resp.as_mut().and_then(|r| r.asks.remove(&id)) else {
             return;
         };
@@ -335,7 +335,7 @@
         let Some(ask) = self.resp.as_mut().and_then(|r| r.asks.remove(&id)) else {
             return false;
         };
-        self.left(id);
+        self.release_from_queue(id);
         let standing = self
             .decisions
             .engine
@@ -498,7 +498,7 @@
                 resp.asks.remove(&id);
                 resp.drop_ticket(id);
             }
-            self.left(id);
+            self.release_from_queue(id);
             self.decisions.push(Event::ClientDisconnected(id));
         }
     }
