--- a/crates/grpc-gateway/src/call_flow/attempts.rs
+++ b/crates/grpc-gateway/src/call_flow/attempts.rs
@@ -1,9 +1,9 @@
 //! Attempts at endpoints: how they are sent, and how they end.
 
 use crate::calls::{Attempt, Call, ResponseState};
+use crate::endpoint_connections::{AttemptId, FoundConnection};
 use crate::fault::Fault;
 use crate::gateway_server::{GatewayServer, TimerPurpose};
-use crate::pool::{AttemptId, Found};
 use crate::sites::AttemptReport;
 use chalkdeck::api::{AttemptResult, EndpointId, Event, LoadReport, Outcome, RequestId, TimeDelta};
 use chalkdeck_net::{grpc, ConnId};
@@ -34,7 +34,7 @@
         });
         call.response = ResponseState::Pending;
         let call_deadline = call.request.deadline.as_micros();
-        tracing::debug!(call = id.0, attempt = attempt.number, endpoint = ?self.pool.address(endpoint), "attempt forwarded");
+        tracing::debug!(call = id.0, attempt = attempt.number, endpoint = ?self.endpoint_connections.address(endpoint), "attempt forwarded");
         // At the call's deadline the decisions end the call, and its attempt with it.
         if deadline < call_deadline {
             self.set_timer(
@@ -50,22 +50,27 @@
     fn connect_attempt(&mut self, attempt: AttemptId, endpoint: EndpointId) {
         let endpoint = self.freshest.unwrap_or(endpoint);
         for _ in 0..=self.settings.server_connections {
-            match self.pool.find(&mut self.engine, endpoint, attempt) {
-                Found::Ready(conn) => {
+            match self
+                .endpoint_connections
+                .find(&mut self.engine, endpoint, attempt)
+            {
+                FoundConnection::Established(conn) => {
                     if self.open_attempt_stream(conn, attempt) {
                         return;
                     }
                     self.drop_endpoint_connection(conn);
                 }
-                Found::Waits { fresh: Some(conn) } => {
+                FoundConnection::Begun(conn) => {
                     return self.set_timer(
                         self.settings.connect_timeout,
                         TimerPurpose::ConnectTimeout(conn),
                     );
                 }
-                Found::Waits { fresh: None } => return,
-                Found::Full => return self.end_attempt(attempt, Outcome::Rejected, false),
-                Found::Unreachable => break,
+                FoundConnection::Connecting => return,
+                FoundConnection::Full => {
+                    return self.end_attempt(attempt, Outcome::Rejected, false)
+                }
+                FoundConnection::Unreachable => break,
             }
         }
         self.end_attempt(attempt, Outcome::ConnectFailed, false);
@@ -77,7 +82,10 @@
         let Some(call) = self.calls.get(attempt.call) else {
             return true;
         };
-        let Some(authority) = self.pool.authority(call.attempts[attempt.number].endpoint) else {
+        let Some(authority) = self
+            .endpoint_connections
+            .authority(call.attempts[attempt.number].endpoint)
+        else {
             return false;
         };
         let has_stream_class = self.settings.policy.classes[call.request.class.0].is_streaming;
@@ -127,7 +135,7 @@
     /// Injected fault: forwards a rejected call, against the fifth rule. The decisions have forgotten the call; whatever the endpoint
     /// answers is passed on. Returns false if it cannot be forwarded.
     pub(super) fn send_rejected(&mut self, id: RequestId) -> bool {
-        let Some(endpoint) = self.pool.any() else {
+        let Some(endpoint) = self.endpoint_connections.first_endpoint() else {
             return false;
         };
         let is_unsent = self
@@ -211,7 +219,7 @@
     }
 
     pub(super) fn drop_endpoint_connection(&mut self, conn: ConnId) {
-        for attempt in self.pool.forget(conn).unwrap_or_default() {
+        for attempt in self.endpoint_connections.forget(conn).unwrap_or_default() {
             self.end_attempt(attempt, Outcome::ConnectFailed, false);
         }
     }
--- a/crates/grpc-gateway/src/call_flow/cancellation.rs
+++ b/crates/grpc-gateway/src/call_flow/cancellation.rs
@@ -1,8 +1,8 @@
 //! Calls that end before their answer: by a deadline, an access rule, a shutdown or their client.
 
+use crate::endpoint_connections::AttemptId;
 use crate::gateway_server::{GatewayServer, TimerPurpose};
 use crate::metrics::CallEnd;
-use crate::pool::AttemptId;
 use chalkdeck::api::{Event, Outcome, RequestId};
 use chalkdeck_net::grpc::{self, Code};
 
--- a/crates/grpc-gateway/src/call_flow/events.rs
+++ b/crates/grpc-gateway/src/call_flow/events.rs
@@ -1,12 +1,12 @@
 //! What happens on connections and streams, handed to the session, the counter or the call that it belongs to.
 
 use super::responses::ResponseForm;
+use crate::attempt_outcome;
 use crate::calls::{BufferedResponse, ResponseState};
 use crate::coordinator_link::StreamProgress;
+use crate::endpoint_connections::AttemptId;
 use crate::gateway_server::GatewayServer;
 use crate::metrics::CallEnd;
-use crate::outcome;
-use crate::pool::AttemptId;
 use bytes::Bytes;
 use chalkdeck::api::{Event, Outcome, RequestId};
 use chalkdeck_net::grpc::{self, Code};
@@ -23,7 +23,11 @@
                 return self.on_counter_results(results);
             }
         }
-        for attempt in self.pool.connected(conn).unwrap_or_default() {
+        for attempt in self
+            .endpoint_connections
+            .connected(conn)
+            .unwrap_or_default()
+        {
             let is_open = self.calls.open_attempt(attempt).is_some();
             if is_open && !self.open_attempt_stream(conn, attempt) {
                 self.end_attempt(attempt, Outcome::Rejected, false);
@@ -220,7 +224,7 @@
             return self.on_client_gone(id);
         }
         if let Some(id) = self.calls.of_attempt_stream(stream) {
-            self.on_attempt_broken(id, outcome::of_break(how));
+            self.on_attempt_broken(id, attempt_outcome::from_stream_error(how));
         }
     }
 
--- a/crates/grpc-gateway/src/call_flow/responses.rs
+++ b/crates/grpc-gateway/src/call_flow/responses.rs
@@ -1,11 +1,11 @@
 //! Final answers to clients, and responses of endpoints on their way to them.
 
+use crate::attempt_outcome::{self, AttemptEnd};
 use crate::calls::{BufferedResponse, ResponseState};
+use crate::endpoint_connections::AttemptId;
 use crate::fault::Fault;
 use crate::gateway_server::{GatewayServer, TimerPurpose};
 use crate::metrics::CallEnd;
-use crate::outcome::{self, Ended};
-use crate::pool::AttemptId;
 use chalkdeck::api::{Event, Outcome, RequestId, TimeDelta};
 use chalkdeck_net::grpc::{self, Code};
 use chalkdeck_net::StreamId;
@@ -135,7 +135,7 @@
         trailers: HeaderMap,
         form: ResponseForm,
     ) {
-        let Ended { outcome, is_answer } = outcome::of_status(&trailers);
+        let AttemptEnd { outcome, is_answer } = attempt_outcome::from_trailers(&trailers);
         let Some(call) = self.calls.get(id.call) else {
             return;
         };
--- a/crates/grpc-gateway/src/calls.rs
+++ b/crates/grpc-gateway/src/calls.rs
@@ -1,7 +1,7 @@
 //! The calls that a gateway has open, found by their streams.
 
 use crate::base::call_head::CallHead;
-use crate::pool::AttemptId;
+use crate::endpoint_connections::AttemptId;
 use crate::request_buffer::RequestBuffer;
 use bytes::Bytes;
 use chalkdeck::api::{EndpointId, IncomingRequest, RequestId};
--- a/crates/grpc-gateway/src/gateway_server/endpoint_list.rs
+++ b/crates/grpc-gateway/src/gateway_server/endpoint_list.rs
@@ -10,7 +10,7 @@
     /// Reads the endpoint list if its file has changed. An invalid one leaves the last valid list in force.
     pub(super) fn poll_endpoint_list(&mut self) {
         self.set_timer(self.settings.poll, TimerPurpose::EndpointPoll);
-        self.pool.close_idle(&mut self.engine);
+        self.endpoint_connections.close_idle(&mut self.engine);
         let Some(content) = self.endpoint_file.poll() else {
             return;
         };
@@ -43,7 +43,7 @@
     /// Puts a list in force.
     pub(crate) fn apply_endpoint_list(&mut self, mut servers: Vec<Server>) {
         self.hold_back_endpoints(&mut servers);
-        let unsent = self.pool.update(&mut self.engine, &servers);
+        let unsent = self.endpoint_connections.update(&mut self.engine, &servers);
         for attempt in unsent {
             self.end_attempt(attempt, Outcome::ConnectFailed, false);
         }
--- a/crates/grpc-gateway/src/gateway_server/event_loop.rs
+++ b/crates/grpc-gateway/src/gateway_server/event_loop.rs
@@ -1,7 +1,7 @@
 //! The loop: waits for events of the sockets, passes each to its part, and carries out the actions of the decisions.
 
 use super::{GatewayServer, TimerPurpose};
-use crate::pool::AttemptId;
+use crate::endpoint_connections::AttemptId;
 use chalkdeck::api::{Action, Outcome};
 use chalkdeck_net::signals::Signals;
 use chalkdeck_net::Event as NetEvent;
--- a/crates/grpc-gateway/src/gateway_server/mod.rs
+++ b/crates/grpc-gateway/src/gateway_server/mod.rs
@@ -17,9 +17,9 @@
 use crate::calls::Calls;
 use crate::coordinator_link::CoordinatorLink;
 use crate::counter_client::CounterClient;
+use crate::endpoint_connections::EndpointConnections;
 use crate::fault::Fault;
 use crate::metrics::Metrics;
-use crate::pool::Pool;
 use crate::request_queue::RequestQueue;
 use crate::resp::Resp;
 use crate::sites::SiteMonitor;
@@ -47,7 +47,7 @@
     pub(crate) request_queue: Option<RequestQueue>,
     pub(crate) sites: Option<SiteMonitor>,
     pub(crate) coordinator: Option<CoordinatorLink>,
-    pub(crate) pool: Pool,
+    pub(crate) endpoint_connections: EndpointConnections,
     /// Watches the file of the endpoint list.
     endpoint_file: FileWatch,
     pub(crate) metrics: Metrics,
--- a/crates/grpc-gateway/src/gateway_server/startup.rs
+++ b/crates/grpc-gateway/src/gateway_server/startup.rs
@@ -6,8 +6,8 @@
 use crate::calls::Calls;
 use crate::coordinator_link::CoordinatorLink;
 use crate::counter_client::CounterClient;
+use crate::endpoint_connections::EndpointConnections;
 use crate::metrics::Metrics;
-use crate::pool::Pool;
 use crate::request_queue::RequestQueue;
 use crate::resp::Resp;
 use crate::sites::SiteMonitor;
@@ -62,7 +62,7 @@
             request_queue: settings.door.clone().map(RequestQueue::new),
             sites,
             coordinator,
-            pool: Pool::new(
+            endpoint_connections: EndpointConnections::new(
                 settings.server_connections,
                 settings.server_streams,
                 settings.keepalive,
--- a/crates/grpc-gateway/src/gateway_server/timers.rs
+++ b/crates/grpc-gateway/src/gateway_server/timers.rs
@@ -1,7 +1,7 @@
 //! Timers of the loop: what each is for, and what happens when it fires.
 
 use super::GatewayServer;
-use crate::pool::AttemptId;
+use crate::endpoint_connections::AttemptId;
 use chalkdeck::api::{Event, RequestId, TimerId, Timestamp};
 use chalkdeck_net::ConnId;
 
@@ -56,7 +56,7 @@
     }
 
     fn on_connect_timeout(&mut self, conn: ConnId) {
-        if self.pool.is_connecting(conn) {
+        if self.endpoint_connections.is_connecting(conn) {
             self.engine.close(conn);
             self.on_closed(conn, "not made in time");
         }
--- a/crates/grpc-gateway/src/lib.rs
+++ b/crates/grpc-gateway/src/lib.rs
@@ -1,23 +1,23 @@
-//! The gateway as a library: settings, routes, the gateway that carries calls, and what it needs.
+//! The gRPC gateway as a library: its settings, the server that carries calls, and its RESP port.
 //!
-//! The decisions are those of the package `chalkdeck`; this package raises its events from what happens on sockets and
-//! carries out its actions.
+//! The decisions are those of the package `chalkdeck`; this package raises their events from what happens on sockets and carries
+//! out their actions.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod attempt_outcome;
 mod base;
 mod call_flow;
 mod call_head;
 mod calls;
 pub mod coordinator_link;
 mod counter_client;
+mod endpoint_connections;
 pub mod endpoints;
 mod fault;
 mod gateway_server;
 pub mod logs;
 mod metrics;
-mod outcome;
-mod pool;
 pub mod relay;
 mod request_buffer;
 mod request_queue;
