--- a/crates/grpc-gateway/src/endpoints/tests.rs
+++ b/crates/grpc-gateway/src/endpoints/tests.rs
@@ -17,10 +17,10 @@
         }"#;
 
 #[test]
-fn text_and_binary_say_the_same() {
-    let from_text = read(Path::new("a.txtpb"), TEXT.as_bytes()).expect("it is sound");
+fn text_and_binary_form_then_the_same_list() {
+    let from_text = parse(Path::new("a.txtpb"), TEXT.as_bytes()).expect("it is sound");
     let list: ClusterLoadAssignment = text::parse(MESSAGE, TEXT).expect("it is sound");
-    let binary = read(Path::new("a.pb"), &list.encode_to_vec()).expect("it is sound");
+    let binary = parse(Path::new("a.pb"), &list.encode_to_vec()).expect("it is sound");
     for servers in [from_text, binary] {
         assert_eq!(servers.len(), 1);
         let entry = &servers[0].entry;
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_named() {
+fn invalid_list_then_the_error_names_the_place() {
     let wrong = [
         (TEXT.replace("8001", "80010"), "80010"),
         (TEXT.replace("127.0.0.1", "farm.example"), "farm.example"),
@@ -46,10 +46,10 @@
         (TEXT.replace("DRAINING", "TIRED"), "TIRED"),
     ];
     for (text, place) in wrong {
-        let error = read(Path::new("a.txtpb"), text.as_bytes())
+        let error = parse(Path::new("a.txtpb"), text.as_bytes())
             .expect_err("it is wrong")
             .to_string();
         assert!(error.contains(place), "{error} names {place}");
     }
-    assert!(read(Path::new("a.pb"), b"\xff\xff\xff").is_err());
+    assert!(parse(Path::new("a.pb"), b"\xff\xff\xff").is_err());
 }
--- a/crates/grpc-gateway/src/gateway_server/endpoint_list.rs
+++ b/crates/grpc-gateway/src/gateway_server/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The endpoint list: read when its file changes, and passed to connections, sites and decisions.
 
 use super::{GatewayServer, TimerPurpose};
-use crate::endpoints::{self, LookError, Server};
+use crate::endpoints::{self, EndpointListError, Server};
 use crate::fault::Fault;
 use chalkdeck::api::{EndpointEntry, EndpointState, Event, Outcome, UpdateScope};
 use chalkdeck_net::file_watch::FileWatchError;
@@ -35,8 +35,8 @@
     fn parse_endpoint_list(
         &self,
         content: Result<Vec<u8>, FileWatchError>,
-    ) -> Result<Vec<Server>, LookError> {
-        let servers = endpoints::read(self.endpoint_file.path(), &content?)?;
+    ) -> Result<Vec<Server>, EndpointListError> {
+        let servers = endpoints::parse(self.endpoint_file.path(), &content?)?;
         Ok(servers)
     }
 
