--- a/crates/grpc-gateway/src/gateway_server/event_loop.rs
+++ b/crates/grpc-gateway/src/gateway_server/event_loop.rs
@@ -84,12 +84,12 @@
     /// Passes pending events to the decisions and carries out their actions, until none follows.
     pub(super) fn run_decisions(&mut self) {
         while let Some(action) = self.decisions.next_action(self.now()) {
-            self.run_action(action);
+            self.run_action(&action);
         }
     }
 
-    fn run_action(&mut self, action: Action) {
-        match action {
+    fn run_action(&mut self, action: &Action) {
+        match *action {
             Action::SendAttempt {
                 request,
                 endpoint,
--- a/crates/grpc-gateway/src/lib.rs
+++ b/crates/grpc-gateway/src/lib.rs
@@ -3,7 +3,6 @@
 //! The decisions are those of the package `chalkdeck`; this package raises their events from what happens on sockets and carries
 //! out their actions.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod attempt_outcome;
 mod base;
--- a/crates/grpc-gateway/src/settings.rs
+++ b/crates/grpc-gateway/src/settings.rs
@@ -288,7 +288,6 @@
             format!("keepers.{field}: expected a metadata name, found '{name}'"),
         ),
     };
-    let some = |text: &str| Some(text.to_string()).filter(|t| !t.is_empty());
     let region_metadata = some(&keepers.region_metadata);
     Ok(Some(CoordinatorSettings {
         addresses,
@@ -308,89 +307,184 @@
     }))
 }
 
+/// A text that is set; an empty field is not.
+fn some(text: &str) -> Option<String> {
+    (!text.is_empty()).then(|| text.to_string())
+}
+
+/// Checks the message and fills in defaults. The order of the checks decides which error is reported first.
 fn check(source: &Source, wire: &wire::Gateway) -> Result<Settings> {
     let mut class_names: Vec<String> = wire.classes.iter().map(|c| c.name.clone()).collect();
     let plan_names: Vec<String> = wire.plans.iter().map(|p| p.name.clone()).collect();
-    source.named("classes", &class_names)?;
-    source.named("plans", &plan_names)?;
-    for (what, empty) in [
+    require_lists(source, wire, &class_names, &plan_names)?;
+    let mut classes = Vec::new();
+    for (index, class) in wire.classes.iter().enumerate() {
+        classes.push(source.class(index, class)?);
+    }
+    let routes = routes(source, wire, &class_names)?;
+    let unkeyed = add_unkeyed_classes(&mut classes, &mut class_names);
+    let customers = customers(source, wire, &plan_names)?;
+    let endpoints = wire.endpoints.clone().unwrap_or_default();
+    if endpoints.file.is_empty() {
+        return source.fail("endpoints.file: expected the file with the server list");
+    }
+    let log_level = log_level(source, wire)?;
+    let counter = counter_addresses(source, wire)?;
+    let resp = resp(source, wire, &mut classes, &mut class_names)?;
+    let policy = policy(wire, classes, !counter.is_empty());
+    if let Err(error) = policy.check() {
+        return source.fail(error.to_string());
+    }
+    let sites = wire.sites.clone().unwrap_or_default();
+    let limits = wire.limits.unwrap_or_default();
+    Ok(Settings {
+        listen: source.address("listen", &wire.listen)?,
+        admin: admin_address(source, wire)?,
+        routes,
+        unkeyed,
+        class_names,
+        plan_names,
+        customer_metadata: customers.metadata,
+        default_plan: customers.default_plan,
+        plan_of: customers.plan_of,
+        spread: customers.spread,
+        sites: sites.on,
+        site_floor: sites.on && !sites.failover_only,
+        site_words: some(&sites.words_file).map(PathBuf::from),
+        coordinator: coordinator_settings(source, wire)?,
+        zone_name: wire.zone.clone(),
+        counter,
+        resp,
+        door: door(wire.door.unwrap_or_default()),
+        endpoints: PathBuf::from(endpoints.file),
+        poll: u64::from(or(endpoints.poll_ms, 200)) * 1_000,
+        connect_timeout: u64::from(or(endpoints.connect_timeout_ms, 250)) * 1_000,
+        server_connections: or(endpoints.connections, 2) as usize,
+        server_streams: or(endpoints.streams, 100),
+        keepalive: u64::from(or(endpoints.keepalive_ms, 10_000)) * 1_000,
+        keep_bytes: or(limits.keep_bytes, 65_536) as usize,
+        front: client_limits(wire),
+        log_level,
+        log_json: wire.logs.as_ref().is_some_and(|logs| logs.json),
+        policy,
+    })
+}
+
+fn require_lists(
+    source: &Source,
+    wire: &wire::Gateway,
+    class_names: &[String],
+    plan_names: &[String],
+) -> Result<()> {
+    source.named("classes", class_names)?;
+    source.named("plans", plan_names)?;
+    for (field, is_empty) in [
         ("classes", wire.classes.is_empty()),
         ("plans", wire.plans.is_empty()),
         ("routes", wire.routes.is_empty()),
     ] {
-        if empty {
-            return source.fail(format!("{what}: expected at least one"));
+        if is_empty {
+            return source.fail(format!("{field}: expected at least one"));
         }
     }
-    let mut classes = Vec::new();
-    for (i, c) in wire.classes.iter().enumerate() {
-        classes.push(source.class(i, c)?);
-    }
-    let routes = routes(source, wire, &class_names)?;
+    Ok(())
+}
+
+/// Adds a non-idempotent class for each keyed one, for its calls without a key. Returns for each class the index of the class
+/// that its calls without a key have.
+fn add_unkeyed_classes(classes: &mut Vec<api::Class>, class_names: &mut Vec<String>) -> Vec<usize> {
     let mut unkeyed: Vec<usize> = (0..classes.len()).collect();
-    for i in 0..unkeyed.len() {
-        if classes[i].idempotency == Idempotency::Keyed {
-            unkeyed[i] = classes.len();
+    for index in 0..unkeyed.len() {
+        if classes[index].idempotency == Idempotency::Keyed {
+            unkeyed[index] = classes.len();
             classes.push(api::Class {
                 idempotency: Idempotency::NonIdempotent,
-                ..classes[i].clone()
+                ..classes[index].clone()
             });
-            class_names.push(class_names[i].clone());
+            class_names.push(class_names[index].clone());
         }
     }
     unkeyed.extend(unkeyed.len()..classes.len());
+    unkeyed
+}
+
+/// How customers are named, and their plans by index.
+struct CustomerSettings {
+    metadata: http::HeaderName,
+    default_plan: Option<usize>,
+    plan_of: HashMap<String, usize>,
+    spread: u32,
+}
+
+fn customers(
+    source: &Source,
+    wire: &wire::Gateway,
+    plan_names: &[String],
+) -> Result<CustomerSettings> {
     let customers = wire.customers.clone().unwrap_or_default();
     let mut plan_of = HashMap::new();
-    for (name, plan) in &customers.plan_of {
-        plan_of.insert(
-            name.clone(),
-            source.known("customers.plan_of", plan, &plan_names)?,
-        );
+    for (customer, plan) in &customers.plan_of {
+        let plan = source.known("customers.plan_of", plan, plan_names)?;
+        plan_of.insert(customer.clone(), plan);
     }
     let default_plan = match customers.default_plan.as_str() {
         "" => None,
-        name => Some(source.known("customers.default_plan", name, &plan_names)?),
+        name => Some(source.known("customers.default_plan", name, plan_names)?),
     };
-    let metadata = if customers.metadata.is_empty() {
-        "x-customer"
-    } else {
-        &customers.metadata
-    };
-    let Ok(customer_metadata) = metadata.parse() else {
+    let name = some(&customers.metadata).unwrap_or_else(|| "x-customer".to_string());
+    let Ok(metadata) = name.parse() else {
         return source.fail_at(
-            metadata,
-            format!("customers.metadata: expected a metadata name, found '{metadata}'"),
+            &name,
+            format!("customers.metadata: expected a metadata name, found '{name}'"),
         );
     };
-    let counter = wire.counter.clone().unwrap_or_default();
-    let endpoints = wire.endpoints.clone().unwrap_or_default();
-    if endpoints.file.is_empty() {
-        return source.fail("endpoints.file: expected the file with the server list");
-    }
-    let limits = wire.limits.unwrap_or_default();
-    let start = wire.start.unwrap_or_default();
+    let fleet = or(wire.fleet, 1);
+    Ok(CustomerSettings {
+        metadata,
+        default_plan,
+        plan_of,
+        spread: or(customers.spread, fleet).min(fleet),
+    })
+}
+
+fn log_level(source: &Source, wire: &wire::Gateway) -> Result<String> {
     let logs = wire.logs.clone().unwrap_or_default();
-    let log_level = if logs.level.is_empty() {
-        "info".to_string()
-    } else {
-        logs.level
-    };
+    let level = some(&logs.level).unwrap_or_else(|| "info".to_string());
     let levels = ["error", "warn", "info", "debug", "trace"].map(String::from);
-    source.known("logs.level", &log_level, &levels)?;
-    let fleet = or(wire.fleet, 1);
+    source.known("logs.level", &level, &levels)?;
+    Ok(level)
+}
+
+fn counter_addresses(source: &Source, wire: &wire::Gateway) -> Result<Vec<SocketAddr>> {
+    let counter = wire.counter.clone().unwrap_or_default();
     if !counter.address.is_empty() && !counter.parts.is_empty() {
         return source.fail("counter: expected address or parts, found both");
     }
-    let mut parts = Vec::new();
+    let mut addresses = Vec::new();
     if !counter.address.is_empty() {
-        parts.push(source.address("counter.address", &counter.address)?);
+        addresses.push(source.address("counter.address", &counter.address)?);
     }
     for part in &counter.parts {
-        parts.push(source.address("counter.parts", part)?);
+        addresses.push(source.address("counter.parts", part)?);
     }
-    let resp = resp(source, wire, &mut classes, &mut class_names)?;
-    let policy = api::Settings {
-        gateways: fleet,
+    Ok(addresses)
+}
+
+fn admin_address(source: &Source, wire: &wire::Gateway) -> Result<Option<SocketAddr>> {
+    match wire.admin.as_str() {
+        "" => Ok(None),
+        text => Ok(Some(source.address("admin", text)?)),
+    }
+}
+
+/// The settings of the decisions.
+fn policy(wire: &wire::Gateway, classes: Vec<api::Class>, use_counter: bool) -> api::Settings {
+    let counter = wire.counter.clone().unwrap_or_default();
+    let endpoints = wire.endpoints.clone().unwrap_or_default();
+    let limits = wire.limits.unwrap_or_default();
+    let start = wire.start.unwrap_or_default();
+    api::Settings {
+        gateways: or(wire.fleet, 1),
         gateway_index: wire.number,
         zone: zone_of(&wire.zone),
         classes,
@@ -401,7 +495,7 @@
         allow_probes: false,
         send_retry_after: limits.retry_after_ms > 0,
         max_retry_after: millis(limits.retry_after_ms),
-        use_counter: !parts.is_empty(),
+        use_counter,
         counter_timeout: millis(or(counter.timeout_ms, 80)),
         max_request_units: if limits.most_units == 0.0 {
             1.0
@@ -424,55 +518,17 @@
         },
         overload_duration: millis(start.tip_after_ms),
         timer_resolution: TimeDelta::from_micros(1_000),
-    };
-    if let Err(e) = policy.check() {
-        return source.fail(e.to_string());
     }
-    Ok(Settings {
-        listen: source.address("listen", &wire.listen)?,
-        admin: match wire.admin.as_str() {
-            "" => None,
-            text => Some(source.address("admin", text)?),
-        },
-        routes,
-        unkeyed,
-        class_names,
-        plan_names,
-        customer_metadata,
-        default_plan,
-        plan_of,
-        spread: or(customers.spread, fleet).min(fleet),
-        sites: wire.sites.as_ref().is_some_and(|s| s.on),
-        site_floor: wire
-            .sites
-            .as_ref()
-            .is_some_and(|s| s.on && !s.failover_only),
-        site_words: wire
-            .sites
-            .iter()
-            .find(|s| !s.words_file.is_empty())
-            .map(|s| PathBuf::from(&s.words_file)),
-        coordinator: coordinator_settings(source, wire)?,
-        zone_name: wire.zone.clone(),
-        counter: parts,
-        resp,
-        door: door(wire.door.unwrap_or_default()),
-        endpoints: PathBuf::from(endpoints.file),
-        poll: u64::from(or(endpoints.poll_ms, 200)) * 1_000,
-        connect_timeout: u64::from(or(endpoints.connect_timeout_ms, 250)) * 1_000,
-        server_connections: or(endpoints.connections, 2) as usize,
-        server_streams: or(endpoints.streams, 100),
-        keepalive: u64::from(or(endpoints.keepalive_ms, 10_000)) * 1_000,
-        keep_bytes: or(limits.keep_bytes, 65_536) as usize,
-        front: Limits {
-            connections: or(limits.connections, 16_384) as usize,
-            streams: or(limits.streams_per_connection, 1_024),
-            header_bytes: or(limits.header_bytes, 16_384),
-            resets: or(limits.resets_per_second, 1_000),
-            ..Limits::default()
-        },
-        log_level,
-        log_json: logs.json,
-        policy,
-    })
+}
+
+/// Limits of the clients' connections.
+fn client_limits(wire: &wire::Gateway) -> Limits {
+    let limits = wire.limits.unwrap_or_default();
+    Limits {
+        connections: or(limits.connections, 16_384) as usize,
+        streams: or(limits.streams_per_connection, 1_024),
+        header_bytes: or(limits.header_bytes, 16_384),
+        resets: or(limits.resets_per_second, 1_000),
+        ..Limits::default()
+    }
 }
--- a/crates/grpc-gateway/tests/common/mod.rs
+++ b/crates/grpc-gateway/tests/common/mod.rs
@@ -1,5 +1,8 @@
 //! A gateway, scripted servers, a counter and clients, all turned by one thread over loopback sockets.
-#![allow(dead_code)]
+#![allow(
+    dead_code,
+    reason = "each test file uses another part of these helpers"
+)]
 
 use bytes::Bytes;
 use chalkdeck_grpc_gateway::{GatewayServer, Settings};
