--- a/crates/grpc-gateway/src/call_flow/events.rs
+++ b/crates/grpc-gateway/src/call_flow/events.rs
@@ -1,12 +1,12 @@
 //! What happens on connections and streams, handed to the session, the counter or the call that it belongs to.
 
 use super::responses::ResponseForm;
+use crate::attempt_outcome;
 use crate::calls::{BufferedResponse, ResponseState};
 use crate::coordinator_link::StreamProgress;
+use crate::endpoint_connections::AttemptId;
 use crate::gateway_server::GatewayServer;
-use crate::metrics::End;
-use crate::outcome;
-use crate::pool::AttemptId;
+use crate::metrics::CallEnd;
 use bytes::Bytes;
 use chalkdeck::api::{Event, Outcome, RequestId};
 use chalkdeck_net::grpc::{self, Code};
@@ -19,11 +19,15 @@
             return;
         }
         if let Some(counter) = &mut self.counter {
-            if let Some(told) = counter.connected(&mut self.engine, conn) {
-                return self.on_counter_results(told);
+            if let Some(results) = counter.connected(&mut self.engine, conn) {
+                return self.on_counter_results(results);
             }
         }
-        for attempt in self.pool.connected(conn).unwrap_or_default() {
+        for attempt in self
+            .endpoint_connections
+            .connected(conn)
+            .unwrap_or_default()
+        {
             let is_open = self.calls.open_attempt(attempt).is_some();
             if is_open && !self.open_attempt_stream(conn, attempt) {
                 self.end_attempt(attempt, Outcome::Rejected, false);
@@ -35,9 +39,9 @@
         if self.on_coordinator_closed(conn) {
             return;
         }
-        if let Some(told) = self.counter.as_mut().and_then(|c| c.closed(conn)) {
+        if let Some(results) = self.counter.as_mut().and_then(|c| c.closed(conn)) {
             tracing::warn!(reason, "counter connection closed");
-            return self.on_counter_results(told);
+            return self.on_counter_results(results);
         }
         self.drop_endpoint_connection(conn);
     }
@@ -47,13 +51,17 @@
         if self.on_coordinator_data(stream, &[], StreamProgress::from_ended(ended)) {
             return;
         }
-        if let Some(counter) = self.counter.as_mut().and_then(|c| c.of(stream)) {
-            let told = if ended {
-                counter.on_over(&mut self.engine)
+        if let Some(counter) = self
+            .counter
+            .as_mut()
+            .and_then(|counter| counter.partition_of_stream(stream))
+        {
+            let results = if ended {
+                counter.on_stream_ended(&mut self.engine)
             } else {
                 Vec::new()
             };
-            return self.on_counter_results(told);
+            return self.on_counter_results(results);
         }
         if let Some(id) = self.calls.of_attempt_stream(stream) {
             self.on_response_head(stream, id, head, ended);
@@ -92,9 +100,13 @@
         if self.on_coordinator_data(stream, &data, StreamProgress::Open) {
             return;
         }
-        if let Some(counter) = self.counter.as_mut().and_then(|c| c.of(stream)) {
-            let told = counter.on_data(&mut self.engine, stream, &data);
-            return self.on_counter_results(told);
+        if let Some(counter) = self
+            .counter
+            .as_mut()
+            .and_then(|counter| counter.partition_of_stream(stream))
+        {
+            let results = counter.on_data(&mut self.engine, stream, &data);
+            return self.on_counter_results(results);
         }
         if let Some(id) = self.calls.of_client_stream(stream) {
             return self.on_request_data(id, data);
@@ -175,9 +187,13 @@
         if self.on_coordinator_data(stream, &[], StreamProgress::Ended) {
             return;
         }
-        if let Some(counter) = self.counter.as_mut().and_then(|c| c.of(stream)) {
-            let told = counter.on_over(&mut self.engine);
-            return self.on_counter_results(told);
+        if let Some(counter) = self
+            .counter
+            .as_mut()
+            .and_then(|counter| counter.partition_of_stream(stream))
+        {
+            let results = counter.on_stream_ended(&mut self.engine);
+            return self.on_counter_results(results);
         }
         if let Some(call) = self.calls.get_by_client_stream(stream) {
             call.request_buffer.is_complete = true;
@@ -196,15 +212,19 @@
         if self.on_coordinator_data(stream, &[], StreamProgress::Ended) {
             return;
         }
-        if let Some(counter) = self.counter.as_mut().and_then(|c| c.of(stream)) {
-            let told = counter.on_over(&mut self.engine);
-            return self.on_counter_results(told);
+        if let Some(counter) = self
+            .counter
+            .as_mut()
+            .and_then(|counter| counter.partition_of_stream(stream))
+        {
+            let results = counter.on_stream_ended(&mut self.engine);
+            return self.on_counter_results(results);
         }
         if let Some(id) = self.calls.of_client_stream(stream) {
             return self.on_client_gone(id);
         }
         if let Some(id) = self.calls.of_attempt_stream(stream) {
-            self.on_attempt_broken(id, outcome::of_break(how));
+            self.on_attempt_broken(id, attempt_outcome::from_stream_error(how));
         }
     }
 
@@ -216,7 +236,7 @@
         let stream = call.client_stream;
         let trailers = grpc::trailers(Code::Unavailable, "the answer broke off");
         self.engine.finish(stream, Some(trailers));
-        self.complete_call(id.call, End::Failed);
+        self.complete_call(id.call, CallEnd::Failed);
         self.end_attempt(id, outcome, true);
     }
 }
--- a/crates/grpc-gateway/src/call_flow/responses.rs
+++ b/crates/grpc-gateway/src/call_flow/responses.rs
@@ -1,11 +1,11 @@
 //! Final answers to clients, and responses of endpoints on their way to them.
 
+use crate::attempt_outcome::{self, AttemptEnd};
 use crate::calls::{BufferedResponse, ResponseState};
+use crate::endpoint_connections::AttemptId;
 use crate::fault::Fault;
 use crate::gateway_server::{GatewayServer, TimerPurpose};
-use crate::metrics::End;
-use crate::outcome::{self, Ended};
-use crate::pool::AttemptId;
+use crate::metrics::CallEnd;
 use chalkdeck::api::{Event, Outcome, RequestId, TimeDelta};
 use chalkdeck_net::grpc::{self, Code};
 use chalkdeck_net::StreamId;
@@ -43,7 +43,7 @@
         let message = call.endpoint_message.as_deref().unwrap_or(REJECTED);
         let mut trailers = grpc::trailers(Code::ResourceExhausted, message);
         grpc::add_retry_info(&mut trailers, Code::ResourceExhausted, message, retry_after);
-        self.answer(id, grpc::trailers_only(trailers), End::Refused);
+        self.answer(id, grpc::trailers_only(trailers), CallEnd::Rejected);
     }
 
     /// The decisions let a call fail.
@@ -61,11 +61,11 @@
         };
         let message = call.endpoint_message.as_deref().unwrap_or(FAILED);
         let trailers = grpc::trailers(code, message);
-        self.answer(id, grpc::trailers_only(trailers), End::Failed);
+        self.answer(id, grpc::trailers_only(trailers), CallEnd::Failed);
     }
 
     /// Sends the gateway's own answer.
-    fn answer(&mut self, id: RequestId, response: http::Response<()>, end: End) {
+    fn answer(&mut self, id: RequestId, response: http::Response<()>, end: CallEnd) {
         let Some(call) = self.calls.get_open(id) else {
             return;
         };
@@ -77,9 +77,9 @@
     }
 
     /// The call has its final answer, or its client is gone.
-    pub(super) fn complete_call(&mut self, id: RequestId, end: End) {
+    pub(super) fn complete_call(&mut self, id: RequestId, end: CallEnd) {
         let now = self.engine.now();
-        self.left(id);
+        self.release_from_queue(id);
         let Some(call) = self.calls.get_open(id) else {
             return;
         };
@@ -90,11 +90,11 @@
         let (class, plan) = (call.request.class.0, call.request.plan.0);
         self.calls.release_client_stream(stream);
         tracing::debug!(call = id.0, ?end, duration_us = duration, "call completed");
-        self.metrics.ended(class, plan, end);
+        self.metrics.call_completed(class, plan, end);
         self.metrics
-            .took
+            .call_duration
             .observe(duration as f64 / MICROS_PER_SECOND);
-        self.metrics.open.dec();
+        self.metrics.open_calls.dec();
         self.report_request_completed(class, end, TimeDelta::from_micros(duration));
         self.calls.remove_if_over(id);
     }
@@ -114,7 +114,7 @@
         self.send_buffered(stream, buffered);
         self.decisions.push(Event::ResponseStarted(id));
         // A stream may last for long, while the admission queue is for calls with an answer soon.
-        self.left(id);
+        self.release_from_queue(id);
         // The decisions keep no deadline for it from here on; the client's own stays.
         let left = call_deadline.saturating_sub(self.engine.now());
         self.set_timer(left, TimerPurpose::ClientDeadline(id));
@@ -135,7 +135,7 @@
         trailers: HeaderMap,
         form: ResponseForm,
     ) {
-        let Ended { outcome, is_answer } = outcome::of_status(&trailers);
+        let AttemptEnd { outcome, is_answer } = attempt_outcome::from_trailers(&trailers);
         let Some(call) = self.calls.get(id.call) else {
             return;
         };
@@ -156,7 +156,7 @@
             }
             self.engine.finish(stream, Some(with_status(trailers)));
         }
-        self.complete_call(id.call, End::Served);
+        self.complete_call(id.call, CallEnd::Served);
         self.end_attempt(id, outcome, true);
     }
 
--- a/crates/grpc-gateway/src/gateway_server/endpoint_list.rs
+++ b/crates/grpc-gateway/src/gateway_server/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The endpoint list: read when its file changes, and passed to connections, sites and decisions.
 
 use super::{GatewayServer, TimerPurpose};
-use crate::endpoints::{self, LookError, Server};
+use crate::endpoints::{self, EndpointListError, Server};
 use crate::fault::Fault;
 use chalkdeck::api::{EndpointEntry, EndpointState, Event, Outcome, UpdateScope};
 use chalkdeck_net::file_watch::FileWatchError;
@@ -10,18 +10,18 @@
     /// Reads the endpoint list if its file has changed. An invalid one leaves the last valid list in force.
     pub(super) fn poll_endpoint_list(&mut self) {
         self.set_timer(self.settings.poll, TimerPurpose::EndpointPoll);
-        self.pool.close_idle(&mut self.engine);
+        self.endpoint_connections.close_idle(&mut self.engine);
         let Some(content) = self.endpoint_file.poll() else {
             return;
         };
         match self.parse_endpoint_list(content) {
             Ok(servers) => {
                 tracing::info!(endpoints = servers.len(), "endpoint list read");
-                self.metrics.servers.set(servers.len() as i64);
+                self.metrics.endpoints.set(servers.len() as i64);
                 self.apply_endpoint_list(servers);
             }
             Err(error) => {
-                self.metrics.list_failures.inc();
+                self.metrics.endpoint_list_failures.inc();
                 tracing::error!(
                     file = %self.endpoint_file.path().display(),
                     %error,
@@ -35,15 +35,15 @@
     fn parse_endpoint_list(
         &self,
         content: Result<Vec<u8>, FileWatchError>,
-    ) -> Result<Vec<Server>, LookError> {
-        let servers = endpoints::read(self.endpoint_file.path(), &content?)?;
+    ) -> Result<Vec<Server>, EndpointListError> {
+        let servers = endpoints::parse(self.endpoint_file.path(), &content?)?;
         Ok(servers)
     }
 
     /// Puts a list in force.
     pub(crate) fn apply_endpoint_list(&mut self, mut servers: Vec<Server>) {
         self.hold_back_endpoints(&mut servers);
-        let unsent = self.pool.update(&mut self.engine, &servers);
+        let unsent = self.endpoint_connections.update(&mut self.engine, &servers);
         for attempt in unsent {
             self.end_attempt(attempt, Outcome::ConnectFailed, false);
         }
--- a/crates/grpc-gateway/src/gateway_server/mod.rs
+++ b/crates/grpc-gateway/src/gateway_server/mod.rs
@@ -16,11 +16,11 @@
 use crate::base::settings::Settings;
 use crate::calls::Calls;
 use crate::coordinator_link::CoordinatorLink;
-use crate::counters::Counters;
-use crate::entry::Entry;
+use crate::counter_client::CounterClient;
+use crate::endpoint_connections::EndpointConnections;
 use crate::fault::Fault;
 use crate::metrics::Metrics;
-use crate::pool::Pool;
+use crate::request_queue::RequestQueue;
 use crate::resp::Resp;
 use crate::sites::SiteMonitor;
 use chalkdeck::api::EndpointId;
@@ -42,12 +42,12 @@
     listen_address: SocketAddr,
     admin_address: Option<SocketAddr>,
     pub(crate) calls: Calls,
-    pub(crate) counter: Option<Counters>,
+    pub(crate) counter: Option<CounterClient>,
     pub(crate) resp: Option<Resp>,
-    pub(crate) entry: Option<Entry>,
+    pub(crate) request_queue: Option<RequestQueue>,
     pub(crate) sites: Option<SiteMonitor>,
     pub(crate) coordinator: Option<CoordinatorLink>,
-    pub(crate) pool: Pool,
+    pub(crate) endpoint_connections: EndpointConnections,
     /// Watches the file of the endpoint list.
     endpoint_file: FileWatch,
     pub(crate) metrics: Metrics,
--- a/crates/grpc-gateway/src/gateway_server/startup.rs
+++ b/crates/grpc-gateway/src/gateway_server/startup.rs
@@ -5,10 +5,10 @@
 use crate::base::settings::Settings;
 use crate::calls::Calls;
 use crate::coordinator_link::CoordinatorLink;
-use crate::counters::Counters;
-use crate::entry::Entry;
+use crate::counter_client::CounterClient;
+use crate::endpoint_connections::EndpointConnections;
 use crate::metrics::Metrics;
-use crate::pool::Pool;
+use crate::request_queue::RequestQueue;
 use crate::resp::Resp;
 use crate::sites::SiteMonitor;
 use chalkdeck::api::Timestamp;
@@ -42,7 +42,7 @@
         };
         let decision_engine = DecisionEngine::new(seed, settings.policy.clone())?;
         let resp = start_resp(&mut engine, &settings)?;
-        let counter = Counters::new(&settings.counter, engine.now());
+        let counter = CounterClient::new(&settings.counter, engine.now());
         let now = Timestamp::from_micros(engine.now());
         let coordinator = CoordinatorLink::from_settings(&settings, now)?;
         let sites = settings
@@ -59,10 +59,10 @@
             calls: Calls::default(),
             counter,
             resp,
-            entry: settings.door.clone().map(Entry::new),
+            request_queue: settings.door.clone().map(RequestQueue::new),
             sites,
             coordinator,
-            pool: Pool::new(
+            endpoint_connections: EndpointConnections::new(
                 settings.server_connections,
                 settings.server_streams,
                 settings.keepalive,
