--- a/crates/resp/src/command.rs
+++ b/crates/resp/src/command.rs
@@ -1,4 +1,4 @@
-//! Commands as a server parses them.
+//! Decodes the commands that a server receives.
 
 use crate::error::{ProtocolError, ProtocolErrorKind};
 use crate::extent::{command_extent, Extent};
@@ -7,14 +7,14 @@
 use bytes::{Bytes, BytesMut};
 use redis_protocol::resp2;
 
-/// What the received bytes begin with.
+/// The result of decoding a command at the start of the receive buffer.
 #[derive(Debug, PartialEq)]
 pub enum ParsedCommand {
-    /// A command that has not been received whole.
+    /// The command is not complete yet, or the buffer is empty.
     Incomplete,
-    /// The words of a command.
+    /// The words of the command: its name and its arguments.
     Complete(Vec<Bytes>),
-    /// Bytes after which nothing more can be parsed, and why.
+    /// A protocol error; the connection cannot be decoded any further.
     Invalid(ProtocolError),
 }
 
@@ -24,7 +24,8 @@
     }
 }
 
-/// Takes the next command off the received bytes. Empty arrays, and empty lines where inline commands are accepted, are skipped.
+/// Decodes the next command and removes it from the buffer. Empty arrays are skipped, as are empty lines where inline commands are
+/// accepted.
 pub fn take_command(buffer: &mut BytesMut, limits: &MessageLimits) -> ParsedCommand {
     while let Some(first) = buffer.first().copied() {
         let parsed = match first {
@@ -43,7 +44,7 @@
     ParsedCommand::Incomplete
 }
 
-/// A command as an array of bulk strings.
+/// Decodes a command that is an array of bulk strings.
 fn take_array(buffer: &mut BytesMut, limits: &MessageLimits) -> ParsedCommand {
     let end = match command_extent(buffer, limits) {
         Extent::Incomplete if buffer.len() > limits.max_message_bytes => {
@@ -55,21 +56,21 @@
     };
     match resp2::decode::decode_bytes(&buffer.split_to(end).freeze()) {
         Ok(Some((Frame::Array(words), _))) => {
-            ParsedCommand::Complete(words.into_iter().map(word).collect())
+            ParsedCommand::Complete(words.into_iter().map(bulk_string_bytes).collect())
         }
         _ => ProtocolErrorKind::UnexpectedShape("an array of bulk strings").into(),
     }
 }
 
-fn word(frame: Frame) -> Bytes {
+fn bulk_string_bytes(frame: Frame) -> Bytes {
     match frame {
         Frame::BulkString(bytes) => bytes,
-        // `command_extent` accepts bulk strings only.
+        // Unreachable: `command_extent` accepts bulk strings only.
         _ => Bytes::new(),
     }
 }
 
-/// A command as a line of words.
+/// Decodes an inline command: a line of words separated by whitespace.
 fn take_inline(buffer: &mut BytesMut, limits: &MessageLimits) -> ParsedCommand {
     let Some(end) = buffer.iter().position(|byte| *byte == b'\n') else {
         return if buffer.len() > limits.max_element_bytes {
--- a/crates/resp/src/encode.rs
+++ b/crates/resp/src/encode.rs
@@ -1,16 +1,16 @@
-//! Commands and replies as they are written.
+//! Encodes commands and replies.
 
 use crate::Frame;
 use bytes::BytesMut;
 use redis_protocol::resp2;
 
-/// Appends a reply.
+/// Appends an encoded reply.
 pub fn encode_reply(out: &mut BytesMut, frame: &Frame) {
-    // It fails only where a buffer cannot grow, and this one grows.
+    // Encoding fails only if the buffer cannot grow, and a `BytesMut` can.
     let _ = resp2::encode::extend_encode(out, frame, false);
 }
 
-/// Appends a command. Each word is given in pieces, which saves joining them first.
+/// Appends an encoded command. Each word is given in pieces, so that callers need not concatenate them first.
 pub fn encode_command(out: &mut BytesMut, words: &[&[&[u8]]]) {
     out.extend_from_slice(format!("*{}\r\n", words.len()).as_bytes());
     for pieces in words {
--- a/crates/resp/src/error.rs
+++ b/crates/resp/src/error.rs
@@ -1,6 +1,6 @@
-//! Errors of the protocol. Their texts are sent to clients, so they are part of the wire.
+//! Protocol errors. Their texts are sent to clients, so they are part of the wire format.
 
-/// Why the bytes of a connection cannot be parsed any further.
+/// Why a connection cannot be decoded any further.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
 #[error("Protocol error: {kind}")]
 #[diagnostic(
@@ -21,24 +21,24 @@
     /// A bulk string that is longer than its stated length.
     #[error("expected CRLF after a bulk string")]
     MissingCrlf,
-    /// Another type byte than the protocol allows at this place.
+    /// A type byte that the protocol does not allow at this position.
     #[error("expected {expected}, got '{}'", found.escape_ascii())]
     UnexpectedByte {
-        /// What is allowed.
+        /// The type bytes that are allowed.
         expected: &'static str,
-        /// What was received.
+        /// The byte that was received.
         found: u8,
     },
     /// A message that exceeds its limit.
     #[error("too big {0}")]
     TooLarge(&'static str),
-    /// A line that does not end within its limit, or ends in something else than CRLF.
+    /// A line that exceeds its limit or does not end in CRLF.
     #[error("{0}")]
     InvalidLine(&'static str),
     /// More words than the limit allows.
     #[error("too many words")]
     TooManyWords,
-    /// Something nested, or of another type than expected.
+    /// A message that is nested or of an unexpected type.
     #[error("expected {0}")]
     UnexpectedShape(&'static str),
 }
--- a/crates/resp/src/extent.rs
+++ b/crates/resp/src/extent.rs
@@ -1,22 +1,22 @@
-//! Where a message ends, found from its lengths alone.
+//! Finds where a message ends from the lengths it states, without decoding it.
 
 use crate::error::ProtocolErrorKind;
 use crate::limits::MessageLimits;
 
-/// How far the message at the start of a buffer extends.
+/// The extent of the message, or of a part of it, in the receive buffer.
 pub(crate) enum Extent {
-    /// Not all of it has been received.
+    /// Only a part of it has been received.
     Incomplete,
-    /// It ends before this offset.
+    /// The offset of the first byte after it.
     Complete(usize),
-    /// It breaks the protocol or a limit.
+    /// It violates the protocol or exceeds a limit.
     Invalid(ProtocolErrorKind),
 }
 
-/// The length that follows a type byte.
+/// The result of parsing the length that follows a type byte.
 enum Length {
     Incomplete,
-    /// No value: the length of null.
+    /// `value` is `None` for the length -1, which denotes null; `next` is the offset after the length's CRLF.
     Parsed {
         value: Option<usize>,
         next: usize,
@@ -24,14 +24,14 @@
     Invalid,
 }
 
-/// The digits of the longest number that is parsed.
-const MAX_DIGITS: usize = 24;
+/// The longest length that is parsed, in characters.
+const MAX_LENGTH_CHARS: usize = 24;
 
 fn parse_length(bytes: &[u8], start: usize, max: usize) -> Length {
     let rest = &bytes[start..];
     let line_end = rest
         .windows(2)
-        .take(MAX_DIGITS)
+        .take(MAX_LENGTH_CHARS)
         .position(|pair| pair == b"\r\n");
     let Some(end) = line_end else {
         return if may_become_length(rest) {
@@ -58,13 +58,14 @@
     }
 }
 
-/// Whether a line without an end may still turn out to be a length.
+/// Whether a line that has no CRLF yet may still become a valid length.
 fn may_become_length(rest: &[u8]) -> bool {
     let digits = rest.strip_suffix(b"\r").unwrap_or(rest);
-    rest.len() <= MAX_DIGITS && (b"-1".starts_with(digits) || digits.iter().all(u8::is_ascii_digit))
+    rest.len() <= MAX_LENGTH_CHARS
+        && (b"-1".starts_with(digits) || digits.iter().all(u8::is_ascii_digit))
 }
 
-/// The extent of a bulk string whose type byte stands before `start`.
+/// The extent of a bulk string whose type byte precedes `start`.
 fn bulk_extent(bytes: &[u8], start: usize, limits: &MessageLimits, accepts_null: bool) -> Extent {
     let end = match parse_length(bytes, start, limits.max_element_bytes) {
         Length::Parsed {
@@ -75,9 +76,9 @@
         Length::Incomplete => return Extent::Incomplete,
         _ => return Extent::Invalid(ProtocolErrorKind::InvalidLength("bulk")),
     };
-    // As far as the two bytes behind it were received, they have to be CRLF.
-    let tail = bytes.get(end - 2..bytes.len().min(end)).unwrap_or_default();
-    if !b"\r\n".starts_with(tail) {
+    // The string must be followed by CRLF, as far as those two bytes have been received.
+    let terminator = bytes.get(end - 2..bytes.len().min(end)).unwrap_or_default();
+    if !b"\r\n".starts_with(terminator) {
         return Extent::Invalid(ProtocolErrorKind::MissingCrlf);
     }
     if bytes.len() < end {
@@ -87,7 +88,7 @@
     }
 }
 
-/// The extent of a line whose type byte stands before `start`.
+/// The extent of a line whose type byte precedes `start`.
 fn line_extent(bytes: &[u8], start: usize, max: usize) -> Extent {
     let rest = &bytes[start..];
     match rest.iter().take(max + 1).position(|byte| *byte == b'\n') {
@@ -114,7 +115,7 @@
     }
 }
 
-/// The extent of a reply that is not an array.
+/// The extent of a reply that is not an array, or of an item of one that is.
 fn item_extent(bytes: &[u8], start: usize, limits: &MessageLimits) -> Extent {
     match bytes.get(start) {
         None => Extent::Incomplete,
@@ -149,7 +150,7 @@
     Extent::Complete(end)
 }
 
-/// The extent of a reply: one item, or an array of items that are no arrays.
+/// The extent of a reply: one item, or an array of items that are not arrays themselves.
 pub(crate) fn reply_extent(bytes: &[u8], limits: &MessageLimits) -> Extent {
     if bytes.first() != Some(&b'*') {
         return item_extent(bytes, 0, limits);
--- a/crates/resp/src/limits.rs
+++ b/crates/resp/src/limits.rs
@@ -1,16 +1,16 @@
-//! Limits of the messages that are read.
+//! Size limits of received messages.
 
-/// The limits of one kind of message. No more than `max_message_bytes` is ever buffered for one.
+/// The size limits of one kind of message. At most `max_message_bytes` are buffered for a message that is incomplete.
 #[derive(Clone, Copy, Debug)]
 pub struct MessageLimits {
-    /// The most words of a command, or items of a reply.
+    /// The maximum number of words in a command, or of items in a reply.
     pub max_elements: usize,
-    /// The most bytes of one word or item.
+    /// The maximum length of one word or bulk string.
     pub max_element_bytes: usize,
-    /// The most bytes of a line, that is of a reply without a length.
+    /// The maximum length of a line, which is a reply without a stated length: a simple string, an error or an integer.
     pub max_line_bytes: usize,
-    /// The most bytes of a message.
+    /// The maximum length of a message.
     pub max_message_bytes: usize,
-    /// Commands may also arrive as a line of words, as they are typed by hand.
+    /// Whether inline commands are accepted: lines of words separated by whitespace, as typed by hand.
     pub accepts_inline: bool,
 }
--- a/crates/resp/src/reply.rs
+++ b/crates/resp/src/reply.rs
@@ -1,4 +1,4 @@
-//! Replies as a client parses them.
+//! Decodes the replies that a client receives.
 
 use crate::error::{ProtocolError, ProtocolErrorKind};
 use crate::extent::{reply_extent, Extent};
@@ -7,18 +7,18 @@
 use bytes::BytesMut;
 use redis_protocol::resp2;
 
-/// What the received bytes begin with.
+/// The result of decoding a reply at the start of the receive buffer.
 #[derive(Debug, PartialEq)]
 pub enum ParsedReply {
-    /// A reply that has not been received whole.
+    /// The reply is not complete yet, or the buffer is empty.
     Incomplete,
-    /// A reply.
+    /// A complete reply.
     Complete(Frame),
-    /// Bytes after which nothing more can be parsed, and why.
+    /// A protocol error; the connection cannot be decoded any further.
     Invalid(ProtocolError),
 }
 
-/// Takes the next reply off the received bytes. A nested array is invalid.
+/// Decodes the next reply and removes it from the buffer. Nested arrays are invalid.
 pub fn take_reply(buffer: &mut BytesMut, limits: &MessageLimits) -> ParsedReply {
     if buffer.is_empty() {
         return ParsedReply::Incomplete;
--- a/crates/resp/src/reply_queue.rs
+++ b/crates/resp/src/reply_queue.rs
@@ -1,62 +1,62 @@
-//! Replies in the order of their commands.
+//! Keeps the replies to pipelined commands in the order of the commands.
 
 use std::collections::VecDeque;
 
-/// The place of one reply in its queue.
+/// The reserved position of a reply in its [`ReplyQueue`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReplySlot(u64);
 
-/// The replies of one connection. A reply that is ready waits for those before it.
+/// The replies to the pipelined commands of one connection. A reply that is ready waits for the replies before it.
 #[derive(Debug)]
 pub struct ReplyQueue<T> {
-    /// A slot is empty until its reply is known.
+    /// A slot is `None` until its reply is known.
     slots: VecDeque<Option<T>>,
-    /// Number of the first slot.
-    first: u64,
+    /// The number of the first slot in the queue; slots are numbered consecutively from 0.
+    first_slot: u64,
 }
 
 impl<T> Default for ReplyQueue<T> {
     fn default() -> ReplyQueue<T> {
         ReplyQueue {
             slots: VecDeque::new(),
-            first: 0,
+            first_slot: 0,
         }
     }
 }
 
 impl<T> ReplyQueue<T> {
-    /// The number of replies that are not known yet or were not taken yet.
+    /// The number of replies in the queue, whether they are ready or not.
     pub fn pending(&self) -> usize {
         self.slots.len()
     }
 
-    /// Appends a reply that is known at once.
+    /// Appends a reply that is ready.
     pub fn push(&mut self, reply: T) {
         self.slots.push_back(Some(reply));
     }
 
-    /// Reserves the place of a reply that is known later.
+    /// Reserves the next position for a reply that is not known yet.
     pub fn reserve(&mut self) -> ReplySlot {
-        let slot = ReplySlot(self.first + self.slots.len() as u64);
+        let slot = ReplySlot(self.first_slot + self.slots.len() as u64);
         self.slots.push_back(None);
         slot
     }
 
-    /// Fills a reserved slot. A slot whose reply was taken before is left alone.
+    /// Sets the reply of a reserved slot. Does nothing if the reply of the slot has already been taken.
     pub fn fill(&mut self, slot: ReplySlot, reply: T) {
-        let Some(index) = slot.0.checked_sub(self.first) else {
+        let Some(index) = slot.0.checked_sub(self.first_slot) else {
             return;
         };
-        if let Some(place) = self.slots.get_mut(index as usize) {
-            *place = Some(reply);
+        if let Some(entry) = self.slots.get_mut(index as usize) {
+            *entry = Some(reply);
         }
     }
 
-    /// Takes the next reply, if it is ready.
+    /// Removes and returns the first reply, if it is ready.
     pub fn pop_ready(&mut self) -> Option<T> {
         let reply = self.slots.front_mut().and_then(Option::take)?;
         self.slots.pop_front();
-        self.first += 1;
+        self.first_slot += 1;
         Some(reply)
     }
 }
--- a/crates/resp/tests/commands.rs
+++ b/crates/resp/tests/commands.rs
@@ -1,4 +1,4 @@
-//! Parsing of commands: split input, pipelines, false lengths, arbitrary bytes.
+//! Decoding of commands: fragmented input, pipelines, invalid lengths, arbitrary bytes.
 
 use bytes::BytesMut;
 use chalkdeck_resp::{take_command, MessageLimits, ParsedCommand};
@@ -22,26 +22,26 @@
 }
 
 #[test]
-fn commands_in_pieces_in_pipelines_or_inline_then_parsed_whole() {
+fn fragmented_pipelined_or_inline_commands_then_all_decoded() {
     let mut bytes = BytesMut::new();
-    let whole = b"*2\r\n$4\r\nPING\r\n$2\r\nhi\r\nPING  there\r\n\r\n*0\r\n*1\r\n$4\r\nQUIT\r\n";
-    let mut seen = Vec::new();
-    for byte in whole {
+    let input = b"*2\r\n$4\r\nPING\r\n$2\r\nhi\r\nPING  there\r\n\r\n*0\r\n*1\r\n$4\r\nQUIT\r\n";
+    let mut decoded = Vec::new();
+    for byte in input {
         bytes.extend_from_slice(&[*byte]);
         match take_command(&mut bytes, &LIMITS) {
             ParsedCommand::Incomplete => {}
-            command => seen.push(words(command)),
+            command => decoded.push(words(command)),
         }
     }
     assert_eq!(
-        seen,
+        decoded,
         [vec!["PING", "hi"], vec!["PING", "there"], vec!["QUIT"]]
     );
 }
 
 #[test]
-fn false_length_or_nested_array_then_rejected_at_once() {
-    for (bytes, why) in [
+fn invalid_length_or_nested_array_then_rejected_at_once() {
+    for (bytes, expected) in [
         (&b"*1000000\r\n"[..], "multibulk"),
         (b"*-5\r\n", "multibulk"),
         (b"*99999999999999999999999999", "multibulk"),
@@ -51,21 +51,22 @@
         (b"*1\r\n:5\r\n", "expected '$'"),
         (b"*1\r\n$2\r\nabcd", "expected CRLF"),
     ] {
-        let ParsedCommand::Invalid(text) = take_command(&mut BytesMut::from(bytes), &LIMITS) else {
-            panic!("{bytes:?} was taken")
+        let ParsedCommand::Invalid(error) = take_command(&mut BytesMut::from(bytes), &LIMITS)
+        else {
+            panic!("{bytes:?} was accepted")
         };
-        assert!(text.to_string().contains(why), "{text}");
+        assert!(error.to_string().contains(expected), "{error}");
     }
     let ParsedCommand::Invalid(_) = take_command(&mut BytesMut::from(&[b'x'; 5_000][..]), &LIMITS)
     else {
-        panic!("a line without end")
+        panic!("an inline command longer than the limit was not rejected")
     };
 }
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// All commands in a sequence of pieces, up to the first protocol error.
+/// Decodes input that arrives in these pieces; returns the commands before the first protocol error.
 fn commands(pieces: &[&[u8]]) -> Vec<ParsedCommand> {
     let (mut bytes, mut out) = (BytesMut::new(), Vec::new());
     for piece in pieces {
@@ -82,7 +83,7 @@
 }
 
 proptest! {
-    // The same cases every time.
+    // A fixed seed, so that each run tests the same cases.
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
@@ -104,10 +105,10 @@
         let cut = cut.index(bytes.len() + 1);
         let whole = commands(&[&bytes]);
         prop_assert_eq!(&whole, &commands(&[&bytes[..cut], &bytes[cut..]]));
-        let single: Vec<&[u8]> = bytes.chunks(1).collect();
-        prop_assert_eq!(&whole, &commands(&single));
+        let single_bytes: Vec<&[u8]> = bytes.chunks(1).collect();
+        prop_assert_eq!(&whole, &commands(&single_bytes));
         for command in whole {
-            let ParsedCommand::Complete(words) = command else { unreachable!("only commands are kept") };
+            let ParsedCommand::Complete(words) = command else { unreachable!("`commands` returns complete commands only") };
             prop_assert!(words.len() <= LIMITS.max_elements && words.iter().all(|w| w.len() <= LIMITS.max_element_bytes + 1));
         }
     }
--- a/crates/resp/tests/replies.rs
+++ b/crates/resp/tests/replies.rs
@@ -1,4 +1,4 @@
-//! Parsing of replies: split input, false lengths, what was encoded is parsed back.
+//! Decoding of replies: fragmented input, invalid lengths, round trips of encoding and decoding. Order of replies in a `ReplyQueue`.
 
 use bytes::{Bytes, BytesMut};
 use chalkdeck_resp::{
@@ -16,7 +16,7 @@
     accepts_inline: false,
 };
 
-/// All replies in a sequence of pieces, and whether they ended without a protocol error.
+/// Decodes input that arrives in these pieces; returns the replies before the first protocol error, and whether there was none.
 fn replies(pieces: &[&[u8]]) -> (Vec<Frame>, bool) {
     let (mut bytes, mut out) = (BytesMut::new(), Vec::new());
     for piece in pieces {
@@ -30,7 +30,7 @@
         }
         assert!(
             bytes.len() <= LIMITS.max_message_bytes + piece.len(),
-            "no more is held than a message"
+            "at most one message is buffered"
         );
     }
     (out, true)
@@ -48,26 +48,26 @@
         b"$3\r\nabc\rX",
         b"\x00\x17noise",
         b"$abc",
-        b"+a line with a lone end\n",
+        b"+a line that ends in LF alone\n",
         b"$999999999999999999999999999999",
     ] {
-        let mut held = BytesMut::from(bytes);
+        let mut buffer = BytesMut::from(bytes);
         assert!(
-            matches!(take_reply(&mut held, &LIMITS), ParsedReply::Invalid(_)),
+            matches!(take_reply(&mut buffer, &LIMITS), ParsedReply::Invalid(_)),
             "{}",
             bytes.escape_ascii()
         );
     }
-    let mut endless = BytesMut::from(&[b'x'; 80][..]);
-    endless[0] = b'-';
+    let mut long_line = BytesMut::from(&[b'x'; 80][..]);
+    long_line[0] = b'-';
     assert!(
-        matches!(take_reply(&mut endless, &LIMITS), ParsedReply::Invalid(_)),
-        "a line without end"
+        matches!(take_reply(&mut long_line, &LIMITS), ParsedReply::Invalid(_)),
+        "a line longer than the limit"
     );
 }
 
 #[test]
-fn command_encoded_from_pieces_then_parsed_whole() {
+fn command_encoded_from_pieces_then_decoded_with_joined_words() {
     let mut bytes = BytesMut::new();
     encode_command(
         &mut bytes,
@@ -82,11 +82,11 @@
 #[test]
 fn replies_filled_out_of_order_then_taken_in_command_order() {
     let mut queue = ReplyQueue::default();
-    let (a, b) = (queue.reserve(), queue.reserve());
+    let (first, second) = (queue.reserve(), queue.reserve());
     queue.push(3);
-    queue.fill(b, 2);
+    queue.fill(second, 2);
     assert_eq!((queue.pop_ready(), queue.pending()), (None, 3));
-    queue.fill(a, 1);
+    queue.fill(first, 1);
     assert_eq!(
         [
             queue.pop_ready(),
@@ -96,8 +96,8 @@
         ],
         [Some(1), Some(2), Some(3), None]
     );
-    queue.fill(a, 9);
-    assert_eq!(queue.pending(), 0, "a slot that was taken stays empty");
+    queue.fill(first, 9);
+    assert_eq!(queue.pending(), 0, "filling a taken slot has no effect");
 }
 
 fn frame() -> impl Strategy<Value = Frame> {
@@ -116,11 +116,11 @@
 }
 
 proptest! {
-    // The same cases every time.
+    // A fixed seed, so that each run tests the same cases.
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn encoded_replies_split_anywhere_then_parsed_back(frames in proptest::collection::vec(frame(), 1..4)) {
+    fn encoded_replies_split_anywhere_then_decoded_unchanged(frames in proptest::collection::vec(frame(), 1..4)) {
         let mut bytes = BytesMut::new();
         frames.iter().for_each(|f| encode_reply(&mut bytes, f));
         for cut in 0..=bytes.len() {
@@ -143,7 +143,7 @@
     ) {
         let bytes = parts.concat();
         let whole = replies(&[&bytes]);
-        let single: Vec<&[u8]> = bytes.chunks(1).collect();
-        prop_assert_eq!(&whole, &replies(&single));
+        let single_bytes: Vec<&[u8]> = bytes.chunks(1).collect();
+        prop_assert_eq!(&whole, &replies(&single_bytes));
     }
 }
