--- a/crates/resp-gateway/src/attempt.rs
+++ b/crates/resp-gateway/src/attempt.rs
@@ -1,10 +1,10 @@
-//! Attempts: a request that is sent to one endpoint.
+//! Attempts: each sends a request to one endpoint.
 
 use bytes::Bytes;
 use chalkdeck::api::{EndpointId, LoadReport, Outcome, RequestId};
 use chalkdeck_time::TimeDelta;
 
-/// One attempt of one request.
+/// Identifies an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct AttemptId {
     pub(crate) request: RequestId,
@@ -20,12 +20,12 @@
     pub(crate) outcome: Outcome,
     pub(crate) elapsed: TimeDelta,
     pub(crate) load_report: LoadReport,
-    /// What the client of a served request receives.
+    /// The value for the client, if the request was served.
     pub(crate) value: Option<Bytes>,
 }
 
 impl AttemptEnd {
-    /// The end of an attempt that had no reply.
+    /// The end of an attempt that received no reply.
     pub(crate) fn without_reply(
         attempt: AttemptId,
         endpoint: EndpointId,
@@ -46,7 +46,7 @@
 /// Why an attempt is aborted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AbortReason {
-    /// It had no reply by its deadline.
+    /// It has received no reply by its deadline.
     DeadlineExceeded,
     /// The decision module cancelled it.
     Cancelled,
--- a/crates/resp-gateway/src/config.rs
+++ b/crates/resp-gateway/src/config.rs
@@ -1,5 +1,5 @@
-//! The configuration of a gateway on the users' platform: one environment variable and one JSON file. Its settings have the names of
-//! the operators' wire and are parsed by the adapter of that wire.
+//! The configuration of a gateway on the users' platform: a JSON file whose path is given by an environment variable. Its settings have
+//! the names that the simulator's wire format defines and are parsed by the simulator adapter.
 
 mod error;
 mod setting_paths;
@@ -16,24 +16,24 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The environment variable that names the file.
+/// The environment variable that gives the path of the configuration file.
 pub const CONFIG_VARIABLE: &str = "ROUTER_CONFIG";
-/// The longest file that is read.
+/// The maximum size of the file.
 const MAX_FILE_BYTES: u64 = 16 << 20;
-/// The defaults of what the platform grants.
+/// The defaults of the resource limits.
 const DEFAULT_MEMORY_MB: f64 = 192.0;
 const DEFAULT_SOCKETS: usize = 1_024;
-/// The defaults of the times that the settings may leave out.
+/// The defaults of optional durations in the settings.
 const DEFAULT_DIAL_TIMEOUT: TimeDelta = TimeDelta::from_millis(250);
 const DEFAULT_DRAIN_GRACE: TimeDelta = TimeDelta::from_secs(2);
 
-/// What the platform grants a gateway.
+/// The resources that the platform grants a gateway.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default)]
 pub struct ResourceLimits {
-    /// Memory in MB; beyond, the gateway is killed.
+    /// Memory in MB; the platform kills a gateway that exceeds it.
     pub memory_mb: f64,
-    /// File descriptors.
+    /// The number of file descriptors.
     pub sockets: usize,
 }
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// The file as it is written.
+/// The content of the configuration file.
 #[derive(Deserialize)]
 struct ConfigFile {
     #[serde(default)]
@@ -66,34 +66,34 @@
 /// A valid configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The file it was read from, and from which it is reloaded.
+    /// The file that the configuration is loaded and reloaded from.
     pub file: PathBuf,
     /// The gateway's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address that the gateway listens at for clients.
     pub listen: SocketAddr,
-    /// Where discovery listens.
+    /// The address of the discovery agent.
     pub discovery: SocketAddr,
-    /// Where the counter listens, if there is one.
+    /// The address of the counter, if there is one.
     pub counter: Option<SocketAddr>,
-    /// The seed of random numbers.
+    /// The seed of the decision module's random numbers.
     pub seed: u64,
-    /// What the platform grants.
+    /// The resources that the platform grants.
     pub limits: ResourceLimits,
-    /// The endpoints as this gateway last had them; none where they are not stated or the list is invalid.
+    /// The endpoint list to start with, as this gateway last held it; `None` if the file states none or an invalid one.
     pub initial_endpoints: Option<EndpointList>,
     /// The settings of the decision module, and the names in them.
     pub named_settings: NamedSettings,
-    /// After this time a connection to an endpoint or the counter that is not established has failed.
+    /// The time within which a connection to an endpoint or the counter must be established.
     pub dial_timeout: TimeDelta,
-    /// An endpoint closes a connection that was idle for so long; none: it never does.
+    /// The idle time after which endpoints close a connection; `None` if they never do.
     pub endpoint_idle_timeout: Option<TimeDelta>,
-    /// After it was published, a drain has to take effect within this time.
+    /// The time within which a published drain must take effect.
     pub drain_grace: TimeDelta,
 }
 
 impl Config {
-    /// Loads the file that the environment names.
+    /// Loads the file that the environment variable `ROUTER_CONFIG` names.
     ///
     /// # Errors
     /// The variable is not set, or [`Config::load`] fails.
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Loads a file.
+    /// Loads a configuration file.
     ///
     /// # Errors
     /// The file cannot be read or is invalid: the error names the field, what was expected and what was found.
@@ -161,7 +161,7 @@
     }
 }
 
-/// The endpoints to begin with. An invalid list is no reason not to start: discovery gives a valid one.
+/// Parses the endpoint list to start with. An invalid list does not prevent the start, as discovery provides a valid one.
 fn parse_initial_endpoints(
     content: &ConfigFile,
     names: &mut NamedSettings,
@@ -183,7 +183,7 @@
     })
 }
 
-/// An empty text stands for zero.
+/// Parses a seed in hexadecimal. An empty text means zero.
 fn parse_seed(text: &str) -> Result<u64, ConfigErrorKind> {
     if text.is_empty() {
         return Ok(0);
--- a/crates/resp-gateway/src/config/error.rs
+++ b/crates/resp-gateway/src/config/error.rs
@@ -9,7 +9,7 @@
 pub struct ConfigError {
     /// The environment variable or the file.
     pub location: String,
-    /// What was found there and what was expected.
+    /// What was expected and what was found.
     #[diagnostic_source]
     pub kind: ConfigErrorKind,
 }
@@ -24,26 +24,26 @@
         help("set ROUTER_CONFIG to the path of the gateway's JSON file")
     )]
     Variable,
-    /// The system does not give the file.
+    /// The file cannot be read.
     #[error("cannot be read: {0}")]
     #[diagnostic(
         code(chalkdeck::config::read),
         help("see that the file is there and that this user may read it")
     )]
     Read(#[from] std::io::Error),
-    /// The file is too long.
+    /// The file exceeds the maximum size.
     #[error("expected at most {max} bytes, found {found}")]
     #[diagnostic(
         code(chalkdeck::config::too_long),
         help("see whether it is the right file")
     )]
     TooLong {
-        /// Its length in bytes.
+        /// Its size in bytes.
         found: u64,
-        /// The most bytes that are read.
+        /// The maximum size in bytes.
         max: u64,
     },
-    /// Not the form of a configuration.
+    /// The file is not JSON of the expected form.
     #[error("expected a configuration: {0}")]
     #[diagnostic(
         code(chalkdeck::config::shape),
@@ -57,7 +57,7 @@
         help("give an address and a port, not a name: there is no DNS here")
     )]
     Address {
-        /// Its field.
+        /// The field of the file.
         field: &'static str,
         /// The address that was found.
         found: String,
@@ -78,14 +78,14 @@
         )
     )]
     Setting(#[from] WireError),
-    /// A time that cannot be parsed.
+    /// A duration that cannot be parsed.
     #[error("settings: {path}: expected a whole number of microseconds, found '{found}'")]
     #[diagnostic(
         code(chalkdeck::config::time),
         help("times are whole numbers of microseconds")
     )]
     Time {
-        /// Its path.
+        /// The path of the setting.
         path: &'static str,
         /// The text that was found.
         found: String,
--- a/crates/resp-gateway/src/config/setting_paths.rs
+++ b/crates/resp-gateway/src/config/setting_paths.rs
@@ -1,10 +1,10 @@
-//! Nested JSON settings as the flat paths of the operators' wire (`classes.count`, `classes.0.name`).
+//! Converts nested JSON settings to the flat paths of the simulator's wire format (`classes.count`, `classes.0.name`).
 
 use serde_json::Value;
 use std::collections::HashMap;
 
-/// Flattens nested settings. A list of objects puts its length under `.count`, the items of other lists are joined with commas, and
-/// spaces and commas inside a text become `_`.
+/// Flattens nested settings. The length of a list of objects is stored under `.count`, the items of other lists are joined with commas,
+/// and spaces and commas in texts are replaced by `_`.
 pub(super) fn flatten(settings: &Value) -> HashMap<String, String> {
     let mut paths = HashMap::new();
     insert(&mut paths, String::new(), settings);
@@ -44,7 +44,7 @@
     }
 }
 
-/// The text of a value that is neither a list nor an object nor null.
+/// The text of a string, number or boolean; `None` for other values.
 fn scalar_text(value: &Value) -> Option<String> {
     match value {
         Value::String(text) => Some(text.replace([' ', ','], "_")),
--- a/crates/resp-gateway/src/endpoint_list.rs
+++ b/crates/resp-gateway/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The list of endpoints as discovery and the configuration state it.
+//! Parses the endpoint lists of discovery and of the configuration.
 
 use chalkdeck::api::{CellId, EndpointEntry, EndpointState, UpdateScope};
 use chalkdeck_simulator_adapter::settings::{endpoint_id, zone_id};
@@ -8,35 +8,35 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// The most endpoints of one list.
+/// The maximum number of endpoints in a list.
 pub const MAX_ENDPOINTS: usize = 10_000;
-/// The weight of an endpoint that states none.
+/// The weight of an endpoint whose entry has none.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// One endpoint: where this gateway reaches it, and what the decision module is told of it.
+/// One endpoint of a list.
 #[derive(Clone, Debug)]
 pub struct ListedEndpoint {
-    /// Where it listens.
+    /// The address that the endpoint listens at.
     pub address: SocketAddr,
-    /// Its line of the list.
+    /// What is reported of it to the decision module.
     pub entry: EndpointEntry,
 }
 
-/// One answer of discovery.
+/// A list of endpoints: the complete list, or the changes to an earlier one.
 #[derive(Clone, Debug)]
 pub struct EndpointList {
-    /// Its version.
+    /// The version of the list.
     pub version: u64,
-    /// Whether it is the complete list or only what changed.
+    /// Whether the list is complete or contains changes only.
     pub scope: UpdateScope,
-    /// Its endpoints.
+    /// The endpoints.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
 /// Why a list is rejected.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum EndpointListError {
-    /// Not the form of a list.
+    /// JSON that does not have the form of a list.
     #[error("expected a list of endpoints: {0}")]
     #[diagnostic(
         code(chalkdeck::list::shape),
@@ -57,7 +57,7 @@
         help("the whole list is left out until each status is known here: see whether the list is of a later version")
     )]
     Status {
-        /// The endpoint.
+        /// The name of the endpoint.
         name: String,
         /// The status that was found.
         found: String,
@@ -69,7 +69,7 @@
         help("the list has to give addresses, not names: there is no DNS here")
     )]
     Address {
-        /// The endpoint.
+        /// The name of the endpoint.
         name: String,
         /// The address that was found.
         found: String,
@@ -95,13 +95,13 @@
     cell: u64,
     status: String,
     weight: Option<f64>,
-    /// When it last started, in milliseconds; 0: long ago.
+    /// When the endpoint last started, in milliseconds; 0 if it started long ago.
     #[serde(default, rename = "since_ms")]
     started_at_ms: u64,
 }
 
-/// Parses a list. One with a single line that is invalid is rejected as a whole: the last valid list is the better guess.
-/// `zones` numbers the names of zones; new names are added to it.
+/// Parses a list. A list with a single invalid entry is rejected as a whole, because the last valid list is the better approximation.
+/// `zones` maps names of zones to numbers; new names are added to it.
 ///
 /// # Errors
 /// [`EndpointListError`] names the endpoint, what was expected and what was found.
@@ -144,7 +144,7 @@
     let started_at_ms = Some(endpoint.started_at_ms).filter(|millis| *millis > 0);
     let entry = EndpointEntry {
         endpoint: endpoint_id(&endpoint.name),
-        // The names of zones in the settings were changed in the same way, see `config::setting_paths`.
+        // `config::setting_paths` replaces the same characters in the zone names of the settings.
         zone: zone_id(zones, &endpoint.zone.replace([' ', ','], "_")),
         cell: CellId(endpoint.cell),
         state,
--- a/crates/resp-gateway/src/endpoint_reply.rs
+++ b/crates/resp-gateway/src/endpoint_reply.rs
@@ -1,13 +1,13 @@
-//! The reply of an endpoint to an attempt.
+//! Parses the reply of an endpoint to an attempt.
 
 use bytes::Bytes;
 use chalkdeck::api::{LoadReport, Outcome};
 use chalkdeck_resp::Frame;
 
-/// The items of the reply that serves a request: the value, figures on use and a load report.
+/// The number of items in the reply that serves a request: the value, usage figures and a load report.
 const SERVED_ITEMS: usize = 3;
 
-/// What an endpoint replied.
+/// The parsed reply of an endpoint.
 #[derive(Debug, PartialEq)]
 pub(crate) enum EndpointReply {
     /// The request was served.
@@ -20,11 +20,11 @@
         outcome: Outcome,
         load_report: LoadReport,
     },
-    /// Not a reply of an endpoint: the attempt may have run, and the connection must not be used again.
+    /// The reply is not one that endpoints send: the attempt may have run, and the connection must not be reused.
     Invalid,
 }
 
-/// Parses the reply of an endpoint.
+/// Parses a reply.
 pub(crate) fn parse(frame: Frame) -> EndpointReply {
     match frame {
         Frame::Array(items) => parse_served(items),
@@ -33,7 +33,7 @@
     }
 }
 
-/// Figures on use and a load report that are invalid take nothing from the value.
+/// Parses the reply that serves a request. Invalid usage figures or an invalid load report do not invalidate the value.
 fn parse_served(items: Vec<Frame>) -> EndpointReply {
     if items.len() != SERVED_ITEMS {
         return EndpointReply::Invalid;
@@ -48,7 +48,7 @@
     }
 }
 
-/// An error line begins with its code and may end with a load report.
+/// Parses an error reply, which begins with an error code and may end with a load report.
 fn parse_error(line: &str) -> EndpointReply {
     let last_word = line.rsplit(' ').next().unwrap_or_default();
     let load_report = parse_load_report(last_word.as_bytes());
@@ -63,7 +63,7 @@
     }
 }
 
-/// Parses a load report. Parts that are invalid are left out.
+/// Parses a load report, leaving out invalid parts.
 fn parse_load_report(text: &[u8]) -> LoadReport {
     let mut report = LoadReport::default();
     let Ok(text) = std::str::from_utf8(text) else {
--- a/crates/resp-gateway/src/request.rs
+++ b/crates/resp-gateway/src/request.rs
@@ -1,4 +1,5 @@
-//! A client's command parsed as a request. Nothing here decides: what is invalid becomes an error line.
+//! Parses clients' commands into requests. This only validates: an invalid command gets an error reply, and whether a valid request is
+//! admitted is left to the decision module.
 
 mod error;
 mod fields;
@@ -16,70 +17,71 @@
 use fields::Fields;
 use std::ops::Range;
 
-/// The places of the words in a command.
+/// The indexes of the words in a command.
 const CUSTOMER_WORD: usize = 1;
 const ID_WORD: usize = 2;
 const FIELDS_WORD: usize = 3;
-/// The words of a command without and with a body.
-const READ_WORDS: usize = 4;
-const WRITE_WORDS: usize = 5;
-/// The digits of a customer.
+/// The number of words in `API.READ`, and in `API.WRITE`, which has a body.
+const READ_WORD_COUNT: usize = 4;
+const WRITE_WORD_COUNT: usize = 5;
+/// The number of hex digits in a customer's number.
 const CUSTOMER_DIGITS: usize = 16;
-/// Customers are numbers below this.
+/// The exclusive upper bound of customers' numbers.
 const CUSTOMER_LIMIT: u64 = 1 << 33;
 /// Microseconds in a millisecond, the unit of time-outs in commands.
 const MICROS_PER_MILLI: u64 = 1_000;
 
-/// A command that can be forwarded to an endpoint.
+/// A valid command, which can be forwarded to an endpoint.
 #[derive(Clone, Debug)]
 pub struct ApiCommand {
     words: Vec<Bytes>,
-    /// Where the value of the time-out stands in the list of fields.
+    /// The byte range of the time-out's value in the list of fields.
     timeout_range: Range<usize>,
 }
 
 impl ApiCommand {
-    /// The request's id as the client gave it.
+    /// The id that the client chose for the request.
     pub fn id(&self) -> &Bytes {
         &self.words[ID_WORD]
     }
 
-    /// Appends the command as it was received but for the time-out, which is what is left of it in milliseconds.
+    /// Appends the command as it was received, except that the time-out is replaced by `timeout_ms`, the time that remains.
     pub fn encode(&self, out: &mut BytesMut, timeout_ms: u64) {
-        let list = &self.words[FIELDS_WORD];
+        let fields = &self.words[FIELDS_WORD];
         let timeout = timeout_ms.to_string();
-        let list_pieces = [
-            &list[..self.timeout_range.start],
+        let fields_pieces = [
+            &fields[..self.timeout_range.start],
             timeout.as_bytes(),
-            &list[self.timeout_range.end..],
+            &fields[self.timeout_range.end..],
         ];
-        let single_pieces: Vec<[&[u8]; 1]> = self.words.iter().map(|word| [&word[..]]).collect();
-        let mut words: Vec<&[&[u8]]> = single_pieces.iter().map(|word| &word[..]).collect();
-        words[FIELDS_WORD] = &list_pieces;
+        let unchanged_words: Vec<[&[u8]; 1]> = self.words.iter().map(|word| [&word[..]]).collect();
+        let mut words: Vec<&[&[u8]]> = unchanged_words.iter().map(|word| &word[..]).collect();
+        words[FIELDS_WORD] = &fields_pieces;
         encode_command(out, &words);
     }
 }
 
-/// A valid command: what is forwarded, and what the decision module is told.
+/// The result of parsing a valid command.
 #[derive(Clone, Debug)]
 pub struct ParsedRequest {
-    /// The command.
+    /// The command to forward to an endpoint.
     pub command: ApiCommand,
-    /// The request.
+    /// The request to report to the decision module.
     pub request: IncomingRequest,
 }
 
-/// The command of a request.
+/// The verb of a command: `API.READ` or `API.WRITE`.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Verb {
     Read,
     Write,
 }
 
-/// Parses a command that was received at `received_at`. The gateway knows the request by `id`; `names` are those of the settings.
+/// Parses a command that was received at `received_at`. `id` is the gateway's own id of the request; `names` are the names of classes
+/// and plans in the settings.
 ///
 /// # Errors
-/// [`RequestError`] says what was expected.
+/// [`RequestError`] names the invalid part and says what was expected.
 pub fn parse(
     words: Vec<Bytes>,
     id: RequestId,
@@ -90,8 +92,9 @@
     let verb = parse_verb(&words)?;
     let customer = parse_customer(&words[CUSTOMER_WORD])?;
     check_id(&words[ID_WORD])?;
-    let list = std::str::from_utf8(&words[FIELDS_WORD]).map_err(|_| RequestError::FieldList)?;
-    let fields = Fields::parse(list)?;
+    let field_list =
+        std::str::from_utf8(&words[FIELDS_WORD]).map_err(|_| RequestError::FieldList)?;
+    let fields = Fields::parse(field_list)?;
     let class_id = find_class(&fields, names)?;
     let plan = find_plan(&fields, names)?;
     let class = &settings.classes[class_id.0];
@@ -122,8 +125,8 @@
 
 fn parse_verb(words: &[Bytes]) -> Result<Verb, RequestError> {
     match (words.first().map(|word| &word[..]), words.len()) {
-        (Some(b"API.READ"), READ_WORDS) => Ok(Verb::Read),
-        (Some(b"API.WRITE"), WRITE_WORDS) => Ok(Verb::Write),
+        (Some(b"API.READ"), READ_WORD_COUNT) => Ok(Verb::Read),
+        (Some(b"API.WRITE"), WRITE_WORD_COUNT) => Ok(Verb::Write),
         (Some(b"API.READ" | b"API.WRITE"), _) => Err(RequestError::ArgumentCount),
         _ => Err(RequestError::UnknownCommand),
     }
@@ -157,7 +160,8 @@
     index.copied().map(PlanId).ok_or(RequestError::Plan)
 }
 
-/// Only idempotent classes are read, and keyed ones have a key.
+/// Checks that the verb and the idempotency key suit the class: idempotent classes need `API.READ`, the others `API.WRITE`, and keyed
+/// classes also need a key.
 fn check_idempotency(verb: Verb, class: &Class, fields: &Fields) -> Result<(), RequestError> {
     let expected_verb = match class.idempotency {
         Idempotency::Idempotent => Verb::Read,
@@ -173,7 +177,7 @@
     Ok(())
 }
 
-/// The client's time-out, which is not longer than that of the class.
+/// Parses the client's time-out and limits it to the deadline of the class.
 fn parse_timeout(fields: &Fields, class: &Class) -> Result<TimeDelta, RequestError> {
     let text = fields.timeout.ok_or(RequestError::Timeout)?;
     let millis = parse_whole("d", Some(text), 1, u64::MAX / MICROS_PER_MILLI)?;
@@ -198,7 +202,7 @@
     }
 }
 
-/// A whole number without a sign from `min` to `max`.
+/// Parses a whole number without a sign, from `min` to `max`.
 fn parse_whole(
     name: &'static str,
     text: Option<&str>,
--- a/crates/resp-gateway/src/request/error.rs
+++ b/crates/resp-gateway/src/request/error.rs
@@ -1,6 +1,6 @@
-//! Errors of commands. Their texts are sent to clients, so they are part of the wire.
+//! Errors of commands. Their texts are sent to clients, so they are part of the wire format.
 
-/// Why a command is not a request.
+/// Why a command is rejected as invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error, miette::Diagnostic)]
 #[diagnostic(help(
     "the client's command is at fault and was not run: the client has to be mended"
@@ -10,7 +10,7 @@
     #[error("wrong number of arguments")]
     #[diagnostic(code(chalkdeck::request::arguments))]
     ArgumentCount,
-    /// Not a command of the platform.
+    /// A command that the platform does not define.
     #[error("unknown command")]
     #[diagnostic(code(chalkdeck::request::unknown))]
     UnknownCommand,
@@ -26,7 +26,7 @@
     #[error("id: expected one that no open request has")]
     #[diagnostic(code(chalkdeck::request::id_taken))]
     DuplicateId,
-    /// The list of fields is not text.
+    /// A list of fields that is not valid UTF-8.
     #[error("expected names and values")]
     #[diagnostic(code(chalkdeck::request::list))]
     FieldList,
@@ -46,15 +46,15 @@
     #[error("t: expected a plan of the settings")]
     #[diagnostic(code(chalkdeck::request::plan))]
     Plan,
-    /// The other command than the class requires.
+    /// A verb that the class does not allow.
     #[error("expected API.READ for a class that is safe to repeat, API.WRITE for others")]
     #[diagnostic(code(chalkdeck::request::verb))]
     Verb,
-    /// No idempotency key in a keyed class.
+    /// A keyed class without an idempotency key.
     #[error("k: expected a key in a keyed class")]
     #[diagnostic(code(chalkdeck::request::key))]
     IdempotencyKey,
-    /// No time-out.
+    /// A missing time-out.
     #[error("d: expected milliseconds")]
     #[diagnostic(code(chalkdeck::request::time))]
     Timeout,
@@ -62,14 +62,14 @@
     #[error("{name}: expected a whole number from {min} to {max}")]
     #[diagnostic(code(chalkdeck::request::number))]
     Number {
-        /// Its field.
+        /// The name of the field.
         name: &'static str,
-        /// The least.
+        /// The minimum.
         min: u64,
-        /// The most.
+        /// The maximum.
         max: u64,
     },
-    /// Units that cannot be parsed or are out of range; the value is the most that is allowed.
+    /// Units that cannot be parsed or are out of range; the value is the maximum.
     #[error("units: expected above 0, at most {0}")]
     #[diagnostic(code(chalkdeck::request::units))]
     Units(f64),
@@ -79,5 +79,5 @@
     Retry,
 }
 
-/// The longest id, in bytes.
+/// The maximum length of an id.
 pub(super) const MAX_ID_BYTES: usize = 64;
--- a/crates/resp-gateway/src/request/fields.rs
+++ b/crates/resp-gateway/src/request/fields.rs
@@ -1,15 +1,15 @@
-//! The list of fields in a command: `name=value` pairs that are separated by commas.
+//! Parses the list of fields in a command: `name=value` pairs, separated by commas.
 
 use super::error::RequestError;
 use std::ops::Range;
 
-/// The fields of a request that the gateway reads; the others are for the endpoint alone.
+/// The values of the fields that the gateway reads. Other fields are forwarded to the endpoint unread.
 #[derive(Default)]
 pub(super) struct Fields<'a> {
     pub(super) class: Option<&'a str>,
     pub(super) plan: Option<&'a str>,
     pub(super) timeout: Option<&'a str>,
-    /// Where the value of the time-out stands in the list.
+    /// The byte range of the time-out's value in the list.
     pub(super) timeout_range: Range<usize>,
     pub(super) idempotency_key: Option<&'a str>,
     pub(super) units: Option<&'a str>,
--- a/crates/resp-gateway/src/server.rs
+++ b/crates/resp-gateway/src/server.rs
@@ -1,5 +1,5 @@
-//! A running gateway: events of the decision module are raised from what happened on its sockets, and the module's actions are carried
-//! out. Nothing is sent, rejected, failed, retried or cancelled here that the module did not decide.
+//! The gateway server: turns socket and timer events into events of the decision module and carries out the module's actions. Only the
+//! module decides what is sent, rejected, failed, retried or cancelled.
 
 mod actions;
 mod counter_calls;
@@ -28,34 +28,34 @@
 use rustc_hash::FxHashMap;
 use std::net::SocketAddr;
 
-/// What a timer of the loop is for.
+/// What happens when a timer of the event loop fires.
 enum TimerPurpose {
-    /// A timer of the decision module.
+    /// The decision module is notified of its timer.
     Decision(TimerId),
-    /// An attempt is aborted.
+    /// The attempt is aborted if it is still open.
     AttemptDeadline(AttemptId),
-    /// A connection to an endpoint or the counter must be established.
+    /// The connection to an endpoint or the counter is closed if it is not established.
     DialTimeout(ConnId),
-    /// Calls to the counter may have timed out.
+    /// Calls to the counter whose deadline has passed are ended.
     CounterTimeout,
-    /// A discovery call may have timed out.
+    /// The discovery call fails if it is still open.
     DiscoveryTimeout(CallId),
     /// Connections are checked for time-outs.
     Sweep,
-    /// A shutdown may go on.
+    /// The next step of a shutdown is taken.
     Shutdown,
 }
 
-/// A request without its final reply.
+/// A request that has no final reply yet.
 struct OpenRequest {
     /// The connection of its client.
     conn: ConnId,
     slot: ReplySlot,
     command: ApiCommand,
-    /// Bytes that its command holds.
+    /// The size of its command.
     command_bytes: usize,
     /// The number of attempts so far.
-    attempts: usize,
+    attempt_count: usize,
 }
 
 /// A running gateway.
@@ -64,29 +64,29 @@
     decisions: Decisions,
     config: Config,
     listener: ListenerId,
-    /// The listener still accepts connections.
+    /// Whether the listener still accepts connections.
     is_listening: bool,
     local_address: SocketAddr,
     timers: TimerQueue<TimerPurpose>,
     sessions: Sessions,
     requests: FxHashMap<RequestId, OpenRequest>,
-    /// Open requests by the ids that clients gave them.
+    /// Open requests by the ids that their clients chose.
     requests_by_client_id: FxHashMap<Bytes, RequestId>,
-    /// The id of the request that was opened last.
+    /// The id of the request that was opened last; ids are consecutive.
     last_request: RequestId,
     endpoints: EndpointConnections,
     counter: Option<CounterClient>,
-    /// A timer for the next call to the counter that times out is set.
+    /// Whether a timer for the next deadline of a counter call is set.
     has_counter_timer: bool,
     discovery: Discovery,
-    /// Buffer for the events of one turn.
+    /// The buffer for the socket events of one turn, kept to reuse its allocation.
     net_events: Vec<NetEvent>,
     /// When the shutdown was requested.
-    shutdown_since: Option<Timestamp>,
+    shutdown_requested_at: Option<Timestamp>,
 }
 
 impl GatewayServer {
-    /// The address at which clients connect.
+    /// The address that the gateway listens at.
     pub fn local_address(&self) -> SocketAddr {
         self.local_address
     }
--- a/crates/resp-gateway/src/server/actions.rs
+++ b/crates/resp-gateway/src/server/actions.rs
@@ -11,7 +11,7 @@
 use chalkdeck_time::Timestamp;
 
 impl GatewayServer {
-    /// Hands the queued events to the decision module and carries out its actions, until there are neither.
+    /// Lets the decision module process the queued events and carries out its actions, until no event or action is left.
     pub(super) fn carry_out_actions(&mut self) {
         while let Some(action) = self.decisions.next_action(clock::now(&self.engine)) {
             self.carry_out(&action);
@@ -50,12 +50,12 @@
                 self.set_timer(after, TimerPurpose::Decision(timer));
             }
             Action::Probe(endpoint) => self.skip_probe(endpoint),
-            // No class of this platform leaves the work to its caller, and endpoint updates are received in any case.
+            // On this platform the gateway always forwards requests itself, and discovery is polled without being requested.
             Action::Grant(_) | Action::Subscribe | Action::FetchEndpoints => {}
         }
     }
 
-    /// The platform has no probes.
+    /// Reports a probe as never sent, since the platform has no command for probes.
     fn skip_probe(&mut self, endpoint: EndpointId) {
         self.decisions.push(Event::ProbeCompleted {
             endpoint,
@@ -70,9 +70,9 @@
         };
         let attempt = AttemptId {
             request: id,
-            number: request.attempts,
+            number: request.attempt_count,
         };
-        request.attempts += 1;
+        request.attempt_count += 1;
         let result = self.endpoints.send(
             &mut self.engine,
             attempt,
@@ -104,7 +104,8 @@
         self.on_attempt_ended(end);
     }
 
-    /// An attempt may have ended. A value goes to the client at once; all else is decided by the decision module.
+    /// Reports the end of an attempt, if there is one, to the decision module. A value is sent to the client at once; the module decides
+    /// what follows any other outcome.
     pub(super) fn on_attempt_ended(&mut self, end: Option<AttemptEnd>) {
         let Some(end) = end else {
             return;
--- a/crates/resp-gateway/src/server/counter_calls.rs
+++ b/crates/resp-gateway/src/server/counter_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the counter, and what the decision module is told of them. Without a counter nothing happens.
+//! Calls the counter and reports the results to the decision module. Without a counter, all of this does nothing.
 
 use super::{GatewayServer, TimerPurpose};
 use crate::clock;
@@ -23,7 +23,8 @@
         }
     }
 
-    /// All calls have the same time-out, so the first of them ends first and one timer serves all.
+    /// Sets a timer for the next deadline of a counter call. All calls have the same time-out, so they expire in the order in which they
+    /// were made, and one timer is enough.
     fn set_counter_timer(&mut self) {
         let next_deadline = self.counter.as_ref().and_then(CounterClient::next_deadline);
         let Some(deadline) = next_deadline.filter(|_| !self.has_counter_timer) else {
--- a/crates/resp-gateway/src/server/endpoint_updates.rs
+++ b/crates/resp-gateway/src/server/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! Endpoint updates from discovery and from the configuration.
+//! Applies endpoint updates from discovery and from the configuration.
 
 use super::{GatewayServer, TimerPurpose};
 use crate::discovery::DiscoveryAction;
@@ -6,7 +6,7 @@
 use chalkdeck::api::{EndpointEntry, Event, UpdateScope};
 
 impl GatewayServer {
-    pub(super) fn carry_out_discovery(&mut self, action: DiscoveryAction) {
+    pub(super) fn carry_out_discovery_action(&mut self, action: DiscoveryAction) {
         match action {
             DiscoveryAction::UpdateEndpoints(list) => self.apply_endpoint_update(list),
             DiscoveryAction::CheckCall { after, call } => {
@@ -15,7 +15,8 @@
         }
     }
 
-    /// Applies an update to the connections and tells the decision module. An incremental update without endpoints changes nothing.
+    /// Applies an update to the connections and reports it to the decision module, unless it is an incremental update without endpoints,
+    /// which changes nothing.
     pub(super) fn apply_endpoint_update(&mut self, list: EndpointList) {
         self.endpoints.apply_update(&mut self.engine, &list);
         let scope = list.scope;
--- a/crates/resp-gateway/src/server/event_loop.rs
+++ b/crates/resp-gateway/src/server/event_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop: waits for events of the sockets and timers, and hands each to the part that owns it. The decision module's actions
-//! on one event are carried out before the next event is handled.
+//! The event loop: waits for socket and timer events and dispatches each to the component that owns it. The actions that the decision
+//! module takes on one event are carried out before the next event is handled.
 
 use super::{GatewayServer, TimerPurpose};
 use crate::attempt::AbortReason;
@@ -13,7 +13,7 @@
 const SWEEP_INTERVAL: TimeDelta = TimeDelta::from_millis(250);
 
 impl GatewayServer {
-    /// Waits for events, at most so many microseconds, and handles them.
+    /// Waits for events for at most `max_wait` microseconds, and handles them.
     ///
     /// # Errors
     /// The system fails to poll the sockets.
@@ -30,9 +30,9 @@
             self.carry_out_actions();
         }
         self.net_events = events;
-        // Once a turn, so that a long pipeline does not keep the others waiting.
+        // Each resumed connection is handled once per turn, so that a long pipeline does not starve other clients.
         for conn in self.sessions.take_resumed() {
-            self.take_commands(conn);
+            self.handle_commands(conn);
             self.carry_out_actions();
         }
         self.sessions.close_idle(&mut self.engine);
@@ -51,7 +51,7 @@
                 ..
             } => self.on_closed(conn, unsent, &reason),
             NetEvent::Timer(token) => self.on_timer(token),
-            // Streams are HTTP/2's, and there is no admin port.
+            // The other events concern HTTP/2 streams and the admin port, which this gateway does not have.
             _ => {}
         }
     }
@@ -62,7 +62,7 @@
         } else if self.discovery.owns(conn) {
             let action = self.discovery.on_connected(&mut self.engine, conn);
             if let Some(action) = action {
-                self.carry_out_discovery(action);
+                self.carry_out_discovery_action(action);
             }
         } else if let Some(counter) = &mut self.counter {
             counter.on_connected(&mut self.engine, conn);
@@ -73,7 +73,7 @@
         self.engine.handled(conn);
         if self.sessions.owns(conn) {
             self.sessions.on_bytes(&mut self.engine, conn, data);
-            self.take_commands(conn);
+            self.handle_commands(conn);
         } else if self.endpoints.owns(conn) {
             let end = self.endpoints.on_bytes(&mut self.engine, conn, data);
             self.on_attempt_ended(end);
@@ -83,7 +83,7 @@
             let zones = &mut self.config.named_settings.zones;
             let actions = self.discovery.on_bytes(&mut self.engine, conn, data, zones);
             for action in actions {
-                self.carry_out_discovery(action);
+                self.carry_out_discovery_action(action);
             }
         }
     }
@@ -103,7 +103,7 @@
                 .discovery
                 .on_closed(&mut self.engine, conn, reason, zones);
             for action in actions {
-                self.carry_out_discovery(action);
+                self.carry_out_discovery_action(action);
             }
         }
     }
@@ -135,7 +135,7 @@
             TimerPurpose::DiscoveryTimeout(call) => {
                 let action = self.discovery.on_call_timeout(&mut self.engine, call);
                 if let Some(action) = action {
-                    self.carry_out_discovery(action);
+                    self.carry_out_discovery_action(action);
                 }
             }
             TimerPurpose::Shutdown => self.continue_shutdown(),
--- a/crates/resp-gateway/src/server/lifecycle.rs
+++ b/crates/resp-gateway/src/server/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life cycle of a gateway after its start: it serves, reloads its configuration and shuts down gracefully.
+//! The life cycle of a started gateway: serving, reloading the configuration and graceful shutdown.
 
 use super::{GatewayServer, TimerPurpose};
 use crate::clock;
@@ -8,27 +8,27 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// The longest sleep of the loop; signals are checked that often.
-const MAX_WAIT: TimeDelta = TimeDelta::from_millis(100);
-/// New connections still arrive so long after SIGTERM, and are served; then connections are closed one after another.
+/// The longest wait of the event loop, and so the longest delay until a signal is noticed.
+const MAX_EVENT_WAIT: TimeDelta = TimeDelta::from_millis(100);
+/// How long after SIGTERM new connections still arrive and are served; after that, connections are closed one after another.
 const SHUTDOWN_ACCEPT_TIME: TimeDelta = TimeDelta::from_millis(420);
-/// How often a gateway that shuts down checks whether connections can be closed.
+/// The interval at which a gateway that shuts down checks whether it can close its listener.
 const SHUTDOWN_INTERVAL: TimeDelta = TimeDelta::from_millis(5);
-/// The platform kills a gateway so long after SIGTERM and the longest deadline.
+/// The platform kills a gateway when the longest deadline plus this time have passed since SIGTERM.
 const KILL_DELAY: TimeDelta = TimeDelta::from_millis(700);
-/// The longest deadline that the platform takes into account.
-const KILL_MAX_DEADLINE: TimeDelta = TimeDelta::from_secs(3);
-/// Requests that are received during a shutdown have their reply so long before that.
+/// The longest deadline that the platform takes into account for the kill.
+const MAX_KILL_DEADLINE: TimeDelta = TimeDelta::from_secs(3);
+/// Requests that are received during a shutdown are answered at least this long before the kill.
 const KILL_MARGIN: TimeDelta = TimeDelta::from_millis(60);
 
 impl GatewayServer {
-    /// Serves until a signal asks it to shut down and all that it accepted is answered.
+    /// Serves until a signal requests a shutdown and the shutdown is complete.
     ///
     /// # Errors
     /// The system fails to poll the sockets.
     pub fn run(&mut self, signals: &Signals) -> io::Result<()> {
         loop {
-            self.turn(MAX_WAIT.as_micros())?;
+            self.turn(MAX_EVENT_WAIT.as_micros())?;
             if signals.reload() {
                 self.reload();
             }
@@ -42,21 +42,22 @@
         }
     }
 
-    /// Begins a graceful shutdown: serves what still arrives, then ends.
+    /// Begins a graceful shutdown: serves what still arrives, then closes the connections.
     pub fn shut_down(&mut self) {
-        if self.shutdown_since.is_none() {
+        if self.shutdown_requested_at.is_none() {
             tracing::info!(
                 open_requests = self.requests.len(),
                 "graceful shutdown: serving what still arrives, then closing connections"
             );
-            self.shutdown_since = Some(clock::now(&self.engine));
+            self.shutdown_requested_at = Some(clock::now(&self.engine));
             self.set_timer(SHUTDOWN_ACCEPT_TIME, TimerPurpose::Shutdown);
         }
     }
 
-    /// Whether a shutdown is over: all clients are gone, or all requests that were received before it must have had their reply.
+    /// Whether a shutdown is complete: all client connections are closed, or so much time has passed that every request received before
+    /// the shutdown has been answered.
     pub fn is_shut_down(&self) -> bool {
-        let Some(since) = self.shutdown_since else {
+        let Some(since) = self.shutdown_requested_at else {
             return false;
         };
         let has_no_clients = self.sessions.is_shutting_down()
@@ -71,24 +72,25 @@
         longest.unwrap_or_default()
     }
 
-    /// The time by which requests that are received now must have their reply: during a shutdown, before the platform kills the process.
+    /// The latest deadline of a request that is received now: unlimited while serving, shortly before the kill during a shutdown.
     pub(super) fn latest_deadline(&self) -> Timestamp {
-        let Some(since) = self.shutdown_since else {
+        let Some(since) = self.shutdown_requested_at else {
             return Timestamp::MAX;
         };
-        let deadline = self.longest_deadline().min(KILL_MAX_DEADLINE);
+        let deadline = self.longest_deadline().min(MAX_KILL_DEADLINE);
         since + (KILL_DELAY - KILL_MARGIN) + deadline
     }
 
-    /// New connections do not arrive any more: closes the listener once it is empty, and connections once they are idle.
+    /// Continues a shutdown once no more connections are expected: closes the listener when its backlog is empty, and lets the sessions
+    /// close idle connections.
     pub(super) fn continue_shutdown(&mut self) {
         self.is_listening &= !self.engine.unlisten_if_empty(self.listener);
         self.sessions.shut_down(clock::now(&self.engine));
         self.set_timer(SHUTDOWN_INTERVAL, TimerPurpose::Shutdown);
     }
 
-    /// Loads the configuration again and moves to its addresses of discovery and the counter; all else needs a restart. A
-    /// configuration that is invalid changes nothing.
+    /// Reloads the configuration and applies its addresses of discovery and the counter; all other settings need a restart. An invalid
+    /// configuration is logged and changes nothing.
     pub fn reload(&mut self) {
         let config = match Config::load(&self.config.file) {
             Ok(config) => config,
@@ -110,7 +112,7 @@
     fn set_discovery_address(&mut self, address: SocketAddr) {
         let action = self.discovery.set_address(&mut self.engine, address);
         if let Some(action) = action {
-            self.carry_out_discovery(action);
+            self.carry_out_discovery_action(action);
         }
     }
 }
--- a/crates/resp-gateway/src/server/requests.rs
+++ b/crates/resp-gateway/src/server/requests.rs
@@ -1,4 +1,4 @@
-//! The path of a request from its client's command to its final reply.
+//! Handles requests from the client's command to the final reply.
 
 use super::{GatewayServer, OpenRequest};
 use crate::client_replies;
@@ -9,8 +9,8 @@
 use chalkdeck_resp::Frame;
 
 impl GatewayServer {
-    /// Takes the commands that a connection has received, as far as there is room for them.
-    pub(super) fn take_commands(&mut self, conn: ConnId) {
+    /// Handles the commands that a connection has received, until flow control pauses it.
+    pub(super) fn handle_commands(&mut self, conn: ConnId) {
         while let Some(command) = self.sessions.next_command(&mut self.engine, conn) {
             let slot = command.slot;
             if let Some(reply) = self.on_command(conn, command) {
@@ -20,7 +20,7 @@
         self.sessions.flush(&mut self.engine, conn);
     }
 
-    /// Handles a command. Returns its reply, or none when it is a request, whose reply is known later.
+    /// Handles a command. Returns its reply, or `None` for a request, whose reply follows later.
     fn on_command(&mut self, conn: ConnId, command: ReceivedCommand) -> Option<Frame> {
         match &command.words[0].to_ascii_uppercase()[..] {
             b"PING" => Some(client_replies::pong()),
@@ -55,14 +55,14 @@
             slot: command.slot,
             command: parsed.command,
             command_bytes,
-            attempts: 0,
+            attempt_count: 0,
         };
         self.requests.insert(id, open);
         self.decisions.push(Event::RequestArrived(parsed.request));
         Ok(())
     }
 
-    /// The connection of a client has ended, and with it the client's open requests.
+    /// Closes the open requests of a client whose connection has ended, and reports them to the decision module.
     pub(super) fn on_client_closed(&mut self, conn: ConnId) {
         for id in self.sessions.on_closed(conn) {
             self.close_request(id);
@@ -78,7 +78,7 @@
         Some(request)
     }
 
-    /// Gives a request its final reply. Returns whether it was open.
+    /// Sends the final reply to a request and closes it. Returns whether it was open.
     pub(super) fn reply(&mut self, id: RequestId, reply: Frame) -> bool {
         let Some(request) = self.close_request(id) else {
             return false;
--- a/crates/resp-gateway/src/server/start.rs
+++ b/crates/resp-gateway/src/server/start.rs
@@ -15,30 +15,30 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Descriptors reserved for the loop, logs, the listener, discovery and the counter (old and new addresses).
+/// File descriptors reserved for the event loop, logs, the listener, discovery and the counter at its old and its new address.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// The fewest descriptors that are left for clients and endpoints.
+/// The minimum number of connections to clients and endpoints, however few descriptors are granted.
 const MIN_CONNECTIONS: usize = 16;
-/// The share of them for clients, in percent; the rest are for endpoints.
+/// The share of client connections among them, in percent; the others are for endpoints.
 const CLIENT_PERCENT: usize = 55;
-/// Connections that are accepted beyond the limit, so that a new client can take the place of an idle one.
-const EXTRA_CLIENTS: usize = RESERVED_DESCRIPTORS / 4;
-/// The part of the memory granted that the commands of open requests may hold.
+/// Client connections that are accepted beyond the limit, so that a new one can replace an idle one.
+const EXTRA_CLIENT_CONNECTIONS: usize = RESERVED_DESCRIPTORS / 4;
+/// The fraction of the granted memory that the commands of open requests may take.
 const COMMANDS_MEMORY_FRACTION: f64 = 0.125;
 /// Bytes in a megabyte.
 const BYTES_PER_MB: f64 = 1e6;
 
-/// Why a gateway does not start.
+/// Why a gateway fails to start.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum StartError {
-    /// The system gives no poll handle.
+    /// The operating system provides no poll handle.
     #[error("no poll handle: {0}")]
     #[diagnostic(
         code(chalkdeck::platform::poll),
         help("see the limit of descriptors (ulimit -n)")
     )]
     Poll(io::Error),
-    /// The clients' address cannot be listened at.
+    /// The address for clients cannot be bound.
     #[error("cannot listen at {address}: {source}")]
     #[diagnostic(
         code(chalkdeck::platform::listen),
@@ -49,7 +49,7 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// The error of the system.
+        /// The operating system's error.
         source: io::Error,
     },
     /// Settings that contradict each other.
@@ -61,7 +61,7 @@
     Settings(#[from] SettingsError),
 }
 
-/// How many connections a gateway may hold.
+/// The maximum numbers of connections to clients and to endpoints.
 struct ConnectionLimits {
     clients: usize,
     endpoints: usize,
@@ -81,15 +81,15 @@
 }
 
 impl GatewayServer {
-    /// Binds the listener and connects to discovery.
+    /// Starts a gateway: binds the listener and connects to discovery.
     ///
     /// # Errors
-    /// The address cannot be bound, or the settings contradict each other.
+    /// [`StartError`]: the address cannot be bound, the system provides no poll handle, or the settings contradict each other.
     pub fn start(config: Config) -> Result<GatewayServer, StartError> {
         GatewayServer::start_with_clock(config, Clock::start())
     }
 
-    /// Does the same with a clock of the caller's.
+    /// Starts a gateway with the caller's clock.
     ///
     /// # Errors
     /// As [`GatewayServer::start`].
@@ -100,7 +100,7 @@
             server.apply_endpoint_update(list);
         }
         let action = server.discovery.connect(&mut server.engine);
-        server.carry_out_discovery(action);
+        server.carry_out_discovery_action(action);
         server.set_sweep_timer();
         server.carry_out_actions();
         Ok(server)
@@ -110,7 +110,7 @@
         let mut engine = Engine::with_clock(clock).map_err(StartError::Poll)?;
         let limits = ConnectionLimits::new(config.limits.sockets);
         let listen_limits = Limits {
-            connections: limits.clients + EXTRA_CLIENTS,
+            connections: limits.clients + EXTRA_CLIENT_CONNECTIONS,
             ..Limits::default()
         };
         let address = config.listen;
@@ -143,7 +143,7 @@
             has_counter_timer: false,
             discovery: Discovery::new(config.discovery, Timing::new(config.drain_grace)),
             net_events: Vec::new(),
-            shutdown_since: None,
+            shutdown_requested_at: None,
             config,
         })
     }
