--- a/crates/resp-gateway/src/config/tests.rs
+++ b/crates/resp-gateway/src/config/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the configuration: the names of its settings, and the texts of its errors.
+//! Tests of the configuration: the names of its settings and the texts of its errors.
 
 use super::*;
 
@@ -16,24 +16,24 @@
         "plans":[{"name":"mbegu","per_second":3.5,"peak_units":12.0}],"rules":{"cold":18000000}}"#;
 
 #[test]
-fn settings_under_the_names_of_the_operators_wire_then_parsed() {
+fn settings_under_the_names_of_the_simulator_wire_format_then_parsed() {
     let config =
         Config::parse(Path::new("c.json"), config_text(SETTINGS).as_bytes()).expect("it is valid");
-    let set = config.settings();
+    let settings = config.settings();
     assert_eq!(
         (
-            set.gateways,
-            set.gateway_index,
-            set.max_attempts,
-            set.allow_hedging
+            settings.gateways,
+            settings.gateway_index,
+            settings.max_attempts,
+            settings.allow_hedging
         ),
         (3, 1, 6, true)
     );
     assert_eq!(
         (
-            set.plans[0].rate,
-            set.classes[0].priority_weight,
-            set.slow_start_duration.as_micros()
+            settings.plans[0].rate,
+            settings.classes[0].priority_weight,
+            settings.slow_start_duration.as_micros()
         ),
         (3.5, 2.0, 18_000_000)
     );
@@ -54,13 +54,13 @@
         (initial.version, initial.endpoints[0].entry.zone.0),
         (4, zone)
     );
-    assert_eq!(set.zone.0, config.named_settings.zones["north_hall"]);
+    assert_eq!(settings.zone.0, config.named_settings.zones["north_hall"]);
 }
 
 #[test]
 fn invalid_configuration_then_error_names_the_field_and_what_was_expected() {
     let load = |text: &str| Config::parse(Path::new("c.json"), text.as_bytes()).map(|_| ());
-    for (text, want) in [
+    for (text, expected) in [
         ("{", "expected a configuration"),
         (
             &config_text("{\"balancers\":\"x\"}"),
@@ -80,7 +80,7 @@
         ),
     ] {
         let error = load(text).expect_err(text).to_string();
-        assert!(error.contains(want), "{error}");
+        assert!(error.contains(expected), "{error}");
     }
     let missing = Config::load(Path::new("nowhere/c.json")).expect_err("there is no file");
     assert!(
--- a/crates/resp-gateway/src/counter_client.rs
+++ b/crates/resp-gateway/src/counter_client.rs
@@ -1,9 +1,9 @@
-//! Calls to the counter, pipelined on a few connections and answered in order. Calls of one key share a connection, so their results
-//! are reported in the order of the calls.
+//! The client of the counter. Calls are pipelined on a few connections, on each of which the counter replies in order. Calls for the same
+//! key use the same connection, so their results are reported in the order of the calls.
 //!
-//! A call ends by its reply, by its time-out or by the end of its connection; a reply that is received later is ignored. A connection
-//! on which nothing was received since a call was sent that has timed out, or only a part of a reply, may be dead: the next call takes
-//! a new connection, and calls that are open end on the old one.
+//! A call ends with its reply, its time-out or the end of its connection; a reply that arrives after the time-out is ignored. When a call
+//! times out on a connection that has received nothing, or only a part of a reply, since the call was sent, the connection may be
+//! dead. It is then retired: new calls use a new connection, and open calls end on the old one.
 
 mod connection;
 mod reply;
@@ -20,40 +20,42 @@
 use connection::{Call, Connection};
 use std::net::SocketAddr;
 
-/// Connections at one address. The counter holds 32; one that breaks takes the calls behind along, so there are some, and
-/// each costs a system call where one could do, so there are few.
-const CONNECTIONS: usize = 4;
-/// Connections that only wait for the ends of their calls.
+/// The number of connections to the counter's current address; the counter accepts 32. A connection that breaks fails all calls pending on
+/// it, which argues for several; each connection needs its own system calls, which argues for few.
+const CONNECTION_COUNT: usize = 4;
+/// The maximum number of retired connections.
 const MAX_RETIRED: usize = 12;
 /// Microseconds in a millisecond, the unit of the time to live in a call.
 const MICROS_PER_MILLI: u64 = 1_000;
 
-/// What a call led to at once.
+/// The immediate result of starting a call.
 pub(crate) enum CallStart {
-    /// It is queued on a connection.
+    /// The call is queued on a connection.
     Queued,
-    /// It is queued on this connection, which is being established.
+    /// The call is queued on this connection, which is being established.
     Dialing(ConnId),
-    /// It ended.
+    /// The call has already ended.
     Ended(CounterResult),
 }
 
 /// The client of one counter.
 pub(crate) struct CounterClient {
     address: SocketAddr,
-    /// By the keys of their calls.
+    /// The connections that new calls use; the key of a call selects one.
     connections: Vec<Connection>,
-    /// Connections to an earlier address or that fell silent, on which calls are still open.
+    /// Connections to an earlier address or without replies, which remain until their open calls have ended.
     retired: Vec<Connection>,
     timeout: TimeDelta,
 }
 
 impl CounterClient {
-    /// `timeout`: after which a call without a reply has ended.
+    /// `timeout` is the time after which a call without a reply ends.
     pub(crate) fn new(address: SocketAddr, timeout: TimeDelta) -> CounterClient {
         CounterClient {
             address,
-            connections: (0..CONNECTIONS).map(|_| Connection::default()).collect(),
+            connections: (0..CONNECTION_COUNT)
+                .map(|_| Connection::default())
+                .collect(),
             retired: Vec::new(),
             timeout,
         }
@@ -75,7 +77,7 @@
         self.all().find(|connection| connection.conn == Some(conn))
     }
 
-    /// Sends new calls to another address. Open calls end at the old one, whose connections are closed after them.
+    /// Sets the address for new calls. Open calls end on the connections to the old address, which are closed afterwards.
     pub(crate) fn set_address(
         &mut self,
         engine: &mut Engine,
@@ -85,19 +87,20 @@
             return Vec::new();
         }
         self.address = address;
-        for index in 0..CONNECTIONS {
+        for index in 0..CONNECTION_COUNT {
             self.retire(index);
         }
         self.close_retired(engine)
     }
 
-    /// New calls of its keys take a new connection.
+    /// Retires a connection: new calls for its keys use a new one.
     fn retire(&mut self, index: usize) {
         let connection = std::mem::take(&mut self.connections[index]);
         self.retired.push(connection);
     }
 
-    /// Closes retired connections without open calls, and the oldest beyond the limit.
+    /// Closes retired connections without open calls, and the oldest ones above the limit. Returns the results of the calls that this
+    /// ends.
     fn close_retired(&mut self, engine: &mut Engine) -> Vec<CounterResult> {
         let excess = self.retired.len().saturating_sub(MAX_RETIRED);
         let mut results = Vec::new();
@@ -110,7 +113,7 @@
         results
     }
 
-    /// Adds to a counter that lives for `time_to_live` after its first increment.
+    /// Starts a call that adds to a counter, which expires `time_to_live` after its first increment.
     pub(crate) fn add(
         &mut self,
         engine: &mut Engine,
@@ -120,7 +123,7 @@
     ) -> CallStart {
         let now = clock::now(engine);
         let deadline = now + self.timeout;
-        let connection = &mut self.connections[(key.0 % CONNECTIONS as u64) as usize];
+        let connection = &mut self.connections[(key.0 % CONNECTION_COUNT as u64) as usize];
         if connection.is_full() {
             let result = CounterResult::without_total(key, Outcome::Rejected);
             return CallStart::Ended(result);
@@ -139,7 +142,7 @@
         start
     }
 
-    /// When the next call times out.
+    /// The earliest deadline of an open call.
     pub(crate) fn next_deadline(&self) -> Option<Timestamp> {
         let connections = self.connections.iter().chain(&self.retired);
         connections.filter_map(Connection::next_deadline).min()
@@ -152,7 +155,7 @@
         let mut silent = Vec::new();
         for (index, connection) in self.all().enumerate() {
             let is_silent = connection.expire_calls(now, &mut results);
-            if is_silent && index < CONNECTIONS {
+            if is_silent && index < CONNECTION_COUNT {
                 silent.push(index);
             }
         }
@@ -163,14 +166,14 @@
         results
     }
 
-    /// A connection was established; one that is not the counter's is ignored.
+    /// Handles an established connection. Does nothing if it is not one to the counter.
     pub(crate) fn on_connected(&mut self, engine: &mut Engine, conn: ConnId) {
         if let Some(connection) = self.find(conn) {
             connection.on_connected(engine, conn);
         }
     }
 
-    /// Bytes were received; returns the results of the calls that they complete.
+    /// Handles received bytes; returns the results of the calls that they complete.
     pub(crate) fn on_bytes(
         &mut self,
         engine: &mut Engine,
@@ -183,7 +186,7 @@
         }
     }
 
-    /// A connection has ended, with so many bytes that were not written; returns the results of its calls.
+    /// Handles the end of a connection on which `unsent` bytes were not written; returns the results of its calls.
     pub(crate) fn on_closed(&mut self, conn: ConnId, unsent: usize) -> Vec<CounterResult> {
         let Some(connection) = self.find(conn) else {
             return Vec::new();
@@ -193,7 +196,7 @@
         results
     }
 
-    /// The time to establish a connection is over. If it is not established, its calls have ended.
+    /// Handles the dial time-out of a connection: if it is not established, closes it and returns the results of its calls.
     pub(crate) fn on_dial_timeout(
         &mut self,
         engine: &mut Engine,
@@ -206,7 +209,7 @@
     }
 }
 
-/// The command that adds to a counter and reads its total. The time to live is rounded up to whole milliseconds.
+/// Encodes the command that adds to a counter and returns its total. The time to live is rounded up to whole milliseconds.
 fn encode_add(key: CounterKey, amount: f64, time_to_live: TimeDelta) -> Bytes {
     let key = key.0.to_string();
     let amount = amount.to_string();
--- a/crates/resp-gateway/src/counter_client/connection.rs
+++ b/crates/resp-gateway/src/counter_client/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to the counter, with its calls in their order.
+//! A connection to the counter, with its pipelined calls.
 
 use super::reply::CounterReply;
 use super::result::CounterResult;
@@ -10,9 +10,9 @@
 use chalkdeck_time::Timestamp;
 use std::collections::VecDeque;
 
-/// Calls of one connection without a reply; further ones are never sent.
+/// The maximum number of calls without a reply on one connection; further calls are rejected without being sent.
 const MAX_PENDING_CALLS: usize = 4_096;
-/// What is read of a reply.
+/// The size limits of a reply.
 const REPLY_LIMITS: MessageLimits = MessageLimits {
     max_elements: 1,
     max_element_bytes: 1_024,
@@ -21,14 +21,14 @@
     accepts_inline: false,
 };
 
-/// A call without a reply.
+/// A call that has no reply yet.
 pub(super) struct Call {
     key: CounterKey,
     sent_at: Timestamp,
     deadline: Timestamp,
-    /// Its command, as long as the connection is not established; none: it was queued there.
+    /// The command to write once the connection is established; `None` once it is written.
     unwritten: Option<Bytes>,
-    /// Bytes queued on the connection up to the end of its command.
+    /// The offset of the end of the command in the bytes written to the connection.
     end_offset: u64,
 }
 
@@ -49,18 +49,18 @@
     }
 }
 
-/// A connection to the counter, or the place of one.
+/// A connection to the counter, which is opened when its first call is made.
 #[derive(Default)]
 pub(super) struct Connection {
-    /// None: it is not being established.
+    /// `None` while no connection is open or being established.
     pub(super) conn: Option<ConnId>,
     is_established: bool,
-    /// In the order of the calls. The first `timed_out` have ended and only wait for their replies.
+    /// The calls without a reply, in order. The first `timed_out_count` of them have ended, but their replies may still arrive.
     calls: VecDeque<Call>,
-    timed_out: usize,
-    /// Bytes received of a reply that is not complete yet.
+    timed_out_count: usize,
+    /// The received bytes of a reply that is not complete yet.
     partial_reply: BytesMut,
-    /// Bytes queued since it was established.
+    /// The number of bytes written to the connection, including those still in the send buffer.
     queued_bytes: u64,
     last_received_at: Timestamp,
 }
@@ -70,19 +70,21 @@
         self.is_established
     }
 
-    /// Whether it takes no further call.
+    /// Whether the connection has reached its limit of calls.
     pub(super) fn is_full(&self) -> bool {
         self.calls.len() >= MAX_PENDING_CALLS
     }
 
-    /// Whether a call of it has not ended.
+    /// Whether any call of the connection has not ended.
     pub(super) fn has_open_calls(&self) -> bool {
-        self.timed_out < self.calls.len()
+        self.timed_out_count < self.calls.len()
     }
 
-    /// When its next call times out.
+    /// The earliest deadline of an open call.
     pub(super) fn next_deadline(&self) -> Option<Timestamp> {
-        self.calls.get(self.timed_out).map(|call| call.deadline)
+        self.calls
+            .get(self.timed_out_count)
+            .map(|call| call.deadline)
     }
 
     /// Appends a call, which is written at once if the connection is established.
@@ -93,7 +95,7 @@
         self.calls.push_back(call);
     }
 
-    /// It was established: writes the calls that waited for it.
+    /// Writes the calls that wait for the connection to be established.
     pub(super) fn on_connected(&mut self, engine: &mut Engine, conn: ConnId) {
         self.is_established = true;
         for call in &mut self.calls {
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Bytes were received; returns the results of the calls that they complete.
+    /// Handles received bytes; returns the results of the calls that they complete.
     pub(super) fn on_bytes(&mut self, engine: &mut Engine, data: &[u8]) -> Vec<CounterResult> {
         self.last_received_at = clock::now(engine);
         self.partial_reply.extend_from_slice(data);
@@ -113,12 +115,12 @@
                 ParsedReply::Invalid(_) => CounterReply::INVALID,
             };
             let Some(call) = self.calls.pop_front() else {
-                // A reply without a call.
+                // The reply belongs to no call.
                 results.extend(self.close(engine));
                 return results;
             };
-            if self.timed_out > 0 {
-                self.timed_out -= 1;
+            if self.timed_out_count > 0 {
+                self.timed_out_count -= 1;
             } else {
                 results.push(CounterResult {
                     key: call.key,
@@ -133,15 +135,16 @@
         }
     }
 
-    /// Ends the calls whose deadline has passed. Those that wait for the connection were never sent. Returns whether the connection
-    /// may be dead: nothing was received on it since such a call was sent, or an incomplete reply stands before all others.
+    /// Ends the calls whose deadline has passed, as never sent if they still wait for the connection to be established. Returns whether
+    /// the connection may be dead: nothing has been received since a call that timed out was sent, or an incomplete reply blocks all
+    /// later ones.
     pub(super) fn expire_calls(
         &mut self,
         now: Timestamp,
         results: &mut Vec<CounterResult>,
     ) -> bool {
         let mut is_silent = false;
-        while let Some(call) = self.calls.get(self.timed_out) {
+        while let Some(call) = self.calls.get(self.timed_out_count) {
             if call.deadline > now {
                 break;
             }
@@ -150,21 +153,22 @@
                     call.key,
                     Outcome::ConnectFailed,
                 ));
-                self.calls.remove(self.timed_out);
+                self.calls.remove(self.timed_out_count);
             } else {
                 results.push(CounterResult::without_total(call.key, Outcome::Timeout));
                 is_silent |=
                     self.last_received_at <= call.sent_at || !self.partial_reply.is_empty();
-                self.timed_out += 1;
+                self.timed_out_count += 1;
             }
         }
         is_silent
     }
 
-    /// The connection has ended, with so many bytes that were not written: ends its calls, each by whether it was written.
+    /// Handles the end of the connection, on which `unsent` bytes were not written. Returns the results of its calls, which depend on
+    /// whether each was written completely.
     pub(super) fn end(&mut self, unsent: usize) -> Vec<CounterResult> {
         let written = self.queued_bytes.saturating_sub(unsent as u64);
-        let end_of = |call: &Call| {
+        let result_of = |call: &Call| {
             let outcome = if call.unwritten.is_none() && call.end_offset <= written {
                 Outcome::Reset
             } else {
@@ -172,12 +176,17 @@
             };
             CounterResult::without_total(call.key, outcome)
         };
-        let results = self.calls.iter().skip(self.timed_out).map(end_of).collect();
+        let results = self
+            .calls
+            .iter()
+            .skip(self.timed_out_count)
+            .map(result_of)
+            .collect();
         *self = Connection::default();
         results
     }
 
-    /// Closes the connection and ends its calls.
+    /// Closes the connection; returns the results of its calls.
     pub(super) fn close(&mut self, engine: &mut Engine) -> Vec<CounterResult> {
         let Some(conn) = self.conn else {
             return Vec::new();
@@ -188,7 +197,7 @@
     }
 }
 
-/// Writes a call that was not written yet.
+/// Writes the command of a call, unless it is already written.
 fn write_call(engine: &mut Engine, conn: ConnId, queued_bytes: &mut u64, call: &mut Call) {
     if let Some(command) = call.unwritten.take() {
         engine.write(conn, &command);
--- a/crates/resp-gateway/src/counter_client/reply.rs
+++ b/crates/resp-gateway/src/counter_client/reply.rs
@@ -1,32 +1,32 @@
-//! The reply of the counter to a call.
+//! Parses the reply of the counter to a call.
 
 use chalkdeck::api::Outcome;
 use chalkdeck_resp::Frame;
 
-/// What the counter replied.
+/// The parsed reply of the counter.
 pub(super) struct CounterReply {
     pub(super) outcome: Outcome,
-    /// The total after the call; meaningful with `Outcome::Ok` only.
+    /// The total after the increment; meaningful only with `Outcome::Ok`.
     pub(super) total: f64,
-    /// Whether the connection may be used again.
+    /// Whether the connection can be reused.
     pub(super) is_reusable: bool,
 }
 
 impl CounterReply {
-    /// Not a reply of the counter: the increment was made, and the connection must not be used again.
+    /// A reply that the counter does not send: the increment counts as made, and the connection must not be reused.
     pub(super) const INVALID: CounterReply = CounterReply {
         outcome: Outcome::Error,
         total: 0.0,
         is_reusable: false,
     };
-    /// The increment was not made.
+    /// The counter rejected the increment, which was not made.
     const REJECTED: CounterReply = CounterReply {
         outcome: Outcome::Rejected,
         total: 0.0,
         is_reusable: true,
     };
 
-    /// Parses the reply of the counter.
+    /// Parses a reply.
     pub(super) fn parse(frame: &Frame) -> CounterReply {
         match frame {
             Frame::BulkString(text) => CounterReply::parse_total(text),
--- a/crates/resp-gateway/src/counter_client/result.rs
+++ b/crates/resp-gateway/src/counter_client/result.rs
@@ -2,17 +2,17 @@
 
 use chalkdeck::api::{CounterKey, Outcome};
 
-/// How a call ended.
+/// The result of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct CounterResult {
     pub(crate) key: CounterKey,
     pub(crate) outcome: Outcome,
-    /// The total after the increment; meaningful with `Outcome::Ok` only.
+    /// The total after the increment; meaningful only with `Outcome::Ok`.
     pub(crate) total: f64,
 }
 
 impl CounterResult {
-    /// The result of a call that had no reply.
+    /// The result of a call that received no reply.
     pub(super) fn without_total(key: CounterKey, outcome: Outcome) -> CounterResult {
         CounterResult {
             key,
--- a/crates/resp-gateway/src/discovery.rs
+++ b/crates/resp-gateway/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Service discovery: one long poll after another over HTTP/1.1, each with a time-out. A response that is invalid leaves the last valid
-//! list in force, and the complete list is requested next; an agent that is silent is connected to again.
+//! Client of the discovery agent: successive long polls over HTTP/1.1, each with a time-out. After an invalid response the last valid
+//! list stays in force and the next call requests the complete list. If the agent does not respond in time, the client reconnects.
 
 mod error;
 mod http_exchange;
@@ -17,16 +17,16 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// The number of a call. A timer of an earlier call has no effect.
+/// The number of a call. Timers of earlier calls have no effect.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct CallId(u64);
 
-/// What the caller has to do next.
+/// What the caller of [`Discovery`] has to do.
 #[derive(Debug)]
 pub(crate) enum DiscoveryAction {
-    /// Apply an update of the endpoints.
+    /// Apply an endpoint update.
     UpdateEndpoints(EndpointList),
-    /// After the delay, report to `Discovery::on_call_timeout` with this call.
+    /// Call `Discovery::on_call_timeout` with this call after the delay.
     CheckCall {
         /// The delay.
         after: TimeDelta,
@@ -41,9 +41,9 @@
     timing: Timing,
     conn: Option<ConnId>,
     exchange: HttpExchange,
-    /// The version that this gateway holds; none: the complete list is requested.
+    /// The version of the list that this gateway holds; `None` if the complete list is to be requested.
     held_version: Option<u64>,
-    call: CallId,
+    current_call: CallId,
 }
 
 impl Discovery {
@@ -54,7 +54,7 @@
             conn: None,
             exchange: HttpExchange::default(),
             held_version: None,
-            call: CallId::default(),
+            current_call: CallId::default(),
         }
     }
 
@@ -63,7 +63,7 @@
         self.conn == Some(conn)
     }
 
-    /// Connects to the agent, in place of a connection that there may be.
+    /// Connects to the agent. An existing connection is closed first.
     pub(crate) fn connect(&mut self, engine: &mut Engine) -> DiscoveryAction {
         self.close(engine);
         match engine.connect_raw(self.address) {
@@ -82,16 +82,16 @@
         self.exchange.reset();
     }
 
-    /// Begins a new call; timers of earlier ones have no effect from here on.
+    /// Begins a new call, which invalidates the timers of earlier ones, and has it checked after the delay.
     fn check_call_after(&mut self, after: TimeDelta) -> DiscoveryAction {
-        self.call.0 += 1;
+        self.current_call.0 += 1;
         DiscoveryAction::CheckCall {
             after,
-            call: self.call,
+            call: self.current_call,
         }
     }
 
-    /// Moves to another address and requests the complete list there.
+    /// Connects to the agent at a new address and requests the complete list there.
     pub(crate) fn set_address(
         &mut self,
         engine: &mut Engine,
@@ -105,16 +105,16 @@
         Some(self.connect(engine))
     }
 
-    /// The time of a call is over. If it is still without a response, the agent is connected to again.
+    /// Handles the time-out of a call: if it is still the current one, reconnects to the agent.
     pub(crate) fn on_call_timeout(
         &mut self,
         engine: &mut Engine,
         call: CallId,
     ) -> Option<DiscoveryAction> {
-        (call == self.call).then(|| self.connect(engine))
+        (call == self.current_call).then(|| self.connect(engine))
     }
 
-    /// A connection was established.
+    /// Sends the first request on an established connection.
     pub(crate) fn on_connected(
         &mut self,
         engine: &mut Engine,
@@ -125,7 +125,7 @@
         }
         match self.send_request(engine, conn) {
             Ok(()) => None,
-            Err(error) => Some(self.on_failed(engine, &error)),
+            Err(error) => Some(self.on_call_failed(engine, &error)),
         }
     }
 
@@ -143,8 +143,8 @@
         Ok(())
     }
 
-    /// A connection has ended. A response without a stated length is complete where the agent ended the connection in order, and never
-    /// where it was reset.
+    /// Handles the end of a connection. It completes a response without a stated length if the agent closed the connection in an
+    /// orderly way, but not if the connection was reset.
     pub(crate) fn on_closed(
         &mut self,
         engine: &mut Engine,
@@ -156,15 +156,15 @@
             return Vec::new();
         }
         self.conn = None;
-        let ends_with_connection = self.exchange.end();
-        if !ends_with_connection || *reason != CloseReason::PeerEnded {
+        let is_close_delimited = self.exchange.end();
+        if !is_close_delimited || *reason != CloseReason::PeerEnded {
             return vec![self.check_call_after(self.timing.retry_delay)];
         }
-        let actions = self.take_response(engine, conn, ConnectionReuse::Close, zones);
-        actions.unwrap_or_else(|error| vec![self.on_failed(engine, &error)])
+        let actions = self.handle_response(engine, conn, ConnectionReuse::Close, zones);
+        actions.unwrap_or_else(|error| vec![self.on_call_failed(engine, &error)])
     }
 
-    /// Bytes were received.
+    /// Handles received bytes.
     pub(crate) fn on_bytes(
         &mut self,
         engine: &mut Engine,
@@ -177,14 +177,14 @@
         }
         let actions = match self.exchange.receive(data) {
             Ok(Progress::Incomplete) => Ok(Vec::new()),
-            Ok(Progress::Complete(reuse)) => self.take_response(engine, conn, reuse, zones),
+            Ok(Progress::Complete(reuse)) => self.handle_response(engine, conn, reuse, zones),
             Err(error) => Err(error),
         };
-        actions.unwrap_or_else(|error| vec![self.on_failed(engine, &error)])
+        actions.unwrap_or_else(|error| vec![self.on_call_failed(engine, &error)])
     }
 
-    /// A response is complete: takes its list and sends the next request.
-    fn take_response(
+    /// Handles a complete response: returns its list as an update and sends the next request.
+    fn handle_response(
         &mut self,
         engine: &mut Engine,
         conn: ConnId,
@@ -201,17 +201,17 @@
             });
         }
         self.held_version = Some(list.version);
-        let next = match reuse {
+        let next_call = match reuse {
             ConnectionReuse::Close => self.connect(engine),
             ConnectionReuse::KeepAlive => {
                 self.send_request(engine, conn)?;
                 self.check_call_after(self.timing.timeout)
             }
         };
-        Ok(vec![DiscoveryAction::UpdateEndpoints(list), next])
+        Ok(vec![DiscoveryAction::UpdateEndpoints(list), next_call])
     }
 
-    fn on_failed(&mut self, engine: &mut Engine, error: &DiscoveryError) -> DiscoveryAction {
+    fn on_call_failed(&mut self, engine: &mut Engine, error: &DiscoveryError) -> DiscoveryAction {
         tracing::warn!(%error, address = %self.address, "discovery call failed: keeping the last good endpoint list");
         self.close(engine);
         self.held_version = None;
--- a/crates/resp-gateway/src/discovery/error.rs
+++ b/crates/resp-gateway/src/discovery/error.rs
@@ -3,41 +3,41 @@
 use crate::endpoint_list::EndpointListError;
 use http::StatusCode;
 
-/// Why an answer of discovery is rejected. The last valid list stays in force.
+/// Why a call to the discovery agent fails. The last valid list stays in force.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum DiscoveryError {
-    /// Not HTTP/1.1.
+    /// The response is not valid HTTP/1.1.
     #[error("expected an HTTP answer: {0}")]
     #[diagnostic(
         code(chalkdeck::discovery::http),
         help("see what listens at the address that `discovery` names in the configuration")
     )]
     Http(#[from] ureq_proto::Error),
-    /// No request can be made from the address.
+    /// No request can be built for the address.
     #[error("cannot ask: {0}")]
     #[diagnostic(
         code(chalkdeck::discovery::request),
         help("see the address that `discovery` names in the configuration")
     )]
     Request(#[from] http::Error),
-    /// Another status than 200.
+    /// The status is not 200.
     #[error("expected status 200, found {}", .0.as_u16())]
     #[diagnostic(
         code(chalkdeck::discovery::status),
         help("the agent does not give the list: see its log; the gateway goes on by the last good one")
     )]
     Status(StatusCode),
-    /// Longer than is read.
+    /// The response exceeds the maximum length.
     #[error("expected an answer of at most {max} bytes")]
     #[diagnostic(
         code(chalkdeck::discovery::too_long),
         help("see why the list has grown so long")
     )]
     TooLong {
-        /// The most bytes that are read.
+        /// The maximum length in bytes.
         max: usize,
     },
-    /// Not JSON.
+    /// The body is not valid JSON.
     #[error("expected JSON: {0}")]
     #[diagnostic(
         code(chalkdeck::discovery::json),
@@ -46,11 +46,11 @@
         )
     )]
     Json(#[from] serde_json::Error),
-    /// Not a list of endpoints.
+    /// The body is not a valid endpoint list.
     #[error(transparent)]
     #[diagnostic(transparent)]
     List(#[from] EndpointListError),
-    /// An incremental list whose base version this gateway does not hold.
+    /// The list is incremental and this gateway does not hold a version that it applies to.
     #[error("changes to version {found}, which is not held")]
     #[diagnostic(
         code(chalkdeck::discovery::version),
--- a/crates/resp-gateway/src/discovery/http_exchange.rs
+++ b/crates/resp-gateway/src/discovery/http_exchange.rs
@@ -1,5 +1,5 @@
-//! One HTTP/1.1 call after another on a connection. The protocol is `ureq-proto`'s, which does no I/O: it is given what was received
-//! and says what to write.
+//! Successive HTTP/1.1 calls on one connection. `ureq-proto` implements the protocol without I/O: it parses what was received and
+//! returns what to write.
 
 use super::error::DiscoveryError;
 use bytes::{Buf, BytesMut};
@@ -8,14 +8,14 @@
 use ureq_proto::client::{Call, RecvBodyResult, RecvResponseResult, SendRequestResult};
 use ureq_proto::BodyMode;
 
-/// The longest response.
+/// The maximum length of a response.
 const MAX_RESPONSE_BYTES: usize = 8 << 20;
-/// What is decoded of a body at a time.
-const DECODE_BYTES: usize = 16 << 10;
-/// The longest head of a request.
+/// The size of the buffer that parts of a body are decoded into.
+const DECODE_BUFFER_BYTES: usize = 16 << 10;
+/// The maximum length of a request's head.
 const MAX_REQUEST_BYTES: usize = 1 << 10;
 
-/// What becomes of the connection after a complete response.
+/// Whether the connection can be reused after a complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionReuse {
     KeepAlive,
@@ -32,11 +32,11 @@
     }
 }
 
-/// How far a response has been received.
+/// How much of a response has been received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Progress {
     Incomplete,
-    /// Its body can be read by `HttpExchange::body`.
+    /// The response is complete, and `HttpExchange::body` returns its body.
     Complete(ConnectionReuse),
 }
 
@@ -51,14 +51,14 @@
 pub(super) struct HttpExchange {
     /// Bytes received and not parsed yet.
     received: BytesMut,
-    /// None: no response is awaited.
+    /// The response in progress; `None` if none is expected.
     response: Option<Response>,
-    /// The body of the last response, as far as it was received.
+    /// The body of the last response, as far as it has been received.
     body: Vec<u8>,
 }
 
 impl HttpExchange {
-    /// Forgets what belongs to a connection that was closed.
+    /// Clears the state of a connection that was closed.
     pub(super) fn reset(&mut self) {
         self.received.clear();
         self.response = None;
@@ -74,13 +74,13 @@
         self.body.clear();
         self.response = match call.proceed()? {
             Some(SendRequestResult::RecvResponse(call)) => Some(Response::Head(call)),
-            // A GET has no body to be sent or waited for.
+            // A GET request sends no body, so no other state follows.
             _ => None,
         };
         Ok(head)
     }
 
-    /// Takes received bytes and parses the response as far as they reach.
+    /// Parses received bytes as the next part of the response.
     pub(super) fn receive(&mut self, data: &[u8]) -> Result<Progress, DiscoveryError> {
         self.received.extend_from_slice(data);
         match self.response.take() {
@@ -111,14 +111,14 @@
     }
 
     fn receive_body(&mut self, mut call: Call<RecvBody>) -> Result<Progress, DiscoveryError> {
-        let ends_with_connection = is_close_delimited(&call);
-        let mut decoded = [0; DECODE_BYTES];
+        let is_close_delimited = is_close_delimited(&call);
+        let mut decoded = [0; DECODE_BUFFER_BYTES];
         loop {
             let (used, length) = call.read(&self.received, &mut decoded)?;
             self.received.advance(used);
             self.body.extend_from_slice(&decoded[..length]);
             self.check_length()?;
-            if call.can_proceed() && !ends_with_connection {
+            if call.can_proceed() && !is_close_delimited {
                 break;
             }
             if used == 0 && length == 0 {
@@ -144,8 +144,8 @@
         Ok(())
     }
 
-    /// The connection has ended. Returns whether a response was awaited whose body has no stated length, so that an orderly end of the
-    /// connection completes it.
+    /// Handles the end of the connection. Returns whether the response in progress has a body without a stated length, which an orderly
+    /// end of the connection completes.
     pub(super) fn end(&mut self) -> bool {
         match self.response.take() {
             Some(Response::Body(call)) => is_close_delimited(&call),
--- a/crates/resp-gateway/src/endpoint_connections.rs
+++ b/crates/resp-gateway/src/endpoint_connections.rs
@@ -1,5 +1,6 @@
-//! Connections to endpoints, with one attempt on each at a time: aborting an attempt closes its connection and disturbs no other.
-//! The fact that decides how an attempt on a broken connection ended: whether the last byte of its command was written.
+//! Connections to endpoints. Each carries one attempt at a time, so an attempt is aborted by closing its connection without affecting
+//! others. The outcome of an attempt on a broken connection depends on whether the last byte of its command was written: only then may
+//! the endpoint have run it.
 
 mod connection;
 mod keep_alive;
@@ -21,27 +22,27 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::net::SocketAddr;
 
-/// The most items of a reply.
+/// The maximum number of items in a reply.
 const MAX_REPLY_ITEMS: usize = 8;
-/// The longest error line, with the load report behind it.
+/// The maximum length of an error reply, including its load report.
 const MAX_LINE_BYTES: usize = 1_024;
-/// What a reply may hold beside its value.
+/// The maximum size of everything in a reply except its value.
 const REPLY_OVERHEAD_BYTES: usize = 8 << 10;
-/// The part of the memory granted that one value may take.
+/// The fraction of the granted memory that one value may take.
 const VALUE_MEMORY_FRACTION: f64 = 1.0 / 64.0;
-/// The part of the memory granted that all incomplete replies together may take.
+/// The fraction of the granted memory that all incomplete replies together may take.
 const PARTIAL_REPLIES_MEMORY_FRACTION: f64 = 1.0 / 8.0;
-/// A second copy of a reply, or noise behind it, is received by then; until then its connection is not used again, as the next request
-/// would take it for its own reply. The latest of 69 that were seen came 4 ms behind.
-const SETTLE_TIME: TimeDelta = TimeDelta::from_millis(10);
+/// The time for which a connection is not reused after a reply. A duplicate of the reply, or stray bytes after it, arrive within this time
+/// and would otherwise be taken for the reply to the next request. The latest of 69 that were observed arrived 4 ms after the reply.
+const MIN_REUSE_DELAY: TimeDelta = TimeDelta::from_millis(10);
 
-/// What sending an attempt led to at once.
+/// The immediate result of sending an attempt.
 pub(crate) enum SendResult {
-    /// Its command was written.
+    /// The command was written.
     Written,
-    /// Its command is written once this connection is established.
+    /// The command will be written once this connection is established.
     Dialing(ConnId),
-    /// It ended.
+    /// The attempt has already ended.
     Ended(AttemptEnd),
 }
 
@@ -51,15 +52,16 @@
     pool: ConnectionPool,
     max_connections: usize,
     reply_limits: MessageLimits,
-    /// Bytes of incomplete replies that may be held.
+    /// The maximum total size of incomplete replies.
     max_partial_bytes: usize,
-    /// Bytes of incomplete replies that are held.
+    /// The total size of incomplete replies.
     partial_bytes: usize,
     keep_alive: KeepAlive,
 }
 
 impl EndpointConnections {
-    /// `memory_bytes`: the memory granted. `idle_timeout`: after which an endpoint closes an idle connection; none: it never does.
+    /// `memory_bytes` is the granted memory. `idle_timeout` is the idle time after which endpoints close a connection; `None` if they
+    /// never do.
     pub(crate) fn new(
         max_connections: usize,
         memory_bytes: f64,
@@ -88,7 +90,8 @@
         self.pool.contains(conn)
     }
 
-    /// Applies an endpoint update. Idle connections to endpoints that were removed, drain or moved are closed; attempts go on.
+    /// Applies an endpoint update. Closes idle connections to endpoints that were removed, are draining or have a new address; open
+    /// attempts continue.
     pub(crate) fn apply_update(&mut self, engine: &mut Engine, list: &EndpointList) {
         let mut changed: Vec<EndpointId> = Vec::new();
         if list.scope == UpdateScope::Complete {
@@ -108,30 +111,30 @@
         }
         for endpoint in changed {
             let address = self.addresses.get(&endpoint).copied();
-            let usable = address.filter(|_| !draining.contains(&endpoint));
-            self.close_idle_elsewhere(engine, endpoint, usable);
+            let usable_address = address.filter(|_| !draining.contains(&endpoint));
+            self.close_idle_except(engine, endpoint, usable_address);
         }
     }
 
-    /// Closes the idle connections of an endpoint that do not lead to this address.
-    fn close_idle_elsewhere(
+    /// Closes the idle connections to an endpoint, except those to the given address.
+    fn close_idle_except(
         &mut self,
         engine: &mut Engine,
         endpoint: EndpointId,
         address: Option<SocketAddr>,
     ) {
-        let leads_elsewhere = |conn: &&ConnId| {
+        let has_other_address = |conn: &&ConnId| {
             let connection = self.pool.get(**conn);
             connection.is_none_or(|connection| address != Some(connection.address))
         };
         let idle = self.pool.idle_of(endpoint).iter();
-        let stale: Vec<ConnId> = idle.filter(leads_elsewhere).copied().collect();
+        let stale: Vec<ConnId> = idle.filter(has_other_address).copied().collect();
         for conn in stale {
             self.close(engine, conn);
         }
     }
 
-    /// Sends an attempt to an endpoint.
+    /// Sends an attempt to an endpoint, on an idle connection if one can be reused, otherwise on a new one.
     pub(crate) fn send(
         &mut self,
         engine: &mut Engine,
@@ -165,7 +168,7 @@
         }
     }
 
-    /// Begins to establish a connection to an endpoint; where that fails, the outcome of the attempt.
+    /// Begins to establish a connection to an endpoint. If that fails, returns the outcome of the attempt as the error.
     fn dial(
         &mut self,
         engine: &mut Engine,
@@ -183,12 +186,12 @@
         }
     }
 
-    /// Finds an idle connection that is established and quiet. One that has expired or ended, or on which bytes are waiting, is closed.
+    /// Finds an idle connection that can be reused. Connections that have expired or ended, or on which bytes are waiting, are closed.
     fn find_reusable(&mut self, engine: &mut Engine, endpoint: EndpointId) -> Option<ConnId> {
         let now = clock::now(engine);
         let keep_alive = self.keep_alive.current();
         loop {
-            let conn = self.pool.last_used_idle(endpoint, now, SETTLE_TIME)?;
+            let conn = self.pool.last_used_idle(endpoint, now, MIN_REUSE_DELAY)?;
             let connection = self.pool.get(conn);
             let is_expired =
                 connection.is_none_or(|connection| connection.is_idle_for(now, keep_alive));
@@ -200,11 +203,12 @@
     }
 
     fn close(&mut self, engine: &mut Engine, conn: ConnId) {
-        self.forget(conn);
+        self.remove(conn);
         engine.close(conn);
     }
 
-    fn forget(&mut self, conn: ConnId) -> Option<Connection> {
+    /// Removes a connection from the pool and its incomplete reply from the total size.
+    fn remove(&mut self, conn: ConnId) -> Option<Connection> {
         let connection = self.pool.remove(conn)?;
         self.partial_bytes = self
             .partial_bytes
@@ -212,7 +216,7 @@
         Some(connection)
     }
 
-    /// Makes room for a connection to another endpoint; returns whether there was an idle one to close.
+    /// Closes the connection that has been idle longest, so that another can be opened; returns whether there was one.
     fn close_longest_idle(&mut self, engine: &mut Engine) -> bool {
         let Some(conn) = self.pool.longest_idle() else {
             return false;
@@ -221,7 +225,7 @@
         true
     }
 
-    /// Closes connections that have been idle for longer than they are kept. Called at a fixed interval.
+    /// Closes connections whose keep-alive time has passed. Called at a fixed interval.
     pub(crate) fn sweep(&mut self, engine: &mut Engine) {
         let keep_alive = self.keep_alive.current();
         for conn in self.pool.idle_for(clock::now(engine), keep_alive) {
@@ -229,7 +233,7 @@
         }
     }
 
-    /// A connection was established.
+    /// Writes the command of the attempt that waits for an established connection.
     pub(crate) fn on_connected(&mut self, engine: &mut Engine, conn: ConnId) {
         let Some(connection) = self.pool.get_mut(conn) else {
             return;
@@ -242,7 +246,7 @@
         }
     }
 
-    /// Bytes were received. Returns the end of the attempt that they complete.
+    /// Handles received bytes. Returns the end of the attempt if they complete its reply.
     pub(crate) fn on_bytes(
         &mut self,
         engine: &mut Engine,
@@ -251,7 +255,7 @@
     ) -> Option<AttemptEnd> {
         let connection = self.pool.get_mut(conn)?;
         if connection.active.is_none() {
-            // No attempt waits for them.
+            // No attempt expects a reply.
             self.close(engine, conn);
             return None;
         }
@@ -278,11 +282,11 @@
         reply: EndpointReply,
     ) -> Option<AttemptEnd> {
         let connection = self.pool.get_mut(conn)?;
-        // More than one reply, or bytes that no endpoint sends: it must not be used again.
+        // A connection with an invalid reply, with bytes after the reply or with an unwritten part of the command must not be reused.
         let is_reusable = reply != EndpointReply::Invalid
             && connection.partial_reply.is_empty()
             && engine.unsent(conn) == 0;
-        // Its bytes are not counted any more, and the room of a large reply is not kept.
+        // The bytes are no longer counted, so the buffer of a large reply is released.
         connection.partial_reply = BytesMut::new();
         if let Some(idle_time) = connection.idle_time_before_attempt() {
             self.keep_alive.on_reply(idle_time);
@@ -301,7 +305,7 @@
                 outcome,
                 load_report,
             } => (outcome, load_report, None),
-            // It has run, and its result is lost.
+            // The request may have run, but its result is lost.
             EndpointReply::Invalid => (Outcome::Error, LoadReport::default(), None),
         };
         Some(AttemptEnd {
@@ -314,7 +318,7 @@
         })
     }
 
-    /// A connection has ended, with so many bytes that were not written. Returns the end of the attempt on it.
+    /// Handles the end of a connection on which `unsent` bytes were not written. Returns the end of the attempt on it, if there is one.
     pub(crate) fn on_closed(
         &mut self,
         now: Timestamp,
@@ -322,16 +326,21 @@
         unsent: usize,
     ) -> Option<AttemptEnd> {
         let idle_time = self.pool.get(conn)?.idle_time_before_attempt();
-        let end = self.end_attempt(now, conn, unsent)?;
+        let end = self.remove_and_end_attempt(now, conn, unsent)?;
         if let Some(idle_time) = idle_time.filter(|_| end.outcome == Outcome::Reset) {
             self.keep_alive.on_reset(idle_time, end.elapsed);
         }
         Some(end)
     }
 
-    /// Forgets a connection and returns how the attempt on it ended.
-    fn end_attempt(&mut self, now: Timestamp, conn: ConnId, unsent: usize) -> Option<AttemptEnd> {
-        let connection = self.forget(conn)?;
+    /// Removes a connection and returns how the attempt on it ended.
+    fn remove_and_end_attempt(
+        &mut self,
+        now: Timestamp,
+        conn: ConnId,
+        unsent: usize,
+    ) -> Option<AttemptEnd> {
+        let connection = self.remove(conn)?;
         let active = connection.active?;
         let is_written = active.unwritten.is_none() && unsent == 0;
         let outcome = if is_written {
@@ -353,10 +362,10 @@
     ) -> Option<AttemptEnd> {
         let conn = self.pool.find_attempt(attempt)?;
         let unsent = engine.unsent(conn);
-        let mut end = self.end_attempt(clock::now(engine), conn, unsent)?;
+        let mut end = self.remove_and_end_attempt(clock::now(engine), conn, unsent)?;
         engine.close(conn);
         end.outcome = match (end.outcome, reason) {
-            // Its command was written, so it may have run.
+            // The command was written, so the request may have run.
             (Outcome::Reset, AbortReason::DeadlineExceeded) => Outcome::Timeout,
             (Outcome::Reset, AbortReason::Cancelled) => Outcome::Cancelled,
             (_, AbortReason::Cancelled) => Outcome::NeverSent,
@@ -365,7 +374,7 @@
         Some(end)
     }
 
-    /// The time to establish a connection is over. If it is not established, its attempt has ended.
+    /// Handles the dial time-out of a connection: if it is not established, closes it and ends its attempt.
     pub(crate) fn on_dial_timeout(
         &mut self,
         engine: &mut Engine,
@@ -374,7 +383,7 @@
         if !self.pool.get(conn)?.is_dialing() {
             return None;
         }
-        let end = self.end_attempt(clock::now(engine), conn, 0);
+        let end = self.remove_and_end_attempt(clock::now(engine), conn, 0);
         engine.close(conn);
         end
     }
--- a/crates/resp-gateway/src/endpoint_connections/connection.rs
+++ b/crates/resp-gateway/src/endpoint_connections/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an endpoint, and the attempt on it.
+//! A connection to an endpoint and the attempt on it.
 
 use crate::attempt::AttemptId;
 use crate::clock;
@@ -9,12 +9,12 @@
 use chalkdeck_time::{TimeDelta, Timestamp};
 use std::net::SocketAddr;
 
-/// An attempt on a connection.
+/// The attempt on a connection.
 pub(super) struct ActiveAttempt {
     pub(super) id: AttemptId,
     pub(super) started_at: Timestamp,
     pub(super) deadline: Timestamp,
-    /// What is written once the connection is established; none: it was written.
+    /// The command to write once the connection is established; `None` once it is written.
     pub(super) unwritten: Option<ApiCommand>,
 }
 
@@ -22,15 +22,15 @@
 pub(super) struct Connection {
     pub(super) endpoint: EndpointId,
     pub(super) address: SocketAddr,
-    /// Bytes received of a reply that is not complete yet.
+    /// The received bytes of a reply that is not complete yet.
     pub(super) partial_reply: BytesMut,
     pub(super) active: Option<ActiveAttempt>,
-    /// Since when it is idle, or was before its attempt; none: it has served no attempt before.
+    /// When the connection last became idle; `None` if it has completed no attempt yet.
     pub(super) idle_since: Option<Timestamp>,
 }
 
 impl Connection {
-    /// A connection that is being established for an attempt.
+    /// A connection that is being established for its first attempt.
     pub(super) fn dialing(
         endpoint: EndpointId,
         address: SocketAddr,
@@ -45,18 +45,18 @@
         }
     }
 
-    /// How long it was idle before its attempt; none: it is new, or has no attempt.
+    /// How long the connection was idle before its current attempt; `None` if this is its first attempt or it has none.
     pub(super) fn idle_time_before_attempt(&self) -> Option<TimeDelta> {
         let active = self.active.as_ref()?;
         Some(active.started_at - self.idle_since?)
     }
 
-    /// Whether it has been idle for so long.
-    pub(super) fn is_idle_for(&self, now: Timestamp, time: TimeDelta) -> bool {
-        self.active.is_none() && self.idle_since.is_some_and(|since| now >= since + time)
+    /// Whether the connection has been idle for at least `min_time`.
+    pub(super) fn is_idle_for(&self, now: Timestamp, min_time: TimeDelta) -> bool {
+        self.active.is_none() && self.idle_since.is_some_and(|since| now >= since + min_time)
     }
 
-    /// Whether its attempt waits for it to be established.
+    /// Whether the connection is still being established.
     pub(super) fn is_dialing(&self) -> bool {
         self.active
             .as_ref()
@@ -64,7 +64,7 @@
     }
 }
 
-/// Writes the command of an attempt, with the time that is left for it.
+/// Writes the command of an attempt with the time that remains until its deadline.
 pub(super) fn write_command(
     engine: &mut Engine,
     conn: ConnId,
--- a/crates/resp-gateway/src/endpoint_connections/keep_alive.rs
+++ b/crates/resp-gateway/src/endpoint_connections/keep_alive.rs
@@ -1,29 +1,29 @@
-//! How long an idle connection to an endpoint is kept. Endpoints may close idle connections earlier than the settings say, which is
-//! learnt from requests that were reset right after they were written.
+//! The adaptive keep-alive time of idle connections to endpoints. Endpoints may close idle connections earlier than the settings state;
+//! requests that are reset right after they were written indicate this and shorten the time.
 
 use chalkdeck_time::TimeDelta;
 
-/// An idle connection is closed at this part of the time after which the endpoint would close it.
+/// The fraction of the endpoints' idle time-out after which an idle connection is closed, before the endpoint closes it.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
-/// The longest that an idle connection is kept.
+/// The longest keep-alive time.
 const MAX_KEEP_ALIVE: TimeDelta = TimeDelta::from_secs(10);
-/// The shortest that resets lower the time to.
+/// The shortest keep-alive time to which resets reduce it.
 const MIN_KEEP_ALIVE: TimeDelta = TimeDelta::from_millis(5);
-/// A request that is reset within this time met a connection that its endpoint had closed unseen.
-const STALE_RESET: TimeDelta = TimeDelta::from_millis(5);
-/// After that, connections are kept for this part of the time that the one was idle.
-const DECREASE: f64 = 0.5;
-/// Each reply on a connection that was idle for half of the time or more lengthens it by this factor.
-const INCREASE: f64 = 1.02;
+/// A request that is reset within this time after it was written was sent on a connection that its endpoint had already closed.
+const MAX_STALE_RESET_DELAY: TimeDelta = TimeDelta::from_millis(5);
+/// After such a reset, the keep-alive time is this fraction of the time that the connection had been idle.
+const RESET_DECREASE: f64 = 0.5;
+/// Each reply on a connection that was idle for at least half of the keep-alive time lengthens that time by this factor.
+const REPLY_INCREASE: f64 = 1.02;
 
-/// The time that idle connections are kept.
+/// The current keep-alive time of idle connections, for all endpoints together.
 pub(super) struct KeepAlive {
     max: TimeDelta,
     current: TimeDelta,
 }
 
 impl KeepAlive {
-    /// `idle_timeout`: after which an endpoint closes an idle connection; none: it never does.
+    /// `idle_timeout` is the idle time after which endpoints close a connection; `None` if they never do.
     pub(super) fn new(idle_timeout: Option<TimeDelta>) -> KeepAlive {
         let max = idle_timeout.map_or(MAX_KEEP_ALIVE, |timeout| {
             timeout.mul_f64(IDLE_TIMEOUT_FRACTION).min(MAX_KEEP_ALIVE)
@@ -31,23 +31,23 @@
         KeepAlive { max, current: max }
     }
 
-    /// How long an idle connection is kept now.
+    /// How long idle connections are currently kept.
     pub(super) fn current(&self) -> TimeDelta {
         self.current
     }
 
-    /// A reply was received on a connection that had been idle for so long.
+    /// Records a reply on a connection that had been idle for `idle_time` before the request.
     pub(super) fn on_reply(&mut self, idle_time: TimeDelta) {
         if idle_time.as_micros() >= self.current.as_micros() / 2 {
-            self.current = self.current.mul_f64(INCREASE).min(self.max);
+            self.current = self.current.mul_f64(REPLY_INCREASE).min(self.max);
         }
     }
 
-    /// A request was reset so long after it was written to a connection that had been idle for `idle_time`.
+    /// Records that a request was reset `elapsed` after it was written to a connection that had been idle for `idle_time`.
     pub(super) fn on_reset(&mut self, idle_time: TimeDelta, elapsed: TimeDelta) {
-        if elapsed < STALE_RESET {
+        if elapsed < MAX_STALE_RESET_DELAY {
             self.current = idle_time
-                .mul_f64(DECREASE)
+                .mul_f64(RESET_DECREASE)
                 .max(MIN_KEEP_ALIVE)
                 .min(self.current);
         }
--- a/crates/resp-gateway/src/endpoint_connections/pool.rs
+++ b/crates/resp-gateway/src/endpoint_connections/pool.rs
@@ -1,4 +1,4 @@
-//! The connections to all endpoints, found by their ids, by their attempts and, while they are idle, by their endpoints.
+//! The pool of connections to all endpoints, indexed by connection, by attempt and, for idle connections, by endpoint.
 
 use super::connection::{ActiveAttempt, Connection};
 use crate::attempt::AttemptId;
@@ -7,12 +7,12 @@
 use chalkdeck_time::{TimeDelta, Timestamp};
 use rustc_hash::FxHashMap;
 
-/// All connections to endpoints.
+/// The connections to all endpoints.
 #[derive(Default)]
 pub(super) struct ConnectionPool {
     connections: FxHashMap<ConnId, Connection>,
     by_attempt: FxHashMap<AttemptId, ConnId>,
-    /// Idle connections, the one used last at the end.
+    /// The idle connections of each endpoint, the most recently used one last.
     idle: FxHashMap<EndpointId, Vec<ConnId>>,
 }
 
@@ -33,7 +33,7 @@
         self.connections.get_mut(&conn)
     }
 
-    /// The connection of an attempt.
+    /// The connection that carries an attempt.
     pub(super) fn find_attempt(&self, id: AttemptId) -> Option<ConnId> {
         self.by_attempt.get(&id).copied()
     }
@@ -46,7 +46,7 @@
         self.connections.insert(conn, connection);
     }
 
-    /// Takes a connection out of the pool.
+    /// Removes a connection from the pool.
     pub(super) fn remove(&mut self, conn: ConnId) -> Option<Connection> {
         let connection = self.connections.remove(&conn)?;
         self.remove_idle(connection.endpoint, conn);
@@ -76,14 +76,14 @@
         self.remove_idle(endpoint, conn);
     }
 
-    /// Takes the attempt off a connection, which is neither idle nor active then.
+    /// Removes the attempt from a connection, which is then neither active nor idle until `keep_idle` is called.
     pub(super) fn take_attempt(&mut self, conn: ConnId) -> Option<ActiveAttempt> {
         let active = self.connections.get_mut(&conn)?.active.take()?;
         self.by_attempt.remove(&active.id);
         Some(active)
     }
 
-    /// Keeps a connection as an idle one.
+    /// Marks a connection without an attempt as idle.
     pub(super) fn keep_idle(&mut self, conn: ConnId, now: Timestamp) {
         let Some(connection) = self.connections.get_mut(&conn) else {
             return;
@@ -97,16 +97,16 @@
         self.idle.get(&endpoint).map_or(&[], Vec::as_slice)
     }
 
-    /// The connection to an endpoint that was used last among those that have been idle for so long.
+    /// The most recently used connection to an endpoint among those that have been idle for at least `min_time`.
     pub(super) fn last_used_idle(
         &self,
         endpoint: EndpointId,
         now: Timestamp,
-        time: TimeDelta,
+        min_time: TimeDelta,
     ) -> Option<ConnId> {
         let is_idle_for = |conn: &&ConnId| {
             let connection = self.connections.get(conn);
-            connection.is_some_and(|connection| connection.is_idle_for(now, time))
+            connection.is_some_and(|connection| connection.is_idle_for(now, min_time))
         };
         let idle = self.idle_of(endpoint);
         idle.iter().rev().find(is_idle_for).copied()
@@ -121,11 +121,11 @@
             .map(|(conn, _)| *conn)
     }
 
-    /// The connections that have been idle for so long.
-    pub(super) fn idle_for(&self, now: Timestamp, time: TimeDelta) -> Vec<ConnId> {
+    /// The connections that have been idle for at least `min_time`.
+    pub(super) fn idle_for(&self, now: Timestamp, min_time: TimeDelta) -> Vec<ConnId> {
         self.connections
             .iter()
-            .filter(|(_, connection)| connection.is_idle_for(now, time))
+            .filter(|(_, connection)| connection.is_idle_for(now, min_time))
             .map(|(conn, _)| *conn)
             .collect()
     }
--- a/crates/resp-gateway/src/sessions.rs
+++ b/crates/resp-gateway/src/sessions.rs
@@ -1,7 +1,7 @@
-//! Client sessions: the connections of clients, what each has sent so far, and the replies in the order of its commands.
+//! Client sessions: each holds the received bytes of a client connection and its replies in the order of its commands.
 //!
-//! Limits: connections by the descriptors granted, pending commands by connection, bytes of commands by the memory granted. When
-//! descriptors run short the connection that has been idle longest is evicted, see [`session::EvictionRank`].
+//! Limits: the number of sessions follows from the granted file descriptors, the bytes of commands from the granted memory, and the number
+//! of pending commands is limited per connection. At the limit of sessions an idle one is evicted, see [`session::EvictionRank`].
 
 mod closing;
 mod flow_control;
@@ -17,7 +17,7 @@
 use rustc_hash::FxHashMap;
 use session::Session;
 
-/// The largest command that is read: a body of 64 KiB beside an id, a customer and a list of names.
+/// The size limits of a command: a body of up to 64 KiB, besides the customer, the id and the list of fields.
 const COMMAND_LIMITS: MessageLimits = MessageLimits {
     max_elements: 16,
     max_element_bytes: 64 << 10,
@@ -26,38 +26,38 @@
     accepts_inline: false,
 };
 
-/// A command that was received, with the slot of its reply.
+/// A received command, with the slot of its reply.
 pub(crate) struct ReceivedCommand {
     pub(crate) slot: ReplySlot,
     pub(crate) words: Vec<Bytes>,
-    /// The time from which on its deadline counts: it was received no later.
+    /// The time from which its deadline is counted; the command was received at this time or later.
     pub(crate) received_at: Timestamp,
 }
 
 /// All client sessions.
 pub(crate) struct Sessions {
     by_conn: FxHashMap<ConnId, Session>,
-    /// Beyond this number a new connection evicts an idle one.
+    /// Above this number a new connection evicts an idle one.
     max_sessions: usize,
-    /// Bytes of commands that may be held.
-    max_held_bytes: usize,
-    /// Bytes of commands that are held.
-    held_bytes: usize,
-    /// Paused connections that may go on, each once.
+    /// The maximum total size of the commands of open requests; at it, all reading is paused.
+    max_command_bytes: usize,
+    /// The total size of the commands of open requests.
+    command_bytes: usize,
+    /// Paused connections that are to be resumed, each at most once.
     resumed: Vec<ConnId>,
     /// When the shutdown began to close idle connections.
-    shutdown_since: Option<Timestamp>,
+    closing_since: Option<Timestamp>,
 }
 
 impl Sessions {
-    pub(crate) fn new(max_sessions: usize, max_held_bytes: usize) -> Sessions {
+    pub(crate) fn new(max_sessions: usize, max_command_bytes: usize) -> Sessions {
         Sessions {
             by_conn: FxHashMap::default(),
             max_sessions,
-            max_held_bytes,
-            held_bytes: 0,
+            max_command_bytes,
+            command_bytes: 0,
             resumed: Vec::new(),
-            shutdown_since: None,
+            closing_since: None,
         }
     }
 
@@ -66,7 +66,7 @@
         self.by_conn.contains_key(&conn)
     }
 
-    /// A connection was accepted. Where there are too many now, an idle one is evicted.
+    /// Adds a session for an accepted connection, and evicts an idle one if there are too many.
     pub(crate) fn on_accepted(&mut self, engine: &mut Engine, conn: ConnId) {
         let now = clock::now(engine);
         self.by_conn.insert(conn, Session::accepted(now));
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Bytes were received.
+    /// Stores received bytes, unless the connection is not read any more.
     pub(crate) fn on_bytes(&mut self, engine: &mut Engine, conn: ConnId, data: &[u8]) {
         let now = clock::now(engine);
         let Some(session) = self.by_conn.get_mut(&conn).filter(|s| !s.is_read_closed) else {
@@ -84,10 +84,11 @@
         session.bytes.extend_from_slice(data);
         session.active_at = now;
         session.received_at = session.unread_since.unwrap_or(now);
-        flow_control::forget_pause_once_read(engine, conn, session);
+        flow_control::clear_unread_since_if_quiet(engine, conn, session);
     }
 
-    /// The next command of a connection, as long as there is room for it. A protocol error is answered and ends the reading.
+    /// Returns the next command of a connection, or pauses the connection if flow control does not allow another one. A protocol error is
+    /// answered, and the connection is not read any more.
     pub(crate) fn next_command(
         &mut self,
         engine: &mut Engine,
@@ -124,37 +125,37 @@
         }
     }
 
-    /// A request of the connection is open; its command holds so many bytes.
+    /// Registers a request of the connection; `bytes` is the size of its command.
     pub(crate) fn on_request_opened(&mut self, conn: ConnId, id: RequestId, bytes: usize) {
-        self.held_bytes += bytes;
+        self.command_bytes += bytes;
         if let Some(session) = self.by_conn.get_mut(&conn) {
             session.open_requests.insert(id);
         }
     }
 
-    /// A request has its final reply, or its client has disconnected.
+    /// Removes a request that has its final reply or whose client has disconnected; `bytes` is the size of its command.
     pub(crate) fn on_request_ended(&mut self, conn: ConnId, id: RequestId, bytes: usize) {
-        self.held_bytes = self.held_bytes.saturating_sub(bytes);
+        self.command_bytes = self.command_bytes.saturating_sub(bytes);
         if let Some(session) = self.by_conn.get_mut(&conn) {
             session.open_requests.remove(&id);
         }
     }
 
-    /// Fills the slot of a reply. `flush` sends it once those before it are known.
+    /// Fills the slot of a reply. `flush` sends it once the replies before it are known.
     pub(crate) fn reply(&mut self, conn: ConnId, slot: ReplySlot, reply: Frame) {
         if let Some(session) = self.by_conn.get_mut(&conn) {
             session.replies.fill(slot, reply);
         }
     }
 
-    /// Reads no further command from the connection, which is closed once all its replies are sent.
+    /// Stops reading commands from the connection, which is closed once all its replies are sent.
     pub(crate) fn close_reading(&mut self, conn: ConnId) {
         if let Some(session) = self.by_conn.get_mut(&conn) {
             session.is_read_closed = true;
         }
     }
 
-    /// Sends the replies whose turn has come.
+    /// Sends the replies that are ready and have no unknown reply before them.
     pub(crate) fn flush(&mut self, engine: &mut Engine, conn: ConnId) {
         let Some(session) = self.by_conn.get_mut(&conn) else {
             return;
@@ -171,14 +172,14 @@
         self.linger_once_answered(engine, conn);
     }
 
-    /// A connection has ended; returns its requests that are still open, in the order of their ids.
+    /// Removes the session of a connection that has ended; returns its open requests in the order of their ids.
     pub(crate) fn on_closed(&mut self, conn: ConnId) -> Vec<RequestId> {
         let Some(session) = self.by_conn.remove(&conn) else {
             return Vec::new();
         };
-        let mut open: Vec<RequestId> = session.open_requests.into_iter().collect();
-        open.sort_unstable();
-        open
+        let mut open_requests: Vec<RequestId> = session.open_requests.into_iter().collect();
+        open_requests.sort_unstable();
+        open_requests
     }
 }
 
--- a/crates/resp-gateway/src/sessions/closing.rs
+++ b/crates/resp-gateway/src/sessions/closing.rs
@@ -1,4 +1,4 @@
-//! When client connections are closed from this side: eviction, time-outs, shutdown and the end after a protocol error or `QUIT`.
+//! Closing of client connections by the gateway: on eviction, on time-outs, during a shutdown, and after a protocol error or `QUIT`.
 
 use super::session::Session;
 use super::Sessions;
@@ -7,7 +7,7 @@
 use chalkdeck_time::Timestamp;
 
 impl Sessions {
-    /// Evicts the idle connection whose turn is first, if there is one besides the `new` one.
+    /// Evicts the idle connection that ranks first for eviction, if there is one other than `new`.
     pub(super) fn evict_one(&mut self, engine: &mut Engine, new: ConnId, now: Timestamp) {
         if let Some(idle) = self.first_to_evict(engine, new, now) {
             self.by_conn.remove(&idle);
@@ -15,7 +15,7 @@
         }
     }
 
-    /// The next connection to evict: one that is owed no reply and has nothing waiting to be read.
+    /// The connection to evict next. Connections with pending replies or unread bytes are not evicted.
     fn first_to_evict(&self, engine: &mut Engine, new: ConnId, now: Timestamp) -> Option<ConnId> {
         let mut candidates: Vec<_> = self
             .by_conn
@@ -30,7 +30,7 @@
             .find(|conn| engine.is_quiet(*conn))
     }
 
-    /// Ends our direction of a connection that is not read any more, once all its replies are sent.
+    /// Shuts down our direction of a connection that is not read any more, once all its replies are queued.
     pub(super) fn linger_once_answered(&mut self, engine: &mut Engine, conn: ConnId) {
         let Some(session) = self.by_conn.get_mut(&conn) else {
             return;
@@ -42,13 +42,13 @@
         }
     }
 
-    /// Closes connections that have timed out and resumes paused ones that have room again. Called at a fixed interval.
+    /// Closes connections that have timed out and resumes paused ones that are within their limits again. Called at a fixed interval.
     pub(crate) fn sweep(&mut self, engine: &mut Engine) {
         let now = clock::now(engine);
         let mut timed_out = Vec::new();
         let mut paused = Vec::new();
         for (conn, session) in &mut self.by_conn {
-            session.note_written(engine.written_bytes(*conn), engine.unsent(*conn), now);
+            session.record_write_progress(engine.written_bytes(*conn), engine.unsent(*conn), now);
             if session.is_write_timed_out(now)
                 || session.is_read_timed_out(now) && engine.is_quiet(*conn)
             {
@@ -60,7 +60,7 @@
         timed_out.sort_unstable();
         paused.sort_unstable();
         for conn in timed_out {
-            // The loop reports the end of it, and with it the end of its open requests.
+            // The event loop then reports the connection as closed, which also ends its open requests.
             engine.close(conn);
         }
         for conn in paused {
@@ -68,19 +68,19 @@
         }
     }
 
-    /// Begins to close connections, each once it is between two requests.
+    /// Begins a shutdown, during which `close_idle` closes each connection that is between two requests.
     pub(crate) fn shut_down(&mut self, now: Timestamp) {
-        self.shutdown_since.get_or_insert(now);
+        self.closing_since.get_or_insert(now);
     }
 
     pub(crate) fn is_shutting_down(&self) -> bool {
-        self.shutdown_since.is_some()
+        self.closing_since.is_some()
     }
 
-    /// During a shutdown, closes the idle connections whose turn has come. Requests that were received, or that wait unread, are
-    /// answered first.
+    /// During a shutdown, closes the idle connections whose delay has passed. Requests that were received, or that wait unread in the
+    /// socket, are answered first.
     pub(crate) fn close_idle(&mut self, engine: &mut Engine) {
-        let Some(since) = self.shutdown_since else {
+        let Some(since) = self.closing_since else {
             return;
         };
         let now = clock::now(engine);
--- a/crates/resp-gateway/src/sessions/flow_control.rs
+++ b/crates/resp-gateway/src/sessions/flow_control.rs
@@ -1,24 +1,25 @@
-//! Flow control: reading from a client is paused while it, or all clients together, hold too much, and resumed once there is room.
+//! Flow control: reading from a client is paused while that client, or all clients together, exceed their limits, and resumed once they
+//! are within the limits again.
 
 use super::session::Session;
 use super::Sessions;
 use crate::clock;
 use chalkdeck_net::{ConnId, Engine};
 
-/// Commands of one connection whose replies are pending; at this number reading is paused.
+/// The number of commands with pending replies on one connection at which reading is paused.
 const MAX_PENDING_COMMANDS: usize = 64;
-/// Reading is resumed below this number, so that it is not paused again at once.
+/// Reading is resumed below this number of pending commands, so that it is not paused again at once.
 const RESUME_PENDING_COMMANDS: usize = MAX_PENDING_COMMANDS / 2;
-/// Reply bytes that a client may leave unread; beyond this reading is paused.
+/// The number of reply bytes not accepted by a client above which reading from it is paused.
 const MAX_UNSENT_BYTES: usize = 256 << 10;
 
 impl Sessions {
-    /// Whether the commands of all clients hold as many bytes as they may.
+    /// Whether the commands of all clients together have reached their size limit.
     pub(super) fn is_full(&self) -> bool {
-        self.held_bytes >= self.max_held_bytes
+        self.command_bytes >= self.max_command_bytes
     }
 
-    /// Queues a paused connection to go on, if there is room for its commands again.
+    /// Queues a paused connection to be resumed, if it and all clients together are within their limits again.
     pub(super) fn resume(&mut self, engine: &mut Engine, conn: ConnId) {
         let is_full = self.is_full();
         let Some(session) = self.by_conn.get_mut(&conn) else {
@@ -35,12 +36,12 @@
         }
     }
 
-    /// Whether paused connections may go on.
+    /// Whether paused connections are queued to be resumed.
     pub(crate) fn has_resumed(&self) -> bool {
         !self.resumed.is_empty()
     }
 
-    /// The paused connections that may go on, in the order in which they could.
+    /// Takes the paused connections that are queued to be resumed, in the order in which they were queued.
     pub(crate) fn take_resumed(&mut self) -> Vec<ConnId> {
         let resumed = std::mem::take(&mut self.resumed);
         for conn in &resumed {
@@ -52,29 +53,33 @@
     }
 }
 
-/// Whether a session itself holds more than one may, with so many bytes that its client has not read.
+/// Whether a session has reached its own limits; `unsent` is the number of reply bytes that its client has not accepted.
 pub(super) fn exceeds_limits(session: &Session, unsent: usize) -> bool {
     session.replies.pending() >= MAX_PENDING_COMMANDS || unsent > MAX_UNSENT_BYTES
 }
 
-/// Stops to read from a connection.
+/// Pauses reading from a connection.
 pub(super) fn pause(engine: &mut Engine, conn: ConnId, session: &mut Session) {
     session.is_paused = true;
     session.unread_since.get_or_insert(clock::now(engine));
     engine.pause(conn, true);
 }
 
-/// Reads from a connection again.
+/// Resumes reading from a paused connection.
 pub(super) fn unpause(engine: &mut Engine, conn: ConnId, session: &mut Session) {
     if session.is_paused {
         session.is_paused = false;
         engine.pause(conn, false);
-        forget_pause_once_read(engine, conn, session);
+        clear_unread_since_if_quiet(engine, conn, session);
     }
 }
 
-/// What was waiting in the socket during a pause has been read once the socket is empty.
-pub(super) fn forget_pause_once_read(engine: &mut Engine, conn: ConnId, session: &mut Session) {
+/// Clears the time of the last pause once the socket is empty: all that arrived during the pause has been read.
+pub(super) fn clear_unread_since_if_quiet(
+    engine: &mut Engine,
+    conn: ConnId,
+    session: &mut Session,
+) {
     if session.unread_since.is_some() && engine.is_quiet(conn) {
         session.unread_since = None;
     }
--- a/crates/resp-gateway/src/sessions/session.rs
+++ b/crates/resp-gateway/src/sessions/session.rs
@@ -1,4 +1,4 @@
-//! One client connection: the bytes and replies it holds, and how long each of its states may last.
+//! The state of one client connection: its buffered bytes and replies, and its time-outs.
 
 use bytes::BytesMut;
 use chalkdeck::api::RequestId;
@@ -7,36 +7,38 @@
 use chalkdeck_time::{TimeDelta, Timestamp};
 use rustc_hash::FxHashSet;
 
-/// A connection that has not sent its first whole command by then is closed, as is one that sends nothing for so long within a
-/// later command. The platform expects such clients to be closed within 3 s.
+/// The time within which a new connection must send its first complete command, and the longest pause between bytes of a later command.
+/// Slower connections are closed, which the platform expects within 3 s.
 const COMMAND_TIMEOUT: TimeDelta = TimeDelta::from_secs(2);
-/// Keep-alive: a connection without an open request is closed after this time.
+/// Keep-alive time-out: the time after which a connection without an open request is closed.
 const IDLE_TIMEOUT: TimeDelta = TimeDelta::from_secs(10);
-/// The time a client has to read a protocol error before its connection is closed.
+/// The time that a client has to read a protocol error before its connection is closed.
 const LINGER_TIMEOUT: TimeDelta = TimeDelta::from_secs(2);
-/// A client that accepts no byte of its replies for so long is closed.
+/// The time after which a connection is closed whose client accepts no byte of its replies.
 const WRITE_TIMEOUT: TimeDelta = TimeDelta::from_secs(10);
-/// A new connection has this time to send its first command before it counts as idle.
+/// The time that a new connection has to send its first command before it counts as idle.
 const FIRST_COMMAND_GRACE: TimeDelta = TimeDelta::from_millis(50);
-/// A shutdown closes idle connections one after another over this time, so that their clients do not all reconnect at once.
+/// The time over which a shutdown spreads the closing of idle connections, so that their clients do not all reconnect at once.
 const SHUTDOWN_SPREAD: TimeDelta = TimeDelta::from_millis(250);
 /// Multiplier of Fibonacci hashing: spreads consecutive connection numbers evenly.
 const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Bytes that a client does not accept.
+/// The progress of writing replies to a client that has not accepted all of them.
 #[derive(Clone, Copy)]
 pub(super) struct BlockedWrite {
-    /// The number of bytes that it had accepted in all.
-    accepted: u64,
-    /// When that number last grew.
+    /// The total number of bytes that the client has accepted.
+    accepted_bytes: u64,
+    /// When this number last grew.
     since: Timestamp,
 }
 
-/// The order in which idle connections are evicted, lowest first: those that never sent a command go first, those that are within a
-/// command or are still to read an error go last. The fields are compared in their order.
+/// The order in which idle connections are evicted, lowest first: connections that never sent a command come first, connections within
+/// a command or with an unread protocol error last, and among equals the one that has been inactive longest. The fields are compared in
+/// the order of their declaration.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionRank {
     is_within_command: bool,
+    /// Whether the client has sent a command or has only just connected.
     is_active_client: bool,
     active_at: Timestamp,
 }
@@ -50,25 +52,25 @@
     pub(super) replies: ReplyQueue<Frame>,
     /// Requests without a final reply.
     pub(super) open_requests: FxHashSet<RequestId>,
-    /// Reading is paused; `bytes` may still hold whole commands.
+    /// Whether reading is paused; `bytes` may still contain complete commands.
     pub(super) is_paused: bool,
-    /// It is queued in `Sessions::resumed`.
+    /// Whether the connection is queued in `Sessions::resumed`.
     pub(super) is_queued_to_resume: bool,
-    /// Nothing more is read: a protocol error was reported, or the client sent `QUIT`.
+    /// Whether no more commands are read, because of a protocol error or `QUIT`.
     pub(super) is_read_closed: bool,
-    /// When our side was shut down, after an error or `QUIT`.
+    /// When our direction was shut down after a protocol error or `QUIT`.
     pub(super) lingering_since: Option<Timestamp>,
-    /// It has sent at least one whole command.
+    /// Whether the client has sent at least one complete command.
     pub(super) has_sent_command: bool,
     accepted_at: Timestamp,
     /// When bytes were last received or a reply was last sent.
     pub(super) active_at: Timestamp,
-    /// The time from which on the deadlines of the commands in `bytes` count: when they were received, or when reading was paused
-    /// if they may have been waiting in the socket since.
+    /// The time from which the deadlines of the commands in `bytes` are counted: when they were received, or when reading was paused
+    /// if they may have waited in the socket since then.
     pub(super) received_at: Timestamp,
-    /// When reading was paused, until the socket is known to have been emptied.
+    /// When reading was paused; kept until the socket has been read empty.
     pub(super) unread_since: Option<Timestamp>,
-    /// Set while replies wait for a client that does not read them.
+    /// Set while the client has not accepted all its replies.
     blocked_write: Option<BlockedWrite>,
 }
 
@@ -81,20 +83,22 @@
         }
     }
 
-    /// Nothing is owed to the client, and it has not begun a command.
+    /// Whether the client has no pending reply and has not begun a command.
     pub(super) fn is_between_requests(&self) -> bool {
         self.replies.pending() == 0 && self.bytes.is_empty() && self.lingering_since.is_none()
     }
 
-    /// Whether a shutdown that began at `since` may close the connection by now.
+    /// Whether a shutdown that began at `since` may close the connection now. The delay of each connection is a hash of its number, which
+    /// spreads the closing evenly over `SHUTDOWN_SPREAD`.
     pub(super) fn may_close(&self, conn: ConnId, since: Timestamp, now: Timestamp) -> bool {
         let hash = conn.0.wrapping_mul(HASH_MULTIPLIER) >> 32;
-        let offset = TimeDelta::from_micros(hash % SHUTDOWN_SPREAD.as_micros());
-        let had_time = self.has_sent_command || now >= self.accepted_at + FIRST_COMMAND_GRACE;
-        now >= since + offset && had_time
+        let delay = TimeDelta::from_micros(hash % SHUTDOWN_SPREAD.as_micros());
+        let had_time_for_command =
+            self.has_sent_command || now >= self.accepted_at + FIRST_COMMAND_GRACE;
+        now >= since + delay && had_time_for_command
     }
 
-    /// Its place in the order of eviction.
+    /// The rank of the connection in the order of eviction.
     pub(super) fn eviction_rank(&self, now: Timestamp) -> EvictionRank {
         let is_new = now < self.active_at + FIRST_COMMAND_GRACE;
         EvictionRank {
@@ -104,19 +108,24 @@
         }
     }
 
-    /// Notes how many bytes the client has accepted in all, and how many wait for it.
-    pub(super) fn note_written(&mut self, accepted: u64, unsent: usize, now: Timestamp) {
-        let known = self
+    /// Records the total number of bytes that the client has accepted, and the number that it has not.
+    pub(super) fn record_write_progress(
+        &mut self,
+        accepted_bytes: u64,
+        unsent: usize,
+        now: Timestamp,
+    ) {
+        let unchanged = self
             .blocked_write
-            .filter(|blocked| blocked.accepted == accepted);
-        let blocked = known.unwrap_or(BlockedWrite {
-            accepted,
+            .filter(|blocked| blocked.accepted_bytes == accepted_bytes);
+        let blocked = unchanged.unwrap_or(BlockedWrite {
+            accepted_bytes,
             since: now,
         });
         self.blocked_write = (unsent > 0).then_some(blocked);
     }
 
-    /// Whether the client has not read what it is owed for longer than it may.
+    /// Whether the client has not accepted its replies within the write time-out, or lingers longer than it may.
     pub(super) fn is_write_timed_out(&self, now: Timestamp) -> bool {
         let is_blocked = self
             .blocked_write
@@ -127,12 +136,12 @@
         is_blocked || has_lingered
     }
 
-    /// Whether a client that is owed nothing has sent nothing for longer than it may, as far as it was read.
+    /// Whether a client that has all its replies has exceeded the command or idle time-out, judging by the bytes that were read.
     pub(super) fn is_read_timed_out(&self, now: Timestamp) -> bool {
-        let is_owed = self.lingering_since.is_some()
+        let has_unread_replies = self.lingering_since.is_some()
             || self.blocked_write.is_some()
             || self.replies.pending() > 0;
-        if is_owed || self.is_paused {
+        if has_unread_replies || self.is_paused {
             return false;
         }
         let is_within_command = !self.bytes.is_empty();
