--- a/crates/resp-gateway/src/discovery/tests.rs
+++ b/crates/resp-gateway/src/discovery/tests.rs
@@ -1,4 +1,5 @@
-//! Discovery against an agent that falls silent in every way, with the clock in hand: how long after a change is published it is applied.
+//! Tests of the discovery client against a fake agent that fails in several ways, on a controlled clock. They measure the delay from
+//! publishing a change of the list to applying it, in microseconds.
 
 use super::*;
 use chalkdeck_net::clock::{Clock, Jumps};
@@ -6,70 +7,72 @@
 use std::net::TcpStream;
 use std::sync::Arc;
 
-const GRACE: u64 = 2_000_000;
-/// The clock moves by this much at a time.
+const DRAIN_GRACE: u64 = 2_000_000;
+/// The step by which the clock is advanced.
 const STEP: u64 = 10_000;
 
-/// What the agent does.
+/// The behaviour of the fake agent.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum AgentMode {
     Responds,
-    /// Takes calls and never responds to them.
+    /// Accepts calls and never responds to them.
     Silent,
-    /// Sends half a response and no more.
+    /// Sends only half of each response.
     Half,
     /// Refuses connections.
     Refuses,
 }
 
-/// A long poll that waits at the agent.
+/// A long poll that the agent holds.
 #[derive(Clone, Copy)]
 struct WaitingPoll {
     conn: ConnId,
     /// The version that the caller holds.
     held: u64,
-    /// The agent responds by then in any case.
-    until: u64,
+    /// When the agent responds even if nothing has changed.
+    expiry: u64,
 }
 
-/// A timer of a call.
+/// The time-out timer of a call.
 #[derive(Clone, Copy)]
 struct CallTimer {
-    at: u64,
+    fires_at: u64,
     call: CallId,
 }
 
-struct World {
+/// The discovery client and its fake agent, on one event loop.
+struct Setup {
     engine: Engine,
     jumps: Arc<Jumps>,
     discovery: Discovery,
     listener: ListenerId,
     address: SocketAddr,
     mode: AgentMode,
-    index: u64,
-    /// How the agent writes its responses.
-    form: fn(&str) -> String,
+    /// The version of the list that the agent published last.
+    published: u64,
+    /// Formats a response of the agent from its body.
+    response_format: fn(&str) -> String,
     waiting: Vec<WaitingPoll>,
     received: HashMap<ConnId, Vec<u8>>,
     /// The agent's side of the connections.
     agent_conns: Vec<ConnId>,
     call_timers: Vec<CallTimer>,
-    /// The last version that was applied.
-    held: u64,
-    /// How many lists were applied.
-    lists: usize,
+    /// The version of the list that the gateway applied last.
+    version: u64,
+    /// The number of lists that were applied.
+    list_count: usize,
     zones: HashMap<String, u32>,
 }
 
-fn plain(body: &str) -> String {
+fn with_length(body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
-impl World {
-    fn new(mode: AgentMode, form: fn(&str) -> String) -> World {
+impl Setup {
+    fn new(mode: AgentMode, response_format: fn(&str) -> String) -> Setup {
         let jumps = Arc::<Jumps>::default();
         let mut engine = Engine::with_clock(Clock::jumping(jumps.clone())).expect("a poll handle");
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -77,26 +80,26 @@
             .listen_raw(any, Limits::default())
             .expect("a free port");
         let discovery = Discovery::new(address, timing());
-        let mut world = World {
+        let mut setup = Setup {
             engine,
             jumps,
             discovery,
             listener,
             address,
             mode,
-            index: 1,
-            form,
+            published: 1,
+            response_format,
             waiting: Vec::new(),
             received: HashMap::new(),
             agent_conns: Vec::new(),
             call_timers: Vec::new(),
-            held: 0,
-            lists: 0,
+            version: 0,
+            list_count: 0,
             zones: HashMap::new(),
         };
-        let action = world.discovery.connect(&mut world.engine);
-        world.carry_out([action]);
-        world
+        let action = setup.discovery.connect(&mut setup.engine);
+        setup.carry_out([action]);
+        setup
     }
 
     fn carry_out(&mut self, actions: impl IntoIterator<Item = DiscoveryAction>) {
@@ -104,12 +107,12 @@
             match action {
                 DiscoveryAction::UpdateEndpoints(list) => {
                     if list.scope == UpdateScope::Complete || !list.endpoints.is_empty() {
-                        self.held = list.version;
-                        self.lists += 1;
+                        self.version = list.version;
+                        self.list_count += 1;
                     }
                 }
                 DiscoveryAction::CheckCall { after, call } => self.call_timers.push(CallTimer {
-                    at: self.engine.now() + after.as_micros(),
+                    fires_at: self.engine.now() + after.as_micros(),
                     call,
                 }),
             }
@@ -131,7 +134,7 @@
                 self.on_request(conn);
             }
             Event::Bytes { conn, data } => {
-                let World {
+                let Setup {
                     discovery,
                     engine,
                     zones,
@@ -141,7 +144,7 @@
                 self.carry_out(actions);
             }
             Event::Closed { conn, reason, .. } => {
-                let World {
+                let Setup {
                     discovery,
                     engine,
                     zones,
@@ -154,28 +157,28 @@
         }
     }
 
-    /// A request, or a part of one, was received.
+    /// Handles a request, if it has been received completely.
     fn on_request(&mut self, conn: ConnId) {
         let text = String::from_utf8_lossy(&self.received[&conn]).into_owned();
         if !text.ends_with("\r\n\r\n") {
             return;
         }
         self.received.remove(&conn);
-        let number = |name: &str| {
+        let parameter = |name: &str| {
             let rest = text.split_once(name)?.1;
             rest.split(|c: char| !c.is_ascii_digit())
                 .next()?
                 .parse::<u64>()
                 .ok()
         };
-        match (self.mode, number("since=")) {
+        match (self.mode, parameter("since=")) {
             (AgentMode::Silent | AgentMode::Refuses, _) => {}
             (AgentMode::Half, _) => self.respond(conn, true),
             (AgentMode::Responds, None) => self.respond(conn, true),
             (AgentMode::Responds, Some(held)) => {
-                let until = self.engine.now()
-                    + number("timeout_ms=").expect("how long it may wait") * 1_000;
-                self.waiting.push(WaitingPoll { conn, held, until });
+                let expiry = self.engine.now()
+                    + parameter("timeout_ms=").expect("a long poll states its timeout_ms") * 1_000;
+                self.waiting.push(WaitingPoll { conn, held, expiry });
             }
         }
     }
@@ -185,9 +188,9 @@
         let entries = if is_complete { entry } else { "" };
         let body = format!(
             r#"{{"index":{},"snapshot":{is_complete},"endpoints":[{entries}]}}"#,
-            self.index
+            self.published
         );
-        let text = (self.form)(&body);
+        let text = (self.response_format)(&body);
         let length = if self.mode == AgentMode::Half {
             text.len() / 2
         } else {
@@ -196,19 +199,19 @@
         self.engine.write(conn, &text.as_bytes()[..length]);
     }
 
-    /// The clock moves on by a step, and all that can happen does.
+    /// Advances the clock by one step and handles all events that follow.
     fn step(&mut self) {
         self.jumps.jump(STEP as i64);
         let now = self.engine.now();
         if self.mode == AgentMode::Responds {
-            let index = self.index;
-            let (ended, waiting): (Vec<_>, Vec<_>) = self
+            let published = self.published;
+            let (due, waiting): (Vec<_>, Vec<_>) = self
                 .waiting
                 .drain(..)
-                .partition(|poll| index > poll.held || now >= poll.until);
+                .partition(|poll| published > poll.held || now >= poll.expiry);
             self.waiting = waiting;
-            for poll in ended {
-                self.respond(poll.conn, index > poll.held);
+            for poll in due {
+                self.respond(poll.conn, published > poll.held);
             }
         } else {
             self.waiting.clear();
@@ -216,7 +219,7 @@
         let (fired, waiting): (Vec<_>, Vec<_>) = self
             .call_timers
             .drain(..)
-            .partition(|timer| timer.at <= now);
+            .partition(|timer| timer.fires_at <= now);
         self.call_timers = waiting;
         for timer in fired {
             let action = self.discovery.on_call_timeout(&mut self.engine, timer.call);
@@ -231,7 +234,7 @@
         }
     }
 
-    fn pass(&mut self, micros: u64) {
+    fn advance(&mut self, micros: u64) {
         (0..micros / STEP).for_each(|_| self.step());
     }
 
@@ -240,7 +243,7 @@
             let (listener, _) = self
                 .engine
                 .listen_raw(self.address, Limits::default())
-                .expect("its port");
+                .expect("the agent's port is free again");
             self.listener = listener;
         }
         if mode == AgentMode::Refuses {
@@ -252,25 +255,25 @@
         self.mode = mode;
     }
 
-    /// A change is published at the agent now; returns how long until it was applied.
-    fn delay(&mut self) -> u64 {
-        self.index += 1;
-        self.until_applied()
+    /// Publishes a change; returns the time until it is applied, in microseconds.
+    fn publish_delay(&mut self) -> u64 {
+        self.published += 1;
+        self.delay_until_applied()
     }
 
-    fn until_applied(&mut self) -> u64 {
-        let begun = self.engine.now();
-        while self.held != self.index {
+    fn delay_until_applied(&mut self) -> u64 {
+        let started_at = self.engine.now();
+        while self.version != self.published {
             self.step();
-            let elapsed = self.engine.now() - begun;
-            assert!(elapsed < 20 * GRACE, "never applied");
+            let elapsed = self.engine.now() - started_at;
+            assert!(elapsed < 20 * DRAIN_GRACE, "the list is never applied");
         }
-        self.engine.now() - begun
+        self.engine.now() - started_at
     }
 }
 
 fn timing() -> Timing {
-    Timing::new(TimeDelta::from_micros(GRACE))
+    Timing::new(TimeDelta::from_micros(DRAIN_GRACE))
 }
 
 /// The time-out of a call, in microseconds.
@@ -278,56 +281,59 @@
     timing().timeout.as_micros()
 }
 
-/// The worst delay over all moments at which the fault may begin, in steps of 30 ms.
-fn worst(form: fn(&str) -> String, fault: impl Fn(&mut World) -> u64) -> u64 {
+/// The longest delay that `fault` returns when it begins at different moments of a long poll, 30 ms apart.
+fn worst_delay(response_format: fn(&str) -> String, fault: impl Fn(&mut Setup) -> u64) -> u64 {
     let poll = timing().poll.as_micros();
     let moments = (0..poll + call_timeout()).step_by(30_000);
     let delays = moments.map(|moment| {
-        let mut world = World::new(AgentMode::Responds, form);
-        world.pass(100_000 + moment);
-        assert_eq!(world.held, world.index, "it is well before the fault");
-        fault(&mut world)
+        let mut setup = Setup::new(AgentMode::Responds, response_format);
+        setup.advance(100_000 + moment);
+        assert_eq!(
+            setup.version, setup.published,
+            "the list is up to date before the fault"
+        );
+        fault(&mut setup)
     });
-    delays.max().expect("moments")
+    delays.max().expect("at least one moment")
 }
 
-/// Real time passes beside the clock's steps.
-const NOISE: u64 = 100_000;
+/// The tolerance for real time, which passes in addition to the clock's steps.
+const TOLERANCE: u64 = 100_000;
 
 #[test]
 fn change_while_a_poll_waits_then_applied_at_once() {
-    assert!(worst(plain, World::delay) <= 2 * STEP + NOISE);
+    assert!(worst_delay(with_length, Setup::publish_delay) <= 2 * STEP + TOLERANCE);
 }
 
 #[test]
 fn connection_falls_silent_then_replaced_within_the_call_timeout() {
     for mode in [AgentMode::Silent, AgentMode::Half] {
-        // Silent on that connection alone: the agent answers on the next.
-        let once = worst(plain, |w| {
-            w.set_mode(mode);
-            w.step();
-            // Calls that were under way are not come back to.
-            w.waiting.clear();
-            w.set_mode(AgentMode::Responds);
-            w.delay()
+        // The agent is silent on the current connection only and responds on the next one.
+        let delay = worst_delay(with_length, |setup| {
+            setup.set_mode(mode);
+            setup.step();
+            // The agent never responds to calls that it received while silent.
+            setup.waiting.clear();
+            setup.set_mode(AgentMode::Responds);
+            setup.publish_delay()
         });
         assert!(
-            once <= call_timeout() + 3 * STEP + NOISE,
-            "{mode:?} once: {once}"
+            delay <= call_timeout() + 3 * STEP + TOLERANCE,
+            "{mode:?} on one connection: {delay}"
         );
-        // And on the next connections as well.
-        let thrice = worst(plain, |w| {
-            w.set_mode(mode);
-            w.index += 1;
-            let begun = w.engine.now();
-            w.pass(2 * call_timeout());
-            w.set_mode(AgentMode::Responds);
-            w.until_applied();
-            w.engine.now() - begun
+        // The agent is silent on the next connections as well.
+        let delay = worst_delay(with_length, |setup| {
+            setup.set_mode(mode);
+            setup.published += 1;
+            let started_at = setup.engine.now();
+            setup.advance(2 * call_timeout());
+            setup.set_mode(AgentMode::Responds);
+            setup.delay_until_applied();
+            setup.engine.now() - started_at
         });
         assert!(
-            thrice <= 3 * call_timeout() + 4 * STEP + NOISE,
-            "{mode:?} thrice: {thrice}"
+            delay <= 3 * call_timeout() + 4 * STEP + TOLERANCE,
+            "{mode:?} on several connections: {delay}"
         );
     }
 }
@@ -338,95 +344,110 @@
         (AgentMode::Silent, call_timeout()),
         (AgentMode::Refuses, timing().retry_delay.as_micros()),
     ] {
-        let back = worst(plain, |w| {
-            w.set_mode(mode);
-            w.pass(8 * GRACE / 2);
-            w.set_mode(AgentMode::Responds);
-            w.delay()
+        let delay = worst_delay(with_length, |setup| {
+            setup.set_mode(mode);
+            setup.advance(8 * DRAIN_GRACE / 2);
+            setup.set_mode(AgentMode::Responds);
+            setup.publish_delay()
         });
-        assert!(back <= bound + 3 * STEP + NOISE, "{mode:?}: {back}");
+        assert!(delay <= bound + 3 * STEP + TOLERANCE, "{mode:?}: {delay}");
         assert!(
-            back < GRACE / 2 + NOISE,
-            "{mode:?}: {back} of a grace of {GRACE}"
+            delay < DRAIN_GRACE / 2 + TOLERANCE,
+            "{mode:?}: {delay} of a grace of {DRAIN_GRACE}"
         );
     }
 }
 
 #[test]
 fn first_call_of_a_process_lost_then_list_applied_within_the_call_timeout() {
-    let mut world = World::new(AgentMode::Silent, plain);
-    world.pass(50_000);
-    world.set_mode(AgentMode::Responds);
-    let begun = world.until_applied();
-    assert!(begun <= call_timeout() + 3 * STEP + NOISE, "{begun}");
-    let mut world = World::new(AgentMode::Responds, plain);
+    let mut setup = Setup::new(AgentMode::Silent, with_length);
+    setup.advance(50_000);
+    setup.set_mode(AgentMode::Responds);
+    let elapsed = setup.delay_until_applied();
+    assert!(
+        elapsed <= call_timeout() + 3 * STEP + TOLERANCE,
+        "{elapsed}"
+    );
+    let mut setup = Setup::new(AgentMode::Responds, with_length);
     assert!(
-        world.until_applied() <= 2 * STEP + NOISE,
-        "from the first moment"
+        setup.delay_until_applied() <= 2 * STEP + TOLERANCE,
+        "an agent that responds at once"
     );
 }
 
 #[test]
 fn connection_never_established_then_replaced_like_a_silent_one() {
-    // A listener with a full queue lets further connections hang.
-    let full =
+    // Connections to a listener with a full backlog are never established.
+    let full_listener =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    full.bind(&any.into())
-        .and_then(|()| full.listen(0))
+    full_listener
+        .bind(&any.into())
+        .and_then(|()| full_listener.listen(0))
         .expect("a free port");
-    let address = full
+    let address = full_listener
         .local_addr()
         .ok()
         .and_then(|a| a.as_socket())
         .expect("its address");
-    let mut fills = Vec::new();
-    while let Ok(one) = TcpStream::connect_timeout(&address, std::time::Duration::from_millis(200))
+    let mut backlog = Vec::new();
+    while let Ok(stream) =
+        TcpStream::connect_timeout(&address, std::time::Duration::from_millis(200))
     {
-        fills.push(one);
+        backlog.push(stream);
     }
-    let mut world = World::new(AgentMode::Responds, plain);
-    world.pass(100_000);
-    let action = world.discovery.set_address(&mut world.engine, address);
-    world.carry_out(action);
-    world.pass(call_timeout() / 2);
-    // SIGHUP moves it back to one that answers; the whole list is asked for there.
-    let (lists, own) = (world.lists, world.address);
-    world.discovery.address = own;
-    let begun = world.engine.now();
-    while world.lists == lists {
-        world.step();
-        assert!(world.engine.now() - begun < GRACE, "never applied");
+    let mut setup = Setup::new(AgentMode::Responds, with_length);
+    setup.advance(100_000);
+    let action = setup.discovery.set_address(&mut setup.engine, address);
+    setup.carry_out(action);
+    setup.advance(call_timeout() / 2);
+    // The address is set back to the agent that responds; its complete list is requested by the next call.
+    let (applied_before, agent_address) = (setup.list_count, setup.address);
+    setup.discovery.address = agent_address;
+    let started_at = setup.engine.now();
+    while setup.list_count == applied_before {
+        setup.step();
+        assert!(
+            setup.engine.now() - started_at < DRAIN_GRACE,
+            "never applied"
+        );
     }
-    let elapsed = world.engine.now() - begun;
-    assert!(elapsed <= call_timeout() + 3 * STEP + NOISE, "{elapsed}");
-    assert!(fills.len() < 10);
+    let elapsed = setup.engine.now() - started_at;
+    assert!(
+        elapsed <= call_timeout() + 3 * STEP + TOLERANCE,
+        "{elapsed}"
+    );
+    assert!(backlog.len() < 10);
 }
 
 #[test]
 fn agent_silent_right_after_a_new_address_then_connected_again() {
-    let mut world = World::new(AgentMode::Responds, plain);
-    world.pass(300_000);
+    let mut setup = Setup::new(AgentMode::Responds, with_length);
+    setup.advance(300_000);
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let (listener, address) = world
+    let (listener, address) = setup
         .engine
         .listen_raw(any, Limits::default())
         .expect("a free port");
-    world.listener = listener;
-    world.address = address;
-    world.mode = AgentMode::Silent;
-    let action = world.discovery.set_address(&mut world.engine, address);
-    world.carry_out(action);
-    world.pass(20_000);
-    world.set_mode(AgentMode::Responds);
-    world.index = 40;
-    let elapsed = world.until_applied();
-    assert!(elapsed <= call_timeout() + 3 * STEP + NOISE, "{elapsed}");
+    setup.listener = listener;
+    setup.address = address;
+    setup.mode = AgentMode::Silent;
+    let action = setup.discovery.set_address(&mut setup.engine, address);
+    setup.carry_out(action);
+    setup.advance(20_000);
+    setup.set_mode(AgentMode::Responds);
+    setup.published = 40;
+    let elapsed = setup.delay_until_applied();
+    assert!(
+        elapsed <= call_timeout() + 3 * STEP + TOLERANCE,
+        "{elapsed}"
+    );
 }
 
 #[test]
 fn response_indented_or_chunked_then_applied() {
-    let indented = |body: &str| plain(&body.replace(',', " ,\r\n\t  ").replace('{', "\n {\n "));
+    let indented =
+        |body: &str| with_length(&body.replace(',', " ,\r\n\t  ").replace('{', "\n {\n "));
     let chunked = |body: &str| {
         let (one, two) = body.split_at(body.len() / 3);
         format!(
@@ -435,52 +456,60 @@
             two.len()
         )
     };
-    let forms: [fn(&str) -> String; 2] = [indented, chunked];
-    for form in forms {
-        let mut world = World::new(AgentMode::Responds, form);
+    let formats: [fn(&str) -> String; 2] = [indented, chunked];
+    for format in formats {
+        let mut setup = Setup::new(AgentMode::Responds, format);
         for _ in 0..5 {
-            world.pass(700_000);
-            assert!(world.delay() <= 2 * STEP + NOISE);
+            setup.advance(700_000);
+            assert!(setup.publish_delay() <= 2 * STEP + TOLERANCE);
         }
     }
 }
 
 #[test]
 fn invalid_response_then_last_list_stays_and_the_complete_one_is_requested() {
-    let spoilt: [fn(&str) -> String; 8] = [
+    let invalid_formats: [fn(&str) -> String; 8] = [
         |_| "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".into(),
         |_| "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n".into(),
         |_| "HTTP/1.1 200 OK\r\n\r\n{}".into(),
         |_| "noise\r\n\r\n".into(),
-        |_| plain("{]"),
+        |_| with_length("{]"),
         |_| {
-            plain(
+            with_length(
                 r#"{"index":9,"snapshot":false,"endpoints":[{"name":"s","address":"x","status":"ready"}]}"#,
             )
         },
         |_| "HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n".into(),
         |_| "HTTP/1.1 301 Moved\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n".into(),
     ];
-    for (i, form) in spoilt.into_iter().enumerate() {
-        let mut world = World::new(AgentMode::Responds, plain);
-        world.pass(100_000);
-        let (lists, held) = (world.lists, world.held);
-        world.form = form;
-        world.index += 1;
-        world.pass(400_000);
-        assert_eq!((world.lists, world.held), (lists, held), "form {i}");
-        world.form = plain;
-        let elapsed = world.until_applied();
+    for (i, format) in invalid_formats.into_iter().enumerate() {
+        let mut setup = Setup::new(AgentMode::Responds, with_length);
+        setup.advance(100_000);
+        let (count, version) = (setup.list_count, setup.version);
+        setup.response_format = format;
+        setup.published += 1;
+        setup.advance(400_000);
+        assert_eq!(
+            (setup.list_count, setup.version),
+            (count, version),
+            "format {i}"
+        );
+        setup.response_format = with_length;
+        let elapsed = setup.delay_until_applied();
         assert!(
-            elapsed <= call_timeout() + 3 * STEP + NOISE,
-            "form {i}: {elapsed}"
+            elapsed <= call_timeout() + 3 * STEP + TOLERANCE,
+            "format {i}: {elapsed}"
+        );
+        assert_eq!(
+            setup.discovery.held_version,
+            Some(setup.published),
+            "format {i}"
         );
-        assert_eq!(world.discovery.held_version, Some(world.index), "form {i}");
     }
 }
 
 #[test]
-fn times_follow_the_drain_grace() {
+fn durations_derive_from_the_drain_grace() {
     for grace in [100_000, 250_000, 1_000_000, 2_000_000, 5_000_000] {
         let timing = Timing::new(TimeDelta::from_micros(grace));
         assert!(
@@ -494,76 +523,77 @@
     }
 }
 
-/// How an agent ends a connection after an answer without a length.
+/// How the agent ends a connection after a response without a stated length.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Close {
-    InOrder,
+    Orderly,
     Reset,
 }
 
-/// Answers the next call with these bytes, which tell no length, and closes. A reset is forced by a close over unread bytes.
-fn answer_and_close(world: &mut World, agent: &std::net::TcpListener, answer: &[u8], close: Close) {
+/// Sends these bytes, a response without a stated length, in reply to the next call and closes the connection. Closing it while bytes are
+/// unread causes a reset.
+fn respond_and_close(setup: &mut Setup, agent: &std::net::TcpListener, data: &[u8], close: Close) {
     use std::io::{ErrorKind, Read, Write};
     let mut stream = loop {
         match agent.accept() {
             Ok((stream, _)) => break stream,
-            Err(e) if e.kind() == ErrorKind::WouldBlock => world.step(),
+            Err(e) if e.kind() == ErrorKind::WouldBlock => setup.step(),
             Err(e) => panic!("the agent cannot accept: {e}"),
         }
     };
     stream.set_nonblocking(true).expect("a socket");
-    let mut call = [0; 1_024];
-    while !matches!(stream.peek(&mut call), Ok(length) if length > 0) {
-        world.step();
+    let mut request = [0; 1_024];
+    while !matches!(stream.peek(&mut request), Ok(length) if length > 0) {
+        setup.step();
     }
-    stream.write_all(answer).expect("it is sent");
-    if close == Close::InOrder {
-        let length = stream.read(&mut call).expect("the call");
-        assert!(call[..length].ends_with(b"\r\n\r\n"));
+    stream.write_all(data).expect("the response is sent");
+    if close == Close::Orderly {
+        let length = stream.read(&mut request).expect("the request");
+        assert!(request[..length].ends_with(b"\r\n\r\n"));
     }
     drop(stream);
-    (0..5).for_each(|_| world.step());
+    (0..5).for_each(|_| setup.step());
 }
 
 #[test]
 fn response_without_a_length_then_complete_at_an_orderly_end_and_never_at_a_reset() {
     let body = r#"{"index":7,"snapshot":true,"endpoints":[{"name":"s-1","address":"127.0.0.1:9","status":"draining"}]}"#;
-    let whole = format!("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n{body}");
-    let half = &whole[..whole.len() - 20];
-    for (answer, close, taken) in [
-        (whole.as_str(), Close::InOrder, true),
-        (&whole, Close::Reset, false),
-        (half, Close::InOrder, false),
-        (half, Close::Reset, false),
+    let complete = format!("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n{body}");
+    let truncated = &complete[..complete.len() - 20];
+    for (response, close, is_applied) in [
+        (complete.as_str(), Close::Orderly, true),
+        (&complete, Close::Reset, false),
+        (truncated, Close::Orderly, false),
+        (truncated, Close::Reset, false),
     ] {
         let agent = std::net::TcpListener::bind(("127.0.0.1", 0)).expect("a free port");
         agent.set_nonblocking(true).expect("a socket");
         let address = agent.local_addr().expect("its address");
-        let mut world = World::new(AgentMode::Responds, plain);
-        world.pass(300_000);
-        let lists = world.lists;
-        let action = world.discovery.set_address(&mut world.engine, address);
-        world.carry_out(action);
-        answer_and_close(&mut world, &agent, answer.as_bytes(), close);
+        let mut setup = Setup::new(AgentMode::Responds, with_length);
+        setup.advance(300_000);
+        let applied_before = setup.list_count;
+        let action = setup.discovery.set_address(&mut setup.engine, address);
+        setup.carry_out(action);
+        respond_and_close(&mut setup, &agent, response.as_bytes(), close);
         assert_eq!(
-            world.lists > lists,
-            taken,
+            setup.list_count > applied_before,
+            is_applied,
             "{close:?} after {} bytes",
-            answer.len()
+            response.len()
         );
         assert_eq!(
-            world.held == 7,
-            taken,
+            setup.version == 7,
+            is_applied,
             "{close:?} after {} bytes",
-            answer.len()
+            response.len()
         );
-        // What was not whole is asked for again, soon and as a whole list.
-        answer_and_close(&mut world, &agent, whole.as_bytes(), Close::InOrder);
+        // After an incomplete response the complete list is soon requested again.
+        respond_and_close(&mut setup, &agent, complete.as_bytes(), Close::Orderly);
         assert_eq!(
-            world.held,
+            setup.version,
             7,
-            "{close:?} after {} bytes, then whole",
-            answer.len()
+            "{close:?} after {} bytes, then a complete response",
+            response.len()
         );
     }
 }
--- a/crates/resp-gateway/src/sessions/shutdown_tests.rs
+++ b/crates/resp-gateway/src/sessions/shutdown_tests.rs
@@ -1,4 +1,4 @@
-//! Shutdowns while clients go on sending, in thousands of orders of events.
+//! Tests of shutdowns while clients continue to send, in thousands of random orders of events.
 
 use super::test_support::TestLoop;
 use super::*;
@@ -9,16 +9,16 @@
 
 const PING: &[u8] = b"*1\r\n$4\r\nPING\r\n";
 const PONG: &[u8] = b"+PONG\r\n";
-/// Turns of the loop after which a shutdown must have ended.
+/// The number of turns of the event loop within which a shutdown must end.
 const MAX_TURNS: usize = 2_000;
 
 struct Client {
     stream: TcpStream,
-    /// Bytes of commands that the client wrote.
-    sent: usize,
-    /// Bytes of commands that the gateway read.
-    read: usize,
-    replies: usize,
+    /// The number of bytes that the client wrote.
+    sent_bytes: usize,
+    /// The number of bytes that the gateway read from this client.
+    read_bytes: usize,
+    reply_count: usize,
     is_closed: bool,
 }
 
@@ -26,21 +26,21 @@
     fn new(stream: TcpStream) -> Client {
         Client {
             stream,
-            sent: 0,
-            read: 0,
-            replies: 0,
+            sent_bytes: 0,
+            read_bytes: 0,
+            reply_count: 0,
             is_closed: false,
         }
     }
 
-    /// Sends a part of a command, a whole one, or two and a part.
+    /// Sends up to 35 bytes of commands, which may end within a command, continuing one that was begun.
     fn send(&mut self, rng: &mut Rng) {
-        let mut rest = PING.repeat(3).split_off(self.sent % PING.len());
+        let mut rest = PING.repeat(3).split_off(self.sent_bytes % PING.len());
         rest.truncate(rng.usize(1..=rest.len().min(35)));
-        self.sent += self.stream.write(&rest).unwrap_or(0);
+        self.sent_bytes += self.stream.write(&rest).unwrap_or(0);
     }
 
-    /// Reads what was received; returns the number of replies.
+    /// Reads received bytes; returns the number of replies in them.
     fn read_replies(&mut self) -> usize {
         let mut buffer = [0; 512];
         match self.stream.read(&mut buffer) {
@@ -52,13 +52,13 @@
         0
     }
 
-    /// Reads, then sends more: often at once, and always where half a command was sent.
+    /// Reads, then sends more: always if a command is incomplete, otherwise at random, and more often after a reply.
     fn step(&mut self, rng: &mut Rng) {
         let received = self.read_replies();
-        self.replies += received;
-        // Now and then nothing is pending: a client that always has something pending is served up to the longest deadline.
-        let is_within_command = !self.sent.is_multiple_of(PING.len());
-        let has_few_pending = self.sent / PING.len() < self.replies + 3;
+        self.reply_count += received;
+        // Pending commands are limited so that sometimes none is pending: a client that always has one is served until the longest deadline.
+        let is_within_command = !self.sent_bytes.is_multiple_of(PING.len());
+        let has_few_pending = self.sent_bytes / PING.len() < self.reply_count + 3;
         if !self.is_closed
             && (is_within_command
                 || has_few_pending && (received > 0 && rng.u8(..) < 200 || rng.u8(..) < 20))
@@ -67,21 +67,21 @@
         }
     }
 
-    /// Whether each command that the gateway read has its reply, and the connection was closed between two.
+    /// Whether every command that the gateway read was answered, and the connection was closed between two commands.
     fn is_fully_answered(&self) -> bool {
-        self.read / PING.len() == self.replies
-            && self.read.is_multiple_of(PING.len())
+        self.read_bytes / PING.len() == self.reply_count
+            && self.read_bytes.is_multiple_of(PING.len())
             && self.is_closed
     }
 }
 
-/// The sessions of one gateway, driven as its loop drives them.
+/// The sessions of one gateway, driven in the same way as by the gateway's event loop.
 struct Harness {
     test_loop: TestLoop,
     sessions: Sessions,
     clients: FxHashMap<ConnId, Client>,
-    /// Commands without their reply.
-    open: Vec<(ConnId, ReplySlot)>,
+    /// The commands that have no reply yet.
+    open_commands: Vec<(ConnId, ReplySlot)>,
 }
 
 impl Harness {
@@ -90,7 +90,7 @@
             test_loop: TestLoop::new(),
             sessions: Sessions::new(64, 1 << 20),
             clients: FxHashMap::default(),
-            open: Vec::new(),
+            open_commands: Vec::new(),
         }
     }
 
@@ -102,9 +102,12 @@
         self.clients.insert(conn, Client::new(stream));
     }
 
+    /// Replies to a random selection of the open commands.
     fn reply_some(&mut self, rng: &mut Rng) {
-        while !self.open.is_empty() && rng.bool() {
-            let (conn, slot) = self.open.swap_remove(rng.usize(..self.open.len()));
+        while !self.open_commands.is_empty() && rng.bool() {
+            let (conn, slot) = self
+                .open_commands
+                .swap_remove(rng.usize(..self.open_commands.len()));
             self.sessions.reply(conn, slot, client_replies::pong());
             self.sessions.flush(&mut self.test_loop.engine, conn);
         }
@@ -112,7 +115,7 @@
 
     fn on_event(&mut self, event: Event) {
         if let Event::Bytes { conn, data } = event {
-            self.clients.get_mut(&conn).expect("its client").read += data.len();
+            self.clients.get_mut(&conn).expect("its client").read_bytes += data.len();
             self.sessions
                 .on_bytes(&mut self.test_loop.engine, conn, &data);
             self.take_commands(conn);
@@ -121,7 +124,7 @@
         }
     }
 
-    /// One turn of the loop. Replies are sent between its events, as attempts end between them.
+    /// Runs one turn of the event loop. Replies are sent between its events, as attempts end between events in a gateway.
     fn turn(&mut self, rng: &mut Rng) {
         let mut events = Vec::new();
         self.test_loop.engine.turn(0, &mut events).expect("a turn");
@@ -139,7 +142,7 @@
     fn take_commands(&mut self, conn: ConnId) {
         let engine = &mut self.test_loop.engine;
         while let Some(ReceivedCommand { slot, .. }) = self.sessions.next_command(engine, conn) {
-            self.open.push((conn, slot));
+            self.open_commands.push((conn, slot));
         }
         self.sessions.flush(engine, conn);
     }
@@ -147,7 +150,10 @@
     fn step_clients(&mut self, rng: &mut Rng) {
         let conns: Vec<ConnId> = self.clients.keys().copied().collect();
         for conn in conns {
-            self.clients.get_mut(&conn).expect("it is there").step(rng);
+            self.clients
+                .get_mut(&conn)
+                .expect("a known client")
+                .step(rng);
         }
     }
 
@@ -155,8 +161,8 @@
         self.test_loop.engine.connection_count() > 0
     }
 
-    /// Plays one shutdown; returns what of it went wrong.
-    fn play_shutdown(&mut self, seed: u64) -> Option<String> {
+    /// Simulates one shutdown; returns a description of the fault, if there is one.
+    fn simulate_shutdown(&mut self, seed: u64) -> Option<String> {
         let mut rng = Rng::with_seed(seed);
         self.sessions = Sessions::new(64, 1 << 20);
         for _ in 0..rng.usize(1..=3) {
@@ -178,32 +184,33 @@
                 break;
             }
         }
-        self.fault()
+        self.take_fault()
     }
 
-    fn fault(&mut self) -> Option<String> {
+    /// Removes all clients; describes the first fault, if there is one.
+    fn take_fault(&mut self) -> Option<String> {
         let mut clients = self.clients.drain();
         let unanswered = clients.find(|(_, client)| !client.is_fully_answered());
         let fault = unanswered.map(|(conn, client)| {
             format!(
-                "{conn:?}: {} bytes read, {} replies, closed {}",
-                client.read, client.replies, client.is_closed
+                "{conn:?}: {} bytes read, {} replies, closed: {}",
+                client.read_bytes, client.reply_count, client.is_closed
             )
         });
         drop(clients);
-        self.open.clear();
-        // A half-close would leave what its client still sends without a reply.
+        self.open_commands.clear();
+        // The connection must be closed completely: after a half-close, commands that the client still sends would get no reply.
         fault.or(self
             .has_connections()
-            .then(|| "a connection is open though its client has read its end".into()))
+            .then(|| "a connection is still open although its client has read its end".into()))
     }
 }
 
 #[test]
-fn shutdown_in_any_order_of_events_then_all_that_was_read_is_answered_before_the_close() {
+fn shutdown_in_any_order_of_events_then_commands_that_were_read_answered_before_the_close() {
     let mut harness = Harness::new();
     for seed in 0..10_000 {
-        let fault = harness.play_shutdown(seed);
+        let fault = harness.simulate_shutdown(seed);
         assert!(
             fault.is_none(),
             "seed {seed}: {}",
--- a/crates/resp-gateway/src/sessions/test_support.rs
+++ b/crates/resp-gateway/src/sessions/test_support.rs
@@ -1,13 +1,14 @@
-//! What the tests of client sessions share: a loop whose clock they lead, and connections to it.
+//! Test support shared by the tests of client sessions: an event loop with a controlled clock, and connections to it.
 
 use chalkdeck_net::clock::{Clock, Jumps};
 use chalkdeck_net::{ConnId, Engine, Event, Limits};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 
-/// A loop that listens on a free port, with its clock in hand.
+/// An event loop that listens on a free port.
 pub(super) struct TestLoop {
     pub(super) engine: Engine,
+    /// Advances the loop's clock.
     pub(super) jumps: Arc<Jumps>,
     address: SocketAddr,
 }
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Connects a client and turns the loop until it has accepted it.
+    /// Connects a client and runs the loop until the connection is accepted.
     pub(super) fn connect(&mut self) -> (TcpStream, ConnId) {
         let stream = TcpStream::connect(self.address).expect("a connection");
         loop {
--- a/crates/resp-gateway/src/sessions/tests.rs
+++ b/crates/resp-gateway/src/sessions/tests.rs
@@ -6,10 +6,11 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
+/// One second, in microseconds.
 const SECOND: i64 = 1_000_000;
 const PING: &[u8] = b"*1\r\n$4\r\nPING\r\n";
 
-/// The sessions of a gateway with one client, and the clock in hand.
+/// The sessions of a gateway with one client, on a controlled clock.
 struct Fixture {
     test_loop: TestLoop,
     sessions: Sessions,
@@ -53,21 +54,21 @@
         Some(command.slot)
     }
 
-    /// Queues a value of this length as the reply.
+    /// Queues a value of `value_bytes` bytes as the reply.
     fn reply(&mut self, slot: ReplySlot, value_bytes: usize) {
         let value = Frame::BulkString(vec![b'v'; value_bytes].into());
         self.sessions.reply(self.conn, slot, value);
         self.sessions.flush(&mut self.test_loop.engine, self.conn);
     }
 
-    /// A command is received and answered; the reply is queued.
-    fn answer_one(&mut self, value_bytes: usize) {
+    /// Receives a command and queues the reply to it.
+    fn receive_and_reply(&mut self, value_bytes: usize) {
         self.receive(PING);
-        let slot = self.next_slot().expect("a whole command");
+        let slot = self.next_slot().expect("a complete command");
         self.reply(slot, value_bytes);
     }
 
-    /// Whether the connection is closed by a sweep after so many microseconds.
+    /// Advances the clock and sweeps; returns whether the connection is closed.
     fn is_closed_by_sweep_after(&mut self, micros: i64) -> bool {
         self.test_loop.jumps.jump(micros);
         self.sessions.sweep(&mut self.test_loop.engine);
@@ -79,16 +80,16 @@
 #[test]
 fn reply_queued_in_this_turn_then_not_counted_as_unread() {
     let mut fixture = Fixture::new();
-    fixture.answer_one(4);
+    fixture.receive_and_reply(4);
     assert!(
         !fixture.is_closed_by_sweep_after(0),
-        "closed over its first reply"
+        "closed before its first reply could be written"
     );
     let mut received = [0; 10];
     fixture
         .client
         .read_exact(&mut received)
-        .expect("the whole reply");
+        .expect("the complete reply");
     assert_eq!(&received, b"$4\r\nvvvv\r\n");
 }
 
@@ -97,16 +98,16 @@
     let mut fixture = Fixture::new();
     assert!(!fixture.is_closed_by_sweep_after(0));
     fixture.test_loop.jumps.jump(9 * SECOND);
-    fixture.answer_one(32 << 20);
+    fixture.receive_and_reply(32 << 20);
     fixture.turn();
     assert!(
         !fixture.is_closed_by_sweep_after(2 * SECOND),
-        "the last sweep before was long ago"
+        "closed although the reply was queued only 2 s ago, because the previous sweep was long ago"
     );
     assert!(!fixture.is_closed_by_sweep_after(9 * SECOND));
     assert!(
         fixture.is_closed_by_sweep_after(2 * SECOND),
-        "it never accepted a byte"
+        "open although the client has accepted no byte within the write time-out"
     );
 }
 
@@ -129,29 +130,29 @@
         }
         assert!(
             !fixture.is_closed_by_sweep_after(4 * SECOND),
-            "it read {read} bytes since the last sweep"
+            "closed although the client read {read} bytes since the previous sweep"
         );
     }
 }
 
 #[test]
-fn bytes_wait_unread_while_the_loop_stood_still_then_client_not_timed_out() {
+fn bytes_wait_unread_while_the_loop_is_stalled_then_client_not_timed_out() {
     let mut fixture = Fixture::new();
-    fixture.client.write_all(PING).expect("it is sent");
+    fixture.client.write_all(PING).expect("the command is sent");
     while fixture.test_loop.engine.is_quiet(fixture.conn) {}
     assert!(
         !fixture.is_closed_by_sweep_after(3 * SECOND),
-        "closed with a command waiting"
+        "closed with an unread command in the socket"
     );
     let mut silent = Fixture::new();
     assert!(
         silent.is_closed_by_sweep_after(3 * SECOND),
-        "it never sent a byte"
+        "open although the client never sent a byte"
     );
 }
 
 #[test]
-fn first_command_trickles_in_then_closed_after_the_command_timeout() {
+fn first_command_arrives_too_slowly_then_closed_after_the_command_timeout() {
     let mut fixture = Fixture::new();
     for byte in b"*1" {
         assert!(!fixture.is_closed_by_sweep_after(900_000));
@@ -159,6 +160,6 @@
     }
     assert!(
         fixture.is_closed_by_sweep_after(300_000),
-        "its first command is still incomplete"
+        "open although the first command is incomplete after the time-out"
     );
 }
