--- a/crates/resp-gateway/tests/common/mod.rs
+++ b/crates/resp-gateway/tests/common/mod.rs
@@ -1,7 +1,8 @@
-//! A gateway with clients, endpoints, a counter and a discovery agent that tests control, all run by one thread on loopback.
+//! Test harness: a gateway with clients, endpoints, a counter and a discovery agent that the test controls. All of them run on one
+//! thread and connect over loopback.
 #![allow(
     dead_code,
-    reason = "each test program uses a part of what all of them share"
+    reason = "each test program uses only a part of this module"
 )]
 
 use bytes::{Bytes, BytesMut};
@@ -17,8 +18,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A test fails when it waits for longer.
+/// The longest wait for a condition, after which a test fails.
 const MAX_WAIT: Duration = Duration::from_secs(20);
+/// The size limits of the commands that the fake endpoints and the fake counter receive.
 const LIMITS: MessageLimits = MessageLimits {
     max_elements: 16,
     max_element_bytes: 1 << 20,
@@ -26,9 +28,10 @@
     max_message_bytes: 2 << 20,
     accepts_inline: true,
 };
+/// One second, in microseconds.
 pub const SECOND: i64 = 1_000_000;
 
-/// An endpoint of the list.
+/// An endpoint in the list of the discovery agent.
 #[derive(Clone)]
 pub struct Entry {
     pub name: String,
@@ -41,29 +44,29 @@
     pub engine: Engine,
     pub gateway: GatewayServer,
     pub file: PathBuf,
-    /// Moves the gateway's clock.
+    /// Advances the gateway's clock.
     pub jumps: Arc<Jumps>,
-    /// Bytes that were received on a connection and not taken yet.
+    /// The bytes received on each connection that the test has not consumed yet.
     pub received: HashMap<ConnId, BytesMut>,
-    /// The listener that accepted a connection.
+    /// The listener that accepted each connection.
     pub listener_of: HashMap<ConnId, ListenerId>,
     pub connected: HashSet<ConnId>,
     pub closed: HashSet<ConnId>,
     pub endpoints: Vec<(ListenerId, SocketAddr)>,
     pub counter: (ListenerId, SocketAddr),
     pub discovery: (ListenerId, SocketAddr),
-    /// The complete list that discovery sends next.
+    /// The complete list that the discovery agent sends next.
     pub list: Vec<Entry>,
-    pub index: u64,
-    /// The version of the list that was sent last on each connection; a poll waits until there is a newer one.
-    published: HashMap<ConnId, u64>,
+    pub list_version: u64,
+    /// The version of the list that was sent last on each connection; a long poll is held until there is a newer one.
+    sent_versions: HashMap<ConnId, u64>,
     /// The totals of the counter by key.
     pub totals: HashMap<Bytes, f64>,
-    /// The counter is silent.
+    /// Whether the counter does not respond.
     pub counter_is_silent: bool,
-    /// Discovery is silent.
+    /// Whether the discovery agent does not respond.
     pub discovery_is_silent: bool,
-    pub counter_calls: usize,
+    pub counter_call_count: usize,
 }
 
 fn listen(engine: &mut Engine) -> (ListenerId, SocketAddr) {
@@ -73,9 +76,9 @@
         .expect("a free port")
 }
 
-/// Limits small enough for tests of what is bounded.
-pub const SMALL: &str = r#"{"cores":1.0,"memory_mb":32,"sockets":96}"#;
-pub const WIDE: &str = r#"{"cores":1.0,"memory_mb":192,"sockets":1024}"#;
+/// Resource limits small enough for tests to reach them.
+pub const SMALL_LIMITS: &str = r#"{"cores":1.0,"memory_mb":32,"sockets":96}"#;
+pub const LARGE_LIMITS: &str = r#"{"cores":1.0,"memory_mb":192,"sockets":1024}"#;
 
 pub fn config(listen: &str, discovery: SocketAddr, counter: SocketAddr, limits: &str) -> String {
     format!(
@@ -93,34 +96,34 @@
 }
 
 impl Harness {
-    /// So many endpoints, all listed and ready.
-    pub fn new(endpoints: usize, limits: &str) -> Harness {
-        Harness::configured(endpoints, limits, |text| text)
+    /// Starts a gateway with this number of endpoints, all listed and ready.
+    pub fn new(endpoint_count: usize, limits: &str) -> Harness {
+        Harness::with_config(endpoint_count, limits, |text| text)
     }
 
-    /// The same with a configuration that is edited before the gateway reads it.
-    pub fn configured(endpoints: usize, limits: &str, edit: fn(String) -> String) -> Harness {
+    /// Starts a gateway as `new` does, with a configuration that `edit` has changed.
+    pub fn with_config(endpoint_count: usize, limits: &str, edit: fn(String) -> String) -> Harness {
         let mut engine = Engine::new().expect("a poll handle");
-        let endpoints: Vec<_> = (0..endpoints).map(|_| listen(&mut engine)).collect();
+        let endpoints: Vec<_> = (0..endpoint_count).map(|_| listen(&mut engine)).collect();
         let (counter, discovery) = (listen(&mut engine), listen(&mut engine));
-        static NEXT: AtomicU32 = AtomicU32::new(0);
+        static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
         let name = format!(
             "chalkdeck-platform-{}-{}.json",
             std::process::id(),
-            NEXT.fetch_add(1, Ordering::Relaxed)
+            NEXT_NUMBER.fetch_add(1, Ordering::Relaxed)
         );
         let file = std::env::temp_dir().join(name);
         let text = edit(config("127.0.0.1:0", discovery.1, counter.1, limits));
         std::fs::write(&file, text).expect("a temporary file");
         let jumps = Arc::<Jumps>::default();
-        let set = Config::load(&file).expect("a sound configuration");
-        let gateway = GatewayServer::start_with_clock(set, Clock::jumping(jumps.clone()))
+        let config = Config::load(&file).expect("a valid configuration");
+        let gateway = GatewayServer::start_with_clock(config, Clock::jumping(jumps.clone()))
             .expect("a free port");
         let list = endpoints.iter().enumerate();
         let list = list
-            .map(|(i, b)| Entry {
+            .map(|(i, endpoint)| Entry {
                 name: format!("s-{i}"),
-                address: b.1,
+                address: endpoint.1,
                 status: "ready",
             })
             .collect();
@@ -137,15 +140,18 @@
             counter,
             discovery,
             list,
-            index: 1,
-            published: HashMap::new(),
+            list_version: 1,
+            sent_versions: HashMap::new(),
             totals: HashMap::new(),
             counter_is_silent: false,
             discovery_is_silent: false,
-            counter_calls: 0,
+            counter_call_count: 0,
         };
-        harness.wait_for("the list is told", |s| {
-            s.published.values().any(|v| *v == s.index).then_some(())
+        harness.wait_for("the list is sent", |h| {
+            h.sent_versions
+                .values()
+                .any(|v| *v == h.list_version)
+                .then_some(())
         });
         harness
     }
@@ -155,7 +161,7 @@
         self.run_peers();
     }
 
-    /// Runs the peers while the gateway's loop stands still: what they write waits in its sockets and is handled in one batch.
+    /// Runs the peers but not the gateway's event loop, so that the gateway handles everything that they write in one batch later.
     pub fn run_peers_only(&mut self) {
         for _ in 0..20 {
             self.run_peers();
@@ -184,36 +190,39 @@
         self.run_discovery();
     }
 
-    /// Turns until something holds.
+    /// Runs turns until `condition` returns a value; `what` describes it.
     pub fn wait_for<T>(
         &mut self,
         what: &str,
         mut condition: impl FnMut(&mut Harness) -> Option<T>,
     ) -> T {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         loop {
             if let Some(found) = condition(self) {
                 return found;
             }
-            assert!(begun.elapsed() < MAX_WAIT, "waited in vain: {what}");
+            assert!(
+                started_at.elapsed() < MAX_WAIT,
+                "timed out waiting until {what}"
+            );
             self.turn();
         }
     }
 
-    /// Turns often enough for anything under way to have crossed the loopback.
+    /// Runs enough turns for everything that was written to be received and handled.
     pub fn settle(&mut self) {
         for _ in 0..200 {
             self.turn();
         }
     }
 
-    /// Waits for a call to the silent counter; returns its connection.
-    pub fn counter_call(&mut self) -> ConnId {
+    /// Waits for a call to the counter, which has to be silent; returns the connection.
+    pub fn wait_for_counter_call(&mut self) -> ConnId {
         let counter = self.counter.0;
-        self.wait_for("the counter is called", |s| {
-            s.conns_of(counter)
+        self.wait_for("the counter is called", |h| {
+            h.conns_of(counter)
                 .into_iter()
-                .find(|conn| s.next_command(*conn).is_some())
+                .find(|conn| h.next_command(*conn).is_some())
         })
     }
 
@@ -241,7 +250,7 @@
                     .expect("a number");
                 let total = self.totals.entry(words[1].clone()).or_default();
                 *total += amount;
-                self.counter_calls += 1;
+                self.counter_call_count += 1;
                 let text = total.to_string();
                 let reply = format!("${}\r\n{text}\r\n", text.len());
                 self.engine.write(conn, reply.as_bytes());
@@ -251,16 +260,17 @@
 
     fn run_discovery(&mut self) {
         for conn in self.conns_of(self.discovery.0) {
-            let asked = self
+            let has_request = self
                 .received
                 .get(&conn)
-                .is_some_and(|b| b.ends_with(b"\r\n\r\n"));
-            let is_newer = self.published.get(&conn) != Some(&self.index);
-            if self.discovery_is_silent || !asked || !is_newer || self.closed.contains(&conn) {
+                .is_some_and(|bytes| bytes.ends_with(b"\r\n\r\n"));
+            let is_newer = self.sent_versions.get(&conn) != Some(&self.list_version);
+            if self.discovery_is_silent || !has_request || !is_newer || self.closed.contains(&conn)
+            {
                 continue;
             }
             self.received.remove(&conn);
-            self.published.insert(conn, self.index);
+            self.sent_versions.insert(conn, self.list_version);
             let body = self.list_body();
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
             self.engine.write(conn, (head + &body).as_bytes());
@@ -269,32 +279,33 @@
 
     fn list_body(&self) -> String {
         let mut entries = String::new();
-        for e in &self.list {
+        for entry in &self.list {
             let comma = if entries.is_empty() { "" } else { "," };
             let _ = write!(
                 entries,
                 r#"{comma}{{"name":"{}","address":"{}","zone":"a","type":"m","group":0,"status":"{}","weight":1.0,"since_ms":0}}"#,
-                e.name, e.address, e.status
+                entry.name, entry.address, entry.status
             );
         }
         format!(
             r#"{{"index":{},"snapshot":true,"endpoints":[{entries}]}}"#,
-            self.index
+            self.list_version
         )
     }
 
-    /// Tells a new list and waits until the gateway has asked for the one after it.
+    /// Publishes a new list and waits until the gateway has requested the next one, which shows that it has applied this one.
     pub fn publish(&mut self, list: Vec<Entry>) {
-        (self.list, self.index) = (list, self.index + 1);
-        self.wait_for("the list is taken", |s| {
-            let told: Vec<ConnId> = s
-                .published
+        (self.list, self.list_version) = (list, self.list_version + 1);
+        self.wait_for("the list is applied", |h| {
+            let conns: Vec<ConnId> = h
+                .sent_versions
                 .iter()
-                .filter(|(_, v)| **v == s.index)
+                .filter(|(_, v)| **v == h.list_version)
                 .map(|(c, _)| *c)
                 .collect();
-            told.into_iter()
-                .find(|c| s.received.get(c).is_some_and(|b| b.ends_with(b"\r\n\r\n")))
+            conns
+                .into_iter()
+                .find(|c| h.received.get(c).is_some_and(|b| b.ends_with(b"\r\n\r\n")))
                 .map(|_| ())
         });
     }
@@ -304,8 +315,8 @@
             .engine
             .connect_raw(self.gateway.local_address())
             .expect("a socket");
-        self.wait_for("a client connects", |s| {
-            s.connected.contains(&conn).then_some(())
+        self.wait_for("a client connects", |h| {
+            h.connected.contains(&conn).then_some(())
         });
         conn
     }
@@ -314,24 +325,24 @@
         self.engine.write(conn, bytes);
     }
 
-    /// Sends a request; `list` is what follows class and plan.
-    pub fn send_request(&mut self, conn: ConnId, id: &str, list: &str) {
-        let (name, body): (&[u8], &[&[&[u8]]]) = if list.contains("c=view") {
+    /// Sends a request with this list of fields.
+    pub fn send_request(&mut self, conn: ConnId, id: &str, fields: &str) {
+        let (verb, body): (&[u8], &[&[&[u8]]]) = if fields.contains("c=view") {
             (b"API.READ", &[])
         } else {
             (b"API.WRITE", &[&[b"body"]])
         };
         let mut words: Vec<&[&[u8]]> = Vec::new();
-        let (name, customer) = ([name], [&b"00000000b4d65521"[..]]);
-        let (id, list) = ([id.as_bytes()], [list.as_bytes()]);
-        words.extend([&name[..], &customer[..], &id[..], &list[..]]);
+        let (verb, customer) = ([verb], [&b"00000000b4d65521"[..]]);
+        let (id, fields) = ([id.as_bytes()], [fields.as_bytes()]);
+        words.extend([&verb[..], &customer[..], &id[..], &fields[..]]);
         words.extend(body);
         let mut out = BytesMut::new();
         encode_command(&mut out, &words);
         self.engine.write(conn, &out);
     }
 
-    /// The next whole command on a connection.
+    /// Takes the next complete command off a connection.
     pub fn next_command(&mut self, conn: ConnId) -> Option<Vec<Bytes>> {
         match take_command(self.received.get_mut(&conn)?, &LIMITS) {
             ParsedCommand::Complete(words) => Some(words),
@@ -339,14 +350,17 @@
         }
     }
 
-    /// Waits for a command at any endpoint.
+    /// Waits for an attempt to arrive at any endpoint.
     pub fn next_attempt(&mut self) -> (ConnId, Vec<Bytes>) {
-        self.wait_for("a command comes to an endpoint", Harness::try_next_attempt)
+        self.wait_for(
+            "an attempt arrives at an endpoint",
+            Harness::try_next_attempt,
+        )
     }
 
-    /// A command that came to any endpoint.
+    /// An attempt that has arrived at any endpoint: its connection and the words of its command.
     pub fn try_next_attempt(&mut self) -> Option<(ConnId, Vec<Bytes>)> {
-        let listeners: Vec<ListenerId> = self.endpoints.iter().map(|b| b.0).collect();
+        let listeners: Vec<ListenerId> = self.endpoints.iter().map(|e| e.0).collect();
         let conns: Vec<ConnId> = listeners
             .into_iter()
             .flat_map(|l| self.conns_of(l))
@@ -356,29 +370,30 @@
             .find_map(|conn| self.next_command(conn).map(|words| (conn, words)))
     }
 
-    /// Waits for a line or a whole served value that a client hears: the bytes as they came.
-    pub fn expect_received(&mut self, conn: ConnId, want: &str) {
-        let heard = |s: &Harness| {
-            s.received
+    /// Waits until the bytes received on a connection contain `expected`, then discards all of them.
+    pub fn expect_received(&mut self, conn: ConnId, expected: &str) {
+        let received = |h: &Harness| {
+            h.received
                 .get(&conn)
                 .map(|b| String::from_utf8_lossy(b).into_owned())
                 .unwrap_or_default()
         };
-        let begun = Instant::now();
-        while !heard(self).contains(want) {
+        let started_at = Instant::now();
+        while !received(self).contains(expected) {
             assert!(
-                begun.elapsed() < MAX_WAIT,
-                "a client hears {want:?}, heard {:?}",
-                heard(self)
+                started_at.elapsed() < MAX_WAIT,
+                "expected to receive {expected:?}, received {:?}",
+                received(self)
             );
             self.turn();
         }
         self.received.remove(&conn);
     }
 
-    /// A request that is served: asked, answered with the value by whichever endpoint it came to, heard. Returns its connection.
-    pub fn serve_one(&mut self, client: ConnId, id: &str, list: &str, value: &str) -> ConnId {
-        self.send_request(client, id, list);
+    /// Sends a request, replies with the value at whichever endpoint it arrives, and waits until the client has received it. Returns the
+    /// connection to the endpoint.
+    pub fn serve_request(&mut self, client: ConnId, id: &str, fields: &str, value: &str) -> ConnId {
+        self.send_request(client, id, fields);
         let (endpoint, _) = self.next_attempt();
         self.reply_served(endpoint, value);
         self.expect_received(client, &format!("${}\r\n{value}\r\n", value.len()));
--- a/crates/resp-gateway/tests/endings.rs
+++ b/crates/resp-gateway/tests/endings.rs
@@ -4,12 +4,12 @@
 mod common;
 
 use chalkdeck_net::ConnId;
-use common::{Harness, SECOND, SMALL, WIDE};
+use common::{Harness, LARGE_LIMITS, SECOND, SMALL_LIMITS};
 
 const VIEW: &str = "c=view,t=team,d=2000,units=1,spread=3,first=1";
 const SALE: &str = "c=sale,t=team,d=2000,units=1,spread=3,first=1";
 const PING: &[u8] = b"*1\r\n$4\r\nPING\r\n";
-/// Clients that a gateway with the limits `SMALL` holds, and those that it takes in beyond before one has to go.
+/// Clients that a gateway with the limits `SMALL_LIMITS` holds, and those that it takes in beyond before one has to go.
 const CLIENTS: usize = 35;
 const CLIENTS_BEYOND: usize = 8;
 
@@ -37,7 +37,7 @@
 #[test]
 fn client_of_a_paused_connection_disconnects_then_its_attempts_cancelled() {
     for behind in [0, 40] {
-        let mut harness = Harness::new(40, WIDE);
+        let mut harness = Harness::new(40, LARGE_LIMITS);
         let client = harness.connect_client();
         for i in 0..64 + behind {
             harness.send_request(client, &format!("a{i}"), VIEW);
@@ -66,7 +66,7 @@
 
 #[test]
 fn request_in_the_batch_of_an_idle_close_then_served() {
-    let mut harness = Harness::new(1, WIDE);
+    let mut harness = Harness::new(1, LARGE_LIMITS);
     let client = pinged(&mut harness);
     harness.send_request(client, "b1", VIEW);
     harness.run_peers_only();
@@ -78,7 +78,7 @@
 
 #[test]
 fn request_in_the_batch_of_an_eviction_then_another_connection_evicted() {
-    let mut harness = Harness::new(1, SMALL);
+    let mut harness = Harness::new(1, SMALL_LIMITS);
     let clients: Vec<ConnId> = (0..CLIENTS).map(|_| pinged(&mut harness)).collect();
     harness.jumps.jump(100_000);
     harness.send_request(clients[0], "c1", VIEW);
@@ -90,8 +90,8 @@
     let (endpoint, _) = harness.next_attempt();
     harness.reply_served(endpoint, "kept");
     harness.expect_received(clients[0], "$4\r\nkept\r\n");
-    harness.wait_for("another one makes room", |s| {
-        s.closed.contains(&clients[1]).then_some(())
+    harness.wait_for("another one makes room", |h| {
+        h.closed.contains(&clients[1]).then_some(())
     });
     harness.write(new, PING);
     harness.expect_received(new, "+PONG");
@@ -99,7 +99,7 @@
 
 #[test]
 fn client_within_a_command_then_an_idle_one_evicted_instead() {
-    let mut harness = Harness::new(1, SMALL);
+    let mut harness = Harness::new(1, SMALL_LIMITS);
     let clients: Vec<ConnId> = (0..CLIENTS).map(|_| pinged(&mut harness)).collect();
     harness.write(clients[0], b"*1\r\n$4\r\nPI");
     harness.settle();
@@ -109,8 +109,8 @@
         .iter()
         .for_each(|c| harness.expect_received(*c, "+PONG"));
     let new = harness.connect_client();
-    harness.wait_for("one makes room", |s| {
-        clients.iter().any(|c| s.closed.contains(c)).then_some(())
+    harness.wait_for("one makes room", |h| {
+        clients.iter().any(|c| h.closed.contains(c)).then_some(())
     });
     harness.write(clients[0], b"NG\r\n");
     harness.expect_received(clients[0], "+PONG");
@@ -120,7 +120,7 @@
 
 #[test]
 fn reply_in_the_batch_of_its_timeout_then_served() {
-    let mut harness = Harness::new(1, WIDE);
+    let mut harness = Harness::new(1, LARGE_LIMITS);
     let client = harness.connect_client();
     harness.send_request(client, "d1", SALE);
     let (endpoint, _) = harness.next_attempt();
@@ -132,13 +132,13 @@
 
 #[test]
 fn late_second_reply_in_the_batch_of_a_reuse_then_connection_not_reused() {
-    let mut harness = Harness::new(1, WIDE);
+    let mut harness = Harness::new(1, LARGE_LIMITS);
     let client = harness.connect_client();
-    let kept = harness.serve_one(client, "e1", VIEW, "one");
+    let kept = harness.serve_request(client, "e1", VIEW, "one");
     harness.jumps.jump(SECOND);
     harness.counter_is_silent = true;
     harness.send_request(client, "e2", VIEW);
-    let asked = harness.counter_call();
+    let asked = harness.wait_for_counter_call();
     // Both are read in one turn, the counter's answer first: it sends the request on.
     harness.write(asked, b"$1\r\n1\r\n");
     harness.run_peers_only();
@@ -153,9 +153,9 @@
 
 #[test]
 fn request_within_the_settle_time_then_connection_not_reused() {
-    let mut harness = Harness::new(1, WIDE);
+    let mut harness = Harness::new(1, LARGE_LIMITS);
     let client = harness.connect_client();
-    let kept = harness.serve_one(client, "k1", VIEW, "one");
+    let kept = harness.serve_request(client, "k1", VIEW, "one");
     harness.jumps.jump(4_000);
     harness.send_request(client, "k2", VIEW);
     let (other, _) = harness.next_attempt();
@@ -168,7 +168,7 @@
 
 #[test]
 fn command_waited_unread_then_its_timeout_counts_from_the_pause() {
-    let mut harness = Harness::new(40, WIDE);
+    let mut harness = Harness::new(40, LARGE_LIMITS);
     let client = harness.connect_client();
     for i in 0..70 {
         harness.send_request(client, &format!("f{i}"), VIEW);
@@ -188,8 +188,8 @@
         .iter()
         .for_each(|(endpoint, _)| harness.reply_served(*endpoint, "done"));
     // A command that comes when nothing waits has all its time.
-    harness.wait_for("all are answered", |s| {
-        let heard = s
+    harness.wait_for("all are answered", |h| {
+        let heard = h
             .received
             .get(&client)
             .map_or(0, |b| b.iter().filter(|c| **c == b'$').count());
@@ -210,7 +210,7 @@
     const ORDER: &str = "c=order,t=team,d=2000,k=5c0f,units=1,spread=3,first=1";
     let narrow = |text: String| text.replace(r#""window":3000000"#, r#""window":400000"#);
     for (after, again) in [(50_000, true), (200_000, false)] {
-        let mut harness = Harness::configured(2, WIDE, narrow);
+        let mut harness = Harness::with_config(2, LARGE_LIMITS, narrow);
         let client = harness.connect_client();
         harness.send_request(client, "i1", ORDER);
         let (endpoint, _) = harness.next_attempt();
@@ -236,7 +236,7 @@
     // Calls to the counter wait for long, so that all clients are owed an answer for as long as the test wants.
     let patient =
         |text: String| text.replace(r#""count_limit":80000"#, r#""count_limit":60000000"#);
-    let mut harness = Harness::configured(4, SMALL, patient);
+    let mut harness = Harness::with_config(4, SMALL_LIMITS, patient);
     harness.counter_is_silent = true;
     for i in 0..CLIENTS + CLIENTS_BEYOND {
         let client = harness.connect_client();
@@ -255,17 +255,17 @@
     harness.jumps.jump(430_000);
     harness.settle();
     harness.counter_is_silent = false;
-    let heard = harness.wait_for("it is answered or closed", |s| {
-        while let Some((endpoint, _)) = s.try_next_attempt() {
-            s.reply_served(endpoint, "done");
+    let heard = harness.wait_for("it is answered or closed", |h| {
+        while let Some((endpoint, _)) = h.try_next_attempt() {
+            h.reply_served(endpoint, "done");
         }
-        let heard = s.received.get(&waits).map(|b| b.to_vec());
-        heard.or_else(|| s.closed.contains(&waits).then(Vec::new))
+        let heard = h.received.get(&waits).map(|b| b.to_vec());
+        heard.or_else(|| h.closed.contains(&waits).then(Vec::new))
     });
     assert!(
         heard.starts_with(b"$4\r\ndone") || heard.starts_with(b"-BUSY"),
         "{}",
         heard.escape_ascii()
     );
-    harness.wait_for("all is over", |s| s.gateway.is_shut_down().then_some(()));
+    harness.wait_for("all is over", |h| h.gateway.is_shut_down().then_some(()));
 }
--- a/crates/resp-gateway/tests/world/mod.rs
+++ b/crates/resp-gateway/tests/world/mod.rs
@@ -2,7 +2,7 @@
 
 mod peers;
 
-use crate::common::{config, WIDE};
+use crate::common::{config, LARGE_LIMITS};
 use chalkdeck_net::clock::{Clock, Jumps};
 use chalkdeck_resp_gateway::{Config, GatewayServer};
 use fastrand::Rng;
@@ -76,7 +76,12 @@
         ));
         std::fs::write(
             &file,
-            config("127.0.0.1:0", discovery.address(), counter.address(), WIDE),
+            config(
+                "127.0.0.1:0",
+                discovery.address(),
+                counter.address(),
+                LARGE_LIMITS,
+            ),
         )
         .expect("a temporary file");
         let jumps = Arc::<Jumps>::default();
