--- /dev/null
+++ b/crates/resp-gateway/tests/random_event_sequences.rs
@@ -0,0 +1,49 @@
+//! Simulates random sequences of events from clients, endpoints, the counter, discovery and signals, and checks that the gateway handles
+//! each request correctly. A failure names the seed of its sequence:
+//! `ORDER_SEED=n cargo test -p chalkdeck-resp-gateway --test random_event_sequences` repeats that sequence, after the earlier ones on the
+//! same gateway.
+
+mod common;
+mod simulation;
+
+use simulation::Simulation;
+
+/// The number of sequences, and of threads that share them.
+const SEQUENCE_COUNT: u64 = 10_000;
+const THREAD_COUNT: u64 = 4;
+/// The number of sequences that run on one gateway before it is replaced by a new one.
+const SEQUENCES_PER_GATEWAY: u64 = 50;
+
+/// Runs the sequences of one gateway. A gateway that was shut down is replaced by a new one.
+fn run_sequences(seeds: impl Iterator<Item = u64>) {
+    let mut simulation = Simulation::new();
+    for seed in seeds {
+        if simulation.is_shutting_down() {
+            simulation = Simulation::new();
+        }
+        if let Err(fault) = simulation.run_sequence(seed) {
+            panic!("ORDER_SEED={seed}: {fault}");
+        }
+    }
+}
+
+#[test]
+fn every_request_read_then_answered_once_unless_its_client_disconnected() {
+    if let Some(seed) = std::env::var("ORDER_SEED")
+        .ok()
+        .and_then(|text| text.parse::<u64>().ok())
+    {
+        return run_sequences(seed - seed % SEQUENCES_PER_GATEWAY..=seed);
+    }
+    let gateway_count = SEQUENCE_COUNT / SEQUENCES_PER_GATEWAY;
+    std::thread::scope(|scope| {
+        for thread in 0..THREAD_COUNT {
+            scope.spawn(move || {
+                for gateway in (0..gateway_count).filter(|g| g % THREAD_COUNT == thread) {
+                    let first_seed = gateway * SEQUENCES_PER_GATEWAY;
+                    run_sequences(first_seed..first_seed + SEQUENCES_PER_GATEWAY);
+                }
+            });
+        }
+    });
+}
--- a/crates/resp-gateway/tests/world/peers.rs
+++ b/crates/resp-gateway/tests/simulation/peers.rs
@@ -1,4 +1,4 @@
-//! Peers of a gateway on plain sockets: each acts only when the test makes it act.
+//! Simulated peers of a gateway on non-blocking sockets. Each acts only when the test calls it.
 
 use super::Class;
 use bytes::BytesMut;
@@ -31,7 +31,7 @@
     Some(stream)
 }
 
-/// Reads what was received; returns whether the connection is still open.
+/// Reads all received bytes; returns whether the connection is still open.
 fn read(stream: &mut TcpStream, bytes: &mut BytesMut) -> bool {
     let mut chunk = [0; 4_096];
     loop {
@@ -45,20 +45,22 @@
     }
 }
 
-fn reset(stream: &TcpStream) {
+/// Makes the close of the connection send a reset.
+fn reset_on_close(stream: &TcpStream) {
     let _ = socket2::SockRef::from(stream).set_linger(Some(std::time::Duration::ZERO));
 }
 
-/// A client and its commands that have no answer yet.
+/// A client.
 #[derive(Debug)]
 pub struct Client {
     stream: TcpStream,
     received: BytesMut,
+    /// The ids of the requests that have no reply yet, in the order in which they were sent.
     pending: VecDeque<String>,
-    /// The rest of a command that was written in part, with its id.
+    /// The id and the unwritten rest of a command that was written in part.
     unwritten: Option<(String, BytesMut)>,
-    closed: bool,
-    unreadable: Option<String>,
+    is_closed: bool,
+    protocol_error: Option<String>,
 }
 
 impl Client {
@@ -71,17 +73,17 @@
             received: BytesMut::new(),
             pending: VecDeque::new(),
             unwritten: None,
-            closed: false,
-            unreadable: None,
+            is_closed: false,
+            protocol_error: None,
         }
     }
 
-    /// Writes a request, or the first part of one; whether it went out whole.
-    pub fn ask(&mut self, id: &str, class: Class, in_part: bool) -> bool {
+    /// Writes the command of a request, or only its first half; returns whether it was written completely.
+    pub fn send_request(&mut self, id: &str, class: Class, is_partial: bool) -> bool {
         if self.unwritten.is_some() {
-            self.finish();
+            self.finish_command();
         }
-        let (verb, list, body): (&[u8], &[u8], &[u8]) = match class {
+        let (verb, fields, body): (&[u8], &[u8], &[u8]) = match class {
             Class::View => (
                 b"API.READ",
                 b"c=view,t=team,d=2000,units=1,spread=3,first=1",
@@ -98,13 +100,13 @@
                 b"body",
             ),
         };
-        let words = [verb, b"00000000b4d65521", id.as_bytes(), list, body].map(|word| [word]);
+        let words = [verb, b"00000000b4d65521", id.as_bytes(), fields, body].map(|word| [word]);
         let words: Vec<&[&[u8]]> = words.iter().map(|word| &word[..]).collect();
-        let count = if class == Class::View { 4 } else { 5 };
+        let word_count = if class == Class::View { 4 } else { 5 };
         let mut command = BytesMut::new();
-        encode_command(&mut command, &words[..count]);
+        encode_command(&mut command, &words[..word_count]);
         self.pending.push_back(id.to_string());
-        if in_part {
+        if is_partial {
             let unwritten = command.split_off(command.len() / 2);
             let _ = self.stream.write_all(&command);
             self.unwritten = Some((id.to_string(), unwritten));
@@ -114,67 +116,72 @@
         true
     }
 
-    /// Writes the rest of a command that was written in part; returns its id.
-    pub fn finish(&mut self) -> Option<String> {
+    /// Writes the rest of a command that was written in part; returns the id of its request.
+    pub fn finish_command(&mut self) -> Option<String> {
         let (id, unwritten) = self.unwritten.take()?;
         let _ = self.stream.write_all(&unwritten);
         Some(id)
     }
 
+    /// Ends the connection by a reset, a half-close followed by a close, or a close.
     pub fn disconnect(self, rng: &mut Rng) {
         match rng.u8(..3) {
-            0 => reset(&self.stream),
+            0 => reset_on_close(&self.stream),
             1 => drop(self.stream.shutdown(Shutdown::Write)),
             _ => {}
         }
     }
 
-    /// The answers that came, by their requests.
-    pub fn answers(&mut self) -> Vec<(String, String)> {
-        let open = read(&mut self.stream, &mut self.received);
-        let mut answers = Vec::new();
-        while self.unreadable.is_none() {
-            let answer = match take_reply(&mut self.received, &LIMITS) {
+    /// Takes the replies that were received, each with the id of its request.
+    pub fn take_replies(&mut self) -> Vec<(String, String)> {
+        let is_open = read(&mut self.stream, &mut self.received);
+        let mut replies = Vec::new();
+        while self.protocol_error.is_none() {
+            let reply = match take_reply(&mut self.received, &LIMITS) {
                 ParsedReply::Incomplete => break,
                 ParsedReply::Complete(Frame::BulkString(value)) => {
                     format!("served {}", String::from_utf8_lossy(&value))
                 }
                 ParsedReply::Complete(Frame::Error(line)) => line.to_string(),
                 other => {
-                    self.unreadable = Some(format!("a client cannot read {other:?}"));
+                    self.protocol_error = Some(format!("a client received {other:?}"));
                     break;
                 }
             };
             match self.pending.pop_front() {
-                Some(id) => answers.push((id, answer)),
-                None => self.unreadable = Some(format!("no command waits for {answer}")),
+                Some(id) => replies.push((id, reply)),
+                None => self.protocol_error = Some(format!("no command is pending for {reply}")),
             }
         }
-        self.closed |= !open;
-        answers
+        self.is_closed |= !is_open;
+        replies
     }
 
-    pub fn unreadable(&mut self) -> Option<String> {
-        self.unreadable.take()
+    pub fn take_protocol_error(&mut self) -> Option<String> {
+        self.protocol_error.take()
     }
 
     pub fn is_closed(&self) -> bool {
-        self.closed
+        self.is_closed
     }
 
-    /// Commands that went out whole and have no answer.
+    /// The ids of the requests that were written completely and have no reply.
     pub fn unanswered(&self) -> impl Iterator<Item = &String> {
-        let partial = self.unwritten.as_ref().map(|(id, _)| id);
-        self.pending.iter().filter(move |id| Some(*id) != partial)
+        let partial_id = self.unwritten.as_ref().map(|(id, _)| id);
+        self.pending
+            .iter()
+            .filter(move |id| Some(*id) != partial_id)
     }
 }
 
-/// An attempt that arrived complete at an endpoint.
+/// An attempt that arrived completely at an endpoint.
 #[derive(Clone, Debug)]
 pub struct Attempt {
+    /// The id of its request.
     pub id: String,
+    /// The index of the endpoint.
     pub endpoint: usize,
-    connection: u64,
+    connection_key: u64,
 }
 
 struct Connection {
@@ -185,20 +192,20 @@
 
 /// An endpoint.
 pub struct Endpoint {
-    place: usize,
+    index: usize,
     listener: TcpListener,
     connections: Vec<Connection>,
-    next: u64,
+    last_key: u64,
     pub draining_since: Option<u64>,
 }
 
 impl Endpoint {
-    pub fn new(place: usize) -> Endpoint {
+    pub fn new(index: usize) -> Endpoint {
         Endpoint {
-            place,
+            index,
             listener: listen(),
             connections: Vec::new(),
-            next: 0,
+            last_key: 0,
             draining_since: None,
         }
     }
@@ -207,7 +214,8 @@
         self.draining_since.is_some()
     }
 
-    fn entry(&self) -> String {
+    /// The entry of the endpoint in the list of the discovery agent.
+    fn list_entry(&self) -> String {
         let status = if self.is_draining() {
             "draining"
         } else {
@@ -216,15 +224,16 @@
         let address = self.listener.local_addr().expect("its address");
         format!(
             r#"{{"name":"s-{}","address":"{address}","zone":"a","group":0,"status":"{status}"}}"#,
-            self.place
+            self.index
         )
     }
 
-    pub fn arrivals(&mut self) -> Vec<Attempt> {
+    /// Takes the attempts that have arrived.
+    pub fn take_arrivals(&mut self) -> Vec<Attempt> {
         while let Some(stream) = accept(&self.listener) {
-            self.next += 1;
+            self.last_key += 1;
             self.connections.push(Connection {
-                key: self.next,
+                key: self.last_key,
                 stream,
                 bytes: BytesMut::new(),
             });
@@ -237,8 +246,8 @@
                 let id = String::from_utf8_lossy(&words[2]).into_owned();
                 attempts.push(Attempt {
                     id,
-                    endpoint: self.place,
-                    connection: connection.key,
+                    endpoint: self.index,
+                    connection_key: connection.key,
                 });
             }
         }
@@ -246,50 +255,51 @@
     }
 
     fn take_connection(&mut self, attempt: &Attempt) -> Option<Connection> {
-        let place = self
+        let index = self
             .connections
             .iter()
-            .position(|c| c.key == attempt.connection)?;
-        Some(self.connections.swap_remove(place))
+            .position(|c| c.key == attempt.connection_key)?;
+        Some(self.connections.swap_remove(index))
     }
 
     fn write(&mut self, attempt: &Attempt, bytes: &[u8]) {
         let connection = self
             .connections
             .iter_mut()
-            .find(|c| c.key == attempt.connection);
+            .find(|c| c.key == attempt.connection_key);
         connection
             .into_iter()
             .for_each(|c| drop(c.stream.write_all(bytes)));
     }
 
-    fn reply(id: &str) -> Vec<u8> {
+    /// The reply that serves a request; its value is the id of the request.
+    fn served_reply(id: &str) -> Vec<u8> {
         format!("*3\r\n${}\r\n{id}\r\n$-1\r\n$-1\r\n", id.len()).into_bytes()
     }
 
-    pub fn serve(&mut self, attempt: &Attempt) {
-        self.write(attempt, &Endpoint::reply(&attempt.id));
+    pub fn reply_served(&mut self, attempt: &Attempt) {
+        self.write(attempt, &Endpoint::served_reply(&attempt.id));
     }
 
-    /// Answers in any way; whether it says that the attempt never ran.
-    pub fn answer(&mut self, attempt: &Attempt, rng: &mut Rng) -> bool {
-        let whole = Endpoint::reply(&attempt.id);
+    /// Sends a random reply, valid or not, or closes the connection; returns whether the attempt was rejected, so that it never ran.
+    pub fn reply_randomly(&mut self, attempt: &Attempt, rng: &mut Rng) -> bool {
+        let reply = Endpoint::served_reply(&attempt.id);
         match rng.u8(..10) {
-            0..4 => self.write(attempt, &whole),
+            0..4 => self.write(attempt, &reply),
             4 => {
                 self.write(attempt, b"-BUSY\r\n");
                 return true;
             }
             5 => self.write(attempt, b"-ERR failed\r\n"),
             6 => self.write(attempt, b"$9\r\nnoise\r\n\x00"),
-            // A second answer right behind the first.
-            7 => self.write(attempt, &whole.repeat(2)),
-            // Half an answer, then a reset.
+            // A duplicate reply directly after the first.
+            7 => self.write(attempt, &reply.repeat(2)),
+            // Half of a reply, then a reset.
             8 => {
-                self.write(attempt, &whole[..whole.len() / 2]);
+                self.write(attempt, &reply[..reply.len() / 2]);
                 self.take_connection(attempt)
                     .into_iter()
-                    .for_each(|c| reset(&c.stream));
+                    .for_each(|c| reset_on_close(&c.stream));
             }
             _ => drop(self.take_connection(attempt)),
         }
@@ -297,9 +307,10 @@
     }
 }
 
-/// The counter: totals do not matter here, only whether calls are answered.
+/// A counter that replies to each call with the same total, since only the presence of replies matters here.
 pub struct Counter {
     listener: TcpListener,
+    /// Each connection with its received bytes and its number of calls without a reply.
     connections: Vec<(TcpStream, BytesMut, usize)>,
 }
 
@@ -319,67 +330,72 @@
         while let Some(stream) = accept(&self.listener) {
             self.connections.push((stream, BytesMut::new(), 0));
         }
-        self.connections.retain_mut(|(stream, bytes, calls)| {
-            let open = read(stream, bytes);
+        self.connections.retain_mut(|(stream, bytes, pending)| {
+            let is_open = read(stream, bytes);
             while let ParsedCommand::Complete(_) = take_command(bytes, &LIMITS) {
-                *calls += 1;
+                *pending += 1;
             }
-            open
+            is_open
         });
     }
 
-    pub fn answer_all(&mut self) {
-        for (stream, _, calls) in &mut self.connections {
-            (0..std::mem::take(calls)).for_each(|_| drop(stream.write_all(b"$1\r\n1\r\n")));
+    pub fn reply_to_all(&mut self) {
+        for (stream, _, pending) in &mut self.connections {
+            (0..std::mem::take(pending)).for_each(|_| drop(stream.write_all(b"$1\r\n1\r\n")));
         }
     }
 
-    pub fn act(&mut self, rng: &mut Rng) {
-        let Some(place) =
+    /// Replies to all calls, sends an invalid or an incomplete reply on a random connection, or resets that connection.
+    pub fn act_randomly(&mut self, rng: &mut Rng) {
+        let Some(index) =
             (!self.connections.is_empty()).then(|| rng.usize(..self.connections.len()))
         else {
             return;
         };
         match rng.u8(..8) {
-            0..5 => self.answer_all(),
-            5 => drop(self.connections[place].0.write_all(b"$5\r\nnoise\r\n")),
-            6 => drop(self.connections[place].0.write_all(b"$4\r\n1")),
+            0..5 => self.reply_to_all(),
+            5 => drop(self.connections[index].0.write_all(b"$5\r\nnoise\r\n")),
+            6 => drop(self.connections[index].0.write_all(b"$4\r\n1")),
             _ => {
-                let (stream, ..) = self.connections.swap_remove(place);
-                reset(&stream);
+                let (stream, ..) = self.connections.swap_remove(index);
+                reset_on_close(&stream);
             }
         }
     }
 }
 
-/// How discovery writes a response.
+/// How the discovery agent responds to a request.
 #[derive(Clone, Copy)]
-enum ResponseForm {
-    Length,
-    EndsWithConnection,
-    BrokenOff,
+enum ResponseMode {
+    /// A complete response with a stated length.
+    WithLength,
+    /// A complete response that ends with the connection.
+    CloseDelimited,
+    /// Half of a response, then a reset.
+    Truncated,
+    /// No response.
     Silent,
 }
 
-/// The discovery agent, which answers a poll once the list has changed.
+/// The discovery agent, which holds a long poll until the list has changed.
 pub struct Discovery {
     listener: TcpListener,
     connections: Vec<(TcpStream, BytesMut)>,
-    index: u64,
-    form: ResponseForm,
-    /// The turn of the gateway's loop after which it first asked for what follows the present list, so that it has applied that list.
-    acknowledged_in: Option<u64>,
+    version: u64,
+    mode: ResponseMode,
+    /// The turn by which the gateway had first requested the successor of the current list, so that it had applied the current one.
+    list_applied_by: Option<u64>,
 }
 
 impl Discovery {
     pub fn new() -> Discovery {
-        let form = ResponseForm::Length;
+        let mode = ResponseMode::WithLength;
         Discovery {
             listener: listen(),
             connections: Vec::new(),
-            index: 1,
-            form,
-            acknowledged_in: None,
+            version: 1,
+            mode,
+            list_applied_by: None,
         }
     }
 
@@ -387,48 +403,49 @@
         self.listener.local_addr().expect("its address")
     }
 
-    /// The list is another one from here on; its first response may have any form.
-    pub fn change(&mut self, rng: &mut Rng) {
-        self.index += 1;
-        self.acknowledged_in = None;
-        self.form = rng
+    /// Publishes a new version of the list, with a random mode for the first response.
+    pub fn publish_change(&mut self, rng: &mut Rng) {
+        self.version += 1;
+        self.list_applied_by = None;
+        self.mode = rng
             .choice([
-                ResponseForm::Length,
-                ResponseForm::EndsWithConnection,
-                ResponseForm::BrokenOff,
-                ResponseForm::Silent,
+                ResponseMode::WithLength,
+                ResponseMode::CloseDelimited,
+                ResponseMode::Truncated,
+                ResponseMode::Silent,
             ])
             .expect("one of four");
     }
 
-    /// The turn of the gateway's loop after which it had certainly applied the present list.
-    pub fn acknowledged_in(&self) -> Option<u64> {
-        self.acknowledged_in
+    /// The turn of the gateway's event loop by which it had certainly applied the current list.
+    pub fn list_applied_by(&self) -> Option<u64> {
+        self.list_applied_by
     }
 
+    /// Responds to requests for a list that the caller does not hold yet; `turn` is the number of turns that the gateway has run.
     pub fn serve(&mut self, endpoints: &[Endpoint], turn: u64) {
         while let Some(stream) = accept(&self.listener) {
             self.connections.push((stream, BytesMut::new()));
         }
-        let entries: Vec<String> = endpoints.iter().map(Endpoint::entry).collect();
+        let entries: Vec<String> = endpoints.iter().map(Endpoint::list_entry).collect();
         let body = format!(
             r#"{{"index":{},"snapshot":true,"endpoints":[{}]}}"#,
-            self.index,
+            self.version,
             entries.join(",")
         );
-        let (mut open, known) = (Vec::new(), format!("since={}&", self.index));
+        let (mut open, current) = (Vec::new(), format!("since={}&", self.version));
         for (mut stream, mut bytes) in std::mem::take(&mut self.connections) {
             if !read(&mut stream, &mut bytes) {
                 continue;
             }
-            let asked = bytes.ends_with(b"\r\n\r\n");
-            let pending = bytes
-                .windows(known.len())
-                .any(|part| part == known.as_bytes());
-            if pending {
-                self.acknowledged_in.get_or_insert(turn);
+            let has_request = bytes.ends_with(b"\r\n\r\n");
+            let holds_current = bytes
+                .windows(current.len())
+                .any(|part| part == current.as_bytes());
+            if holds_current {
+                self.list_applied_by.get_or_insert(turn);
             }
-            if asked && !pending {
+            if has_request && !holds_current {
                 bytes.clear();
                 if !self.respond(&mut stream, &body) {
                     continue;
@@ -439,25 +456,25 @@
         self.connections = open;
     }
 
-    /// Returns whether the connection goes on. Each other form is used once, then responses are complete and have a length.
+    /// Responds in the current mode and resets the mode to `WithLength`. Returns whether the connection stays open.
     fn respond(&mut self, stream: &mut TcpStream, body: &str) -> bool {
         let with_length = format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         );
         let without_length = format!("HTTP/1.1 200 OK\r\n\r\n{body}");
-        match std::mem::replace(&mut self.form, ResponseForm::Length) {
-            ResponseForm::Length => stream.write_all(with_length.as_bytes()).is_ok(),
-            ResponseForm::EndsWithConnection => {
+        match std::mem::replace(&mut self.mode, ResponseMode::WithLength) {
+            ResponseMode::WithLength => stream.write_all(with_length.as_bytes()).is_ok(),
+            ResponseMode::CloseDelimited => {
                 let _ = stream.write_all(without_length.as_bytes());
                 false
             }
-            ResponseForm::BrokenOff => {
+            ResponseMode::Truncated => {
                 let _ = stream.write_all(&with_length.as_bytes()[..with_length.len() / 2]);
-                reset(stream);
+                reset_on_close(stream);
                 false
             }
-            ResponseForm::Silent => true,
+            ResponseMode::Silent => true,
         }
     }
 }
