--- a/crates/resp-gateway/tests/peers.rs
+++ b/crates/resp-gateway/tests/peers.rs
@@ -1,4 +1,4 @@
-//! What endpoints, the counter and discovery do to a gateway.
+//! Tests of a gateway's behaviour towards endpoints, the counter and discovery, and of reloads and shutdowns.
 
 mod common;
 
@@ -9,7 +9,7 @@
 
 #[test]
 fn invalid_reply_then_attempt_may_have_run_and_connection_closed() {
-    for spoilt in [
+    for invalid in [
         &b"\x00\xffnoise\r\n"[..],
         b"$3000000000\r\nxxxx",
         b"*3\r\n$5\r\nab\r\n$-1\r\n$-1\r\n",
@@ -20,10 +20,10 @@
     ] {
         let mut harness = Harness::new(2, LARGE_LIMITS);
         let client = harness.connect_client();
-        // Unsafe: neither sent again nor refused once it may have run.
+        // A request that is not idempotent is neither retried nor rejected once it may have run.
         harness.send_request(client, "a1", SALE);
         let (endpoint, _) = harness.next_attempt();
-        harness.write(endpoint, spoilt);
+        harness.write(endpoint, invalid);
         harness.expect_received(client, "-ERR failed\r\n");
         harness.wait_for("the connection is closed", |h| {
             h.closed.contains(&endpoint).then_some(())
@@ -31,12 +31,12 @@
         assert!(
             harness.try_next_attempt().is_none(),
             "{} led to a second attempt",
-            spoilt.escape_ascii()
+            invalid.escape_ascii()
         );
-        // Safe to repeat: it goes again.
+        // An idempotent request is retried.
         harness.send_request(client, "a2", VIEW);
         let (endpoint, _) = harness.next_attempt();
-        harness.write(endpoint, spoilt);
+        harness.write(endpoint, invalid);
         let (endpoint, words) = harness.next_attempt();
         assert_eq!(&words[2][..], b"a2");
         harness.reply_served(endpoint, "again");
@@ -45,18 +45,18 @@
 }
 
 #[test]
-fn endless_line_then_rejected_before_it_is_buffered() {
+fn line_longer_than_the_limit_then_rejected_before_it_is_buffered() {
     let mut harness = Harness::new(1, LARGE_LIMITS);
     let client = harness.connect_client();
     harness.send_request(client, "a1", SALE);
     let (endpoint, _) = harness.next_attempt();
     harness.write(endpoint, &[b'-'; 4 << 10]);
-    // Long before its deadline, by which it would be given up in any case.
-    let closed = (0..5_000).any(|_| {
+    // The connection must be closed long before the deadline of the attempt, which would close it anyway.
+    let is_closed = (0..5_000).any(|_| {
         harness.turn();
         harness.closed.contains(&endpoint)
     });
-    assert!(closed, "it was waited on");
+    assert!(is_closed, "the gateway waits for the end of the line");
     harness.expect_received(client, "-ERR failed\r\n");
 }
 
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn valid_reply_with_more_behind_it_then_served_and_connection_closed() {
+fn valid_reply_followed_by_more_bytes_then_served_and_connection_closed() {
     let mut harness = Harness::new(1, LARGE_LIMITS);
     let client = harness.connect_client();
     harness.send_request(client, "b1", VIEW);
@@ -90,7 +90,7 @@
     assert_eq!(
         harness.received.get(&client).map_or(0, |b| b.len()),
         0,
-        "once"
+        "the client received more than one reply"
     );
 }
 
@@ -99,7 +99,7 @@
     let mut harness = Harness::new(1, LARGE_LIMITS);
     let client = harness.connect_client();
     let endpoint = harness.serve_request(client, "c1", VIEW, "one");
-    // A second copy that comes late.
+    // A late duplicate of the reply.
     harness.reply_served(endpoint, "one");
     harness.wait_for("the connection is closed", |h| {
         h.closed.contains(&endpoint).then_some(())
@@ -115,20 +115,20 @@
 fn idle_connection_then_reused_unless_it_ended() {
     let mut harness = Harness::new(1, LARGE_LIMITS);
     let client = harness.connect_client();
-    let mut last = None;
+    let mut last_used = None;
     for i in 0..3 {
         harness.send_request(client, &format!("d{i}"), SALE);
         let (endpoint, _) = harness.next_attempt();
         assert!(
-            last.is_none_or(|b| b == endpoint),
-            "the connection is used again"
+            last_used.is_none_or(|b| b == endpoint),
+            "the idle connection was not reused"
         );
         harness.reply_served(endpoint, "ok");
         harness.expect_received(client, "$2\r\nok\r\n");
         harness.jumps.jump(10_000);
-        last = Some(endpoint);
+        last_used = Some(endpoint);
     }
-    let ended = last.expect("it was used");
+    let ended = last_used.expect("a connection was used");
     harness.engine.close(ended);
     harness.send_request(client, "d9", SALE);
     let (endpoint, _) = harness.next_attempt();
@@ -141,13 +141,13 @@
 fn endpoint_closes_idle_connections_unseen_then_keep_alive_shortened() {
     let mut harness = Harness::new(1, LARGE_LIMITS);
     let client = harness.connect_client();
-    let serve = |harness: &mut Harness, id: &str, rest: i64| {
+    let serve_and_idle = |harness: &mut Harness, id: &str, idle_micros: i64| {
         let endpoint = harness.serve_request(client, id, VIEW, "ok");
-        harness.jumps.jump(rest);
+        harness.jumps.jump(idle_micros);
         endpoint
     };
-    let first = serve(&mut harness, "o1", 400_000);
-    // It goes out on the kept connection, which breaks at once: it went unseen that its endpoint had closed it.
+    let first = serve_and_idle(&mut harness, "o1", 400_000);
+    // The request is sent on the idle connection and reset at once, as if the endpoint had already closed it.
     harness.send_request(client, "o2", VIEW);
     let (stale, _) = harness.next_attempt();
     assert_eq!(stale, first);
@@ -156,23 +156,30 @@
     harness.reply_served(second, "ok");
     harness.expect_received(client, "$2\r\nok\r\n");
     harness.jumps.jump(400_000);
-    let third = serve(&mut harness, "o3", 20_000);
-    assert_ne!(third, second, "unused for as long as the one that broke");
-    let fourth = serve(&mut harness, "o4", 0);
-    assert_eq!(fourth, third, "unused for a short while");
+    let third = serve_and_idle(&mut harness, "o3", 20_000);
+    assert_ne!(
+        third, second,
+        "a connection was reused after being idle as long as the one that was reset"
+    );
+    let fourth = serve_and_idle(&mut harness, "o4", 0);
+    assert_eq!(
+        fourth, third,
+        "a connection that was idle for a short time was not reused"
+    );
 }
 
 #[test]
-fn connection_broken_after_the_last_byte_then_may_have_run_and_refused_then_never_ran() {
+fn connection_closed_after_the_last_byte_then_request_failed_and_connection_refused_then_rejected()
+{
     let mut harness = Harness::new(1, LARGE_LIMITS);
     let client = harness.connect_client();
     harness.send_request(client, "e1", SALE);
     let (endpoint, _) = harness.next_attempt();
     harness.engine.close(endpoint);
     harness.expect_received(client, "-ERR failed\r\n");
-    // Nobody listens there any more: nothing ran, so an unsafe request may be refused.
-    let gone = harness.endpoints[0].0;
-    harness.engine.unlisten(gone);
+    // The endpoint refuses connections, so the request never ran and may be rejected although it is not idempotent.
+    let listener = harness.endpoints[0].0;
+    harness.engine.unlisten(listener);
     harness.jumps.jump(2 * SECOND);
     harness.send_request(client, "e2", SALE);
     harness.expect_received(client, "-BUSY");
@@ -185,7 +192,7 @@
     harness.send_request(client, "f1", SALE);
     let (endpoint, _) = harness.next_attempt();
     harness.write(endpoint, b"-BUSY\r\n");
-    // Turned away unseen: it may go again, even an unsafe one.
+    // The rejected attempt never ran, so even a request that is not idempotent may be retried.
     let (endpoint, words) = harness.next_attempt();
     assert_eq!(&words[2][..], b"f1");
     harness.reply_served(endpoint, "ok");
@@ -210,24 +217,24 @@
     let mut harness = Harness::new(1, LARGE_LIMITS);
     let client = harness.connect_client();
     let tiny = "c=view,t=tiny,d=2000,units=2,spread=3,first=1";
-    harness.serve_request(client, "h1", tiny, "in");
+    harness.serve_request(client, "h1", tiny, "ok");
     assert_eq!(
         harness.counter_call_count, 1,
-        "one add before it was sent on"
+        "one counter call before the request is forwarded"
     );
     harness.send_request(client, "h2", tiny);
     harness.expect_received(client, "-BUSY ");
-    // Another customer's first request while the counter answers noise: its local share decides.
+    // The first request of another customer, with an invalid reply of the counter, is admitted by the gateway's local share.
     harness.counter_is_silent = true;
-    let other = "*4\r\n$8\r\nAPI.READ\r\n$16\r\n0000000000000007\r\n$2\r\nh3\r\n$45\r\nc=view,t=team,d=2000,units=1,spread=3,first=1\r\n";
-    harness.write(client, other.as_bytes());
+    let command = "*4\r\n$8\r\nAPI.READ\r\n$16\r\n0000000000000007\r\n$2\r\nh3\r\n$45\r\nc=view,t=team,d=2000,units=1,spread=3,first=1\r\n";
+    harness.write(client, command.as_bytes());
     let conn = harness.wait_for_counter_call();
     harness.write(conn, b"$4\r\nnoise");
     harness.write(conn, b"\r\n");
     let (endpoint, _) = harness.next_attempt();
     harness.reply_served(endpoint, "own");
     harness.expect_received(client, "$3\r\nown\r\n");
-    harness.wait_for("that connection is closed", |h| {
+    harness.wait_for("the counter's connection is closed", |h| {
         h.closed.contains(&conn).then_some(())
     });
 }
@@ -238,7 +245,7 @@
     let client = harness.connect_client();
     harness.counter_is_silent = true;
     harness.send_request(client, "i1", VIEW);
-    harness.wait_for("the call is under way", |h| {
+    harness.wait_for("the counter is called", |h| {
         let counter = h.counter.0;
         h.listener_of
             .iter()
@@ -246,26 +253,29 @@
             .then_some(())
     });
     let counter = harness.counter.0;
-    let calls = |h: &Harness| {
+    let counter_conns = |h: &Harness| {
         h.listener_of
             .iter()
             .filter(|(_, l)| **l == counter)
             .map(|(c, _)| *c)
             .collect::<Vec<_>>()
     };
-    let silent = calls(&harness);
+    let silent = counter_conns(&harness);
     harness.jumps.jump(100_000);
     let (endpoint, _) = harness.next_attempt();
     harness.reply_served(endpoint, "own");
     harness.expect_received(client, "$3\r\nown\r\n");
-    harness.wait_for("the silent one is let go", |h| {
+    harness.wait_for("the silent connection is closed", |h| {
         silent.iter().all(|c| h.closed.contains(c)).then_some(())
     });
     // The next call takes a new connection and is answered there.
     harness.counter_is_silent = false;
     silent.iter().for_each(|c| drop(harness.received.remove(c)));
-    harness.serve_request(client, "i2", VIEW, "heard");
-    assert!(harness.counter_call_count >= 1 && calls(&harness).iter().any(|c| !silent.contains(c)));
+    harness.serve_request(client, "i2", VIEW, "next");
+    assert!(
+        harness.counter_call_count >= 1
+            && counter_conns(&harness).iter().any(|c| !silent.contains(c))
+    );
 }
 
 #[test]
@@ -275,7 +285,7 @@
     harness.counter_is_silent = true;
     harness.send_request(client, "p1", VIEW);
     let conn = harness.wait_for_counter_call();
-    // More is announced than ever comes.
+    // The reply states a length of which only a part is sent.
     harness.write(conn, b"$400\r\n1");
     harness.settle();
     harness.jumps.jump(100_000);
@@ -283,33 +293,33 @@
     harness.reply_served(endpoint, "own");
     harness.expect_received(client, "$3\r\nown\r\n");
     harness.counter_is_silent = false;
-    let before = harness.counter_call_count;
+    let calls_before = harness.counter_call_count;
     harness.send_request(client, "p2", VIEW);
     harness.wait_for("the next call takes another connection", |h| {
-        (h.counter_call_count > before).then_some(())
+        (h.counter_call_count > calls_before).then_some(())
     });
     let (endpoint, _) = harness.next_attempt();
-    harness.reply_served(endpoint, "heard");
-    harness.expect_received(client, "$5\r\nheard\r\n");
+    harness.reply_served(endpoint, "later");
+    harness.expect_received(client, "$5\r\nlater\r\n");
     assert!(harness.closed.contains(&conn));
 }
 
 #[test]
-fn endpoint_drains_then_no_new_attempts_and_renamed_then_another_endpoint() {
+fn endpoint_drains_then_no_new_attempts_and_endpoint_renamed_then_its_connections_closed() {
     let mut harness = Harness::new(2, LARGE_LIMITS);
     let client = harness.connect_client();
     let mut list = harness.list.clone();
     list[0].status = "draining";
     harness.publish(list);
-    let drained = harness.endpoints[0].0;
+    let draining = harness.endpoints[0].0;
     for i in 0..4 {
         harness.send_request(client, &format!("j{i}"), VIEW);
         let (endpoint, _) = harness.next_attempt();
-        assert_ne!(harness.listener_of[&endpoint], drained);
+        assert_ne!(harness.listener_of[&endpoint], draining);
         harness.reply_served(endpoint, "ok");
         harness.expect_received(client, "$2\r\nok\r\n");
     }
-    let kept: Vec<_> = harness
+    let idle: Vec<_> = harness
         .listener_of
         .iter()
         .filter(|(_, l)| **l == harness.endpoints[1].0)
@@ -321,21 +331,22 @@
         address,
         status: "ready",
     }]);
-    harness.wait_for("connections to the old one go", |h| {
-        kept.iter().all(|c| h.closed.contains(c)).then_some(())
-    });
+    harness.wait_for(
+        "connections to the endpoint under its old name are closed",
+        |h| idle.iter().all(|c| h.closed.contains(c)).then_some(()),
+    );
     harness.send_request(client, "k1", VIEW);
     let (endpoint, _) = harness.next_attempt();
-    assert!(!kept.contains(&endpoint));
+    assert!(!idle.contains(&endpoint));
     harness.reply_served(endpoint, "new");
     harness.expect_received(client, "$3\r\nnew\r\n");
 }
 
 #[test]
-fn invalid_list_then_last_good_one_stays_and_silent_agent_then_connected_again() {
+fn invalid_list_then_last_valid_one_stays_and_silent_agent_then_reconnected() {
     let mut harness = Harness::new(1, LARGE_LIMITS);
     let discovery = harness.discovery.0;
-    let watch = |h: &Harness| {
+    let discovery_conn = |h: &Harness| {
         let mut open: Vec<_> = h
             .listener_of
             .iter()
@@ -345,26 +356,28 @@
         open.sort_unstable();
         open.pop()
     };
-    for broken in [
+    for invalid in [
         "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{]",
         "nonsense\r\n\r\n",
     ] {
-        let conn = harness.wait_for("a watch waits", |h| {
-            watch(h).filter(|c| h.received.get(c).is_some_and(|b| !b.is_empty()))
+        let conn = harness.wait_for("a long poll arrives", |h| {
+            discovery_conn(h).filter(|c| h.received.get(c).is_some_and(|b| !b.is_empty()))
         });
-        harness.write(conn, broken.as_bytes());
-        harness.wait_for("it is dialled again", |h| {
+        harness.write(conn, invalid.as_bytes());
+        harness.wait_for("the gateway closes the connection", |h| {
             h.closed.contains(&conn).then_some(())
         });
         harness.jumps.jump(200_000);
-        harness.wait_for("and asked again", |h| watch(h).filter(|c| *c != conn));
+        harness.wait_for("the gateway reconnects", |h| {
+            discovery_conn(h).filter(|c| *c != conn)
+        });
     }
-    let conn = harness.wait_for("a watch waits", |h| {
-        watch(h).filter(|c| h.received.get(c).is_some_and(|b| !b.is_empty()))
+    let conn = harness.wait_for("a long poll arrives", |h| {
+        discovery_conn(h).filter(|c| h.received.get(c).is_some_and(|b| !b.is_empty()))
     });
     harness.jumps.jump(3 * SECOND);
-    harness.wait_for("a silent agent is dialled again", |h| {
+    harness.wait_for("the connection to the silent agent is closed", |h| {
         h.closed.contains(&conn).then_some(())
     });
     let client = harness.connect_client();
@@ -372,7 +385,7 @@
 }
 
 #[test]
-fn reload_then_discovery_and_counter_move_and_invalid_file_then_nothing_changes() {
+fn reload_then_new_addresses_of_discovery_and_counter_used_and_invalid_file_then_ignored() {
     let mut harness = Harness::new(1, LARGE_LIMITS);
     let client = harness.connect_client();
     harness.send_request(client, "m1", VIEW);
@@ -396,19 +409,19 @@
     harness.gateway.reload();
     harness.reply_served(endpoint, "kept");
     harness.expect_received(client, "$4\r\nkept\r\n");
-    let (old, before) = (harness.discovery.0, harness.counter_call_count);
+    let (old_discovery, calls_before) = (harness.discovery.0, harness.counter_call_count);
     (harness.counter, harness.discovery) = (counter, discovery);
-    harness.wait_for("the new one is asked", |h| {
+    harness.wait_for("the gateway connects to the new discovery agent", |h| {
         h.listener_of
             .values()
             .any(|l| *l == discovery.0)
             .then_some(())
     });
-    assert!(harness.listener_of.values().any(|l| *l == old));
+    assert!(harness.listener_of.values().any(|l| *l == old_discovery));
     harness.serve_request(client, "m2", VIEW, "moved");
     assert!(
-        harness.counter_call_count > before,
-        "the new counter was called"
+        harness.counter_call_count > calls_before,
+        "the new counter was not called"
     );
 }
 
@@ -421,13 +434,13 @@
     harness.send_request(busy, "n1", VIEW);
     let (endpoint, _) = harness.next_attempt();
     harness.gateway.shut_down();
-    // New ones still come and are served.
+    // New connections are still accepted and served.
     let late = harness.connect_client();
     harness.serve_request(late, "n2", VIEW, "late");
     assert!(!harness.gateway.is_shut_down());
     harness.jumps.jump(600_000);
     assert!(!harness.gateway.is_shut_down(), "a request is open");
-    harness.wait_for("idle ones are let go", |h| {
+    harness.wait_for("idle connections are closed", |h| {
         (h.closed.contains(&idle) && h.closed.contains(&late)).then_some(())
     });
     assert!(!harness.closed.contains(&busy));
@@ -449,24 +462,24 @@
     harness.send_request(busy, "n1", &sale);
     harness.next_attempt();
     harness.gateway.shut_down();
-    // On a connection that is never between two requests, with endpoints that are silent.
-    let mut waits = Vec::new();
-    for (after, id) in [(600_000, "n2"), (400_000, "n3")] {
-        harness.jumps.jump(after);
+    // The connection always has a pending request, so it is not closed; the endpoints do not reply.
+    let mut timeouts = Vec::new();
+    for (sent_after, id) in [(600_000, "n2"), (400_000, "n3")] {
+        harness.jumps.jump(sent_after);
         harness.send_request(busy, id, &sale);
         let (_, words) = harness.next_attempt();
-        let list = String::from_utf8_lossy(&words[3]).into_owned();
-        let wait = list
+        let fields = String::from_utf8_lossy(&words[3]).into_owned();
+        let timeout = fields
             .split(',')
             .find_map(|p| p.strip_prefix("d=")?.parse::<u64>().ok());
-        waits.push(wait.expect("it states the time"));
+        timeouts.push(timeout.expect("a time-out"));
     }
-    // The second's own time would be over 4 s after the stop; the platform's patience ends at 3.7 s.
-    assert!(waits[0] > 2_800 && waits[1] <= 2_640, "{waits:?}");
-    // 3.45 s after the stop: the first has failed at its deadline, two are open.
+    // By its own time-out the second request would end 4 s after the shutdown began, but the platform kills the process after 3.7 s.
+    assert!(timeouts[0] > 2_800 && timeouts[1] <= 2_640, "{timeouts:?}");
+    // 3.45 s after the shutdown began, the first request has failed at its deadline and the other two are open.
     harness.jumps.jump(2_450_000);
     harness.expect_received(busy, "-ERR failed\r\n");
-    assert!(!harness.gateway.is_shut_down(), "two that it took are open");
+    assert!(!harness.gateway.is_shut_down(), "two requests are open");
     harness.jumps.jump(200_000);
     harness.expect_received(busy, "-ERR failed\r\n-ERR failed\r\n");
     harness.wait_for("all is over", |h| h.gateway.is_shut_down().then_some(()));
@@ -478,7 +491,7 @@
     let (discovery, counter) = (harness.discovery.0, harness.counter.0);
     harness.engine.unlisten(discovery);
     harness.engine.unlisten(counter);
-    let known = format!(
+    let initial_list = format!(
         r#""known":{{"index":4,"snapshot":true,"endpoints":[{{"name":"s-0","address":"{}","status":"ready"}}]}},"settings""#,
         harness.endpoints[0].1
     );
@@ -488,10 +501,11 @@
         harness.counter.1,
         LARGE_LIMITS,
     )
-    .replacen("\"settings\"", &known, 1);
+    .replacen("\"settings\"", &initial_list, 1);
     std::fs::write(&harness.file, text).expect("the file");
-    let set = chalkdeck_resp_gateway::Config::load(&harness.file).expect("a sound configuration");
-    harness.gateway = chalkdeck_resp_gateway::GatewayServer::start(set).expect("a free port");
+    let config =
+        chalkdeck_resp_gateway::Config::load(&harness.file).expect("a valid configuration");
+    harness.gateway = chalkdeck_resp_gateway::GatewayServer::start(config).expect("a free port");
     let client = harness.connect_client();
     harness.serve_request(client, "q1", VIEW, "known");
 }
@@ -502,7 +516,7 @@
     harness.list_version = 50;
     harness.publish(harness.list.clone());
     let discovery = harness.discovery.0;
-    let watch = |h: &Harness| {
+    let discovery_conn = |h: &Harness| {
         let open = h
             .listener_of
             .iter()
@@ -511,17 +525,17 @@
             .max()
             .filter(|c| h.received.get(c).is_some_and(|b| !b.is_empty()))
     };
-    let conn = harness.wait_for("a watch waits", |h| watch(h));
+    let conn = harness.wait_for("a long poll arrives", |h| discovery_conn(h));
     harness.discovery_is_silent = true;
-    // Changes to an older version: not built on, the whole list is asked for.
+    // Changes to an older version are not applied; the complete list is requested instead.
     let body = r#"{"index":3,"snapshot":false,"endpoints":[{"name":"s-0","address":"127.0.0.1:1","status":"gone"}]}"#;
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
     harness.write(conn, (head + body).as_bytes());
-    harness.wait_for("it is dialled again", |h| {
+    harness.wait_for("the gateway closes the connection", |h| {
         h.closed.contains(&conn).then_some(())
     });
     harness.jumps.jump(200_000);
-    let asked = harness.wait_for("and asked again", |h| {
+    let request = harness.wait_for("the gateway sends a new request", |h| {
         let open = h
             .listener_of
             .iter()
@@ -533,7 +547,7 @@
         text.ends_with(b"\r\n\r\n").then_some(text)
     });
     assert!(
-        asked.starts_with(b"GET /v1/endpoints HTTP/1.1\r\n"),
-        "the whole list"
+        request.starts_with(b"GET /v1/endpoints HTTP/1.1\r\n"),
+        "the complete list was not requested"
     );
 }
