--- a/crates/resp-gateway/tests/random_event_sequences.rs
+++ b/crates/resp-gateway/tests/random_event_sequences.rs
@@ -8,9 +8,9 @@
 
 use simulation::Simulation;
 
-/// The number of sequences, and of threads that share them.
-const SEQUENCE_COUNT: u64 = 10_000;
-const THREAD_COUNT: u64 = 4;
+/// The number of sequences that are run, and of the threads that share them.
+const SEQUENCES: u64 = 10_000;
+const THREADS: u64 = 4;
 /// The number of sequences that run on one gateway before it is replaced by a new one.
 const SEQUENCES_PER_GATEWAY: u64 = 50;
 
@@ -35,13 +35,13 @@
     {
         return run_sequences(seed - seed % SEQUENCES_PER_GATEWAY..=seed);
     }
-    let gateway_count = SEQUENCE_COUNT / SEQUENCES_PER_GATEWAY;
+    let gateways = SEQUENCES / SEQUENCES_PER_GATEWAY;
     std::thread::scope(|scope| {
-        for thread in 0..THREAD_COUNT {
+        for thread in 0..THREADS {
             scope.spawn(move || {
-                for gateway in (0..gateway_count).filter(|g| g % THREAD_COUNT == thread) {
-                    let first_seed = gateway * SEQUENCES_PER_GATEWAY;
-                    run_sequences(first_seed..first_seed + SEQUENCES_PER_GATEWAY);
+                for gateway in (0..gateways).filter(|g| g % THREADS == thread) {
+                    let first = gateway * SEQUENCES_PER_GATEWAY;
+                    run_sequences(first..first + SEQUENCES_PER_GATEWAY);
                 }
             });
         }
