--- a/crates/resp-gateway/tests/random_event_sequences.rs
+++ b/crates/resp-gateway/tests/random_event_sequences.rs
@@ -1,20 +1,19 @@
-//! Simulates random sequences of events from clients, endpoints, the counter, discovery and signals, and checks that the gateway handles
-//! each request correctly. A failure names the seed of its sequence:
-//! `ORDER_SEED=n cargo test -p chalkdeck-resp-gateway --test random_event_sequences` repeats that sequence, after the earlier ones on the
-//! same gateway.
+//! Random sequences of events from clients, endpoints, the counter, discovery and signals, with checks of how the gateway handles each
+//! request. `ORDER_SEED=n cargo test -p chalkdeck-resp-gateway --test random_event_sequences` repeats the sequence of a failure, after
+//! those that ran before it on the same gateway.
 
 mod common;
 mod simulation;
 
 use simulation::Simulation;
 
-/// The number of sequences that are run, and of the threads that share them.
+/// The number of sequences, and of threads that share them.
 const SEQUENCES: u64 = 10_000;
 const THREADS: u64 = 4;
-/// The number of sequences that run on one gateway before it is replaced by a new one.
+/// The number of sequences after which a gateway is replaced.
 const SEQUENCES_PER_GATEWAY: u64 = 50;
 
-/// Runs the sequences of one gateway. A gateway that was shut down is replaced by a new one.
+/// Runs the sequences of one gateway, which is replaced early if it was shut down.
 fn run_sequences(seeds: impl Iterator<Item = u64>) {
     let mut simulation = Simulation::new();
     for seed in seeds {
