--- a/crates/resp-gateway/tests/random_event_sequences.rs
+++ b/crates/resp-gateway/tests/random_event_sequences.rs
@@ -1,6 +1,6 @@
 //! Random sequences of events from clients, endpoints, the counter, discovery and signals, with checks of how the gateway handles each
 //! request. `ORDER_SEED=n cargo test -p chalkdeck-resp-gateway --test random_event_sequences` repeats the sequence of a failure, after
-//! those that ran before it on the same gateway.
+//! the earlier ones of its gateway.
 
 mod common;
 mod simulation;
@@ -13,7 +13,7 @@
 /// The number of sequences after which a gateway is replaced.
 const SEQUENCES_PER_GATEWAY: u64 = 50;
 
-/// Runs the sequences of one gateway, which is replaced early if it was shut down.
+/// Runs sequences on one gateway, or on a new one after a shutdown.
 fn run_sequences(seeds: impl Iterator<Item = u64>) {
     let mut simulation = Simulation::new();
     for seed in seeds {
