--- a/crates/resp-gateway/src/server/event_loop.rs
+++ b/crates/resp-gateway/src/server/event_loop.rs
@@ -19,7 +19,7 @@
     /// The system fails to poll the sockets.
     pub fn turn(&mut self, max_wait: u64) -> io::Result<()> {
         let mut events = std::mem::take(&mut self.net_events);
-        let max_wait = if self.sessions.has_resumed() {
+        let max_wait = if self.sessions.has_connections_to_resume() {
             0
         } else {
             max_wait
@@ -31,7 +31,7 @@
         }
         self.net_events = events;
         // Each resumed connection is handled once per turn, so that a long pipeline does not starve other clients.
-        for conn in self.sessions.take_resumed() {
+        for conn in self.sessions.take_connections_to_resume() {
             self.handle_commands(conn);
             self.carry_out_actions();
         }
--- a/crates/resp-gateway/src/server/lifecycle.rs
+++ b/crates/resp-gateway/src/server/lifecycle.rs
@@ -12,7 +12,7 @@
 const MAX_EVENT_WAIT: TimeDelta = TimeDelta::from_millis(100);
 /// How long after SIGTERM new connections still arrive and are served; after that, connections are closed one after another.
 const SHUTDOWN_ACCEPT_TIME: TimeDelta = TimeDelta::from_millis(420);
-/// The interval at which a gateway that shuts down checks whether it can close its listener.
+/// The interval at which a gateway that shuts down checks whether its listener and idle connections can be closed.
 const SHUTDOWN_INTERVAL: TimeDelta = TimeDelta::from_millis(5);
 /// The platform kills a gateway when the longest deadline plus this time have passed since SIGTERM.
 const KILL_DELAY: TimeDelta = TimeDelta::from_millis(700);
--- a/crates/resp-gateway/src/sessions.rs
+++ b/crates/resp-gateway/src/sessions.rs
@@ -44,7 +44,7 @@
     /// The total size of the commands of open requests.
     command_bytes: usize,
     /// Paused connections that are to be resumed, each at most once.
-    resumed: Vec<ConnId>,
+    resume_queue: Vec<ConnId>,
     /// When the shutdown began to close idle connections.
     closing_since: Option<Timestamp>,
 }
@@ -56,7 +56,7 @@
             max_sessions,
             max_command_bytes,
             command_bytes: 0,
-            resumed: Vec::new(),
+            resume_queue: Vec::new(),
             closing_since: None,
         }
     }
@@ -168,7 +168,7 @@
             session.active_at = clock::now(engine);
             engine.write(conn, &out);
         }
-        self.resume(engine, conn);
+        self.queue_to_resume(engine, conn);
         self.linger_once_answered(engine, conn);
     }
 
--- a/crates/resp-gateway/src/sessions/closing.rs
+++ b/crates/resp-gateway/src/sessions/closing.rs
@@ -64,7 +64,7 @@
             engine.close(conn);
         }
         for conn in paused {
-            self.resume(engine, conn);
+            self.queue_to_resume(engine, conn);
         }
     }
 
--- a/crates/resp-gateway/src/sessions/flow_control.rs
+++ b/crates/resp-gateway/src/sessions/flow_control.rs
@@ -20,7 +20,7 @@
     }
 
     /// Queues a paused connection to be resumed, if it and all clients together are within their limits again.
-    pub(super) fn resume(&mut self, engine: &mut Engine, conn: ConnId) {
+    pub(super) fn queue_to_resume(&mut self, engine: &mut Engine, conn: ConnId) {
         let is_full = self.is_full();
         let Some(session) = self.by_conn.get_mut(&conn) else {
             return;
@@ -32,18 +32,18 @@
             && engine.unsent(conn) <= MAX_UNSENT_BYTES;
         if has_room && !is_full {
             session.is_queued_to_resume = true;
-            self.resumed.push(conn);
+            self.resume_queue.push(conn);
         }
     }
 
     /// Whether paused connections are queued to be resumed.
-    pub(crate) fn has_resumed(&self) -> bool {
-        !self.resumed.is_empty()
+    pub(crate) fn has_connections_to_resume(&self) -> bool {
+        !self.resume_queue.is_empty()
     }
 
     /// Takes the paused connections that are queued to be resumed, in the order in which they were queued.
-    pub(crate) fn take_resumed(&mut self) -> Vec<ConnId> {
-        let resumed = std::mem::take(&mut self.resumed);
+    pub(crate) fn take_connections_to_resume(&mut self) -> Vec<ConnId> {
+        let resumed = std::mem::take(&mut self.resume_queue);
         for conn in &resumed {
             if let Some(session) = self.by_conn.get_mut(conn) {
                 session.is_queued_to_resume = false;
--- a/crates/resp-gateway/src/sessions/session.rs
+++ b/crates/resp-gateway/src/sessions/session.rs
@@ -54,7 +54,7 @@
     pub(super) open_requests: FxHashSet<RequestId>,
     /// Whether reading is paused; `bytes` may still contain complete commands.
     pub(super) is_paused: bool,
-    /// Whether the connection is queued in `Sessions::resumed`.
+    /// Whether the connection is queued in `Sessions::resume_queue`.
     pub(super) is_queued_to_resume: bool,
     /// Whether no more commands are read, because of a protocol error or `QUIT`.
     pub(super) is_read_closed: bool,
--- a/crates/resp-gateway/src/sessions/shutdown_tests.rs
+++ b/crates/resp-gateway/src/sessions/shutdown_tests.rs
@@ -133,7 +133,7 @@
             self.reply_some(rng);
         }
         self.reply_some(rng);
-        for conn in self.sessions.take_resumed() {
+        for conn in self.sessions.take_connections_to_resume() {
             self.take_commands(conn);
         }
         self.sessions.close_idle(&mut self.test_loop.engine);
--- a/crates/resp/src/extent.rs
+++ b/crates/resp/src/extent.rs
@@ -24,7 +24,7 @@
     Invalid,
 }
 
-/// The longest length that is parsed, in characters.
+/// The number of characters within which a length must end; no valid length has as many.
 const MAX_LENGTH_CHARS: usize = 24;
 
 fn parse_length(bytes: &[u8], start: usize, max: usize) -> Length {
