--- a/crates/resp-gateway/src/counter_client.rs
+++ b/crates/resp-gateway/src/counter_client.rs
@@ -69,12 +69,13 @@
             .any(|connection| connection.conn == Some(conn))
     }
 
-    fn all(&mut self) -> impl Iterator<Item = &mut Connection> {
+    fn all_connections(&mut self) -> impl Iterator<Item = &mut Connection> {
         self.connections.iter_mut().chain(&mut self.retired)
     }
 
     fn find(&mut self, conn: ConnId) -> Option<&mut Connection> {
-        self.all().find(|connection| connection.conn == Some(conn))
+        self.all_connections()
+            .find(|connection| connection.conn == Some(conn))
     }
 
     /// Sets the address for new calls. Open calls end on the connections to the old address, which are closed afterwards.
@@ -153,7 +154,7 @@
         let now = clock::now(engine);
         let mut results = Vec::new();
         let mut silent = Vec::new();
-        for (index, connection) in self.all().enumerate() {
+        for (index, connection) in self.all_connections().enumerate() {
             let is_silent = connection.expire_calls(now, &mut results);
             if is_silent && index < CONNECTION_COUNT {
                 silent.push(index);
--- a/crates/resp-gateway/src/discovery/tests.rs
+++ b/crates/resp-gateway/src/discovery/tests.rs
@@ -18,7 +18,7 @@
     /// Accepts calls and never responds to them.
     Silent,
     /// Sends only half of each response.
-    Half,
+    Truncates,
     /// Refuses connections.
     Refuses,
 }
@@ -173,7 +173,7 @@
         };
         match (self.mode, parameter("since=")) {
             (AgentMode::Silent | AgentMode::Refuses, _) => {}
-            (AgentMode::Half, _) => self.respond(conn, true),
+            (AgentMode::Truncates, _) => self.respond(conn, true),
             (AgentMode::Responds, None) => self.respond(conn, true),
             (AgentMode::Responds, Some(held)) => {
                 let expiry = self.engine.now()
@@ -191,7 +191,7 @@
             self.published
         );
         let text = (self.response_format)(&body);
-        let length = if self.mode == AgentMode::Half {
+        let length = if self.mode == AgentMode::Truncates {
             text.len() / 2
         } else {
             text.len()
@@ -307,7 +307,7 @@
 
 #[test]
 fn connection_falls_silent_then_replaced_within_the_call_timeout() {
-    for mode in [AgentMode::Silent, AgentMode::Half] {
+    for mode in [AgentMode::Silent, AgentMode::Truncates] {
         // The agent is silent on the current connection only and responds on the next one.
         let delay = worst_delay(with_length, |setup| {
             setup.set_mode(mode);
--- a/crates/resp-gateway/tests/event_races.rs
+++ b/crates/resp-gateway/tests/event_races.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn request_in_the_batch_of_an_idle_close_then_served() {
+fn request_in_the_same_turn_as_an_idle_close_then_served() {
     let mut harness = Harness::new(1, LARGE_LIMITS);
     let client = connect_active_client(&mut harness);
     harness.send_request(client, "b1", VIEW);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn request_in_the_batch_of_an_eviction_then_another_connection_evicted() {
+fn request_in_the_same_turn_as_an_eviction_then_another_connection_evicted() {
     let mut harness = Harness::new(1, SMALL_LIMITS);
     let clients: Vec<ConnId> = (0..MAX_CLIENTS)
         .map(|_| connect_active_client(&mut harness))
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn reply_in_the_batch_of_its_timeout_then_served() {
+fn reply_in_the_same_turn_as_its_timeout_then_served() {
     let mut harness = Harness::new(1, LARGE_LIMITS);
     let client = harness.connect_client();
     harness.send_request(client, "d1", SALE);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn late_second_reply_in_the_batch_of_a_reuse_then_connection_not_reused() {
+fn late_duplicate_reply_in_the_same_turn_as_a_reuse_then_connection_not_reused() {
     let mut harness = Harness::new(1, LARGE_LIMITS);
     let client = harness.connect_client();
     let used = harness.serve_request(client, "e1", VIEW, "one");
--- a/crates/resp-gateway/tests/peers.rs
+++ b/crates/resp-gateway/tests/peers.rs
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn endpoint_closes_idle_connections_unseen_then_keep_alive_shortened() {
+fn endpoint_closes_idle_connections_early_then_keep_alive_shortened() {
     let mut harness = Harness::new(1, LARGE_LIMITS);
     let client = harness.connect_client();
     let serve_and_idle = |harness: &mut Harness, id: &str, idle_micros: i64| {
@@ -169,8 +169,7 @@
 }
 
 #[test]
-fn connection_closed_after_the_last_byte_then_request_failed_and_connection_refused_then_rejected()
-{
+fn connection_closed_after_the_last_byte_then_failed_and_connection_refused_then_rejected() {
     let mut harness = Harness::new(1, LARGE_LIMITS);
     let client = harness.connect_client();
     harness.send_request(client, "e1", SALE);
@@ -446,7 +445,9 @@
     assert!(!harness.closed.contains(&busy));
     harness.reply_served(endpoint, "last");
     harness.expect_received(busy, "$4\r\nlast\r\n");
-    harness.wait_for("all is over", |h| h.gateway.is_shut_down().then_some(()));
+    harness.wait_for("the shutdown is complete", |h| {
+        h.gateway.is_shut_down().then_some(())
+    });
     assert!(
         harness.closed.contains(&busy)
             || harness.received.is_empty()
@@ -482,7 +483,9 @@
     assert!(!harness.gateway.is_shut_down(), "two requests are open");
     harness.jumps.jump(200_000);
     harness.expect_received(busy, "-ERR failed\r\n-ERR failed\r\n");
-    harness.wait_for("all is over", |h| h.gateway.is_shut_down().then_some(()));
+    harness.wait_for("the shutdown is complete", |h| {
+        h.gateway.is_shut_down().then_some(())
+    });
 }
 
 #[test]
--- a/crates/resp-gateway/tests/simulation/mod.rs
+++ b/crates/resp-gateway/tests/simulation/mod.rs
@@ -64,7 +64,7 @@
     shutdown_at: Option<u64>,
     /// Whether the gateway has completed its shutdown.
     has_ended: bool,
-    /// The first fault that was found.
+    /// A fault that was found in the current sequence.
     fault: Option<String>,
 }
 
@@ -75,7 +75,7 @@
         static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
         let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
         let file = std::env::temp_dir().join(format!(
-            "chalkdeck-orders-{}-{number}.json",
+            "chalkdeck-simulation-{}-{number}.json",
             std::process::id()
         ));
         std::fs::write(
@@ -150,7 +150,7 @@
         match rng.u8(..100) {
             0..12 => self.connect_client(),
             12..42 => self.send_requests(rng),
-            42..50 => self.disconnect_client(rng),
+            42..50 => self.finish_command_or_disconnect(rng),
             50..72 => self.reply_to_attempt(rng),
             72..82 => self.counter.act_randomly(rng),
             82..89 => self.change_list(rng),
@@ -224,9 +224,8 @@
             .and_modify(|request| request.written_before = turn_count);
     }
 
-    /// Finishes the command of a random client, or disconnects it.
-
-    fn disconnect_client(&mut self, rng: &mut Rng) {
+    /// Writes the rest of a random client's command, or disconnects the client.
+    fn finish_command_or_disconnect(&mut self, rng: &mut Rng) {
         let Some(key) = self.random_client(rng) else {
             return;
         };
