--- a/crates/resp-gateway/src/sessions/shutdown_tests.rs
+++ b/crates/resp-gateway/src/sessions/shutdown_tests.rs
@@ -56,7 +56,8 @@
     fn step(&mut self, rng: &mut Rng) {
         let received = self.read_replies();
         self.reply_count += received;
-        // Pending commands are limited so that sometimes none is pending: a client that always has one is served until the longest deadline.
+        // Few commands may be pending, so that sometimes there are none: a client that always has one is served until the longest
+        // deadline.
         let is_within_command = !self.sent_bytes.is_multiple_of(PING.len());
         let has_few_pending = self.sent_bytes / PING.len() < self.reply_count + 3;
         if !self.is_closed
