--- a/crates/grpc-gateway/src/call_flow/attempts.rs
+++ b/crates/grpc-gateway/src/call_flow/attempts.rs
@@ -186,7 +186,7 @@
             endpoint,
             outcome,
             elapsed: TimeDelta::from_micros(latency),
-            request_finished: is_final || is_call_complete,
+            is_request_finished: is_final || is_call_complete,
             settled_units: None,
             load_report: LoadReport::default(),
         }));
--- a/crates/grpc-gateway/src/gateway_server/mod.rs
+++ b/crates/grpc-gateway/src/gateway_server/mod.rs
@@ -24,7 +24,7 @@
 use crate::resp::Resp;
 use crate::sites::SiteMonitor;
 use chalkdeck::api::EndpointId;
-use chalkdeck::Decisions;
+use chalkdeck::DecisionQueue;
 use chalkdeck_net::file_watch::FileWatch;
 use chalkdeck_net::timer_queue::TimerQueue;
 use chalkdeck_net::{Engine, Event as NetEvent, ListenerId};
@@ -34,7 +34,7 @@
 /// A running gateway.
 pub struct GatewayServer {
     pub(crate) engine: Engine,
-    pub(crate) decisions: Decisions,
+    pub(crate) decisions: DecisionQueue,
     pub(crate) settings: Settings,
     /// Where settings are read again from.
     settings_file: Option<PathBuf>,
--- a/crates/grpc-gateway/src/gateway_server/startup.rs
+++ b/crates/grpc-gateway/src/gateway_server/startup.rs
@@ -12,7 +12,7 @@
 use crate::resp::Resp;
 use crate::sites::SiteMonitor;
 use chalkdeck::api::Timestamp;
-use chalkdeck::{DecisionEngine, Decisions};
+use chalkdeck::{DecisionEngine, DecisionQueue};
 use chalkdeck_net::file_watch::FileWatch;
 use chalkdeck_net::timer_queue::TimerQueue;
 use chalkdeck_net::Engine;
@@ -51,7 +51,7 @@
             .transpose()?;
         let mut gateway = GatewayServer {
             engine,
-            decisions: Decisions::new(decision_engine),
+            decisions: DecisionQueue::new(decision_engine),
             settings_file,
             listener,
             listen_address,
--- a/crates/grpc-gateway/src/settings.rs
+++ b/crates/grpc-gateway/src/settings.rs
@@ -111,7 +111,7 @@
             },
             key_window: millis(c.window_ms),
             is_streaming: c.stream,
-            admission_only: false,
+            is_admission_only: false,
         })
     }
 }
@@ -247,7 +247,7 @@
     };
     let class = source.known("resp.class", &resp.class, names)?;
     let own = api::Class {
-        admission_only: true,
+        is_admission_only: true,
         idempotency: Idempotency::NonIdempotent,
         is_streaming: false,
         ..classes[class].clone()
--- a/crates/grpc-gateway/src/sites/events.rs
+++ b/crates/grpc-gateway/src/sites/events.rs
@@ -34,7 +34,7 @@
     pub(crate) fn report_request_offered(&mut self, request: &IncomingRequest) {
         let policy = &self.settings.policy;
         let class = &policy.classes[request.class.0];
-        if class.admission_only {
+        if class.is_admission_only {
             return;
         }
         let plan = &policy.plans[request.plan.0];
--- a/crates/policy/benches/request.rs
+++ b/crates/policy/benches/request.rs
@@ -17,7 +17,7 @@
         key_scope: KeyScope::All,
         key_window: TimeDelta::from_micros(0),
         is_streaming: false,
-        admission_only: false,
+        is_admission_only: false,
     };
     let plan = Plan {
         rate: 10.0,
@@ -127,7 +127,7 @@
                         endpoint: server,
                         outcome: Outcome::Ok,
                         elapsed: TimeDelta::from_micros(20_000),
-                        request_finished: true,
+                        is_request_finished: true,
                         settled_units: None,
                         load_report: LoadReport::default(),
                     };
--- a/crates/policy/src/api/messages.rs
+++ b/crates/policy/src/api/messages.rs
@@ -121,7 +121,7 @@
     /// How long it was in flight.
     pub elapsed: TimeDelta,
     /// The request has had its final answer.
-    pub request_finished: bool,
+    pub is_request_finished: bool,
     /// The true units of the request, where they are known only now.
     pub settled_units: Option<f64>,
     /// What the endpoint reported of its load.
--- a/crates/policy/src/api/settings.rs
+++ b/crates/policy/src/api/settings.rs
@@ -45,7 +45,7 @@
     /// The response is a stream.
     pub is_streaming: bool,
     /// Requests are admitted or rejected, but the caller does the work: no endpoint is selected.
-    pub admission_only: bool,
+    pub is_admission_only: bool,
 }
 
 /// A plan. Its limits hold for each customer over all gateways together.
--- a/crates/policy/src/counter/sampling.rs
+++ b/crates/policy/src/counter/sampling.rs
@@ -6,11 +6,11 @@
 
 /// At first, and when a probe was answered, as many requests call as all requests of this many
 /// gateways: more at once may overload a counter that just recovered.
-const INITIAL_GATEWAYS: f64 = 30.0;
+const INITIAL_CALLING_GATEWAYS: f64 = 30.0;
 /// The least sample rate, so that recovery is noticed.
 const MIN_SAMPLE_RATE: f64 = 0.05;
 /// Queueing time at the counter, as part of a call's time-out, that leaves the rate as it is.
-const NEUTRAL_QUEUEING: f64 = 0.12;
+const NEUTRAL_QUEUEING_FRACTION: f64 = 0.12;
 /// What no queueing adds to the rate, as part of it, and twice the neutral queueing takes off.
 const RATE_STEP: f64 = 0.2;
 /// The most that one answer, late or failed, takes off the rate, as what it leaves.
@@ -20,7 +20,7 @@
 /// How much less than usual an answer counts that is slower than the base latency.
 const SLOWER_ANSWER_DIVISOR: f64 = 100.0;
 /// Shortest time-out that queueing is measured by, in seconds; against a division by zero.
-const MIN_NEUTRAL_SECONDS: f64 = 1e-9;
+const MIN_NEUTRAL_QUEUEING_SECONDS: f64 = 1e-9;
 /// The largest exponent that a request of little value gets.
 const MAX_EXPONENT: f64 = 100.0;
 
@@ -30,7 +30,7 @@
     /// Part of the requests of usual value that call the counter.
     rate: f64,
     /// Smoothed value (priority weight times units) of the requests with a quota.
-    usual_value: f64,
+    mean_value: f64,
     /// Seconds that the counter takes without a queue; `None`: it has not answered yet.
     base_latency: Option<f64>,
     /// When the rate was last reduced.
@@ -42,7 +42,7 @@
     pub(crate) fn new(gateways: u32) -> CounterSampler {
         CounterSampler {
             rate: initial_rate(gateways),
-            usual_value: 0.0,
+            mean_value: 0.0,
             base_latency: None,
             reduced_at: Timestamp::ZERO,
         }
@@ -50,7 +50,7 @@
 
     /// Whether a request with a quota was seen yet.
     pub(crate) fn has_seen_value(&self) -> bool {
-        self.usual_value > 0.0
+        self.mean_value > 0.0
     }
 
     /// Takes the value of a request with a quota into the usual value.
@@ -60,17 +60,17 @@
         } else {
             1.0
         };
-        smooth(&mut self.usual_value, weight, value);
+        smooth(&mut self.mean_value, weight, value);
     }
 
     /// The power of the sample rate for a request of that value: those worth most for a call are
     /// sampled first, as a call costs the same for all.
     pub(crate) fn exponent(&self, value: f64) -> f64 {
-        (self.usual_value / value.max(f64::MIN_POSITIVE)).min(MAX_EXPONENT)
+        (self.mean_value / value.max(f64::MIN_POSITIVE)).min(MAX_EXPONENT)
     }
 
     /// The chance that a request calls the counter.
-    pub(crate) fn chance(&self, exponent: f64) -> f64 {
+    pub(crate) fn sample_probability(&self, exponent: f64) -> f64 {
         self.rate.powf(exponent)
     }
 
@@ -93,7 +93,7 @@
             self.base_latency = Some(latency);
             // A quick first answer met no queue, whatever is usual. A slow one may have taken the
             // usual time, so it reduces nothing.
-            if latency < neutral_queueing(timeout) {
+            if latency < neutral_queueing_seconds(timeout) {
                 self.adjust_rate(now, latency, timeout);
             }
             return;
@@ -119,9 +119,9 @@
     /// Raises the rate where calls do not queue, and reduces it where they do, once for calls that
     /// were in flight together. `queueing`: in seconds.
     fn adjust_rate(&mut self, now: Timestamp, queueing: f64, timeout: TimeDelta) {
-        let slowness = queueing.max(0.0) / neutral_queueing(timeout);
-        let factor = (1.0 + RATE_STEP * (1.0 - slowness)).max(MIN_RATE_FACTOR);
-        if slowness < 1.0 {
+        let queueing_ratio = queueing.max(0.0) / neutral_queueing_seconds(timeout);
+        let factor = (1.0 + RATE_STEP * (1.0 - queueing_ratio)).max(MIN_RATE_FACTOR);
+        if queueing_ratio < 1.0 {
             self.rate *= factor.powf(1.0 / self.rate).min(MAX_RATE_FACTOR);
         } else if now >= self.reduced_at + timeout {
             self.rate *= factor;
@@ -132,10 +132,10 @@
 }
 
 /// Queueing that leaves the rate as it is, in seconds.
-fn neutral_queueing(timeout: TimeDelta) -> f64 {
-    (timeout.as_secs_f64() * NEUTRAL_QUEUEING).max(MIN_NEUTRAL_SECONDS)
+fn neutral_queueing_seconds(timeout: TimeDelta) -> f64 {
+    (timeout.as_secs_f64() * NEUTRAL_QUEUEING_FRACTION).max(MIN_NEUTRAL_QUEUEING_SECONDS)
 }
 
 fn initial_rate(gateways: u32) -> f64 {
-    (INITIAL_GATEWAYS / f64::from(gateways)).min(1.0)
+    (INITIAL_CALLING_GATEWAYS / f64::from(gateways)).min(1.0)
 }
--- a/crates/policy/src/customer.rs
+++ b/crates/policy/src/customer.rs
@@ -10,7 +10,7 @@
 pub(crate) const CUSTOMER_EXPIRY: TimeDelta = TimeDelta::from_secs(120);
 /// How long a customer that was over its quota by the last total counts as such for requests that
 /// are not sampled.
-const OVER_QUOTA_MEMORY: TimeDelta = TimeDelta::from_secs(15);
+const OVER_QUOTA_EXPIRY: TimeDelta = TimeDelta::from_secs(15);
 /// How long after a rejection a request like it counts as its retry.
 const RETRY_DETECTION_SPAN: TimeDelta = TimeDelta::from_secs(1);
 /// Weight of the newest window in the history of usage.
@@ -24,7 +24,7 @@
     pub(crate) at: Timestamp,
 }
 
-/// Sums over past windows, fading.
+/// Sums over past windows, with exponential decay.
 #[derive(Debug, Default)]
 struct UsageHistory {
     /// Units that this gateway posted.
@@ -88,7 +88,7 @@
     /// Whether it was over its quota by the last total, and that is recent.
     pub(crate) fn was_over_quota(&self, now: Timestamp) -> bool {
         self.over_quota_at
-            .is_some_and(|at| now < at + OVER_QUOTA_MEMORY)
+            .is_some_and(|at| now < at + OVER_QUOTA_EXPIRY)
     }
 
     /// Whether it may be forgotten.
@@ -109,13 +109,13 @@
         if self.window.index == index {
             return;
         }
-        let fading = 1.0 - NEWEST_WINDOW_WEIGHT;
-        self.usage.posted = self.usage.posted * fading + self.window.posted;
-        self.usage.total = self.usage.total * fading + self.window.last_total;
+        let decay = 1.0 - NEWEST_WINDOW_WEIGHT;
+        self.usage.posted = self.usage.posted * decay + self.window.posted;
+        self.usage.total = self.usage.total * decay + self.window.last_total;
         // The bucket as followed from the last window; after a gap the window's plain allowance
         // decides.
         let follows_last = self.window.index + 1 == index;
-        let stored = if follows_last {
+        let bucket_level = if follows_last {
             let known_total = self.window.known_total();
             self.window.available(now, known_total, plan)
         } else {
@@ -123,8 +123,8 @@
         };
         self.window = WindowCounter {
             index,
-            stored,
-            stored_at: now,
+            bucket_level,
+            bucket_refilled_at: now,
             ..WindowCounter::default()
         };
     }
--- a/crates/policy/src/decisions.rs
+++ b/crates/policy/src/decision_queue.rs
@@ -8,23 +8,23 @@
 /// A gateway's decision module with the events that it has not handled yet and the actions that
 /// have not been carried out. Both queues are empty between two turns of a loop that takes actions
 /// until none is left.
-pub struct Decisions {
+pub struct DecisionQueue {
     /// The decision module.
     pub engine: DecisionEngine,
     events: VecDeque<Event>,
     actions: VecDeque<Action>,
     /// Buffer for the actions on one event.
-    out: Vec<Action>,
+    action_buffer: Vec<Action>,
 }
 
-impl Decisions {
+impl DecisionQueue {
     /// Queues in front of an engine, both empty.
-    pub fn new(engine: DecisionEngine) -> Decisions {
-        Decisions {
+    pub fn new(engine: DecisionEngine) -> DecisionQueue {
+        DecisionQueue {
             engine,
             events: VecDeque::new(),
             actions: VecDeque::new(),
-            out: Vec::new(),
+            action_buffer: Vec::new(),
         }
     }
 
@@ -41,8 +41,8 @@
                 return Some(action);
             }
             let event = self.events.pop_front()?;
-            self.engine.handle(now, event, &mut self.out);
-            self.actions.extend(self.out.drain(..));
+            self.engine.handle(now, event, &mut self.action_buffer);
+            self.actions.extend(self.action_buffer.drain(..));
         }
     }
 }
--- a/crates/policy/src/endpoint/fleet.rs
+++ b/crates/policy/src/endpoint/fleet.rs
@@ -1,11 +1,13 @@
 //! Figures over all endpoints, which single endpoints are compared with.
 
 use crate::api::Timestamp;
-use crate::smoothing::{as_share, smooth, AVERAGING_SECONDS, SAMPLE_WEIGHT, SHARED_SAMPLE_WEIGHT};
+use crate::smoothing::{
+    as_fraction, smooth, AVERAGING_SECONDS, SAMPLE_WEIGHT, SHARED_SAMPLE_WEIGHT,
+};
 
 /// Share of failed or late attempts over all endpoints below which trouble lies with single
 /// endpoints.
-const CALM_FAILURE_SHARE: f64 = 0.15;
+const HEALTHY_FAILURE_SHARE: f64 = 0.15;
 
 /// Smoothed over all endpoints.
 #[derive(Debug, Default)]
@@ -18,13 +20,13 @@
 
 impl FleetHealth {
     /// Whether the fleet as a whole is well.
-    pub(crate) fn is_calm(&self) -> bool {
-        self.failure_share < CALM_FAILURE_SHARE
+    pub(crate) fn is_healthy(&self) -> bool {
+        self.failure_share < HEALTHY_FAILURE_SHARE
     }
 
     /// Takes the end of an attempt.
     pub(crate) fn observe_result(&mut self, is_failure: bool) {
-        let sample = as_share(is_failure);
+        let sample = as_fraction(is_failure);
         smooth(&mut self.failure_share, SHARED_SAMPLE_WEIGHT, sample);
     }
 
--- a/crates/policy/src/endpoint/mod.rs
+++ b/crates/policy/src/endpoint/mod.rs
@@ -51,7 +51,7 @@
     /// Ejections in a row, which double the time, up to the most.
     pub(crate) ejections: u32,
     /// It was ejected and has not answered well since: one attempt at a time.
-    pub(crate) is_on_trial: bool,
+    pub(crate) is_on_probation: bool,
     /// Number of its quick answers.
     pub(crate) quick_answers: u64,
     pub(crate) connect_failures: Option<ConnectFailures>,
@@ -73,11 +73,11 @@
 
     /// Whether outlier detection allows attempts now.
     pub(crate) fn is_healthy(&self, now: Timestamp) -> bool {
-        now >= self.ejected_until && (!self.is_on_trial || self.in_flight < 1.0)
+        now >= self.ejected_until && (!self.is_on_probation || self.in_flight < 1.0)
     }
 
     /// Whether it is in slow start and has no room now.
-    pub(crate) fn is_held_by_slow_start(&self) -> bool {
+    pub(crate) fn is_limited_by_slow_start(&self) -> bool {
         self.slow_start_since.is_some() && self.slow_start_bucket.level <= 0.0
     }
 
@@ -134,9 +134,9 @@
     }
 
     /// Takes its connect failures, and tells whether they lasted for longer than a span.
-    pub(crate) fn end_connect_failures(&mut self, longest: TimeDelta) -> bool {
+    pub(crate) fn clear_connect_failures(&mut self, max_duration: TimeDelta) -> bool {
         self.connect_failures
             .take()
-            .is_some_and(|failures| failures.last - failures.first > longest)
+            .is_some_and(|failures| failures.last - failures.first > max_duration)
     }
 }
--- a/crates/policy/src/endpoint/outlier.rs
+++ b/crates/policy/src/endpoint/outlier.rs
@@ -3,7 +3,7 @@
 use super::fleet::{smooth_latency, FleetHealth};
 use super::{ConnectFailures, Endpoint};
 use crate::api::{Outcome, TimeDelta, Timestamp};
-use crate::smoothing::{as_share, decayed_share, smooth, SAMPLE_WEIGHT};
+use crate::smoothing::{as_fraction, decayed_share, smooth, SAMPLE_WEIGHT};
 
 /// Share of failures that ejects: one after seconds without evidence, else about four in a row.
 const EJECTION_FAILURE_SHARE: f64 = 0.3;
@@ -15,7 +15,7 @@
 /// Ejections in a row that double the time.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
 /// How long an endpoint that rejected an attempt gets no other.
-const REST_AFTER_REJECTION: TimeDelta = TimeDelta::from_millis(100);
+const REJECTION_BACKOFF: TimeDelta = TimeDelta::from_millis(100);
 
 impl Endpoint {
     /// Whether it fails clearly more than the fleet.
@@ -41,7 +41,7 @@
     pub(crate) fn observe_result(&mut self, now: Timestamp, is_failure: bool) -> f64 {
         let weight = SAMPLE_WEIGHT.max(decayed_share(now - self.last_result_at));
         self.last_result_at = now;
-        smooth(&mut self.failure_share, weight, as_share(is_failure));
+        smooth(&mut self.failure_share, weight, as_fraction(is_failure));
         weight
     }
 
@@ -51,8 +51,8 @@
         if is_failure {
             return;
         }
-        if self.is_on_trial {
-            self.is_on_trial = false;
+        if self.is_on_probation {
+            self.is_on_probation = false;
             self.failure_share = 0.0;
         } else {
             self.ejections = 0;
@@ -69,17 +69,17 @@
         jitter: f64,
     ) {
         if outcome == Outcome::Rejected {
-            self.ejected_until = self.ejected_until.max(now + REST_AFTER_REJECTION);
+            self.ejected_until = self.ejected_until.max(now + REJECTION_BACKOFF);
             return;
         }
         let threshold = EJECTION_FAILURE_SHARE.max(FLEET_FAILURE_MULTIPLE * fleet.failure_share);
         let is_unreachable = outcome == Outcome::ConnectFailed;
-        let is_out_of_line = is_unreachable || self.failure_share > threshold;
-        if now >= self.ejected_until && (is_out_of_line || self.is_on_trial) {
+        let is_failing = is_unreachable || self.failure_share > threshold;
+        if now >= self.ejected_until && (is_failing || self.is_on_probation) {
             let doubling = f64::from(1 << self.ejections);
             self.ejected_until = now + FIRST_EJECTION.mul_f64(doubling * jitter);
             self.ejections = (self.ejections + 1).min(MAX_EJECTION_DOUBLINGS);
-            self.is_on_trial = true;
+            self.is_on_probation = true;
         }
     }
 }
--- a/crates/policy/src/endpoint/table.rs
+++ b/crates/policy/src/endpoint/table.rs
@@ -20,7 +20,7 @@
 /// A sum of concurrency limits and when it was taken.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LimitSum {
-    pub(crate) taken_at: Timestamp,
+    pub(crate) computed_at: Timestamp,
     pub(crate) limit: f64,
 }
 
@@ -70,8 +70,8 @@
     }
 
     /// The endpoint in service at a place of their shared order.
-    pub(crate) fn in_service_at(&self, place: usize) -> &Endpoint {
-        &self.endpoints[self.in_service[place]]
+    pub(crate) fn in_service_at(&self, index: usize) -> &Endpoint {
+        &self.endpoints[self.in_service[index]]
     }
 
     /// The endpoints in service in their shared order.
@@ -83,8 +83,9 @@
 
     /// The endpoints in service from a place of their shared order on, around to the one before it.
     pub(crate) fn in_service_from(&self, start: usize) -> impl Iterator<Item = &Endpoint> {
-        let (before, own) = self.in_service.split_at(start);
-        own.iter()
+        let (before, from_start) = self.in_service.split_at(start);
+        from_start
+            .iter()
             .chain(before)
             .map(|&position| &self.endpoints[position])
     }
--- a/crates/policy/src/engine/arrival.rs
+++ b/crates/policy/src/engine/arrival.rs
@@ -30,7 +30,7 @@
         self.requests
             .insert(id, OpenRequest::new(self.now, incoming));
         self.roll_windows(customer_id);
-        let uses_endpoint = !self.settings.classes[class.0].admission_only;
+        let uses_endpoint = !self.settings.classes[class.0].is_admission_only;
         if uses_endpoint && self.is_shed(id) {
             let retry_after = self.draw_retry_after(class);
             let answer = Action::Reject {
--- a/crates/policy/src/engine/attempt_results.rs
+++ b/crates/policy/src/engine/attempt_results.rs
@@ -8,13 +8,13 @@
 
 /// An answer that takes, with twice its endpoint's usual time, more than this part of the objective
 /// indicates congestion.
-const LATE_OBJECTIVE_PART: f64 = 0.85;
+const LATE_OBJECTIVE_FRACTION: f64 = 0.85;
 /// Usual times of the endpoint that count into it.
-const LATE_USUAL_TIMES: u64 = 2;
+const LATENCY_MARGIN_MULTIPLE: u64 = 2;
 /// An answer within this part of the objective is quick.
-const QUICK_OBJECTIVE_PART: f64 = 0.25;
+const QUICK_OBJECTIVE_FRACTION: f64 = 0.25;
 /// Connects that fail for longer than this, with no answer between, indicate a restart.
-const RESTART_CONNECT_FAILURES: TimeDelta = TimeDelta::from_millis(700);
+const MIN_RESTART_DOWNTIME: TimeDelta = TimeDelta::from_millis(700);
 /// The least random factor for the length of an ejection.
 const MIN_EJECTION_JITTER: f64 = 0.75;
 /// The spread of that factor.
@@ -33,23 +33,24 @@
 
 impl AttemptEvidence {
     /// Whether it shows nothing about the endpoint: a straggler that was given up.
-    fn is_void(&self) -> bool {
+    fn is_inconclusive(&self) -> bool {
         self.is_straggler && matches!(self.outcome, Outcome::Cancelled | Outcome::Timeout)
     }
 
     /// Whether the endpoint has too many attempts in flight. Trade-off: just after a short stall it
     /// seems so, too.
     fn is_congested(&self, endpoint: &Endpoint) -> bool {
-        let usual = TimeDelta::from_micros(LATE_USUAL_TIMES * endpoint.latency as u64);
+        let latency_margin =
+            TimeDelta::from_micros(LATENCY_MARGIN_MULTIPLE * endpoint.latency as u64);
         let is_late = matches!(self.outcome, Outcome::Ok | Outcome::Cancelled)
-            && self.elapsed + usual > self.objective.mul_f64(LATE_OBJECTIVE_PART);
-        let has_no_room = matches!(self.outcome, Outcome::Rejected | Outcome::Timeout);
-        !self.is_void() && (is_late || has_no_room)
+            && self.elapsed + latency_margin > self.objective.mul_f64(LATE_OBJECTIVE_FRACTION);
+        let is_at_capacity = matches!(self.outcome, Outcome::Rejected | Outcome::Timeout);
+        !self.is_inconclusive() && (is_late || is_at_capacity)
     }
 
     /// Whether the endpoint could take more attempts at once.
     fn is_quick_answer(&self) -> bool {
-        let quick = self.objective.mul_f64(QUICK_OBJECTIVE_PART);
+        let quick = self.objective.mul_f64(QUICK_OBJECTIVE_FRACTION);
         self.outcome == Outcome::Ok && self.elapsed < quick
     }
 
@@ -106,7 +107,7 @@
         attempt.may_have_run = !result.outcome.never_ran();
         let attempt = attempt.clone();
         let is_first_answer = result.outcome == Outcome::Ok && !request.is_done;
-        request.is_done |= result.request_finished || result.outcome == Outcome::Ok;
+        request.is_done |= result.is_request_finished || result.outcome == Outcome::Ok;
         let reserved_units = request.incoming.units;
         if let Some(units) = result.settled_units.filter(|_| is_first_answer) {
             if let Some(customer) = self.customers.get_mut(&request.incoming.customer) {
@@ -137,13 +138,14 @@
         } else if evidence.is_quick_answer() && endpoint.was_at_limit(limit_share) {
             endpoint.increase_limit();
             if is_overloaded {
-                self.overload.raise();
+                self.overload.increase();
             }
         }
         let is_connect_failure = evidence.outcome == Outcome::ConnectFailed;
         let is_first_connect_failure = is_connect_failure && endpoint.observe_connect_failure(now);
-        let is_failure =
-            evidence.is_failed_or_late() && !evidence.is_void() && !is_first_connect_failure;
+        let is_failure = evidence.is_failed_or_late()
+            && !evidence.is_inconclusive()
+            && !is_first_connect_failure;
         self.fleet.observe_result(is_failure);
         let weight = endpoint.observe_result(now, is_failure);
         let mut has_restarted = false;
@@ -164,7 +166,7 @@
 /// An endpoint answers: if connects to it failed for a while before, it has restarted without the
 /// list telling it, and is taken to be in slow start. Returns whether one began.
 fn begin_slow_start_after_restart(endpoint: &mut Endpoint, now: Timestamp) -> bool {
-    let was_unreachable = endpoint.end_connect_failures(RESTART_CONNECT_FAILURES);
+    let was_unreachable = endpoint.clear_connect_failures(MIN_RESTART_DOWNTIME);
     if !was_unreachable || endpoint.slow_start_since.is_some() {
         return false;
     }
--- a/crates/policy/src/engine/completion.rs
+++ b/crates/policy/src/engine/completion.rs
@@ -94,13 +94,13 @@
             self.requests.remove(&id);
         }
         if let Some(counted) = counted {
-            self.give_back(customer_id, counted);
+            self.refund(customer_id, counted);
         }
         if held_slot {
             if let Some(customer) = self.customers.get_mut(&customer_id) {
                 customer.in_flight -= 1.0;
             }
-            self.post_surplus_slots(customer_id);
+            self.release_surplus_slots(customer_id);
         }
     }
 }
--- a/crates/policy/src/engine/concurrency_slots.rs
+++ b/crates/policy/src/engine/concurrency_slots.rs
@@ -10,7 +10,7 @@
 
 /// Part of a plan's slots that starts without an answer of the counter may fill: counted starts
 /// need the others, and starts come in bursts.
-const UNCOUNTED_SLOTS_PART: f64 = 0.5;
+const UNCOUNTED_SLOTS_FRACTION: f64 = 0.5;
 /// The shortest time for which a slot is assumed to be in use, in microseconds.
 const MIN_HOLD_MICROS: f64 = 1.0;
 /// Microseconds in a second.
@@ -66,7 +66,7 @@
         } else {
             self.reject_or_fail(id);
         }
-        self.post_surplus_slots(customer);
+        self.release_surplus_slots(customer);
     }
 
     fn has_uncounted_slot(&mut self, customer_id: CustomerId, plan: PlanId) -> bool {
@@ -90,7 +90,8 @@
             return false;
         };
         let plan: &Plan = &self.settings.plans[customer.plan.0];
-        let rate = UNCOUNTED_SLOTS_PART * plan.max_concurrency / customer.gateways / hold_seconds;
+        let rate =
+            UNCOUNTED_SLOTS_FRACTION * plan.max_concurrency / customer.gateways / hold_seconds;
         let bucket = customer.slot_bucket.get_or_insert(TokenBucket {
             level: 1.0,
             capacity: 1.0,
@@ -102,7 +103,7 @@
     }
 
     /// Takes off the shared count what it has above this gateway's attempts in flight.
-    pub(super) fn post_surplus_slots(&mut self, customer_id: CustomerId) {
+    pub(super) fn release_surplus_slots(&mut self, customer_id: CustomerId) {
         self.roll_windows(customer_id);
         let Some(customer) = self.customers.get_mut(&customer_id) else {
             return;
@@ -127,7 +128,7 @@
                 customer.in_flight += 1.0;
             }
         }
-        if self.settings.classes[request.incoming.class.0].admission_only {
+        if self.settings.classes[request.incoming.class.0].is_admission_only {
             // Its units stay counted and its slot held; from here on it has no deadline.
             request.is_streaming = true;
             request.counted = None;
--- a/crates/policy/src/engine/counter_calls.rs
+++ b/crates/policy/src/engine/counter_calls.rs
@@ -6,7 +6,7 @@
 use crate::window::{QuotaWindow, CONCURRENCY_EPOCH};
 
 /// The longest time to live of a counter: no gateway reads older ones.
-const MAX_COUNTER_LIFE: TimeDelta = TimeDelta::from_secs(60);
+const MAX_COUNTER_TTL: TimeDelta = TimeDelta::from_secs(60);
 
 impl DecisionEngine {
     /// Whether the counter gives no answers for this customer at present, so that the local bucket
@@ -23,12 +23,12 @@
     /// does, and stands for so many requests, itself among them. While the breaker is open every
     /// request may be the probe.
     pub(crate) fn draw_sample(&mut self, exponent: f64) -> Option<f64> {
-        let chance = if self.counter.breaker.is_open() {
+        let probability = if self.counter.breaker.is_open() {
             1.0
         } else {
-            self.counter.sampler.chance(exponent)
+            self.counter.sampler.sample_probability(exponent)
         };
-        (self.rng.f64() < chance).then_some(1.0 / chance)
+        (self.rng.f64() < probability).then_some(1.0 / probability)
     }
 
     /// Whether the circuit breakers let a call for the customer pass; if so they take it as made.
@@ -60,7 +60,9 @@
         }
         counter.begin_posting(posted_late);
         let length = match add.purpose {
-            CounterPurpose::Quota => QuotaWindow::of(&self.settings.plans[customer.plan.0]).length,
+            CounterPurpose::Quota => {
+                QuotaWindow::for_plan(&self.settings.plans[customer.plan.0]).length
+            }
             CounterPurpose::Concurrency => CONCURRENCY_EPOCH,
         };
         let is_probing = self.counter.breaker.is_probing() || customer.breaker.is_probing();
@@ -84,7 +86,7 @@
         self.actions.push(Action::AddToCounter {
             key,
             amount,
-            time_to_live: (length + length).min(MAX_COUNTER_LIFE),
+            time_to_live: (length + length).min(MAX_COUNTER_TTL),
         });
     }
 
--- a/crates/policy/src/engine/counter_replies.rs
+++ b/crates/policy/src/engine/counter_replies.rs
@@ -56,9 +56,9 @@
             customer.ceiling_bucket.level -= lost;
         }
         customer.breaker.record_success(call.is_probe);
-        let share_holds_a_request =
+        let is_share_enough_for_request =
             customer.gateways * self.settings.max_request_units <= plan.burst;
-        if share_holds_a_request {
+        if is_share_enough_for_request {
             customer.local_bucket = None;
         }
         self.record_counter_success(call);
--- a/crates/policy/src/engine/dispatch.rs
+++ b/crates/policy/src/engine/dispatch.rs
@@ -8,12 +8,12 @@
 
 /// Part of the latency objective that is left for a further attempt when the first is given up
 /// early, and that the first has at the least.
-const SPARE_OBJECTIVE_PART: f64 = 0.3;
+const RETRY_OBJECTIVE_FRACTION: f64 = 0.3;
 
 /// Deadlines of an attempt that is sent now.
 struct AttemptDeadlines {
     /// When it is given up.
-    until: Timestamp,
+    give_up_at: Timestamp,
     /// After what time it is checked for being a straggler; none: it is not.
     straggler_check: Option<TimeDelta>,
 }
@@ -58,7 +58,7 @@
         self.actions.push(Action::SendAttempt {
             request: id,
             endpoint: endpoint_id,
-            deadline: deadlines.until,
+            deadline: deadlines.give_up_at,
         });
         if let Some(after) = deadlines.straggler_check {
             let request = id;
@@ -81,23 +81,23 @@
         let now = self.now;
         let class = request.class(&self.settings);
         let objective = class.latency_objective;
-        let early = request.arrived_at + objective.mul_f64(1.0 - SPARE_OBJECTIVE_PART);
-        let is_early_enough = early > now + objective.mul_f64(SPARE_OBJECTIVE_PART);
-        let until = if self.may_give_up_early(request, endpoint) && is_early_enough {
-            early
+        let early_deadline = request.arrived_at + objective.mul_f64(1.0 - RETRY_OBJECTIVE_FRACTION);
+        let is_early_enough = early_deadline > now + objective.mul_f64(RETRY_OBJECTIVE_FRACTION);
+        let give_up_at = if self.may_give_up_early(request, endpoint) && is_early_enough {
+            early_deadline
         } else {
             request.incoming.deadline
         };
-        let usual_latency = self
+        let mean_latency = self
             .endpoints
             .get(endpoint)
             .map_or(0.0, |endpoint| endpoint.latency);
-        let check_after = straggler_check_after(usual_latency, objective);
+        let check_after = straggler_check_after(mean_latency, objective);
         let is_checked = class.idempotency == Idempotency::Idempotent
             && !class.is_streaming
-            && now + check_after < early;
+            && now + check_after < early_deadline;
         AttemptDeadlines {
-            until: until.min(request.incoming.deadline),
+            give_up_at: give_up_at.min(request.incoming.deadline),
             straggler_check: is_checked.then_some(check_after),
         }
     }
@@ -116,11 +116,11 @@
         let is_suspect = self
             .endpoints
             .get(endpoint)
-            .is_some_and(|endpoint| endpoint.is_on_trial || endpoint.is_outlier(&self.fleet));
+            .is_some_and(|endpoint| endpoint.is_on_probation || endpoint.is_outlier(&self.fleet));
         is_repeatable_anywhere
             && !class.is_streaming
             && request.attempts.len() + 1 < self.settings.max_attempts
-            && self.fleet.is_calm()
+            && self.fleet.is_healthy()
             && is_suspect
     }
 }
--- a/crates/policy/src/engine/mod.rs
+++ b/crates/policy/src/engine/mod.rs
@@ -137,7 +137,8 @@
         let in_flight = self.endpoints.in_flight;
         self.overload.accrue(elapsed, in_flight, endpoints);
         if !self.is_overloaded() {
-            self.overload.observe_calm(elapsed, in_flight, endpoints);
+            self.overload
+                .observe_normal_load(elapsed, in_flight, endpoints);
         }
     }
 
--- a/crates/policy/src/engine/pending.rs
+++ b/crates/policy/src/engine/pending.rs
@@ -7,11 +7,11 @@
 use std::cmp::Reverse;
 
 /// Longest wait for an endpoint, as part of the latency objective: later the answer would miss it.
-const MAX_WAIT_PART: f64 = 0.3;
+const MAX_WAIT_OBJECTIVE_FRACTION: f64 = 0.3;
 /// How often waiting requests are tried.
-const RETRY_INTERVAL: TimeDelta = TimeDelta::from_millis(10);
+const PENDING_POLL_INTERVAL: TimeDelta = TimeDelta::from_millis(10);
 /// Resolution of the priority density by which requests are sorted, in steps for each unit.
-const DENSITY_STEPS: f64 = 1e6;
+const DENSITY_STEPS_PER_UNIT: f64 = 1e6;
 
 impl DecisionEngine {
     /// Keeps a request until an endpoint is free.
@@ -28,7 +28,7 @@
     fn set_pending_timer(&mut self) {
         if !self.pending.is_empty() && !self.pending.is_timer_set {
             self.pending.is_timer_set = true;
-            self.set_timer(TimerPurpose::PendingRequests, RETRY_INTERVAL);
+            self.set_timer(TimerPurpose::PendingRequests, PENDING_POLL_INTERVAL);
         }
     }
 
@@ -63,14 +63,14 @@
         } else {
             1.0
         };
-        (request.priority_weight(&self.settings) / capacity * DENSITY_STEPS) as u64
+        (request.priority_weight(&self.settings) / capacity * DENSITY_STEPS_PER_UNIT) as u64
     }
 
     fn has_waited_too_long(&self, request: &OpenRequest) -> bool {
         let objective = request.class(&self.settings).latency_objective;
-        let longest = objective.mul_f64(MAX_WAIT_PART);
+        let max_wait = objective.mul_f64(MAX_WAIT_OBJECTIVE_FRACTION);
         request
             .pending_since
-            .is_some_and(|since| self.now >= since + longest)
+            .is_some_and(|since| self.now >= since + max_wait)
     }
 }
--- a/crates/policy/src/engine/quota.rs
+++ b/crates/policy/src/engine/quota.rs
@@ -11,7 +11,7 @@
 /// are sampled last.
 pub(super) const RETRY_EXPONENT: f64 = 3.0;
 /// Units from which on somebody could use them: fewer are given back with the next call only.
-const USABLE_UNITS: f64 = 1.0;
+const MIN_USABLE_UNITS: f64 = 1.0;
 
 /// What is known from the counter for a request.
 #[derive(Clone, Copy, Debug)]
@@ -33,7 +33,7 @@
         };
         let plan = &self.settings.plans[customer.plan.0];
         let length = if plan.rate > 0.0 {
-            QuotaWindow::of(plan).length
+            QuotaWindow::for_plan(plan).length
         } else {
             CONCURRENCY_EPOCH
         };
@@ -72,8 +72,8 @@
             Some(represented) if self.try_reserve_call(customer) => {
                 // By a recent total the retries that are not sampled are counted themselves, so a
                 // retry stands for itself alone.
-                let stands_alone = is_retry && self.has_recent_total(customer);
-                let represented = if stands_alone { 1.0 } else { represented };
+                let counts_only_itself = is_retry && self.has_recent_total(customer);
+                let represented = if counts_only_itself { 1.0 } else { represented };
                 self.add_to_counter(CounterAdd {
                     purpose: CounterPurpose::Quota,
                     customer,
@@ -136,9 +136,9 @@
                 if self.available_units(customer, total) < 0.0 {
                     return false;
                 }
-                let allowance = QuotaWindow::of(&self.settings.plans[plan.0]).allowance;
-                let beyond_window = if total <= allowance { 0.0 } else { units };
-                self.try_take_ceiling(customer, plan, beyond_window)
+                let allowance = QuotaWindow::for_plan(&self.settings.plans[plan.0]).allowance;
+                let units_beyond_window = if total <= allowance { 0.0 } else { units };
+                self.try_take_ceiling(customer, plan, units_beyond_window)
             }
             // A retry was rejected a moment ago, here or elsewhere: the counter must admit it.
             _ if is_retry && !self.is_counter_unavailable(customer) => {
@@ -185,7 +185,7 @@
     }
 
     /// Gives back what a request that was never sent had added to a window's count.
-    pub(super) fn give_back(&mut self, customer_id: CustomerId, counted: CountedUnits) {
+    pub(super) fn refund(&mut self, customer_id: CustomerId, counted: CountedUnits) {
         self.roll_windows(customer_id);
         let Some(customer) = self.customers.get_mut(&customer_id) else {
             return;
@@ -195,7 +195,7 @@
         }
         customer.window.unposted -= counted.units;
         let total = customer.window.known_total();
-        let is_usable = self.available_units(customer_id, total) >= USABLE_UNITS;
+        let is_usable = self.available_units(customer_id, total) >= MIN_USABLE_UNITS;
         if is_usable && !self.counter.breaker.is_open() {
             self.post_unposted(customer_id, CounterPurpose::Quota);
         }
--- a/crates/policy/src/engine/retries.rs
+++ b/crates/policy/src/engine/retries.rs
@@ -30,7 +30,7 @@
         // attempt.
         let lacks_body = request.is_body_discarded && !request.attempts.is_empty();
         if is_over
-            || endpoint.is_held_by_slow_start()
+            || endpoint.is_limited_by_slow_start()
             || is_forbidden_hedge
             || lacks_body
             || !endpoint.is_in_service
--- a/crates/policy/src/engine/selection.rs
+++ b/crates/policy/src/engine/selection.rs
@@ -19,15 +19,15 @@
 /// What each earlier attempt of the request at the endpoint adds to the score.
 const REPEAT_PENALTY: f64 = 4.0;
 /// Part of the score that is random, so that gateways differ.
-const RANDOM_PART: f64 = 0.1;
+const SCORE_JITTER: f64 = 0.1;
 /// Part that another zone than the gateway's adds where sites are not watched, scaled by the
 /// gateway's limit share.
-const OTHER_ZONE_PART: f64 = 0.05;
+const REMOTE_ZONE_PENALTY: f64 = 0.05;
 /// Part that an endpoint outside the drawn zone adds where sites are watched.
-const OUTSIDE_DRAWN_ZONE_PART: f64 = 4.0;
+const NON_PREFERRED_ZONE_PENALTY: f64 = 4.0;
 /// Factor for an endpoint on trial: it is preferred, or one that failed would never get the attempt
 /// that ends its trial.
-const TRIAL_FACTOR: f64 = 0.3;
+const PROBATION_FACTOR: f64 = 0.3;
 
 /// What one selection compares endpoints by.
 struct Selection<'a> {
@@ -39,7 +39,7 @@
     /// Random number of this selection.
     salt: u64,
     /// Where the request goes first; none: sites are not watched.
-    drawn_zone: Option<ZoneId>,
+    preferred_zone: Option<ZoneId>,
 }
 
 /// The best endpoint until now.
@@ -55,7 +55,7 @@
     pub(super) fn select_endpoint(&mut self, id: RequestId) -> Option<EndpointId> {
         self.advance_slow_starts();
         let salt = self.rng.u64(..);
-        let drawn_zone = self.draw_zone();
+        let preferred_zone = self.choose_preferred_zone();
         let subset_size = self.subset_size();
         let limit_share = self.limit_share();
         let subset_limit = self.subset_limit(subset_size);
@@ -72,10 +72,10 @@
             limit_share,
             is_any_healthy,
             salt,
-            drawn_zone,
+            preferred_zone,
         };
         let best = self
-            .best_of_drawn(&selection, subset_size)
+            .best_of_random(&selection, subset_size)
             .or_else(|| self.best_of_all(&selection, subset_size));
         best.map(|candidate| candidate.endpoint)
     }
@@ -89,18 +89,18 @@
     /// Whether as much is in flight as the subset's limits allow. Single limits may be below one
     /// attempt (many gateways): then all in flight stays within their sum.
     fn is_at_subset_limit(&self, subset_limit: f64) -> bool {
-        let least = if self.are_limits_fractional() {
+        let min_in_flight = if self.are_limits_fractional() {
             MIN_IN_FLIGHT_FRACTIONAL
         } else {
             MIN_IN_FLIGHT
         };
-        subset_limit > 0.0 && self.endpoints.in_flight >= subset_limit.max(least)
+        subset_limit > 0.0 && self.endpoints.in_flight >= subset_limit.max(min_in_flight)
     }
 
     /// The best of some endpoints drawn from a large subset: the best of many is hardly better, and
     /// comparing all costs more the larger the fleet is. None: the subset is small, or none of
     /// those drawn will do.
-    fn best_of_drawn(&self, selection: &Selection, subset_size: usize) -> Option<Candidate> {
+    fn best_of_random(&self, selection: &Selection, subset_size: usize) -> Option<Candidate> {
         if subset_size <= MAX_CANDIDATES {
             return None;
         }
@@ -147,16 +147,16 @@
 
     /// The zone that a request goes to first, drawn by what each should bear; none: sites are not
     /// watched.
-    fn draw_zone(&mut self) -> Option<ZoneId> {
+    fn choose_preferred_zone(&mut self) -> Option<ZoneId> {
         if self.zone_shares.is_empty() {
             return None;
         }
-        let mut left = self.rng.f64();
+        let mut remaining = self.rng.f64();
         self.zone_shares
             .iter()
             .find(|zone| {
-                left -= zone.share;
-                left < 0.0
+                remaining -= zone.share;
+                remaining < 0.0
             })
             .map(|zone| zone.zone)
     }
@@ -167,7 +167,7 @@
         if !self.has_room(selection, endpoint) || !self.may_send(request, endpoint) {
             return None;
         }
-        let distance = self.distance_part(selection, endpoint)?;
+        let zone_penalty = self.zone_penalty(selection, endpoint)?;
         let latency_ratio = if self.fleet.latency > 0.0 {
             let ratio = endpoint.latency / self.fleet.latency;
             ratio.clamp(*LATENCY_RATIO.start(), *LATENCY_RATIO.end())
@@ -181,10 +181,10 @@
         let load = (endpoint.in_flight + 1.0) * latency_ratio / endpoint.weight;
         let penalty = 1.0 + FAILURE_PENALTY * endpoint.failure_share;
         let score = load * penalty + REPEAT_PENALTY * repeats;
-        let random = mix_bits(selection.salt ^ endpoint.id.0) as f64 / u64::MAX as f64;
-        let score = score * (1.0 + RANDOM_PART * random + distance);
-        let is_trial = endpoint.is_on_trial && request.attempts.is_empty();
-        Some(score * if is_trial { TRIAL_FACTOR } else { 1.0 })
+        let jitter = mix_bits(selection.salt ^ endpoint.id.0) as f64 / u64::MAX as f64;
+        let score = score * (1.0 + SCORE_JITTER * jitter + zone_penalty);
+        let is_probation = endpoint.is_on_probation && request.attempts.is_empty();
+        Some(score * if is_probation { PROBATION_FACTOR } else { 1.0 })
     }
 
     /// Whether an endpoint is healthy and below its limit. With nothing healthy left, one attempt
@@ -199,19 +199,19 @@
 
     /// What the endpoint's zone adds to its score. Where sites are watched, others than the drawn
     /// one are used only if that has no room, and never one that is closed: then none.
-    fn distance_part(&self, selection: &Selection, endpoint: &Endpoint) -> Option<f64> {
-        let Some(drawn_zone) = selection.drawn_zone else {
+    fn zone_penalty(&self, selection: &Selection, endpoint: &Endpoint) -> Option<f64> {
+        let Some(preferred_zone) = selection.preferred_zone else {
             let is_other_zone = endpoint.zone != self.settings.zone;
-            let part = f64::from(u8::from(is_other_zone)) * OTHER_ZONE_PART;
-            return Some(part * selection.limit_share);
+            let penalty = f64::from(u8::from(is_other_zone)) * REMOTE_ZONE_PENALTY;
+            return Some(penalty * selection.limit_share);
         };
-        if drawn_zone == endpoint.zone {
+        if preferred_zone == endpoint.zone {
             return Some(0.0);
         }
         let is_closed = self
             .zone_shares
             .iter()
             .any(|zone| zone.zone == endpoint.zone && !zone.accepts_overflow);
-        (!is_closed).then_some(OUTSIDE_DRAWN_ZONE_PART)
+        (!is_closed).then_some(NON_PREFERRED_ZONE_PENALTY)
     }
 }
--- a/crates/policy/src/engine/shedding.rs
+++ b/crates/policy/src/engine/shedding.rs
@@ -6,7 +6,7 @@
 
 /// The longest retry-after of a request that is shed, as part of the latency objective: a later
 /// retry would miss it.
-const MAX_RETRY_AFTER_PART: f64 = 0.3;
+const MAX_RETRY_AFTER_OBJECTIVE_FRACTION: f64 = 0.3;
 
 impl DecisionEngine {
     /// Draws whether a request is shed. The accept rate protects endpoints where a gateway has too
@@ -24,8 +24,8 @@
                 || density < threshold.admit_above && self.rng.f64() >= threshold.admit_fraction;
         }
         self.shedder.observe_weight(weight);
-        let chance = self.shedder.chance(weight);
-        self.are_limits_fractional() && self.rng.f64() > chance
+        let accept_probability = self.shedder.accept_probability(weight);
+        self.are_limits_fractional() && self.rng.f64() > accept_probability
     }
 
     /// Whether the endpoints count as overloaded: only where concurrency limits are below one
@@ -40,8 +40,11 @@
     /// objective; random and longer the more is shed, so that retries don't arrive as one wave.
     pub(super) fn draw_retry_after(&mut self, class: ClassId) -> Option<TimeDelta> {
         let objective = self.settings.classes[class.0].latency_objective;
-        let part = MAX_RETRY_AFTER_PART * self.rng.f64() * (1.0 - self.shedder.accept_rate);
-        let wait = objective.mul_f64(part).max(self.settings.timer_resolution);
+        let fraction =
+            MAX_RETRY_AFTER_OBJECTIVE_FRACTION * self.rng.f64() * (1.0 - self.shedder.accept_rate);
+        let wait = objective
+            .mul_f64(fraction)
+            .max(self.settings.timer_resolution);
         let retry_after = wait.min(self.settings.max_retry_after);
         self.settings.send_retry_after.then_some(retry_after)
     }
--- a/crates/policy/src/engine/slow_start.rs
+++ b/crates/policy/src/engine/slow_start.rs
@@ -10,13 +10,13 @@
 
 /// How long units for an endpoint in slow start stay valid unused where many gateways share it:
 /// hundreds of gateways that each saved up one request would overload it.
-const UNUSED_LEAVE_SPAN: TimeDelta = TimeDelta::from_millis(250);
+const UNUSED_UNITS_LIFETIME: TimeDelta = TimeDelta::from_millis(250);
 /// Part of the load that overloads an endpoint in slow start which is safe to send: half, and never
 /// more than the load of a warm one.
-const SAFE_OVERLOAD_PART: f64 = 0.5;
+const SAFE_OVERLOAD_FRACTION: f64 = 0.5;
 /// The rate is measured over the warm endpoints while all endpoints together have at most this many
 /// times their weight.
-const MAX_WEIGHT_PER_WARM: f64 = 3.0;
+const MAX_TOTAL_TO_WARM_WEIGHT: f64 = 3.0;
 /// The least total weight; against a division by zero.
 const MIN_WEIGHT: f64 = 1e-9;
 
@@ -31,7 +31,7 @@
         let are_limits_fractional = self.are_limits_fractional();
         let rate_per_weight = self.units_rate_per_weight();
         let settings = &self.settings;
-        let safe_part = (settings.overload_multiple * SAFE_OVERLOAD_PART).min(1.0);
+        let safe_fraction = (settings.overload_multiple * SAFE_OVERLOAD_FRACTION).min(1.0);
         let mut ended = 0;
         for endpoint in self.endpoints.iter_mut() {
             let Some(since) = endpoint.slow_start_since else {
@@ -42,14 +42,14 @@
                 ended += 1;
                 continue;
             }
-            let least = settings.slow_start_min_capacity;
+            let min_capacity = settings.slow_start_min_capacity;
             let progress = (now - since).as_secs_f64() / settings.slow_start_duration.as_secs_f64();
-            let capacity = least + (1.0 - least) * progress;
+            let capacity = min_capacity + (1.0 - min_capacity) * progress;
             let bucket = &mut endpoint.slow_start_bucket;
-            bucket.rate = rate_per_weight * endpoint.weight * capacity * safe_part;
+            bucket.rate = rate_per_weight * endpoint.weight * capacity * safe_fraction;
             bucket.refill(now);
-            let unused_limit = bucket.rate * UNUSED_LEAVE_SPAN.as_secs_f64();
-            if are_limits_fractional && bucket.level > unused_limit {
+            let unused_units_limit = bucket.rate * UNUSED_UNITS_LIFETIME.as_secs_f64();
+            if are_limits_fractional && bucket.level > unused_units_limit {
                 bucket.level = -settings.max_request_units;
             }
         }
@@ -71,7 +71,7 @@
             .filter(|endpoint| endpoint.is_in_service)
             .map(|endpoint| endpoint.weight)
             .sum();
-        let weight = if warm_weight * MAX_WEIGHT_PER_WARM >= total_weight {
+        let weight = if warm_weight * MAX_TOTAL_TO_WARM_WEIGHT >= total_weight {
             warm_weight
         } else {
             total_weight.max(MIN_WEIGHT)
--- a/crates/policy/src/engine/status.rs
+++ b/crates/policy/src/engine/status.rs
@@ -27,7 +27,7 @@
         if plan.rate <= 0.0 {
             return self.concurrency_status(customer, plan);
         }
-        let window = QuotaWindow::of(plan);
+        let window = QuotaWindow::for_plan(plan);
         let position = WindowPosition::at(now, customer, window.length);
         let known = self
             .customers
--- a/crates/policy/src/engine/stragglers.rs
+++ b/crates/policy/src/engine/stragglers.rs
@@ -10,12 +10,12 @@
 /// How many times its usual time the endpoint is given before the check.
 const LATENCY_MULTIPLE: f64 = 6.0;
 /// The least time before the check, as part of the latency objective.
-const MIN_OBJECTIVE_PART: f64 = 0.35;
+const MIN_OBJECTIVE_FRACTION: f64 = 0.35;
 
 /// After what time an attempt is checked, by its endpoint's usual latency in microseconds.
-pub(super) fn straggler_check_after(usual_latency: f64, objective: TimeDelta) -> TimeDelta {
-    let by_latency = TimeDelta::from_micros((usual_latency * LATENCY_MULTIPLE) as u64);
-    by_latency.max(objective.mul_f64(MIN_OBJECTIVE_PART))
+pub(super) fn straggler_check_after(mean_latency: f64, objective: TimeDelta) -> TimeDelta {
+    let by_latency = TimeDelta::from_micros((mean_latency * LATENCY_MULTIPLE) as u64);
+    by_latency.max(objective.mul_f64(MIN_OBJECTIVE_FRACTION))
 }
 
 impl DecisionEngine {
--- a/crates/policy/src/engine/subset.rs
+++ b/crates/policy/src/engine/subset.rs
@@ -12,7 +12,7 @@
 /// of each in a second or two.
 const MIN_SUBSET: f64 = 8.0;
 /// Endpoints more for each unit a second that the gateway sends on.
-const SUBSET_PER_UNIT_RATE: f64 = 1.0;
+const SUBSET_ENDPOINTS_PER_UNIT_RATE: f64 = 1.0;
 /// Subsets start apart by this part of the fleet, the golden ratio: it spreads them evenly, also
 /// those of gateways in a row, through which one customer comes.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
@@ -22,21 +22,21 @@
 /// The most endpoints that one selection compares, if the subset is larger.
 pub(super) const MAX_CANDIDATES: usize = 48;
 /// The fewest gateways for an endpoint; against a division by zero.
-const MIN_SHARING: f64 = 1e-9;
+const MIN_GATEWAYS_PER_ENDPOINT: f64 = 1e-9;
 
 impl DecisionEngine {
     /// Number of endpoints in this gateway's subset.
     pub(super) fn subset_size(&self) -> usize {
         let rate = self.send_rate.per_second(self.now);
-        let size = MIN_SUBSET + SUBSET_PER_UNIT_RATE * rate;
+        let size = MIN_SUBSET + SUBSET_ENDPOINTS_PER_UNIT_RATE * rate;
         size.min(self.endpoints.in_service_count() as f64) as usize
     }
 
     /// Place of the subset's first endpoint in the fleet.
     pub(super) fn subset_start(&self) -> usize {
         let endpoints = self.endpoints.in_service_count();
-        let place = (f64::from(self.settings.gateway_index) * GOLDEN_RATIO).fract();
-        let start = place * endpoints as f64;
+        let relative_start = (f64::from(self.settings.gateway_index) * GOLDEN_RATIO).fract();
+        let start = relative_start * endpoints as f64;
         (start as usize).min(endpoints)
     }
 
@@ -49,8 +49,10 @@
     /// it, else by how many do.
     pub(super) fn limit_share(&self) -> f64 {
         let endpoints = self.endpoints.in_service_count().max(1) as f64;
-        let sharing = f64::from(self.settings.gateways) * self.subset_size() as f64 / endpoints;
-        (INITIAL_FLEET_LIMIT / INITIAL_LIMIT / sharing.max(MIN_SHARING)).min(1.0)
+        let gateways_per_endpoint =
+            f64::from(self.settings.gateways) * self.subset_size() as f64 / endpoints;
+        (INITIAL_FLEET_LIMIT / INITIAL_LIMIT / gateways_per_endpoint.max(MIN_GATEWAYS_PER_ENDPOINT))
+            .min(1.0)
     }
 
     /// Whether so many gateways share the endpoints that limits start below one attempt and bound
@@ -68,7 +70,7 @@
     /// anew with each tick only, as one answer among hundreds moves it little.
     pub(super) fn subset_limit(&mut self, subset_size: usize) -> f64 {
         let known = self.endpoints.limit_sum;
-        let is_recent = self.now < known.taken_at + self.settings.timer_resolution;
+        let is_recent = self.now < known.computed_at + self.settings.timer_resolution;
         if subset_size > MAX_CANDIDATES && is_recent {
             return known.limit;
         }
@@ -80,7 +82,7 @@
             .map(|endpoint| endpoint.limit * limit_share)
             .sum();
         self.endpoints.limit_sum = LimitSum {
-            taken_at: self.now,
+            computed_at: self.now,
             limit,
         };
         limit
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -4,7 +4,7 @@
 pub mod api;
 mod counter;
 mod customer;
-mod decisions;
+mod decision_queue;
 mod endpoint;
 mod engine;
 mod hash;
@@ -17,5 +17,5 @@
 mod token_bucket;
 mod window;
 
-pub use decisions::Decisions;
+pub use decision_queue::DecisionQueue;
 pub use engine::DecisionEngine;
--- a/crates/policy/src/shedding/mod.rs
+++ b/crates/policy/src/shedding/mod.rs
@@ -4,7 +4,7 @@
 pub(crate) mod overload;
 
 use crate::api::{SheddingThreshold, Timestamp};
-use crate::smoothing::{as_share, decayed_share, smooth, SAMPLE_WEIGHT, SHARED_SAMPLE_WEIGHT};
+use crate::smoothing::{as_fraction, decayed_share, smooth, SAMPLE_WEIGHT, SHARED_SAMPLE_WEIGHT};
 
 /// The least accept rate, so that recovery is noticed.
 const MIN_ACCEPT_RATE: f64 = 0.05;
@@ -27,7 +27,7 @@
     /// Part of the requests of usual weight that the endpoints can take.
     pub(crate) accept_rate: f64,
     /// Smoothed priority weight of all requests.
-    usual_weight: f64,
+    mean_weight: f64,
     /// Smoothed share of attempts that indicate congestion.
     late_share: f64,
     /// When the last attempt ended.
@@ -42,7 +42,7 @@
     pub(crate) fn new() -> LoadShedder {
         LoadShedder {
             accept_rate: 1.0,
-            usual_weight: 0.0,
+            mean_weight: 0.0,
             late_share: 0.0,
             last_result_at: Timestamp::ZERO,
             threshold: None,
@@ -51,13 +51,13 @@
 
     /// Takes the priority weight of a request into the usual one.
     pub(crate) fn observe_weight(&mut self, weight: f64) {
-        smooth(&mut self.usual_weight, SHARED_SAMPLE_WEIGHT, weight);
+        smooth(&mut self.mean_weight, SHARED_SAMPLE_WEIGHT, weight);
     }
 
     /// The chance that a request of that weight is accepted.
-    pub(crate) fn chance(&self, weight: f64) -> f64 {
+    pub(crate) fn accept_probability(&self, weight: f64) -> f64 {
         let exponent = if weight > 0.0 {
-            (self.usual_weight / weight).powi(WEIGHT_POWER)
+            (self.mean_weight / weight).powi(WEIGHT_POWER)
         } else {
             f64::MAX
         };
@@ -73,7 +73,7 @@
         } else {
             SAMPLE_WEIGHT.max(idle_share)
         };
-        smooth(&mut self.late_share, weight, as_share(is_congested));
+        smooth(&mut self.late_share, weight, as_fraction(is_congested));
         let severity = (self.late_share / FULL_DECREASE_LATE_SHARE).min(1.0);
         let changed = if is_congested {
             self.accept_rate * (1.0 - (1.0 - DECREASE_FACTOR) * severity)
--- a/crates/policy/src/smoothing.rs
+++ b/crates/policy/src/smoothing.rs
@@ -18,11 +18,11 @@
 }
 
 /// Moves a smoothed figure to a sample by a weight between 0 and 1.
-pub(crate) fn smooth(figure: &mut f64, weight: f64, sample: f64) {
-    *figure += weight * (sample - *figure);
+pub(crate) fn smooth(average: &mut f64, weight: f64, sample: f64) {
+    *average += weight * (sample - *average);
 }
 
 /// The number that stands for a yes or no in a smoothed share.
-pub(crate) fn as_share(happened: bool) -> f64 {
+pub(crate) fn as_fraction(happened: bool) -> f64 {
     f64::from(u8::from(happened))
 }
--- a/crates/policy/src/window.rs
+++ b/crates/policy/src/window.rs
@@ -14,7 +14,7 @@
 pub(crate) const UNITS_TOLERANCE: f64 = 0.5;
 /// Length and allowance of a window under a hard ceiling, as part of those without one: two windows
 /// may be used in a row.
-const CEILING_WINDOW_PART: f64 = 0.5;
+const CEILING_WINDOW_FRACTION: f64 = 0.5;
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
@@ -28,16 +28,16 @@
 impl QuotaWindow {
     /// The window of a plan with a rate: it admits one burst in the time that fills one; under a
     /// ceiling half of both.
-    pub(crate) fn of(plan: &Plan) -> QuotaWindow {
-        let part = if plan.ceiling_rate > 0.0 {
-            CEILING_WINDOW_PART
+    pub(crate) fn for_plan(plan: &Plan) -> QuotaWindow {
+        let fraction = if plan.ceiling_rate > 0.0 {
+            CEILING_WINDOW_FRACTION
         } else {
             1.0
         };
-        let micros = ((plan.burst / plan.rate) * part * MICROS_PER_SECOND).max(1.0);
+        let micros = ((plan.burst / plan.rate) * fraction * MICROS_PER_SECOND).max(1.0);
         QuotaWindow {
             length: TimeDelta::from_micros(micros as u64),
-            allowance: plan.burst * part,
+            allowance: plan.burst * fraction,
         }
     }
 }
@@ -78,10 +78,10 @@
     pub(crate) last_total: f64,
     /// When it was answered; `None`: no total of this window is known.
     pub(crate) answered_at: Option<Timestamp>,
-    /// Units of the customer's token bucket when the total was `stored_at_total`, at `stored_at`.
-    pub(crate) stored: f64,
-    pub(crate) stored_at_total: f64,
-    pub(crate) stored_at: Timestamp,
+    /// Units of the customer's token bucket when the total was `bucket_level_total`, at `bucket_refilled_at`.
+    pub(crate) bucket_level: f64,
+    pub(crate) bucket_level_total: f64,
+    pub(crate) bucket_refilled_at: Timestamp,
 }
 
 impl WindowCounter {
@@ -98,8 +98,8 @@
     /// Units in the customer's token bucket by a total, filled at the plan's rate up to its burst
     /// since the last total.
     pub(crate) fn available(&self, now: Timestamp, total: f64, plan: &Plan) -> f64 {
-        let filled = self.stored + plan.rate * (now - self.stored_at).as_secs_f64();
-        filled.min(plan.burst) - (total - self.stored_at_total)
+        let filled = self.bucket_level + plan.rate * (now - self.bucket_refilled_at).as_secs_f64();
+        filled.min(plan.burst) - (total - self.bucket_level_total)
     }
 
     /// Whether the last total is as recent as the answer to a call could be.
@@ -136,8 +136,8 @@
         self.last_total = total;
         self.answered_at = Some(now);
         let known_total = self.known_total();
-        self.stored = self.available(now, known_total, plan);
-        self.stored_at_total = known_total;
-        self.stored_at = now;
+        self.bucket_level = self.available(now, known_total, plan);
+        self.bucket_level_total = known_total;
+        self.bucket_refilled_at = now;
     }
 }
--- a/crates/policy/src/window/tests.rs
+++ b/crates/policy/src/window/tests.rs
@@ -20,14 +20,14 @@
 
 #[test]
 fn plan_without_a_ceiling_then_a_window_admits_one_burst_in_its_time() {
-    let window = QuotaWindow::of(&plan());
+    let window = QuotaWindow::for_plan(&plan());
     assert_eq!(window.length, TimeDelta::from_secs(2));
     assert_eq!(window.allowance, 20.0);
 }
 
 #[test]
 fn plan_with_a_ceiling_then_a_window_has_half_of_both() {
-    let window = QuotaWindow::of(&Plan {
+    let window = QuotaWindow::for_plan(&Plan {
         ceiling_rate: 20.0,
         ceiling_burst: 40.0,
         ..plan()
@@ -49,8 +49,8 @@
 #[test]
 fn a_total_is_observed_then_later_units_are_taken_off_what_it_left() {
     let mut counter = WindowCounter {
-        stored: 20.0,
-        stored_at: START,
+        bucket_level: 20.0,
+        bucket_refilled_at: START,
         ..WindowCounter::default()
     };
     counter.observe_total(START, 5.0, &plan());
--- a/crates/policy/tests/admission_only.rs
+++ b/crates/policy/tests/admission_only.rs
@@ -9,7 +9,7 @@
     let mut set = settings();
     set.use_counter = false;
     set.classes.push(Class {
-        admission_only: true,
+        is_admission_only: true,
         ..class(Idempotency::NonIdempotent, KeyScope::All)
     });
     Rig::new(set, 0)
@@ -58,7 +58,7 @@
 fn settled_units_are_posted_with_the_next_call() {
     let mut set = settings();
     set.classes.push(Class {
-        admission_only: true,
+        is_admission_only: true,
         ..class(Idempotency::NonIdempotent, KeyScope::All)
     });
     let mut rig = Rig::new(set, 0);
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -17,7 +17,7 @@
         key_scope: group,
         key_window: TimeDelta::from_micros(S),
         is_streaming: false,
-        admission_only: false,
+        is_admission_only: false,
     }
 }
 
@@ -191,7 +191,7 @@
             endpoint,
             outcome,
             elapsed,
-            request_finished: ended,
+            is_request_finished: ended,
             settled_units: None,
             load_report: report,
         };
--- a/crates/policy/tests/endpoints.rs
+++ b/crates/policy/tests/endpoints.rs
@@ -266,7 +266,7 @@
         endpoint,
         outcome,
         elapsed,
-        request_finished: false,
+        is_request_finished: false,
         settled_units: None,
         load_report: report,
     };
--- a/crates/policy/tests/late_counter_answers.rs
+++ b/crates/policy/tests/late_counter_answers.rs
@@ -25,7 +25,7 @@
             ..settings()
         };
         set.classes.push(Class {
-            admission_only: true,
+            is_admission_only: true,
             ..class(Idempotency::NonIdempotent, KeyScope::All)
         });
         set.plans.push(plan(0.02, 4.0));
--- a/crates/policy/tests/recording/mod.rs
+++ b/crates/policy/tests/recording/mod.rs
@@ -431,7 +431,7 @@
             endpoint,
             outcome,
             elapsed,
-            request_finished: ended,
+            is_request_finished: ended,
             settled_units: settled,
             load_report: report,
         };
--- a/crates/policy/tests/recording/settings.rs
+++ b/crates/policy/tests/recording/settings.rs
@@ -15,7 +15,7 @@
         key_scope,
         key_window: TimeDelta::from_micros(random.u64(300..3_000) * MILLISECOND),
         is_streaming: false,
-        admission_only: false,
+        is_admission_only: false,
     }
 }
 
@@ -39,8 +39,8 @@
         is_streaming: true,
         ..class(Idempotency::Idempotent, KeyScope::All, random)
     };
-    let admission_only = Class {
-        admission_only: true,
+    let is_admission_only = Class {
+        is_admission_only: true,
         ..class(Idempotency::NonIdempotent, KeyScope::All, random)
     };
     vec![
@@ -51,7 +51,7 @@
         class(Idempotency::Keyed, KeyScope::All, random),
         class(Idempotency::NonIdempotent, KeyScope::All, random),
         streaming,
-        admission_only,
+        is_admission_only,
     ]
 }
 
--- a/crates/resp-gateway/src/server.rs
+++ b/crates/resp-gateway/src/server.rs
@@ -20,7 +20,7 @@
 use crate::sessions::Sessions;
 use bytes::Bytes;
 use chalkdeck::api::{RequestId, TimerId};
-use chalkdeck::Decisions;
+use chalkdeck::DecisionQueue;
 use chalkdeck_net::timer_queue::TimerQueue;
 use chalkdeck_net::{ConnId, Engine, Event as NetEvent, ListenerId};
 use chalkdeck_resp::ReplySlot;
@@ -61,7 +61,7 @@
 /// A running gateway.
 pub struct GatewayServer {
     engine: Engine,
-    decisions: Decisions,
+    decisions: DecisionQueue,
     config: Config,
     listener: ListenerId,
     /// The listener still accepts connections.
--- a/crates/resp-gateway/src/server/actions.rs
+++ b/crates/resp-gateway/src/server/actions.rs
@@ -110,7 +110,7 @@
             return;
         };
         let request = end.attempt.request;
-        let request_finished = end
+        let is_request_finished = end
             .value
             .is_some_and(|value| self.reply(request, Frame::BulkString(value)));
         self.decisions.push(Event::AttemptEnded(AttemptResult {
@@ -119,7 +119,7 @@
             endpoint: end.endpoint,
             outcome: end.outcome,
             elapsed: end.elapsed,
-            request_finished,
+            is_request_finished,
             settled_units: None,
             load_report: end.load_report,
         }));
--- a/crates/resp-gateway/src/server/start.rs
+++ b/crates/resp-gateway/src/server/start.rs
@@ -7,7 +7,7 @@
 use crate::endpoint_connections::EndpointConnections;
 use crate::sessions::Sessions;
 use chalkdeck::api::{RequestId, SettingsError};
-use chalkdeck::{DecisionEngine, Decisions};
+use chalkdeck::{DecisionEngine, DecisionQueue};
 use chalkdeck_net::clock::Clock;
 use chalkdeck_net::timer_queue::TimerQueue;
 use chalkdeck_net::{Engine, Limits};
@@ -123,7 +123,7 @@
         let counter_timeout = config.settings().counter_timeout;
         Ok(GatewayServer {
             engine,
-            decisions: Decisions::new(decision_engine),
+            decisions: DecisionQueue::new(decision_engine),
             listener,
             is_listening: true,
             local_address,
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -70,7 +70,7 @@
             endpoint: self.addresses.id(fields.text("backend")?),
             outcome: fields.outcome()?,
             elapsed: fields.span_or("took", TimeDelta::ZERO)?,
-            request_finished: fields.flag_or("ended", false)?,
+            is_request_finished: fields.flag_or("ended", false)?,
             settled_units: Some(fields.real_or("settled", 0.0)?).filter(|units| *units > 0.0),
             load_report: fields.load_report()?,
         })
--- a/crates/simulator-adapter/src/settings.rs
+++ b/crates/simulator-adapter/src/settings.rs
@@ -158,7 +158,7 @@
         key_scope: read_key_scope(path)?,
         key_window: path.span_or("window", TimeDelta::ZERO)?,
         is_streaming: path.flag_or("streaming", false)?,
-        admission_only: false,
+        is_admission_only: false,
     })
 }
 
