--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,21 +1,21 @@
-//! A gateway under test, driven through the interface, and a counter that answers on demand.
+//! Test harness: one decision engine, driven through its interface, with timers that the harness fires.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use chalkdeck::api::*;
 use chalkdeck::DecisionEngine;
 
-pub const MS: u64 = 1_000;
-pub const S: u64 = 1_000_000;
+pub const MILLISECOND: u64 = 1_000;
+pub const SECOND: u64 = 1_000_000;
 
-pub fn class(effect: Idempotency, group: KeyScope) -> Class {
+pub fn class(idempotency: Idempotency, key_scope: KeyScope) -> Class {
     Class {
-        latency_objective: TimeDelta::from_micros(800 * MS),
-        deadline: TimeDelta::from_micros(3 * S),
+        latency_objective: TimeDelta::from_micros(800 * MILLISECOND),
+        deadline: TimeDelta::from_micros(3 * SECOND),
         priority_weight: 1.0,
         late_priority_weight: 0.0,
-        idempotency: effect,
-        key_scope: group,
-        key_window: TimeDelta::from_micros(S),
+        idempotency,
+        key_scope,
+        key_window: TimeDelta::from_micros(SECOND),
         is_streaming: false,
         is_admission_only: false,
     }
@@ -35,8 +35,9 @@
     }
 }
 
-/// Classes: 0 idempotent, 1 keyed by cell, 2 non-idempotent, 3 keyed by all. Plans: 0 ten units a second and twenty at
-/// once, 1 the same under a ceiling twice as high, 2 two concurrency slots, 3 no quota.
+/// Classes: 0 is idempotent, 1 keyed with key scope `Cell`, 2 non-idempotent, 3 keyed with key scope `All`.
+/// Plans: 0 has ten units per second and a burst of twenty, 1 the same with a ceiling twice as high, 2 two
+/// concurrency slots, 3 no quota.
 pub fn settings() -> Settings {
     let ceiling = Plan {
         ceiling_rate: 20.0,
@@ -64,73 +65,74 @@
         max_attempts: 4,
         allow_cancel: true,
         send_retry_after: true,
-        max_retry_after: TimeDelta::from_micros(2 * S),
+        max_retry_after: TimeDelta::from_micros(2 * SECOND),
         use_counter: true,
-        counter_timeout: TimeDelta::from_micros(80 * MS),
+        counter_timeout: TimeDelta::from_micros(80 * MILLISECOND),
         max_request_units: 4.0,
-        answer_slack: TimeDelta::from_micros(8 * MS),
+        answer_slack: TimeDelta::from_micros(8 * MILLISECOND),
         slow_start_min_capacity: 0.2,
-        slow_start_duration: TimeDelta::from_micros(10 * S),
+        slow_start_duration: TimeDelta::from_micros(10 * SECOND),
         overload_multiple: 2.0,
-        overload_duration: TimeDelta::from_micros(S),
-        timer_resolution: TimeDelta::from_micros(2 * MS),
+        overload_duration: TimeDelta::from_micros(SECOND),
+        timer_resolution: TimeDelta::from_micros(2 * MILLISECOND),
         ..Settings::default()
     }
 }
 
-pub struct Rig {
+pub struct Harness {
     pub engine: DecisionEngine,
     pub now: u64,
-    pub done: Vec<Action>,
-    pub next: u64,
+    /// Actions of all events until now.
+    pub all_actions: Vec<Action>,
+    pub next_request_id: u64,
     timers: Vec<(u64, TimerId)>,
 }
 
-impl Rig {
-    pub fn new(settings: Settings, endpoints: u32) -> Rig {
-        Rig::seeded(7, settings, endpoints)
+impl Harness {
+    pub fn new(settings: Settings, endpoints: u32) -> Harness {
+        Harness::seeded(7, settings, endpoints)
     }
-    pub fn seeded(seed: u64, settings: Settings, endpoints: u32) -> Rig {
-        let engine = DecisionEngine::new(seed, settings).expect("sound settings");
-        let mut rig = Rig {
+    pub fn seeded(seed: u64, settings: Settings, endpoints: u32) -> Harness {
+        let engine = DecisionEngine::new(seed, settings).expect("valid settings");
+        let mut harness = Harness {
             engine,
-            now: 1_000 * S,
-            done: Vec::new(),
-            next: 1,
+            now: 1_000 * SECOND,
+            all_actions: Vec::new(),
+            next_request_id: 1,
             timers: Vec::new(),
         };
         let entries = (0..endpoints)
             .map(|i| entry(i, EndpointState::InService, None))
             .collect();
-        rig.handle(Event::EndpointsUpdated {
+        harness.handle(Event::EndpointsUpdated {
             scope: UpdateScope::Complete,
             entries,
         });
-        rig
+        harness
     }
-    /// Handles one event and returns the actions on it.
+    /// Handles one event and returns the resulting actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         self.engine
-            .handle(Timestamp::from_micros(self.now), event, &mut out);
-        for action in &out {
+            .handle(Timestamp::from_micros(self.now), event, &mut actions);
+        for action in &actions {
             if let Action::SetTimer { timer: id, after } = action {
                 self.timers.push((self.now + after.as_micros(), *id));
             }
         }
-        self.done.extend(out.iter().cloned());
-        out
+        self.all_actions.extend(actions.iter().cloned());
+        actions
     }
-    /// Lets time pass, raising timers as they fire, and returns the actions on them.
-    pub fn advance(&mut self, span: u64) -> Vec<Action> {
-        let (end, mut actions) = (self.now + span, Vec::new());
+    /// Advances the time, firing timers that are due, and returns the resulting actions.
+    pub fn advance(&mut self, duration: u64) -> Vec<Action> {
+        let (end, mut actions) = (self.now + duration, Vec::new());
         while let Some(&(at, id)) = self
             .timers
             .iter()
-            .filter(|t| t.0 <= end)
-            .min_by_key(|t| t.0)
+            .filter(|timer| timer.0 <= end)
+            .min_by_key(|timer| timer.0)
         {
-            self.timers.retain(|t| t.1 != id);
+            self.timers.retain(|timer| timer.1 != id);
             self.now = self.now.max(at);
             actions.extend(self.handle(Event::Timer(id)));
         }
@@ -144,9 +146,9 @@
         customer: u64,
         units: f64,
     ) -> (RequestId, Vec<Action>) {
-        let id = RequestId(self.next);
-        self.next += 1;
-        let deadline = Timestamp::from_micros(self.now + 3 * S);
+        let id = RequestId(self.next_request_id);
+        self.next_request_id += 1;
+        let deadline = Timestamp::from_micros(self.now + 3 * SECOND);
         let (class, plan, customer) = (ClassId(class), PlanId(plan), CustomerId(customer));
         let incoming = IncomingRequest {
             id,
@@ -160,10 +162,10 @@
         };
         (id, self.handle(Event::RequestArrived(incoming)))
     }
-    /// A request without quota that is sent at once; returns its endpoint.
+    /// Sends a request without a quota, which must be sent at once, and returns its id and endpoint.
     pub fn send_request(&mut self, class: usize) -> (RequestId, EndpointId) {
-        let (id, out) = self.request(class, 3, 1, 1.0);
-        (id, sent_attempts(&out).first().expect("it is sent on").1)
+        let (id, actions) = self.request(class, 3, 1, 1.0);
+        (id, sent_attempts(&actions).first().expect("it is sent").1)
     }
     pub fn end_attempt(
         &mut self,
@@ -172,9 +174,10 @@
         endpoint: EndpointId,
         outcome: Outcome,
     ) -> Vec<Action> {
-        self.end_attempt_after(id, attempt, endpoint, outcome, 50 * MS)
+        self.end_attempt_after(id, attempt, endpoint, outcome, 50 * MILLISECOND)
     }
-    /// The attempt ends after so long. One that is cancelled belongs to a request that has its answer.
+    /// Ends an attempt that was in flight for `elapsed`. A cancelled attempt counts as one of a finished
+    /// request.
     pub fn end_attempt_after(
         &mut self,
         id: RequestId,
@@ -183,74 +186,72 @@
         outcome: Outcome,
         elapsed: u64,
     ) -> Vec<Action> {
-        let ended = matches!(outcome, Outcome::Ok | Outcome::Cancelled);
-        let (elapsed, report) = (TimeDelta::from_micros(elapsed), LoadReport::default());
+        let is_request_finished = matches!(outcome, Outcome::Ok | Outcome::Cancelled);
+        let (elapsed, load_report) = (TimeDelta::from_micros(elapsed), LoadReport::default());
         let result = AttemptResult {
             request: id,
             attempt,
             endpoint,
             outcome,
             elapsed,
-            is_request_finished: ended,
+            is_request_finished,
             settled_units: None,
-            load_report: report,
+            load_report,
         };
         self.handle(Event::AttemptEnded(result))
     }
 }
 
-pub fn entry(i: u32, listed: EndpointState, started: Option<u64>) -> EndpointEntry {
+pub fn entry(index: u32, state: EndpointState, started_at: Option<u64>) -> EndpointEntry {
     EndpointEntry {
-        endpoint: EndpointId(u64::from(i)),
+        endpoint: EndpointId(u64::from(index)),
         zone: ZoneId(0),
-        cell: CellId(u64::from(i) / 2),
-        state: listed,
+        cell: CellId(u64::from(index) / 2),
+        state,
         weight: 1.0,
-        started_at: started.map(Timestamp::from_micros),
+        started_at: started_at.map(Timestamp::from_micros),
     }
 }
 
-pub fn counter_calls(out: &[Action]) -> Vec<(CounterKey, f64)> {
-    out.iter()
-        .filter_map(|a| {
-            if let Action::AddToCounter {
-                key: n, amount: x, ..
-            } = a
-            {
-                Some((*n, *x))
+pub fn counter_calls(actions: &[Action]) -> Vec<(CounterKey, f64)> {
+    actions
+        .iter()
+        .filter_map(|action| {
+            if let Action::AddToCounter { key, amount, .. } = action {
+                Some((*key, *amount))
             } else {
                 None
             }
         })
         .collect()
 }
-/// The count calls that add or take off.
-pub fn nonzero_adds(out: &[Action]) -> Vec<(CounterKey, f64)> {
-    counter_calls(out)
+/// The counter calls with an amount other than 0.
+pub fn nonzero_adds(actions: &[Action]) -> Vec<(CounterKey, f64)> {
+    counter_calls(actions)
         .into_iter()
-        .filter(|(_, x)| *x != 0.0)
+        .filter(|(_, amount)| *amount != 0.0)
         .collect()
 }
-pub fn sent_attempts(out: &[Action]) -> Vec<(RequestId, EndpointId)> {
-    out.iter()
-        .filter_map(|a| {
+pub fn sent_attempts(actions: &[Action]) -> Vec<(RequestId, EndpointId)> {
+    actions
+        .iter()
+        .filter_map(|action| {
             if let Action::SendAttempt {
-                request: r,
-                endpoint: s,
-                ..
-            } = a
+                request, endpoint, ..
+            } = action
             {
-                Some((*r, *s))
+                Some((*request, *endpoint))
             } else {
                 None
             }
         })
         .collect()
 }
-pub fn is_rejected(out: &[Action], id: RequestId) -> bool {
-    out.iter()
-        .any(|a| matches!(a, Action::Reject { request: r, .. } if *r == id))
+pub fn is_rejected(actions: &[Action], id: RequestId) -> bool {
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::Reject { request, .. } if *request == id))
 }
-pub fn is_failed(out: &[Action], id: RequestId) -> bool {
-    out.contains(&Action::Fail(id))
+pub fn is_failed(actions: &[Action], id: RequestId) -> bool {
+    actions.contains(&Action::Fail(id))
 }
--- a/crates/policy/tests/large_subset.rs
+++ b/crates/policy/tests/large_subset.rs
@@ -1,4 +1,5 @@
-//! A gateway with much traffic before a large fleet: each selection looks at some endpoints, and all are used.
+//! A gateway with much traffic and a large fleet: each selection compares a sample of the endpoints, and all
+//! endpoints are used.
 mod common;
 use chalkdeck::api::*;
 use common::*;
@@ -6,75 +7,88 @@
 
 const ENDPOINTS: u32 = 300;
 
-/// A gateway, and what is out.
-struct Load {
-    rig: Rig,
-    out: VecDeque<(u64, RequestId, EndpointId)>,
+/// A gateway under load, with its attempts in flight.
+struct LoadGenerator {
+    harness: Harness,
+    in_flight: VecDeque<(u64, RequestId, EndpointId)>,
 }
 
-/// Four requests a millisecond, each answered after 40 ms; returns attempts by endpoint, and how many were not sent on.
-fn drive(
-    load: &mut Load,
+/// Sends four requests per millisecond, each answered after 40 ms. Returns the attempts by endpoint, and the
+/// number of requests that were not sent at once.
+fn run_load(
+    load: &mut LoadGenerator,
     millis: u64,
-    bad: impl Fn(EndpointId) -> bool,
+    is_failing: impl Fn(EndpointId) -> bool,
 ) -> (HashMap<EndpointId, u32>, u32) {
-    let (mut sent, mut unsent) = (HashMap::new(), 0);
-    let Load { rig, out } = load;
+    let (mut sent, mut unsent_requests) = (HashMap::new(), 0);
+    let LoadGenerator { harness, in_flight } = load;
     for _ in 0..millis {
-        rig.advance(MS);
-        while let Some((_, id, endpoint)) = out.front().copied().filter(|o| o.0 <= rig.now) {
-            out.pop_front();
-            let outcome = if bad(endpoint) {
+        harness.advance(MILLISECOND);
+        while let Some((_, id, endpoint)) = in_flight
+            .front()
+            .copied()
+            .filter(|attempt| attempt.0 <= harness.now)
+        {
+            in_flight.pop_front();
+            let outcome = if is_failing(endpoint) {
                 Outcome::Error
             } else {
                 Outcome::Ok
             };
-            for (id, endpoint) in
-                sent_attempts(&rig.end_attempt_after(id, 0, endpoint, outcome, 40 * MS))
-            {
+            for (id, endpoint) in sent_attempts(&harness.end_attempt_after(
+                id,
+                0,
+                endpoint,
+                outcome,
+                40 * MILLISECOND,
+            )) {
                 *sent.entry(endpoint).or_default() += 1;
-                rig.handle(Event::ClientDisconnected(id));
+                harness.handle(Event::ClientDisconnected(id));
             }
         }
         for _ in 0..4 {
-            let (id, actions) = rig.request(2, 3, 1, 1.0);
+            let (id, actions) = harness.request(2, 3, 1, 1.0);
             match sent_attempts(&actions).first() {
                 Some(&(_, endpoint)) => {
                     *sent.entry(endpoint).or_default() += 1;
-                    out.push_back((rig.now + 40 * MS, id, endpoint));
+                    in_flight.push_back((harness.now + 40 * MILLISECOND, id, endpoint));
                 }
-                None => unsent += 1,
+                None => unsent_requests += 1,
             }
         }
     }
-    (sent, unsent)
+    (sent, unsent_requests)
 }
 
 #[test]
 fn all_endpoints_are_used_evenly_and_failing_ones_are_avoided() {
-    let mut set = settings();
-    set.gateways = 1;
-    let mut load = Load {
-        rig: Rig::new(set, ENDPOINTS),
-        out: VecDeque::new(),
+    let mut settings = settings();
+    settings.gateways = 1;
+    let mut load = LoadGenerator {
+        harness: Harness::new(settings, ENDPOINTS),
+        in_flight: VecDeque::new(),
     };
-    drive(&mut load, 1_500, |_| false);
-    let (sent, unsent) = drive(&mut load, 1_500, |_| false);
+    run_load(&mut load, 1_500, |_| false);
+    let (sent, unsent_requests) = run_load(&mut load, 1_500, |_| false);
     let most = sent.values().max().copied().unwrap_or(0);
-    // A third of them are near, and 160 requests are out.
+    // 160 requests are in flight at any time.
     assert!(sent.len() > 180, "{} endpoints were used", sent.len());
     assert!(
-        most < 80 && unsent < 100,
-        "mean 20, most {most}, {unsent} not sent on"
+        most < 80 && unsent_requests < 100,
+        "mean 20, most {most}, {unsent_requests} not sent on"
     );
 
-    let bad = |s: EndpointId| s.0.is_multiple_of(4);
-    drive(&mut load, 1_500, bad);
-    let (sent, _) = drive(&mut load, 1_000, bad);
-    let all: u32 = sent.values().sum();
-    let wrong: u32 = sent.iter().filter(|(s, _)| bad(**s)).map(|(_, n)| n).sum();
+    let is_failing = |endpoint: EndpointId| endpoint.0.is_multiple_of(4);
+    run_load(&mut load, 1_500, is_failing);
+    let (sent, _) = run_load(&mut load, 1_000, is_failing);
+    let total: u32 = sent.values().sum();
+    let sent_to_failing: u32 = sent
+        .iter()
+        .filter(|(endpoint, _)| is_failing(**endpoint))
+        .map(|(_, count)| count)
+        .sum();
     assert!(
-        wrong * 20 < all,
-        "{wrong} of {all} went to the quarter that fails"
+        sent_to_failing * 20 < total,
+        "{sent_to_failing} of {total} went to the quarter that fails"
     );
 }
--- a/crates/policy/tests/late_counter_answers.rs
+++ b/crates/policy/tests/late_counter_answers.rs
@@ -1,161 +1,192 @@
-//! What a caller is told when the counter's answers come late by a few milliseconds, as on a busy machine.
+//! Admission decisions when the counter's replies are late by some milliseconds, as on a busy machine.
 mod common;
 use chalkdeck::api::*;
 use common::*;
 use std::collections::HashMap;
 
-const ADMISSION_ONLY: usize = 4;
-/// A plan of four units that takes minutes to fill again.
+const ADMISSION_ONLY_CLASS: usize = 4;
+/// A plan with a burst of four units and a rate of 0.02 units per second, which takes minutes to refill.
 const SLOW_PLAN: usize = 4;
 const SEEDS: u64 = 200;
-const QUICK: u64 = MS;
+const QUICK_LATENCY: u64 = MILLISECOND;
 
-/// One gateway and a counter that keeps its totals.
-struct Caller {
-    rig: Rig,
+/// One gateway, and a counter that keeps the totals.
+struct GatewayWithCounter {
+    harness: Harness,
     totals: HashMap<CounterKey, f64>,
-    /// Amounts that were added, in order.
-    added: Vec<f64>,
+    /// Amounts of the counter calls, in order.
+    added_amounts: Vec<f64>,
 }
 
-impl Caller {
-    fn new(seed: u64) -> Caller {
-        let mut set = Settings {
+impl GatewayWithCounter {
+    fn new(seed: u64) -> GatewayWithCounter {
+        let mut settings = Settings {
             gateways: 1,
             ..settings()
         };
-        set.classes.push(Class {
+        settings.classes.push(Class {
             is_admission_only: true,
             ..class(Idempotency::NonIdempotent, KeyScope::All)
         });
-        set.plans.push(plan(0.02, 4.0));
-        Caller {
-            rig: Rig::seeded(seed, set, 0),
+        settings.plans.push(plan(0.02, 4.0));
+        GatewayWithCounter {
+            harness: Harness::seeded(seed, settings, 0),
             totals: HashMap::new(),
-            added: Vec::new(),
+            added_amounts: Vec::new(),
         }
     }
 
-    /// Asks for units; the counter answers after `latency`, if it is called. Returns the request if it was granted.
-    fn ask(&mut self, customer: u64, units: f64, latency: u64) -> Option<RequestId> {
-        let (id, mut out) = self.rig.request(ADMISSION_ONLY, SLOW_PLAN, customer, units);
-        let calls = counter_calls(&out);
+    /// Requests units. If the counter is called, it replies after `latency`. Returns the request if it was
+    /// granted.
+    fn request_units(&mut self, customer: u64, units: f64, latency: u64) -> Option<RequestId> {
+        let (id, mut actions) =
+            self.harness
+                .request(ADMISSION_ONLY_CLASS, SLOW_PLAN, customer, units);
+        let calls = counter_calls(&actions);
         if !calls.is_empty() {
-            self.rig.advance(latency);
+            self.harness.advance(latency);
         }
         for (key, amount) in calls {
-            out.extend(self.answer(key, amount));
+            actions.extend(self.reply(key, amount));
         }
-        out.contains(&Action::Grant(id)).then_some(id)
+        actions.contains(&Action::Grant(id)).then_some(id)
     }
 
-    fn answer(&mut self, key: CounterKey, amount: f64) -> Vec<Action> {
+    fn reply(&mut self, key: CounterKey, amount: f64) -> Vec<Action> {
         let total = self.totals.entry(key).or_default();
         *total += amount;
         let total = *total;
-        self.added.push(amount);
+        self.added_amounts.push(amount);
         let outcome = Outcome::Ok;
-        self.rig.handle(Event::CounterReplied {
+        self.harness.handle(Event::CounterReplied {
             key,
             outcome,
             total,
         })
     }
 
-    /// Asks for single units until one is refused; the counter answers the calls after these times, then quickly.
-    fn use_up(&mut self, customer: u64, latencies: &[u64]) -> usize {
+    /// Requests single units until one is rejected, and returns the number granted. The counter replies to
+    /// the first calls after `latencies`, then quickly.
+    fn exhaust_quota(&mut self, customer: u64, latencies: &[u64]) -> usize {
         let mut latencies = latencies.iter();
         let mut granted = 0;
         loop {
-            let latency = *latencies.next().unwrap_or(&QUICK);
-            let Some(id) = self.ask(customer, 1.0, latency) else {
+            let latency = *latencies.next().unwrap_or(&QUICK_LATENCY);
+            let Some(id) = self.request_units(customer, 1.0, latency) else {
                 return granted;
             };
-            // A plain ask holds nothing.
-            self.rig.handle(Event::ClientDisconnected(id));
+            // The caller finishes at once; its unit stays used.
+            self.harness.handle(Event::ClientDisconnected(id));
             granted += 1;
         }
     }
 
-    /// Reserves the whole quota, is refused one unit more, and gives three back.
+    /// Reserves the whole quota, is rejected for one more unit, and settles at one unit, which refunds three.
     fn reserve_and_settle(&mut self, customer: u64, latency: u64) {
-        let reserved = self.ask(customer, 4.0, latency).expect("the quota is full");
-        assert_eq!(self.use_up(customer, &[]), 0);
-        self.rig.handle(Event::UnitsSettled {
+        let reserved = self
+            .request_units(customer, 4.0, latency)
+            .expect("the whole quota is available");
+        assert_eq!(self.exhaust_quota(customer, &[]), 0);
+        self.harness.handle(Event::UnitsSettled {
             request: reserved,
             units: 1.0,
         });
-        self.rig.handle(Event::ClientDisconnected(reserved));
+        self.harness.handle(Event::ClientDisconnected(reserved));
     }
 }
 
-/// What happened: a caller that gave three of four units back was granted none, one or two more, in 594 of 7,152 runs of
-/// `units_are_reserved_and_the_true_figure_settled` beside load. Why: the first answer of the counter was compared with a usual time of
-/// zero, so one that came after 7 ms was taken for a queue at the counter, and only a part of the requests called it from there on. Shown by: a
-/// trace of the sample rate; in each failed run the first answer had taken 7.2 to 7.7 ms, and the rate was 0.987 to 0.9998 after it.
+/// Guards against a late first reply that reduces the sample rate. A caller that was refunded three of four
+/// units was granted fewer than three more, in 594 of 7,152 runs of
+/// `units_are_reserved_and_the_true_figure_settled` under load. The first reply was compared with a base
+/// latency of zero, so one after 7.2 to 7.7 ms was taken for a queue at the counter and reduced the sample
+/// rate to between 0.987 and 0.9998, and not every request called the counter.
 #[test]
-fn first_answer_is_late_then_all_requests_call_the_counter() {
+fn a_late_first_reply_does_not_reduce_the_sample_rate() {
     for seed in 0..SEEDS {
-        let mut caller = Caller::new(seed);
-        caller.reserve_and_settle(1, (10 + seed % 50) * MS);
-        assert_eq!(caller.use_up(1, &[]), 3, "seed {seed}: three came back");
+        let mut gateway = GatewayWithCounter::new(seed);
+        gateway.reserve_and_settle(1, (10 + seed % 50) * MILLISECOND);
+        assert_eq!(
+            gateway.exhaust_quota(1, &[]),
+            3,
+            "seed {seed}: three units were refunded"
+        );
     }
 }
 
-/// What happened: as above, with one or two granted of three. Why: a sampled retry was counted for the retries like it that are not
-/// sampled, too, though right after a total these use nothing that is not counted. So units that nobody used were missing from the quota until the window's
-/// end. Shown by: totals of 2.003 to 2.16 after a retry of one unit on a count of one.
+/// Guards against a sampled retry that also adds units on behalf of unsampled retries. After a recent total
+/// these are counted themselves, so units that nobody used were missing from the quota until the window's
+/// end: totals were 2.003 to 2.16 after a retry of one unit on a count of one, and one or two of three units
+/// were granted.
 #[test]
-fn sampled_retry_is_counted_for_itself_alone() {
+fn a_sampled_retry_counts_only_itself_after_a_recent_total() {
     let mut sampled = 0;
     for seed in 0..SEEDS {
-        let mut caller = Caller::new(seed);
-        caller.reserve_and_settle(1, QUICK);
-        // A late answer of another customer's call: fewer requests call the counter from here on.
-        caller.ask(2, 1.0, 12 * MS);
-        caller.added.clear();
-        caller.ask(1, 1.0, QUICK);
-        if !caller.added.is_empty() {
+        let mut gateway = GatewayWithCounter::new(seed);
+        gateway.reserve_and_settle(1, QUICK_LATENCY);
+        // A late reply to another customer's call reduces the sample rate.
+        gateway.request_units(2, 1.0, 12 * MILLISECOND);
+        gateway.added_amounts.clear();
+        gateway.request_units(1, 1.0, QUICK_LATENCY);
+        if !gateway.added_amounts.is_empty() {
             sampled += 1;
-            assert_eq!(caller.added, [-2.0], "seed {seed}: one more, three back");
+            assert_eq!(
+                gateway.added_amounts,
+                [-2.0],
+                "seed {seed}: one unit added, three refunded"
+            );
         }
     }
     assert!(sampled > 20, "{sampled} retries were sampled");
 }
 
-/// What happened: as above, once in some two thousand runs after the causes above were gone. Why: after a late answer a request that looks
-/// like a retry and was not sampled was rejected, though that answer had just told that there is room. Shown by: one granted of three where
-/// the first of the three calls was answered late.
+/// Guards against an unsampled retry that is rejected although a recent total shows available units. One of
+/// three units was granted, in about one of two thousand runs, if the reply to the first of the three calls
+/// was late.
 #[test]
-fn unsampled_retry_goes_by_a_recent_total_and_is_counted() {
-    let late = 40 * MS;
+fn an_unsampled_retry_is_decided_by_a_recent_total_and_counted() {
+    let late_latency = 40 * MILLISECOND;
     let mut calls = 0;
     for seed in 0..SEEDS {
-        let mut caller = Caller::new(seed);
-        caller.reserve_and_settle(1, QUICK);
-        caller.added.clear();
-        assert_eq!(caller.use_up(1, &[late; 3]), 3, "seed {seed}");
-        calls += caller.added.len();
-        assert_eq!(caller.use_up(1, &[]), 0, "seed {seed}: all are counted");
+        let mut gateway = GatewayWithCounter::new(seed);
+        gateway.reserve_and_settle(1, QUICK_LATENCY);
+        gateway.added_amounts.clear();
+        assert_eq!(
+            gateway.exhaust_quota(1, &[late_latency; 3]),
+            3,
+            "seed {seed}"
+        );
+        calls += gateway.added_amounts.len();
+        assert_eq!(
+            gateway.exhaust_quota(1, &[]),
+            0,
+            "seed {seed}: all units are counted"
+        );
     }
-    assert!(calls < 2 * SEEDS as usize, "few were sampled: {calls}");
+    assert!(
+        calls < 2 * SEEDS as usize,
+        "{calls} calls: most retries are not sampled"
+    );
 }
 
 #[test]
-fn unsampled_retry_is_rejected_by_an_older_total() {
+fn an_unsampled_retry_is_rejected_without_a_recent_total() {
     let mut rejected = 0;
     for seed in 0..SEEDS {
-        let mut caller = Caller::new(seed);
-        caller.reserve_and_settle(1, QUICK);
-        // Late answers of other customers' calls; then the total is older than a call's time.
+        let mut gateway = GatewayWithCounter::new(seed);
+        gateway.reserve_and_settle(1, QUICK_LATENCY);
+        // Late replies to other customers' calls reduce the sample rate. Then the total becomes older than
+        // the counter timeout.
         for customer in 2..5 {
-            caller.ask(customer, 1.0, 40 * MS);
+            gateway.request_units(customer, 1.0, 40 * MILLISECOND);
         }
-        caller.rig.advance(80 * MS);
-        caller.added.clear();
-        let is_granted = caller.ask(1, 1.0, QUICK).is_some();
-        assert_eq!(is_granted, !caller.added.is_empty(), "seed {seed}");
+        gateway.harness.advance(80 * MILLISECOND);
+        gateway.added_amounts.clear();
+        let is_granted = gateway.request_units(1, 1.0, QUICK_LATENCY).is_some();
+        assert_eq!(is_granted, !gateway.added_amounts.is_empty(), "seed {seed}");
         rejected += u64::from(!is_granted);
     }
-    assert!(rejected > SEEDS / 2, "few are sampled: {rejected}");
+    assert!(
+        rejected > SEEDS / 2,
+        "{rejected} rejected: most retries are not sampled"
+    );
 }
--- a/crates/policy/tests/many_gateways.rs
+++ b/crates/policy/tests/many_gateways.rs
@@ -4,8 +4,8 @@
 use common::*;
 use std::collections::BTreeMap;
 
-fn gateway_of(gateways: u32, gateway_index: u32, endpoints: u32) -> Rig {
-    Rig::seeded(
+fn gateway_of(gateways: u32, gateway_index: u32, endpoints: u32) -> Harness {
+    Harness::seeded(
         u64::from(gateway_index),
         Settings {
             gateways,
@@ -17,11 +17,11 @@
 }
 
 /// A request of a customer that comes through many gateways.
-fn request_of_many_gateways(rig: &mut Rig, is_retry: bool) -> (RequestId, Vec<Action>) {
-    let id = RequestId(rig.next);
-    rig.next += 1;
-    let deadline = Timestamp::from_micros(rig.now + 3 * S);
-    let (class, plan, customer) = (ClassId(0), PlanId(0), CustomerId(rig.next));
+fn request_of_many_gateways(harness: &mut Harness, is_retry: bool) -> (RequestId, Vec<Action>) {
+    let id = RequestId(harness.next_request_id);
+    harness.next_request_id += 1;
+    let deadline = Timestamp::from_micros(harness.now + 3 * SECOND);
+    let (class, plan, customer) = (ClassId(0), PlanId(0), CustomerId(harness.next_request_id));
     let incoming = IncomingRequest {
         id,
         class,
@@ -32,19 +32,19 @@
         units: 2.0,
         is_retry,
     };
-    (id, rig.handle(Event::RequestArrived(incoming)))
+    (id, harness.handle(Event::RequestArrived(incoming)))
 }
 
 #[test]
 fn each_gateway_keeps_to_its_subset_and_the_subsets_cover_the_fleet_evenly() {
     let mut gateways_at = BTreeMap::new();
     for me in 0..100 {
-        let mut rig = gateway_of(100, me, 50);
+        let mut harness = gateway_of(100, me, 50);
         let mut used = BTreeMap::new();
         for _ in 0..100 {
-            rig.advance(500 * MS);
-            let (id, endpoint) = rig.send_request(0);
-            rig.end_attempt(id, 0, endpoint, Outcome::Ok);
+            harness.advance(500 * MILLISECOND);
+            let (id, endpoint) = harness.send_request(0);
+            harness.end_attempt(id, 0, endpoint, Outcome::Ok);
             *used.entry(endpoint).or_insert(0) += 1;
         }
         assert!(used.len() <= 12, "gateway {me} used {} of 50", used.len());
@@ -59,37 +59,37 @@
 #[test]
 fn with_fractional_limits_late_answers_shed_and_quick_ones_do_not() {
     let rejections = |elapsed: u64| {
-        let mut rig = gateway_of(200, 3, 50);
+        let mut harness = gateway_of(200, 3, 50);
         let mut rejections = 0;
         for _ in 0..200 {
-            rig.advance(700 * MS);
-            let (id, out) = rig.request(0, 3, 1, 1.0);
-            rejections += u32::from(is_rejected(&out, id));
-            for (_, endpoint) in sent_attempts(&out) {
-                rig.advance(elapsed);
-                rig.end_attempt_after(id, 0, endpoint, Outcome::Ok, elapsed);
+            harness.advance(700 * MILLISECOND);
+            let (id, actions) = harness.request(0, 3, 1, 1.0);
+            rejections += u32::from(is_rejected(&actions, id));
+            for (_, endpoint) in sent_attempts(&actions) {
+                harness.advance(elapsed);
+                harness.end_attempt_after(id, 0, endpoint, Outcome::Ok, elapsed);
             }
         }
         rejections
     };
-    assert_eq!(rejections(50 * MS), 0);
+    assert_eq!(rejections(50 * MILLISECOND), 0);
     assert!(
-        rejections(700 * MS) > 100,
+        rejections(700 * MILLISECOND) > 100,
         "one at a time, never two out, and still it sheds"
     );
 }
 
 #[test]
 fn while_calls_fail_unsampled_retries_are_rejected_and_first_requests_admitted() {
-    let mut rig = gateway_of(200, 3, 50);
+    let mut harness = gateway_of(200, 3, 50);
     let (mut went, mut calls) = ([0, 0], 0);
     for i in 0..1_200 {
-        rig.advance(300 * MS);
+        harness.advance(300 * MILLISECOND);
         let is_retry = i % 2 == 1;
-        let (id, mut out) = request_of_many_gateways(&mut rig, is_retry);
+        let (id, mut actions) = request_of_many_gateways(&mut harness, is_retry);
         // Every third call is turned away, so the breaker stays closed.
         let mut failed = false;
-        for (key, _) in counter_calls(&out) {
+        for (key, _) in counter_calls(&actions) {
             calls += 1;
             failed = calls % 3 == 0;
             let outcome = if failed {
@@ -97,17 +97,17 @@
             } else {
                 Outcome::Ok
             };
-            out.extend(rig.handle(Event::CounterReplied {
+            actions.extend(harness.handle(Event::CounterReplied {
                 key,
                 outcome,
                 total: 2.0,
             }));
         }
-        let guessed = failed && !sent_attempts(&out).is_empty();
+        let guessed = failed && !sent_attempts(&actions).is_empty();
         went[usize::from(is_retry)] += u32::from(guessed);
-        sent_attempts(&out)
+        sent_attempts(&actions)
             .iter()
-            .for_each(|(_, s)| drop(rig.end_attempt(id, 0, *s, Outcome::Ok)));
+            .for_each(|(_, s)| drop(harness.end_attempt(id, 0, *s, Outcome::Ok)));
     }
     assert!(went[0] > 10, "first tries: {went:?}");
     assert_eq!(went[1], 0, "repeats");
@@ -115,29 +115,29 @@
 
 #[test]
 fn a_local_share_below_one_request_still_admits_one() {
-    let mut rig = gateway_of(200, 3, 50);
-    rig.advance(300 * MS);
+    let mut harness = gateway_of(200, 3, 50);
+    harness.advance(300 * MILLISECOND);
     let called = (0..100).find_map(|_| {
-        let (id, out) = request_of_many_gateways(&mut rig, false);
-        sent_attempts(&out)
+        let (id, actions) = request_of_many_gateways(&mut harness, false);
+        sent_attempts(&actions)
             .iter()
-            .for_each(|(_, s)| drop(rig.end_attempt(id, 0, *s, Outcome::Ok)));
-        (!counter_calls(&out).is_empty()).then_some((id, out))
+            .for_each(|(_, s)| drop(harness.end_attempt(id, 0, *s, Outcome::Ok)));
+        (!counter_calls(&actions).is_empty()).then_some((id, actions))
     });
-    let (id, out) = called.expect("one of a hundred is sampled");
-    let out = rig.handle(Event::CounterReplied {
-        key: counter_calls(&out)[0].0,
+    let (id, actions) = called.expect("one of a hundred is sampled");
+    let actions = harness.handle(Event::CounterReplied {
+        key: counter_calls(&actions)[0].0,
         outcome: Outcome::Rejected,
         total: 0.0,
     });
-    assert_eq!(sent_attempts(&out).first().map(|s| s.0), Some(id));
+    assert_eq!(sent_attempts(&actions).first().map(|s| s.0), Some(id));
 }
 
 /// A request of one customer of that plan, which comes through all gateways, while the counter takes no call.
-fn request_while_counter_rejects(rig: &mut Rig, plan: usize) -> (RequestId, Vec<Action>) {
-    let id = RequestId(rig.next);
-    rig.next += 1;
-    let deadline = Timestamp::from_micros(rig.now + 3 * S);
+fn request_while_counter_rejects(harness: &mut Harness, plan: usize) -> (RequestId, Vec<Action>) {
+    let id = RequestId(harness.next_request_id);
+    harness.next_request_id += 1;
+    let deadline = Timestamp::from_micros(harness.now + 3 * SECOND);
     let (plan, customer) = (PlanId(plan), CustomerId(9));
     let a = IncomingRequest {
         id,
@@ -148,32 +148,32 @@
         units: 1.0,
         ..IncomingRequest::default()
     };
-    let mut out = rig.handle(Event::RequestArrived(a));
-    for (key, _) in counter_calls(&out) {
-        out.extend(rig.handle(Event::CounterReplied {
+    let mut actions = harness.handle(Event::RequestArrived(a));
+    for (key, _) in counter_calls(&actions) {
+        actions.extend(harness.handle(Event::CounterReplied {
             key,
             outcome: Outcome::Rejected,
             total: 0.0,
         }));
     }
-    (id, out)
+    (id, actions)
 }
 
 #[test]
 fn with_the_counter_down_hundreds_of_gateways_keep_one_ceiling_by_their_sum() {
     // 20 units a second up to 40, over 200 gateways that each have a request every second.
-    let mut rigs: Vec<Rig> = (0..200).map(|me| gateway_of(200, me, 50)).collect();
+    let mut harnesses: Vec<Harness> = (0..200).map(|me| gateway_of(200, me, 50)).collect();
     let (mut level, mut lowest) = (40.0f64, 40.0f64);
     for _ in 0..20 {
         level = (level + 20.0).min(40.0);
-        for rig in &mut rigs {
-            rig.advance(S);
-            let (id, out) = request_while_counter_rejects(rig, 1);
-            level -= sent_attempts(&out).len() as f64;
+        for harness in &mut harnesses {
+            harness.advance(SECOND);
+            let (id, actions) = request_while_counter_rejects(harness, 1);
+            level -= sent_attempts(&actions).len() as f64;
             lowest = lowest.min(level);
-            sent_attempts(&out)
+            sent_attempts(&actions)
                 .iter()
-                .for_each(|(_, s)| drop(rig.end_attempt(id, 0, *s, Outcome::Ok)));
+                .for_each(|(_, s)| drop(harness.end_attempt(id, 0, *s, Outcome::Ok)));
         }
     }
     assert!(lowest >= -4.0, "{lowest}");
@@ -181,25 +181,25 @@
 
 #[test]
 fn one_time_out_ejects_an_endpoint_that_is_seldom_used() {
-    let mut rig = gateway_of(200, 3, 50);
+    let mut harness = gateway_of(200, 3, 50);
     let (mut slow, mut hits) = (None, 0);
     for _ in 0..60 {
-        rig.advance(500 * MS);
-        let (id, out) = rig.request(0, 3, 1, 1.0);
-        let Some(&(_, endpoint)) = sent_attempts(&out).first() else {
+        harness.advance(500 * MILLISECOND);
+        let (id, actions) = harness.request(0, 3, 1, 1.0);
+        let Some(&(_, endpoint)) = sent_attempts(&actions).first() else {
             continue;
         };
         let jammed = *slow.get_or_insert(endpoint) == endpoint;
         hits += u32::from(jammed);
         if jammed {
-            rig.advance(3 * S); // Called off at the deadline.
+            harness.advance(3 * SECOND); // Called off at the deadline.
         }
         let (outcome, elapsed) = if jammed {
-            (Outcome::Cancelled, 3 * S)
+            (Outcome::Cancelled, 3 * SECOND)
         } else {
-            (Outcome::Ok, 50 * MS)
+            (Outcome::Ok, 50 * MILLISECOND)
         };
-        rig.end_attempt_after(id, 0, endpoint, outcome, elapsed);
+        harness.end_attempt_after(id, 0, endpoint, outcome, elapsed);
     }
     assert!(
         hits <= 6,
@@ -210,20 +210,20 @@
 #[test]
 fn with_the_counter_down_hundreds_of_gateways_share_two_slots_by_their_sum() {
     // One customer with two slots sends a request to each of 200 gateways twice a second; answers take 100 ms.
-    let mut rigs: Vec<Rig> = (0..200).map(|me| gateway_of(200, me, 50)).collect();
+    let mut harnesses: Vec<Harness> = (0..200).map(|me| gateway_of(200, me, 50)).collect();
     let mut later = 0;
     for round in 0..120 {
-        for rig in &mut rigs {
-            rig.advance(400 * MS);
-            let out = request_while_counter_rejects(rig, 2).1;
-            rig.advance(100 * MS);
+        for harness in &mut harnesses {
+            harness.advance(400 * MILLISECOND);
+            let actions = request_while_counter_rejects(harness, 2).1;
+            harness.advance(100 * MILLISECOND);
             later += if round >= 38 {
-                sent_attempts(&out).len()
+                sent_attempts(&actions).len()
             } else {
                 0
             };
-            for (id, endpoint) in sent_attempts(&out) {
-                rig.end_attempt_after(id, 0, endpoint, Outcome::Ok, 100 * MS);
+            for (id, endpoint) in sent_attempts(&actions) {
+                harness.end_attempt_after(id, 0, endpoint, Outcome::Ok, 100 * MILLISECOND);
             }
         }
     }
@@ -236,26 +236,30 @@
 
 #[test]
 fn in_overload_a_gateway_with_fractional_limits_has_less_in_flight_than_in_calm() {
-    let mut rig = gateway_of(200, 3, 50);
+    let mut harness = gateway_of(200, 3, 50);
     let mut waiting: Vec<(u64, RequestId, EndpointId)> = Vec::new();
     let mut sent = 0;
     for step in 0..2_000u64 {
-        let mut out = rig.advance(50 * MS);
+        let mut actions = harness.advance(50 * MILLISECOND);
         let is_overloaded = step >= 600;
-        let takes = if is_overloaded { 1_500 * MS } else { 100 * MS };
+        let takes = if is_overloaded {
+            1_500 * MILLISECOND
+        } else {
+            100 * MILLISECOND
+        };
         for (until, id, endpoint) in std::mem::take(&mut waiting) {
-            if until > rig.now {
+            if until > harness.now {
                 waiting.push((until, id, endpoint));
                 continue;
             }
-            out.extend(rig.end_attempt_after(id, 0, endpoint, Outcome::Ok, takes));
+            actions.extend(harness.end_attempt_after(id, 0, endpoint, Outcome::Ok, takes));
         }
         // In overload clients retry what was rejected.
         if is_overloaded || step % 10 == 0 {
-            out.extend(rig.request(0, 3, 1, 1.0).1);
+            actions.extend(harness.request(0, 3, 1, 1.0).1);
         }
-        for (id, endpoint) in sent_attempts(&out) {
-            waiting.push((rig.now + takes, id, endpoint));
+        for (id, endpoint) in sent_attempts(&actions) {
+            waiting.push((harness.now + takes, id, endpoint));
             sent += u32::from(step >= 1_000);
         }
     }
@@ -269,16 +273,16 @@
 #[test]
 fn shed_requests_get_a_short_and_spread_retry_after_where_settings_allow_it() {
     for retry_after in [true, false] {
-        let set = Settings {
+        let settings = Settings {
             gateways: 200,
             gateway_index: 3,
             send_retry_after: retry_after,
             ..settings()
         };
-        let (mut rig, mut hints) = (Rig::seeded(3, set, 50), Vec::new());
+        let (mut harness, mut hints) = (Harness::seeded(3, settings, 50), Vec::new());
         for _ in 0..300 {
-            rig.advance(700 * MS);
-            let (id, out) = rig.request(0, 3, 1, 1.0);
+            harness.advance(700 * MILLISECOND);
+            let (id, actions) = harness.request(0, 3, 1, 1.0);
             let hint = |a: &Action| {
                 if let Action::Reject {
                     retry_after: hint, ..
@@ -289,9 +293,9 @@
                     None
                 }
             };
-            hints.extend(out.iter().find_map(hint));
-            for (_, endpoint) in sent_attempts(&out) {
-                rig.end_attempt_after(id, 0, endpoint, Outcome::Ok, 700 * MS);
+            hints.extend(actions.iter().find_map(hint));
+            for (_, endpoint) in sent_attempts(&actions) {
+                harness.end_attempt_after(id, 0, endpoint, Outcome::Ok, 700 * MILLISECOND);
             }
         }
         assert!(
@@ -302,9 +306,8 @@
         assert!(hints.iter().all(|h| h.is_some() == retry_after));
         let mut waits: Vec<TimeDelta> = hints.into_iter().flatten().collect();
         assert!(
-            waits
-                .iter()
-                .all(|w| *w > TimeDelta::from_micros(0) && *w < TimeDelta::from_micros(240 * MS)),
+            waits.iter().all(|w| *w > TimeDelta::from_micros(0)
+                && *w < TimeDelta::from_micros(240 * MILLISECOND)),
             "well within the latency objective"
         );
         waits.dedup();
--- a/crates/policy/tests/quota_window.rs
+++ b/crates/policy/tests/quota_window.rs
@@ -1,21 +1,21 @@
-//! The count of a quota window: its edges, rejections, late answers, lost adds, and the local bucket.
+//! The count of a quota window: window boundaries, rejections, refunds, lost adds, and the local bucket.
 mod common;
 use chalkdeck::api::*;
 use common::*;
 
-/// One request whose call is answered with this total.
-fn request_with_total(rig: &mut Rig, units: f64, total: f64) -> (RequestId, Vec<Action>) {
-    let (id, out) = rig.request(0, 0, 1, units);
-    let add = nonzero_adds(&out);
-    assert_eq!(add.len(), 1, "one add before sending on");
+/// Sends a request and replies to its counter call with the given total.
+fn request_with_total(harness: &mut Harness, units: f64, total: f64) -> (RequestId, Vec<Action>) {
+    let (id, actions) = harness.request(0, 0, 1, units);
+    let adds = nonzero_adds(&actions);
+    assert_eq!(adds.len(), 1, "one add before the request is sent");
     assert!(
-        sent_attempts(&out).is_empty(),
-        "nothing is sent on before the answer"
+        sent_attempts(&actions).is_empty(),
+        "nothing is sent before the reply"
     );
     (
         id,
-        rig.handle(Event::CounterReplied {
-            key: add[0].0,
+        harness.handle(Event::CounterReplied {
+            key: adds[0].0,
             outcome: Outcome::Ok,
             total,
         }),
@@ -23,248 +23,267 @@
 }
 
 #[test]
-fn the_units_are_added_before_the_request_is_sent() {
-    let mut rig = Rig::new(settings(), 4);
-    let (id, out) = rig.request(0, 0, 1, 3.0);
+fn the_units_are_counted_before_the_request_is_sent() {
+    let mut harness = Harness::new(settings(), 4);
+    let (id, actions) = harness.request(0, 0, 1, 3.0);
     assert_eq!(
-        nonzero_adds(&out).iter().map(|a| a.1).collect::<Vec<_>>(),
+        nonzero_adds(&actions)
+            .iter()
+            .map(|add| add.1)
+            .collect::<Vec<_>>(),
         [3.0]
     );
-    let out = rig.handle(Event::CounterReplied {
-        key: nonzero_adds(&out)[0].0,
+    let actions = harness.handle(Event::CounterReplied {
+        key: nonzero_adds(&actions)[0].0,
         outcome: Outcome::Ok,
         total: 3.0,
     });
-    assert_eq!(sent_attempts(&out)[0].0, id);
+    assert_eq!(sent_attempts(&actions)[0].0, id);
 }
 
 #[test]
 fn a_total_equal_to_the_allowance_is_admitted() {
-    let mut rig = Rig::new(settings(), 4);
-    let (_, out) = request_with_total(&mut rig, 2.0, 20.0);
-    assert_eq!(sent_attempts(&out).len(), 1);
+    let mut harness = Harness::new(settings(), 4);
+    let (_, actions) = request_with_total(&mut harness, 2.0, 20.0);
+    assert_eq!(sent_attempts(&actions).len(), 1);
 }
 
 #[test]
-fn over_the_allowance_a_request_is_rejected_its_units_given_back_and_retry_after_set() {
-    let mut rig = Rig::new(settings(), 4);
-    // Far beyond what any bucket can hold: twice the burst and more.
-    let (id, out) = request_with_total(&mut rig, 4.0, 43.0);
+fn a_request_over_the_allowance_is_rejected_with_a_retry_after_and_its_refund_deferred() {
+    let mut harness = Harness::new(settings(), 4);
+    // More than twice the burst, so that no bucket level admits it.
+    let (id, actions) = request_with_total(&mut harness, 4.0, 43.0);
     let Some(Action::Reject {
         retry_after: Some(wait),
         ..
-    }) = out
+    }) = actions
         .iter()
-        .find(|a| matches!(a, Action::Reject { request: r, .. } if *r == id))
+        .find(|action| matches!(action, Action::Reject { request, .. } if *request == id))
     else {
-        panic!("rejected with a retry-after: {out:?}");
+        panic!("rejected with a retry-after: {actions:?}");
     };
-    assert!(wait.as_micros() > 0 && wait.as_micros() <= 2 * S);
-    assert!(sent_attempts(&out).is_empty());
-    // Nobody could use what the add takes up: it goes back with the next call, no call is spent on it.
-    assert!(nonzero_adds(&out).is_empty());
+    assert!(wait.as_micros() > 0 && wait.as_micros() <= 2 * SECOND);
+    assert!(sent_attempts(&actions).is_empty());
+    // No request could use the refunded units, so they are posted with the next call instead of one of their
+    // own.
+    assert!(nonzero_adds(&actions).is_empty());
 }
 
 #[test]
-fn a_window_known_to_be_full_rejects_without_a_call() {
-    let mut rig = Rig::new(settings(), 4);
-    request_with_total(&mut rig, 2.0, 43.0);
-    let (id, out) = rig.request(0, 0, 1, 2.0);
-    assert!(is_rejected(&out, id) && nonzero_adds(&out).is_empty());
+fn a_quota_known_to_be_exhausted_rejects_without_a_call() {
+    let mut harness = Harness::new(settings(), 4);
+    request_with_total(&mut harness, 2.0, 43.0);
+    let (id, actions) = harness.request(0, 0, 1, 2.0);
+    assert!(is_rejected(&actions, id) && nonzero_adds(&actions).is_empty());
 }
 
 #[test]
 fn a_new_window_calls_the_counter_under_a_new_key() {
-    let mut rig = Rig::new(settings(), 4);
-    let first = nonzero_adds(&rig.request(0, 0, 1, 2.0).1)[0].0;
-    rig.handle(Event::CounterReplied {
+    let mut harness = Harness::new(settings(), 4);
+    let first = nonzero_adds(&harness.request(0, 0, 1, 2.0).1)[0].0;
+    harness.handle(Event::CounterReplied {
         key: first,
         outcome: Outcome::Ok,
         total: 43.0,
     });
-    rig.advance(2 * S);
-    let (_, out) = rig.request(0, 0, 1, 2.0);
-    assert_eq!(nonzero_adds(&out).len(), 1);
-    assert_ne!(nonzero_adds(&out)[0].0, first);
+    harness.advance(2 * SECOND);
+    let (_, actions) = harness.request(0, 0, 1, 2.0);
+    assert_eq!(nonzero_adds(&actions).len(), 1);
+    assert_ne!(nonzero_adds(&actions)[0].0, first);
 }
 
 #[test]
 fn gateways_agree_on_the_counter_key() {
     let mut other = settings();
     other.gateway_index = 1;
-    let (mut a, mut b) = (Rig::new(settings(), 4), Rig::new(other, 2));
+    let (mut first, mut second) = (Harness::new(settings(), 4), Harness::new(other, 2));
     assert_eq!(
-        nonzero_adds(&a.request(0, 0, 1, 2.0).1)[0].0,
-        nonzero_adds(&b.request(0, 0, 1, 2.0).1)[0].0
+        nonzero_adds(&first.request(0, 0, 1, 2.0).1)[0].0,
+        nonzero_adds(&second.request(0, 0, 1, 2.0).1)[0].0
     );
 }
 
 #[test]
-fn a_counter_that_lost_its_memory_gets_our_units_again() {
-    let mut rig = Rig::new(settings(), 4);
-    request_with_total(&mut rig, 4.0, 4.0);
-    request_with_total(&mut rig, 4.0, 8.0);
-    // The memory is lost: only this add is there.
-    let (_, out) = request_with_total(&mut rig, 2.0, 2.0);
-    assert_eq!(nonzero_adds(&out).iter().map(|a| a.1).sum::<f64>(), 8.0);
+fn units_that_the_counter_lost_are_posted_again() {
+    let mut harness = Harness::new(settings(), 4);
+    request_with_total(&mut harness, 4.0, 4.0);
+    request_with_total(&mut harness, 4.0, 8.0);
+    // The counter has lost its state: it has only this add.
+    let (_, actions) = request_with_total(&mut harness, 2.0, 2.0);
+    assert_eq!(
+        nonzero_adds(&actions).iter().map(|add| add.1).sum::<f64>(),
+        8.0
+    );
 }
 
 #[test]
-fn rejected_units_are_given_back_at_once_where_others_could_use_them() {
-    let mut rig = Rig::new(settings(), 4);
-    request_with_total(&mut rig, 1.0, 20.0);
-    rig.advance(2 * S); // Empty then, full now.
-    let (id, out) = rig.request(0, 0, 1, 4.0);
-    let out = rig.handle(Event::CounterReplied {
-        key: nonzero_adds(&out)[0].0,
+fn rejected_units_are_refunded_at_once_if_others_could_use_them() {
+    let mut harness = Harness::new(settings(), 4);
+    request_with_total(&mut harness, 1.0, 20.0);
+    harness.advance(2 * SECOND); // The quota was empty and is full now.
+    let (id, actions) = harness.request(0, 0, 1, 4.0);
+    let actions = harness.handle(Event::CounterReplied {
+        key: nonzero_adds(&actions)[0].0,
         outcome: Outcome::Ok,
         total: 22.0,
     });
-    assert!(is_rejected(&out, id), "{out:?}");
+    assert!(is_rejected(&actions, id), "{actions:?}");
     assert_eq!(
-        nonzero_adds(&out).iter().map(|a| a.1).collect::<Vec<_>>(),
+        nonzero_adds(&actions)
+            .iter()
+            .map(|add| add.1)
+            .collect::<Vec<_>>(),
         [-4.0]
     );
 }
 
 #[test]
-fn a_burst_at_the_end_of_a_window_is_not_granted_again_at_the_start_of_the_next() {
-    let mut rig = Rig::new(settings(), 4);
-    // Windows last 2 s; their edges hang on the customer, so the second burst is tried all over one.
-    request_with_total(&mut rig, 1.0, 1.0);
-    rig.advance(6 * S);
+fn a_burst_at_the_end_of_a_window_is_not_admitted_again_at_the_start_of_the_next() {
+    let mut harness = Harness::new(settings(), 4);
+    // Windows last 2 s, and their offset depends on the customer, so requests are sent over the length of a
+    // whole window.
+    request_with_total(&mut harness, 1.0, 1.0);
+    harness.advance(6 * SECOND);
     let mut total = 0.0;
-    let mut granted = 0;
-    let mut last = None;
+    let mut admitted = 0;
+    let mut last_key = None;
     for _ in 0..100 {
-        let (id, out) = rig.request(0, 0, 1, 1.0);
-        for (key, amount) in counter_calls(&out) {
-            total = if last.replace(key).is_some_and(|n| n != key) {
+        let (id, actions) = harness.request(0, 0, 1, 1.0);
+        for (key, amount) in counter_calls(&actions) {
+            total = if last_key
+                .replace(key)
+                .is_some_and(|previous| previous != key)
+            {
                 amount
             } else {
                 total + amount
             };
-            let out = rig.handle(Event::CounterReplied {
+            let actions = harness.handle(Event::CounterReplied {
                 key,
                 outcome: Outcome::Ok,
                 total,
             });
-            granted += sent_attempts(&out).len();
-            sent_attempts(&out)
-                .iter()
-                .for_each(|(id, s)| drop(rig.end_attempt(*id, 0, *s, Outcome::Ok)));
-            total += counter_calls(&out).iter().map(|a| a.1).sum::<f64>();
-            counter_calls(&out).iter().for_each(|a| {
-                drop(rig.handle(Event::CounterReplied {
-                    key: a.0,
+            admitted += sent_attempts(&actions).len();
+            sent_attempts(&actions).iter().for_each(|(id, endpoint)| {
+                drop(harness.end_attempt(*id, 0, *endpoint, Outcome::Ok))
+            });
+            total += counter_calls(&actions).iter().map(|add| add.1).sum::<f64>();
+            counter_calls(&actions).iter().for_each(|call| {
+                drop(harness.handle(Event::CounterReplied {
+                    key: call.0,
                     outcome: Outcome::Ok,
                     total,
                 }))
             });
         }
-        rig.handle(Event::ClientDisconnected(id));
-        rig.advance(20 * MS);
+        harness.handle(Event::ClientDisconnected(id));
+        harness.advance(20 * MILLISECOND);
     }
-    // Twenty that were saved, and two seconds at ten a second.
-    assert!((38..=41).contains(&granted), "{granted}");
+    // A burst of twenty, and two seconds at ten units per second.
+    assert!((38..=41).contains(&admitted), "{admitted}");
 }
 
 #[test]
-fn retry_after_is_when_the_quota_has_the_units() {
-    let mut rig = Rig::new(settings(), 4);
-    request_with_total(&mut rig, 1.0, 20.0);
-    // Empty now: four units take 0.4 s.
-    let (id, out) = rig.request(0, 0, 1, 4.0);
-    let back = out.iter().find_map(|a| match a {
+fn retry_after_is_the_time_until_the_quota_has_the_units() {
+    let mut harness = Harness::new(settings(), 4);
+    request_with_total(&mut harness, 1.0, 20.0);
+    // The quota is empty: four units take 0.4 s to refill.
+    let (id, actions) = harness.request(0, 0, 1, 4.0);
+    let retry_after = actions.iter().find_map(|action| match action {
         Action::Reject {
-            request: rejected,
-            retry_after: back,
-        } if *rejected == id => *back,
+            request,
+            retry_after,
+        } if *request == id => *retry_after,
         _ => None,
     });
-    let back = back.expect("it is rejected with a retry-after").as_micros();
-    assert!((380 * MS..=400 * MS).contains(&back), "{back}");
+    let retry_after = retry_after
+        .expect("it is rejected with a retry-after")
+        .as_micros();
+    assert!(
+        (380 * MILLISECOND..=400 * MILLISECOND).contains(&retry_after),
+        "{retry_after}"
+    );
 }
 
 #[test]
 fn locally_admitted_units_are_posted_with_the_next_call() {
-    let mut rig = Rig::new(settings(), 4);
-    let (_, out) = rig.request(0, 0, 1, 2.0);
-    // Turned away: nothing was added, the local bucket lets it go on.
-    let out = rig.handle(Event::CounterReplied {
-        key: nonzero_adds(&out)[0].0,
+    let mut harness = Harness::new(settings(), 4);
+    let (_, actions) = harness.request(0, 0, 1, 2.0);
+    // The counter rejected the call, so nothing was added, and the local bucket admits the request.
+    let actions = harness.handle(Event::CounterReplied {
+        key: nonzero_adds(&actions)[0].0,
         outcome: Outcome::Rejected,
         total: 0.0,
     });
-    assert_eq!(sent_attempts(&out).len(), 1);
+    assert_eq!(sent_attempts(&actions).len(), 1);
     let next = (0..50).find_map(|_| {
-        nonzero_adds(&rig.request(0, 0, 1, 1.0).1)
+        nonzero_adds(&harness.request(0, 0, 1, 1.0).1)
             .first()
-            .map(|a| a.1)
+            .map(|add| add.1)
     });
     assert!(
         next.expect("a request is sampled") >= 3.0,
-        "its own unit and what was admitted without the counter"
+        "its own unit and those admitted without the counter"
     );
 }
 
 #[test]
-fn without_a_counter_the_local_share_decides() {
-    let mut set = settings();
-    set.use_counter = false;
-    let mut rig = Rig::new(set, 8);
-    let mut through = 0;
+fn without_the_counter_the_local_share_decides() {
+    let mut settings = settings();
+    settings.use_counter = false;
+    let mut harness = Harness::new(settings, 8);
+    let mut admitted = 0;
     for _ in 0..400 {
-        rig.advance(100 * MS);
-        let (id, out) = rig.request(0, 0, 1, 1.0);
-        assert!(counter_calls(&out).is_empty());
-        if let Some((_, endpoint)) = sent_attempts(&out).first() {
-            through += 1;
-            rig.end_attempt(id, 0, *endpoint, Outcome::Ok);
+        harness.advance(100 * MILLISECOND);
+        let (id, actions) = harness.request(0, 0, 1, 1.0);
+        assert!(counter_calls(&actions).is_empty());
+        if let Some((_, endpoint)) = sent_attempts(&actions).first() {
+            admitted += 1;
+            harness.end_attempt(id, 0, *endpoint, Outcome::Ok);
         }
     }
-    // 40 s at a share of 5 units a second, and at most one burst's share on top.
-    assert!((190..=212).contains(&through), "{through}");
+    // 40 s at a share of 5 units per second, plus at most this gateway's share of a burst.
+    assert!((190..=212).contains(&admitted), "{admitted}");
 }
 
 #[test]
 fn a_concurrency_slot_is_counted_and_freed() {
-    let mut rig = Rig::new(settings(), 4);
-    let (id, out) = rig.request(0, 2, 1, 1.0);
-    let (key, one) = nonzero_adds(&out)[0];
-    assert_eq!(one, 1.0);
-    let out = rig.handle(Event::CounterReplied {
+    let mut harness = Harness::new(settings(), 4);
+    let (id, actions) = harness.request(0, 2, 1, 1.0);
+    let (key, amount) = nonzero_adds(&actions)[0];
+    assert_eq!(amount, 1.0);
+    let actions = harness.handle(Event::CounterReplied {
         key,
         outcome: Outcome::Ok,
         total: 1.0,
     });
-    let endpoint = sent_attempts(&out)[0].1;
-    let out = rig.end_attempt(id, 0, endpoint, Outcome::Ok);
-    assert_eq!(nonzero_adds(&out), [(key, -1.0)]);
-    rig.handle(Event::CounterReplied {
+    let endpoint = sent_attempts(&actions)[0].1;
+    let actions = harness.end_attempt(id, 0, endpoint, Outcome::Ok);
+    assert_eq!(nonzero_adds(&actions), [(key, -1.0)]);
+    harness.handle(Event::CounterReplied {
         key,
         outcome: Outcome::Ok,
         total: 0.0,
     });
-    let (id, out) = rig.request(0, 2, 1, 1.0);
-    assert_eq!(nonzero_adds(&out), [(key, 1.0)]);
-    let out = rig.handle(Event::CounterReplied {
+    let (id, actions) = harness.request(0, 2, 1, 1.0);
+    assert_eq!(nonzero_adds(&actions), [(key, 1.0)]);
+    let actions = harness.handle(Event::CounterReplied {
         key,
         outcome: Outcome::Ok,
         total: 3.0,
     });
-    assert!(is_rejected(&out, id), "two are out elsewhere");
+    assert!(is_rejected(&actions, id), "both slots are in use elsewhere");
     assert_eq!(
-        nonzero_adds(&out),
+        nonzero_adds(&actions),
         [(key, -1.0)],
-        "and the slot is given back"
+        "and the slot is released"
     );
 }
 
 #[test]
 fn a_reply_without_a_call_changes_nothing() {
-    let mut rig = Rig::new(settings(), 4);
-    assert!(rig
+    let mut harness = Harness::new(settings(), 4);
+    assert!(harness
         .handle(Event::CounterReplied {
             key: CounterKey(5),
             outcome: Outcome::Ok,
@@ -274,43 +293,50 @@
 }
 
 #[test]
-fn without_the_counter_a_gateway_that_carries_nearly_all_gets_the_larger_share() {
-    let passed = |others: f64| {
-        let mut rig = Rig::new(settings(), 8);
-        // Four windows in which this gateway adds four units of a total that others raise.
+fn without_the_counter_the_local_share_grows_with_the_carried_share_of_the_usage() {
+    let count_admitted = |units_of_others: f64| {
+        let mut harness = Harness::new(settings(), 8);
+        // In four windows this gateway adds four units, and other gateways add the rest of the total.
         for _ in 0..4 {
-            rig.advance(2 * S);
-            let (id, out) = rig.request(0, 0, 1, 4.0);
-            for (key, amount) in counter_calls(&out) {
-                let total = if amount > 0.0 { 4.0 + others } else { 0.0 };
-                let out = rig.handle(Event::CounterReplied {
+            harness.advance(2 * SECOND);
+            let (id, actions) = harness.request(0, 0, 1, 4.0);
+            for (key, amount) in counter_calls(&actions) {
+                let total = if amount > 0.0 {
+                    4.0 + units_of_others
+                } else {
+                    0.0
+                };
+                let actions = harness.handle(Event::CounterReplied {
                     key,
                     outcome: Outcome::Ok,
                     total,
                 });
-                sent_attempts(&out)
-                    .iter()
-                    .for_each(|(_, s)| drop(rig.end_attempt(id, 0, *s, Outcome::Ok)));
+                sent_attempts(&actions).iter().for_each(|(_, endpoint)| {
+                    drop(harness.end_attempt(id, 0, *endpoint, Outcome::Ok))
+                });
             }
         }
-        let mut passed = 0;
+        let mut admitted = 0;
         for _ in 0..300 {
-            rig.advance(100 * MS);
-            let (id, mut out) = rig.request(0, 0, 1, 1.0);
-            for (key, _) in counter_calls(&out.clone()) {
-                out.extend(rig.handle(Event::CounterReplied {
+            harness.advance(100 * MILLISECOND);
+            let (id, mut actions) = harness.request(0, 0, 1, 1.0);
+            for (key, _) in counter_calls(&actions.clone()) {
+                actions.extend(harness.handle(Event::CounterReplied {
                     key,
                     outcome: Outcome::Rejected,
                     total: 0.0,
                 }));
             }
-            passed += sent_attempts(&out).len();
-            sent_attempts(&out)
+            admitted += sent_attempts(&actions).len();
+            sent_attempts(&actions)
                 .iter()
-                .for_each(|(_, s)| drop(rig.end_attempt(id, 0, *s, Outcome::Ok)));
+                .for_each(|(_, endpoint)| drop(harness.end_attempt(id, 0, *endpoint, Outcome::Ok)));
         }
-        passed
+        admitted
     };
-    let (alone, beside) = (passed(0.0), passed(12.0));
-    assert!(alone * 4 > beside * 5, "{alone} against {beside}");
+    let (whole_usage, quarter_of_usage) = (count_admitted(0.0), count_admitted(12.0));
+    assert!(
+        whole_usage * 4 > quarter_of_usage * 5,
+        "{whole_usage} against {quarter_of_usage}"
+    );
 }
--- a/crates/policy/tests/request_guarantees.rs
+++ b/crates/policy/tests/request_guarantees.rs
@@ -11,87 +11,91 @@
 
 #[test]
 fn every_request_is_answered_once_by_its_deadline() {
-    let mut rig = Rig::new(settings(), 4);
-    let (id, _) = rig.send_request(0);
-    rig.advance(3 * S);
-    assert_eq!(final_answers(&rig.done, id), 1, "no outcome ever came");
-    rig.advance(10 * S);
-    assert_eq!(final_answers(&rig.done, id), 1);
+    let mut harness = Harness::new(settings(), 4);
+    let (id, _) = harness.send_request(0);
+    harness.advance(3 * SECOND);
+    assert_eq!(
+        final_answers(&harness.all_actions, id),
+        1,
+        "no outcome ever came"
+    );
+    harness.advance(10 * SECOND);
+    assert_eq!(final_answers(&harness.all_actions, id), 1);
 }
 
 #[test]
 fn without_an_endpoint_a_request_is_rejected_in_time() {
-    let mut rig = Rig::new(settings(), 0);
-    let (id, _) = rig.request(0, 3, 1, 1.0);
-    rig.advance(3 * S);
-    assert_eq!(final_answers(&rig.done, id), 1);
+    let mut harness = Harness::new(settings(), 0);
+    let (id, _) = harness.request(0, 3, 1, 1.0);
+    harness.advance(3 * SECOND);
+    assert_eq!(final_answers(&harness.all_actions, id), 1);
 }
 
 #[test]
 fn nothing_is_sent_after_the_final_answer() {
-    let mut rig = Rig::new(settings(), 4);
-    let (id, endpoint) = rig.send_request(0);
-    rig.handle(Event::ClientDisconnected(id));
-    let out = rig.end_attempt(id, 0, endpoint, Outcome::Error);
-    assert!(sent_attempts(&out).is_empty() && final_answers(&out, id) == 0);
+    let mut harness = Harness::new(settings(), 4);
+    let (id, endpoint) = harness.send_request(0);
+    harness.handle(Event::ClientDisconnected(id));
+    let actions = harness.end_attempt(id, 0, endpoint, Outcome::Error);
+    assert!(sent_attempts(&actions).is_empty() && final_answers(&actions, id) == 0);
     assert!(
-        sent_attempts(&rig.end_attempt(id, 0, endpoint, Outcome::Error)).is_empty(),
+        sent_attempts(&harness.end_attempt(id, 0, endpoint, Outcome::Error)).is_empty(),
         "a repeated outcome"
     );
 }
 
 #[test]
 fn a_non_idempotent_request_that_may_have_run_fails() {
-    let mut rig = Rig::new(settings(), 4);
-    let (id, endpoint) = rig.send_request(2);
-    let out = rig.end_attempt(id, 0, endpoint, Outcome::Error);
-    assert!(is_failed(&out, id) && sent_attempts(&out).is_empty());
+    let mut harness = Harness::new(settings(), 4);
+    let (id, endpoint) = harness.send_request(2);
+    let actions = harness.end_attempt(id, 0, endpoint, Outcome::Error);
+    assert!(is_failed(&actions, id) && sent_attempts(&actions).is_empty());
 }
 
 #[test]
 fn a_non_idempotent_request_that_never_ran_is_retried_elsewhere() {
-    let mut rig = Rig::new(settings(), 4);
-    let (id, endpoint) = rig.send_request(2);
-    let out = rig.end_attempt(id, 0, endpoint, Outcome::ConnectFailed);
-    assert_eq!(sent_attempts(&out).len(), 1);
-    assert_ne!(sent_attempts(&out)[0].1, endpoint);
+    let mut harness = Harness::new(settings(), 4);
+    let (id, endpoint) = harness.send_request(2);
+    let actions = harness.end_attempt(id, 0, endpoint, Outcome::ConnectFailed);
+    assert_eq!(sent_attempts(&actions).len(), 1);
+    assert_ne!(sent_attempts(&actions)[0].1, endpoint);
 }
 
 #[test]
 fn a_keyed_request_is_retried_in_its_cell_only() {
     for _ in 0..20 {
-        let mut rig = Rig::new(settings(), 8);
-        let (id, endpoint) = rig.send_request(1);
-        let out = rig.end_attempt(id, 0, endpoint, Outcome::Error);
-        assert_eq!(sent_attempts(&out)[0].1 .0 / 2, endpoint.0 / 2);
+        let mut harness = Harness::new(settings(), 8);
+        let (id, endpoint) = harness.send_request(1);
+        let actions = harness.end_attempt(id, 0, endpoint, Outcome::Error);
+        assert_eq!(sent_attempts(&actions)[0].1 .0 / 2, endpoint.0 / 2);
     }
 }
 
 #[test]
 fn a_keyed_request_fails_after_its_key_window() {
-    let mut set = settings();
-    set.classes[1].key_window = TimeDelta::from_micros(100 * MS);
-    let mut rig = Rig::new(set, 8);
-    let (id, endpoint) = rig.send_request(1);
-    rig.advance(100 * MS);
-    let out = rig.end_attempt(id, 0, endpoint, Outcome::Error);
-    assert!(is_failed(&out, id) && sent_attempts(&out).is_empty());
+    let mut settings = settings();
+    settings.classes[1].key_window = TimeDelta::from_micros(100 * MILLISECOND);
+    let mut harness = Harness::new(settings, 8);
+    let (id, endpoint) = harness.send_request(1);
+    harness.advance(100 * MILLISECOND);
+    let actions = harness.end_attempt(id, 0, endpoint, Outcome::Error);
+    assert!(is_failed(&actions, id) && sent_attempts(&actions).is_empty());
 }
 
 #[test]
 fn a_keyed_request_is_not_retried_where_its_connection_could_be_established_after_the_key_window() {
     for (after, again) in [(100, true), (160, false)] {
-        let mut set = settings();
-        (set.classes[1].key_window, set.dial_timeout) = (
-            TimeDelta::from_micros(400 * MS),
-            TimeDelta::from_micros(250 * MS),
+        let mut settings = settings();
+        (settings.classes[1].key_window, settings.dial_timeout) = (
+            TimeDelta::from_micros(400 * MILLISECOND),
+            TimeDelta::from_micros(250 * MILLISECOND),
         );
-        let mut rig = Rig::new(set, 8);
-        let (id, endpoint) = rig.send_request(1);
-        rig.advance(after * MS);
-        let out = rig.end_attempt(id, 0, endpoint, Outcome::Error);
+        let mut harness = Harness::new(settings, 8);
+        let (id, endpoint) = harness.send_request(1);
+        harness.advance(after * MILLISECOND);
+        let actions = harness.end_attempt(id, 0, endpoint, Outcome::Error);
         assert_eq!(
-            (sent_attempts(&out).len() == 1, is_failed(&out, id)),
+            (sent_attempts(&actions).len() == 1, is_failed(&actions, id)),
             (again, !again),
             "after {after} ms"
         );
@@ -100,12 +104,12 @@
 
 #[test]
 fn an_idempotent_request_may_be_rejected_with_an_attempt_in_flight() {
-    let mut rig = Rig::new(settings(), 1);
-    let (id, _) = rig.send_request(0);
-    let out = rig.advance(3 * S);
+    let mut harness = Harness::new(settings(), 1);
+    let (id, _) = harness.send_request(0);
+    let actions = harness.advance(3 * SECOND);
     assert!(
-        is_rejected(&out, id)
-            && out.contains(&Action::CancelAttempt {
+        is_rejected(&actions, id)
+            && actions.contains(&Action::CancelAttempt {
                 request: id,
                 attempt: 0
             })
@@ -115,23 +119,28 @@
 #[test]
 fn nothing_is_sent_to_a_draining_or_removed_endpoint() {
     for listed in [EndpointState::Draining, EndpointState::Removed] {
-        let mut rig = Rig::new(settings(), 2);
-        rig.handle(Event::EndpointsUpdated {
+        let mut harness = Harness::new(settings(), 2);
+        harness.handle(Event::EndpointsUpdated {
             scope: UpdateScope::Incremental,
             entries: vec![entry(0, listed, None)],
         });
         for _ in 0..50 {
-            let (_, endpoint) = rig.send_request(0);
+            let (_, endpoint) = harness.send_request(0);
             assert_eq!(endpoint, EndpointId(1));
-            rig.end_attempt(RequestId(rig.next - 1), 0, endpoint, Outcome::Ok);
+            harness.end_attempt(
+                RequestId(harness.next_request_id - 1),
+                0,
+                endpoint,
+                Outcome::Ok,
+            );
         }
-        rig.handle(Event::EndpointsUpdated {
+        harness.handle(Event::EndpointsUpdated {
             scope: UpdateScope::Complete,
             entries: vec![entry(0, EndpointState::InService, None)],
         });
         for _ in 0..2 {
             assert_eq!(
-                rig.send_request(0).1,
+                harness.send_request(0).1,
                 EndpointId(0),
                 "a endpoint missing from a whole list is gone"
             );
@@ -141,26 +150,26 @@
 
 #[test]
 fn with_all_endpoints_draining_requests_are_rejected_in_time() {
-    let mut rig = Rig::new(settings(), 1);
-    rig.handle(Event::EndpointsUpdated {
+    let mut harness = Harness::new(settings(), 1);
+    harness.handle(Event::EndpointsUpdated {
         scope: UpdateScope::Incremental,
         entries: vec![entry(0, EndpointState::Draining, None)],
     });
-    let (id, out) = rig.request(0, 3, 1, 1.0);
-    assert!(sent_attempts(&out).is_empty());
-    rig.advance(3 * S);
-    assert_eq!(final_answers(&rig.done, id), 1);
+    let (id, actions) = harness.request(0, 3, 1, 1.0);
+    assert!(sent_attempts(&actions).is_empty());
+    harness.advance(3 * SECOND);
+    assert_eq!(final_answers(&harness.all_actions, id), 1);
 }
 
 /// Runs a steady flow for five seconds and counts what each endpoint got.
-fn steady_load(rig: &mut Rig) -> Vec<u32> {
+fn steady_load(harness: &mut Harness) -> Vec<u32> {
     let mut got = vec![0; 8];
     for _ in 0..500 {
-        rig.advance(10 * MS);
-        let (id, out) = rig.request(0, 3, 1, 1.0);
-        for (_, endpoint) in sent_attempts(&out) {
+        harness.advance(10 * MILLISECOND);
+        let (id, actions) = harness.request(0, 3, 1, 1.0);
+        for (_, endpoint) in sent_attempts(&actions) {
             got[endpoint.0 as usize] += 1;
-            rig.end_attempt(id, 0, endpoint, Outcome::Ok);
+            harness.end_attempt(id, 0, endpoint, Outcome::Ok);
         }
     }
     got
@@ -168,14 +177,14 @@
 
 #[test]
 fn an_endpoint_in_slow_start_gets_no_more_than_its_part() {
-    let mut rig = Rig::new(settings(), 4);
-    steady_load(&mut rig);
-    let (now, cold) = (rig.now, 3);
-    rig.handle(Event::EndpointsUpdated {
+    let mut harness = Harness::new(settings(), 4);
+    steady_load(&mut harness);
+    let (now, cold) = (harness.now, 3);
+    harness.handle(Event::EndpointsUpdated {
         scope: UpdateScope::Incremental,
         entries: vec![entry(cold, EndpointState::InService, Some(now))],
     });
-    let got = steady_load(&mut rig);
+    let got = steady_load(&mut harness);
     let warm = got[..3].iter().sum::<u32>() / 3;
     // From a fifth to three fifths of its capacity over these seconds.
     assert!(got[3] > 0 && got[3] * 2 < warm, "{got:?}");
@@ -183,26 +192,26 @@
 
 #[test]
 fn a_restart_that_is_not_listed_yet_begins_a_slow_start() {
-    let mut rig = Rig::new(settings(), 2);
-    steady_load(&mut rig);
+    let mut harness = Harness::new(settings(), 2);
+    steady_load(&mut harness);
     for _ in 0..2_000 {
-        rig.advance(10 * MS);
-        let (id, endpoint) = rig.send_request(0);
-        let up = rig.now > 1_010 * S;
+        harness.advance(10 * MILLISECOND);
+        let (id, endpoint) = harness.send_request(0);
+        let up = harness.now > 1_010 * SECOND;
         let outcome = if endpoint == EndpointId(0) && !up {
             Outcome::ConnectFailed
         } else {
             Outcome::Ok
         };
-        let out = rig.end_attempt(id, 0, endpoint, outcome);
-        for (id, endpoint) in sent_attempts(&out) {
-            rig.end_attempt(id, 1, endpoint, Outcome::Ok);
+        let actions = harness.end_attempt(id, 0, endpoint, outcome);
+        for (id, endpoint) in sent_attempts(&actions) {
+            harness.end_attempt(id, 1, endpoint, Outcome::Ok);
         }
         if up && endpoint == EndpointId(0) {
             break;
         }
     }
-    let got = steady_load(&mut rig);
+    let got = steady_load(&mut harness);
     assert!(got[0] > 0 && got[0] * 3 < got[1] * 2, "{got:?}");
 }
 
@@ -219,21 +228,24 @@
     busy: impl Fn(usize, u64) -> bool,
 ) -> f64 {
     let mut totals = std::collections::BTreeMap::new();
-    let mut set = settings();
-    set.plans[1].over_quota_weight = 0.5;
-    (set.plans[1].ceiling_rate, set.plans[1].ceiling_burst) = (18.0, 36.0);
-    set.plans[1].over_quota_cost = 0.0;
-    let mut rigs = [Rig::new(set.clone(), 8), Rig::new(set, 8)];
+    let mut settings = settings();
+    settings.plans[1].over_quota_weight = 0.5;
+    (
+        settings.plans[1].ceiling_rate,
+        settings.plans[1].ceiling_burst,
+    ) = (18.0, 36.0);
+    settings.plans[1].over_quota_cost = 0.0;
+    let mut harnesses = [Harness::new(settings.clone(), 8), Harness::new(settings, 8)];
     let (mut level, mut lowest, mut call) = (36.0f64, 36.0f64, 0);
     for step in 0..3_000 {
         level = (level + 18.0 * 0.01).min(36.0);
-        for (i, rig) in rigs.iter_mut().enumerate() {
-            rig.advance(10 * MS);
+        for (i, harness) in harnesses.iter_mut().enumerate() {
+            harness.advance(10 * MILLISECOND);
             if !busy(i, step) {
                 continue;
             }
-            let (id, out) = rig.request(0, 1, 1, 1.0);
-            let mut pending = out;
+            let (id, actions) = harness.request(0, 1, 1, 1.0);
+            let mut pending = actions;
             while !pending.is_empty() {
                 let mut next = Vec::new();
                 for (key, amount) in counter_calls(&pending) {
@@ -245,7 +257,7 @@
                         *total += amount;
                         (outcome, answered_total) = (Outcome::Ok, *total);
                     }
-                    next.extend(rig.handle(Event::CounterReplied {
+                    next.extend(harness.handle(Event::CounterReplied {
                         key,
                         outcome,
                         total: answered_total,
@@ -254,7 +266,7 @@
                 for (_, endpoint) in sent_attempts(&pending) {
                     level -= 1.0;
                     lowest = lowest.min(level);
-                    next.extend(rig.end_attempt(id, 0, endpoint, Outcome::Ok));
+                    next.extend(harness.end_attempt(id, 0, endpoint, Outcome::Ok));
                 }
                 pending = next;
             }
@@ -297,7 +309,7 @@
     for offset in (0..100).step_by(10) {
         let low = lowest_ceiling_level_with(
             |_, amount| (amount != 0.0).then_some(1.0),
-            |rig, step| ((step + offset) / 100) % 2 == rig as u64,
+            |harness, step| ((step + offset) / 100) % 2 == harness as u64,
         );
         assert!(low >= -4.0, "offset {offset}: {low}");
     }
@@ -307,40 +319,40 @@
 #[test]
 fn hundreds_of_gateways_do_not_overload_an_endpoint_in_slow_start() {
     let (gateways, endpoints) = (200, 20);
-    let step = |rig: &mut Rig| {
-        rig.advance(200 * MS);
-        let (id, out) = rig.request(0, 3, 1, 1.0);
-        let sent = sent_attempts(&out);
+    let step = |harness: &mut Harness| {
+        harness.advance(200 * MILLISECOND);
+        let (id, actions) = harness.request(0, 3, 1, 1.0);
+        let sent = sent_attempts(&actions);
         sent.iter()
-            .for_each(|(_, endpoint)| drop(rig.end_attempt(id, 0, *endpoint, Outcome::Ok)));
+            .for_each(|(_, endpoint)| drop(harness.end_attempt(id, 0, *endpoint, Outcome::Ok)));
         sent.iter().any(|(_, endpoint)| *endpoint == EndpointId(3))
     };
-    let mut rigs: Vec<Rig> = (0..gateways)
+    let mut harnesses: Vec<Harness> = (0..gateways)
         .map(|gateway_index| {
-            let set = Settings {
+            let settings = Settings {
                 gateways,
                 gateway_index,
                 max_request_units: 1.0,
                 ..settings()
             };
-            let mut rig = Rig::seeded(u64::from(gateway_index), set, endpoints);
+            let mut harness = Harness::seeded(u64::from(gateway_index), settings, endpoints);
             for _ in 0..20 {
-                step(&mut rig);
+                step(&mut harness);
             }
-            let now = rig.now;
-            rig.handle(Event::EndpointsUpdated {
+            let now = harness.now;
+            harness.handle(Event::EndpointsUpdated {
                 scope: UpdateScope::Incremental,
                 entries: vec![entry(3, EndpointState::InService, Some(now))],
             });
-            rig
+            harness
         })
         .collect();
     // A warm endpoint gets 50 of these a second; one in slow start is overloaded at twice its part of that.
     let (mut second, mut total) = (std::collections::VecDeque::new(), 0);
     for tick in 0..50 {
-        let got = rigs
+        let got = harnesses
             .iter_mut()
-            .filter_map(|rig| step(rig).then_some(()))
+            .filter_map(|harness| step(harness).then_some(()))
             .count();
         second.push_back(got);
         if second.len() > 5 {
@@ -364,14 +376,17 @@
 #[test]
 fn a_request_without_its_body_is_not_retried() {
     for gone in [false, true] {
-        let mut rig = Rig::new(settings(), 4);
-        let (id, endpoint) = rig.send_request(0);
+        let mut harness = Harness::new(settings(), 4);
+        let (id, endpoint) = harness.send_request(0);
         if gone {
-            rig.handle(Event::BodyDiscarded(id));
+            harness.handle(Event::BodyDiscarded(id));
         }
-        let out = rig.end_attempt(id, 0, endpoint, Outcome::Error);
+        let actions = harness.end_attempt(id, 0, endpoint, Outcome::Error);
         assert_eq!(
-            (sent_attempts(&out).is_empty(), is_rejected(&out, id)),
+            (
+                sent_attempts(&actions).is_empty(),
+                is_rejected(&actions, id)
+            ),
             (gone, gone)
         );
     }
--- a/crates/policy/tests/zone_shares.rs
+++ b/crates/policy/tests/zone_shares.rs
@@ -1,15 +1,15 @@
-//! Zone shares and the shedding threshold, where sites are watched.
+//! Zone shares and the shedding threshold of site failover.
 mod common;
 
 use chalkdeck::api::*;
-use common::{entry, is_rejected, sent_attempts, settings, Rig, S};
+use common::{entry, is_rejected, sent_attempts, settings, Harness, SECOND};
 
 const NEAR: ZoneId = ZoneId(0);
 const FAR: ZoneId = ZoneId(1);
 
-/// Four endpoints in each of two zones.
-fn rig() -> Rig {
-    let mut rig = Rig::new(settings(), 0);
+/// A gateway with four endpoints in each of two zones.
+fn two_zone_harness() -> Harness {
+    let mut harness = Harness::new(settings(), 0);
     let zone = |i: u32| ZoneId(i / 4);
     let entries = (0..8)
         .map(|i| EndpointEntry {
@@ -17,14 +17,14 @@
             ..entry(i, EndpointState::InService, None)
         })
         .collect();
-    rig.handle(Event::EndpointsUpdated {
+    harness.handle(Event::EndpointsUpdated {
         scope: UpdateScope::Complete,
         entries,
     });
-    rig
+    harness
 }
 
-fn all() -> SheddingThreshold {
+fn admit_all() -> SheddingThreshold {
     SheddingThreshold {
         admit_fraction: 1.0,
         ..SheddingThreshold::default()
@@ -32,92 +32,94 @@
 }
 
 fn shares(near: (f64, bool), far: (f64, bool)) -> Vec<ZoneShare> {
-    let of = |zone, (share, open)| ZoneShare {
+    let zone_share = |zone, (share, accepts_overflow)| ZoneShare {
         zone,
         share,
-        accepts_overflow: open,
+        accepts_overflow,
     };
-    vec![of(NEAR, near), of(FAR, far)]
+    vec![zone_share(NEAR, near), zone_share(FAR, far)]
 }
 
-/// How many of so many requests, one after the other, go to the far zone.
-fn far(rig: &mut Rig, requests: usize) -> usize {
-    let mut far = 0;
+/// Number of requests that are sent to the far zone, of `requests` sent one after the other.
+fn count_sent_to_far_zone(harness: &mut Harness, requests: usize) -> usize {
+    let mut sent_to_far = 0;
     for _ in 0..requests {
-        let (id, endpoint) = rig.send_request(0);
-        far += usize::from(endpoint.0 >= 4);
-        rig.end_attempt(id, 0, endpoint, Outcome::Ok);
+        let (id, endpoint) = harness.send_request(0);
+        sent_to_far += usize::from(endpoint.0 >= 4);
+        harness.end_attempt(id, 0, endpoint, Outcome::Ok);
     }
-    far
+    sent_to_far
 }
 
 #[test]
 fn requests_follow_the_zone_shares() {
-    let mut rig = rig();
-    rig.handle(Event::ZoneSharesChanged {
+    let mut harness = two_zone_harness();
+    harness.handle(Event::ZoneSharesChanged {
         shares: shares((0.7, true), (0.3, true)),
-        threshold: all(),
+        threshold: admit_all(),
     });
-    let far = far(&mut rig, 1_000);
-    assert!((230..370).contains(&far), "{far} of 1000");
+    let sent_to_far = count_sent_to_far_zone(&mut harness, 1_000);
+    assert!((230..370).contains(&sent_to_far), "{sent_to_far} of 1000");
 }
 
 #[test]
-fn nothing_overflows_into_a_closed_zone() {
-    let mut rig = rig();
-    rig.handle(Event::ZoneSharesChanged {
+fn requests_overflow_into_open_zones_only() {
+    let mut harness = two_zone_harness();
+    harness.handle(Event::ZoneSharesChanged {
         shares: shares((1.0, true), (0.0, false)),
-        threshold: all(),
+        threshold: admit_all(),
     });
-    let ids: Vec<_> = (0..40).map(|_| rig.request(0, 3, 1, 1.0)).collect();
-    let to: Vec<EndpointId> = ids
+    let requests: Vec<_> = (0..40).map(|_| harness.request(0, 3, 1, 1.0)).collect();
+    let endpoints: Vec<EndpointId> = requests
         .iter()
-        .flat_map(|(_, out)| sent_attempts(out))
-        .map(|s| s.1)
+        .flat_map(|(_, actions)| sent_attempts(actions))
+        .map(|attempt| attempt.1)
         .collect();
     assert!(
-        !to.is_empty() && to.len() < 40 && to.iter().all(|s| s.0 < 4),
-        "{to:?}"
+        !endpoints.is_empty()
+            && endpoints.len() < 40
+            && endpoints.iter().all(|endpoint| endpoint.0 < 4),
+        "{endpoints:?}"
     );
-    // Open, the far zone takes what the near one has no room for.
-    let mut rig = self::rig();
-    rig.handle(Event::ZoneSharesChanged {
+    // If the far zone accepts overflow, it gets the requests that exceed the capacity of the near one.
+    let mut harness = self::two_zone_harness();
+    harness.handle(Event::ZoneSharesChanged {
         shares: shares((1.0, true), (0.0, true)),
-        threshold: all(),
+        threshold: admit_all(),
     });
-    let ids: Vec<_> = (0..40).map(|_| rig.request(0, 3, 1, 1.0)).collect();
-    assert!(ids
+    let requests: Vec<_> = (0..40).map(|_| harness.request(0, 3, 1, 1.0)).collect();
+    assert!(requests
         .iter()
-        .flat_map(|(_, out)| sent_attempts(out))
-        .any(|s| s.1 .0 >= 4));
+        .flat_map(|(_, actions)| sent_attempts(actions))
+        .any(|attempt| attempt.1 .0 >= 4));
 }
 
 #[test]
-fn a_keyed_request_that_may_have_run_in_a_closed_zone_goes_nowhere_else() {
-    let mut rig = rig();
-    rig.handle(Event::ZoneSharesChanged {
+fn a_keyed_request_that_may_have_run_in_a_closed_zone_is_not_retried_in_another() {
+    let mut harness = two_zone_harness();
+    harness.handle(Event::ZoneSharesChanged {
         shares: shares((0.0, true), (1.0, true)),
-        threshold: all(),
+        threshold: admit_all(),
     });
-    let (id, endpoint) = rig.send_request(1);
+    let (id, endpoint) = harness.send_request(1);
     assert!(endpoint.0 >= 4);
-    rig.handle(Event::ZoneSharesChanged {
+    harness.handle(Event::ZoneSharesChanged {
         shares: shares((1.0, true), (0.0, false)),
-        threshold: all(),
+        threshold: admit_all(),
     });
-    let mut out = rig.end_attempt(id, 0, endpoint, Outcome::Reset);
-    out.extend(rig.advance(3 * S));
+    let mut actions = harness.end_attempt(id, 0, endpoint, Outcome::Reset);
+    actions.extend(harness.advance(3 * SECOND));
     assert!(
-        sent_attempts(&out).is_empty() && !is_rejected(&out, id),
-        "{out:?}"
+        sent_attempts(&actions).is_empty() && !is_rejected(&actions, id),
+        "{actions:?}"
     );
-    assert!(common::is_failed(&out, id));
+    assert!(common::is_failed(&actions, id));
 }
 
 #[test]
-fn the_threshold_admits_by_weight_for_each_unit() {
-    let mut rig = rig();
-    rig.handle(Event::ZoneSharesChanged {
+fn the_threshold_admits_by_priority_weight_per_unit() {
+    let mut harness = two_zone_harness();
+    harness.handle(Event::ZoneSharesChanged {
         shares: shares((1.0, true), (0.0, true)),
         threshold: SheddingThreshold {
             admit_above: 0.6,
@@ -125,57 +127,60 @@
             admit_fraction: 0.5,
         },
     });
-    let mut let_in = |units: f64| {
-        let one = |rig: &mut Rig| {
-            let (id, out) = rig.request(0, 3, 1, units);
-            let sent = sent_attempts(&out).first().map(|s| s.1);
+    let mut count_admitted = |units: f64| {
+        let is_admitted = |harness: &mut Harness| {
+            let (id, actions) = harness.request(0, 3, 1, units);
+            let sent = sent_attempts(&actions).first().map(|attempt| attempt.1);
             sent.into_iter()
-                .for_each(|endpoint| drop(rig.end_attempt(id, 0, endpoint, Outcome::Ok)));
+                .for_each(|endpoint| drop(harness.end_attempt(id, 0, endpoint, Outcome::Ok)));
             usize::from(sent.is_some())
         };
-        (0..400).map(|_| one(&mut rig)).sum::<usize>()
+        (0..400).map(|_| is_admitted(&mut harness)).sum::<usize>()
     };
-    // All weigh one: the more units, the less for each.
-    assert_eq!((let_in(1.0), let_in(4.0)), (400, 0));
-    let half = let_in(2.0);
+    // All requests weigh one, so the density falls with the units.
+    assert_eq!((count_admitted(1.0), count_admitted(4.0)), (400, 0));
+    let half = count_admitted(2.0);
     assert!((140..260).contains(&half), "{half} of 400");
 }
 
 #[test]
-fn pending_requests_of_most_weight_for_their_units_are_sent_first() {
-    let mut set = settings();
-    set.classes[0].priority_weight = 3.0;
-    let mut rig = Rig::new(set, 1);
+fn pending_requests_of_the_highest_priority_density_are_sent_first() {
+    let mut settings = settings();
+    settings.classes[0].priority_weight = 3.0;
+    let mut harness = Harness::new(settings, 1);
     let near = ZoneShare {
         zone: NEAR,
         share: 1.0,
         accepts_overflow: true,
     };
-    rig.handle(Event::ZoneSharesChanged {
+    harness.handle(Event::ZoneSharesChanged {
         shares: vec![near],
-        threshold: all(),
+        threshold: admit_all(),
     });
-    // Fill the one endpoint; then a large request of more weight waits before a small one of less.
-    let mut out = Vec::new();
+    // Fills the only endpoint. Then a large request of high weight waits ahead of a small one of low weight,
+    // whose weight per unit is higher.
+    let mut in_flight = Vec::new();
     loop {
-        let sent = sent_attempts(&rig.request(3, 3, 1, 4.0).1);
+        let sent = sent_attempts(&harness.request(3, 3, 1, 4.0).1);
         if sent.is_empty() {
             break;
         }
-        out.extend(sent);
+        in_flight.extend(sent);
     }
-    let (large, first) = rig.request(0, 3, 1, 4.0);
-    let (small, second) = rig.request(3, 3, 1, 1.0);
+    let (large, first) = harness.request(0, 3, 1, 4.0);
+    let (small, second) = harness.request(3, 3, 1, 1.0);
     assert!(
         sent_attempts(&first).is_empty() && sent_attempts(&second).is_empty(),
         "both wait"
     );
-    let next: Vec<_> = out
+    let next: Vec<_> = in_flight
         .into_iter()
-        .flat_map(|(id, at)| sent_attempts(&rig.end_attempt(id, 0, at, Outcome::Ok)))
+        .flat_map(|(id, endpoint)| {
+            sent_attempts(&harness.end_attempt(id, 0, endpoint, Outcome::Ok))
+        })
         .collect();
     assert_eq!(
-        next.first().map(|s| s.0),
+        next.first().map(|attempt| attempt.0),
         Some(small),
         "{large:?} has to wait: {next:?}"
     );
--- a/crates/time/tests/arithmetic.rs
+++ b/crates/time/tests/arithmetic.rs
@@ -1,8 +1,8 @@
-//! Arithmetic stops at the ends of its range.
+//! Arithmetic saturates at the ends of its range.
 use chalkdeck_time::{TimeDelta, Timestamp};
 
 #[test]
-fn differences_of_earlier_and_later_points_stop_at_zero() {
+fn differences_saturate_at_zero() {
     let (early, late) = (Timestamp::from_millis(3), Timestamp::from_millis(5));
     assert_eq!(late - early, TimeDelta::from_micros(2_000));
     assert_eq!(early - late, TimeDelta::ZERO);
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn sums_stop_at_the_largest_value() {
+fn sums_and_products_saturate_at_the_maximum() {
     assert_eq!(Timestamp::MAX + TimeDelta::from_secs(1), Timestamp::MAX);
     assert_eq!(TimeDelta::MAX + TimeDelta::MAX, TimeDelta::MAX);
     assert_eq!(TimeDelta::MAX * 3, TimeDelta::MAX);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn scaling_rounds_down_and_never_goes_below_zero() {
+fn scaling_rounds_down_and_saturates_at_zero() {
     assert_eq!(
         TimeDelta::from_micros(10).mul_f64(0.25),
         TimeDelta::from_micros(2)
