--- a/crates/policy/benches/request.rs
+++ b/crates/policy/benches/request.rs
@@ -1,4 +1,5 @@
-//! What one request costs the module: add, answer, send, end; 5,000 requests a second from 5,000 customers.
+//! Cost of one request in the engine: counter add, reply, attempt, and its end, with 5,000 requests per
+//! second from 5,000 customers.
 use chalkdeck::api::{
     Action, AttemptResult, CellId, Class, CounterKey, CustomerId, EndpointEntry, EndpointId,
     EndpointState, Event, Idempotency, IncomingRequest, KeyScope, LoadReport, Outcome, Plan,
@@ -44,94 +45,98 @@
     }
 }
 
-struct Rig {
-    gateway: DecisionEngine,
+struct BenchHarness {
+    engine: DecisionEngine,
     now: u64,
-    next: u64,
-    out: Vec<Action>,
+    last_request_id: u64,
+    actions: Vec<Action>,
     timers: BinaryHeap<std::cmp::Reverse<(u64, u64)>>,
     totals: HashMap<CounterKey, f64>,
 }
 
-impl Rig {
-    fn new(servers: u64) -> Rig {
-        let gateway = DecisionEngine::new(1, settings()).expect("sound settings");
+impl BenchHarness {
+    fn new(endpoints: u64) -> BenchHarness {
+        let engine = DecisionEngine::new(1, settings()).expect("valid settings");
         let timers = BinaryHeap::new();
-        let mut rig = Rig {
-            gateway,
+        let mut harness = BenchHarness {
+            engine,
             now: 1_000_000,
-            next: 0,
-            out: Vec::new(),
+            last_request_id: 0,
+            actions: Vec::new(),
             timers,
             totals: HashMap::new(),
         };
-        let entry = |i: u64| EndpointEntry {
-            endpoint: EndpointId(i.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
-            zone: ZoneId((i % 3) as u32),
-            cell: CellId(i % 3),
+        let entry = |index: u64| EndpointEntry {
+            endpoint: EndpointId(index.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
+            zone: ZoneId((index % 3) as u32),
+            cell: CellId(index % 3),
             state: EndpointState::InService,
             weight: 1.0,
             started_at: None,
         };
-        rig.tell(Event::EndpointsUpdated {
+        harness.handle(Event::EndpointsUpdated {
             scope: UpdateScope::Complete,
-            entries: (0..servers).map(entry).collect(),
+            entries: (0..endpoints).map(entry).collect(),
         });
-        (0..20_000).for_each(|_| rig.request());
-        rig
+        (0..20_000).for_each(|_| harness.run_request());
+        harness
     }
-    fn tell(&mut self, event: Event) {
-        self.gateway
-            .handle(Timestamp::from_micros(self.now), event, &mut self.out);
+    fn handle(&mut self, event: Event) {
+        self.engine
+            .handle(Timestamp::from_micros(self.now), event, &mut self.actions);
     }
-    fn request(&mut self) {
+    fn run_request(&mut self) {
         self.now += 200;
-        while self.timers.peek().is_some_and(|t| t.0 .0 <= self.now) {
+        while self
+            .timers
+            .peek()
+            .is_some_and(|timer| timer.0 .0 <= self.now)
+        {
             let Some(std::cmp::Reverse((_, id))) = self.timers.pop() else {
                 break;
             };
-            self.tell(Event::Timer(TimerId(id)));
+            self.handle(Event::Timer(TimerId(id)));
         }
-        self.next += 1;
+        self.last_request_id += 1;
         let arrival = IncomingRequest {
-            id: RequestId(self.next),
-            customer: CustomerId((self.next % 5_000).wrapping_mul(0x9e37_79b9_7f4a_7c15)),
+            id: RequestId(self.last_request_id),
+            customer: CustomerId(
+                (self.last_request_id % 5_000).wrapping_mul(0x9e37_79b9_7f4a_7c15),
+            ),
             customer_gateways: 3,
             deadline: Timestamp::from_micros(self.now + 2_000_000),
             units: 1.0,
             ..IncomingRequest::default()
         };
-        self.tell(Event::RequestArrived(arrival));
-        while let Some(action) = self.out.pop() {
+        self.handle(Event::RequestArrived(arrival));
+        while let Some(action) = self.actions.pop() {
             match action {
-                Action::AddToCounter {
-                    key: name, amount, ..
-                } => {
-                    let total = self.totals.entry(name).or_default();
+                Action::AddToCounter { key, amount, .. } => {
+                    let total = self.totals.entry(key).or_default();
                     *total += amount;
                     let total = *total;
-                    self.tell(Event::CounterReplied {
-                        key: name,
+                    self.handle(Event::CounterReplied {
+                        key,
                         outcome: Outcome::Ok,
                         total,
                     });
                 }
                 Action::SendAttempt {
                     request: id,
-                    endpoint: server,
+                    endpoint,
                     ..
                 } => {
-                    let end = AttemptResult {
+                    let result = AttemptResult {
                         request: id,
                         attempt: 0,
-                        endpoint: server,
+                        endpoint,
                         outcome: Outcome::Ok,
                         elapsed: TimeDelta::from_micros(20_000),
                         is_request_finished: true,
                         settled_units: None,
                         load_report: LoadReport::default(),
                     };
-                    self.tell(Event::AttemptEnded(end));
+                    self.handle(Event::AttemptEnded(result));
                 }
                 Action::SetTimer { timer: id, after } => self
                     .timers
@@ -143,9 +148,9 @@
 }
 
 #[divan::bench(args = [12, 120, 1000], sample_size = 1000, sample_count = 50)]
-fn request(bencher: divan::Bencher, servers: u64) {
-    let mut rig = Rig::new(servers);
-    bencher.bench_local(move || rig.request());
+fn request(bencher: divan::Bencher, endpoints: u64) {
+    let mut harness = BenchHarness::new(endpoints);
+    bencher.bench_local(move || harness.run_request());
 }
 
 fn main() {
--- a/crates/policy/src/counter/circuit_breaker/tests.rs
+++ b/crates/policy/src/counter/circuit_breaker/tests.rs
@@ -3,7 +3,7 @@
 
 const START: Timestamp = Timestamp::from_millis(1_000);
 
-fn opened_at(now: Timestamp) -> CircuitBreaker {
+fn breaker_opened_at(now: Timestamp) -> CircuitBreaker {
     let mut breaker = CircuitBreaker::default();
     for _ in 0..3 {
         breaker.record_failure(now, false);
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn third_failure_in_a_row_then_the_breaker_is_open() {
+fn the_third_consecutive_failure_opens_the_breaker() {
     let mut breaker = CircuitBreaker::default();
     breaker.record_failure(START, false);
     breaker.record_failure(START, false);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn success_while_closed_then_half_of_the_failures_count() {
+fn a_success_while_closed_halves_the_failures() {
     let mut breaker = CircuitBreaker::default();
     breaker.record_failure(START, false);
     breaker.record_failure(START, false);
@@ -34,8 +34,8 @@
 }
 
 #[test]
-fn cooldown_is_over_then_one_call_probes() {
-    let mut breaker = opened_at(START);
+fn after_the_cooldown_one_call_probes() {
+    let mut breaker = breaker_opened_at(START);
     let after = START + COOLDOWN;
     assert!(!breaker.allows_call(after - TimeDelta::from_micros(1)));
     assert!(breaker.allows_call(after));
@@ -45,16 +45,16 @@
 }
 
 #[test]
-fn probe_succeeds_then_the_breaker_is_closed() {
-    let mut breaker = opened_at(START);
+fn a_successful_probe_closes_the_breaker() {
+    let mut breaker = breaker_opened_at(START);
     breaker.record_call();
     breaker.record_success(true);
     assert!(!breaker.is_open() && !breaker.is_probing());
 }
 
 #[test]
-fn probe_fails_then_another_cooldown_begins() {
-    let mut breaker = opened_at(START);
+fn a_failed_probe_begins_another_cooldown() {
+    let mut breaker = breaker_opened_at(START);
     let later = START + COOLDOWN;
     breaker.record_call();
     breaker.record_failure(later, true);
--- a/crates/policy/src/token_bucket/tests.rs
+++ b/crates/policy/src/token_bucket/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn time_passes_then_the_bucket_fills_up_to_its_capacity() {
+fn the_bucket_refills_up_to_its_capacity() {
     let mut bucket = bucket(1.0);
     bucket.refill(START + TimeDelta::from_secs(2));
     assert_eq!(bucket.level, 5.0);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn too_few_units_then_nothing_is_taken() {
+fn nothing_is_taken_if_units_are_missing() {
     let mut bucket = bucket(1.0);
     assert!(!bucket.try_take(START, 1.5));
     assert_eq!(bucket.level, 1.0);
@@ -31,14 +31,14 @@
 }
 
 #[test]
-fn negative_level_then_the_debt_is_filled_up_first() {
+fn a_debt_is_refilled_before_units_are_available() {
     let mut bucket = bucket(-4.0);
     assert!(!bucket.try_take(START + TimeDelta::from_secs(2), 1.0));
     assert!(bucket.try_take(START + TimeDelta::from_millis(2_500), 1.0));
 }
 
 #[test]
-fn earlier_time_then_the_bucket_stays_as_it_is() {
+fn an_earlier_time_does_not_change_the_bucket() {
     let mut bucket = bucket(1.0);
     bucket.refill(START - TimeDelta::from_secs(1));
     assert_eq!(bucket.level, 1.0);
--- a/crates/policy/src/window/tests.rs
+++ b/crates/policy/src/window/tests.rs
@@ -19,14 +19,14 @@
 }
 
 #[test]
-fn plan_without_a_ceiling_then_a_window_admits_one_burst_in_its_time() {
+fn without_a_ceiling_a_window_admits_one_burst_in_the_time_that_refills_it() {
     let window = QuotaWindow::for_plan(&plan());
     assert_eq!(window.length, TimeDelta::from_secs(2));
     assert_eq!(window.allowance, 20.0);
 }
 
 #[test]
-fn plan_with_a_ceiling_then_a_window_has_half_of_both() {
+fn with_a_ceiling_a_window_has_half_the_length_and_allowance() {
     let window = QuotaWindow::for_plan(&Plan {
         ceiling_rate: 20.0,
         ceiling_burst: 40.0,
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_window_ends_then_the_next_index_begins() {
+fn the_next_index_begins_at_the_end_of_a_window() {
     let length = TimeDelta::from_secs(2);
     let customer = CustomerId(7);
     let position = WindowPosition::at(START, customer, length);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_total_is_observed_then_later_units_are_taken_off_what_it_left() {
+fn units_after_a_total_are_subtracted_from_the_available_ones() {
     let mut counter = WindowCounter {
         bucket_level: 20.0,
         bucket_refilled_at: START,
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_total_below_the_own_units_then_the_lost_ones_are_posted_again() {
+fn units_lost_by_the_counter_become_unposted_again() {
     let mut counter = WindowCounter::default();
     assert_eq!(counter.confirm_add(6.0, 6.0, CounterPurpose::Quota), 0.0);
     let lost = counter.confirm_add(2.0, 2.0, CounterPurpose::Quota);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_count_of_slots_below_the_own_ones_then_nothing_is_posted_again() {
+fn slots_lost_by_the_counter_stay_posted() {
     let mut counter = WindowCounter::default();
     assert_eq!(
         counter.confirm_add(6.0, 1.0, CounterPurpose::Concurrency),
--- a/crates/policy/tests/recorded_decisions.rs
+++ b/crates/policy/tests/recorded_decisions.rs
@@ -1,27 +1,30 @@
-//! Decisions are the same as those recorded, byte for byte: from commit d5a4349, and made anew in the commits whose mends change
-//! decisions on purpose, each of which names the streams that changed.
+//! Guards against unintended changes of decisions: they must equal the recorded ones byte for byte. The
+//! recording was made at commit d5a4349 and again in the commits that change decisions on purpose, each of
+//! which names the streams that changed.
 //!
-//! Each seed draws settings and plays a closed loop of one gateway with clients, a counter and endpoints that fail in turns. The text
-//! of every action goes into a digest. The recorded line also has counts of events and actions, so that a difference can be read.
+//! Each seed determines the settings and a simulation of one gateway with clients, a counter and endpoints
+//! with changing faults. A digest covers the text of every action. The recorded line also has the numbers of
+//! events and actions, which help to interpret a difference.
 //!
-//! The figures go through `exp` and `powf` of the C library, so a machine whose library rounds these otherwise may differ.
+//! The decisions depend on `exp` and `powf` of the C library, so they may differ on a machine whose library
+//! rounds these differently.
 
 mod recording;
 
-use recording::{play, EVENTS_PER_SEED};
+use recording::{run_seed, EVENTS_PER_SEED};
 
 const RECORDED: &str = include_str!("recorded_decisions.txt");
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=24;
 
 #[test]
-fn replayed_event_streams_give_the_recorded_actions() {
-    let played: Vec<String> = SEEDS.map(|seed| play(seed).to_string()).collect();
+fn simulated_event_streams_give_the_recorded_actions() {
+    let simulated: Vec<String> = SEEDS.map(|seed| run_seed(seed).to_string()).collect();
     let recorded: Vec<&str> = RECORDED.lines().collect();
     assert_eq!(
-        played,
+        simulated,
         recorded,
-        "the decisions differ; played:\n{}\n",
-        played.join("\n")
+        "the decisions differ; simulated:\n{}\n",
+        simulated.join("\n")
     );
 }
 
--- a/crates/policy/tests/recording/mod.rs
+++ b/crates/policy/tests/recording/mod.rs
@@ -1,20 +1,21 @@
-//! One gateway in a closed loop with simulated clients, counter and endpoints; what it does is digested.
+//! Simulation of one gateway with clients, a counter and endpoints. A digest covers all actions of the
+//! gateway.
 
 mod peers;
 mod settings;
 
 use chalkdeck::api::*;
 use chalkdeck::DecisionEngine;
-use peers::{CounterState, EndpointSimulation};
+use peers::{SimulatedCounter, SimulatedEndpoint};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fmt::{self, Display};
 
-/// Events that one seed plays.
+/// Number of events in the run of one seed.
 pub const EVENTS_PER_SEED: u64 = 20_000;
 pub const MILLISECOND: u64 = 1_000;
 pub const SECOND: u64 = 1_000_000;
 
-/// The result of one seed, as one line of the recorded file.
+/// The result of one seed, which is one line of the recorded file.
 pub struct Summary {
     seed: u64,
     counts: BTreeMap<&'static str, u64>,
@@ -41,20 +42,20 @@
     }
 }
 
-/// Plays a seed and returns its result.
-pub fn play(seed: u64) -> Summary {
-    let mut world = World::new(seed);
-    while world.counts.get("events").copied().unwrap_or(0) < EVENTS_PER_SEED {
-        world.step();
+/// Runs the simulation of a seed and returns its result.
+pub fn run_seed(seed: u64) -> Summary {
+    let mut simulation = Simulation::new(seed);
+    while simulation.counts.get("events").copied().unwrap_or(0) < EVENTS_PER_SEED {
+        simulation.step();
     }
     Summary {
         seed,
-        counts: world.counts,
-        digest: world.digest.0,
+        counts: simulation.counts,
+        digest: simulation.digest.0,
     }
 }
 
-/// FNV-1a over the texts of all actions.
+/// FNV-1a hash over the texts of all actions.
 struct Digest(u64);
 
 impl Digest {
@@ -65,34 +66,34 @@
     }
 }
 
-/// What happens in the world at a time of its own.
+/// An event that the simulation has scheduled.
 #[derive(Clone, Debug)]
-enum Pending {
-    Arrives(IncomingRequest),
+enum ScheduledEvent {
+    RequestArrives(IncomingRequest),
     NextArrival,
-    TimerDue(TimerId),
+    TimerFires(TimerId),
     AttemptEnds {
         id: RequestId,
         attempt: usize,
         outcome: Outcome,
     },
-    CounterAnswers {
+    CounterReplies {
         key: CounterKey,
         outcome: Outcome,
         total: f64,
     },
-    ClientLeaves(RequestId),
+    ClientDisconnects(RequestId),
     StreamStarts(RequestId),
     BodyDiscarded(RequestId),
     UnitsSettled(RequestId),
-    ListMoves,
-    ZoneSharesMove,
-    FaultsMove,
+    EndpointListChanges,
+    ZoneSharesChange,
+    FaultsChange,
 }
 
 struct OpenAttempt {
     endpoint: EndpointId,
-    sent: u64,
+    sent_at: u64,
     is_open: bool,
 }
 
@@ -102,92 +103,95 @@
     is_answered: bool,
 }
 
-pub struct World {
+pub struct Simulation {
     engine: DecisionEngine,
     settings: Settings,
     random: fastrand::Rng,
     now: u64,
-    sequence: u64,
-    pending: BTreeMap<(u64, u64), Pending>,
+    last_sequence: u64,
+    scheduled: BTreeMap<(u64, u64), ScheduledEvent>,
     requests: HashMap<u64, OpenRequest>,
-    endpoints: BTreeMap<u64, EndpointSimulation>,
-    counter: CounterState,
+    endpoints: BTreeMap<u64, SimulatedEndpoint>,
+    counter: SimulatedCounter,
     has_zone_shares: bool,
     arrivals_per_second: f64,
-    customers: u64,
-    next_request: u64,
+    customer_count: u64,
+    next_request_id: u64,
     counts: BTreeMap<&'static str, u64>,
     digest: Digest,
 }
 
-impl World {
-    fn new(seed: u64) -> World {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
         let mut random = fastrand::Rng::with_seed(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let settings = settings::draw(&mut random);
-        let engine = DecisionEngine::new(seed, settings.clone()).expect("sound settings");
+        let engine = DecisionEngine::new(seed, settings.clone()).expect("valid settings");
         let endpoint_count = [3, 12, 60, 200][random.usize(..4)];
-        let mut world = World {
+        let mut simulation = Simulation {
             engine,
             has_zone_shares: random.f64() < 0.3,
             arrivals_per_second: [4.0, 30.0, 200.0][random.usize(..3)],
-            customers: [3, 20, 400][random.usize(..3)],
+            customer_count: [3, 20, 400][random.usize(..3)],
             settings,
             random,
             now: 1_000 * SECOND,
-            sequence: 0,
-            pending: BTreeMap::new(),
+            last_sequence: 0,
+            scheduled: BTreeMap::new(),
             requests: HashMap::new(),
             endpoints: (0..endpoint_count)
-                .map(|i| (i, EndpointSimulation::default()))
+                .map(|i| (i, SimulatedEndpoint::default()))
                 .collect(),
-            counter: CounterState::default(),
-            next_request: 1,
+            counter: SimulatedCounter::default(),
+            next_request_id: 1,
             counts: BTreeMap::new(),
             digest: Digest(0xcbf2_9ce4_8422_2325),
         };
         let entries = (0..endpoint_count)
             .map(|i| peers::entry(i, EndpointState::InService, None))
             .collect();
-        world.handle(Event::EndpointsUpdated {
+        simulation.handle(Event::EndpointsUpdated {
             scope: UpdateScope::Complete,
             entries,
         });
-        world.schedule(0, Pending::NextArrival);
-        world.schedule(2 * SECOND, Pending::ListMoves);
-        world.schedule(SECOND, Pending::FaultsMove);
-        if world.has_zone_shares {
-            world.schedule(3 * SECOND, Pending::ZoneSharesMove);
+        simulation.schedule(0, ScheduledEvent::NextArrival);
+        simulation.schedule(2 * SECOND, ScheduledEvent::EndpointListChanges);
+        simulation.schedule(SECOND, ScheduledEvent::FaultsChange);
+        if simulation.has_zone_shares {
+            simulation.schedule(3 * SECOND, ScheduledEvent::ZoneSharesChange);
         }
-        world
+        simulation
     }
 
-    fn schedule(&mut self, after: u64, what: Pending) {
-        self.schedule_at(self.now + after, what);
+    fn schedule(&mut self, after: u64, event: ScheduledEvent) {
+        self.schedule_at(self.now + after, event);
     }
 
-    fn schedule_at(&mut self, at: u64, what: Pending) {
-        self.sequence += 1;
-        self.pending.insert((at, self.sequence), what);
+    fn schedule_at(&mut self, at: u64, event: ScheduledEvent) {
+        self.last_sequence += 1;
+        self.scheduled.insert((at, self.last_sequence), event);
     }
 
     fn count(&mut self, kind: &'static str) {
         *self.counts.entry(kind).or_insert(0) += 1;
     }
 
-    /// Lets the next thing happen.
+    /// Runs the next scheduled event.
     fn step(&mut self) {
-        let ((at, _), what) = self.pending.pop_first().expect("something always goes on");
+        let ((at, _), event) = self
+            .scheduled
+            .pop_first()
+            .expect("the next arrival is always scheduled");
         self.now = self.now.max(at);
-        match what {
-            Pending::NextArrival => self.draw_arrival(),
-            Pending::Arrives(incoming) => self.arrive(incoming),
-            Pending::TimerDue(id) => self.handle(Event::Timer(id)),
-            Pending::AttemptEnds {
+        match event {
+            ScheduledEvent::NextArrival => self.draw_arrival(),
+            ScheduledEvent::RequestArrives(incoming) => self.handle_arrival(incoming),
+            ScheduledEvent::TimerFires(id) => self.handle(Event::Timer(id)),
+            ScheduledEvent::AttemptEnds {
                 id,
                 attempt,
                 outcome,
             } => self.end_attempt(id, attempt, outcome),
-            Pending::CounterAnswers {
+            ScheduledEvent::CounterReplies {
                 key,
                 outcome,
                 total,
@@ -196,20 +200,24 @@
                 outcome,
                 total,
             }),
-            Pending::ClientLeaves(id) => self.client_leaves(id),
-            Pending::StreamStarts(id) => {
-                if self.requests.get(&id.0).is_some_and(|r| !r.is_answered) {
+            ScheduledEvent::ClientDisconnects(id) => self.disconnect_client(id),
+            ScheduledEvent::StreamStarts(id) => {
+                if self
+                    .requests
+                    .get(&id.0)
+                    .is_some_and(|request| !request.is_answered)
+                {
                     self.handle(Event::ResponseStarted(id));
                 }
             }
-            Pending::BodyDiscarded(id) => self.handle(Event::BodyDiscarded(id)),
-            Pending::UnitsSettled(id) => {
+            ScheduledEvent::BodyDiscarded(id) => self.handle(Event::BodyDiscarded(id)),
+            ScheduledEvent::UnitsSettled(id) => {
                 let units = self.random.f64() * 5.0;
                 self.handle(Event::UnitsSettled { request: id, units });
             }
-            Pending::ListMoves => self.move_list(),
-            Pending::ZoneSharesMove => self.move_zone_shares(),
-            Pending::FaultsMove => self.move_faults(),
+            ScheduledEvent::EndpointListChanges => self.change_endpoint_list(),
+            ScheduledEvent::ZoneSharesChange => self.change_zone_shares(),
+            ScheduledEvent::FaultsChange => self.change_faults(),
         }
     }
 
@@ -219,7 +227,7 @@
         self.engine
             .handle(Timestamp::from_micros(self.now), event, &mut actions);
         for action in &actions {
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
@@ -228,16 +236,16 @@
         self.digest.add(&format!("{} {kind} {text}\n", self.now));
     }
 
-    fn carry_out(&mut self, action: &Action) {
+    fn execute(&mut self, action: &Action) {
         match *action {
             Action::SendAttempt {
                 request,
                 endpoint,
                 deadline,
             } => {
-                let until = deadline.as_micros();
-                self.record("send", &format!("{} {} {until}", request.0, endpoint.0));
-                self.send(request, endpoint, until);
+                let deadline = deadline.as_micros();
+                self.record("send", &format!("{} {} {deadline}", request.0, endpoint.0));
+                self.send(request, endpoint, deadline);
             }
             Action::Reject {
                 request,
@@ -253,35 +261,35 @@
             }
             Action::Grant(id) => {
                 self.record("grant", &id.0.to_string());
-                self.schedule(20 * MILLISECOND, Pending::UnitsSettled(id));
-                self.schedule(60 * MILLISECOND, Pending::ClientLeaves(id));
+                self.schedule(20 * MILLISECOND, ScheduledEvent::UnitsSettled(id));
+                self.schedule(60 * MILLISECOND, ScheduledEvent::ClientDisconnects(id));
             }
             Action::CancelAttempt { request, attempt } => {
                 self.record("cancel", &format!("{} {attempt}", request.0));
-                let what = Pending::AttemptEnds {
+                let event = ScheduledEvent::AttemptEnds {
                     id: request,
                     attempt,
                     outcome: Outcome::Cancelled,
                 };
-                self.schedule(MILLISECOND, what);
+                self.schedule(MILLISECOND, event);
             }
             Action::AddToCounter {
                 key,
                 amount,
                 time_to_live,
             } => {
-                let life = time_to_live.as_micros();
-                self.record("count", &format!("{} {amount} {life}", key.0));
+                let time_to_live = time_to_live.as_micros();
+                self.record("count", &format!("{} {amount} {time_to_live}", key.0));
                 self.add_to_counter(key, amount);
             }
             Action::SetTimer { timer: id, after } => {
                 self.record("timer", &format!("{} {}", id.0, after.as_micros()));
-                self.schedule(after.as_micros(), Pending::TimerDue(id));
+                self.schedule(after.as_micros(), ScheduledEvent::TimerFires(id));
             }
             Action::Subscribe => {
                 self.record("subscribe", "");
                 if self.random.f64() < 0.5 {
-                    self.schedule(700 * MILLISECOND, Pending::ListMoves);
+                    self.schedule(700 * MILLISECOND, ScheduledEvent::EndpointListChanges);
                 }
             }
             Action::Probe(endpoint) => self.record("probe", &endpoint.0.to_string()),
@@ -291,22 +299,22 @@
 
     fn add_to_counter(&mut self, key: CounterKey, amount: f64) {
         let timeout = self.settings.counter_timeout.as_micros();
-        let answer = self
+        let reply = self
             .counter
             .add(key, amount, self.now, timeout, &mut self.random);
-        let what = Pending::CounterAnswers {
+        let event = ScheduledEvent::CounterReplies {
             key,
-            outcome: answer.outcome,
-            total: answer.total,
+            outcome: reply.outcome,
+            total: reply.total,
         };
-        self.schedule_at(answer.at, what);
+        self.schedule_at(reply.at, event);
     }
 
     fn draw_arrival(&mut self) {
         let gap = -(1.0 - self.random.f64()).ln() / self.arrivals_per_second;
-        self.schedule((gap * 1e6) as u64 + 1, Pending::NextArrival);
+        self.schedule((gap * 1e6) as u64 + 1, ScheduledEvent::NextArrival);
         let class = ClassId(self.random.usize(..self.settings.classes.len()));
-        let customer = (self.random.f64().powi(2) * self.customers as f64) as u64;
+        let customer = (self.random.f64().powi(2) * self.customer_count as f64) as u64;
         let customer_gateways = if self.random.f64() < 0.5 {
             self.settings.gateways
         } else {
@@ -324,12 +332,12 @@
             units: f64::from(self.random.u32(1..=4)),
             is_retry: false,
         };
-        self.arrive(incoming);
+        self.handle_arrival(incoming);
     }
 
-    fn arrive(&mut self, mut incoming: IncomingRequest) {
-        let id = RequestId(self.next_request);
-        self.next_request += 1;
+    fn handle_arrival(&mut self, mut incoming: IncomingRequest) {
+        let id = RequestId(self.next_request_id);
+        self.next_request_id += 1;
         incoming.id = id;
         let request = OpenRequest {
             incoming: incoming.clone(),
@@ -339,10 +347,10 @@
         self.requests.insert(id.0, request);
         if self.random.f64() < 0.05 {
             let after = self.random.u64(..2 * SECOND);
-            self.schedule(after, Pending::ClientLeaves(id));
+            self.schedule(after, ScheduledEvent::ClientDisconnects(id));
         }
         if self.random.f64() < 0.05 {
-            self.schedule(30 * MILLISECOND, Pending::BodyDiscarded(id));
+            self.schedule(30 * MILLISECOND, ScheduledEvent::BodyDiscarded(id));
         }
         self.handle(Event::RequestArrived(incoming));
     }
@@ -352,55 +360,55 @@
             return;
         };
         request.is_answered = true;
-        let again = request.incoming.clone();
-        if again.is_retry || self.random.f64() < 0.5 {
+        let incoming = request.incoming.clone();
+        if incoming.is_retry || self.random.f64() < 0.5 {
             return;
         }
         let is_retry = self.random.f64() < 0.7;
         let deadline = Timestamp::from_micros(
-            self.now + after + self.settings.classes[again.class.0].deadline.as_micros(),
+            self.now + after + self.settings.classes[incoming.class.0].deadline.as_micros(),
         );
         self.schedule(
             after,
-            Pending::Arrives(IncomingRequest {
+            ScheduledEvent::RequestArrives(IncomingRequest {
                 is_retry,
                 deadline,
-                ..again
+                ..incoming
             }),
         );
     }
 
-    fn client_leaves(&mut self, id: RequestId) {
+    fn disconnect_client(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id.0) {
             request.is_answered = true;
         }
         self.handle(Event::ClientDisconnected(id));
     }
 
-    fn send(&mut self, id: RequestId, endpoint: EndpointId, until: u64) {
+    fn send(&mut self, id: RequestId, endpoint: EndpointId, deadline: u64) {
         let Some(request) = self.requests.get_mut(&id.0) else {
             return;
         };
         request.attempts.push(OpenAttempt {
             endpoint,
-            sent: self.now,
+            sent_at: self.now,
             is_open: true,
         });
         let attempt = request.attempts.len() - 1;
         let is_stream = self.settings.classes[request.incoming.class.0].is_streaming;
         let state = self.endpoints.entry(endpoint.0).or_default();
         let (outcome, elapsed) = state.serve(self.now, &mut self.random);
-        let (outcome, at) = if self.now + elapsed >= until {
-            (Outcome::Timeout, until)
+        let (outcome, at) = if self.now + elapsed >= deadline {
+            (Outcome::Timeout, deadline)
         } else {
             (outcome, self.now + elapsed)
         };
         if is_stream && outcome == Outcome::Ok {
-            self.schedule_at(self.now + elapsed / 2, Pending::StreamStarts(id));
+            self.schedule_at(self.now + elapsed / 2, ScheduledEvent::StreamStarts(id));
         }
         self.schedule_at(
             at,
-            Pending::AttemptEnds {
+            ScheduledEvent::AttemptEnds {
                 id,
                 attempt,
                 outcome,
@@ -412,34 +420,41 @@
         let Some(request) = self.requests.get_mut(&id.0) else {
             return;
         };
-        let Some(open) = request.attempts.get_mut(attempt).filter(|a| a.is_open) else {
+        let Some(open) = request
+            .attempts
+            .get_mut(attempt)
+            .filter(|attempt| attempt.is_open)
+        else {
             return;
         };
         open.is_open = false;
-        let (endpoint, elapsed) = (open.endpoint, TimeDelta::from_micros(self.now - open.sent));
+        let (endpoint, elapsed) = (
+            open.endpoint,
+            TimeDelta::from_micros(self.now - open.sent_at),
+        );
         request.is_answered |= outcome == Outcome::Ok;
-        let ended = request.is_answered;
+        let is_request_finished = request.is_answered;
         if let Some(state) = self.endpoints.get_mut(&endpoint.0) {
             state.in_flight = state.in_flight.saturating_sub(1);
         }
-        let settled =
+        let settled_units =
             (outcome == Outcome::Ok && self.random.f64() < 0.1).then(|| self.random.f64() * 4.0);
-        let report = LoadReport::default();
-        let end = AttemptResult {
+        let load_report = LoadReport::default();
+        let result = AttemptResult {
             request: id,
             attempt,
             endpoint,
             outcome,
             elapsed,
-            is_request_finished: ended,
-            settled_units: settled,
-            load_report: report,
+            is_request_finished,
+            settled_units,
+            load_report,
         };
-        self.handle(Event::AttemptEnded(end));
+        self.handle(Event::AttemptEnded(result));
     }
 
-    fn move_list(&mut self) {
-        self.schedule(1_500 * MILLISECOND, Pending::ListMoves);
+    fn change_endpoint_list(&mut self) {
+        self.schedule(1_500 * MILLISECOND, ScheduledEvent::EndpointListChanges);
         if self.random.f64() < 0.1 {
             return self.handle(Event::EndpointsUpdated {
                 scope: UpdateScope::Unavailable,
@@ -450,18 +465,18 @@
             .map(|_| self.random.u64(..self.endpoints.len() as u64 + 1))
             .collect();
         let mut entries = Vec::new();
-        for number in changed {
-            let state_in_list = match self.random.u32(..8) {
+        for id in changed {
+            let state = match self.random.u32(..8) {
                 0 => EndpointState::Draining,
                 1 => EndpointState::Removed,
                 _ => EndpointState::InService,
             };
-            let restarted = self.random.f64() < 0.3;
-            let started = restarted.then(|| self.now - self.random.u64(..SECOND));
-            if restarted {
-                self.endpoints.insert(number, EndpointSimulation::default());
+            let is_restarted = self.random.f64() < 0.3;
+            let started_at = is_restarted.then(|| self.now - self.random.u64(..SECOND));
+            if is_restarted {
+                self.endpoints.insert(id, SimulatedEndpoint::default());
             }
-            entries.push(peers::entry(number, state_in_list, started));
+            entries.push(peers::entry(id, state, started_at));
         }
         self.handle(Event::EndpointsUpdated {
             scope: UpdateScope::Incremental,
@@ -469,31 +484,34 @@
         });
     }
 
-    fn move_zone_shares(&mut self) {
-        self.schedule(500 * MILLISECOND, Pending::ZoneSharesMove);
-        let north = self.random.f64();
-        let share = |zone: u32, share: f64, open: bool| ZoneShare {
+    fn change_zone_shares(&mut self) {
+        self.schedule(500 * MILLISECOND, ScheduledEvent::ZoneSharesChange);
+        let first_zone_share = self.random.f64();
+        let zone_share = |zone: u32, share: f64, accepts_overflow: bool| ZoneShare {
             zone: ZoneId(zone),
             share,
-            accepts_overflow: open,
+            accepts_overflow,
         };
-        let open = self.random.f64() < 0.9;
-        let shares = vec![share(0, north, open), share(1, 1.0 - north, true)];
-        let from = if self.random.f64() < 0.5 { 0.0 } else { 0.2 };
+        let accepts_overflow = self.random.f64() < 0.9;
+        let shares = vec![
+            zone_share(0, first_zone_share, accepts_overflow),
+            zone_share(1, 1.0 - first_zone_share, true),
+        ];
+        let reject_below = if self.random.f64() < 0.5 { 0.0 } else { 0.2 };
         let threshold = SheddingThreshold {
-            admit_above: from + 0.3,
-            reject_below: from,
+            admit_above: reject_below + 0.3,
+            reject_below,
             admit_fraction: self.random.f64(),
         };
         self.handle(Event::ZoneSharesChanged { shares, threshold });
     }
 
-    fn move_faults(&mut self) {
-        self.schedule(900 * MILLISECOND, Pending::FaultsMove);
+    fn change_faults(&mut self) {
+        self.schedule(900 * MILLISECOND, ScheduledEvent::FaultsChange);
         self.counter.draw_fault(&mut self.random);
-        let overload = self.random.f64() < 0.15;
+        let is_overload = self.random.f64() < 0.15;
         for state in self.endpoints.values_mut() {
-            state.draw_fault(overload, &mut self.random);
+            state.draw_fault(is_overload, &mut self.random);
         }
     }
 }
--- a/crates/policy/tests/recording/settings.rs
+++ b/crates/policy/tests/recording/settings.rs
@@ -1,4 +1,4 @@
-//! Settings drawn from a seed.
+//! Random settings.
 
 use chalkdeck::api::*;
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// A class of every idempotency and key scope.
+/// Classes with every idempotency and key scope, a streaming one and an admission-only one.
 fn classes(random: &mut fastrand::Rng) -> Vec<Class> {
     let streaming = Class {
         is_streaming: true,
@@ -55,7 +55,7 @@
     ]
 }
 
-/// A plan of every kind.
+/// Plans with a quota, a ceiling, concurrency limits, and no limit.
 fn plans() -> Vec<Plan> {
     let ceiling = Plan {
         ceiling_rate: 20.0,
@@ -81,7 +81,7 @@
     ]
 }
 
-/// Settings of one gateway.
+/// Draws the settings of one gateway.
 pub fn draw(random: &mut fastrand::Rng) -> Settings {
     let classes = classes(random);
     let gateways = [1, 2, 20, 300][random.usize(..4)];
--- a/crates/policy/tests/request_guarantees.rs
+++ b/crates/policy/tests/request_guarantees.rs
@@ -1,11 +1,12 @@
-//! The guarantees to clients and back end: one answer in time, no harmful repeat, drains, slow start, hard ceilings.
+//! Guarantees to clients and to the back end: one answer by the deadline, safe retries, drains, slow start,
+//! hard ceilings.
 mod common;
 use chalkdeck::api::*;
 use common::*;
 
-fn final_answers(done: &[Action], id: RequestId) -> usize {
-    done.iter()
-        .filter(|a| matches!(a, Action::Reject { request: r, .. } | Action::Fail(r) if *r == id))
+fn count_final_answers(actions: &[Action], id: RequestId) -> usize {
+    actions.iter()
+        .filter(|action| matches!(action, Action::Reject { request, .. } | Action::Fail(request) if *request == id))
         .count()
 }
 
@@ -15,12 +16,12 @@
     let (id, _) = harness.send_request(0);
     harness.advance(3 * SECOND);
     assert_eq!(
-        final_answers(&harness.all_actions, id),
+        count_final_answers(&harness.all_actions, id),
         1,
-        "no outcome ever came"
+        "the attempt has not ended"
     );
     harness.advance(10 * SECOND);
-    assert_eq!(final_answers(&harness.all_actions, id), 1);
+    assert_eq!(count_final_answers(&harness.all_actions, id), 1);
 }
 
 #[test]
@@ -28,7 +29,7 @@
     let mut harness = Harness::new(settings(), 0);
     let (id, _) = harness.request(0, 3, 1, 1.0);
     harness.advance(3 * SECOND);
-    assert_eq!(final_answers(&harness.all_actions, id), 1);
+    assert_eq!(count_final_answers(&harness.all_actions, id), 1);
 }
 
 #[test]
@@ -37,10 +38,10 @@
     let (id, endpoint) = harness.send_request(0);
     harness.handle(Event::ClientDisconnected(id));
     let actions = harness.end_attempt(id, 0, endpoint, Outcome::Error);
-    assert!(sent_attempts(&actions).is_empty() && final_answers(&actions, id) == 0);
+    assert!(sent_attempts(&actions).is_empty() && count_final_answers(&actions, id) == 0);
     assert!(
         sent_attempts(&harness.end_attempt(id, 0, endpoint, Outcome::Error)).is_empty(),
-        "a repeated outcome"
+        "the end of the attempt is reported twice"
     );
 }
 
@@ -83,8 +84,8 @@
 }
 
 #[test]
-fn a_keyed_request_is_not_retried_where_its_connection_could_be_established_after_the_key_window() {
-    for (after, again) in [(100, true), (160, false)] {
+fn a_keyed_request_is_not_retried_if_its_connection_may_be_established_after_the_key_window() {
+    for (after, is_retried) in [(100, true), (160, false)] {
         let mut settings = settings();
         (settings.classes[1].key_window, settings.dial_timeout) = (
             TimeDelta::from_micros(400 * MILLISECOND),
@@ -96,7 +97,7 @@
         let actions = harness.end_attempt(id, 0, endpoint, Outcome::Error);
         assert_eq!(
             (sent_attempts(&actions).len() == 1, is_failed(&actions, id)),
-            (again, !again),
+            (is_retried, !is_retried),
             "after {after} ms"
         );
     }
@@ -118,11 +119,11 @@
 
 #[test]
 fn nothing_is_sent_to_a_draining_or_removed_endpoint() {
-    for listed in [EndpointState::Draining, EndpointState::Removed] {
+    for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut harness = Harness::new(settings(), 2);
         harness.handle(Event::EndpointsUpdated {
             scope: UpdateScope::Incremental,
-            entries: vec![entry(0, listed, None)],
+            entries: vec![entry(0, state, None)],
         });
         for _ in 0..50 {
             let (_, endpoint) = harness.send_request(0);
@@ -142,7 +143,7 @@
             assert_eq!(
                 harness.send_request(0).1,
                 EndpointId(0),
-                "a endpoint missing from a whole list is gone"
+                "an endpoint missing from a complete list is removed"
             );
         }
     }
@@ -158,47 +159,47 @@
     let (id, actions) = harness.request(0, 3, 1, 1.0);
     assert!(sent_attempts(&actions).is_empty());
     harness.advance(3 * SECOND);
-    assert_eq!(final_answers(&harness.all_actions, id), 1);
+    assert_eq!(count_final_answers(&harness.all_actions, id), 1);
 }
 
-/// Runs a steady flow for five seconds and counts what each endpoint got.
-fn steady_load(harness: &mut Harness) -> Vec<u32> {
-    let mut got = vec![0; 8];
+/// Sends requests at a constant rate for five seconds, and counts the attempts at each endpoint.
+fn run_steady_load(harness: &mut Harness) -> Vec<u32> {
+    let mut attempts = vec![0; 8];
     for _ in 0..500 {
         harness.advance(10 * MILLISECOND);
         let (id, actions) = harness.request(0, 3, 1, 1.0);
         for (_, endpoint) in sent_attempts(&actions) {
-            got[endpoint.0 as usize] += 1;
+            attempts[endpoint.0 as usize] += 1;
             harness.end_attempt(id, 0, endpoint, Outcome::Ok);
         }
     }
-    got
+    attempts
 }
 
 #[test]
-fn an_endpoint_in_slow_start_gets_no_more_than_its_part() {
+fn an_endpoint_in_slow_start_gets_a_fraction_of_the_load_of_a_warm_one() {
     let mut harness = Harness::new(settings(), 4);
-    steady_load(&mut harness);
-    let (now, cold) = (harness.now, 3);
+    run_steady_load(&mut harness);
+    let (now, restarted) = (harness.now, 3);
     harness.handle(Event::EndpointsUpdated {
         scope: UpdateScope::Incremental,
-        entries: vec![entry(cold, EndpointState::InService, Some(now))],
+        entries: vec![entry(restarted, EndpointState::InService, Some(now))],
     });
-    let got = steady_load(&mut harness);
-    let warm = got[..3].iter().sum::<u32>() / 3;
-    // From a fifth to three fifths of its capacity over these seconds.
-    assert!(got[3] > 0 && got[3] * 2 < warm, "{got:?}");
+    let attempts = run_steady_load(&mut harness);
+    let warm = attempts[..3].iter().sum::<u32>() / 3;
+    // In these seconds its capacity grows from a fifth to three fifths.
+    assert!(attempts[3] > 0 && attempts[3] * 2 < warm, "{attempts:?}");
 }
 
 #[test]
-fn a_restart_that_is_not_listed_yet_begins_a_slow_start() {
+fn a_restart_before_the_list_shows_it_begins_a_slow_start() {
     let mut harness = Harness::new(settings(), 2);
-    steady_load(&mut harness);
+    run_steady_load(&mut harness);
     for _ in 0..2_000 {
         harness.advance(10 * MILLISECOND);
         let (id, endpoint) = harness.send_request(0);
-        let up = harness.now > 1_010 * SECOND;
-        let outcome = if endpoint == EndpointId(0) && !up {
+        let is_reachable = harness.now > 1_010 * SECOND;
+        let outcome = if endpoint == EndpointId(0) && !is_reachable {
             Outcome::ConnectFailed
         } else {
             Outcome::Ok
@@ -207,25 +208,29 @@
         for (id, endpoint) in sent_attempts(&actions) {
             harness.end_attempt(id, 1, endpoint, Outcome::Ok);
         }
-        if up && endpoint == EndpointId(0) {
+        if is_reachable && endpoint == EndpointId(0) {
             break;
         }
     }
-    let got = steady_load(&mut harness);
-    assert!(got[0] > 0 && got[0] * 3 < got[1] * 2, "{got:?}");
+    let attempts = run_steady_load(&mut harness);
+    assert!(
+        attempts[0] > 0 && attempts[0] * 3 < attempts[1] * 2,
+        "{attempts:?}"
+    );
 }
 
-/// The most that one customer under a ceiling may have had at any moment: two gateways, each
-/// offered all it could want for thirty seconds; `answer` fails a call or tells which part of its
-/// totals the counter still has.
-fn lowest_ceiling_level(answer: impl Fn(u64) -> Option<f64>) -> f64 {
-    lowest_ceiling_level_with(|n, _| answer(n), |_, _| true)
+/// Lowest level of a bucket that models the ceiling of one customer, whose requests exceed it at two gateways
+/// for thirty seconds. `kept_fraction` gets the number of a counter call and returns the fraction of its
+/// totals that the counter has kept, or `None` to fail the call.
+fn lowest_ceiling_level(kept_fraction: impl Fn(u64) -> Option<f64>) -> f64 {
+    lowest_ceiling_level_with(|call, _| kept_fraction(call), |_, _| true)
 }
 
-/// The same, with the amount of each call, and gateways that have traffic only at some steps.
+/// Like [`lowest_ceiling_level`], but `kept_fraction` also gets the amount of the call, and a gateway has
+/// traffic only in the steps that `has_traffic` selects.
 fn lowest_ceiling_level_with(
-    answer: impl Fn(u64, f64) -> Option<f64>,
-    busy: impl Fn(usize, u64) -> bool,
+    kept_fraction: impl Fn(u64, f64) -> Option<f64>,
+    has_traffic: impl Fn(usize, u64) -> bool,
 ) -> f64 {
     let mut totals = std::collections::BTreeMap::new();
     let mut settings = settings();
@@ -241,7 +246,7 @@
         level = (level + 18.0 * 0.01).min(36.0);
         for (i, harness) in harnesses.iter_mut().enumerate() {
             harness.advance(10 * MILLISECOND);
-            if !busy(i, step) {
+            if !has_traffic(i, step) {
                 continue;
             }
             let (id, actions) = harness.request(0, 1, 1, 1.0);
@@ -251,8 +256,8 @@
                 for (key, amount) in counter_calls(&pending) {
                     call += 1;
                     let (mut outcome, mut answered_total) = (Outcome::Rejected, 0.0);
-                    if let Some(kept) = answer(call, amount) {
-                        totals.values_mut().for_each(|t| *t *= kept);
+                    if let Some(kept) = kept_fraction(call, amount) {
+                        totals.values_mut().for_each(|total| *total *= kept);
                         let total = totals.entry(key).or_insert(0.0);
                         *total += amount;
                         (outcome, answered_total) = (Outcome::Ok, *total);
@@ -286,36 +291,36 @@
 }
 
 #[test]
-fn the_ceiling_holds_while_the_counter_fails_now_and_then() {
-    for share in 2..12 {
-        let low = lowest_ceiling_level(|n| (n % share == 0).then_some(1.0));
-        assert!(low >= -4.0, "one answer in {share}: {low}");
-        let low = lowest_ceiling_level(|n| (n % share != 0).then_some(1.0));
-        assert!(low >= -4.0, "one failure in {share}: {low}");
+fn the_ceiling_holds_while_some_counter_calls_fail() {
+    for interval in 2..12 {
+        let lowest = lowest_ceiling_level(|call| (call % interval == 0).then_some(1.0));
+        assert!(lowest >= -4.0, "one success in {interval}: {lowest}");
+        let lowest = lowest_ceiling_level(|call| (call % interval != 0).then_some(1.0));
+        assert!(lowest >= -4.0, "one failure in {interval}: {lowest}");
     }
 }
 
 #[test]
-fn the_ceiling_holds_when_the_counter_loses_its_memory() {
+fn the_ceiling_holds_when_the_counter_loses_its_state() {
     for every in [61, 75, 90, 97, 130, 311, 701] {
-        let low = lowest_ceiling_level(|n| Some(if n % every == 0 { 0.0 } else { 1.0 }));
-        assert!(low >= -4.0, "emptied every {every} calls: {low}");
+        let lowest = lowest_ceiling_level(|call| Some(if call % every == 0 { 0.0 } else { 1.0 }));
+        assert!(lowest >= -4.0, "emptied every {every} calls: {lowest}");
     }
 }
 
 #[test]
-fn the_ceiling_holds_when_gateways_take_turns_and_each_believes_the_bucket_full() {
-    // Every read of the window before fails; a window of traffic here, then one there.
+fn the_ceiling_holds_when_gateways_alternate_and_each_sees_a_full_quota() {
+    // Calls that add nothing fail, and each window has traffic at one of the gateways, in turn.
     for offset in (0..100).step_by(10) {
-        let low = lowest_ceiling_level_with(
+        let lowest = lowest_ceiling_level_with(
             |_, amount| (amount != 0.0).then_some(1.0),
-            |harness, step| ((step + offset) / 100) % 2 == harness as u64,
+            |gateway, step| ((step + offset) / 100) % 2 == gateway as u64,
         );
-        assert!(low >= -4.0, "offset {offset}: {low}");
+        assert!(lowest >= -4.0, "offset {offset}: {lowest}");
     }
 }
 
-/// Hundreds of gateways with the same steady flow over one fleet, all with an update about an endpoint in slow start at once.
+/// Hundreds of gateways with equal load learn at the same time that an endpoint has restarted.
 #[test]
 fn hundreds_of_gateways_do_not_overload_an_endpoint_in_slow_start() {
     let (gateways, endpoints) = (200, 20);
@@ -347,38 +352,39 @@
             harness
         })
         .collect();
-    // A warm endpoint gets 50 of these a second; one in slow start is overloaded at twice its part of that.
-    let (mut second, mut total) = (std::collections::VecDeque::new(), 0);
+    // A warm endpoint gets 50 requests per second; one in slow start is overloaded at twice its fraction of
+    // that.
+    let (mut last_second, mut total) = (std::collections::VecDeque::new(), 0);
     for tick in 0..50 {
-        let got = harnesses
+        let attempts = harnesses
             .iter_mut()
             .filter_map(|harness| step(harness).then_some(()))
             .count();
-        second.push_back(got);
-        if second.len() > 5 {
-            second.pop_front();
+        last_second.push_back(attempts);
+        if last_second.len() > 5 {
+            last_second.pop_front();
         }
-        total += got;
-        let (most, part) = (
-            second.iter().sum::<usize>() as f64,
+        total += attempts;
+        let (load, capacity) = (
+            last_second.iter().sum::<usize>() as f64,
             0.2 + 0.8 * f64::from(tick) / 50.0,
         );
         assert!(
-            most <= 2.0 * 50.0 * part + 4.0,
-            "{most} in the second before {}",
+            load <= 2.0 * 50.0 * capacity + 4.0,
+            "{load} attempts in the second before step {}",
             tick
         );
     }
-    assert!(total > 20, "it does get work: {total}");
+    assert!(total > 20, "it gets some load: {total}");
 }
 
-/// Guards against half a body passing for a whole one.
+/// Guards against a truncated body that is taken for a complete one.
 #[test]
 fn a_request_without_its_body_is_not_retried() {
-    for gone in [false, true] {
+    for is_discarded in [false, true] {
         let mut harness = Harness::new(settings(), 4);
         let (id, endpoint) = harness.send_request(0);
-        if gone {
+        if is_discarded {
             harness.handle(Event::BodyDiscarded(id));
         }
         let actions = harness.end_attempt(id, 0, endpoint, Outcome::Error);
@@ -387,7 +393,7 @@
                 sent_attempts(&actions).is_empty(),
                 is_rejected(&actions, id)
             ),
-            (gone, gone)
+            (is_discarded, is_discarded)
         );
     }
 }
