--- a/crates/policy/tests/request_guarantees.rs
+++ b/crates/policy/tests/request_guarantees.rs
@@ -6,7 +6,9 @@
 
 fn count_final_answers(actions: &[Action], id: RequestId) -> usize {
     actions.iter()
-        .filter(|action| matches!(action, Action::Reject { request, .. } | Action::Fail(request) if *request == id))
+        .filter(|action| {
+            matches!(action, Action::Reject { request, .. } | Action::Fail(request) if *request == id)
+        })
         .count()
 }
 
