--- a/crates/policy/src/counter/sampling.rs
+++ b/crates/policy/src/counter/sampling.rs
@@ -19,7 +19,7 @@
 /// last one.
 const MAX_RATE_FACTOR: f64 = 4.0;
 /// Divisor of the sample weight of replies slower than the base latency.
-const SLOWER_ANSWER_DIVISOR: f64 = 100.0;
+const SLOWER_REPLY_WEIGHT_DIVISOR: f64 = 100.0;
 /// Minimum neutral queueing, in seconds; prevents a division by zero.
 const MIN_NEUTRAL_QUEUEING_SECONDS: f64 = 1e-9;
 /// Maximum exponent, for requests of low value.
@@ -104,7 +104,7 @@
             queueing
         } else {
             // The base latency follows the fastest replies, so slower ones change it little.
-            queueing * SAMPLE_WEIGHT / SLOWER_ANSWER_DIVISOR
+            queueing * SAMPLE_WEIGHT / SLOWER_REPLY_WEIGHT_DIVISOR
         };
         self.adjust_rate(now, queueing, timeout);
     }
--- a/crates/policy/src/customer.rs
+++ b/crates/policy/src/customer.rs
@@ -56,7 +56,7 @@
     /// Opens when counter calls for this customer fail.
     pub(crate) breaker: CircuitBreaker,
     /// Concurrency slots that requests at this gateway hold.
-    pub(crate) in_flight: f64,
+    pub(crate) held_slots: f64,
     /// When its last request arrived.
     pub(crate) last_request_at: Timestamp,
 }
@@ -92,7 +92,7 @@
 
     /// Whether its state may be dropped.
     pub(crate) fn is_expired(&self, now: Timestamp) -> bool {
-        self.last_request_at + CUSTOMER_EXPIRY < now && self.in_flight <= 0.0
+        self.last_request_at + CUSTOMER_EXPIRY < now && self.held_slots <= 0.0
     }
 
     /// The current count for a purpose.
@@ -135,7 +135,7 @@
         }
         self.epoch = WindowCounter {
             index,
-            unposted: self.in_flight,
+            unposted: self.held_slots,
             ..WindowCounter::default()
         };
     }
--- a/crates/policy/src/endpoint/mod.rs
+++ b/crates/policy/src/endpoint/mod.rs
@@ -12,7 +12,7 @@
 /// Minimum concurrency limit, so that an endpoint's recovery is detected.
 const MIN_LIMIT: f64 = 0.1;
 /// Factor that an answer indicating congestion applies to the limit (multiplicative decrease).
-const LIMIT_DECREASE: f64 = 0.7;
+const LIMIT_DECREASE_FACTOR: f64 = 0.7;
 /// Increase of the limit for a quick answer while the limit is reached (additive increase).
 const LIMIT_INCREASE: f64 = 0.03;
 /// Weight of endpoints that are listed without one.
@@ -88,7 +88,7 @@
 
     /// Lowers the concurrency limit.
     pub(crate) fn decrease_limit(&mut self) {
-        self.limit = (self.limit * LIMIT_DECREASE).max(MIN_LIMIT);
+        self.limit = (self.limit * LIMIT_DECREASE_FACTOR).max(MIN_LIMIT);
     }
 
     /// Raises the concurrency limit.
@@ -133,10 +133,10 @@
         self.is_in_service = entry.state == EndpointState::InService;
     }
 
-    /// Clears the connect failures, and returns whether they lasted for longer than `max_duration`.
-    pub(crate) fn clear_connect_failures(&mut self, max_duration: TimeDelta) -> bool {
+    /// Clears the connect failures, and returns whether they lasted for longer than `threshold`.
+    pub(crate) fn clear_connect_failures(&mut self, threshold: TimeDelta) -> bool {
         self.connect_failures
             .take()
-            .is_some_and(|failures| failures.last - failures.first > max_duration)
+            .is_some_and(|failures| failures.last - failures.first > threshold)
     }
 }
--- a/crates/policy/src/endpoint/outlier.rs
+++ b/crates/policy/src/endpoint/outlier.rs
@@ -13,7 +13,7 @@
 /// overload all endpoints fail, and ejections would make it worse.
 const FLEET_FAILURE_MULTIPLE: f64 = 2.0;
 /// Duration of the first ejection, before random jitter.
-const FIRST_EJECTION: TimeDelta = TimeDelta::from_secs(1);
+const FIRST_EJECTION_DURATION: TimeDelta = TimeDelta::from_secs(1);
 /// Maximum number of times that the duration is doubled.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
 /// Time without attempts after an endpoint rejected one.
@@ -81,7 +81,7 @@
         let is_failing = is_unreachable || self.failure_share > threshold;
         if now >= self.ejected_until && (is_failing || self.is_on_probation) {
             let doubling = f64::from(1 << self.ejections);
-            self.ejected_until = now + FIRST_EJECTION.mul_f64(doubling * jitter);
+            self.ejected_until = now + FIRST_EJECTION_DURATION.mul_f64(doubling * jitter);
             self.ejections = (self.ejections + 1).min(MAX_EJECTION_DOUBLINGS);
             self.is_on_probation = true;
         }
--- a/crates/policy/src/endpoint/table.rs
+++ b/crates/policy/src/endpoint/table.rs
@@ -10,7 +10,7 @@
     /// Positions of the endpoints in service, in an order that is the same on all gateways.
     in_service: Vec<usize>,
     /// Number of endpoints in slow start.
-    pub(crate) slow_starts: usize,
+    pub(crate) slow_start_count: usize,
     /// Attempts in flight at all endpoints.
     pub(crate) in_flight: f64,
     /// The last computed sum of concurrency limits.
@@ -97,7 +97,7 @@
         self.in_service = (0..self.endpoints.len())
             .filter(|&position| self.endpoints[position].is_in_service)
             .collect();
-        self.slow_starts = self
+        self.slow_start_count = self
             .iter()
             .filter(|endpoint| endpoint.slow_start_since.is_some())
             .count();
--- a/crates/policy/src/engine/attempt_results.rs
+++ b/crates/policy/src/engine/attempt_results.rs
@@ -161,7 +161,7 @@
         if is_failure {
             endpoint.eject_if_outlier(now, evidence.outcome, &self.fleet, jitter);
         }
-        self.endpoints.slow_starts += usize::from(has_restarted);
+        self.endpoints.slow_start_count += usize::from(has_restarted);
         self.endpoints.in_flight = (self.endpoints.in_flight - 1.0).max(0.0);
     }
 }
--- a/crates/policy/src/engine/completion.rs
+++ b/crates/policy/src/engine/completion.rs
@@ -98,7 +98,7 @@
         }
         if held_slot {
             if let Some(customer) = self.customers.get_mut(&customer_id) {
-                customer.in_flight -= 1.0;
+                customer.held_slots -= 1.0;
             }
             self.release_surplus_slots(customer_id);
         }
--- a/crates/policy/src/engine/concurrency_slots.rs
+++ b/crates/policy/src/engine/concurrency_slots.rs
@@ -75,7 +75,7 @@
         let customer = &self.customers[&customer_id];
         let max_concurrency = self.settings.plans[plan.0].max_concurrency;
         if max_concurrency >= customer.gateways {
-            customer.in_flight < (max_concurrency / customer.gateways).floor()
+            customer.held_slots < (max_concurrency / customer.gateways).floor()
         } else {
             self.try_start_uncounted(customer_id)
         }
@@ -111,7 +111,7 @@
             return;
         };
         let epoch = &mut customer.epoch;
-        let surplus = epoch.posted + epoch.posting + epoch.unposted - customer.in_flight;
+        let surplus = epoch.posted + epoch.posting + epoch.unposted - customer.held_slots;
         if surplus > UNITS_TOLERANCE && !self.counter.breaker.is_open() {
             epoch.unposted -= surplus;
             self.post_unposted(customer_id, CounterPurpose::Concurrency);
@@ -127,7 +127,7 @@
         if has_limit {
             request.holds_slot = true;
             if let Some(customer) = self.customers.get_mut(&request.incoming.customer) {
-                customer.in_flight += 1.0;
+                customer.held_slots += 1.0;
             }
         }
         if self.settings.classes[request.incoming.class.0].is_admission_only {
--- a/crates/policy/src/engine/quota.rs
+++ b/crates/policy/src/engine/quota.rs
@@ -63,8 +63,8 @@
         let value = request.priority_weight(&self.settings) * units;
         self.counter.sampler.observe_value(value);
         let total = self.customers[&customer].window.known_total();
-        let is_known_full = self.available_units(customer, total) < units && total > 0.0;
-        if is_known_full && !self.counter.breaker.is_open() {
+        let is_known_exhausted = self.available_units(customer, total) < units && total > 0.0;
+        if is_known_exhausted && !self.counter.breaker.is_open() {
             // A call would only confirm that the quota is exhausted.
             return self.reject_or_fail(id);
         }
@@ -133,8 +133,8 @@
         let plan = request.plan;
         match answer {
             CounterAnswer::Total(total) => {
-                // If the counter lost units, the quota has to refill the debt before it admits any
-                // request.
+                // The quota is exhausted. Units that the counter lost are part of the total, so
+                // under a ceiling they are paid off before any request is admitted.
                 if self.available_units(customer, total) < 0.0 {
                     return false;
                 }
@@ -145,7 +145,7 @@
             // A retry was rejected a moment ago by some gateway, so it is admitted only by a recent
             // total.
             _ if is_retry && !self.is_counter_unavailable(customer) => {
-                self.has_recent_room(customer, units)
+                self.has_recent_capacity(customer, units)
                     && self.try_take_ceiling(customer, plan, units)
                     && self.count_later(id)
             }
@@ -167,7 +167,7 @@
     }
 
     /// Whether a recent total leaves enough units for a request, so that no call is needed.
-    fn has_recent_room(&self, customer: CustomerId, units: f64) -> bool {
+    fn has_recent_capacity(&self, customer: CustomerId, units: f64) -> bool {
         let total = self.customers[&customer].window.known_total();
         self.has_recent_total(customer) && self.available_units(customer, total) >= units
     }
--- a/crates/policy/src/engine/selection.rs
+++ b/crates/policy/src/engine/selection.rs
@@ -13,7 +13,7 @@
 /// The same minimum if limits are at least one attempt.
 const MIN_IN_FLIGHT: f64 = 1.0;
 /// Bounds of the ratio of an endpoint's latency to the fleet's in its score.
-const LATENCY_RATIO: std::ops::RangeInclusive<f64> = 0.7..=2.0;
+const LATENCY_RATIO_BOUNDS: std::ops::RangeInclusive<f64> = 0.7..=2.0;
 /// Relative increase of the score at a failure share of one.
 const FAILURE_PENALTY: f64 = 3.0;
 /// Increase of the score for each earlier attempt of the request at the endpoint.
@@ -165,13 +165,13 @@
     /// now.
     fn score(&self, selection: &Selection, endpoint: &Endpoint) -> Option<f64> {
         let request = selection.request;
-        if !self.has_room(selection, endpoint) || !self.may_send(request, endpoint) {
+        if !self.has_capacity(selection, endpoint) || !self.may_send(request, endpoint) {
             return None;
         }
         let zone_penalty = self.zone_penalty(selection, endpoint)?;
         let latency_ratio = if self.fleet.latency > 0.0 {
             let ratio = endpoint.latency / self.fleet.latency;
-            ratio.clamp(*LATENCY_RATIO.start(), *LATENCY_RATIO.end())
+            ratio.clamp(*LATENCY_RATIO_BOUNDS.start(), *LATENCY_RATIO_BOUNDS.end())
         } else {
             1.0
         };
@@ -190,7 +190,7 @@
 
     /// Whether an endpoint is healthy and below its limit. If no endpoint is healthy, every
     /// endpoint in service gets one attempt at a time.
-    fn has_room(&self, selection: &Selection, endpoint: &Endpoint) -> bool {
+    fn has_capacity(&self, selection: &Selection, endpoint: &Endpoint) -> bool {
         if !selection.is_any_healthy {
             return endpoint.in_flight < 1.0;
         }
--- a/crates/policy/src/engine/slow_start.rs
+++ b/crates/policy/src/engine/slow_start.rs
@@ -18,13 +18,13 @@
 /// rate per weight is derived from the warm ones.
 const MAX_TOTAL_TO_WARM_WEIGHT: f64 = 3.0;
 /// Minimum total weight; prevents a division by zero.
-const MIN_WEIGHT: f64 = 1e-9;
+const MIN_TOTAL_WEIGHT: f64 = 1e-9;
 
 impl DecisionEngine {
     /// Updates the buckets of all endpoints in slow start, and ends the slow starts that have
     /// lasted for their duration.
     pub(super) fn advance_slow_starts(&mut self) {
-        if self.endpoints.slow_starts == 0 {
+        if self.endpoints.slow_start_count == 0 {
             return;
         }
         let now = self.now;
@@ -53,7 +53,7 @@
                 bucket.level = -settings.max_request_units;
             }
         }
-        self.endpoints.slow_starts -= ended;
+        self.endpoints.slow_start_count -= ended;
     }
 
     /// Units per second that an endpoint of weight one gets from this gateway.
@@ -74,7 +74,7 @@
         let weight = if warm_weight * MAX_TOTAL_TO_WARM_WEIGHT >= total_weight {
             warm_weight
         } else {
-            total_weight.max(MIN_WEIGHT)
+            total_weight.max(MIN_TOTAL_WEIGHT)
         };
         self.send_rate.per_second(now) / weight
     }
--- a/crates/policy/src/engine/status.rs
+++ b/crates/policy/src/engine/status.rs
@@ -44,13 +44,13 @@
     }
 
     fn concurrency_status(&self, customer: CustomerId, plan: &Plan) -> QuotaStatus {
-        let in_flight = self
+        let held_slots = self
             .customers
             .get(&customer)
-            .map_or(0.0, |customer| customer.in_flight);
+            .map_or(0.0, |customer| customer.held_slots);
         QuotaStatus {
             limit: plan.max_concurrency,
-            remaining: (plan.max_concurrency - in_flight).max(0.0),
+            remaining: (plan.max_concurrency - held_slots).max(0.0),
             resets_in: TimeDelta::ZERO,
         }
     }
--- a/crates/policy/src/engine/stragglers.rs
+++ b/crates/policy/src/engine/stragglers.rs
@@ -6,15 +6,15 @@
 
 /// Number of quick answers of an endpoint, after an attempt was sent there, that make the attempt a
 /// straggler.
-const QUICK_ANSWERS_TO_PROVE: u64 = 3;
+const STRAGGLER_QUICK_ANSWERS: u64 = 3;
 /// Time before the check, as a multiple of the endpoint's mean latency.
-const LATENCY_MULTIPLE: f64 = 6.0;
+const CHECK_LATENCY_MULTIPLE: f64 = 6.0;
 /// Minimum time before the check, as a fraction of the latency objective.
 const MIN_OBJECTIVE_FRACTION: f64 = 0.35;
 
 /// Time after which an attempt is checked; `mean_latency` is its endpoint's, in microseconds.
 pub(super) fn straggler_check_after(mean_latency: f64, objective: TimeDelta) -> TimeDelta {
-    let by_latency = TimeDelta::from_micros((mean_latency * LATENCY_MULTIPLE) as u64);
+    let by_latency = TimeDelta::from_micros((mean_latency * CHECK_LATENCY_MULTIPLE) as u64);
     by_latency.max(objective.mul_f64(MIN_OBJECTIVE_FRACTION))
 }
 
@@ -24,7 +24,7 @@
         self.endpoints
             .get(attempt.endpoint)
             .is_some_and(|endpoint| {
-                endpoint.quick_answers >= attempt.quick_answers_before + QUICK_ANSWERS_TO_PROVE
+                endpoint.quick_answers >= attempt.quick_answers_before + STRAGGLER_QUICK_ANSWERS
             })
     }
 
--- a/crates/policy/src/engine/subset.rs
+++ b/crates/policy/src/engine/subset.rs
@@ -10,12 +10,12 @@
 
 /// Minimum size of a gateway's subset. A larger one spreads its load better; with a smaller one it
 /// has samples of each endpoint within a second or two.
-const MIN_SUBSET: f64 = 8.0;
+const MIN_SUBSET_SIZE: f64 = 8.0;
 /// Additional endpoints for each unit per second that the gateway sends.
 const SUBSET_ENDPOINTS_PER_UNIT_RATE: f64 = 1.0;
 /// Distance between the starts of the subsets of consecutive gateways, as a fraction of the fleet.
-/// The golden ratio spreads them evenly, including those of consecutive gateways, which one
-/// customer's requests come through.
+/// The golden ratio spreads them evenly, also over the consecutive gateways that one customer's
+/// requests come through.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
 /// Initial limit of the attempts of all gateways together at one endpoint. It is low, because a
 /// limit that has to be lowered first costs late answers.
@@ -29,7 +29,7 @@
     /// Number of endpoints in this gateway's subset.
     pub(super) fn subset_size(&self) -> usize {
         let rate = self.send_rate.per_second(self.now);
-        let size = MIN_SUBSET + SUBSET_ENDPOINTS_PER_UNIT_RATE * rate;
+        let size = MIN_SUBSET_SIZE + SUBSET_ENDPOINTS_PER_UNIT_RATE * rate;
         size.min(self.endpoints.in_service_count() as f64) as usize
     }
 
--- a/crates/policy/src/shedding/mod.rs
+++ b/crates/policy/src/shedding/mod.rs
@@ -20,7 +20,7 @@
 /// gone.
 const IDLE_INCREASE: f64 = 1.6;
 /// Exponent of the ratio of the mean weight to a request's weight.
-const WEIGHT_POWER: i32 = 2;
+const WEIGHT_RATIO_EXPONENT: i32 = 2;
 
 /// State of load shedding.
 #[derive(Debug)]
@@ -58,7 +58,7 @@
     /// Probability that a request of this weight is accepted.
     pub(crate) fn accept_probability(&self, weight: f64) -> f64 {
         let exponent = if weight > 0.0 {
-            (self.mean_weight / weight).powi(WEIGHT_POWER)
+            (self.mean_weight / weight).powi(WEIGHT_RATIO_EXPONENT)
         } else {
             f64::MAX
         };
--- a/crates/policy/src/shedding/overload.rs
+++ b/crates/policy/src/shedding/overload.rs
@@ -9,7 +9,7 @@
 /// Accept rate below which the endpoints count as overloaded.
 pub(crate) const OVERLOAD_ACCEPT_RATE: f64 = 0.4;
 /// Fraction of the mean under normal load that may be in flight in overload.
-const OVERLOAD_FRACTION: f64 = 0.5;
+const OVERLOAD_BUDGET_FRACTION: f64 = 0.5;
 /// Time constant of the mean under normal load, in seconds.
 const NORMAL_LOAD_AVERAGING_SECONDS: f64 = 10.0;
 /// Maximum budget, in attempt seconds.
@@ -30,7 +30,7 @@
     /// Updates the budget for elapsed seconds with a constant number of attempts in flight: adds
     /// the allowed attempt seconds and subtracts those used.
     pub(crate) fn accrue(&mut self, elapsed: f64, in_flight: f64, endpoints: f64) {
-        let allowed = OVERLOAD_FRACTION * self.normal_in_flight * endpoints;
+        let allowed = OVERLOAD_BUDGET_FRACTION * self.normal_in_flight * endpoints;
         let accrued = self.attempt_seconds + (allowed - in_flight) * elapsed;
         self.attempt_seconds = accrued.min(MAX_SAVED_SECONDS);
     }
--- a/crates/policy/src/window.rs
+++ b/crates/policy/src/window.rs
@@ -78,7 +78,7 @@
     /// The last total that the counter returned.
     pub(crate) last_total: f64,
     /// When it was returned; `None` if no total of this window is known.
-    pub(crate) answered_at: Option<Timestamp>,
+    pub(crate) last_total_at: Option<Timestamp>,
     /// Level of the customer's token bucket at `bucket_refilled_at`, when the total was
     /// `bucket_level_total`.
     pub(crate) bucket_level: f64,
@@ -107,7 +107,7 @@
     /// Whether the last total is no older than the timeout, and so as recent as the reply to a call
     /// made now could be.
     pub(crate) fn is_total_recent(&self, now: Timestamp, timeout: TimeDelta) -> bool {
-        self.answered_at.is_some_and(|at| now < at + timeout)
+        self.last_total_at.is_some_and(|at| now < at + timeout)
     }
 
     /// Moves unposted units into a call in flight.
@@ -138,7 +138,7 @@
     /// Records a total that the counter returned now.
     pub(crate) fn observe_total(&mut self, now: Timestamp, total: f64, plan: &Plan) {
         self.last_total = total;
-        self.answered_at = Some(now);
+        self.last_total_at = Some(now);
         let known_total = self.known_total();
         self.bucket_level = self.available(now, known_total, plan);
         self.bucket_level_total = known_total;
--- a/crates/policy/tests/large_subset.rs
+++ b/crates/policy/tests/large_subset.rs
@@ -75,7 +75,7 @@
     assert!(sent.len() > 180, "{} endpoints were used", sent.len());
     assert!(
         most < 80 && unsent_requests < 100,
-        "mean 20, most {most}, {unsent_requests} not sent on"
+        "mean 20, most {most}, {unsent_requests} not sent"
     );
 
     let is_failing = |endpoint: EndpointId| endpoint.0.is_multiple_of(4);
@@ -89,6 +89,6 @@
         .sum();
     assert!(
         sent_to_failing * 20 < total,
-        "{sent_to_failing} of {total} went to the quarter that fails"
+        "{sent_to_failing} of {total} were sent to the failing quarter"
     );
 }
--- a/crates/policy/tests/recording/mod.rs
+++ b/crates/policy/tests/recording/mod.rs
@@ -1,12 +1,12 @@
 //! Simulation of one gateway with clients, a counter and endpoints. A digest covers all actions of the
 //! gateway.
 
-mod peers;
 mod settings;
+mod simulated_services;
 
 use chalkdeck::api::*;
 use chalkdeck::DecisionEngine;
-use peers::{SimulatedCounter, SimulatedEndpoint};
+use simulated_services::{SimulatedCounter, SimulatedEndpoint};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fmt::{self, Display};
 
@@ -147,7 +147,7 @@
             digest: Digest(0xcbf2_9ce4_8422_2325),
         };
         let entries = (0..endpoint_count)
-            .map(|i| peers::entry(i, EndpointState::InService, None))
+            .map(|i| simulated_services::entry(i, EndpointState::InService, None))
             .collect();
         simulation.handle(Event::EndpointsUpdated {
             scope: UpdateScope::Complete,
@@ -476,7 +476,7 @@
             if is_restarted {
                 self.endpoints.insert(id, SimulatedEndpoint::default());
             }
-            entries.push(peers::entry(id, state, started_at));
+            entries.push(simulated_services::entry(id, state, started_at));
         }
         self.handle(Event::EndpointsUpdated {
             scope: UpdateScope::Incremental,
--- a/crates/policy/tests/request_guarantees.rs
+++ b/crates/policy/tests/request_guarantees.rs
@@ -5,9 +5,13 @@
 use common::*;
 
 fn count_final_answers(actions: &[Action], id: RequestId) -> usize {
-    actions.iter()
+    actions
+        .iter()
         .filter(|action| {
-            matches!(action, Action::Reject { request, .. } | Action::Fail(request) if *request == id)
+            matches!(
+                action,
+                Action::Reject { request, .. } | Action::Fail(request) if *request == id
+            )
         })
         .count()
 }
