--- a/crates/policy/src/engine/attempt_results.rs
+++ b/crates/policy/src/engine/attempt_results.rs
@@ -52,8 +52,8 @@
 
     /// Whether the endpoint answered quickly, and so could handle more attempts in parallel.
     fn is_quick_answer(&self) -> bool {
-        let quick = self.objective.mul_f64(QUICK_OBJECTIVE_FRACTION);
-        self.outcome == Outcome::Ok && self.elapsed < quick
+        let threshold = self.objective.mul_f64(QUICK_OBJECTIVE_FRACTION);
+        self.outcome == Outcome::Ok && self.elapsed < threshold
     }
 
     /// Whether the attempt failed or missed the latency objective.
--- a/crates/policy/src/engine/dispatch.rs
+++ b/crates/policy/src/engine/dispatch.rs
@@ -7,13 +7,13 @@
 use crate::timers::TimerPurpose;
 
 /// Fraction of the latency objective that an attempt with an early timeout leaves for a retry, and
-/// that it has itself at the least.
+/// the minimum fraction that it gets itself.
 const RETRY_OBJECTIVE_FRACTION: f64 = 0.3;
 
 /// Timeouts of an attempt that is sent now.
-struct AttemptDeadlines {
+struct AttemptTimeouts {
     /// When it times out.
-    give_up_at: Timestamp,
+    times_out_at: Timestamp,
     /// Time after which it is checked for being a straggler; `None` if it is not checked.
     straggler_check: Option<TimeDelta>,
 }
@@ -34,7 +34,7 @@
             return;
         };
         let units = request.incoming.units;
-        let deadlines = self.attempt_deadlines(request, endpoint_id);
+        let timeouts = self.attempt_timeouts(request, endpoint_id);
         let quick_answers_before = self
             .endpoints
             .get(endpoint_id)
@@ -58,9 +58,9 @@
         self.actions.push(Action::SendAttempt {
             request: id,
             endpoint: endpoint_id,
-            deadline: deadlines.give_up_at,
+            deadline: timeouts.times_out_at,
         });
-        if let Some(after) = deadlines.straggler_check {
+        if let Some(after) = timeouts.straggler_check {
             let request = id;
             self.set_timer(TimerPurpose::StragglerCheck { request, attempt }, after);
         }
@@ -77,13 +77,13 @@
         request.attempts.len() - 1
     }
 
-    fn attempt_deadlines(&self, request: &OpenRequest, endpoint: EndpointId) -> AttemptDeadlines {
+    fn attempt_timeouts(&self, request: &OpenRequest, endpoint: EndpointId) -> AttemptTimeouts {
         let now = self.now;
         let class = request.class(&self.settings);
         let objective = class.latency_objective;
         let early_deadline = request.arrived_at + objective.mul_f64(1.0 - RETRY_OBJECTIVE_FRACTION);
         let is_early_enough = early_deadline > now + objective.mul_f64(RETRY_OBJECTIVE_FRACTION);
-        let give_up_at = if self.may_give_up_early(request, endpoint) && is_early_enough {
+        let times_out_at = if self.may_time_out_early(request, endpoint) && is_early_enough {
             early_deadline
         } else {
             request.incoming.deadline
@@ -96,8 +96,8 @@
         let is_checked = class.idempotency == Idempotency::Idempotent
             && !class.is_streaming
             && now + check_after < early_deadline;
-        AttemptDeadlines {
-            give_up_at: give_up_at.min(request.incoming.deadline),
+        AttemptTimeouts {
+            times_out_at: times_out_at.min(request.incoming.deadline),
             straggler_check: is_checked.then_some(check_after),
         }
     }
@@ -107,7 +107,7 @@
     /// or outliers, and only while the fleet is healthy. Early timeouts in general would run work
     /// twice, which drives a fleet at capacity into congestion. Trade-off: the first request at
     /// each endpoint that stops responding waits for its deadline.
-    fn may_give_up_early(&self, request: &OpenRequest, endpoint: EndpointId) -> bool {
+    fn may_time_out_early(&self, request: &OpenRequest, endpoint: EndpointId) -> bool {
         let class = request.class(&self.settings);
         let is_repeatable_anywhere = match class.idempotency {
             Idempotency::Idempotent => true,
--- a/crates/policy/tests/request_guarantees.rs
+++ b/crates/policy/tests/request_guarantees.rs
@@ -308,9 +308,13 @@
 
 #[test]
 fn the_ceiling_holds_when_the_counter_loses_its_state() {
-    for every in [61, 75, 90, 97, 130, 311, 701] {
-        let lowest = lowest_ceiling_level(|call| Some(if call % every == 0 { 0.0 } else { 1.0 }));
-        assert!(lowest >= -4.0, "emptied every {every} calls: {lowest}");
+    for interval in [61, 75, 90, 97, 130, 311, 701] {
+        let lowest =
+            lowest_ceiling_level(|call| Some(if call % interval == 0 { 0.0 } else { 1.0 }));
+        assert!(
+            lowest >= -4.0,
+            "state lost every {interval} calls: {lowest}"
+        );
     }
 }
 
