--- a/crates/policy/src/counter/calls.rs
+++ b/crates/policy/src/counter/calls.rs
@@ -33,8 +33,8 @@
     pub(crate) sent_at: Timestamp,
     pub(crate) purpose: CounterPurpose,
     pub(crate) customer: CustomerId,
-    /// The window or epoch of the counter.
-    pub(crate) window: u64,
+    /// Index of the window or epoch that the counter belongs to.
+    pub(crate) window_index: u64,
     pub(crate) request: Option<RequestId>,
     /// The whole amount of the add.
     pub(crate) amount: f64,
@@ -71,8 +71,8 @@
 pub(crate) fn counter_key(
     customer: CustomerId,
     purpose: CounterPurpose,
-    window: u64,
+    window_index: u64,
 ) -> CounterKey {
     let purpose_bit = u64::from(purpose == CounterPurpose::Concurrency);
-    CounterKey(mix_bits(mix_bits(customer.0) ^ mix_bits(window << 1 | purpose_bit)) >> 1)
+    CounterKey(mix_bits(mix_bits(customer.0) ^ mix_bits(window_index << 1 | purpose_bit)) >> 1)
 }
--- a/crates/policy/src/customer.rs
+++ b/crates/policy/src/customer.rs
@@ -42,9 +42,9 @@
     /// Number of gateways that receive its requests.
     pub(crate) gateways: f64,
     /// Units used in the current window of its quota.
-    pub(crate) window: WindowCounter,
+    pub(crate) quota_counter: WindowCounter,
     /// Attempts in flight in the current epoch.
-    pub(crate) epoch: WindowCounter,
+    pub(crate) concurrency_counter: WindowCounter,
     usage: UsageHistory,
     /// This gateway's share of the quota, used while the counter is unavailable.
     pub(crate) local_bucket: Option<TokenBucket>,
@@ -98,29 +98,29 @@
     /// The current count for a purpose.
     pub(crate) fn counter_mut(&mut self, purpose: CounterPurpose) -> &mut WindowCounter {
         match purpose {
-            CounterPurpose::Quota => &mut self.window,
-            CounterPurpose::Concurrency => &mut self.epoch,
+            CounterPurpose::Quota => &mut self.quota_counter,
+            CounterPurpose::Concurrency => &mut self.concurrency_counter,
         }
     }
 
     /// Starts the quota's count of a window, unless it is already the current one.
-    pub(crate) fn roll_window(&mut self, now: Timestamp, index: u64, plan: &Plan) {
-        if self.window.index == index {
+    pub(crate) fn roll_quota_window(&mut self, now: Timestamp, index: u64, plan: &Plan) {
+        if self.quota_counter.index == index {
             return;
         }
         let decay = 1.0 - NEWEST_WINDOW_WEIGHT;
-        self.usage.posted = self.usage.posted * decay + self.window.posted;
-        self.usage.total = self.usage.total * decay + self.window.last_total;
+        self.usage.posted = self.usage.posted * decay + self.quota_counter.posted;
+        self.usage.total = self.usage.total * decay + self.quota_counter.last_total;
         // Carries the bucket level over from the previous window. After a gap the bucket is full,
         // so that the window's allowance alone decides.
-        let follows_last = self.window.index + 1 == index;
+        let follows_last = self.quota_counter.index + 1 == index;
         let bucket_level = if follows_last {
-            let known_total = self.window.known_total();
-            self.window.available(now, known_total, plan)
+            let known_total = self.quota_counter.known_total();
+            self.quota_counter.available(now, known_total, plan)
         } else {
             plan.burst
         };
-        self.window = WindowCounter {
+        self.quota_counter = WindowCounter {
             index,
             bucket_level,
             bucket_refilled_at: now,
@@ -129,11 +129,11 @@
     }
 
     /// Starts the count of attempts in flight of an epoch, unless it is already the current one.
-    pub(crate) fn roll_epoch(&mut self, index: u64) {
-        if self.epoch.index == index {
+    pub(crate) fn roll_concurrency_epoch(&mut self, index: u64) {
+        if self.concurrency_counter.index == index {
             return;
         }
-        self.epoch = WindowCounter {
+        self.concurrency_counter = WindowCounter {
             index,
             unposted: self.held_slots,
             ..WindowCounter::default()
--- a/crates/policy/src/engine/attempt_results.rs
+++ b/crates/policy/src/engine/attempt_results.rs
@@ -87,7 +87,7 @@
             is_straggler: outcome != Outcome::Ok && self.is_straggler(&attempt),
         });
         if is_answered {
-            self.forget_if_finished(id);
+            self.remove_if_finished(id);
         } else if is_within_objective && self.may_retry(id) && self.retry_budget.has_retry() {
             self.retry_budget.spend();
             self.dispatch(id);
@@ -114,7 +114,7 @@
         let reserved_units = request.incoming.units;
         if let Some(units) = result.settled_units.filter(|_| is_first_answer) {
             if let Some(customer) = self.customers.get_mut(&request.incoming.customer) {
-                customer.window.unposted += units - reserved_units;
+                customer.quota_counter.unposted += units - reserved_units;
             }
         }
         Some(attempt)
--- a/crates/policy/src/engine/completion.rs
+++ b/crates/policy/src/engine/completion.rs
@@ -47,8 +47,8 @@
         if plan.rate <= 0.0 {
             return None;
         }
-        let window = &self.customers[&request.incoming.customer].window;
-        let available = window.available(self.now, window.known_total(), plan);
+        let counter = &self.customers[&request.incoming.customer].quota_counter;
+        let available = counter.available(self.now, counter.known_total(), plan);
         let missing = request.incoming.units - available;
         let refill_micros = missing.max(0.0) / plan.rate * MICROS_PER_SECOND;
         let refill = TimeDelta::from_micros(refill_micros as u64);
@@ -74,12 +74,12 @@
                 self.actions.extend(cancels);
             }
         }
-        self.forget_if_finished(id);
+        self.remove_if_finished(id);
     }
 
     /// Removes a completed request once none of its attempts is in flight, refunds its units if it
     /// was never sent, and frees its slot.
-    pub(super) fn forget_if_finished(&mut self, id: RequestId) {
+    pub(super) fn remove_if_finished(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
--- a/crates/policy/src/engine/concurrency_slots.rs
+++ b/crates/policy/src/engine/concurrency_slots.rs
@@ -110,10 +110,10 @@
         let Some(customer) = self.customers.get_mut(&customer_id) else {
             return;
         };
-        let epoch = &mut customer.epoch;
-        let surplus = epoch.posted + epoch.posting + epoch.unposted - customer.held_slots;
+        let counter = &mut customer.concurrency_counter;
+        let surplus = counter.posted + counter.posting + counter.unposted - customer.held_slots;
         if surplus > UNITS_TOLERANCE && !self.counter.breaker.is_open() {
-            epoch.unposted -= surplus;
+            counter.unposted -= surplus;
             self.post_unposted(customer_id, CounterPurpose::Concurrency);
         }
     }
--- a/crates/policy/src/engine/counter_calls.rs
+++ b/crates/policy/src/engine/counter_calls.rs
@@ -53,7 +53,7 @@
             return;
         };
         let counter = customer.counter_mut(add.purpose);
-        let window = counter.index;
+        let window_index = counter.index;
         let posted_late = counter.unposted;
         if add.units + posted_late == 0.0 && add.request.is_none() {
             return;
@@ -66,13 +66,13 @@
             CounterPurpose::Concurrency => CONCURRENCY_EPOCH,
         };
         let is_probing = self.counter.breaker.is_probing() || customer.breaker.is_probing();
-        let key = counter_key(add.customer, add.purpose, window);
+        let key = counter_key(add.customer, add.purpose, window_index);
         let amount = add.units + add.unsampled_units + posted_late;
         let call = CounterCall {
             sent_at: self.now,
             purpose: add.purpose,
             customer: add.customer,
-            window,
+            window_index,
             request: add.request,
             amount,
             posted_late,
--- a/crates/policy/src/engine/counter_replies.rs
+++ b/crates/policy/src/engine/counter_replies.rs
@@ -34,7 +34,7 @@
             self.post_remaining_units(&call);
         }
         if let Some(request) = call.request {
-            self.forget_if_finished(request);
+            self.remove_if_finished(request);
         }
     }
 
@@ -48,7 +48,7 @@
         let plan = &self.settings.plans[customer.plan.0];
         let mut deciding_total = total - call.unsampled_units;
         let counter = customer.counter_mut(call.purpose);
-        if counter.index == call.window {
+        if counter.index == call.window_index {
             counter.end_posting(call.posted_late);
             let lost = counter.confirm_add(call.amount, total, call.purpose);
             counter.observe_total(now, total, plan);
@@ -82,9 +82,12 @@
         counter.breaker.record_success(call.is_probe);
         if let Some(request) = call.request.and_then(|id| self.requests.get_mut(&id)) {
             let units = request.incoming.units + call.unsampled_units;
-            let window = call.window;
+            let window_index = call.window_index;
             request.counted = match call.purpose {
-                CounterPurpose::Quota => Some(CountedUnits { window, units }),
+                CounterPurpose::Quota => Some(CountedUnits {
+                    window_index,
+                    units,
+                }),
                 CounterPurpose::Concurrency => None,
             };
         }
@@ -95,7 +98,7 @@
     fn apply_failed_call(&mut self, call: &CounterCall, outcome: Outcome) {
         if let Some(customer) = self.customers.get_mut(&call.customer) {
             let counter = customer.counter_mut(call.purpose);
-            if counter.index == call.window {
+            if counter.index == call.window_index {
                 counter.end_posting(call.posted_late);
                 if outcome.never_ran() {
                     counter.unposted += call.posted_late;
@@ -133,7 +136,7 @@
         let has_unposted = self
             .customers
             .get(&call.customer)
-            .is_some_and(|customer| customer.window.unposted > UNITS_TOLERANCE);
+            .is_some_and(|customer| customer.quota_counter.unposted > UNITS_TOLERANCE);
         if has_unposted {
             self.post_unposted(call.customer, CounterPurpose::Quota);
         }
--- a/crates/policy/src/engine/local_quota.rs
+++ b/crates/policy/src/engine/local_quota.rs
@@ -48,8 +48,8 @@
         let Some(customer) = self.customers.get_mut(&customer) else {
             return false;
         };
-        let window = &customer.window;
-        let available = window.available(now, window.known_total(), plan).max(0.0);
+        let counter = &customer.quota_counter;
+        let available = counter.available(now, counter.known_total(), plan).max(0.0);
         let share = customer.quota_share();
         let bucket = customer.local_bucket.get_or_insert(TokenBucket {
             level: (available * share).max(max_request_units),
@@ -59,7 +59,7 @@
         });
         let is_taken = bucket.try_take(now, units);
         if is_taken {
-            customer.window.unposted += units;
+            customer.quota_counter.unposted += units;
         }
         is_taken
     }
--- a/crates/policy/src/engine/quota.rs
+++ b/crates/policy/src/engine/quota.rs
@@ -38,8 +38,8 @@
         } else {
             CONCURRENCY_EPOCH
         };
-        customer.roll_window(now, WindowPosition::at(now, id, length).index, plan);
-        customer.roll_epoch(WindowPosition::at(now, id, CONCURRENCY_EPOCH).index);
+        customer.roll_quota_window(now, WindowPosition::at(now, id, length).index, plan);
+        customer.roll_concurrency_epoch(WindowPosition::at(now, id, CONCURRENCY_EPOCH).index);
     }
 
     /// Units available in a customer's quota at a given total of its shared count.
@@ -48,7 +48,7 @@
             return 0.0;
         };
         let plan = &self.settings.plans[customer.plan.0];
-        customer.window.available(self.now, total, plan)
+        customer.quota_counter.available(self.now, total, plan)
     }
 
     /// Calls the counter for a request if it is sampled, otherwise decides the request without a
@@ -62,7 +62,7 @@
         let is_retry = request.incoming.is_retry;
         let value = request.priority_weight(&self.settings) * units;
         self.counter.sampler.observe_value(value);
-        let total = self.customers[&customer].window.known_total();
+        let total = self.customers[&customer].quota_counter.known_total();
         let is_known_exhausted = self.available_units(customer, total) < units && total > 0.0;
         if is_known_exhausted && !self.counter.breaker.is_open() {
             // A call would only confirm that the quota is exhausted.
@@ -162,13 +162,13 @@
 
     /// Whether the customer's last total is as recent as the reply to a call could be.
     fn has_recent_total(&self, customer: CustomerId) -> bool {
-        let window = &self.customers[&customer].window;
-        window.is_total_recent(self.now, self.settings.counter_timeout)
+        let counter = &self.customers[&customer].quota_counter;
+        counter.is_total_recent(self.now, self.settings.counter_timeout)
     }
 
     /// Whether a recent total leaves enough units for a request, so that no call is needed.
     fn has_recent_capacity(&self, customer: CustomerId, units: f64) -> bool {
-        let total = self.customers[&customer].window.known_total();
+        let total = self.customers[&customer].quota_counter.known_total();
         self.has_recent_total(customer) && self.available_units(customer, total) >= units
     }
 
@@ -180,9 +180,12 @@
         };
         let units = request.incoming.units;
         if let Some(customer) = self.customers.get_mut(&request.incoming.customer) {
-            customer.window.unposted += units;
-            let window = customer.window.index;
-            request.counted = Some(CountedUnits { window, units });
+            customer.quota_counter.unposted += units;
+            let window_index = customer.quota_counter.index;
+            request.counted = Some(CountedUnits {
+                window_index,
+                units,
+            });
         }
         true
     }
@@ -193,11 +196,11 @@
         let Some(customer) = self.customers.get_mut(&customer_id) else {
             return;
         };
-        if customer.window.index != counted.window {
+        if customer.quota_counter.index != counted.window_index {
             return;
         }
-        customer.window.unposted -= counted.units;
-        let total = customer.window.known_total();
+        customer.quota_counter.unposted -= counted.units;
+        let total = customer.quota_counter.known_total();
         let is_usable = self.available_units(customer_id, total) >= MIN_USABLE_UNITS;
         if is_usable && !self.counter.breaker.is_open() {
             self.post_unposted(customer_id, CounterPurpose::Quota);
@@ -219,7 +222,7 @@
         request.incoming.units = units;
         self.roll_windows(customer);
         if let Some(customer) = self.customers.get_mut(&customer) {
-            customer.window.unposted += difference;
+            customer.quota_counter.unposted += difference;
         }
     }
 }
--- a/crates/policy/src/engine/status.rs
+++ b/crates/policy/src/engine/status.rs
@@ -32,9 +32,9 @@
         let known = self
             .customers
             .get(&customer)
-            .filter(|known| known.window.index == position.index);
+            .filter(|known| known.quota_counter.index == position.index);
         let available = known.map_or(window.allowance, |known| {
-            self.available_units(customer, known.window.known_total())
+            self.available_units(customer, known.quota_counter.known_total())
         });
         QuotaStatus {
             limit: window.allowance,
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -16,7 +16,7 @@
 /// Units that a request added to the count of a window.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CountedUnits {
-    pub(crate) window: u64,
+    pub(crate) window_index: u64,
     pub(crate) units: f64,
 }
 
--- a/crates/policy/src/shedding/overload.rs
+++ b/crates/policy/src/shedding/overload.rs
@@ -13,7 +13,7 @@
 /// Time constant of the mean under normal load, in seconds.
 const NORMAL_LOAD_AVERAGING_SECONDS: f64 = 10.0;
 /// Maximum budget, in attempt seconds.
-const MAX_SAVED_SECONDS: f64 = 0.5;
+const MAX_BUDGET_SECONDS: f64 = 0.5;
 /// Factor that a quick answer in overload applies to the mean under normal load.
 const QUICK_ANSWER_FACTOR: f64 = 1.03;
 
@@ -32,7 +32,7 @@
     pub(crate) fn accrue(&mut self, elapsed: f64, in_flight: f64, endpoints: f64) {
         let allowed = OVERLOAD_BUDGET_FRACTION * self.normal_in_flight * endpoints;
         let accrued = self.attempt_seconds + (allowed - in_flight) * elapsed;
-        self.attempt_seconds = accrued.min(MAX_SAVED_SECONDS);
+        self.attempt_seconds = accrued.min(MAX_BUDGET_SECONDS);
     }
 
     /// Updates the mean for elapsed seconds under normal load, and clears any debt.
