--- a/crates/grpc-gateway/src/sites/monitor.rs
+++ b/crates/grpc-gateway/src/sites/monitor.rs
@@ -31,10 +31,10 @@
         let core = FailoverCore::new(FailoverSettings {
             own_site,
             gateway_index: settings.policy.gateway_index,
-            gateways: settings.policy.gateways,
-            cold_capacity: settings.policy.slow_start_min_capacity,
-            warm_up: settings.policy.slow_start_duration,
-            overload_factor: settings.policy.overload_multiple,
+            gateway_count: settings.policy.gateways,
+            slow_start_min_capacity: settings.policy.slow_start_min_capacity,
+            slow_start_duration: settings.policy.slow_start_duration,
+            overload_multiple: settings.policy.overload_multiple,
         });
         let overrides = SiteOverrides::load(settings.site_words.as_deref())?;
         Ok(SiteMonitor {
@@ -52,20 +52,20 @@
             self.names.insert(site, server.zone_name.clone());
         }
         let entries: Vec<EndpointEntry> = servers.iter().map(endpoint_entry).collect();
-        self.handle(now, Event::EndpointsListed(&entries));
+        self.handle(now, Event::EndpointListUpdated(&entries));
         // An override of an earlier process counts from the first list that names its site on.
         for name in self.overrides.out_of_service() {
             let event = Event::OverrideSet {
                 site: site_of(zone_of(name)),
                 site_override: SiteOverride::HoldOut,
             };
-            self.core.on(now, event);
+            self.core.handle(now, event);
         }
     }
 
     /// Passes an event to the failover core.
     pub(super) fn handle(&mut self, now: Timestamp, event: Event) {
-        self.core.on(now, event);
+        self.core.handle(now, event);
     }
 
     /// The plan as of `now`.
@@ -90,6 +90,6 @@
         site: site_of(server.entry.zone),
         in_service: server.entry.state == EndpointState::InService,
         weight: server.entry.weight,
-        started: server.entry.started_at,
+        started_at: server.entry.started_at,
     }
 }
--- a/crates/grpc-gateway/src/sites/status.rs
+++ b/crates/grpc-gateway/src/sites/status.rs
@@ -59,7 +59,7 @@
         let site_status = |site_plan: &SitePlan| self.site_status(now, site_plan);
         SitesStatus {
             own_site: settings.zone_name.clone(),
-            admission: plan.admission,
+            admission: plan.admission_level,
             reject_below: plan.threshold.reject_below,
             sites: plan.sites.iter().map(site_status).collect(),
         }
@@ -69,11 +69,11 @@
         SiteStatus {
             site: self.site_name(plan.site).to_string(),
             state: plan.state.name().to_string(),
-            state_seconds: (now - plan.since).as_secs_f64(),
+            state_seconds: (now - plan.state_since).as_secs_f64(),
             evidence: plan.evidence.to_string(),
             share: plan.share,
             capacity: plan.capacity,
-            ramp: plan.ramp,
+            ramp: plan.ramp_fraction,
             in_flight: plan.concurrency.in_flight,
             concurrency_limit: plan.concurrency.limit,
         }
--- a/crates/site-failover/src/admission.rs
+++ b/crates/site-failover/src/admission.rs
@@ -1,25 +1,25 @@
-//! How much of the offered work is admitted: less when clients wait too long, for an answer or in vain for a free endpoint, and
-//! more while they do not.
+//! Admission control: the fraction of the offered units that is admitted. It falls when requests wait too long, whether they are
+//! then answered or rejected for want of a free endpoint, and rises while answers are early.
 
-use crate::capacity::{strain, strain_between};
+use crate::capacity::{congestion, congestion_between};
 use crate::{CompletedRequest, FinalAnswer};
 
-/// A rejection after more than this part of the objective was for want of capacity; one that a quota causes comes sooner.
-const UNSTRAINED_REJECTION: f64 = 0.15;
-/// A rejection after this part of the objective or more counts as fully strained.
-const STRAINED_REJECTION: f64 = 0.3;
-/// What a fully strained answer takes off the level.
+/// A rejection after more than this fraction of the latency objective was due to a lack of capacity; quota rejections come sooner.
+const UNCONGESTED_REJECTION_FRACTION: f64 = 0.15;
+/// A rejection after this fraction of the latency objective or more counts as fully congested.
+const CONGESTED_REJECTION_FRACTION: f64 = 0.3;
+/// The fraction of the level that a fully congested answer takes off.
 const DECREASE_SERVED: f64 = 0.04;
-/// What a fully strained rejection takes off the level.
+/// The fraction of the level that a fully congested rejection takes off.
 const DECREASE_REJECTED: f64 = 0.15;
 /// What an early answer adds to the level.
 const INCREASE: f64 = 0.003;
 /// The least level.
 const MIN_LEVEL: f64 = 0.05;
-/// The level is at least this part of what the sites bear.
-const MIN_PART_OF_BORNE: f64 = 0.9;
+/// The level is at least this fraction of the throughput in relation to the offered load.
+const MIN_FRACTION_OF_THROUGHPUT: f64 = 0.9;
 
-/// The part of the offered work that is admitted, 0 to 1.
+/// The fraction of the offered units that is admitted, 0 to 1.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionLevel(pub f64);
 
@@ -30,28 +30,33 @@
 }
 
 impl AdmissionLevel {
-    /// Takes a request's final answer into account. `borne` is the recent throughput as a part of the offered load; it keeps a
-    /// short congestion from shedding work for long.
-    pub fn record_completion(&mut self, request: CompletedRequest, borne: f64) {
+    /// Records a request's final answer. `throughput_ratio` is the recent throughput in relation to the offered load; it bounds the
+    /// level from below, so that short congestion does not shed load that the sites can serve.
+    pub fn record_completion(&mut self, request: CompletedRequest, throughput_ratio: f64) {
         let CompletedRequest {
             answer,
             latency,
             objective,
         } = request;
-        let strain = match answer {
-            FinalAnswer::Served => strain(latency, objective),
-            FinalAnswer::Rejected => {
-                strain_between(latency, objective, UNSTRAINED_REJECTION, STRAINED_REJECTION)
-            }
+        let congestion = match answer {
+            FinalAnswer::Served => congestion(latency, objective),
+            FinalAnswer::Rejected => congestion_between(
+                latency,
+                objective,
+                UNCONGESTED_REJECTION_FRACTION,
+                CONGESTED_REJECTION_FRACTION,
+            ),
         };
         let decrease = match answer {
             FinalAnswer::Served => DECREASE_SERVED,
             FinalAnswer::Rejected => DECREASE_REJECTED,
         };
-        // An early rejection comes from a quota and is evidence of nothing.
-        let is_early_answer = answer == FinalAnswer::Served && strain == 0.0;
+        // An early rejection is due to a quota and says nothing about capacity.
+        let is_early_answer = answer == FinalAnswer::Served && congestion == 0.0;
         let increase = if is_early_answer { INCREASE } else { 0.0 };
-        let level = self.0 * (1.0 - decrease * strain) + increase;
-        self.0 = level.max(MIN_PART_OF_BORNE * borne).clamp(MIN_LEVEL, 1.0);
+        let level = self.0 * (1.0 - decrease * congestion) + increase;
+        self.0 = level
+            .max(MIN_FRACTION_OF_THROUGHPUT * throughput_ratio)
+            .clamp(MIN_LEVEL, 1.0);
     }
 }
--- a/crates/site-failover/src/core/mod.rs
+++ b/crates/site-failover/src/core/mod.rs
@@ -1,13 +1,13 @@
-//! The core: takes events, updates the states of sites, and distributes the load.
+//! The failover core: handles events, updates the states of sites, and distributes the load.
 
 mod endpoints;
 mod planning;
 mod transitions;
 
 use crate::admission::AdmissionLevel;
-use crate::capacity::{strain, DecayingRate};
+use crate::capacity::{congestion, DecayingRate};
 use crate::ramp::{RampStart, RecoveryRamp};
-use crate::shedding::OfferHistogram;
+use crate::shedding::OfferedLoadHistogram;
 use crate::site::Site;
 use crate::{
     AttemptEvidence, CompletedRequest, Concurrency, EndedAttempt, EndpointConcurrency, EndpointId,
@@ -16,71 +16,72 @@
 use chalkdeck_time::Timestamp;
 use std::collections::{BTreeMap, HashMap};
 
-/// Capacity is learnt only from throughputs of at least this part of an even share: below it, strain comes from other gateways' load.
-const LEARNING_PART: f64 = 0.5;
-/// Nobody is assumed to offer less than this, in units a second.
-const MIN_LOAD: f64 = 1.0;
-/// Stands for a total weight of zero where it divides.
+/// A site's capacity is learned only from a throughput of at least this fraction of its proportional load: below it, congestion is
+/// due to the load of other gateways.
+const MIN_LEARNING_FRACTION: f64 = 0.5;
+/// The least offered load that is assumed.
+const MIN_LOAD_UNITS_PER_SECOND: f64 = 1.0;
+/// Replaces a total weight of zero as a divisor.
 const MIN_TOTAL_WEIGHT: f64 = 1e-9;
 
-/// When the shared counter last answered and last failed to.
+/// When the shared counter last answered and last failed to answer.
 #[derive(Debug, Default)]
-struct CounterContact {
-    answered: Option<Timestamp>,
-    failed: Option<Timestamp>,
+struct CounterHealth {
+    last_answer: Option<Timestamp>,
+    last_failure: Option<Timestamp>,
 }
 
-/// The core of one gateway.
+/// The failover core of one gateway.
 #[derive(Debug)]
 pub struct FailoverCore {
     settings: FailoverSettings,
     sites: BTreeMap<SiteId, Site>,
     site_of: HashMap<EndpointId, SiteId>,
     offered: DecayingRate,
-    offers_by_value: OfferHistogram,
-    admission: AdmissionLevel,
-    /// The weight of all responsive endpoints of sites that take load, when states were last updated.
+    offered_by_value: OfferedLoadHistogram,
+    admission_level: AdmissionLevel,
+    /// The weight of the responsive endpoints of all sites that get load, at the last update of the states.
     responsive_weight: f64,
-    counter: CounterContact,
+    counter: CounterHealth,
 }
 
 impl FailoverCore {
-    /// A core that knows no site yet.
+    /// Creates a core that knows no site yet.
     pub fn new(settings: FailoverSettings) -> FailoverCore {
         FailoverCore {
             settings,
             sites: BTreeMap::new(),
             site_of: HashMap::new(),
             offered: DecayingRate::default(),
-            offers_by_value: OfferHistogram::default(),
-            admission: AdmissionLevel::default(),
+            offered_by_value: OfferedLoadHistogram::default(),
+            admission_level: AdmissionLevel::default(),
             responsive_weight: 0.0,
-            counter: CounterContact::default(),
+            counter: CounterHealth::default(),
         }
     }
 
-    /// Takes an event that happened at `now`, which never steps back. Events of endpoints and sites that the list never named are
-    /// ignored.
-    pub fn on(&mut self, now: Timestamp, event: Event) {
+    /// Handles an event that happened at `now`, which never decreases. Events of endpoints and sites that are not known from the
+    /// list are ignored.
+    pub fn handle(&mut self, now: Timestamp, event: Event) {
         match event {
-            Event::EndpointsListed(entries) => self.on_endpoints(now, entries),
+            Event::EndpointListUpdated(entries) => self.on_endpoint_list(now, entries),
             Event::RequestOffered {
                 value_per_unit,
                 units,
             } => {
                 self.offered.add(now, units);
-                self.offers_by_value.record(value_per_unit, units);
+                self.offered_by_value.record(value_per_unit, units);
             }
             Event::AttemptSent(endpoint) => {
-                if let Some(site) = self.site_of(endpoint) {
-                    site.record_sent(now, endpoint);
+                if let Some(site) = self.site_of_endpoint(endpoint) {
+                    site.record_attempt_sent(now, endpoint);
                 }
             }
             Event::AttemptEnded(attempt) => self.on_attempt_ended(now, &attempt),
             Event::ConcurrencyReported(endpoints) => self.on_concurrency(endpoints),
             Event::RequestCompleted(request) => self.on_request_completed(now, request),
-            Event::CounterAnswered => self.counter.answered = Some(now),
-            Event::CounterFailed => self.counter.failed = Some(now),
+            Event::CounterAnswered => self.counter.last_answer = Some(now),
+            Event::CounterFailed => self.counter.last_failure = Some(now),
             Event::OverrideSet {
                 site,
                 site_override,
@@ -88,7 +89,7 @@
         }
     }
 
-    fn site_of(&mut self, endpoint: EndpointId) -> Option<&mut Site> {
+    fn site_of_endpoint(&mut self, endpoint: EndpointId) -> Option<&mut Site> {
         let site = self.site_of.get(&endpoint)?;
         self.sites.get_mut(site)
     }
@@ -96,12 +97,12 @@
     fn on_attempt_ended(&mut self, now: Timestamp, attempt: &EndedAttempt) {
         let load = self.offered.per_second(now);
         let total_weight = self.responsive_weight.max(MIN_TOTAL_WEIGHT);
-        let Some(site) = self.site_of(attempt.endpoint) else {
+        let Some(site) = self.site_of_endpoint(attempt.endpoint) else {
             return;
         };
-        site.record_end(now, attempt);
-        let strain = match attempt.evidence {
-            AttemptEvidence::Answered => strain(attempt.latency, attempt.objective),
+        site.record_attempt_end(now, attempt);
+        let congestion = match attempt.evidence {
+            AttemptEvidence::Answered => congestion(attempt.latency, attempt.objective),
             AttemptEvidence::Rejected
             | AttemptEvidence::TimedOut
             | AttemptEvidence::Unreachable => 1.0,
@@ -110,16 +111,20 @@
         let answered_units = match attempt.evidence {
             AttemptEvidence::Answered => Some(attempt.units),
             AttemptEvidence::Rejected => Some(0.0),
-            // The states account for endpoints that do not answer; their silence is no evidence of capacity.
+            // The site's state accounts for endpoints that do not answer; their silence says nothing about its capacity.
             _ => None,
         };
         if let Some(units) = answered_units {
-            let even_load = load * site.responsive_weight / total_weight;
-            site.capacity
-                .record_answer(now, units, strain, even_load * LEARNING_PART);
+            let proportional_load = load * site.responsive_weight / total_weight;
+            site.capacity.record_answer(
+                now,
+                units,
+                congestion,
+                proportional_load * MIN_LEARNING_FRACTION,
+            );
         }
         if let Some(ramp) = &mut site.ramp {
-            ramp.record_answer(now, strain);
+            ramp.record_attempt(now, congestion);
         }
     }
 
@@ -128,7 +133,7 @@
             site.concurrency = Concurrency::default();
         }
         for reported in endpoints {
-            if let Some(site) = self.site_of(reported.endpoint) {
+            if let Some(site) = self.site_of_endpoint(reported.endpoint) {
                 site.concurrency.in_flight += reported.in_flight;
                 site.concurrency.limit += reported.limit;
             }
@@ -141,8 +146,10 @@
             .values()
             .map(|site| site.capacity.throughput(now))
             .sum();
-        let borne = throughput / self.offered.per_second(now).max(MIN_LOAD);
-        self.admission.record_completion(request, borne);
+        let throughput_ratio =
+            throughput / self.offered.per_second(now).max(MIN_LOAD_UNITS_PER_SECOND);
+        self.admission_level
+            .record_completion(request, throughput_ratio);
     }
 
     fn on_override(&mut self, now: Timestamp, id: SiteId, site_override: SiteOverride) {
@@ -151,16 +158,18 @@
             return;
         };
         match site_override {
-            SiteOverride::Drain | SiteOverride::HoldOut => site.enter(now, SiteState::HeldOut),
+            SiteOverride::Drain | SiteOverride::HoldOut => {
+                site.enter_state(now, SiteState::HeldOut)
+            }
             SiteOverride::Restore if site.state == SiteState::HeldOut => {
-                site.enter(now, SiteState::Returning);
+                site.enter_state(now, SiteState::Returning);
                 site.ramp = Some(RecoveryRamp::new(now, seed, RampStart::Warm));
             }
-            SiteOverride::Restore => site.hold_out.end(now),
+            SiteOverride::Restore => site.backoff.end(now),
         }
     }
 
-    /// Differs between gateways and between sites.
+    /// A seed that differs between gateways and between sites.
     fn ramp_seed(&self, site: SiteId) -> u64 {
         u64::from(self.settings.gateway_index) << 32 | u64::from(site.0)
     }
--- a/crates/site-failover/src/core/planning.rs
+++ b/crates/site-failover/src/core/planning.rs
@@ -1,28 +1,29 @@
-//! How the plan follows from the states and capacities of the sites.
+//! Computes the plan from the states and capacities of the sites.
 
-use super::{FailoverCore, LEARNING_PART, MIN_LOAD, MIN_TOTAL_WEIGHT};
+use super::{FailoverCore, MIN_LEARNING_FRACTION, MIN_LOAD_UNITS_PER_SECOND, MIN_TOTAL_WEIGHT};
 use crate::distribution::{distribute, SiteCapacity};
 use crate::ramp::RecoveryRamp;
 use crate::site::Site;
 use crate::{FailoverPlan, SitePlan, SiteState};
 use chalkdeck_time::Timestamp;
 
-/// The part of an even load that a doubtful site is still given.
-const DOUBTFUL_PART: f64 = 0.25;
-/// Probes a second that all gateways together send to a site that is out.
+/// The fraction of its proportional load, or of its limit if that is lower, that a doubtful site still gets.
+const DOUBTFUL_FRACTION: f64 = 0.25;
+/// Probes per second that all gateways together send to a site that is out of service.
 const FLEET_PROBES_PER_SECOND: f64 = 20.0;
-/// The least and the longest time in seconds between two probes of one gateway.
-const MIN_PROBE_INTERVAL: f64 = 0.25;
-const MAX_PROBE_INTERVAL: f64 = 4.0;
-/// The most that probes of one site may take of a gateway's load.
+/// The shortest time between two probes of a site by one gateway.
+const MIN_PROBE_INTERVAL_SECONDS: f64 = 0.25;
+/// The longest time between two probes of a site by one gateway.
+const MAX_PROBE_INTERVAL_SECONDS: f64 = 4.0;
+/// The largest share of a gateway's load that probes of one site may take.
 const MAX_PROBE_SHARE: f64 = 0.02;
 
 impl FailoverCore {
-    /// Updates all states and returns the plan that holds from `now` on.
+    /// Updates the states of all sites and returns the plan as of `now`.
     pub fn plan(&mut self, now: Timestamp) -> FailoverPlan {
         self.update_states(now);
-        self.offers_by_value.decay(now);
-        let load = self.offered.per_second(now).max(MIN_LOAD);
+        self.offered_by_value.decay(now);
+        let load = self.offered.per_second(now).max(MIN_LOAD_UNITS_PER_SECOND);
         let capacities: Vec<SiteCapacity> = self
             .sites
             .values()
@@ -30,7 +31,7 @@
             .collect();
         let mut shares = distribute(load, &capacities);
         self.reserve_probes(load, &mut shares);
-        let admission = self.admission.0;
+        let admission_level = self.admission_level.0;
         FailoverPlan {
             sites: self
                 .sites
@@ -38,22 +39,23 @@
                 .zip(shares)
                 .map(|(site, share)| site_plan(now, site, share))
                 .collect(),
-            admission,
-            threshold: self.offers_by_value.threshold(admission),
+            admission_level,
+            threshold: self.offered_by_value.threshold(admission_level),
         }
     }
 
     fn site_capacity(&self, now: Timestamp, site: &Site, load: f64) -> SiteCapacity {
         let weights = site.weights();
-        let even_load = load * weights.responsive / self.responsive_weight.max(MIN_TOTAL_WEIGHT);
-        let limit = limit_now(now, site, even_load);
+        let proportional_load =
+            load * weights.responsive / self.responsive_weight.max(MIN_TOTAL_WEIGHT);
+        let limit = current_limit(now, site, proportional_load);
         let capacity = match site.state {
             _ if weights.listed <= 0.0 || site.state.is_out() => 0.0,
-            SiteState::Doubtful => limit.min(even_load) * DOUBTFUL_PART,
-            SiteState::Returning => limit.min(even_load * ramp_part(site)),
+            SiteState::Doubtful => limit.min(proportional_load) * DOUBTFUL_FRACTION,
+            SiteState::Returning => limit.min(proportional_load * ramp_fraction(site)),
             _ => limit,
         };
-        // Where all sites are lost their listed weights distribute the load, but an override holds.
+        // If all sites are lost, the load is distributed by the weights of their listed endpoints; a held-out site still gets none.
         let weight = if site.state == SiteState::HeldOut {
             0.0
         } else {
@@ -62,19 +64,19 @@
         SiteCapacity {
             capacity,
             weight,
-            is_near: site.id == self.settings.own_site,
+            is_own_site: site.id == self.settings.own_site,
         }
     }
 
-    /// Takes a little of the load for sites that are out or recover, so that their return is noticed.
+    /// Reserves a small share of the load as probes of sites that are lost or recovering, so that their recovery is noticed.
     fn reserve_probes(&self, load: f64, shares: &mut [f64]) {
         let any_share = shares.iter().any(|share| *share > 0.0);
         let any_in = self.sites.values().any(|site| !site.state.is_out());
         if !any_share || !any_in {
             return;
         }
-        let interval = (f64::from(self.settings.gateways) / FLEET_PROBES_PER_SECOND)
-            .clamp(MIN_PROBE_INTERVAL, MAX_PROBE_INTERVAL);
+        let interval = (f64::from(self.settings.gateway_count) / FLEET_PROBES_PER_SECOND)
+            .clamp(MIN_PROBE_INTERVAL_SECONDS, MAX_PROBE_INTERVAL_SECONDS);
         let probe_share = (1.0 / interval / load).min(MAX_PROBE_SHARE);
         let probed_sites = self.sites.values().filter(|site| is_probed(site)).count();
         let reserved = probe_share * probed_sites as f64;
@@ -89,28 +91,28 @@
     SitePlan {
         site: site.id,
         state: site.state,
-        since: site.since,
+        state_since: site.state_since,
         evidence: site.evidence(now),
         share,
         capacity: site.capacity.limit(),
-        ramp: ramp_part(site),
+        ramp_fraction: ramp_fraction(site),
         concurrency: site.concurrency,
     }
 }
 
-/// Units a second that the site takes; infinite where no limit is known. A full site takes what it answers and no more, whatever
-/// was learnt before.
-fn limit_now(now: Timestamp, site: &Site, even_load: f64) -> f64 {
+/// The units per second that the site can take; infinite if no limit is known. The limit of a full site is at most its current
+/// throughput, though at least a fraction of its proportional load, whatever limit was learned before.
+fn current_limit(now: Timestamp, site: &Site, proportional_load: f64) -> f64 {
     let learned = site.capacity.limit().unwrap_or(f64::INFINITY);
     if !site.is_full() {
         return learned;
     }
     let answered = site.capacity.throughput(now);
-    learned.min(answered.max(even_load * LEARNING_PART))
+    learned.min(answered.max(proportional_load * MIN_LEARNING_FRACTION))
 }
 
-fn ramp_part(site: &Site) -> f64 {
-    site.ramp.as_ref().map_or(1.0, RecoveryRamp::part)
+fn ramp_fraction(site: &Site) -> f64 {
+    site.ramp.as_ref().map_or(1.0, RecoveryRamp::fraction)
 }
 
 fn is_probed(site: &Site) -> bool {
--- a/crates/site-failover/src/distribution.rs
+++ b/crates/site-failover/src/distribution.rs
@@ -1,83 +1,83 @@
-//! Where load goes: to the near site first, then to the capacity that the others have left, never beyond one site's capacity while
-//! another has some.
+//! Distribution of load over sites: the gateway's own site comes first, then the other sites by their weights. No site is loaded
+//! beyond its capacity while another has some left.
 
-/// The least weight of a site that has capacity.
+/// The least weight of a site, so that each site with capacity gets some load.
 const MIN_WEIGHT: f64 = 1e-6;
-/// Load that is left after this part of it was distributed is a rounding error.
-const NEGLIGIBLE_PART: f64 = 1e-12;
+/// A remainder of at most this fraction of the load is a rounding error.
+const NEGLIGIBLE_FRACTION: f64 = 1e-12;
 
-/// A site as the distribution sees it.
+/// The capacity and weight of a site, as input of the distribution.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SiteCapacity {
-    /// Units a second that it bears from this gateway; infinite where no limit is known.
+    /// The units per second that this gateway may send to it; infinite if no limit is known.
     pub capacity: f64,
-    /// Its size, by which load without known limits is distributed.
+    /// Its size, in proportion to which load is distributed among sites without a known limit.
     pub weight: f64,
     /// Whether it is the gateway's own site.
-    pub is_near: bool,
+    pub is_own_site: bool,
 }
 
 impl SiteCapacity {
-    /// The weight, which is more than zero for every site that has capacity.
+    /// The weight, raised to a positive value.
     fn positive_weight(&self) -> f64 {
         self.weight.max(MIN_WEIGHT)
     }
 }
 
-/// The part of `load` units a second that each site should bear. The parts sum to one. No site goes beyond its capacity unless all
-/// do, and then all by the same factor. Without capacity anywhere, the load is distributed by weight.
+/// The share of `load`, in units per second, that each site gets. The shares sum to one. No site exceeds its capacity unless all
+/// do, and then all exceed it by the same factor. If no site has capacity, the load is distributed by weight.
 pub fn distribute(load: f64, sites: &[SiteCapacity]) -> Vec<f64> {
     let total: f64 = sites.iter().map(|site| site.capacity).sum();
     if total <= 0.0 {
-        return in_proportion(sites, |site| site.weight);
+        return proportional_shares(sites, |site| site.weight);
     }
     if load <= 0.0 {
-        // Nothing was offered yet: distribute as the first of it would be.
+        // Nothing was offered yet: distribute a minimal load instead, as the first request will be.
         return distribute(f64::MIN_POSITIVE, sites);
     }
     if load >= total {
-        return in_proportion(sites, |site| site.capacity);
+        return proportional_shares(sites, |site| site.capacity);
     }
-    let given = fill(load, sites);
-    let sum: f64 = given.iter().sum();
-    given.iter().map(|units| units / sum).collect()
+    let assigned = assign_units(load, sites);
+    let sum: f64 = assigned.iter().sum();
+    assigned.iter().map(|units| units / sum).collect()
 }
 
-/// Units a second for each site, where all sites together have capacity for `load`.
-fn fill(load: f64, sites: &[SiteCapacity]) -> Vec<f64> {
-    let mut given = vec![0.0; sites.len()];
+/// The units per second for each site if all sites together have capacity for `load`.
+fn assign_units(load: f64, sites: &[SiteCapacity]) -> Vec<f64> {
+    let mut assigned = vec![0.0; sites.len()];
     let mut remaining = load;
-    for (units, site) in given.iter_mut().zip(sites) {
-        if site.is_near {
+    for (units, site) in assigned.iter_mut().zip(sites) {
+        if site.is_own_site {
             *units = remaining.min(site.capacity);
             remaining -= *units;
         }
     }
-    // Each round fills at least one site; what a full one cannot take goes to the others in the next round.
+    // Each round fills at least one site; load that exceeds the capacity of a full site goes to the others in the next round.
     for _ in 0..sites.len() {
-        let open_weight: f64 = given
+        let unfilled_weight: f64 = assigned
             .iter()
             .zip(sites)
             .filter(|(units, site)| **units < site.capacity)
             .map(|(_, site)| site.positive_weight())
             .sum();
-        if remaining <= load * NEGLIGIBLE_PART || open_weight <= 0.0 {
+        if remaining <= load * NEGLIGIBLE_FRACTION || unfilled_weight <= 0.0 {
             break;
         }
-        let units_per_weight = remaining / open_weight;
-        for (units, site) in given.iter_mut().zip(sites) {
+        let units_per_weight = remaining / unfilled_weight;
+        for (units, site) in assigned.iter_mut().zip(sites) {
             if *units < site.capacity {
-                let more = (units_per_weight * site.positive_weight()).min(site.capacity - *units);
-                *units += more;
-                remaining -= more;
+                let added = (units_per_weight * site.positive_weight()).min(site.capacity - *units);
+                *units += added;
+                remaining -= added;
             }
         }
     }
-    given
+    assigned
 }
 
-/// Shares in proportion to a measure of the sites. If some are infinite, only those get a share, by their weights.
-fn in_proportion(sites: &[SiteCapacity], measure: impl Fn(&SiteCapacity) -> f64) -> Vec<f64> {
+/// Shares in proportion to a measure of the sites. If it is infinite for some sites, only those get a share, by their weights.
+fn proportional_shares(sites: &[SiteCapacity], measure: impl Fn(&SiteCapacity) -> f64) -> Vec<f64> {
     let any_infinite = sites.iter().any(|site| measure(site).is_infinite());
     let finite_measure = |site: &SiteCapacity| {
         let value = measure(site);
--- a/crates/site-failover/src/event.rs
+++ b/crates/site-failover/src/event.rs
@@ -1,28 +1,28 @@
-//! What the core is told.
+//! The events that the core handles.
 
 use chalkdeck_time::{TimeDelta, Timestamp};
 
-/// A site: a zone with its endpoints.
+/// Id of a site, which is a zone with its endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SiteId(pub u32);
 
-/// A back-end server.
+/// Id of an endpoint, which is a backend server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u64);
 
-/// One line of the endpoint list.
+/// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointEntry {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// The site that it stands in.
+    /// The site that it belongs to.
     pub site: SiteId,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub in_service: bool,
     /// Its size relative to the other endpoints; 0 or less counts as 1.
     pub weight: f64,
-    /// When it last started; `None` means long ago.
-    pub started: Option<Timestamp>,
+    /// When it last started; `None` if it has been running long enough to be warm.
+    pub started_at: Option<Timestamp>,
 }
 
 /// How an attempt ended, as evidence about its endpoint and site.
@@ -34,48 +34,48 @@
     Rejected,
     /// There was no answer within the attempt's time.
     TimedOut,
-    /// No connection could be made, or it broke.
+    /// The connection could not be established, or it broke.
     Unreachable,
-    /// The gateway cancelled the attempt before its time was over. This is evidence of nothing.
+    /// The gateway cancelled the attempt before its timeout. This says nothing about the endpoint.
     Cancelled,
 }
 
-/// An attempt that ended.
+/// An attempt that has ended.
 #[derive(Clone, Copy, Debug)]
 pub struct EndedAttempt {
     /// The endpoint that it was sent to.
     pub endpoint: EndpointId,
-    /// How it ended.
+    /// How it ended, as evidence about the endpoint and its site.
     pub evidence: AttemptEvidence,
     /// Time from its start to its end.
     pub latency: TimeDelta,
     /// The latency objective of its request.
     pub objective: TimeDelta,
-    /// Units of work of its request.
+    /// The units of its request.
     pub units: f64,
 }
 
-/// The attempts in flight at one endpoint, and their limit there.
+/// The attempts in flight at one endpoint and its concurrency limit.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointConcurrency {
     /// The endpoint.
     pub endpoint: EndpointId,
     /// Attempts in flight.
     pub in_flight: f64,
-    /// The most that may be in flight.
+    /// The most attempts that may be in flight.
     pub limit: f64,
 }
 
-/// What a client got in the end.
+/// What a client got as the final answer to its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
     /// The answer of an endpoint.
     Served,
-    /// A rejection or a failure that the gateway itself answered.
+    /// A rejection or a failure that the gateway itself generated.
     Rejected,
 }
 
-/// A request that has its final answer.
+/// A request that has got its final answer.
 #[derive(Clone, Copy, Debug)]
 pub struct CompletedRequest {
     /// What the client got.
@@ -89,33 +89,33 @@
 /// An operator's override of a site's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SiteOverride {
-    /// Nothing new goes to the site; its part goes to the others at once.
+    /// The site gets no new requests; its share goes to the other sites at once.
     Drain,
-    /// The same, for a site in trouble: it stays out whatever it answers.
+    /// Like `Drain`, for a failing site: it stays out of service even if it answers.
     HoldOut,
-    /// The site may come back, along the recovery ramp.
+    /// The site may return to service along the recovery ramp.
     Restore,
 }
 
-/// What happened.
+/// An event at the gateway, or a report to it.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
-    /// The complete endpoint list was read.
-    EndpointsListed(&'a [EndpointEntry]),
-    /// A request came in.
+    /// The endpoint list was read; it is complete.
+    EndpointListUpdated(&'a [EndpointEntry]),
+    /// A request arrived.
     RequestOffered {
         /// Its value divided by its units.
         value_per_unit: f64,
-        /// Its units of work.
+        /// Its units.
         units: f64,
     },
-    /// An attempt was sent to this endpoint.
+    /// An attempt was sent to an endpoint.
     AttemptSent(EndpointId),
     /// An attempt ended.
     AttemptEnded(EndedAttempt),
-    /// Attempts in flight and their limits, at each endpoint that has any.
+    /// The attempts in flight and the concurrency limit of each endpoint that has any.
     ConcurrencyReported(&'a [EndpointConcurrency]),
-    /// A request has its final answer.
+    /// A request got its final answer.
     RequestCompleted(CompletedRequest),
     /// The shared counter answered.
     CounterAnswered,
@@ -123,7 +123,7 @@
     CounterFailed,
     /// An operator set an override.
     OverrideSet {
-        /// The site that it is for.
+        /// The site that it applies to.
         site: SiteId,
         /// The override.
         site_override: SiteOverride,
--- a/crates/site-failover/src/lib.rs
+++ b/crates/site-failover/src/lib.rs
@@ -1,9 +1,10 @@
-//! What a gateway makes of whole sites: whether a site is lost or only unreachable from here, which part of the load each site
-//! should bear, what is shed first when the remaining sites cannot bear all of it, and how fast a recovered site gets its part back.
+//! Failover between sites, as one gateway decides it: whether a site is lost or only unreachable from this gateway, which share of
+//! the load each site gets, which requests are shed first when the remaining sites lack capacity, and how fast the load returns to
+//! a recovered site.
 //!
-//! Free of I/O: [`Event`]s with their times go into a [`FailoverCore`], a [`FailoverPlan`] comes out. The same events give the same
-//! plan. Nothing here sends or rejects a request; the caller hands the plan to the module that does. `docs/site-loss.md` has the
-//! reasons for the rules and their constants.
+//! The crate does no I/O: a [`FailoverCore`] handles timestamped [`Event`]s and computes a [`FailoverPlan`]. The same events always
+//! give the same plan. Nothing here sends or rejects a request; the caller passes the plan to the module that does.
+//! `docs/site-loss.md` gives the reasons for the rules and their constants.
 #![forbid(unsafe_code)]
 
 pub mod admission;
@@ -11,7 +12,7 @@
 mod core;
 pub mod distribution;
 mod event;
-pub mod hold_out;
+pub mod loss_backoff;
 mod plan;
 pub mod ramp;
 mod settings;
--- a/crates/site-failover/src/ramp.rs
+++ b/crates/site-failover/src/ramp.rs
@@ -1,136 +1,143 @@
-//! The recovery ramp of a site that answers again: steps that answers in time earn, taken at different moments by different
-//! gateways, and given back when answers are late.
+//! The recovery ramp of a site that answers again. Timely answers lead to a step up, which different gateways take at different
+//! moments; late answers lead to a step down.
 
 use chalkdeck_time::{TimeDelta, Timestamp};
 
-/// The first step of a site whose endpoints start cold.
-const FIRST_PART_COLD: f64 = 0.2;
-/// The first step of a site that was only unreachable.
-const FIRST_PART_WARM: f64 = 0.4;
-/// What a step up multiplies the part by.
-const STEP_UP: f64 = 1.6;
-/// What a step down multiplies the part by.
-const STEP_DOWN: f64 = 0.5;
-/// Steps down leave this much; from less nothing could be learnt.
-const MIN_PART: f64 = 0.02;
-/// Answers with this strain or more are late.
-const LATE_STRAIN: f64 = 0.5;
-/// Answers in time that earn a step up.
-const ANSWERS_FOR_STEP: u32 = 3;
-/// Late answers that a step down takes at least.
-const LATE_ANSWERS_FOR_STEP_DOWN: u32 = 2;
-/// A step down follows when more than this part of the step's answers is late.
-const LATE_PART_FOR_STEP_DOWN: f64 = 0.2;
-/// A recovery that no load needs may end after this time.
-const IDLE_RECOVERY: TimeDelta = TimeDelta::from_secs(10);
-/// Answers in time in a row that end a recovery that no load needs.
-const IDLE_ANSWERS_IN_ROW: u32 = 4;
-/// Three quarters of this is the least time on a step; each gateway adds an offset of its own of up to half of it.
-const DWELL: TimeDelta = TimeDelta::from_millis(400);
-/// The longest dwell that late answers lead to.
-const MAX_DWELL: TimeDelta = TimeDelta::from_millis(6_400);
-/// Whether a recovering site's endpoints have to warm up.
+/// The fraction of its capacity that a site with cold endpoints is given first.
+const INITIAL_FRACTION_COLD: f64 = 0.2;
+/// The fraction of its capacity that a site with warm endpoints, which was only unreachable, is given first.
+const INITIAL_FRACTION_WARM: f64 = 0.4;
+/// Each step up multiplies the fraction by this.
+const STEP_UP_FACTOR: f64 = 1.6;
+/// Each step down multiplies the fraction by this.
+const STEP_DOWN_FACTOR: f64 = 0.5;
+/// Steps down do not go below this fraction, because less load gives too few answers to judge the site by.
+const MIN_FRACTION: f64 = 0.02;
+/// An answer with this [`congestion`](crate::capacity::congestion) or more is late.
+const LATE_CONGESTION: f64 = 0.5;
+/// Timely answers that a step up requires.
+const TIMELY_ANSWERS_FOR_STEP_UP: u32 = 3;
+/// Late answers that a step down requires at least.
+const MIN_LATE_ANSWERS_FOR_STEP_DOWN: u32 = 2;
+/// A step down requires that more than this fraction of the step's answers is late.
+const LATE_FRACTION_FOR_STEP_DOWN: f64 = 0.2;
+/// The least duration of a recovery that ends without the full load, because too few requests need the site.
+const MIN_IDLE_RECOVERY: TimeDelta = TimeDelta::from_secs(10);
+/// Timely answers in a row that such a recovery requires.
+const CONSECUTIVE_ANSWERS_FOR_IDLE_RECOVERY: u32 = 4;
+/// The nominal duration of a step. A step lasts at least three quarters of it, plus an offset of up to half of it that differs
+/// between gateways.
+const STEP_DURATION: TimeDelta = TimeDelta::from_millis(400);
+/// Each step down doubles the step duration, up to this.
+const MAX_STEP_DURATION: TimeDelta = TimeDelta::from_millis(6_400);
+
+/// Whether the endpoints of a recovering site are cold or warm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RampStart {
-    /// Some endpoints started a short time ago.
+    /// Some endpoints are still in their slow start.
     Cold,
-    /// All endpoints have run for long enough.
+    /// All endpoints have finished their slow start.
     Warm,
 }
 
-/// The ramp of one site at one gateway.
+/// The recovery ramp of one site at one gateway.
 #[derive(Clone, Debug)]
 pub struct RecoveryRamp {
-    part: f64,
+    fraction: f64,
     seed: u64,
-    steps: u64,
-    step_since: Timestamp,
-    dwell: TimeDelta,
-    answers_in_time: u32,
+    step_count: u64,
+    step_started_at: Timestamp,
+    step_duration: TimeDelta,
+    timely_answers: u32,
     late_answers: u32,
-    answers_in_time_in_row: u32,
+    consecutive_timely_answers: u32,
     started_at: Timestamp,
 }
 
 impl RecoveryRamp {
-    /// A ramp on its first step. Gateways and sites are told apart by `seed`.
+    /// Starts a ramp on its first step. `seed` differs between gateways and sites.
     pub fn new(now: Timestamp, seed: u64, start: RampStart) -> RecoveryRamp {
-        let part = match start {
-            RampStart::Cold => FIRST_PART_COLD,
-            RampStart::Warm => FIRST_PART_WARM,
+        let fraction = match start {
+            RampStart::Cold => INITIAL_FRACTION_COLD,
+            RampStart::Warm => INITIAL_FRACTION_WARM,
         };
         RecoveryRamp {
-            part,
+            fraction,
             seed,
-            steps: 0,
-            step_since: now,
-            dwell: DWELL,
-            answers_in_time: 0,
+            step_count: 0,
+            step_started_at: now,
+            step_duration: STEP_DURATION,
+            timely_answers: 0,
             late_answers: 0,
-            answers_in_time_in_row: 0,
+            consecutive_timely_answers: 0,
             started_at: now,
         }
     }
 
-    /// The part of its capacity that the site is given, 0 to 1.
-    pub fn part(&self) -> f64 {
-        self.part
+    /// The fraction of its capacity that the site is given, 0 to 1.
+    pub fn fraction(&self) -> f64 {
+        self.fraction
     }
 
-    /// Raises the part to at least `part` without a step.
-    pub(crate) fn raise_to(&mut self, part: f64) {
-        self.part = self.part.max(part);
+    /// Raises the fraction to at least `fraction` without starting a new step.
+    pub(crate) fn raise_to(&mut self, fraction: f64) {
+        self.fraction = self.fraction.max(fraction);
     }
 
-    /// Takes the end of an attempt into account: its [`strain`](crate::capacity::strain), or 1 for no answer.
-    pub fn record_answer(&mut self, now: Timestamp, strain: f64) {
-        if strain < LATE_STRAIN {
-            self.answers_in_time += 1;
-            self.answers_in_time_in_row += 1;
+    /// Records an ended attempt with its [`congestion`](crate::capacity::congestion), which is 1 if there was no answer.
+    pub fn record_attempt(&mut self, now: Timestamp, congestion: f64) {
+        if congestion < LATE_CONGESTION {
+            self.timely_answers += 1;
+            self.consecutive_timely_answers += 1;
             return;
         }
         self.late_answers += 1;
-        self.answers_in_time_in_row = 0;
-        let answers = f64::from(self.answers_in_time + self.late_answers);
-        let is_often_late = f64::from(self.late_answers) > answers * LATE_PART_FOR_STEP_DOWN;
-        if self.late_answers >= LATE_ANSWERS_FOR_STEP_DOWN && is_often_late {
-            self.dwell = (self.dwell * 2).min(MAX_DWELL);
-            let lowered = (self.part * STEP_DOWN).max(MIN_PART).min(self.part);
+        self.consecutive_timely_answers = 0;
+        let answers = f64::from(self.timely_answers + self.late_answers);
+        let exceeds_late_fraction =
+            f64::from(self.late_answers) > answers * LATE_FRACTION_FOR_STEP_DOWN;
+        if self.late_answers >= MIN_LATE_ANSWERS_FOR_STEP_DOWN && exceeds_late_fraction {
+            self.step_duration = (self.step_duration * 2).min(MAX_STEP_DURATION);
+            let lowered = (self.fraction * STEP_DOWN_FACTOR)
+                .max(MIN_FRACTION)
+                .min(self.fraction);
             self.start_step(now, lowered);
         }
     }
 
-    /// Lets time pass. `bearable` is the part that the site's endpoints bear by now from all gateways together.
-    pub fn advance(&mut self, now: Timestamp, bearable: f64) {
-        let is_earned = self.answers_in_time >= ANSWERS_FOR_STEP;
-        if is_earned && now >= self.step_end() && self.part < bearable {
-            self.start_step(now, (self.part * STEP_UP).min(1.0));
+    /// Advances the ramp to `now`. `sustainable` is the fraction of the site's capacity that its endpoints can serve by now for all
+    /// gateways together.
+    pub fn advance(&mut self, now: Timestamp, sustainable: f64) {
+        let has_earned_step = self.timely_answers >= TIMELY_ANSWERS_FOR_STEP_UP;
+        if has_earned_step && now >= self.step_end() && self.fraction < sustainable {
+            self.start_step(now, (self.fraction * STEP_UP_FACTOR).min(1.0));
         }
-        self.part = self.part.min(bearable);
+        self.fraction = self.fraction.min(sustainable);
     }
 
-    /// Whether the recovery is over: the whole part was given and borne; or the endpoints are warm (`bearable` is 1) and the few
-    /// requests that there were for the site were answered in time.
-    pub fn is_complete(&self, now: Timestamp, bearable: f64) -> bool {
-        let is_idle_recovery_over = now >= self.started_at + IDLE_RECOVERY
-            && bearable >= 1.0
-            && self.answers_in_time_in_row >= IDLE_ANSWERS_IN_ROW;
-        let is_whole_part_borne = self.part >= 1.0 && self.answers_in_time >= ANSWERS_FOR_STEP;
-        is_whole_part_borne || is_idle_recovery_over
+    /// Whether the recovery is over: either the site got its whole capacity and answered in time, or its endpoints are warm
+    /// (`sustainable` is 1) and it answered the few requests that it got in time.
+    pub fn is_complete(&self, now: Timestamp, sustainable: f64) -> bool {
+        let is_idle_recovery_over = now >= self.started_at + MIN_IDLE_RECOVERY
+            && sustainable >= 1.0
+            && self.consecutive_timely_answers >= CONSECUTIVE_ANSWERS_FOR_IDLE_RECOVERY;
+        let is_full_load_sustained =
+            self.fraction >= 1.0 && self.timely_answers >= TIMELY_ANSWERS_FOR_STEP_UP;
+        is_full_load_sustained || is_idle_recovery_over
     }
 
-    /// The earliest end of the present step, with the gateway's own offset.
+    /// The earliest end of the current step, including the gateway's offset.
     fn step_end(&self) -> Timestamp {
-        let dwell = self.dwell.as_micros();
-        let offset = fastrand::Rng::with_seed(self.seed ^ self.steps).u64(..dwell / 2);
-        self.step_since + TimeDelta::from_micros(dwell * 3 / 4 + offset)
+        let step_duration = self.step_duration.as_micros();
+        let offset = fastrand::Rng::with_seed(self.seed ^ self.step_count).u64(..step_duration / 2);
+        self.step_started_at + TimeDelta::from_micros(step_duration * 3 / 4 + offset)
     }
 
-    fn start_step(&mut self, now: Timestamp, part: f64) {
-        self.steps += 1;
-        self.part = part;
-        self.step_since = now;
-        self.answers_in_time = 0;
+    fn start_step(&mut self, now: Timestamp, fraction: f64) {
+        self.step_count += 1;
+        self.fraction = fraction;
+        self.step_started_at = now;
+        self.timely_answers = 0;
         self.late_answers = 0;
     }
 }
--- a/crates/site-failover/src/settings.rs
+++ b/crates/site-failover/src/settings.rs
@@ -1,4 +1,4 @@
-//! What the core must know when it starts.
+//! Settings of the core.
 
 use crate::SiteId;
 use chalkdeck_time::TimeDelta;
@@ -6,16 +6,16 @@
 /// Settings of one gateway's [`FailoverCore`](crate::FailoverCore).
 #[derive(Clone, Debug)]
 pub struct FailoverSettings {
-    /// The site that the gateway itself stands in.
+    /// The site that the gateway itself belongs to.
     pub own_site: SiteId,
-    /// The gateway's number within its fleet, from 0. Gateways with different numbers take the steps of a ramp at different moments.
+    /// The gateway's index within its fleet, from 0. It varies the moments at which gateways take the steps of a recovery ramp.
     pub gateway_index: u32,
     /// The number of gateways in the fleet.
-    pub gateways: u32,
-    /// The part of its capacity that an endpoint has when it starts, 0 to 1.
-    pub cold_capacity: f64,
-    /// An endpoint that has run for this long has its whole capacity.
-    pub warm_up: TimeDelta,
-    /// A cold endpoint fails under this many times its present capacity.
-    pub overload_factor: f64,
+    pub gateway_count: u32,
+    /// The fraction of its capacity that an endpoint has when it starts, 0 to 1.
+    pub slow_start_min_capacity: f64,
+    /// How long after its start an endpoint reaches its full capacity.
+    pub slow_start_duration: TimeDelta,
+    /// A cold endpoint fails under a load of this many times its current capacity.
+    pub overload_multiple: f64,
 }
--- a/crates/site-failover/src/shedding.rs
+++ b/crates/site-failover/src/shedding.rs
@@ -1,28 +1,28 @@
-//! What is shed first. The order is the same at all gateways: value per unit of work, which the settings and the request alone
-//! give. How far down that order a gateway sheds follows from what was offered to it lately.
+//! Load shedding by value: requests with the least value per unit are shed first. The value follows from the settings and the
+//! request alone, so all gateways shed in the same order. The threshold of a gateway follows from its recently offered load.
 
 use chalkdeck_time::Timestamp;
 use std::collections::BTreeMap;
 
-/// Buckets for each doubling of the value; values within one bucket count as equal.
+/// Histogram buckets for each doubling of the value; values within one bucket count as equal.
 const BUCKETS_PER_DOUBLING: f64 = 8.0;
 /// The bucket of requests without value.
 const MIN_BUCKET: i32 = -64;
 /// The bucket of the most valuable requests.
 const MAX_BUCKET: i32 = 128;
-/// Time constant in seconds by which older offers lose their weight.
-const DECAY_SECONDS: f64 = 10.0;
-/// A bucket with fewer units than this is dropped.
+/// Time constant, in seconds, of the exponential decay of recorded units.
+const DECAY_TIME_CONSTANT_SECONDS: f64 = 10.0;
+/// A bucket with fewer units than this is removed.
 const MIN_UNITS: f64 = 1e-3;
 
-/// Which requests are admitted: those from one value on, and a part of those in the bucket below.
+/// Which requests are admitted: all from one value on, and a fraction of those in the bucket below it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SheddingThreshold {
     /// Requests with this value per unit or more are admitted.
     pub admit_above: f64,
     /// Requests with less than this value per unit are shed.
     pub reject_below: f64,
-    /// The part of the requests between the two that is admitted.
+    /// The fraction of the requests between the two values that is admitted.
     pub admit_fraction: f64,
 }
 
@@ -34,8 +34,8 @@
         admit_fraction: 1.0,
     };
 
-    /// The part of the requests with that value per unit that is admitted, 0 to 1.
-    pub fn admitted(&self, value_per_unit: f64) -> f64 {
+    /// The fraction of the requests with that value per unit that is admitted, 0 to 1.
+    pub fn admitted_fraction(&self, value_per_unit: f64) -> f64 {
         if value_per_unit >= self.admit_above {
             1.0
         } else if value_per_unit >= self.reject_below {
@@ -46,38 +46,38 @@
     }
 }
 
-/// Units of work that were offered lately, by their value.
+/// A histogram of the recently offered units by their value.
 #[derive(Clone, Debug, Default)]
-pub struct OfferHistogram {
+pub struct OfferedLoadHistogram {
     units_by_bucket: BTreeMap<i32, f64>,
     decayed_at: Timestamp,
 }
 
-impl OfferHistogram {
-    /// Adds an offer of `units` with this value per unit.
+impl OfferedLoadHistogram {
+    /// Records offered units with this value per unit.
     pub fn record(&mut self, value_per_unit: f64, units: f64) {
         let bucket = bucket_of(value_per_unit);
         *self.units_by_bucket.entry(bucket).or_default() += units.max(0.0);
     }
 
-    /// Takes weight off earlier offers for the time since the last call.
+    /// Decays the recorded units by the time since the last call.
     pub fn decay(&mut self, now: Timestamp) {
         let elapsed = (now - self.decayed_at).as_secs_f64();
         self.decayed_at = now;
-        let factor = (-elapsed / DECAY_SECONDS).exp();
+        let factor = (-elapsed / DECAY_TIME_CONSTANT_SECONDS).exp();
         self.units_by_bucket.retain(|_, units| {
             *units *= factor;
             *units > MIN_UNITS
         });
     }
 
-    /// The threshold that admits the part `admission` of the units offered, the most valuable first.
-    pub fn threshold(&self, admission: f64) -> SheddingThreshold {
+    /// The threshold that admits the fraction `admission_level` of the offered units, the most valuable first.
+    pub fn threshold(&self, admission_level: f64) -> SheddingThreshold {
         let offered: f64 = self.units_by_bucket.values().sum();
-        if admission >= 1.0 || offered <= 0.0 {
+        if admission_level >= 1.0 || offered <= 0.0 {
             return SheddingThreshold::ADMIT_ALL;
         }
-        let mut remaining = offered * admission.max(0.0);
+        let mut remaining = offered * admission_level.max(0.0);
         for (&bucket, &units) in self.units_by_bucket.iter().rev() {
             if units >= remaining {
                 return SheddingThreshold {
@@ -100,7 +100,7 @@
     bucket.clamp(MIN_BUCKET, MAX_BUCKET)
 }
 
-/// The least value per unit that belongs to the bucket.
+/// The least value per unit in the bucket.
 fn lower_bound(bucket: i32) -> f64 {
     if bucket == MIN_BUCKET {
         return 0.0;
--- a/crates/site-failover/src/site/endpoint.rs
+++ b/crates/site-failover/src/site/endpoint.rs
@@ -1,11 +1,11 @@
-//! What is known of one endpoint.
+//! The state of one endpoint.
 
 use crate::{AttemptEvidence, EndpointEntry};
 use chalkdeck_time::Timestamp;
 
-/// An endpoint is silent after so many attempts in a row without an answer.
-const ATTEMPTS_UNTIL_SILENT: u32 = 2;
-/// The weight of an endpoint whose list line gives none.
+/// An endpoint is unresponsive after this many attempts in a row without an answer.
+const FAILURES_UNTIL_UNRESPONSIVE: u32 = 2;
+/// The weight of an endpoint whose list entry gives none.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
 /// One endpoint of a site.
@@ -13,20 +13,20 @@
 pub(crate) struct Endpoint {
     pub(crate) weight: f64,
     pub(crate) in_service: bool,
-    pub(crate) started: Option<Timestamp>,
+    pub(crate) started_at: Option<Timestamp>,
     /// Attempts in a row that got no answer.
-    unanswered: u32,
+    consecutive_failures: u32,
     is_unreachable: bool,
 }
 
 impl Endpoint {
-    /// Takes over its line of the list. What was known of it is forgotten when it has restarted.
+    /// Updates it from its list entry. The evidence of its earlier attempts is reset if it has restarted.
     pub(crate) fn update(&mut self, entry: &EndpointEntry) {
-        if self.started != entry.started && entry.started.is_some() {
+        if self.started_at != entry.started_at && entry.started_at.is_some() {
             *self = Endpoint::default();
         }
         self.in_service = entry.in_service;
-        self.started = entry.started;
+        self.started_at = entry.started_at;
         self.weight = if entry.weight > 0.0 {
             entry.weight
         } else {
@@ -34,27 +34,27 @@
         };
     }
 
-    /// Takes the end of an attempt into account.
+    /// Records the end of an attempt.
     pub(crate) fn record(&mut self, evidence: AttemptEvidence) {
         match evidence {
             AttemptEvidence::Answered | AttemptEvidence::Rejected => {
-                self.unanswered = 0;
+                self.consecutive_failures = 0;
                 self.is_unreachable = false;
             }
             AttemptEvidence::TimedOut | AttemptEvidence::Unreachable => {
-                self.unanswered = self.unanswered.saturating_add(1);
+                self.consecutive_failures = self.consecutive_failures.saturating_add(1);
                 self.is_unreachable = evidence == AttemptEvidence::Unreachable;
             }
             AttemptEvidence::Cancelled => {}
         }
     }
 
-    /// Whether its last attempts got an answer, as far as there were any.
+    /// Whether it is in service and has not failed too many attempts in a row.
     pub(crate) fn is_responsive(&self) -> bool {
-        self.in_service && self.unanswered < ATTEMPTS_UNTIL_SILENT
+        self.in_service && self.consecutive_failures < FAILURES_UNTIL_UNRESPONSIVE
     }
 
-    /// Whether it refused or broke the connection of its last attempt.
+    /// Whether the connection of its last attempt was refused or broke.
     pub(crate) fn is_unreachable(&self) -> bool {
         self.is_unreachable
     }
--- a/crates/site-failover/src/site/mod.rs
+++ b/crates/site-failover/src/site/mod.rs
@@ -1,48 +1,48 @@
-//! What is known of one site, and what is observed of it.
+//! The state of one site as seen from this gateway.
 
-mod contact;
 mod endpoint;
-mod warm_up;
+mod silence_detector;
+mod slow_start;
 
 use crate::capacity::LearnedCapacity;
-use crate::hold_out::HoldOut;
+use crate::loss_backoff::LossBackoff;
 use crate::ramp::RecoveryRamp;
 use crate::{AttemptEvidence, Concurrency, EndedAttempt, EndpointId, SiteEvidence};
 use crate::{SiteId, SiteState};
 use chalkdeck_time::{TimeDelta, Timestamp};
-use contact::Contact;
 pub(crate) use endpoint::Endpoint;
+use silence_detector::SilenceDetector;
+pub(crate) use slow_start::{ramp_start, sustainable_fraction, warm_fraction};
 use std::collections::BTreeMap;
-pub(crate) use warm_up::{bearable_part, ramp_start, warm_part};
 
-/// A site that is silent for so many times the silence that makes it doubtful is lost.
-const LOST_AFTER_PATIENCES: u64 = 3;
-/// A site is full where this part of its concurrency limit is in use.
-const FULL_PART: f64 = 0.95;
+/// A site is unresponsive after a silence of this many times the silence that makes it doubtful.
+const UNRESPONSIVE_THRESHOLD_MULTIPLE: u64 = 3;
+/// A site is full if this fraction of its concurrency limit is in use.
+const FULL_FRACTION: f64 = 0.95;
 
-/// Weights of a site's endpoints.
+/// Total weights of a site's endpoints.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Weights {
-    /// Of those that the list has in service.
+    /// The weight of the endpoints that the list has in service.
     pub(crate) listed: f64,
-    /// Of those of them that answered their last attempts.
+    /// The weight of those of them that answered their last attempts.
     pub(crate) responsive: f64,
 }
 
-/// One site.
+/// One site with its endpoints.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Site {
     pub(crate) id: SiteId,
     pub(crate) endpoints: BTreeMap<EndpointId, Endpoint>,
     pub(crate) state: SiteState,
-    pub(crate) since: Timestamp,
+    pub(crate) state_since: Timestamp,
     pub(crate) ramp: Option<RecoveryRamp>,
-    pub(crate) hold_out: HoldOut,
+    pub(crate) backoff: LossBackoff,
     pub(crate) capacity: LearnedCapacity,
-    /// The weight of its responsive endpoints when states were last updated.
+    /// The weight of its responsive endpoints at the last update of the states.
     pub(crate) responsive_weight: f64,
     pub(crate) concurrency: Concurrency,
-    contact: Contact,
+    silence_detector: SilenceDetector,
 }
 
 impl Site {
@@ -53,84 +53,91 @@
         }
     }
 
-    pub(crate) fn record_sent(&mut self, now: Timestamp, endpoint: EndpointId) {
-        self.contact.record_sent(now, endpoint);
+    pub(crate) fn record_attempt_sent(&mut self, now: Timestamp, endpoint: EndpointId) {
+        self.silence_detector.record_attempt_sent(now, endpoint);
     }
 
-    pub(crate) fn record_end(&mut self, now: Timestamp, attempt: &EndedAttempt) {
-        self.contact.record_end();
+    pub(crate) fn record_attempt_end(&mut self, now: Timestamp, attempt: &EndedAttempt) {
+        self.silence_detector.record_attempt_end();
         if let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) {
             endpoint.record(attempt.evidence);
         }
         match attempt.evidence {
             AttemptEvidence::Answered => {
-                self.contact.record_sign_of_life(now);
-                self.contact.record_latency(attempt.latency);
+                self.silence_detector.record_response(now);
+                self.silence_detector.record_latency(attempt.latency);
             }
-            AttemptEvidence::Rejected => self.contact.record_sign_of_life(now),
+            AttemptEvidence::Rejected => self.silence_detector.record_response(now),
             AttemptEvidence::TimedOut
             | AttemptEvidence::Unreachable
             | AttemptEvidence::Cancelled => {}
         }
     }
 
-    /// Whether there was an answer at that time or after it.
-    pub(crate) fn is_heard_since(&self, at: Timestamp) -> bool {
-        self.contact.is_heard_since(at)
+    /// Whether an endpoint responded at that time or later.
+    pub(crate) fn has_responded_since(&self, at: Timestamp) -> bool {
+        self.silence_detector.has_responded_since(at)
     }
 
     /// The endpoints that the list has in service.
-    fn listed(&self) -> impl Iterator<Item = &Endpoint> {
+    fn listed_endpoints(&self) -> impl Iterator<Item = &Endpoint> {
         self.endpoints.values().filter(|e| e.in_service)
     }
 
     pub(crate) fn weights(&self) -> Weights {
         Weights {
-            listed: self.listed().map(|e| e.weight).sum(),
+            listed: self.listed_endpoints().map(|e| e.weight).sum(),
             responsive: self
-                .listed()
+                .listed_endpoints()
                 .filter(|e| e.is_responsive())
                 .map(|e| e.weight)
                 .sum(),
         }
     }
 
-    /// Whether further attempts there could only wait.
+    /// Whether the site's concurrency limit is nearly used up, so that further attempts would have to wait.
     pub(crate) fn is_full(&self) -> bool {
         let Concurrency { in_flight, limit } = self.concurrency;
-        limit > 0.0 && in_flight >= limit * FULL_PART
+        limit > 0.0 && in_flight >= limit * FULL_FRACTION
     }
 
-    /// Whether there was no answer for so long that the site must be taken for lost.
-    pub(crate) fn is_silent(&self, now: Timestamp) -> bool {
-        self.listed().count() == 0
+    /// Whether the site counts as lost: it has no endpoint in service, is unreachable, or has not responded for too long.
+    pub(crate) fn is_unresponsive(&self, now: Timestamp) -> bool {
+        self.listed_endpoints().count() == 0
             || self.is_unreachable()
-            || self.is_quiet_for(now, self.contact.patience() * LOST_AFTER_PATIENCES)
+            || self.is_silent_for(
+                now,
+                self.silence_detector.silence_threshold() * UNRESPONSIVE_THRESHOLD_MULTIPLE,
+            )
     }
 
-    /// Whether there was no answer for longer than usual.
+    /// Whether the site has not responded for longer than usual.
     pub(crate) fn is_doubtful(&self, now: Timestamp) -> bool {
-        self.is_unreachable() || self.is_quiet_for(now, self.contact.patience())
+        self.is_unreachable() || self.is_silent_for(now, self.silence_detector.silence_threshold())
     }
 
-    fn is_quiet_for(&self, now: Timestamp, span: TimeDelta) -> bool {
-        self.contact.quiet(now) > span && self.is_tried_enough()
+    fn is_silent_for(&self, now: Timestamp, span: TimeDelta) -> bool {
+        self.silence_detector.silence(now) > span && self.has_enough_attempts()
     }
 
-    fn is_tried_enough(&self) -> bool {
-        self.contact.is_tried_enough(self.listed().count())
+    fn has_enough_attempts(&self) -> bool {
+        self.silence_detector
+            .has_enough_attempts(self.listed_endpoints().count())
     }
 
-    /// Whether most of its endpoints refuse or break connections, and none answered since.
+    /// Whether most of its endpoints refuse or break connections and none has responded since.
     fn is_unreachable(&self) -> bool {
-        let unreachable = self.listed().filter(|e| e.is_unreachable()).count();
-        self.contact.is_waiting()
-            && self.is_tried_enough()
-            && unreachable * 2 > self.listed().count()
+        let unreachable = self
+            .listed_endpoints()
+            .filter(|e| e.is_unreachable())
+            .count();
+        self.silence_detector.is_waiting()
+            && self.has_enough_attempts()
+            && unreachable * 2 > self.listed_endpoints().count()
     }
 
-    /// Enters a state. What was learnt of the site does not outlast its loss.
-    pub(crate) fn enter(&mut self, now: Timestamp, state: SiteState) {
+    /// Enters a state. A site that goes out of service loses its learned capacity and its ramp.
+    pub(crate) fn enter_state(&mut self, now: Timestamp, state: SiteState) {
         if self.state == state {
             return;
         }
@@ -139,16 +146,19 @@
             self.ramp = None;
         }
         self.state = state;
-        self.since = now;
+        self.state_since = now;
     }
 
     pub(crate) fn evidence(&self, now: Timestamp) -> SiteEvidence {
         SiteEvidence {
-            listed: self.listed().count(),
-            silent: self.listed().filter(|e| !e.is_responsive()).count(),
-            quiet: self.contact.quiet(now),
-            losses: self.hold_out.losses(),
-            held_out_until: self.hold_out.until(),
+            listed_endpoints: self.listed_endpoints().count(),
+            silent_endpoints: self
+                .listed_endpoints()
+                .filter(|e| !e.is_responsive())
+                .count(),
+            silence: self.silence_detector.silence(now),
+            losses: self.backoff.losses(),
+            backoff_until: self.backoff.until(),
         }
     }
 }
--- a/crates/site-failover/src/state.rs
+++ b/crates/site-failover/src/state.rs
@@ -3,18 +3,18 @@
 /// The state of a site as seen from this gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum SiteState {
-    /// It takes its part of the load.
+    /// It gets its share of the load.
     #[default]
     Serving,
-    /// There was no answer for longer than usual.
+    /// It has not answered for longer than usual.
     Doubtful,
-    /// It does not answer while others do, or the list has none of its endpoints.
+    /// It does not answer while other sites do, or the list has none of its endpoints in service.
     Lost,
-    /// It does not answer, nor do most others, while the gateway's own site does: this gateway may be partitioned from them.
+    /// Neither it nor most other sites answer, while the gateway's own site does: this gateway may be partitioned from them.
     CutOff,
-    /// It answers again and its share grows by steps.
+    /// It answers again, and its share grows along the recovery ramp.
     Returning,
-    /// An operator keeps it out.
+    /// An operator took it out of service.
     HeldOut,
 }
 
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Whether the site gets no load, apart from a few probes.
+    /// Whether the site is out of service: it gets no load apart from a few probes.
     pub fn is_out(self) -> bool {
         matches!(
             self,
@@ -40,41 +40,43 @@
     }
 }
 
-/// What is observed of a site at one moment.
+/// What this gateway observes of a site at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Observations {
-    /// It has been silent for so long, or is unreachable or unlisted, that it counts as lost.
-    pub is_silent: bool,
-    /// There was no answer for longer than usual.
+    /// It counts as lost: it has not answered for too long, refuses connections, or has no endpoint in service.
+    pub is_unresponsive: bool,
+    /// It has not answered for longer than usual.
     pub is_doubtful: bool,
-    /// Most other sites are silent, too, while the gateway's own answers.
+    /// Most other sites do not answer either, while the gateway's own site does.
     pub is_partitioned: bool,
-    /// Its hold-out after earlier losses is over.
-    pub is_hold_out_over: bool,
-    /// It has answered since it entered its present state.
+    /// The backoff that its earlier losses led to is over.
+    pub is_backoff_over: bool,
+    /// It has answered since it entered its current state.
     pub has_answered: bool,
-    /// A recovery ramp is under way.
+    /// A recovery ramp is in progress.
     pub is_ramping: bool,
-    /// That ramp has reached the whole capacity, and the site bore it.
+    /// The recovery ramp is complete.
     pub is_ramp_complete: bool,
 }
 
-/// The state that follows `state`. Only an operator's override leads into and out of [`SiteState::HeldOut`].
-pub fn next_state(state: SiteState, seen: Observations) -> SiteState {
+/// The state that follows `state`. Only an operator's override enters or leaves [`SiteState::HeldOut`].
+pub fn next_state(state: SiteState, observed: Observations) -> SiteState {
     match state {
         SiteState::HeldOut => SiteState::HeldOut,
-        _ if state.is_out() && seen.is_silent => state,
-        _ if seen.is_silent && seen.is_partitioned => SiteState::CutOff,
-        _ if seen.is_silent => SiteState::Lost,
-        SiteState::Lost | SiteState::CutOff if seen.is_hold_out_over && seen.has_answered => {
+        _ if state.is_out() && observed.is_unresponsive => state,
+        _ if observed.is_unresponsive && observed.is_partitioned => SiteState::CutOff,
+        _ if observed.is_unresponsive => SiteState::Lost,
+        SiteState::Lost | SiteState::CutOff
+            if observed.is_backoff_over && observed.has_answered =>
+        {
             SiteState::Returning
         }
         SiteState::Lost | SiteState::CutOff => state,
-        _ if seen.is_doubtful => SiteState::Doubtful,
-        SiteState::Returning if seen.is_ramp_complete => SiteState::Serving,
+        _ if observed.is_doubtful => SiteState::Doubtful,
+        SiteState::Returning if observed.is_ramp_complete => SiteState::Serving,
         SiteState::Returning => SiteState::Returning,
-        // A recovery that was in doubt for a moment goes on where it was.
-        SiteState::Doubtful if seen.is_ramping => SiteState::Returning,
+        // A recovery that was doubtful for a moment continues with its ramp.
+        SiteState::Doubtful if observed.is_ramping => SiteState::Returning,
         SiteState::Doubtful | SiteState::Serving => SiteState::Serving,
     }
 }
--- a/crates/site-failover/tests/fleet/mod.rs
+++ b/crates/site-failover/tests/fleet/mod.rs
@@ -62,10 +62,10 @@
     FailoverSettings {
         own_site: SiteId(site),
         gateway_index: site,
-        gateways: SITES as u32,
-        cold_capacity: 0.25,
-        warm_up: TimeDelta::from_secs(3),
-        overload_factor: 2.0,
+        gateway_count: SITES as u32,
+        slow_start_min_capacity: 0.25,
+        slow_start_duration: TimeDelta::from_secs(3),
+        overload_multiple: 2.0,
     }
 }
 
@@ -107,7 +107,7 @@
             }
         }
         for core in &mut self.cores {
-            core.on(self.now, Event::EndpointsListed(&entries));
+            core.handle(self.now, Event::EndpointListUpdated(&entries));
         }
     }
 
@@ -132,7 +132,7 @@
 
     /// Tells one gateway of an event that happens now.
     pub fn tell(&mut self, gateway: usize, event: Event) {
-        self.cores[gateway].on(self.now, event);
+        self.cores[gateway].handle(self.now, event);
     }
 
     /// Sends requests to where the plans say, for that time.
@@ -174,7 +174,7 @@
                 return;
             }
             let event = Event::AttemptEnded(pending.attempt);
-            self.cores[pending.gateway].on(pending.at, event);
+            self.cores[pending.gateway].handle(pending.at, event);
         }
     }
 
--- a/crates/site-failover/tests/learning.rs
+++ b/crates/site-failover/tests/learning.rs
@@ -1,6 +1,6 @@
 //! What the capacity, the admission level and the ramp learn from answers, and what they must not.
 use chalkdeck_site_failover::admission::AdmissionLevel;
-use chalkdeck_site_failover::capacity::{strain, LearnedCapacity};
+use chalkdeck_site_failover::capacity::{congestion, LearnedCapacity};
 use chalkdeck_site_failover::ramp::{RampStart, RecoveryRamp};
 use chalkdeck_site_failover::{CompletedRequest, FinalAnswer};
 use chalkdeck_time::{TimeDelta, Timestamp};
@@ -14,7 +14,7 @@
 struct Answers {
     seconds: u64,
     per_second: u64,
-    strain: f64,
+    congestion: f64,
 }
 
 impl Answers {
@@ -24,7 +24,7 @@
         for number in 0..self.seconds * self.per_second {
             let now = start + interval * number;
             capacity.advance(now);
-            capacity.record_answer(now, 1.0, self.strain, MIN_LIMIT);
+            capacity.record_answer(now, 1.0, self.congestion, MIN_LIMIT);
         }
         start + SECOND * self.seconds
     }
@@ -39,13 +39,18 @@
     TimeDelta::from_micros(OBJECTIVE.as_micros() * tenths / 10)
 }
 
-fn complete(level: &mut AdmissionLevel, answer: FinalAnswer, latency: TimeDelta, borne: f64) {
+fn complete(
+    level: &mut AdmissionLevel,
+    answer: FinalAnswer,
+    latency: TimeDelta,
+    throughput_ratio: f64,
+) {
     let request = CompletedRequest {
         answer,
         latency,
         objective: OBJECTIVE,
     };
-    level.record_completion(request, borne);
+    level.record_completion(request, throughput_ratio);
 }
 
 #[test]
@@ -54,15 +59,15 @@
     let calm = Answers {
         seconds: 4,
         per_second: 50,
-        strain: 0.0,
+        congestion: 0.0,
     };
     let now = calm.record(&mut capacity, at(SECOND));
     assert_eq!(capacity.limit(), None, "no limit was met");
-    let strained = Answers {
-        strain: 1.0,
+    let congested = Answers {
+        congestion: 1.0,
         ..calm
     };
-    strained.record(&mut capacity, now);
+    congested.record(&mut capacity, now);
     let limit = capacity.limit().expect("a limit was met");
     assert!(
         (40.0..50.0).contains(&limit),
@@ -76,7 +81,7 @@
     let trickle = Answers {
         seconds: 4,
         per_second: 2,
-        strain: 1.0,
+        congestion: 1.0,
     };
     trickle.record(&mut capacity, at(SECOND));
     assert_eq!(capacity.limit(), None);
@@ -85,16 +90,16 @@
 #[test]
 fn limit_that_is_not_met_grows_and_is_forgotten() {
     let mut capacity = LearnedCapacity::default();
-    let strained = Answers {
+    let congested = Answers {
         seconds: 4,
         per_second: 50,
-        strain: 1.0,
+        congestion: 1.0,
     };
-    let now = strained.record(&mut capacity, at(SECOND));
+    let now = congested.record(&mut capacity, at(SECOND));
     let trickle = Answers {
         seconds: 60,
         per_second: 5,
-        strain: 0.0,
+        congestion: 0.0,
     };
     trickle.record(&mut capacity, now);
     assert_eq!(capacity.limit(), None);
@@ -134,30 +139,33 @@
 fn strain_grows_with_the_part_of_the_objective_that_an_answer_took() {
     let quarter = TimeDelta::from_micros(OBJECTIVE.as_micros() / 4);
     assert_eq!(
-        (strain(quarter, OBJECTIVE), strain(OBJECTIVE, OBJECTIVE)),
+        (
+            congestion(quarter, OBJECTIVE),
+            congestion(OBJECTIVE, OBJECTIVE)
+        ),
         (0.0, 1.0)
     );
-    assert!((strain(tenths_of_objective(6), OBJECTIVE) - 0.5).abs() < 1e-6);
+    assert!((congestion(tenths_of_objective(6), OBJECTIVE) - 0.5).abs() < 1e-6);
 }
 
 /// Gives a ramp answers at `now`, lets a second pass, and returns its part.
 fn part_after(ramp: &mut RecoveryRamp, now: &mut Timestamp, in_time: u32, late: u32) -> f64 {
     for _ in 0..in_time {
-        ramp.record_answer(*now, 0.0);
+        ramp.record_attempt(*now, 0.0);
     }
     for _ in 0..late {
-        ramp.record_answer(*now, 1.0);
+        ramp.record_attempt(*now, 1.0);
     }
     *now = *now + SECOND;
     ramp.advance(*now, 1.0);
-    ramp.part()
+    ramp.fraction()
 }
 
 #[test]
 fn answers_in_time_earn_a_step_and_late_ones_undo_it() {
     let mut now = Timestamp::ZERO;
     let mut ramp = RecoveryRamp::new(now, 7, RampStart::Cold);
-    let first = ramp.part();
+    let first = ramp.fraction();
     assert_eq!(
         part_after(&mut ramp, &mut now, 2, 0),
         first,
@@ -174,7 +182,7 @@
         part_after(&mut ramp, &mut now, 0, 1) < second,
         "two are a step back"
     );
-    let low = ramp.part();
+    let low = ramp.fraction();
     assert!(
         part_after(&mut ramp, &mut now, 9, 2) >= low,
         "a few late answers among many undo nothing"
@@ -185,14 +193,14 @@
 fn recovery_that_no_load_needs_ends_with_warm_endpoints_and_answers_in_time() {
     let mut ramp = RecoveryRamp::new(Timestamp::ZERO, 7, RampStart::Warm);
     for _ in 0..4 {
-        ramp.record_answer(at(SECOND), 0.0);
+        ramp.record_attempt(at(SECOND), 0.0);
     }
     assert!(
         !ramp.is_complete(at(SECOND * 9), 1.0)
             && !ramp.is_complete(at(SECOND * 11), 0.9)
             && ramp.is_complete(at(SECOND * 11), 1.0)
     );
-    ramp.record_answer(at(SECOND * 12), 1.0);
+    ramp.record_attempt(at(SECOND * 12), 1.0);
     assert!(
         !ramp.is_complete(at(SECOND * 13), 1.0),
         "a late answer begins the row anew"
@@ -204,12 +212,12 @@
     let first_step = |seed: u64| {
         let mut ramp = RecoveryRamp::new(Timestamp::ZERO, seed, RampStart::Cold);
         for _ in 0..3 {
-            ramp.record_answer(Timestamp::ZERO, 0.0);
+            ramp.record_attempt(Timestamp::ZERO, 0.0);
         }
-        let first = ramp.part();
+        let first = ramp.fraction();
         (0..1_000).map(Timestamp::from_millis).find(|&now| {
             ramp.advance(now, 1.0);
-            ramp.part() > first
+            ramp.fraction() > first
         })
     };
     let mut moments: Vec<Timestamp> = (0..12).filter_map(first_step).collect();
--- a/crates/site-failover/tests/properties.rs
+++ b/crates/site-failover/tests/properties.rs
@@ -1,8 +1,8 @@
 //! What must hold for any numbers.
 use chalkdeck_site_failover::distribution::{distribute, SiteCapacity};
-use chalkdeck_site_failover::hold_out::{HoldOut, MAX_HOLD_OUT};
+use chalkdeck_site_failover::loss_backoff::{LossBackoff, MAX_BACKOFF};
 use chalkdeck_site_failover::ramp::{RampStart, RecoveryRamp};
-use chalkdeck_site_failover::shedding::OfferHistogram;
+use chalkdeck_site_failover::shedding::OfferedLoadHistogram;
 use chalkdeck_time::{TimeDelta, Timestamp};
 use proptest::prelude::*;
 
@@ -11,10 +11,10 @@
 
 fn any_site() -> impl Strategy<Value = SiteCapacity> {
     let capacity = prop_oneof![Just(0.0), Just(f64::INFINITY), 0.1..1e4];
-    (capacity, 0.0..100.0, any::<bool>()).prop_map(|(capacity, weight, is_near)| SiteCapacity {
+    (capacity, 0.0..100.0, any::<bool>()).prop_map(|(capacity, weight, is_own_site)| SiteCapacity {
         capacity,
         weight,
-        is_near,
+        is_own_site,
     })
 }
 
@@ -45,21 +45,21 @@
         admission in 0.0..1.0f64, other_admission in 0.0..1.0f64,
         value in 0.01..1e3f64, other_value in 0.01..1e3f64,
     ) {
-        let mut offers = OfferHistogram::default();
+        let mut offers = OfferedLoadHistogram::default();
         for (value, units) in &offered {
             offers.record(*value, *units);
         }
         let lower = offers.threshold(admission.min(other_admission));
         let higher = offers.threshold(admission.max(other_admission));
-        prop_assert!(lower.admitted(value) <= higher.admitted(value) + 1e-9);
+        prop_assert!(lower.admitted_fraction(value) <= higher.admitted_fraction(value) + 1e-9);
         let (least, most) = (value.min(other_value), value.max(other_value));
-        prop_assert!(lower.admitted(least) <= lower.admitted(most) + 1e-9);
+        prop_assert!(lower.admitted_fraction(least) <= lower.admitted_fraction(most) + 1e-9);
         let total: f64 = offered.iter().map(|(_, units)| units).sum();
-        let admitted: f64 = offered.iter().map(|(value, units)| units * higher.admitted(*value)).sum();
+        let admitted: f64 = offered.iter().map(|(value, units)| units * higher.admitted_fraction(*value)).sum();
         // The units of one bucket, whose values count as equal.
         let units_near = |value: f64| -> f64 {
-            let is_near = |other: f64| (other / value).log2().abs() < BUCKET_WIDTH;
-            offered.iter().filter(|(other, _)| is_near(*other)).map(|(_, units)| units).sum()
+            let is_own_site = |other: f64| (other / value).log2().abs() < BUCKET_WIDTH;
+            offered.iter().filter(|(other, _)| is_own_site(*other)).map(|(_, units)| units).sum()
         };
         let widest = offered.iter().map(|(value, _)| units_near(*value)).fold(0.0, f64::max);
         let expected = total * admission.max(other_admission);
@@ -72,25 +72,25 @@
     ) {
         let mut now = Timestamp::ZERO;
         let mut ramp = RecoveryRamp::new(now, seed, RampStart::Cold);
-        for (strain, elapsed, bearable) in answers {
-            let before = ramp.part();
+        for (congestion, elapsed, sustainable) in answers {
+            let before = ramp.fraction();
             now = now + TimeDelta::from_micros(elapsed);
-            ramp.record_answer(now, strain);
-            ramp.advance(now, bearable);
-            prop_assert!(ramp.part() <= bearable && ramp.part() <= before * 1.6 + 1e-9);
+            ramp.record_attempt(now, congestion);
+            ramp.advance(now, sustainable);
+            prop_assert!(ramp.fraction() <= sustainable && ramp.fraction() <= before * 1.6 + 1e-9);
         }
     }
 
     #[test]
     fn losses_are_never_closer_than_the_hold_outs_allow(gaps in prop::collection::vec(0u64..5_000_000, 1..40)) {
-        let mut hold_out = HoldOut::default();
+        let mut backoff = LossBackoff::default();
         let mut now = Timestamp::ZERO;
         let mut losses = 0u32;
         for gap in &gaps {
-            now = hold_out.until() + TimeDelta::from_micros(*gap);
-            hold_out.record_loss(now);
+            now = backoff.until() + TimeDelta::from_micros(*gap);
+            backoff.record_loss(now);
             losses += 1;
-            prop_assert!(hold_out.until() - now <= MAX_HOLD_OUT);
+            prop_assert!(backoff.until() - now <= MAX_BACKOFF);
         }
         // 1, 2, 4, 8, 16, 32 seconds and so on: the stated rate.
         let least_seconds: u64 = (1..losses).map(|loss| 1 << (loss - 1).min(5)).sum();
--- a/crates/site-failover/tests/recording/mod.rs
+++ b/crates/site-failover/tests/recording/mod.rs
@@ -118,10 +118,10 @@
         let settings = FailoverSettings {
             own_site: SiteId(0),
             gateway_index: random.u32(0..20),
-            gateways: random.u32(1..120),
-            cold_capacity: 0.1 + random.f64() * 0.5,
-            warm_up: TimeDelta::from_secs(random.u64(1..8)),
-            overload_factor: 1.0 + random.f64() * 2.0,
+            gateway_count: random.u32(1..120),
+            slow_start_min_capacity: 0.1 + random.f64() * 0.5,
+            slow_start_duration: TimeDelta::from_secs(random.u64(1..8)),
+            overload_multiple: 1.0 + random.f64() * 2.0,
         };
         let now = SECOND;
         let sites = SimulatedSites::new(&mut random);
@@ -143,7 +143,7 @@
     }
 
     fn tell(&mut self, at: u64, event: Event) {
-        self.core.on(Timestamp::from_micros(at), event);
+        self.core.handle(Timestamp::from_micros(at), event);
         self.events += 1;
         if self.events.is_multiple_of(EVENTS_PER_PLAN) {
             self.plan(at);
@@ -206,7 +206,7 @@
         };
         self.tell(self.now, offered);
         let plan = self.plan(self.now);
-        if self.random.f64() >= plan.threshold.admitted(worth) {
+        if self.random.f64() >= plan.threshold.admitted_fraction(worth) {
             return self.complete(FinalAnswer::Rejected, OBJECTIVE / 4);
         }
         let server = match self.random.u32(0..100) {
@@ -304,7 +304,7 @@
 
     fn list(&mut self) {
         let lines = self.sites.list(self.now);
-        self.tell(self.now, Event::EndpointsListed(&lines));
+        self.tell(self.now, Event::EndpointListUpdated(&lines));
     }
 
     fn operator_override(&mut self) {
@@ -329,7 +329,7 @@
     }
 
     fn digest_plan(&mut self, plan: &FailoverPlan) {
-        self.digest.add_f64(plan.admission);
+        self.digest.add_f64(plan.admission_level);
         self.digest.add_f64(plan.threshold.admit_above);
         self.digest.add_f64(plan.threshold.reject_below);
         self.digest.add_f64(plan.threshold.admit_fraction);
@@ -344,16 +344,16 @@
             self.digest.add(u64::from(view.site.0));
             self.digest.add_bytes(view.state.name().as_bytes());
             self.digest.add(u64::from(view.state == SiteState::Serving));
-            self.digest.add(view.since.as_micros());
-            self.digest.add(view.evidence.listed as u64);
-            self.digest.add(view.evidence.silent as u64);
-            self.digest.add(view.evidence.quiet.as_micros());
+            self.digest.add(view.state_since.as_micros());
+            self.digest.add(view.evidence.listed_endpoints as u64);
+            self.digest.add(view.evidence.silent_endpoints as u64);
+            self.digest.add(view.evidence.silence.as_micros());
             self.digest.add(u64::from(view.evidence.losses));
-            self.digest.add(view.evidence.held_out_until.as_micros());
+            self.digest.add(view.evidence.backoff_until.as_micros());
             self.digest.add_bytes(view.evidence.to_string().as_bytes());
             self.digest.add_f64(view.share);
             self.digest.add_f64(view.capacity.unwrap_or(-1.0));
-            self.digest.add_f64(view.ramp);
+            self.digest.add_f64(view.ramp_fraction);
             self.digest.add_f64(view.concurrency.in_flight);
             self.digest.add_f64(view.concurrency.limit);
         }
--- a/crates/site-failover/tests/recovery.rs
+++ b/crates/site-failover/tests/recovery.rs
@@ -27,9 +27,9 @@
     fleet.run_until(SECOND * 10, |fleet| {
         fleet.state(0, 0) == SiteState::Returning
     });
-    let mut steps = vec![fleet.site(0, 0).ramp];
+    let mut steps = vec![fleet.site(0, 0).ramp_fraction];
     fleet.run_until(SECOND * 60, |fleet| {
-        let ramp = fleet.site(0, 0).ramp;
+        let ramp = fleet.site(0, 0).ramp_fraction;
         if steps.last() != Some(&ramp) {
             steps.push(ramp);
         }
@@ -51,11 +51,11 @@
     fleet.run(SECOND * 2);
     fleet.set_behavior(0, USUAL);
     fleet.run_until(SECOND * 30, |fleet| {
-        fleet.state(0, 0) == SiteState::Returning && fleet.site(0, 0).ramp > 0.4
+        fleet.state(0, 0) == SiteState::Returning && fleet.site(0, 0).ramp_fraction > 0.4
     });
-    let before = fleet.site(0, 0).ramp;
+    let before = fleet.site(0, 0).ramp_fraction;
     fleet.set_behavior(0, Behavior::Answers(millis(480)));
-    fleet.run_until(SECOND * 5, |fleet| fleet.site(0, 0).ramp < before);
+    fleet.run_until(SECOND * 5, |fleet| fleet.site(0, 0).ramp_fraction < before);
     assert!(fleet.state(0, 0) == SiteState::Returning);
 }
 
@@ -66,7 +66,7 @@
     for _ in 0..8 {
         fleet.set_behavior(0, Behavior::Refuses);
         fleet.run_until(SECOND * 3, |fleet| fleet.state(0, 0) == SiteState::Lost);
-        hold_outs.push(fleet.site(0, 0).evidence.held_out_until - fleet.now);
+        hold_outs.push(fleet.site(0, 0).evidence.backoff_until - fleet.now);
         fleet.set_behavior(0, USUAL);
         fleet.run_until(SECOND * 80, |fleet| fleet.state(0, 0) != SiteState::Lost);
     }
@@ -141,7 +141,7 @@
     fleet.publish_list();
     let site = fleet.site(0, 0);
     assert!(
-        site.state == SiteState::Returning && site.ramp < 0.3 && site.share < 0.1,
+        site.state == SiteState::Returning && site.ramp_fraction < 0.3 && site.share < 0.1,
         "{site:?}"
     );
 }
@@ -170,6 +170,6 @@
         listed_endpoint(3, 0, Some(Timestamp::from_micros(1))),
     ];
     let mut core = FailoverCore::new(settings(0));
-    core.on(now, Event::EndpointsListed(&entries));
-    assert_eq!(core.plan(now).sites[0].ramp, 0.75);
+    core.handle(now, Event::EndpointListUpdated(&entries));
+    assert_eq!(core.plan(now).sites[0].ramp_fraction, 0.75);
 }
--- a/crates/site-failover/tests/site_loss.rs
+++ b/crates/site-failover/tests/site_loss.rs
@@ -58,7 +58,7 @@
 #[test]
 fn gateway_that_hears_only_its_own_site_takes_itself_for_cut_off() {
     let mut fleet = Fleet::new();
-    // Its own site is strained, so that it has some load at each.
+    // Its own site is congested, so that it has some load at each.
     fleet.behavior[0][0] = [Behavior::Answers(millis(450)); 4];
     fleet.run(SECOND * 4);
     assert!(fleet.site(0, 1).share > 0.1, "{:?}", fleet.plan(0));
@@ -106,7 +106,7 @@
     fleet.run(SECOND * 6);
     let site = fleet.site(0, 0);
     assert!(!site.state.is_out(), "{site:?}");
-    assert_eq!(site.evidence.silent, 2);
+    assert_eq!(site.evidence.silent_endpoints, 2);
 }
 
 #[test]
@@ -226,7 +226,7 @@
         fleet.state(0, 0) == SiteState::Returning
     });
     let site = fleet.site(0, 0);
-    assert!(site.share < site.ramp * 0.4, "{site:?}");
+    assert!(site.share < site.ramp_fraction * 0.4, "{site:?}");
 }
 
 #[test]
--- a/crates/site-failover/tests/state_model.rs
+++ b/crates/site-failover/tests/state_model.rs
@@ -20,7 +20,7 @@
 struct GatewayView {
     state: SiteState,
     quiet: u8,
-    hold_out: u8,
+    backoff: u8,
     has_answered: bool,
     ramp_steps: u8,
 }
@@ -61,14 +61,14 @@
             (view.quiet + 1).min(LOST_AFTER)
         };
         view.has_answered |= answers && view.state.is_out();
-        view.hold_out = view.hold_out.saturating_sub(1);
+        view.backoff = view.backoff.saturating_sub(1);
         let earns_step = answers && view.state == SiteState::Returning;
         view.ramp_steps = (view.ramp_steps + u8::from(earns_step)).min(RAMP_STEPS);
         let seen = Observations {
-            is_silent: view.quiet >= LOST_AFTER,
+            is_unresponsive: view.quiet >= LOST_AFTER,
             is_doubtful: view.quiet >= DOUBTFUL_AFTER,
             is_partitioned: world.is_partitioned[gateway],
-            is_hold_out_over: view.hold_out == 0,
+            is_backoff_over: view.backoff == 0,
             has_answered: view.has_answered,
             is_ramping: view.ramp_steps > 0,
             is_ramp_complete: view.ramp_steps >= RAMP_STEPS,
@@ -76,7 +76,7 @@
         let before = view.state;
         view.state = next_state(before, seen);
         if view.state.is_out() && !before.is_out() {
-            view.hold_out = HOLD_OUT;
+            view.backoff = HOLD_OUT;
             view.has_answered = false;
             view.ramp_steps = 0;
         }
@@ -177,7 +177,7 @@
                         let before = &world.views[gateway];
                         let after = SiteModel::update(world, gateway);
                         let starts = before.state.is_out() && after.state == SiteState::Returning;
-                        !starts || after.has_answered && after.hold_out == 0
+                        !starts || after.has_answered && after.backoff == 0
                     })
                 },
             ),
