--- a/crates/site-failover/src/admission.rs
+++ b/crates/site-failover/src/admission.rs
@@ -9,11 +9,11 @@
 /// A rejection after this fraction of the latency objective or more counts as fully congested.
 const CONGESTED_REJECTION_FRACTION: f64 = 0.3;
 /// The fraction of the level that a fully congested answer takes off.
-const DECREASE_SERVED: f64 = 0.04;
+const LEVEL_DECREASE_SERVED: f64 = 0.04;
 /// The fraction of the level that a fully congested rejection takes off.
-const DECREASE_REJECTED: f64 = 0.15;
+const LEVEL_DECREASE_REJECTED: f64 = 0.15;
 /// What an early answer adds to the level.
-const INCREASE: f64 = 0.003;
+const LEVEL_INCREASE: f64 = 0.003;
 /// The least level.
 const MIN_LEVEL: f64 = 0.05;
 /// The level is at least this fraction of the throughput in relation to the offered load.
@@ -48,12 +48,12 @@
             ),
         };
         let decrease = match answer {
-            FinalAnswer::Served => DECREASE_SERVED,
-            FinalAnswer::Rejected => DECREASE_REJECTED,
+            FinalAnswer::Served => LEVEL_DECREASE_SERVED,
+            FinalAnswer::Rejected => LEVEL_DECREASE_REJECTED,
         };
         // An early rejection is due to a quota and says nothing about capacity.
         let is_early_answer = answer == FinalAnswer::Served && congestion == 0.0;
-        let increase = if is_early_answer { INCREASE } else { 0.0 };
+        let increase = if is_early_answer { LEVEL_INCREASE } else { 0.0 };
         let level = self.0 * (1.0 - decrease * congestion) + increase;
         self.0 = level
             .max(MIN_FRACTION_OF_THROUGHPUT * throughput_ratio)
--- a/crates/site-failover/src/capacity.rs
+++ b/crates/site-failover/src/capacity.rs
@@ -10,9 +10,9 @@
 /// An answer that took this fraction of its latency objective or more counts as fully congested.
 const CONGESTED_FRACTION: f64 = 0.8;
 /// The fraction of the limit that a fully congested answer takes off.
-const DECREASE: f64 = 0.04;
+const LIMIT_DECREASE: f64 = 0.04;
 /// The fraction of the limit that an early answer adds.
-const INCREASE: f64 = 0.004;
+const LIMIT_INCREASE: f64 = 0.004;
 /// The limit is at least this fraction of the throughput.
 const MIN_FRACTION_OF_THROUGHPUT: f64 = 0.85;
 /// The limit is reached if at least this fraction of it is in use.
@@ -20,7 +20,7 @@
 /// The limit is dropped if less than this fraction of it is in use.
 const UNUSED_FRACTION: f64 = 0.25;
 /// The fraction by which a limit that is not reached grows in a second.
-const IDLE_INCREASE_PER_SECOND: f64 = 0.05;
+const IDLE_LIMIT_INCREASE_PER_SECOND: f64 = 0.05;
 
 /// The congestion that an answer indicates by its latency in relation to the latency objective: from 0 for an early answer to 1
 /// for a late one.
@@ -89,14 +89,14 @@
         let throughput = self.throughput(now);
         if congestion > 0.0 && throughput >= min_limit {
             let previous = self.limit.unwrap_or(throughput);
-            let lowered = previous * (1.0 - DECREASE * congestion);
+            let lowered = previous * (1.0 - LIMIT_DECREASE * congestion);
             let limit = lowered
                 .max(throughput * MIN_FRACTION_OF_THROUGHPUT)
                 .max(min_limit);
             self.limit = Some(limit);
         } else if let Some(limit) = &mut self.limit {
             if throughput > *limit * IN_USE_FRACTION {
-                *limit *= 1.0 + INCREASE;
+                *limit *= 1.0 + LIMIT_INCREASE;
             }
         }
     }
@@ -113,7 +113,7 @@
         if throughput >= *limit * IN_USE_FRACTION {
             return;
         }
-        *limit *= 1.0 + IDLE_INCREASE_PER_SECOND * elapsed.min(1.0);
+        *limit *= 1.0 + IDLE_LIMIT_INCREASE_PER_SECOND * elapsed.min(1.0);
         if throughput < *limit * UNUSED_FRACTION {
             self.limit = None;
         }
--- a/crates/site-failover/src/core/endpoints.rs
+++ b/crates/site-failover/src/core/endpoints.rs
@@ -38,7 +38,7 @@
                 .or_insert_with(|| Site::new(entry.site));
             let endpoint = site.endpoints.entry(entry.endpoint).or_default();
             endpoint.update(entry);
-            self.site_of.insert(entry.endpoint, entry.site);
+            self.site_by_endpoint.insert(entry.endpoint, entry.site);
         }
         new_sites
     }
@@ -55,7 +55,7 @@
             site.endpoints
                 .retain(|endpoint, _| listed.get(endpoint) == Some(&id));
         }
-        self.site_of
+        self.site_by_endpoint
             .retain(|endpoint, _| listed.contains_key(endpoint));
         self.sites.retain(|_, site| {
             !site.endpoints.is_empty()
--- a/crates/site-failover/src/core/mod.rs
+++ b/crates/site-failover/src/core/mod.rs
@@ -36,7 +36,7 @@
 pub struct FailoverCore {
     settings: FailoverSettings,
     sites: BTreeMap<SiteId, Site>,
-    site_of: HashMap<EndpointId, SiteId>,
+    site_by_endpoint: HashMap<EndpointId, SiteId>,
     offered: DecayingRate,
     offered_by_value: OfferedLoadHistogram,
     admission_level: AdmissionLevel,
@@ -51,7 +51,7 @@
         FailoverCore {
             settings,
             sites: BTreeMap::new(),
-            site_of: HashMap::new(),
+            site_by_endpoint: HashMap::new(),
             offered: DecayingRate::default(),
             offered_by_value: OfferedLoadHistogram::default(),
             admission_level: AdmissionLevel::default(),
@@ -78,7 +78,7 @@
                 }
             }
             Event::AttemptEnded(attempt) => self.on_attempt_ended(now, &attempt),
-            Event::ConcurrencyReported(endpoints) => self.on_concurrency(endpoints),
+            Event::ConcurrencyReported(endpoints) => self.on_concurrency_report(endpoints),
             Event::RequestCompleted(request) => self.on_request_completed(now, request),
             Event::CounterAnswered => self.counter.last_answer = Some(now),
             Event::CounterFailed => self.counter.last_failure = Some(now),
@@ -90,7 +90,7 @@
     }
 
     fn site_of_endpoint(&mut self, endpoint: EndpointId) -> Option<&mut Site> {
-        let site = self.site_of.get(&endpoint)?;
+        let site = self.site_by_endpoint.get(&endpoint)?;
         self.sites.get_mut(site)
     }
 
@@ -128,7 +128,7 @@
         }
     }
 
-    fn on_concurrency(&mut self, endpoints: &[EndpointConcurrency]) {
+    fn on_concurrency_report(&mut self, endpoints: &[EndpointConcurrency]) {
         for site in self.sites.values_mut() {
             site.concurrency = Concurrency::default();
         }
--- a/crates/site-failover/src/core/planning.rs
+++ b/crates/site-failover/src/core/planning.rs
@@ -71,8 +71,8 @@
     /// Reserves a small share of the load as probes of sites that are lost or recovering, so that their recovery is noticed.
     fn reserve_probes(&self, load: f64, shares: &mut [f64]) {
         let any_share = shares.iter().any(|share| *share > 0.0);
-        let any_in = self.sites.values().any(|site| !site.state.is_out());
-        if !any_share || !any_in {
+        let any_in_service = self.sites.values().any(|site| !site.state.is_out());
+        if !any_share || !any_in_service {
             return;
         }
         let interval = (f64::from(self.settings.gateway_count) / FLEET_PROBES_PER_SECOND)
--- a/crates/site-failover/tests/fleet/mod.rs
+++ b/crates/site-failover/tests/fleet/mod.rs
@@ -1,7 +1,7 @@
-//! A small simulated fleet: the cores of three gateways, three sites of four endpoints each, and a clock.
+//! A simulated fleet: the failover cores of three gateways, three sites of four endpoints each, and a clock.
 #![allow(
     dead_code,
-    reason = "each test program that includes this module uses a part of it"
+    reason = "each test program that includes this module uses only some of it"
 )]
 
 use chalkdeck_site_failover::{
@@ -13,14 +13,14 @@
 
 pub const SECOND: TimeDelta = TimeDelta::from_secs(1);
 pub const OBJECTIVE: TimeDelta = millis(500);
-/// The latency of an endpoint without trouble.
+/// An endpoint without faults.
 pub const USUAL: Behavior = Behavior::Answers(millis(40));
-/// Sites, and gateways, one in each site.
+/// The number of sites, and of gateways: there is one at each site.
 const SITES: usize = 3;
 const ENDPOINTS_PER_SITE: usize = 4;
-/// Time between two requests of a gateway.
+/// The time between two requests at a gateway.
 const REQUEST_INTERVAL: TimeDelta = millis(10);
-/// Multiples of it, without their whole part, are spread evenly over 0 to 1.
+/// The fractional parts of its multiples are spread evenly over 0 to 1.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
 
 pub const fn millis(millis: u64) -> TimeDelta {
@@ -35,7 +35,7 @@
     Refuses,
 }
 
-/// An attempt whose end lies ahead.
+/// An attempt in flight and the time of its end.
 struct PendingEnd {
     at: Timestamp,
     gateway: usize,
@@ -44,15 +44,15 @@
 
 pub struct Fleet {
     pub now: Timestamp,
-    /// By gateway.
+    /// The core of each gateway.
     pub cores: Vec<FailoverCore>,
-    /// By gateway, site and endpoint.
+    /// The behavior of each endpoint, by gateway, site and endpoint.
     pub behavior: Vec<Vec<[Behavior; ENDPOINTS_PER_SITE]>>,
     /// When the endpoints of each site started.
-    pub started: Vec<Option<Timestamp>>,
-    /// Whether the list names the endpoints of each site.
+    pub started_at: Vec<Option<Timestamp>>,
+    /// Whether the list contains the endpoints of each site.
     pub is_listed: Vec<bool>,
-    /// Requests by gateway and site.
+    /// The attempts sent, by gateway and site.
     pub sent: Vec<Vec<u64>>,
     pending: VecDeque<PendingEnd>,
     requests: u64,
@@ -69,13 +69,13 @@
     }
 }
 
-pub fn listed_endpoint(endpoint: u64, site: u32, started: Option<Timestamp>) -> EndpointEntry {
+pub fn listed_endpoint(endpoint: u64, site: u32, started_at: Option<Timestamp>) -> EndpointEntry {
     EndpointEntry {
         endpoint: EndpointId(endpoint),
         site: SiteId(site),
         in_service: true,
         weight: 1.0,
-        started,
+        started_at,
     }
 }
 
@@ -87,7 +87,7 @@
                 .map(|site| FailoverCore::new(settings(site)))
                 .collect(),
             behavior: vec![vec![[USUAL; ENDPOINTS_PER_SITE]; SITES]; SITES],
-            started: vec![None; SITES],
+            started_at: vec![None; SITES],
             is_listed: vec![true; SITES],
             sent: vec![vec![0; SITES]; SITES],
             pending: VecDeque::new(),
@@ -97,13 +97,13 @@
         fleet
     }
 
-    /// Gives all gateways the endpoint list.
+    /// Sends the endpoint list to all gateways.
     pub fn publish_list(&mut self) {
         let mut entries = Vec::new();
         for site in (0..SITES).filter(|&site| self.is_listed[site]) {
             for endpoint in 0..ENDPOINTS_PER_SITE {
                 let id = (site * ENDPOINTS_PER_SITE + endpoint) as u64;
-                entries.push(listed_endpoint(id, site as u32, self.started[site]));
+                entries.push(listed_endpoint(id, site as u32, self.started_at[site]));
             }
         }
         for core in &mut self.cores {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Gives all endpoints of a site the same behavior towards all gateways.
+    /// Sets the behavior of all endpoints of a site towards all gateways.
     pub fn set_behavior(&mut self, site: usize, behavior: Behavior) {
         for seen_from_gateway in &mut self.behavior {
             seen_from_gateway[site] = [behavior; ENDPOINTS_PER_SITE];
@@ -130,12 +130,12 @@
         self.site(gateway, site).state
     }
 
-    /// Tells one gateway of an event that happens now.
-    pub fn tell(&mut self, gateway: usize, event: Event) {
+    /// Passes an event that happens now to one gateway.
+    pub fn handle(&mut self, gateway: usize, event: Event) {
         self.cores[gateway].handle(self.now, event);
     }
 
-    /// Sends requests to where the plans say, for that time.
+    /// Sends requests as the plans distribute them, for that time.
     pub fn run(&mut self, span: TimeDelta) {
         let end = self.now + span;
         while self.now < end {
@@ -150,21 +150,21 @@
         }
     }
 
-    /// Runs until the condition holds and returns how long that took. Panics after `most`.
+    /// Runs until the condition holds and returns how long that took. Panics after `max_span`.
     pub fn run_until(
         &mut self,
-        most: TimeDelta,
+        max_span: TimeDelta,
         mut holds: impl FnMut(&mut Fleet) -> bool,
     ) -> TimeDelta {
-        let begin = self.now;
+        let start = self.now;
         while !holds(self) {
             assert!(
-                self.now < begin + most,
-                "the condition does not hold within {most:?}"
+                self.now < start + max_span,
+                "the condition does not hold within {max_span:?}"
             );
             self.run(REQUEST_INTERVAL);
         }
-        self.now - begin
+        self.now - start
     }
 
     fn deliver_ends(&mut self) {
@@ -185,8 +185,8 @@
             value_per_unit: 1.0,
             units: 1.0,
         };
-        self.tell(gateway, offered);
-        // The draws are spread evenly and are the same in each run.
+        self.handle(gateway, offered);
+        // The draws are evenly spread and the same in each run.
         let mut draw = (self.requests as f64 * GOLDEN_RATIO).fract();
         let site = plan.sites.iter().position(|site| {
             draw -= site.share;
@@ -201,7 +201,7 @@
         let endpoint = (self.requests / SITES as u64) as usize % ENDPOINTS_PER_SITE;
         let id = EndpointId((site * ENDPOINTS_PER_SITE + endpoint) as u64);
         self.sent[gateway][site] += 1;
-        self.tell(gateway, Event::AttemptSent(id));
+        self.handle(gateway, Event::AttemptSent(id));
         let (latency, evidence) = match self.behavior[gateway][site][endpoint] {
             Behavior::Answers(latency) => (latency, AttemptEvidence::Answered),
             Behavior::Silent => (OBJECTIVE, AttemptEvidence::TimedOut),
--- a/crates/site-failover/tests/learning.rs
+++ b/crates/site-failover/tests/learning.rs
@@ -1,4 +1,5 @@
-//! What the capacity, the admission level and the ramp learn from answers, and what they must not.
+//! How answers change the learned capacity, the admission level and the recovery ramp, and which answers must not change them.
+
 use chalkdeck_site_failover::admission::AdmissionLevel;
 use chalkdeck_site_failover::capacity::{congestion, LearnedCapacity};
 use chalkdeck_site_failover::ramp::{RampStart, RecoveryRamp};
@@ -7,7 +8,7 @@
 
 const SECOND: TimeDelta = TimeDelta::from_secs(1);
 const OBJECTIVE: TimeDelta = TimeDelta::from_millis(500);
-/// A limit is not learnt from less than this, in units a second.
+/// A throughput below this, in units per second, sets no limit.
 const MIN_LIMIT: f64 = 5.0;
 
 /// A stream of answers of one unit each.
@@ -18,7 +19,7 @@
 }
 
 impl Answers {
-    /// Gives them to the capacity from `start` on and returns their end.
+    /// Records the stream in the capacity from `start` on and returns its end.
     fn record(&self, capacity: &mut LearnedCapacity, start: Timestamp) -> Timestamp {
         let interval = TimeDelta::from_micros(SECOND.as_micros() / self.per_second);
         for number in 0..self.seconds * self.per_second {
@@ -34,7 +35,7 @@
     Timestamp::ZERO + span
 }
 
-/// The part of the objective that this many tenths are.
+/// This many tenths of the latency objective.
 fn tenths_of_objective(tenths: u64) -> TimeDelta {
     TimeDelta::from_micros(OBJECTIVE.as_micros() * tenths / 10)
 }
@@ -54,21 +55,21 @@
 }
 
 #[test]
-fn strained_answers_set_a_limit_near_the_throughput() {
+fn congested_answers_set_a_limit_near_the_throughput() {
     let mut capacity = LearnedCapacity::default();
-    let calm = Answers {
+    let uncongested = Answers {
         seconds: 4,
         per_second: 50,
         congestion: 0.0,
     };
-    let now = calm.record(&mut capacity, at(SECOND));
-    assert_eq!(capacity.limit(), None, "no limit was met");
+    let now = uncongested.record(&mut capacity, at(SECOND));
+    assert_eq!(capacity.limit(), None, "no limit was reached");
     let congested = Answers {
         congestion: 1.0,
-        ..calm
+        ..uncongested
     };
     congested.record(&mut capacity, now);
-    let limit = capacity.limit().expect("a limit was met");
+    let limit = capacity.limit().expect("a limit was reached");
     assert!(
         (40.0..50.0).contains(&limit),
         "{limit} with 50 answers a second"
@@ -76,19 +77,19 @@
 }
 
 #[test]
-fn strain_on_a_small_throughput_sets_no_limit() {
+fn congestion_at_low_throughput_sets_no_limit() {
     let mut capacity = LearnedCapacity::default();
-    let trickle = Answers {
+    let low_rate = Answers {
         seconds: 4,
         per_second: 2,
         congestion: 1.0,
     };
-    trickle.record(&mut capacity, at(SECOND));
+    low_rate.record(&mut capacity, at(SECOND));
     assert_eq!(capacity.limit(), None);
 }
 
 #[test]
-fn limit_that_is_not_met_grows_and_is_forgotten() {
+fn limit_that_is_not_reached_grows_and_is_dropped() {
     let mut capacity = LearnedCapacity::default();
     let congested = Answers {
         seconds: 4,
@@ -96,17 +97,17 @@
         congestion: 1.0,
     };
     let now = congested.record(&mut capacity, at(SECOND));
-    let trickle = Answers {
+    let low_rate = Answers {
         seconds: 60,
         per_second: 5,
         congestion: 0.0,
     };
-    trickle.record(&mut capacity, now);
+    low_rate.record(&mut capacity, now);
     assert_eq!(capacity.limit(), None);
 }
 
 #[test]
-fn short_congestion_does_not_shed_what_is_borne() {
+fn short_congestion_does_not_shed_load_that_is_served() {
     let mut level = AdmissionLevel::default();
     for _ in 0..200 {
         complete(&mut level, FinalAnswer::Served, OBJECTIVE, 0.8);
@@ -120,7 +121,7 @@
 }
 
 #[test]
-fn wait_in_vain_lowers_admission_more_than_a_late_answer_and_an_early_rejection_not_at_all() {
+fn late_rejection_lowers_admission_more_than_a_late_answer_and_early_rejection_not_at_all() {
     let level_after = |answer: FinalAnswer, latency: TimeDelta| {
         let mut level = AdmissionLevel(0.9);
         complete(&mut level, answer, latency, 0.0);
@@ -136,7 +137,7 @@
 }
 
 #[test]
-fn strain_grows_with_the_part_of_the_objective_that_an_answer_took() {
+fn congestion_grows_with_latency_relative_to_the_objective() {
     let quarter = TimeDelta::from_micros(OBJECTIVE.as_micros() / 4);
     assert_eq!(
         (
@@ -148,9 +149,9 @@
     assert!((congestion(tenths_of_objective(6), OBJECTIVE) - 0.5).abs() < 1e-6);
 }
 
-/// Gives a ramp answers at `now`, lets a second pass, and returns its part.
-fn part_after(ramp: &mut RecoveryRamp, now: &mut Timestamp, in_time: u32, late: u32) -> f64 {
-    for _ in 0..in_time {
+/// Records timely and late answers at `now`, advances the ramp by a second, and returns its fraction.
+fn fraction_after(ramp: &mut RecoveryRamp, now: &mut Timestamp, timely: u32, late: u32) -> f64 {
+    for _ in 0..timely {
         ramp.record_attempt(*now, 0.0);
     }
     for _ in 0..late {
@@ -162,35 +163,35 @@
 }
 
 #[test]
-fn answers_in_time_earn_a_step_and_late_ones_undo_it() {
+fn timely_answers_lead_to_a_step_up_and_late_ones_to_a_step_down() {
     let mut now = Timestamp::ZERO;
     let mut ramp = RecoveryRamp::new(now, 7, RampStart::Cold);
     let first = ramp.fraction();
     assert_eq!(
-        part_after(&mut ramp, &mut now, 2, 0),
+        fraction_after(&mut ramp, &mut now, 2, 0),
         first,
-        "two answers earn nothing"
+        "two timely answers are too few for a step up"
     );
-    let second = part_after(&mut ramp, &mut now, 2, 0);
+    let second = fraction_after(&mut ramp, &mut now, 2, 0);
     assert!(second > first);
     assert_eq!(
-        part_after(&mut ramp, &mut now, 0, 1),
+        fraction_after(&mut ramp, &mut now, 0, 1),
         second,
-        "one late answer undoes nothing"
+        "one late answer is too few for a step down"
     );
     assert!(
-        part_after(&mut ramp, &mut now, 0, 1) < second,
-        "two are a step back"
+        fraction_after(&mut ramp, &mut now, 0, 1) < second,
+        "two late answers lead to a step down"
     );
     let low = ramp.fraction();
     assert!(
-        part_after(&mut ramp, &mut now, 9, 2) >= low,
-        "a few late answers among many undo nothing"
+        fraction_after(&mut ramp, &mut now, 9, 2) >= low,
+        "a few late answers among many lead to no step down"
     );
 }
 
 #[test]
-fn recovery_that_no_load_needs_ends_with_warm_endpoints_and_answers_in_time() {
+fn recovery_without_load_ends_once_endpoints_are_warm_and_answers_are_timely() {
     let mut ramp = RecoveryRamp::new(Timestamp::ZERO, 7, RampStart::Warm);
     for _ in 0..4 {
         ramp.record_attempt(at(SECOND), 0.0);
@@ -203,7 +204,7 @@
     ramp.record_attempt(at(SECOND * 12), 1.0);
     assert!(
         !ramp.is_complete(at(SECOND * 13), 1.0),
-        "a late answer begins the row anew"
+        "a late answer resets the count of consecutive timely answers"
     );
 }
 
--- a/crates/site-failover/tests/properties.rs
+++ b/crates/site-failover/tests/properties.rs
@@ -1,4 +1,5 @@
-//! What must hold for any numbers.
+//! Property tests of load distribution, load shedding, recovery ramps and the backoff after losses.
+
 use chalkdeck_site_failover::distribution::{distribute, SiteCapacity};
 use chalkdeck_site_failover::loss_backoff::{LossBackoff, MAX_BACKOFF};
 use chalkdeck_site_failover::ramp::{RampStart, RecoveryRamp};
@@ -6,7 +7,7 @@
 use chalkdeck_time::{TimeDelta, Timestamp};
 use proptest::prelude::*;
 
-/// Values that differ by less than this, as a logarithm to the base 2, may count as equal.
+/// Values whose base-2 logarithms differ by less than this may count as equal.
 const BUCKET_WIDTH: f64 = 0.13;
 
 fn any_site() -> impl Strategy<Value = SiteCapacity> {
@@ -40,7 +41,7 @@
     }
 
     #[test]
-    fn more_admission_never_sheds_more_and_valuable_requests_are_never_shed_before_others(
+    fn higher_admission_never_sheds_more_and_valuable_requests_are_shed_last(
         offered in prop::collection::vec((0.01..1e3f64, 0.1..10.0f64), 1..40),
         admission in 0.0..1.0f64, other_admission in 0.0..1.0f64,
         value in 0.01..1e3f64, other_value in 0.01..1e3f64,
@@ -56,7 +57,7 @@
         prop_assert!(lower.admitted_fraction(least) <= lower.admitted_fraction(most) + 1e-9);
         let total: f64 = offered.iter().map(|(_, units)| units).sum();
         let admitted: f64 = offered.iter().map(|(value, units)| units * higher.admitted_fraction(*value)).sum();
-        // The units of one bucket, whose values count as equal.
+        // An upper bound of the units in the bucket of `value`. Only one bucket is admitted in part.
         let units_near = |value: f64| -> f64 {
             let is_own_site = |other: f64| (other / value).log2().abs() < BUCKET_WIDTH;
             offered.iter().filter(|(other, _)| is_own_site(*other)).map(|(_, units)| units).sum()
@@ -67,7 +68,7 @@
     }
 
     #[test]
-    fn recovery_never_exceeds_what_cold_endpoints_bear(
+    fn recovery_never_exceeds_what_cold_endpoints_can_serve(
         answers in prop::collection::vec((0.0..1.0f64, 0u64..300_000, 0.05..1.0f64), 1..300), seed: u64,
     ) {
         let mut now = Timestamp::ZERO;
@@ -82,7 +83,7 @@
     }
 
     #[test]
-    fn losses_are_never_closer_than_the_hold_outs_allow(gaps in prop::collection::vec(0u64..5_000_000, 1..40)) {
+    fn losses_are_never_closer_than_the_backoff_allows(gaps in prop::collection::vec(0u64..5_000_000, 1..40)) {
         let mut backoff = LossBackoff::default();
         let mut now = Timestamp::ZERO;
         let mut losses = 0u32;
@@ -92,7 +93,7 @@
             losses += 1;
             prop_assert!(backoff.until() - now <= MAX_BACKOFF);
         }
-        // 1, 2, 4, 8, 16, 32 seconds and so on: the stated rate.
+        // The backoff doubles from 1 to 32 seconds and stays there.
         let least_seconds: u64 = (1..losses).map(|loss| 1 << (loss - 1).min(5)).sum();
         prop_assert!(now - Timestamp::ZERO >= TimeDelta::from_secs(least_seconds));
     }
--- a/crates/site-failover/tests/recorded_plans.rs
+++ b/crates/site-failover/tests/recorded_plans.rs
@@ -1,29 +1,30 @@
-//! Plans are the same as those recorded from commit 129cb7d, bit for bit.
+//! Regression test: the plans must equal those recorded from commit 129cb7d, bit for bit.
 //!
-//! Each seed draws settings and plays a closed loop of one gateway with sites whose servers slow down, fall silent, refuse
-//! connections and restart, with lists, overrides and a counter. All numbers of the plans go into a digest. The recorded line also
-//! counts events, and plans by state, so that a difference can be read.
+//! Each seed draws settings and simulates a closed loop of one gateway and several sites whose endpoints slow down, stop answering,
+//! refuse connections and restart, with changing endpoint lists, overrides and a shared counter. A digest covers all numbers of the
+//! plans. Each recorded line also counts events, and plans by site state, which helps to interpret a difference.
 //!
-//! The figures go through `exp`, `exp2` and `log2` of the C library, so a machine whose library rounds these otherwise may differ.
+//! The computation uses `exp`, `exp2` and `log2` of the C library, so the digests may differ on a machine whose library rounds
+//! these differently.
 
 mod recording;
 
-use recording::{play, EVENTS_PER_SEED, STATES};
+use recording::{replay, EVENTS_PER_SEED, STATES};
 
 const RECORDED: &str = include_str!("recorded_plans.txt");
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=24;
-/// A state that fewer seeds reach is not held by this record.
-const LEAST_SEEDS_WITH_STATE: usize = 5;
+/// The record covers a state only if at least this many seeds reach it.
+const MIN_SEEDS_PER_STATE: usize = 5;
 
 #[test]
 fn replayed_event_streams_give_the_recorded_plans() {
-    let played: Vec<String> = SEEDS.map(|seed| play(seed).to_string()).collect();
+    let replayed: Vec<String> = SEEDS.map(|seed| replay(seed).to_string()).collect();
     let recorded: Vec<&str> = RECORDED.lines().collect();
     assert_eq!(
-        played,
+        replayed,
         recorded,
-        "the plans differ; played:\n{}\n",
-        played.join("\n")
+        "the plans differ; replayed:\n{}\n",
+        replayed.join("\n")
     );
 }
 
@@ -38,8 +39,8 @@
             .filter(|line| !line.contains(&format!(" {kind}=0 ")))
             .count();
         assert!(
-            reached >= LEAST_SEEDS_WITH_STATE,
-            "{kind} is reached by {reached} seeds only"
+            reached >= MIN_SEEDS_PER_STATE,
+            "only {reached} seeds reach {kind}"
         );
     }
 }
--- a/crates/site-failover/tests/recording/mod.rs
+++ b/crates/site-failover/tests/recording/mod.rs
@@ -1,4 +1,4 @@
-//! One gateway in a closed loop with simulated sites; the plans that it makes are digested.
+//! Simulates one gateway in a closed loop with several sites, and computes a digest of its plans.
 
 mod sites;
 
@@ -8,13 +8,13 @@
 };
 use chalkdeck_time::{TimeDelta, Timestamp};
 use fastrand::Rng;
-use sites::{Condition, SimulatedSites};
+use sites::{Behavior, SimulatedSites};
 use std::collections::BTreeMap;
 use std::fmt::{self, Display};
 
-/// Events that one seed plays.
+/// The events of one seed.
 pub const EVENTS_PER_SEED: u64 = 6_000;
-/// Texts of all states, as operators read them.
+/// The names of all states, as operators read them.
 pub const STATES: [&str; 6] = [
     "serving",
     "doubtful",
@@ -23,16 +23,17 @@
     "returning",
     "held out",
 ];
+/// In microseconds, like all times of the simulation.
 pub const MILLISECOND: u64 = 1_000;
 pub const SECOND: u64 = 1_000_000;
-/// The latency objective of every request.
+/// The latency objective of every request, in microseconds.
 const OBJECTIVE: u64 = 500 * MILLISECOND;
-/// A plan is taken and digested after so many events.
+/// A plan is computed and digested each time after this many events.
 const EVENTS_PER_PLAN: u64 = 4;
-/// A server and a site that no list names.
+/// The id of an endpoint and of a site that no list contains.
 const UNKNOWN: u32 = 999;
 
-/// What one seed came to, as one line of the recorded file.
+/// The result of one seed, as one line of the recorded file.
 pub struct Summary {
     seed: u64,
     events: u64,
@@ -57,18 +58,18 @@
     }
 }
 
-/// Plays a seed and returns what it came to.
-pub fn play(seed: u64) -> Summary {
-    let mut player = Player::new(seed);
-    while player.events < EVENTS_PER_SEED {
-        player.step();
+/// Simulates a seed and returns the result.
+pub fn replay(seed: u64) -> Summary {
+    let mut simulation = Simulation::new(seed);
+    while simulation.events < EVENTS_PER_SEED {
+        simulation.step();
     }
     Summary {
         seed,
-        events: player.events,
-        plans: player.plans,
-        counts: player.counts,
-        digest: player.digest.0,
+        events: simulation.events,
+        plans: simulation.plans,
+        counts: simulation.counts,
+        digest: simulation.digest.0,
     }
 }
 
@@ -89,21 +90,21 @@
     }
 }
 
-/// An attempt without its outcome yet.
-struct OpenAttempt {
-    server: u64,
+/// An attempt in flight, with the outcome that it will have.
+struct PendingAttempt {
+    endpoint: u64,
     evidence: AttemptEvidence,
-    took: u64,
+    latency: u64,
     units: f64,
 }
 
-struct Player {
-    random: Rng,
+struct Simulation {
+    rng: Rng,
     core: FailoverCore,
     now: u64,
     sites: SimulatedSites,
-    /// By the time of their ends and a number.
-    open: BTreeMap<(u64, u64), OpenAttempt>,
+    /// Attempts in flight by the time of their end and their number.
+    pending: BTreeMap<(u64, u64), PendingAttempt>,
     next_attempt: u64,
     counter_answers: bool,
     events: u64,
@@ -112,25 +113,25 @@
     digest: Digest,
 }
 
-impl Player {
-    fn new(seed: u64) -> Player {
-        let mut random = Rng::with_seed(seed);
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
+        let mut rng = Rng::with_seed(seed);
         let settings = FailoverSettings {
             own_site: SiteId(0),
-            gateway_index: random.u32(0..20),
-            gateway_count: random.u32(1..120),
-            slow_start_min_capacity: 0.1 + random.f64() * 0.5,
-            slow_start_duration: TimeDelta::from_secs(random.u64(1..8)),
-            overload_multiple: 1.0 + random.f64() * 2.0,
+            gateway_index: rng.u32(0..20),
+            gateway_count: rng.u32(1..120),
+            slow_start_min_capacity: 0.1 + rng.f64() * 0.5,
+            slow_start_duration: TimeDelta::from_secs(rng.u64(1..8)),
+            overload_multiple: 1.0 + rng.f64() * 2.0,
         };
         let now = SECOND;
-        let sites = SimulatedSites::new(&mut random);
-        let mut player = Player {
-            random,
+        let sites = SimulatedSites::new(&mut rng);
+        let mut simulation = Simulation {
+            rng,
             core: FailoverCore::new(settings),
             now,
             sites,
-            open: BTreeMap::new(),
+            pending: BTreeMap::new(),
             next_attempt: 0,
             counter_answers: true,
             events: 0,
@@ -138,11 +139,11 @@
             counts: BTreeMap::new(),
             digest: Digest(0xcbf2_9ce4_8422_2325),
         };
-        player.list();
-        player
+        simulation.publish_list();
+        simulation
     }
 
-    fn tell(&mut self, at: u64, event: Event) {
+    fn handle(&mut self, at: u64, event: Event) {
         self.core.handle(Timestamp::from_micros(at), event);
         self.events += 1;
         if self.events.is_multiple_of(EVENTS_PER_PLAN) {
@@ -159,160 +160,160 @@
 
     fn step(&mut self) {
         self.advance();
-        match self.random.u32(0..1_000) {
-            0..700 => self.request(),
-            700..790 => self.report_places(),
-            790..890 => self.final_answer(),
-            890..930 => self.ask_counter(),
-            930..955 => self.list(),
-            955..962 => self.operator_override(),
+        match self.rng.u32(0..1_000) {
+            0..700 => self.send_request(),
+            700..790 => self.report_concurrency(),
+            790..890 => self.complete_request(),
+            890..930 => self.call_counter(),
+            930..955 => self.publish_list(),
+            955..962 => self.set_override(),
             962..967 => self.counter_answers = !self.counter_answers,
-            967..970 => self.sites.remove_or_add(&mut self.random),
-            _ => self.sites.change(&mut self.random, self.now),
+            967..970 => self.sites.change_list(&mut self.rng),
+            _ => self.sites.change_behavior(&mut self.rng, self.now),
         }
     }
 
-    /// Moves the clock on and delivers the outcomes that are due.
+    /// Advances the clock and delivers the outcomes that are due.
     fn advance(&mut self) {
-        self.now += match self.random.u32(0..2_000) {
+        self.now += match self.rng.u32(0..2_000) {
             0 => 700 * SECOND,
-            1..6 => self.random.u64(1..150) * SECOND,
-            6..60 => self.random.u64(1..2_000) * MILLISECOND,
-            _ => self.random.u64(0..30) * MILLISECOND,
+            1..6 => self.rng.u64(1..150) * SECOND,
+            6..60 => self.rng.u64(1..2_000) * MILLISECOND,
+            _ => self.rng.u64(0..30) * MILLISECOND,
         };
-        while let Some(entry) = self.open.first_entry().filter(|e| e.key().0 <= self.now) {
+        while let Some(entry) = self.pending.first_entry().filter(|e| e.key().0 <= self.now) {
             let (at, _) = *entry.key();
             let attempt = entry.remove();
             let ended = EndedAttempt {
-                endpoint: EndpointId(attempt.server),
+                endpoint: EndpointId(attempt.endpoint),
                 evidence: attempt.evidence,
-                latency: TimeDelta::from_micros(attempt.took),
+                latency: TimeDelta::from_micros(attempt.latency),
                 objective: TimeDelta::from_micros(OBJECTIVE),
                 units: attempt.units,
             };
-            self.tell(at, Event::AttemptEnded(ended));
+            self.handle(at, Event::AttemptEnded(ended));
         }
     }
 
-    fn request(&mut self) {
-        let worth = match self.random.u32(0..20) {
+    fn send_request(&mut self) {
+        let value_per_unit = match self.rng.u32(0..20) {
             0 => 0.0,
-            n => f64::from(n) * self.random.f64() * 10.0,
+            n => f64::from(n) * self.rng.f64() * 10.0,
         };
-        let units = 0.5 + self.random.f64() * 4.0;
+        let units = 0.5 + self.rng.f64() * 4.0;
         let offered = Event::RequestOffered {
-            value_per_unit: worth,
+            value_per_unit,
             units,
         };
-        self.tell(self.now, offered);
+        self.handle(self.now, offered);
         let plan = self.plan(self.now);
-        if self.random.f64() >= plan.threshold.admitted_fraction(worth) {
-            return self.complete(FinalAnswer::Rejected, OBJECTIVE / 4);
+        if self.rng.f64() >= plan.threshold.admitted_fraction(value_per_unit) {
+            return self.report_completion(FinalAnswer::Rejected, OBJECTIVE / 4);
         }
-        let server = match self.random.u32(0..100) {
+        let endpoint = match self.rng.u32(0..100) {
             0 => u64::from(UNKNOWN),
-            1..25 => self.sites.any_server(&mut self.random),
-            _ => self.server_by_share(&plan),
+            1..25 => self.sites.draw_endpoint(&mut self.rng),
+            _ => self.draw_endpoint_by_share(&plan),
         };
-        self.tell(self.now, Event::AttemptSent(EndpointId(server)));
-        let (took, evidence) = self.outcome(server);
-        let attempt = OpenAttempt {
-            server,
+        self.handle(self.now, Event::AttemptSent(EndpointId(endpoint)));
+        let (latency, evidence) = self.draw_outcome(endpoint);
+        let attempt = PendingAttempt {
+            endpoint,
             evidence,
-            took,
+            latency,
             units,
         };
         self.next_attempt += 1;
-        self.open
-            .insert((self.now + took, self.next_attempt), attempt);
+        self.pending
+            .insert((self.now + latency, self.next_attempt), attempt);
     }
 
-    fn server_by_share(&mut self, plan: &FailoverPlan) -> u64 {
-        let mut draw = self.random.f64();
-        let site = plan.sites.iter().find(|view| {
-            draw -= view.share;
+    fn draw_endpoint_by_share(&mut self, plan: &FailoverPlan) -> u64 {
+        let mut draw = self.rng.f64();
+        let site = plan.sites.iter().find(|site_plan| {
+            draw -= site_plan.share;
             draw < 0.0
         });
         match site {
-            Some(view) => self.sites.server_of(view.site.0, &mut self.random),
-            None => self.sites.any_server(&mut self.random),
+            Some(site_plan) => self.sites.draw_endpoint_of(site_plan.site.0, &mut self.rng),
+            None => self.sites.draw_endpoint(&mut self.rng),
         }
     }
 
-    fn outcome(&mut self, server: u64) -> (u64, AttemptEvidence) {
-        if self.random.u32(0..60) == 0 {
-            return (self.random.u64(1..OBJECTIVE), AttemptEvidence::Cancelled);
+    fn draw_outcome(&mut self, endpoint: u64) -> (u64, AttemptEvidence) {
+        if self.rng.u32(0..60) == 0 {
+            return (self.rng.u64(1..OBJECTIVE), AttemptEvidence::Cancelled);
         }
-        match self.sites.condition(server) {
-            Condition::Answers { latency } => {
-                let took = latency / 2 + self.random.u64(0..latency);
-                (took, AttemptEvidence::Answered)
+        match self.sites.behavior(endpoint) {
+            Behavior::Answers { mean_latency } => {
+                let latency = mean_latency / 2 + self.rng.u64(0..mean_latency);
+                (latency, AttemptEvidence::Answered)
             }
-            Condition::Full => (2 * MILLISECOND, AttemptEvidence::Rejected),
-            Condition::Silent => (OBJECTIVE, AttemptEvidence::TimedOut),
-            Condition::Refuses => (MILLISECOND, AttemptEvidence::Unreachable),
+            Behavior::Rejects => (2 * MILLISECOND, AttemptEvidence::Rejected),
+            Behavior::Silent => (OBJECTIVE, AttemptEvidence::TimedOut),
+            Behavior::Refuses => (MILLISECOND, AttemptEvidence::Unreachable),
         }
     }
 
-    fn report_places(&mut self) {
-        let mut open: BTreeMap<u64, f64> = BTreeMap::new();
-        for attempt in self.open.values() {
-            *open.entry(attempt.server).or_default() += 1.0;
+    fn report_concurrency(&mut self) {
+        let mut in_flight: BTreeMap<u64, f64> = BTreeMap::new();
+        for attempt in self.pending.values() {
+            *in_flight.entry(attempt.endpoint).or_default() += 1.0;
         }
-        let most = f64::from(self.random.u32(1..12));
-        let reported: Vec<EndpointConcurrency> = open
+        let limit = f64::from(self.rng.u32(1..12));
+        let reported: Vec<EndpointConcurrency> = in_flight
             .iter()
-            .map(|(server, in_flight)| EndpointConcurrency {
-                endpoint: EndpointId(*server),
+            .map(|(endpoint, in_flight)| EndpointConcurrency {
+                endpoint: EndpointId(*endpoint),
                 in_flight: *in_flight,
-                limit: most,
+                limit,
             })
             .collect();
-        self.tell(self.now, Event::ConcurrencyReported(&reported));
+        self.handle(self.now, Event::ConcurrencyReported(&reported));
     }
 
-    fn final_answer(&mut self) {
-        let most = match self.random.u32(0..6) {
+    fn complete_request(&mut self) {
+        let max_latency = match self.rng.u32(0..6) {
             0 => OBJECTIVE * 6 / 5,
             _ => OBJECTIVE / 3,
         };
-        let waited = self.random.u64(0..most);
-        let answer = match self.random.u32(0..10) {
+        let latency = self.rng.u64(0..max_latency);
+        let answer = match self.rng.u32(0..10) {
             0 => FinalAnswer::Rejected,
             _ => FinalAnswer::Served,
         };
-        self.complete(answer, waited);
+        self.report_completion(answer, latency);
     }
 
-    fn complete(&mut self, answer: FinalAnswer, waited: u64) {
+    fn report_completion(&mut self, answer: FinalAnswer, latency: u64) {
         let completed = CompletedRequest {
             answer,
-            latency: TimeDelta::from_micros(waited),
+            latency: TimeDelta::from_micros(latency),
             objective: TimeDelta::from_micros(OBJECTIVE),
         };
-        self.tell(self.now, Event::RequestCompleted(completed));
+        self.handle(self.now, Event::RequestCompleted(completed));
     }
 
-    fn ask_counter(&mut self) {
+    fn call_counter(&mut self) {
         let event = if self.counter_answers {
             Event::CounterAnswered
         } else {
             Event::CounterFailed
         };
-        self.tell(self.now, event);
+        self.handle(self.now, event);
     }
 
-    fn list(&mut self) {
-        let lines = self.sites.list(self.now);
-        self.tell(self.now, Event::EndpointListUpdated(&lines));
+    fn publish_list(&mut self) {
+        let entries = self.sites.entries(self.now);
+        self.handle(self.now, Event::EndpointListUpdated(&entries));
     }
 
-    fn operator_override(&mut self) {
-        let site = match self.random.u32(0..20) {
+    fn set_override(&mut self) {
+        let site = match self.rng.u32(0..20) {
             0 => UNKNOWN,
-            _ => self.sites.any_site(&mut self.random),
+            _ => self.sites.draw_site(&mut self.rng),
         };
-        let site_override = match self.random.u32(0..8) {
+        let site_override = match self.rng.u32(0..8) {
             0 => SiteOverride::Drain,
             1 => SiteOverride::HoldOut,
             _ => SiteOverride::Restore,
@@ -321,7 +322,7 @@
             site: SiteId(site),
             site_override,
         };
-        self.tell(self.now, event);
+        self.handle(self.now, event);
     }
 
     fn count(&mut self, kind: &str) {
@@ -336,26 +337,33 @@
         if plan.threshold.admit_above > 0.0 {
             self.count("shedding");
         }
-        if plan.sites.iter().any(|view| view.capacity.is_some()) {
+        if plan
+            .sites
+            .iter()
+            .any(|site_plan| site_plan.capacity.is_some())
+        {
             self.count("limited");
         }
-        for view in &plan.sites {
-            self.count(view.state.name());
-            self.digest.add(u64::from(view.site.0));
-            self.digest.add_bytes(view.state.name().as_bytes());
-            self.digest.add(u64::from(view.state == SiteState::Serving));
-            self.digest.add(view.state_since.as_micros());
-            self.digest.add(view.evidence.listed_endpoints as u64);
-            self.digest.add(view.evidence.silent_endpoints as u64);
-            self.digest.add(view.evidence.silence.as_micros());
-            self.digest.add(u64::from(view.evidence.losses));
-            self.digest.add(view.evidence.backoff_until.as_micros());
-            self.digest.add_bytes(view.evidence.to_string().as_bytes());
-            self.digest.add_f64(view.share);
-            self.digest.add_f64(view.capacity.unwrap_or(-1.0));
-            self.digest.add_f64(view.ramp_fraction);
-            self.digest.add_f64(view.concurrency.in_flight);
-            self.digest.add_f64(view.concurrency.limit);
+        for site_plan in &plan.sites {
+            self.count(site_plan.state.name());
+            self.digest.add(u64::from(site_plan.site.0));
+            self.digest.add_bytes(site_plan.state.name().as_bytes());
+            self.digest
+                .add(u64::from(site_plan.state == SiteState::Serving));
+            self.digest.add(site_plan.state_since.as_micros());
+            self.digest.add(site_plan.evidence.listed_endpoints as u64);
+            self.digest.add(site_plan.evidence.silent_endpoints as u64);
+            self.digest.add(site_plan.evidence.silence.as_micros());
+            self.digest.add(u64::from(site_plan.evidence.losses));
+            self.digest
+                .add(site_plan.evidence.backoff_until.as_micros());
+            self.digest
+                .add_bytes(site_plan.evidence.to_string().as_bytes());
+            self.digest.add_f64(site_plan.share);
+            self.digest.add_f64(site_plan.capacity.unwrap_or(-1.0));
+            self.digest.add_f64(site_plan.ramp_fraction);
+            self.digest.add_f64(site_plan.concurrency.in_flight);
+            self.digest.add_f64(site_plan.concurrency.limit);
         }
     }
 }
--- a/crates/site-failover/tests/recording/sites.rs
+++ b/crates/site-failover/tests/recording/sites.rs
@@ -1,135 +1,141 @@
-//! Sites of servers whose condition changes in the course of a stream.
+//! Simulated sites of endpoints whose behavior changes over time.
 
 use super::{MILLISECOND, SECOND};
 use chalkdeck_site_failover::{EndpointEntry, EndpointId, SiteId};
 use chalkdeck_time::Timestamp;
 use fastrand::Rng;
 
-/// How a server behaves towards the gateway.
+/// How an endpoint behaves towards the gateway.
 #[derive(Clone, Copy)]
-pub enum Condition {
-    Answers { latency: u64 },
-    Full,
+pub enum Behavior {
+    Answers { mean_latency: u64 },
+    Rejects,
     Silent,
     Refuses,
 }
 
-struct Server {
+struct Endpoint {
     id: u64,
     site: u32,
-    condition: Condition,
-    started: Option<u64>,
+    behavior: Behavior,
+    started_at: Option<u64>,
     in_service: bool,
     is_listed: bool,
     weight: f64,
 }
 
 pub struct SimulatedSites {
-    servers: Vec<Server>,
+    endpoints: Vec<Endpoint>,
     sites: u32,
 }
 
-/// The latency of a server without load.
-const USUAL: Condition = Condition::Answers {
-    latency: 40 * MILLISECOND,
+/// The behavior of an endpoint without faults.
+const USUAL: Behavior = Behavior::Answers {
+    mean_latency: 40 * MILLISECOND,
 };
 
 impl SimulatedSites {
-    pub fn new(random: &mut Rng) -> SimulatedSites {
-        let sites = random.u32(2..6);
-        let mut servers = Vec::new();
+    pub fn new(rng: &mut Rng) -> SimulatedSites {
+        let sites = rng.u32(2..6);
+        let mut endpoints = Vec::new();
         for site in 0..sites {
-            for _ in 0..random.u64(1..6) {
-                servers.push(Server {
-                    id: servers.len() as u64,
+            for _ in 0..rng.u64(1..6) {
+                endpoints.push(Endpoint {
+                    id: endpoints.len() as u64,
                     site,
-                    condition: USUAL,
-                    started: (random.u32(0..4) == 0).then_some(random.u64(0..SECOND)),
+                    behavior: USUAL,
+                    started_at: (rng.u32(0..4) == 0).then_some(rng.u64(0..SECOND)),
                     in_service: true,
                     is_listed: true,
-                    weight: f64::from(random.u32(0..5)),
+                    weight: f64::from(rng.u32(0..5)),
                 });
             }
         }
-        SimulatedSites { servers, sites }
+        SimulatedSites { endpoints, sites }
     }
 
-    pub fn any_site(&self, random: &mut Rng) -> u32 {
-        random.u32(0..self.sites)
+    pub fn draw_site(&self, rng: &mut Rng) -> u32 {
+        rng.u32(0..self.sites)
     }
 
-    pub fn any_server(&self, random: &mut Rng) -> u64 {
-        self.servers[random.usize(0..self.servers.len())].id
+    pub fn draw_endpoint(&self, rng: &mut Rng) -> u64 {
+        self.endpoints[rng.usize(0..self.endpoints.len())].id
     }
 
-    pub fn server_of(&self, site: u32, random: &mut Rng) -> u64 {
+    pub fn draw_endpoint_of(&self, site: u32, rng: &mut Rng) -> u64 {
         let of_site: Vec<u64> = self
-            .servers
+            .endpoints
             .iter()
-            .filter(|server| server.site == site)
-            .map(|server| server.id)
+            .filter(|endpoint| endpoint.site == site)
+            .map(|endpoint| endpoint.id)
             .collect();
-        of_site[random.usize(0..of_site.len())]
+        of_site[rng.usize(0..of_site.len())]
     }
 
-    /// A server that no site has never answers.
-    pub fn condition(&self, id: u64) -> Condition {
-        let server = self.servers.iter().find(|server| server.id == id);
-        server.map_or(Condition::Silent, |server| server.condition)
+    /// The behavior of an endpoint; an unknown endpoint never answers.
+    pub fn behavior(&self, id: u64) -> Behavior {
+        let endpoint = self.endpoints.iter().find(|endpoint| endpoint.id == id);
+        endpoint.map_or(Behavior::Silent, |endpoint| endpoint.behavior)
     }
 
-    /// Gives one server, one site or all sites but the gateway's own a new condition.
-    pub fn change(&mut self, random: &mut Rng, now: u64) {
-        let condition = match random.u32(0..12) {
-            0 => Condition::Full,
-            1 | 2 => Condition::Silent,
-            3 => Condition::Refuses,
-            4 | 5 => Condition::Answers {
-                latency: random.u64(100..600) * MILLISECOND,
+    /// Changes the behavior of one endpoint, of one site, or of all sites but the gateway's own.
+    pub fn change_behavior(&mut self, rng: &mut Rng, now: u64) {
+        let behavior = match rng.u32(0..12) {
+            0 => Behavior::Rejects,
+            1 | 2 => Behavior::Silent,
+            3 => Behavior::Refuses,
+            4 | 5 => Behavior::Answers {
+                mean_latency: rng.u64(100..600) * MILLISECOND,
             },
             _ => USUAL,
         };
-        let restarts = random.u32(0..5) == 0;
-        let site = self.any_site(random);
-        let one = self.any_server(random);
-        let scope = random.u32(0..7);
-        for server in &mut self.servers {
-            let is_meant = match scope {
-                0 => server.id == one,
-                1..4 => server.site != 0,
-                _ => server.site == site,
+        let has_restarted = rng.u32(0..5) == 0;
+        let site = self.draw_site(rng);
+        let endpoint_id = self.draw_endpoint(rng);
+        let scope = rng.u32(0..7);
+        for endpoint in &mut self.endpoints {
+            let is_affected = match scope {
+                0 => endpoint.id == endpoint_id,
+                1..4 => endpoint.site != 0,
+                _ => endpoint.site == site,
             };
-            if is_meant {
-                server.condition = condition;
-                server.started = if restarts { Some(now) } else { server.started };
+            if is_affected {
+                endpoint.behavior = behavior;
+                endpoint.started_at = if has_restarted {
+                    Some(now)
+                } else {
+                    endpoint.started_at
+                };
             }
         }
     }
 
-    /// Takes a site out of the list or names it again, or puts a server out of service or back.
-    pub fn remove_or_add(&mut self, random: &mut Rng) {
-        if random.bool() {
-            let index = random.usize(0..self.servers.len());
-            self.servers[index].in_service = !self.servers[index].in_service;
+    /// Removes a site from the list or adds it again, or takes an endpoint out of service or puts it back.
+    pub fn change_list(&mut self, rng: &mut Rng) {
+        if rng.bool() {
+            let index = rng.usize(0..self.endpoints.len());
+            self.endpoints[index].in_service = !self.endpoints[index].in_service;
             return;
         }
-        let site = self.any_site(random);
-        let is_listed = random.u32(0..3) > 0;
-        for server in self.servers.iter_mut().filter(|s| s.site == site) {
-            server.is_listed = is_listed;
+        let site = self.draw_site(rng);
+        let is_listed = rng.u32(0..3) > 0;
+        for endpoint in self.endpoints.iter_mut().filter(|s| s.site == site) {
+            endpoint.is_listed = is_listed;
         }
     }
 
-    /// The lines of the server list.
-    pub fn list(&self, now: u64) -> Vec<EndpointEntry> {
-        let listed = self.servers.iter().filter(|server| server.is_listed);
-        let line = |server: &Server| EndpointEntry {
-            endpoint: EndpointId(server.id),
-            site: SiteId(server.site),
-            in_service: server.in_service,
-            weight: server.weight,
-            started: server.started.map(|at| Timestamp::from_micros(at.min(now))),
+    /// The entries of the endpoint list.
+    pub fn entries(&self, now: u64) -> Vec<EndpointEntry> {
+        let listed = self.endpoints.iter().filter(|endpoint| endpoint.is_listed);
+        let entry = |endpoint: &Endpoint| EndpointEntry {
+            endpoint: EndpointId(endpoint.id),
+            site: SiteId(endpoint.site),
+            in_service: endpoint.in_service,
+            weight: endpoint.weight,
+            started_at: endpoint
+                .started_at
+                .map(|at| Timestamp::from_micros(at.min(now))),
         };
-        listed.map(line).collect()
+        listed.map(entry).collect()
     }
 }
--- a/crates/site-failover/tests/recovery.rs
+++ b/crates/site-failover/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! How a site comes back: by steps, after a hold-out, and under an operator's override.
+//! Recovery of a site: along the recovery ramp, after the backoff, and with an operator's override.
 mod fleet;
 
 use chalkdeck_site_failover::{Event, FailoverCore, SiteId, SiteOverride, SiteState};
@@ -11,7 +11,7 @@
         site,
         site_override,
     };
-    fleet.tell(0, event);
+    fleet.handle(0, event);
 }
 
 #[test]
@@ -22,7 +22,7 @@
     fleet.run_until(SECOND * 2, |fleet| fleet.state(0, 0) == SiteState::Lost);
     fleet.run(SECOND * 5);
     fleet.set_behavior(0, USUAL);
-    fleet.started[0] = Some(fleet.now);
+    fleet.started_at[0] = Some(fleet.now);
     fleet.publish_list();
     fleet.run_until(SECOND * 10, |fleet| {
         fleet.state(0, 0) == SiteState::Returning
@@ -38,12 +38,12 @@
     assert!(steps.len() >= 6, "{steps:?}");
     assert!(
         steps.windows(2).all(|pair| pair[1] <= pair[0] * 1.7),
-        "no jump: {steps:?}"
+        "a step is too large: {steps:?}"
     );
 }
 
 #[test]
-fn late_answers_during_recovery_give_a_step_back() {
+fn late_answers_during_recovery_lead_to_a_step_down() {
     let mut fleet = Fleet::new();
     fleet.run(SECOND * 2);
     fleet.set_behavior(0, Behavior::Refuses);
@@ -60,28 +60,28 @@
 }
 
 #[test]
-fn flapping_site_is_held_out_longer_each_time_up_to_a_limit() {
+fn flapping_site_gets_a_longer_backoff_each_time_up_to_a_limit() {
     let mut fleet = Fleet::new();
-    let mut hold_outs = Vec::new();
+    let mut backoffs = Vec::new();
     for _ in 0..8 {
         fleet.set_behavior(0, Behavior::Refuses);
         fleet.run_until(SECOND * 3, |fleet| fleet.state(0, 0) == SiteState::Lost);
-        hold_outs.push(fleet.site(0, 0).evidence.backoff_until - fleet.now);
+        backoffs.push(fleet.site(0, 0).evidence.backoff_until - fleet.now);
         fleet.set_behavior(0, USUAL);
         fleet.run_until(SECOND * 80, |fleet| fleet.state(0, 0) != SiteState::Lost);
     }
     assert!(
-        hold_outs.windows(2).all(|pair| pair[1] >= pair[0]),
-        "{hold_outs:?}"
+        backoffs.windows(2).all(|pair| pair[1] >= pair[0]),
+        "{backoffs:?}"
     );
     assert!(
-        hold_outs[0] <= SECOND && hold_outs[7] > SECOND * 30 && hold_outs[7] <= SECOND * 32,
-        "{hold_outs:?}"
+        backoffs[0] <= SECOND && backoffs[7] > SECOND * 30 && backoffs[7] <= SECOND * 32,
+        "{backoffs:?}"
     );
 }
 
 #[test]
-fn site_that_the_list_names_again_returns_only_after_its_first_answer() {
+fn relisted_site_returns_only_after_its_first_answer() {
     let mut fleet = Fleet::new();
     fleet.run(SECOND);
     fleet.is_listed[0] = false;
@@ -93,7 +93,7 @@
     assert_eq!(
         fleet.state(1, 0),
         SiteState::Lost,
-        "there was no answer from it yet"
+        "it has not answered yet"
     );
     fleet.run_until(SECOND * 30, |fleet| {
         fleet.state(1, 0) == SiteState::Returning
@@ -101,14 +101,14 @@
 }
 
 #[test]
-fn drained_site_stays_out_whatever_it_answers_until_it_is_restored() {
+fn drained_site_stays_out_of_service_until_it_is_restored() {
     let mut fleet = Fleet::new();
     fleet.run(SECOND * 2);
     set_override(&mut fleet, 0, SiteOverride::Drain);
     fleet.run(SECOND * 5);
     let site = fleet.site(0, 0);
     assert_eq!((site.state, site.share), (SiteState::HeldOut, 0.0));
-    // Another is lost meanwhile: the third bears all, and the drained one stays out.
+    // Another site is lost: the third one gets all load, and the drained one still gets none.
     fleet.set_behavior(1, Behavior::Refuses);
     fleet.run_until(SECOND * 3, |fleet| fleet.state(0, 1) == SiteState::Lost);
     let plan = fleet.plan(0);
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn held_out_site_gets_nothing_even_if_all_others_are_silent() {
+fn held_out_site_gets_no_load_even_if_all_others_are_silent() {
     let mut fleet = Fleet::new();
     fleet.run(SECOND);
     set_override(&mut fleet, 0, SiteOverride::HoldOut);
@@ -134,9 +134,9 @@
 }
 
 #[test]
-fn gateway_that_starts_beside_cold_endpoints_begins_as_in_a_recovery() {
+fn new_gateway_starts_a_recovery_ramp_for_a_site_with_cold_endpoints() {
     let mut fleet = Fleet::new();
-    fleet.started[0] = Some(fleet.now);
+    fleet.started_at[0] = Some(fleet.now);
     fleet.cores[0] = FailoverCore::new(settings(0));
     fleet.publish_list();
     let site = fleet.site(0, 0);
@@ -147,19 +147,19 @@
 }
 
 #[test]
-fn restarted_endpoints_do_not_make_their_site_return() {
+fn restarted_endpoints_do_not_start_a_recovery_of_their_site() {
     let mut fleet = Fleet::new();
-    fleet.started[0] = Some(Timestamp::from_micros(1));
+    fleet.started_at[0] = Some(Timestamp::from_micros(1));
     fleet.now = Timestamp::ZERO + SECOND * 20;
     fleet.publish_list();
     fleet.run(SECOND);
-    fleet.started[0] = Some(fleet.now);
+    fleet.started_at[0] = Some(fleet.now);
     fleet.publish_list();
     assert_eq!(fleet.state(0, 0), SiteState::Serving);
 }
 
 #[test]
-fn warm_site_serves_at_once_and_one_cold_endpoint_of_four_takes_its_part_off() {
+fn warm_site_serves_at_once_and_one_cold_endpoint_of_four_lowers_the_ramp_by_a_quarter() {
     let mut fleet = Fleet::new();
     assert_eq!(fleet.state(0, 0), SiteState::Serving);
     let now = fleet.now + SECOND * 9;
--- a/crates/site-failover/tests/site_loss.rs
+++ b/crates/site-failover/tests/site_loss.rs
@@ -1,4 +1,4 @@
-//! How the loss of a site is noticed, and told from a partition, from overload and from the loss of single endpoints.
+//! Detection of the loss of a site, as opposed to a partition, overload and the loss of single endpoints.
 mod fleet;
 
 use chalkdeck_site_failover::{
@@ -7,7 +7,7 @@
 use fleet::{millis, settings, Behavior, Fleet, SECOND, USUAL};
 
 #[test]
-fn calm_keeps_load_in_the_near_site() {
+fn without_faults_all_load_stays_at_the_own_site() {
     let mut fleet = Fleet::new();
     fleet.run(SECOND * 5);
     for gateway in 0..3 {
@@ -21,17 +21,20 @@
 }
 
 #[test]
-fn refused_connections_lose_the_site_and_its_load_goes_to_the_others() {
+fn site_that_refuses_connections_is_lost_and_its_load_goes_to_the_others() {
     let mut fleet = Fleet::new();
     fleet.run(SECOND * 2);
     fleet.set_behavior(0, Behavior::Refuses);
-    let took = fleet.run_until(SECOND, |fleet| fleet.state(0, 0) == SiteState::Lost);
-    assert!(took < millis(300), "noticed after {took:?}");
+    let detection_time = fleet.run_until(SECOND, |fleet| fleet.state(0, 0) == SiteState::Lost);
+    assert!(
+        detection_time < millis(300),
+        "detected after {detection_time:?}"
+    );
     let plan = fleet.plan(0);
     let (first, second) = (plan.sites[1].share, plan.sites[2].share);
     assert!(
         (first - second).abs() < 0.01 && first > 0.45,
-        "both others bear it: {first} {second}"
+        "the two other sites share the load: {first} {second}"
     );
 }
 
@@ -46,19 +49,23 @@
         if list_drops_site {
             fleet.is_listed[0] = false;
             fleet.publish_list();
-            assert_eq!(fleet.state(1, 0), SiteState::Lost, "by the list alone");
+            assert_eq!(
+                fleet.state(1, 0),
+                SiteState::Lost,
+                "lost because the list has no endpoint of it"
+            );
             assert_eq!(fleet.site(1, 0).share, 0.0);
         }
         fleet.run(SECOND);
         assert_eq!(fleet.state(0, 0), SiteState::Lost);
-        assert!(fleet.site(0, 0).share <= 0.02, "probes alone");
+        assert!(fleet.site(0, 0).share <= 0.02, "only probes");
     }
 }
 
 #[test]
-fn gateway_that_hears_only_its_own_site_takes_itself_for_cut_off() {
+fn sites_are_cut_off_when_only_the_own_site_answers() {
     let mut fleet = Fleet::new();
-    // Its own site is congested, so that it has some load at each.
+    // The own site is congested, so that the gateway sends some load to each site.
     fleet.behavior[0][0] = [Behavior::Answers(millis(450)); 4];
     fleet.run(SECOND * 4);
     assert!(fleet.site(0, 1).share > 0.1, "{:?}", fleet.plan(0));
@@ -70,12 +77,12 @@
     assert_eq!(
         (fleet.state(1, 2), fleet.state(2, 1)),
         (SiteState::Serving, SiteState::Serving),
-        "the others see no trouble"
+        "the other gateways reach all sites"
     );
 }
 
 #[test]
-fn two_sites_alone_are_told_apart_by_the_counter() {
+fn with_two_sites_the_counter_tells_a_partition_from_a_loss() {
     let cases = [
         (Event::CounterFailed, SiteState::CutOff),
         (Event::CounterAnswered, SiteState::Lost),
@@ -88,7 +95,7 @@
         fleet.run(SECOND * 4);
         fleet.behavior[0][1] = [Behavior::Silent; 4];
         fleet.run_until(SECOND * 4, |fleet| {
-            fleet.tell(0, counter);
+            fleet.handle(0, counter);
             fleet.state(0, 1).is_out()
         });
         assert_eq!(fleet.state(0, 1), state);
@@ -96,7 +103,7 @@
 }
 
 #[test]
-fn loss_of_half_the_endpoints_is_no_loss_of_the_site() {
+fn site_is_not_lost_when_half_of_its_endpoints_are_silent() {
     let mut fleet = Fleet::new();
     fleet.run(SECOND * 2);
     for seen_from_gateway in &mut fleet.behavior {
@@ -110,7 +117,7 @@
 }
 
 #[test]
-fn one_refusing_endpoint_of_four_is_no_loss_of_the_site() {
+fn site_is_not_lost_when_one_endpoint_of_four_refuses_connections() {
     let mut fleet = Fleet::new();
     fleet.run(SECOND);
     for seen_from_gateway in &mut fleet.behavior {
@@ -123,7 +130,7 @@
 }
 
 #[test]
-fn refusals_of_one_endpoint_and_a_moment_of_quiet_are_no_loss() {
+fn site_is_not_lost_by_refusals_of_a_single_endpoint() {
     let mut fleet = Fleet::new();
     fleet.run(SECOND);
     fleet.run(millis(100));
@@ -137,22 +144,26 @@
         })
     };
     for endpoint in [0, 0, 0, 1] {
-        fleet.tell(2, Event::AttemptSent(EndpointId(endpoint)));
+        fleet.handle(2, Event::AttemptSent(EndpointId(endpoint)));
     }
     for _ in 0..3 {
-        fleet.tell(2, refused(0));
+        fleet.handle(2, refused(0));
     }
     assert_eq!(fleet.state(2, 0), SiteState::Serving);
-    fleet.tell(2, refused(1));
+    fleet.handle(2, refused(1));
     for endpoint in [2, 3] {
-        fleet.tell(2, Event::AttemptSent(EndpointId(endpoint)));
-        fleet.tell(2, refused(endpoint));
+        fleet.handle(2, Event::AttemptSent(EndpointId(endpoint)));
+        fleet.handle(2, refused(endpoint));
     }
-    assert_eq!(fleet.state(2, 0), SiteState::Lost, "all four refuse");
+    assert_eq!(
+        fleet.state(2, 0),
+        SiteState::Lost,
+        "all four endpoints refuse connections"
+    );
 }
 
 #[test]
-fn tenfold_latency_strains_the_site_and_load_detours_until_it_is_over() {
+fn tenfold_latency_moves_load_to_other_sites_until_it_is_over() {
     let mut fleet = Fleet::new();
     fleet.run(SECOND * 2);
     fleet.set_behavior(0, Behavior::Answers(millis(400)));
@@ -161,12 +172,12 @@
     assert!(!site.state.is_out(), "{site:?}");
     assert!(
         site.share < 0.7,
-        "its gateway sends part of the load away: {site:?}"
+        "the gateway sends part of the load to other sites: {site:?}"
     );
     fleet.set_behavior(0, USUAL);
     fleet.run(SECOND * 60);
     let site = fleet.site(0, 0);
-    assert!(site.share > 0.95, "the detour is undone: {site:?}");
+    assert!(site.share > 0.95, "the load has returned: {site:?}");
 }
 
 #[test]
@@ -188,7 +199,7 @@
 }
 
 #[test]
-fn gateway_restarted_during_a_loss_notices_it_by_itself() {
+fn gateway_restarted_during_a_loss_detects_it_on_its_own() {
     let mut fleet = Fleet::new();
     fleet.run(SECOND);
     fleet.set_behavior(0, Behavior::Refuses);
@@ -207,18 +218,21 @@
     let before = fleet.sent[0][0];
     fleet.run(SECOND * 10);
     let probes = fleet.sent[0][0] - before;
-    // Of a hundred requests a second two at the most.
+    // Probes are at most 2 % of 100 requests per second.
     assert!((1..=25).contains(&probes), "{probes} in ten seconds");
 }
 
 #[test]
-fn doubtful_site_keeps_a_quarter_and_returning_site_its_ramp() {
+fn doubtful_site_gets_a_quarter_of_its_share_and_returning_site_its_ramp_fraction() {
     let mut fleet = Fleet::new();
     fleet.run(SECOND * 2);
     fleet.set_behavior(0, Behavior::Silent);
     fleet.run_until(SECOND, |fleet| fleet.state(0, 0) == SiteState::Doubtful);
     let site = fleet.site(0, 0);
-    assert!(site.share < 0.1, "a quarter of an even share: {site:?}");
+    assert!(
+        site.share < 0.1,
+        "a quarter of a proportional share: {site:?}"
+    );
     fleet.run_until(SECOND * 2, |fleet| fleet.state(0, 0) == SiteState::Lost);
     fleet.run(SECOND * 2);
     fleet.set_behavior(0, USUAL);
@@ -230,7 +244,7 @@
 }
 
 #[test]
-fn full_near_site_gets_what_it_answers_and_the_rest_goes_on() {
+fn full_own_site_gets_what_it_answers_and_the_rest_goes_to_other_sites() {
     let mut fleet = Fleet::new();
     fleet.run(SECOND * 4);
     fleet.set_behavior(0, Behavior::Answers(millis(200)));
@@ -241,17 +255,17 @@
             limit: 2.0,
         })
     };
-    fleet.tell(0, Event::ConcurrencyReported(&reported(1.0)));
+    fleet.handle(0, Event::ConcurrencyReported(&reported(1.0)));
     assert_eq!(fleet.site(0, 0).share, 1.0, "half of the limit is free");
-    // Twice as much is offered as was answered lately.
+    // The offered load becomes about twice the recent throughput.
     for _ in 0..400 {
         let offered = Event::RequestOffered {
             value_per_unit: 1.0,
             units: 1.0,
         };
-        fleet.tell(0, offered);
+        fleet.handle(0, offered);
     }
-    fleet.tell(0, Event::ConcurrencyReported(&reported(2.0)));
+    fleet.handle(0, Event::ConcurrencyReported(&reported(2.0)));
     let site = fleet.site(0, 0);
     assert!(
         site.share < 0.6 && (site.concurrency.in_flight, site.concurrency.limit) == (8.0, 8.0),
--- a/crates/site-failover/tests/state_model.rs
+++ b/crates/site-failover/tests/state_model.rs
@@ -1,25 +1,27 @@
-//! Every order of loss, partition, repair and updates of two gateways and one site: no gateway stays with a lost site, none stays
-//! away from one that is back. The transitions are the shipped ones; time is a few ticks.
+//! Model checking of the state transitions with two gateways and one site, over every order of losses, partitions, repairs and
+//! updates: no gateway keeps using a lost site, and every gateway uses a recovered site again. The model runs the production
+//! transitions and counts time in updates.
+
 use chalkdeck_site_failover::state::{next_state, Observations};
 use chalkdeck_site_failover::SiteState;
 use stateright::{Checker, Model, Property};
 
-/// Updates after which silence makes a site doubtful.
+/// Updates without an answer after which a site is doubtful.
 const DOUBTFUL_AFTER: u8 = 1;
-/// Updates after which silence makes it lost.
+/// Updates without an answer after which a site is lost.
 const LOST_AFTER: u8 = 2;
-/// Updates that a hold-out lasts.
-const HOLD_OUT: u8 = 2;
+/// Updates that a backoff lasts.
+const BACKOFF: u8 = 2;
 /// Steps of a recovery ramp.
 const RAMP_STEPS: u8 = 2;
-/// Losses, partitions and repairs that the model goes through at most.
+/// The most losses, recoveries, partitions and repairs in one run of the model.
 const MAX_FAULTS: u8 = 5;
 
-/// What one gateway knows of the site.
+/// One gateway's view of the site.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct GatewayView {
     state: SiteState,
-    quiet: u8,
+    silent_updates: u8,
     backoff: u8,
     has_answered: bool,
     ramp_steps: u8,
@@ -51,22 +53,22 @@
 struct SiteModel;
 
 impl SiteModel {
-    /// One gateway sends what its state lets it, gets an answer or not, and updates the state.
+    /// One update: the gateway sends to the site as far as its state allows, gets an answer or none, and updates its state.
     fn update(world: &World, gateway: usize) -> GatewayView {
         let mut view = world.views[gateway].clone();
         let answers = world.is_reachable_from(gateway);
-        view.quiet = if answers {
+        view.silent_updates = if answers {
             0
         } else {
-            (view.quiet + 1).min(LOST_AFTER)
+            (view.silent_updates + 1).min(LOST_AFTER)
         };
         view.has_answered |= answers && view.state.is_out();
         view.backoff = view.backoff.saturating_sub(1);
         let earns_step = answers && view.state == SiteState::Returning;
         view.ramp_steps = (view.ramp_steps + u8::from(earns_step)).min(RAMP_STEPS);
-        let seen = Observations {
-            is_unresponsive: view.quiet >= LOST_AFTER,
-            is_doubtful: view.quiet >= DOUBTFUL_AFTER,
+        let observed = Observations {
+            is_unresponsive: view.silent_updates >= LOST_AFTER,
+            is_doubtful: view.silent_updates >= DOUBTFUL_AFTER,
             is_partitioned: world.is_partitioned[gateway],
             is_backoff_over: view.backoff == 0,
             has_answered: view.has_answered,
@@ -74,9 +76,9 @@
             is_ramp_complete: view.ramp_steps >= RAMP_STEPS,
         };
         let before = view.state;
-        view.state = next_state(before, seen);
+        view.state = next_state(before, observed);
         if view.state.is_out() && !before.is_out() {
-            view.backoff = HOLD_OUT;
+            view.backoff = BACKOFF;
             view.has_answered = false;
             view.ramp_steps = 0;
         }
@@ -86,10 +88,10 @@
         view
     }
 
-    /// The world after both gateways updated their states often enough, with no further fault.
+    /// The world after enough updates of both gateways for their states to settle, without further faults.
     fn settled(world: &World) -> World {
         let mut settled = world.clone();
-        for _ in 0..(LOST_AFTER + HOLD_OUT + RAMP_STEPS + 3) {
+        for _ in 0..(LOST_AFTER + BACKOFF + RAMP_STEPS + 3) {
             settled.views = [
                 SiteModel::update(&settled, 0),
                 SiteModel::update(&settled, 1),
@@ -144,7 +146,7 @@
     fn properties(&self) -> Vec<Property<SiteModel>> {
         vec![
             Property::always(
-                "no gateway stays with a site that does not answer it",
+                "no gateway keeps using a site that does not answer it",
                 |_, world: &World| {
                     let settled = SiteModel::settled(world);
                     (0..2).all(|gateway| {
@@ -153,7 +155,7 @@
                 },
             ),
             Property::always(
-                "every gateway goes back to a site that answers it",
+                "every gateway uses a site that answers it again",
                 |_, world: &World| {
                     let settled = SiteModel::settled(world);
                     (0..2).all(|gateway| {
@@ -166,12 +168,12 @@
                 (0..2).all(|gateway| {
                     let before = world.views[gateway].state;
                     let after = SiteModel::update(world, gateway).state;
-                    let is_in_at_once = matches!(after, SiteState::Serving | SiteState::Doubtful);
-                    !(before.is_out() && is_in_at_once)
+                    let skips_recovery = matches!(after, SiteState::Serving | SiteState::Doubtful);
+                    !(before.is_out() && skips_recovery)
                 })
             }),
             Property::always(
-                "a recovery waits for an answer and the end of the hold-out",
+                "a recovery starts only after an answer and the end of the backoff",
                 |_, world: &World| {
                     (0..2).all(|gateway| {
                         let before = &world.views[gateway];
@@ -181,11 +183,15 @@
                     })
                 },
             ),
-            Property::sometimes("a partition is told from a loss", |_, world: &World| {
-                world.views[0].state == SiteState::CutOff && world.views[1].state == SiteState::Lost
-            }),
             Property::sometimes(
-                "a recovery is under way at one gateway and over at the other",
+                "one gateway detects a partition and the other one a loss",
+                |_, world: &World| {
+                    world.views[0].state == SiteState::CutOff
+                        && world.views[1].state == SiteState::Lost
+                },
+            ),
+            Property::sometimes(
+                "a recovery is in progress at one gateway and over at the other",
                 |_, world: &World| {
                     world.views[0].state == SiteState::Returning
                         && world.views[1].state == SiteState::Serving
@@ -197,7 +203,7 @@
 }
 
 #[test]
-fn no_gateway_stays_with_a_lost_site_or_away_from_one_that_is_back() {
+fn no_gateway_keeps_using_a_lost_site_or_avoids_a_recovered_one() {
     let checker = SiteModel.checker().spawn_bfs().join();
     checker.assert_properties();
     assert!(
