--- a/crates/admission-queue/src/fair_queue.rs
+++ b/crates/admission-queue/src/fair_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of one gateway.
+//! The fair queue of one gateway.
 
 use crate::heavy_hitters::HeavyHitters;
 use crate::request::{QueuedRequest, Request, RequestId, Verdict};
@@ -10,39 +10,39 @@
 
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
-/// The least weight that a wait is computed with.
+/// The least weight for which an expected wait is computed.
 const MIN_WAIT_WEIGHT: f64 = 1e-9;
-/// A rejected request is told to wait at least the longest wait divided by this.
-const MIN_RETRY_DIVISOR: f64 = 4.0;
-/// While nothing can be admitted the queue wakes up this often within the longest wait, to reject what waited too long.
+/// The least retry delay is the longest wait divided by this.
+const MIN_RETRY_DELAY_DIVISOR: f64 = 4.0;
+/// While no request can be admitted, the queue wakes up this often within the longest wait to reject expired requests.
 const WAKES_PER_MAX_WAIT: u64 = 10;
-/// A queue may have this multiple of its equal share in flight while the limit is half used.
-const SHARE_MULTIPLE: usize = 2;
+/// While more than half of the in-flight limit is used, a queue may have at most this multiple of its equal share in flight.
+const MAX_SHARE_MULTIPLE: usize = 2;
 
-/// Estimated bytes of the index entry of a request that waits.
+/// Estimated bytes of the index entry of a queued request.
 const QUEUED_INDEX_BYTES: usize = 48;
-/// Bytes of a container are at most this multiple of those of its elements, as it doubles when it grows.
-const GROWTH_FACTOR: usize = 2;
+/// A container takes at most this multiple of the bytes of its elements, because its capacity doubles when it grows.
+const CONTAINER_GROWTH_FACTOR: usize = 2;
 /// Estimated bytes of a request in flight.
 const IN_FLIGHT_BYTES: usize = 64;
 /// Estimated bytes of a queue without its requests.
 const QUEUE_BYTES: usize = 256;
 
-/// The fair queue of one gateway. The same calls give the same verdicts.
+/// The fair queue of one gateway. It is deterministic: the same calls give the same verdicts.
 pub struct FairQueue {
     settings: Settings,
     rng: fastrand::Rng,
     queues: RoundRobin,
     heavy_hitters: HeavyHitters,
-    /// Requests that wait, with their queues.
+    /// The queues of the requests that wait.
     queued: FxHashMap<RequestId, QueueId>,
-    /// Requests with the decisions, with the queues that they came through.
+    /// The queues that the admitted requests in flight came from.
     in_flight: FxHashMap<RequestId, QueueId>,
     throughput: Throughput,
 }
 
 impl FairQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(settings: Settings) -> FairQueue {
         FairQueue {
             rng: fastrand::Rng::with_seed(settings.seed),
@@ -55,33 +55,33 @@
         }
     }
 
-    /// Number of requests that wait.
+    /// The number of requests that wait.
     pub fn queued(&self) -> usize {
         self.queued.len()
     }
 
-    /// Number of requests with the decisions.
+    /// The number of admitted requests in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// Upper bound of its memory in bytes, whatever is offered.
+    /// An upper bound of the queue's memory in bytes, for any load.
     pub fn max_bytes(&self) -> usize {
         let settings = &self.settings;
         let bytes_per_queued = size_of::<QueuedRequest>() + QUEUED_INDEX_BYTES;
         let queues = settings.dedicated_queues + settings.shared_queues;
-        settings.max_queued * GROWTH_FACTOR * bytes_per_queued
+        settings.max_queued * CONTAINER_GROWTH_FACTOR * bytes_per_queued
             + settings.max_in_flight * IN_FLIGHT_BYTES
             + queues * QUEUE_BYTES
     }
 
-    /// Takes a request in. It waits for [`FairQueue::admit`], unless it is rejected at once. If all queues together are full,
-    /// the verdict is on the last request of the longest queue.
+    /// Queues a request until [`FairQueue::admit`] admits it, or rejects it at once. If the total number of queued requests
+    /// exceeds its limit, the last request of the longest queue is rejected, which may be another request.
     pub fn offer(&mut self, now: Timestamp, request: Request) -> Option<Verdict> {
         self.throughput.update(now);
         let placement = self
             .heavy_hitters
-            .place(now, request.customer, request.units);
+            .record_and_place(now, request.customer, request.units);
         let queue = self.queues.queue_of(placement);
         let max_wait = self.max_wait(now, &request);
         let is_full = self.queues.len_of(queue) >= self.settings.max_queued_per_queue;
@@ -102,17 +102,17 @@
         self.reject_last_of_longest_queue()
     }
 
-    /// Admits the requests of one turn of the event loop, and rejects those that waited too long.
+    /// Admits the requests of one turn of the event loop and rejects expired ones.
     pub fn admit(&mut self, now: Timestamp, verdicts: &mut Vec<Verdict>) {
         self.throughput.update(now);
-        self.admit_in_turns(now, verdicts);
+        self.admit_round_robin(now, verdicts);
         for expired in self.queues.remove_expired(now) {
-            let verdict = self.reject_queued(expired.queue, &expired.request);
+            let verdict = self.reject_dequeued(expired.queue, &expired.request);
             verdicts.push(verdict);
         }
     }
 
-    /// When [`FairQueue::admit`] is to be called though nothing else happens; `None` if nothing waits.
+    /// The time at which [`FairQueue::admit`] must be called if no other event occurs; `None` if no request waits.
     pub fn next_wake(&self, now: Timestamp) -> Option<Timestamp> {
         if self.queued.is_empty() {
             return None;
@@ -124,14 +124,14 @@
         Some(now + TimeDelta::from_micros(max_wait / WAKES_PER_MAX_WAIT))
     }
 
-    /// An admitted request has its final answer.
+    /// Removes an admitted request that got its final answer.
     pub fn complete(&mut self, id: RequestId) {
         if let Some(queue) = self.in_flight.remove(&id) {
             self.queues.remove_in_flight(queue);
         }
     }
 
-    /// Removes a request that is no longer wanted; returns whether it waited.
+    /// Cancels a request that waits. Returns whether it was waiting.
     pub fn cancel(&mut self, id: RequestId) -> bool {
         let Some(queue) = self.queued.remove(&id) else {
             return false;
@@ -140,17 +140,17 @@
         true
     }
 
-    fn admit_in_turns(&mut self, now: Timestamp, verdicts: &mut Vec<Verdict>) {
+    fn admit_round_robin(&mut self, now: Timestamp, verdicts: &mut Vec<Verdict>) {
         let mut admitted = 0;
         while admitted < self.settings.max_admitted_per_turn
             && self.in_flight.len() < self.settings.max_in_flight
         {
             let max_in_flight = self.max_in_flight_per_queue();
-            let Some(next) = self.queues.next(self.settings.quantum, max_in_flight) else {
+            let Some(next) = self.queues.pop_next(self.settings.quantum, max_in_flight) else {
                 break;
             };
             if next.request.expires_at < now {
-                let verdict = self.reject_queued(next.queue, &next.request);
+                let verdict = self.reject_dequeued(next.queue, &next.request);
                 verdicts.push(verdict);
                 continue;
             }
@@ -164,25 +164,25 @@
         }
     }
 
-    /// While more than half of the limit is used no queue may have more than twice its equal share in flight. Guards against
-    /// a customer whose requests are all slow.
+    /// The most requests that a queue may have in flight. While more than half of the total limit is used, it is twice the queue's
+    /// equal share, so that a customer whose requests are all slow does not use up the limit.
     fn max_in_flight_per_queue(&self) -> usize {
         let limit = self.settings.max_in_flight;
         if self.in_flight.len() * 2 <= limit {
             return usize::MAX;
         }
-        (limit * SHARE_MULTIPLE / (self.queues.busy_queues() + 1)).max(1)
+        (limit * MAX_SHARE_MULTIPLE / (self.queues.busy_queues() + 1)).max(1)
     }
 
-    /// How long a request may wait.
+    /// How long a request may wait: a fraction of the time to its deadline, up to the longest wait.
     fn max_wait(&self, now: Timestamp, request: &Request) -> TimeDelta {
         let time_left = request.deadline - now;
         let fraction = time_left.mul_f64(self.settings.max_wait_fraction);
         fraction.min(self.settings.max_wait)
     }
 
-    /// How long a request that comes last in a queue waits, in microseconds, by the recent throughput and the queue's share
-    /// of it.
+    /// The expected wait of a request at the end of a queue, in microseconds, estimated from the recent throughput and the queue's
+    /// share of it.
     fn expected_wait_micros(&self, queue: QueueId) -> f64 {
         let active_weight = self.queues.active_weight();
         let units_ahead = self.queues.units_of(queue);
@@ -197,23 +197,23 @@
     fn reject_last_of_longest_queue(&mut self) -> Option<Verdict> {
         let longest = self.queues.longest_queue();
         let last = self.queues.pop_last(longest)?;
-        Some(self.reject_queued(longest, &last))
+        Some(self.reject_dequeued(longest, &last))
     }
 
-    /// Rejects a request that was taken out of its queue.
-    fn reject_queued(&mut self, queue: QueueId, queued: &QueuedRequest) -> Verdict {
+    /// Rejects a request that was removed from its queue.
+    fn reject_dequeued(&mut self, queue: QueueId, queued: &QueuedRequest) -> Verdict {
         self.queued.remove(&queued.request.id);
         let expected_wait = self.expected_wait_micros(queue);
         self.reject(expected_wait, &queued.request)
     }
 
-    /// Rejects a request. A retry succeeds at the earliest when the quota has room and the queue ahead is gone; jitter keeps
-    /// retries from arriving together.
+    /// Rejects a request. Its retry delay covers the wait in its queue and the time until its quota suffices; jitter spreads retries
+    /// over time.
     fn reject(&mut self, expected_wait_micros: f64, request: &Request) -> Verdict {
-        let min_retry = self.settings.max_wait.as_micros() as f64 / MIN_RETRY_DIVISOR;
+        let min_retry_micros = self.settings.max_wait.as_micros() as f64 / MIN_RETRY_DELAY_DIVISOR;
         let retry_micros = expected_wait_micros
             .max(request.quota_reset.as_micros() as f64)
-            .max(min_retry);
+            .max(min_retry_micros);
         let jitter = 1.0 + self.settings.retry_jitter * self.rng.f64();
         Verdict::Reject {
             id: request.id,
--- a/crates/admission-queue/src/lib.rs
+++ b/crates/admission-queue/src/lib.rs
@@ -1,9 +1,10 @@
-//! Fair queue between the fronts and the decisions, without I/O. It admits requests in turns over customers, lets some wait for
-//! a short while, and rejects at once what could not be served in time, with the time after which a retry may succeed.
+//! Fair admission queue between a gateway's listeners and its policy engine, without I/O. It admits requests fairly over customers,
+//! lets requests wait for a short time, and rejects at once those that it could not admit in time, with the delay after which a
+//! retry may succeed.
 //!
-//! Deficit round robin (Shreedhar and Varghese, 1995) over units. Customers with much traffic have queues of their own; all
-//! others share hashed queues whose seed changes (stochastic fairness queueing, McKenney, 1990), so memory is bounded whatever
-//! the number of customers.
+//! The queue uses deficit round robin (Shreedhar and Varghese, 1995) over units. Customers with much traffic get dedicated queues;
+//! all others share queues by a hash whose seed changes (stochastic fairness queueing, McKenney, 1990), so that memory is bounded
+//! for any number of customers.
 #![forbid(unsafe_code)]
 
 mod fair_queue;
--- a/crates/admission-queue/src/request.rs
+++ b/crates/admission-queue/src/request.rs
@@ -1,36 +1,36 @@
-//! Requests as the queue sees them, and what becomes of them.
+//! Requests to the queue and the verdicts on them.
 
 use chalkdeck_time::{TimeDelta, Timestamp};
 
-/// Id of a request, never used twice.
+/// Id of a request; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// Id of a customer: a hash of its name.
+/// Id of a customer, which is a hash of the customer's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CustomerId(pub u64);
 
-/// A request that is offered to the queue.
+/// A request to be queued.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Request {
     /// Its id.
     pub id: RequestId,
-    /// Whose it is.
+    /// The customer that sent it.
     pub customer: CustomerId,
     /// The customer's weight, above 0.
     pub weight: f64,
     /// Its units, above 0.
     pub units: f64,
-    /// By when it must be answered.
+    /// The time by which it must be answered.
     pub deadline: Timestamp,
-    /// How long until the customer's quota has room for it, as far as is known; zero if it has.
+    /// The time until the customer's quota suffices for it, as far as is known; zero if it suffices now.
     pub quota_reset: TimeDelta,
 }
 
-/// What becomes of a request.
+/// The queue's verdict on a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    /// It goes to the decisions.
+    /// It is admitted to the policy engine.
     Admit {
         /// Its id.
         id: RequestId,
@@ -39,15 +39,15 @@
     Reject {
         /// Its id.
         id: RequestId,
-        /// When a retry may succeed.
+        /// The delay after which a retry may succeed.
         retry_after: TimeDelta,
     },
 }
 
-/// A request that waits.
+/// A request that waits in a queue.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct QueuedRequest {
     pub(crate) request: Request,
-    /// It is rejected if it still waits after this time.
+    /// The time after which it is rejected if it still waits.
     pub(crate) expires_at: Timestamp,
 }
--- a/crates/admission-queue/src/round_robin.rs
+++ b/crates/admission-queue/src/round_robin.rs
@@ -1,22 +1,22 @@
-//! Deficit round robin over units, with weights.
+//! Weighted deficit round robin over units.
 
 use crate::request::{QueuedRequest, RequestId};
 use crate::settings::Settings;
 use chalkdeck_time::Timestamp;
 use std::collections::VecDeque;
 
-/// The least weight of a queue, so that its turn comes at all.
+/// The least weight of a queue, so that its deficit grows and it gets to send.
 const MIN_WEIGHT: f64 = 1e-3;
 
-/// Which queue a customer uses.
+/// The placement of a customer: which queue its requests use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Placement {
-    /// One of its own.
+    /// A queue of its own.
     Dedicated {
-        /// Number of the dedicated queue.
+        /// Index of the dedicated queue.
         index: usize,
     },
-    /// One that it shares with others.
+    /// A queue that it shares with other customers.
     Shared {
         /// Hash of the customer, taken modulo the number of shared queues.
         hash: u64,
@@ -38,27 +38,27 @@
 #[derive(Debug, Default)]
 struct Queue {
     requests: VecDeque<QueuedRequest>,
-    /// Units that wait.
+    /// Total units of the waiting requests.
     units: f64,
-    /// Weight of the last request.
+    /// Weight of the request that was added last.
     weight: f64,
-    /// Its requests that are with the decisions.
+    /// Its admitted requests in flight.
     in_flight: usize,
-    /// Units that it may still send in this round.
+    /// The deficit counter: units that it may still send in this round.
     deficit: f64,
     /// Whether it is in the round.
     is_active: bool,
 }
 
-/// What a queue does in its turn.
+/// The result of a queue's turn.
 enum Turn {
-    /// It sends a request.
+    /// The queue sends a request.
     Send(QueuedRequest),
-    /// It has none and leaves the round.
+    /// The queue is empty and leaves the round.
     Leave,
-    /// It has spent its units, got those of the next round, and waits for it.
+    /// The queue's deficit is too small: it has got the quantum of the next round and waits for it.
     WaitForNextRound,
-    /// It has too many requests in flight.
+    /// The queue has too many requests in flight.
     Blocked,
 }
 
@@ -98,7 +98,7 @@
         self.pop_first()
     }
 
-    /// Waiting units in relation to the weight.
+    /// The waiting units divided by the weight.
     fn weighted_len(&self) -> f64 {
         self.units / self.weight.max(MIN_WEIGHT)
     }
@@ -108,12 +108,13 @@
     }
 }
 
-/// All queues: first the dedicated ones, then the shared ones.
+/// The round robin over all queues.
 #[derive(Debug)]
 pub(crate) struct RoundRobin {
+    /// First the dedicated queues, then the shared ones.
     queues: Vec<Queue>,
     dedicated_queues: usize,
-    /// Queues with requests, the next one first.
+    /// The queues in the round, the next one first. A queue that has become empty leaves at its next turn.
     round: VecDeque<usize>,
 }
 
@@ -139,28 +140,28 @@
         }
     }
 
-    /// Number of requests that wait in a queue.
+    /// The number of requests that wait in a queue.
     pub(crate) fn len_of(&self, queue: QueueId) -> usize {
         self.queues[queue.0].requests.len()
     }
 
-    /// Units that wait in a queue.
+    /// The units that wait in a queue.
     pub(crate) fn units_of(&self, queue: QueueId) -> f64 {
         self.queues[queue.0].units
     }
 
-    /// Weight of a queue.
+    /// The weight of a queue.
     pub(crate) fn weight_of(&self, queue: QueueId) -> f64 {
         self.queues[queue.0].weight
     }
 
-    /// Sum of the weights of the queues in the round.
+    /// The total weight of the queues in the round.
     pub(crate) fn active_weight(&self) -> f64 {
         let weights = self.round.iter().map(|index| self.queues[*index].weight);
         weights.sum()
     }
 
-    /// Number of queues with requests that wait or are in flight.
+    /// The number of queues with requests that wait or are in flight.
     pub(crate) fn busy_queues(&self) -> usize {
         self.queues.iter().filter(|queue| queue.is_busy()).count()
     }
@@ -176,18 +177,18 @@
         }
     }
 
-    /// A request of a queue went to the decisions.
+    /// Counts an admitted request of a queue as in flight.
     pub(crate) fn add_in_flight(&mut self, queue: QueueId) {
         self.queues[queue.0].in_flight += 1;
     }
 
-    /// A request of a queue has its final answer.
+    /// Counts a request of a queue as no longer in flight.
     pub(crate) fn remove_in_flight(&mut self, queue: QueueId) {
         self.queues[queue.0].in_flight -= 1;
     }
 
-    /// The next request in turn, of queues with fewer than `max_in_flight` requests in flight.
-    pub(crate) fn next(&mut self, quantum: f64, max_in_flight: usize) -> Option<Dequeued> {
+    /// Removes and returns the next request in turn, from queues with fewer than `max_in_flight` requests in flight.
+    pub(crate) fn pop_next(&mut self, quantum: f64, max_in_flight: usize) -> Option<Dequeued> {
         let mut blocked = 0;
         while let Some(&index) = self.round.front() {
             match self.queues[index].take_turn(quantum, max_in_flight) {
@@ -201,7 +202,7 @@
                 Turn::WaitForNextRound => self.round.rotate_left(1),
                 Turn::Blocked => {
                     blocked += 1;
-                    // All queues of a whole round are blocked.
+                    // Every queue of a whole round was blocked.
                     if blocked > self.round.len() {
                         return None;
                     }
@@ -212,7 +213,7 @@
         None
     }
 
-    /// Removes requests that waited too long from the fronts of their queues; those behind them came later.
+    /// Removes expired requests from the front of each queue, up to the first one that has not expired.
     pub(crate) fn remove_expired(&mut self, now: Timestamp) -> Vec<Dequeued> {
         let mut expired = Vec::new();
         for &index in &self.round {
@@ -225,7 +226,7 @@
         expired
     }
 
-    /// The queue with the most waiting units in relation to its weight.
+    /// The queue with the most waiting units divided by its weight.
     pub(crate) fn longest_queue(&self) -> QueueId {
         let weighted_len = |index: &usize| self.queues[*index].weighted_len();
         let longest = self
--- a/crates/admission-queue/src/settings.rs
+++ b/crates/admission-queue/src/settings.rs
@@ -1,33 +1,34 @@
-//! Settings of the queue.
+//! Settings of the admission queue.
 
 use chalkdeck_time::TimeDelta;
 
-/// Limits of a [`FairQueue`](crate::FairQueue).
+/// Settings of a [`FairQueue`](crate::FairQueue).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Requests that may be with the decisions at once.
+    /// The most admitted requests that may be in flight.
     pub max_in_flight: usize,
-    /// Requests that are admitted in one turn of the event loop, so that a flood meets the queues and not the loop.
+    /// The most requests that are admitted in one turn of the event loop, so that excess load waits in the queues and does not
+    /// block the event loop.
     pub max_admitted_per_turn: usize,
-    /// Requests that may wait in all queues together.
+    /// The most requests that may wait in all queues together.
     pub max_queued: usize,
-    /// Requests that may wait in one queue.
+    /// The most requests that may wait in one queue.
     pub max_queued_per_queue: usize,
     /// The longest time that a request may wait.
     pub max_wait: TimeDelta,
     /// The fraction of the time to its deadline that a request may wait.
     pub max_wait_fraction: f64,
-    /// Queues for customers with much traffic, one each.
+    /// The number of queues for customers with much traffic, one for each.
     pub dedicated_queues: usize,
-    /// Queues that all other customers share by hash.
+    /// The number of queues that all other customers share by hash.
     pub shared_queues: usize,
-    /// Units that a queue of weight 1 may send in one round.
+    /// The units that a queue of weight 1 may send in one round.
     pub quantum: f64,
-    /// How often the customers' places in the shared queues are drawn anew.
+    /// How often customers are redistributed over the shared queues by a new hash seed.
     pub reseed_interval: TimeDelta,
-    /// The fraction of a retry time that is added at random at most.
+    /// The largest random jitter of a retry delay, as a fraction of the delay.
     pub retry_jitter: f64,
-    /// Seed of everything random.
+    /// The seed of the random number generator and of the first hash.
     pub seed: u64,
 }
 
--- a/crates/admission-queue/src/throughput.rs
+++ b/crates/admission-queue/src/throughput.rs
@@ -1,28 +1,28 @@
-//! Recent rate of admitted units.
+//! The recent throughput in admitted units per second.
 
 use chalkdeck_time::{TimeDelta, Timestamp};
 
-/// Time over which the rate is measured.
+/// The least time over which the throughput is measured.
 const MEASUREMENT_INTERVAL: TimeDelta = TimeDelta::from_millis(200);
-/// Weight of the newest measurement in the average.
+/// Weight of the newest measurement in the moving average.
 const NEWEST_WEIGHT: f64 = 0.5;
 
-/// Average of the units that were admitted in a second.
+/// A moving average of the admitted units per second.
 #[derive(Debug, Default)]
 pub(crate) struct Throughput {
     units_per_second: f64,
     measured_since: Timestamp,
-    /// Units that were admitted since then.
+    /// Units admitted since `measured_since`.
     units: f64,
 }
 
 impl Throughput {
-    /// Counts admitted units.
+    /// Records admitted units.
     pub(crate) fn record(&mut self, units: f64) {
         self.units += units;
     }
 
-    /// Ends a measurement if it took long enough.
+    /// Completes the current measurement if it has lasted for the measurement interval.
     pub(crate) fn update(&mut self, now: Timestamp) {
         let elapsed = now - self.measured_since;
         if elapsed < MEASUREMENT_INTERVAL {
@@ -38,7 +38,7 @@
         self.units = 0.0;
     }
 
-    /// The average; 0 before the first measurement.
+    /// The moving average; 0 before the first measurement.
     pub(crate) fn units_per_second(&self) -> f64 {
         self.units_per_second
     }
--- a/crates/admission-queue/tests/fair_queue.rs
+++ b/crates/admission-queue/tests/fair_queue.rs
@@ -1,5 +1,4 @@
-//! What the fair queue promises: fair turns, nobody starved, no idle server while somebody waits, bounded memory, truthful times for
-//! retries.
+//! Tests of the guarantees of the fair queue: fair shares, no starvation, work conservation, bounded memory and sound retry delays.
 
 use chalkdeck_admission_queue::{CustomerId, FairQueue, Request, RequestId, Settings, Verdict};
 use chalkdeck_time::{TimeDelta, Timestamp};
@@ -38,13 +37,13 @@
     ids.collect()
 }
 
-/// A request that is served.
+/// An admitted request that is being served.
 struct InService {
     id: RequestId,
     ends_at: Timestamp,
 }
 
-/// A queue whose turns are a millisecond apart.
+/// A queue with simulated clients and servers, whose turns are a millisecond apart.
 struct Simulation {
     queue: FairQueue,
     now: Timestamp,
@@ -106,7 +105,7 @@
         }
     }
 
-    /// A turn after which admitted requests are served for a time.
+    /// Runs one turn; the requests that it admits are served for `service_time`.
     fn turn(&mut self, service_time: TimeDelta) {
         self.now = self.now + TURN;
         let now = self.now;
@@ -116,7 +115,7 @@
         }
     }
 
-    /// Ends the service of the requests that are completed, given their customers.
+    /// Completes the requests in service for which `is_completed` holds, given their customers.
     fn complete(&mut self, is_completed: impl Fn(u64, &InService) -> bool) {
         let requests = std::mem::take(&mut self.in_service);
         for request in requests {
@@ -128,7 +127,7 @@
         }
     }
 
-    /// The fraction of a customer's requests that was admitted.
+    /// The admitted fraction of a customer's requests.
     fn admitted_fraction(&self, customer: u64) -> f64 {
         let count = |counts: &BTreeMap<u64, u64>| *counts.get(&customer).unwrap_or(&0) as f64;
         let admitted = count(&self.admitted);
@@ -143,7 +142,7 @@
 }
 
 #[test]
-fn one_customer_floods_then_the_others_are_served_and_it_gets_what_is_left() {
+fn flood_from_one_customer_gets_only_the_capacity_that_others_leave() {
     for flood in [0, 50, 500] {
         let mut simulation = Simulation::new(Settings {
             max_admitted_per_turn: 20,
@@ -162,14 +161,14 @@
             let per_turn = simulation.admitted[&FLOODING] as f64 / 500.0;
             assert!(
                 (9.0..=10.5).contains(&per_turn),
-                "what is left goes to the flood: {per_turn} a turn"
+                "the flooding customer gets the remaining capacity: {per_turn} per turn"
             );
         }
     }
 }
 
 #[test]
-fn weights_and_units_differ_then_capacity_is_shared_by_them() {
+fn capacity_is_shared_by_weight_and_units() {
     let mut simulation = Simulation::new(Settings {
         max_admitted_per_turn: 20,
         ..Settings::default()
@@ -186,12 +185,12 @@
     assert!((2.7..3.3).contains(&by_weight), "{by_weight}");
     assert!(
         (3.6..4.4).contains(&by_units),
-        "large requests count by their units: {by_units}"
+        "shares follow the units of the requests: {by_units}"
     );
 }
 
 #[test]
-fn all_requests_of_one_customer_are_slow_then_the_others_are_served() {
+fn slow_requests_of_one_customer_do_not_starve_the_others() {
     let mut simulation = Simulation::new(Settings {
         max_in_flight: 100,
         ..Settings::default()
@@ -214,7 +213,7 @@
 }
 
 #[test]
-fn a_million_customers_send_one_request_each_then_memory_is_bounded() {
+fn memory_is_bounded_with_a_million_customers() {
     let mut queue = FairQueue::new(Settings::default());
     let bound = queue.max_bytes();
     let mut verdicts = Vec::new();
@@ -222,7 +221,7 @@
         let now = START + TimeDelta::from_micros(id);
         let customer = id.wrapping_mul(0x2545_f491_4f6c_dd1d);
         queue.offer(now, request(id, customer));
-        // At first more requests come than are admitted, so that the queue is full.
+        // At first, requests arrive faster than they are admitted, so that the queue fills up.
         let requests_per_turn = if id < 50_000 { 500 } else { 200 };
         if id % requests_per_turn == 0 {
             verdicts.clear();
@@ -233,11 +232,11 @@
         }
         assert!(queue.queued() <= Settings::default().max_queued);
     }
-    assert!(bound < 8 << 20, "the stated bound: {bound}");
+    assert!(bound < 8 << 20, "the memory bound is too high: {bound}");
 }
 
-/// The retry time of the first rejection after a flood that filled a queue.
-fn retry_after_flood(settings: Settings) -> TimeDelta {
+/// The retry delay of the first rejection after a flood that filled a queue.
+fn retry_delay_after_flood(settings: Settings) -> TimeDelta {
     let mut simulation = Simulation::new(settings);
     for _ in 0..1_000 {
         simulation.offer_many(30, 1, 1.0, 1.0);
@@ -257,10 +256,10 @@
 }
 
 #[test]
-fn queue_ahead_is_longer_then_retry_time_is_not_shorter() {
-    let mut last = TimeDelta::ZERO;
+fn retry_delay_does_not_shrink_as_the_queue_grows() {
+    let mut previous = TimeDelta::ZERO;
     for max_queued_per_queue in [10, 20, 40] {
-        let retry_after = retry_after_flood(Settings {
+        let retry_after = retry_delay_after_flood(Settings {
             max_admitted_per_turn: 10,
             max_queued_per_queue,
             retry_jitter: 0.0,
@@ -269,15 +268,15 @@
             ..Settings::default()
         });
         assert!(
-            retry_after >= last,
-            "{max_queued_per_queue}: {retry_after:?} after {last:?}"
+            retry_after >= previous,
+            "{max_queued_per_queue}: {retry_after:?} after {previous:?}"
         );
-        last = retry_after;
+        previous = retry_after;
     }
 }
 
 #[test]
-fn quota_resets_later_then_retry_time_is_not_before_that() {
+fn retry_delay_is_at_least_the_quota_reset() {
     let mut queue = FairQueue::new(Settings {
         max_admitted_per_turn: 10,
         max_queued_per_queue: 1,
@@ -291,16 +290,16 @@
         ..request(2, 1)
     };
     let Some(Verdict::Reject { retry_after, .. }) = queue.offer(START, without_quota) else {
-        panic!("one waits and no more")
+        panic!("the queue holds only one request")
     };
     assert!(
         retry_after >= SECOND * 5,
-        "not before the quota has room: {retry_after:?}"
+        "the quota resets later: {retry_after:?}"
     );
 }
 
 #[test]
-fn request_waits_too_long_then_it_is_rejected() {
+fn request_that_waits_too_long_is_rejected() {
     let mut queue = FairQueue::new(Settings {
         max_in_flight: 1,
         ..Settings::default()
@@ -314,7 +313,7 @@
     queue.offer(START, with_deadline);
     assert!(
         admit(&mut queue, START + TimeDelta::from_millis(40)).is_empty(),
-        "it may wait a tenth of its time"
+        "it may wait a tenth of the time to its deadline"
     );
     let verdicts = admit(&mut queue, START + TimeDelta::from_millis(51));
     assert!(
@@ -334,7 +333,7 @@
     assert_eq!(queue.in_flight(), 0);
 }
 
-/// What a step of the property test does.
+/// A step of the property test.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Offer { customer: u64, units: u64 },
@@ -350,23 +349,23 @@
     })
 }
 
-/// Verdicts so far; each request may have one.
+/// The verdicts so far. Each request may get only one.
 #[derive(Default)]
 struct Verdicts {
-    decided: HashSet<RequestId>,
+    requests_with_verdict: HashSet<RequestId>,
     in_flight: Vec<RequestId>,
 }
 
 impl Verdicts {
-    /// Takes verdicts; returns whether they are the first on their requests.
-    fn take(&mut self, verdicts: Vec<Verdict>) -> bool {
+    /// Records verdicts. Returns whether each is the first one on its request.
+    fn record(&mut self, verdicts: Vec<Verdict>) -> bool {
         let mut is_first = true;
         for verdict in verdicts {
             let (Verdict::Admit { id } | Verdict::Reject { id, .. }) = verdict;
             if let Verdict::Admit { id } = verdict {
                 self.in_flight.push(id);
             }
-            is_first &= self.decided.insert(id);
+            is_first &= self.requests_with_verdict.insert(id);
         }
         is_first
     }
@@ -379,12 +378,13 @@
 }
 
 proptest! {
-    // The same cases every time.
+    // A fixed seed makes every run test the same cases.
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Any mix of calls: one verdict for each request, work conserved, limits respected, nobody passed over for long.
+    /// For any sequence of calls, each request gets exactly one verdict, the queue is work-conserving, the limits hold, and no
+    /// request waits longer than the longest wait.
     #[test]
-    fn calls_are_mixed_then_every_request_gets_one_verdict(steps in proptest::collection::vec(step(), 1..400)) {
+    fn every_request_gets_exactly_one_verdict(steps in proptest::collection::vec(step(), 1..400)) {
         let settings = Settings {
             max_in_flight: 20,
             max_admitted_per_turn: 4,
@@ -405,18 +405,19 @@
                     last_id += 1;
                     let offered = Request { units: units as f64, ..request(last_id, customer) };
                     let verdict = queue.offer(now, offered);
-                    prop_assert!(verdicts.take(verdict.into_iter().collect()));
+                    prop_assert!(verdicts.record(verdict.into_iter().collect()));
                 }
                 Step::Admit => {
                     let queued = queue.queued();
-                    let room = settings.max_in_flight - queue.in_flight();
+                    let free_slots = settings.max_in_flight - queue.in_flight();
                     let turn = admit(&mut queue, now);
-                    // Work is conserved: what may be admitted is, except for queues that have twice their share in flight.
+                    // The queue is work-conserving: it admits as many requests as the limits allow, apart from queues that have
+                    // twice their share in flight.
                     if queue.in_flight() * 2 < settings.max_in_flight {
-                        let expected = queued.min(room).min(settings.max_admitted_per_turn);
+                        let expected = queued.min(free_slots).min(settings.max_admitted_per_turn);
                         prop_assert!(admitted(&turn).len() == expected || queue.queued() == 0);
                     }
-                    prop_assert!(verdicts.take(turn));
+                    prop_assert!(verdicts.record(turn));
                 }
                 Step::CompleteHalf => {
                     let half = verdicts.in_flight.len() / 2;
@@ -425,15 +426,15 @@
             }
             prop_assert!(queue.queued() <= settings.max_queued && queue.in_flight() <= settings.max_in_flight);
         }
-        // All that wait get their verdicts within the longest wait.
+        // All waiting requests get their verdicts within the longest wait.
         for _ in 0..400 {
             now = now + TURN;
             let in_flight = verdicts.in_flight.len();
             verdicts.complete(&mut queue, in_flight);
             let turn = admit(&mut queue, now);
-            prop_assert!(verdicts.take(turn));
+            prop_assert!(verdicts.record(turn));
         }
         prop_assert_eq!(queue.queued(), 0);
-        prop_assert_eq!(verdicts.decided.len() as u64, last_id);
+        prop_assert_eq!(verdicts.requests_with_verdict.len() as u64, last_id);
     }
 }
--- a/crates/admission-queue/tests/recorded_verdicts.rs
+++ b/crates/admission-queue/tests/recorded_verdicts.rs
@@ -1,24 +1,25 @@
-//! Verdicts are the same as those recorded before the package's names and modules were changed, byte for byte.
+//! Regression test: the verdicts must equal the recorded ones, byte for byte. They were recorded before the package's names and
+//! modules were changed.
 //!
-//! Each seed draws settings and plays a closed loop of clients, the queue and servers. The text of every verdict and of the queue's
-//! state goes into a digest. The recorded line also has counts, so that a difference can be read.
+//! Each seed draws settings and simulates a closed loop of clients, the queue and servers. A digest covers the texts of all verdicts
+//! and of the queue's states. Each recorded line also has counts, which help to interpret a difference.
 
 mod recording;
 
-use recording::{play, CALLS_PER_SEED};
+use recording::{replay, CALLS_PER_SEED};
 
 const RECORDED: &str = include_str!("recorded_verdicts.txt");
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=24;
 
 #[test]
-fn calls_are_replayed_then_verdicts_are_the_recorded_ones() {
-    let played: Vec<String> = SEEDS.map(|seed| play(seed).to_string()).collect();
+fn replayed_calls_give_the_recorded_verdicts() {
+    let replayed: Vec<String> = SEEDS.map(|seed| replay(seed).to_string()).collect();
     let recorded: Vec<&str> = RECORDED.lines().collect();
     assert_eq!(
-        played,
+        replayed,
         recorded,
-        "the verdicts differ; played:\n{}\n",
-        played.join("\n")
+        "the verdicts differ; replayed:\n{}\n",
+        replayed.join("\n")
     );
 }
 
@@ -42,6 +43,6 @@
             .lines()
             .filter(|line| !line.contains(&format!(" {kind}=0 ")))
             .count();
-        assert!(seeds >= 3, "{kind} is used by {seeds} seeds only");
+        assert!(seeds >= 3, "only {seeds} seeds have {kind}");
     }
 }
--- a/crates/admission-queue/tests/recording/mod.rs
+++ b/crates/admission-queue/tests/recording/mod.rs
@@ -1,19 +1,21 @@
-//! A queue in a closed loop with simulated clients and servers; its verdicts are digested.
+//! Simulates a queue in a closed loop with clients and servers, and computes a digest of its verdicts.
 
 use chalkdeck_admission_queue::{CustomerId, FairQueue, Request, RequestId, Settings, Verdict};
 use chalkdeck_time::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 use std::fmt::{self, Display};
 
-/// Calls of the queue that one seed plays.
+/// The least number of calls of the queue for one seed.
 pub const CALLS_PER_SEED: u64 = 20_000;
+/// A millisecond in microseconds, the unit of all times in the simulation.
 const MILLISECOND: u64 = 1_000;
 const SECOND: u64 = 1_000_000;
-/// The customer that floods.
+/// The customer that sends far more than all others in [`Traffic::Flood`].
 const FLOODING_CUSTOMER: u64 = 7;
-/// The customer whose requests are all slow.
+/// The customer whose requests all take long to serve.
 const SLOW_CUSTOMER: u64 = 8;
 
+/// The counts of a summary, in the order of the recorded line.
 const KINDS: [&str; 10] = [
     "calls",
     "admitted",
@@ -27,7 +29,7 @@
     "reseed_periods",
 ];
 
-/// What one seed came to, as one line of the recorded file.
+/// The result of one seed, as one line of the recorded file.
 pub struct Summary {
     seed: u64,
     counts: BTreeMap<&'static str, u64>,
@@ -44,8 +46,8 @@
     }
 }
 
-/// Plays a seed and returns what it came to.
-pub fn play(seed: u64) -> Summary {
+/// Simulates a seed and returns the result.
+pub fn replay(seed: u64) -> Summary {
     let mut simulation = Simulation::new(seed);
     while simulation.count("calls") < CALLS_PER_SEED {
         simulation.step();
@@ -60,7 +62,7 @@
     }
 }
 
-/// FNV-1a over the texts of all verdicts.
+/// FNV-1a over the texts of all verdicts and states.
 struct Digest(u64);
 
 impl Digest {
@@ -74,22 +76,22 @@
     }
 }
 
-/// Who sends requests; changes now and then.
+/// The traffic pattern, which changes at random.
 #[derive(Clone, Copy)]
 enum Traffic {
-    /// A few customers, each now and then.
-    Calm,
+    /// A few requests of a few customers.
+    Light,
     /// One customer sends far more than all others.
     Flood,
-    /// Each request is of another customer.
+    /// Each request is from another customer.
     ManyCustomers,
-    /// Some customers with much traffic and weights of their own.
+    /// Some customers with much traffic and different weights.
     HeavyCustomers,
-    /// One customer whose requests occupy servers for long.
+    /// One customer whose requests take long to serve.
     SlowCustomer,
 }
 
-/// A request that a server works on.
+/// A request that a server is processing.
 struct InService {
     id: u64,
     ends_at: u64,
@@ -134,7 +136,7 @@
             rng,
             queue: FairQueue::new(settings.clone()),
             settings,
-            traffic: Traffic::Calm,
+            traffic: Traffic::Light,
             now: SECOND,
             next_id: 1,
             customers: BTreeMap::new(),
@@ -149,7 +151,7 @@
         self.counts.get(kind).copied().unwrap_or(0)
     }
 
-    fn add(&mut self, kind: &'static str) {
+    fn increment(&mut self, kind: &'static str) {
         *self.counts.entry(kind).or_default() += 1;
     }
 
@@ -168,12 +170,12 @@
         if self.rng.u8(..8) != 0 {
             self.turn();
         }
-        self.wake();
+        self.record_next_wake();
     }
 
     fn change_traffic(&mut self) {
         self.traffic = match self.rng.u8(..5) {
-            0 => Traffic::Calm,
+            0 => Traffic::Light,
             1 => Traffic::Flood,
             2 => Traffic::ManyCustomers,
             3 => Traffic::HeavyCustomers,
@@ -183,7 +185,7 @@
 
     fn arrivals(&mut self) -> usize {
         match self.traffic {
-            Traffic::Calm => self.rng.usize(0..4),
+            Traffic::Light => self.rng.usize(0..4),
             Traffic::Flood => self.rng.usize(5..60),
             Traffic::ManyCustomers => self.rng.usize(5..50),
             Traffic::HeavyCustomers => self.rng.usize(5..40),
@@ -193,11 +195,11 @@
 
     fn draw_customer(&mut self) -> u64 {
         match self.traffic {
-            Traffic::Calm => self.rng.u64(100..140),
+            Traffic::Light => self.rng.u64(100..140),
             Traffic::Flood if self.rng.u8(..5) > 0 => FLOODING_CUSTOMER,
             Traffic::ManyCustomers => self.rng.u64(..),
             Traffic::SlowCustomer if self.rng.u8(..3) > 0 => SLOW_CUSTOMER,
-            // Low numbers are more frequent.
+            // Customers with low ids are more frequent.
             _ => 10 + (40.0 * self.rng.f64().powi(3)) as u64,
         }
     }
@@ -232,13 +234,13 @@
         let request = self.draw_request();
         let queued_before = self.queue.queued();
         let verdict = self.queue.offer(Timestamp::from_micros(self.now), request);
-        self.add("calls");
+        self.increment("calls");
         self.waiting.push(request.id.0);
         if let Some(verdict) = verdict {
-            self.take(verdict, "rejected_at_once");
+            self.apply_verdict(verdict, "rejected_at_once");
         }
         if queued_before == self.settings.max_queued {
-            self.add("full");
+            self.increment("full");
         }
         self.digest_state("offer");
     }
@@ -247,20 +249,20 @@
         let mut verdicts = Vec::new();
         self.queue
             .admit(Timestamp::from_micros(self.now), &mut verdicts);
-        self.add("calls");
+        self.increment("calls");
         for verdict in verdicts {
-            self.take(verdict, "rejected_later");
+            self.apply_verdict(verdict, "rejected_later");
         }
         if self.queue.in_flight() * 2 > self.settings.max_in_flight {
-            self.add("crowded");
+            self.increment("crowded");
         }
         self.digest_state("turn");
     }
 
-    fn take(&mut self, verdict: Verdict, rejected: &'static str) {
+    fn apply_verdict(&mut self, verdict: Verdict, rejection_kind: &'static str) {
         match verdict {
             Verdict::Admit { id: RequestId(id) } => {
-                self.add("admitted");
+                self.increment("admitted");
                 self.digest.add(&format!("admit {id};"));
                 self.waiting.retain(|other| *other != id);
                 let ends_at = self.now + self.draw_service_time(id);
@@ -270,7 +272,7 @@
                 id: RequestId(id),
                 retry_after,
             } => {
-                self.add(rejected);
+                self.increment(rejection_kind);
                 self.digest
                     .add(&format!("reject {id} {};", retry_after.as_micros()));
                 self.waiting.retain(|other| *other != id);
@@ -287,39 +289,39 @@
 
     fn complete_requests(&mut self) {
         let now = self.now;
-        let (completed, open): (Vec<InService>, Vec<InService>) = self
+        let (completed, remaining): (Vec<InService>, Vec<InService>) = self
             .in_service
             .drain(..)
             .partition(|request| request.ends_at <= now);
-        self.in_service = open;
+        self.in_service = remaining;
         for request in completed {
             self.queue.complete(RequestId(request.id));
-            self.add("calls");
-            self.add("completed");
+            self.increment("calls");
+            self.increment("completed");
         }
     }
 
-    /// A client cancels a request, which may have its verdict already.
+    /// Cancels a request, which may already have its verdict.
     fn cancel(&mut self) {
         let id = if self.waiting.is_empty() {
             self.rng.u64(..self.next_id)
         } else {
             self.waiting[self.rng.usize(..self.waiting.len())]
         };
-        let has_waited = self.queue.cancel(RequestId(id));
-        self.add("calls");
-        if has_waited {
-            self.add("cancelled");
+        let was_waiting = self.queue.cancel(RequestId(id));
+        self.increment("calls");
+        if was_waiting {
+            self.increment("cancelled");
             self.waiting.retain(|other| *other != id);
         }
-        self.digest_state(&format!("cancel {id} {has_waited}"));
+        self.digest_state(&format!("cancel {id} {was_waiting}"));
     }
 
-    fn wake(&mut self) {
+    fn record_next_wake(&mut self) {
         let wake = self.queue.next_wake(Timestamp::from_micros(self.now));
-        self.add("calls");
+        self.increment("calls");
         if let Some(at) = wake {
-            self.add("wakes");
+            self.increment("wakes");
             self.digest.add(&format!("wake {};", at.as_micros()));
         }
     }
--- a/crates/site-failover/tests/recording/mod.rs
+++ b/crates/site-failover/tests/recording/mod.rs
@@ -23,7 +23,7 @@
     "returning",
     "held out",
 ];
-/// In microseconds, like all times of the simulation.
+/// A millisecond in microseconds, the unit of all times in the simulation.
 pub const MILLISECOND: u64 = 1_000;
 pub const SECOND: u64 = 1_000_000;
 /// The latency objective of every request, in microseconds.
