--- a/crates/admission-queue/src/fair_queue.rs
+++ b/crates/admission-queue/src/fair_queue.rs
@@ -207,8 +207,8 @@
         self.reject(expected_wait, &queued.request)
     }
 
-    /// Rejects a request. Its retry delay covers the wait in its queue and the time until its quota suffices; jitter spreads retries
-    /// over time.
+    /// Rejects a request. The retry delay is at least the expected wait in its queue and the time until its quota suffices; jitter
+    /// keeps retries from arriving together.
     fn reject(&mut self, expected_wait_micros: f64, request: &Request) -> Verdict {
         let min_retry_micros = self.settings.max_wait.as_micros() as f64 / MIN_RETRY_DELAY_DIVISOR;
         let retry_micros = expected_wait_micros
--- a/crates/admission-queue/src/heavy_hitters.rs
+++ b/crates/admission-queue/src/heavy_hitters.rs
@@ -18,7 +18,7 @@
 /// Recorded traffic is divided by this when the seed changes.
 const TRAFFIC_DECAY_DIVISOR: f64 = 4.0;
 /// The reseed interval is divided by this while no further customer can be tracked.
-const FULL_RESEED_DIVISOR: u64 = 10;
+const FULL_TABLE_RESEED_DIVISOR: u64 = 10;
 /// Multiplier of the seed generator (the golden ratio in 64 bits).
 const SEED_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
 
@@ -82,7 +82,7 @@
         if self.recent_units.len() < self.max_tracked() {
             return self.reseed_interval;
         }
-        TimeDelta::from_micros(self.reseed_interval.as_micros() / FULL_RESEED_DIVISOR)
+        TimeDelta::from_micros(self.reseed_interval.as_micros() / FULL_TABLE_RESEED_DIVISOR)
     }
 
     fn record(&mut self, customer: CustomerId, units: f64) {
--- a/crates/admission-queue/src/round_robin.rs
+++ b/crates/admission-queue/src/round_robin.rs
@@ -50,8 +50,8 @@
     is_active: bool,
 }
 
-/// The result of a queue's turn.
-enum Turn {
+/// The outcome of a queue's turn.
+enum TurnOutcome {
     /// The queue sends a request.
     Send(QueuedRequest),
     /// The queue is empty and leaves the round.
@@ -63,24 +63,24 @@
 }
 
 impl Queue {
-    fn take_turn(&mut self, quantum: f64, max_in_flight: usize) -> Turn {
+    fn take_turn(&mut self, quantum: f64, max_in_flight: usize) -> TurnOutcome {
         let Some(first) = self.requests.front() else {
             self.is_active = false;
             self.deficit = 0.0;
-            return Turn::Leave;
+            return TurnOutcome::Leave;
         };
         if self.in_flight >= max_in_flight {
-            return Turn::Blocked;
+            return TurnOutcome::Blocked;
         }
         let units = first.request.units;
         if self.deficit < units {
             self.deficit += quantum * self.weight;
-            return Turn::WaitForNextRound;
+            return TurnOutcome::WaitForNextRound;
         }
         self.deficit -= units;
         match self.pop_first() {
-            Some(request) => Turn::Send(request),
-            None => Turn::Leave,
+            Some(request) => TurnOutcome::Send(request),
+            None => TurnOutcome::Leave,
         }
     }
 
@@ -192,15 +192,15 @@
         let mut blocked = 0;
         while let Some(&index) = self.round.front() {
             match self.queues[index].take_turn(quantum, max_in_flight) {
-                Turn::Send(request) => {
+                TurnOutcome::Send(request) => {
                     let queue = QueueId(index);
                     return Some(Dequeued { queue, request });
                 }
-                Turn::Leave => {
+                TurnOutcome::Leave => {
                     self.round.pop_front();
                 }
-                Turn::WaitForNextRound => self.round.rotate_left(1),
-                Turn::Blocked => {
+                TurnOutcome::WaitForNextRound => self.round.rotate_left(1),
+                TurnOutcome::Blocked => {
                     blocked += 1;
                     // Every queue of a whole round was blocked.
                     if blocked > self.round.len() {
--- a/crates/site-failover/src/core/mod.rs
+++ b/crates/site-failover/src/core/mod.rs
@@ -37,7 +37,7 @@
     settings: FailoverSettings,
     sites: BTreeMap<SiteId, Site>,
     site_by_endpoint: HashMap<EndpointId, SiteId>,
-    offered: DecayingRate,
+    offered_load: DecayingRate,
     offered_by_value: OfferedLoadHistogram,
     admission_level: AdmissionLevel,
     /// The weight of the responsive endpoints of all sites that get load, at the last update of the states.
@@ -52,7 +52,7 @@
             settings,
             sites: BTreeMap::new(),
             site_by_endpoint: HashMap::new(),
-            offered: DecayingRate::default(),
+            offered_load: DecayingRate::default(),
             offered_by_value: OfferedLoadHistogram::default(),
             admission_level: AdmissionLevel::default(),
             responsive_weight: 0.0,
@@ -69,7 +69,7 @@
                 value_per_unit,
                 units,
             } => {
-                self.offered.add(now, units);
+                self.offered_load.add(now, units);
                 self.offered_by_value.record(value_per_unit, units);
             }
             Event::AttemptSent(endpoint) => {
@@ -95,7 +95,7 @@
     }
 
     fn on_attempt_ended(&mut self, now: Timestamp, attempt: &EndedAttempt) {
-        let load = self.offered.per_second(now);
+        let load = self.offered_load.per_second(now);
         let total_weight = self.responsive_weight.max(MIN_TOTAL_WEIGHT);
         let Some(site) = self.site_of_endpoint(attempt.endpoint) else {
             return;
@@ -146,8 +146,11 @@
             .values()
             .map(|site| site.capacity.throughput(now))
             .sum();
-        let throughput_ratio =
-            throughput / self.offered.per_second(now).max(MIN_LOAD_UNITS_PER_SECOND);
+        let throughput_ratio = throughput
+            / self
+                .offered_load
+                .per_second(now)
+                .max(MIN_LOAD_UNITS_PER_SECOND);
         self.admission_level
             .record_completion(request, throughput_ratio);
     }
--- a/crates/site-failover/src/core/planning.rs
+++ b/crates/site-failover/src/core/planning.rs
@@ -23,7 +23,10 @@
     pub fn plan(&mut self, now: Timestamp) -> FailoverPlan {
         self.update_states(now);
         self.offered_by_value.decay(now);
-        let load = self.offered.per_second(now).max(MIN_LOAD_UNITS_PER_SECOND);
+        let load = self
+            .offered_load
+            .per_second(now)
+            .max(MIN_LOAD_UNITS_PER_SECOND);
         let capacities: Vec<SiteCapacity> = self
             .sites
             .values()
@@ -50,7 +53,7 @@
             load * weights.responsive / self.responsive_weight.max(MIN_TOTAL_WEIGHT);
         let limit = current_limit(now, site, proportional_load);
         let capacity = match site.state {
-            _ if weights.listed <= 0.0 || site.state.is_out() => 0.0,
+            _ if weights.listed <= 0.0 || site.state.is_out_of_service() => 0.0,
             SiteState::Doubtful => limit.min(proportional_load) * DOUBTFUL_FRACTION,
             SiteState::Returning => limit.min(proportional_load * ramp_fraction(site)),
             _ => limit,
@@ -71,7 +74,10 @@
     /// Reserves a small share of the load as probes of sites that are lost or recovering, so that their recovery is noticed.
     fn reserve_probes(&self, load: f64, shares: &mut [f64]) {
         let any_share = shares.iter().any(|share| *share > 0.0);
-        let any_in_service = self.sites.values().any(|site| !site.state.is_out());
+        let any_in_service = self
+            .sites
+            .values()
+            .any(|site| !site.state.is_out_of_service());
         if !any_share || !any_in_service {
             return;
         }
--- a/crates/site-failover/src/core/transitions.rs
+++ b/crates/site-failover/src/core/transitions.rs
@@ -25,7 +25,7 @@
         self.responsive_weight = self
             .sites
             .values()
-            .filter(|site| !site.state.is_out())
+            .filter(|site| !site.state.is_out_of_service())
             .map(|site| site.responsive_weight)
             .sum();
     }
@@ -38,7 +38,7 @@
         let sustainable = sustainable_fraction(&self.settings, site, now);
         site.capacity.advance(now);
         if state != site.state {
-            let is_new_loss = state.is_out() && !site.state.is_out();
+            let is_new_loss = state.is_out_of_service() && !site.state.is_out_of_service();
             if is_new_loss {
                 site.backoff.record_loss(now);
             }
@@ -135,6 +135,7 @@
 }
 
 fn is_recently_silent(now: Timestamp, site: &Site) -> bool {
-    let went_out_recently = site.state.is_out() && now < site.state_since + PARTITION_WINDOW;
+    let went_out_recently =
+        site.state.is_out_of_service() && now < site.state_since + PARTITION_WINDOW;
     site.is_doubtful(now) || site.is_unresponsive(now) || went_out_recently
 }
--- a/crates/site-failover/src/event.rs
+++ b/crates/site-failover/src/event.rs
@@ -21,7 +21,7 @@
     pub in_service: bool,
     /// Its size relative to the other endpoints; 0 or less counts as 1.
     pub weight: f64,
-    /// When it last started; `None` if it has been running long enough to be warm.
+    /// When it last started; `None` if that was long ago.
     pub started_at: Option<Timestamp>,
 }
 
@@ -32,7 +32,7 @@
     Answered,
     /// The endpoint rejected the attempt without processing it.
     Rejected,
-    /// There was no answer within the attempt's time.
+    /// There was no answer within the attempt's timeout.
     TimedOut,
     /// The connection could not be established, or it broke.
     Unreachable,
@@ -97,7 +97,7 @@
     Restore,
 }
 
-/// An event at the gateway, or a report to it.
+/// An event that the gateway reports to the core.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
     /// The endpoint list was read; it is complete.
--- a/crates/site-failover/src/site/mod.rs
+++ b/crates/site-failover/src/site/mod.rs
@@ -141,7 +141,7 @@
         if self.state == state {
             return;
         }
-        if state.is_out() {
+        if state.is_out_of_service() {
             self.capacity.reset();
             self.ramp = None;
         }
--- a/crates/site-failover/src/state.rs
+++ b/crates/site-failover/src/state.rs
@@ -32,7 +32,7 @@
     }
 
     /// Whether the site is out of service: it gets no load apart from a few probes.
-    pub fn is_out(self) -> bool {
+    pub fn is_out_of_service(self) -> bool {
         matches!(
             self,
             SiteState::Lost | SiteState::CutOff | SiteState::HeldOut
@@ -63,7 +63,7 @@
 pub fn next_state(state: SiteState, observed: Observations) -> SiteState {
     match state {
         SiteState::HeldOut => SiteState::HeldOut,
-        _ if state.is_out() && observed.is_unresponsive => state,
+        _ if state.is_out_of_service() && observed.is_unresponsive => state,
         _ if observed.is_unresponsive && observed.is_partitioned => SiteState::CutOff,
         _ if observed.is_unresponsive => SiteState::Lost,
         SiteState::Lost | SiteState::CutOff
--- a/crates/site-failover/tests/fleet/mod.rs
+++ b/crates/site-failover/tests/fleet/mod.rs
@@ -14,7 +14,7 @@
 pub const SECOND: TimeDelta = TimeDelta::from_secs(1);
 pub const OBJECTIVE: TimeDelta = millis(500);
 /// An endpoint without faults.
-pub const USUAL: Behavior = Behavior::Answers(millis(40));
+pub const HEALTHY: Behavior = Behavior::Answers(millis(40));
 /// The number of sites, and of gateways: there is one at each site.
 const SITES: usize = 3;
 const ENDPOINTS_PER_SITE: usize = 4;
@@ -86,7 +86,7 @@
             cores: (0..SITES as u32)
                 .map(|site| FailoverCore::new(settings(site)))
                 .collect(),
-            behavior: vec![vec![[USUAL; ENDPOINTS_PER_SITE]; SITES]; SITES],
+            behavior: vec![vec![[HEALTHY; ENDPOINTS_PER_SITE]; SITES]; SITES],
             started_at: vec![None; SITES],
             is_listed: vec![true; SITES],
             sent: vec![vec![0; SITES]; SITES],
--- a/crates/site-failover/tests/properties.rs
+++ b/crates/site-failover/tests/properties.rs
@@ -46,12 +46,12 @@
         admission in 0.0..1.0f64, other_admission in 0.0..1.0f64,
         value in 0.01..1e3f64, other_value in 0.01..1e3f64,
     ) {
-        let mut offers = OfferedLoadHistogram::default();
+        let mut histogram = OfferedLoadHistogram::default();
         for (value, units) in &offered {
-            offers.record(*value, *units);
+            histogram.record(*value, *units);
         }
-        let lower = offers.threshold(admission.min(other_admission));
-        let higher = offers.threshold(admission.max(other_admission));
+        let lower = histogram.threshold(admission.min(other_admission));
+        let higher = histogram.threshold(admission.max(other_admission));
         prop_assert!(lower.admitted_fraction(value) <= higher.admitted_fraction(value) + 1e-9);
         let (least, most) = (value.min(other_value), value.max(other_value));
         prop_assert!(lower.admitted_fraction(least) <= lower.admitted_fraction(most) + 1e-9);
@@ -59,8 +59,8 @@
         let admitted: f64 = offered.iter().map(|(value, units)| units * higher.admitted_fraction(*value)).sum();
         // An upper bound of the units in the bucket of `value`. Only one bucket is admitted in part.
         let units_near = |value: f64| -> f64 {
-            let is_own_site = |other: f64| (other / value).log2().abs() < BUCKET_WIDTH;
-            offered.iter().filter(|(other, _)| is_own_site(*other)).map(|(_, units)| units).sum()
+            let is_near = |other: f64| (other / value).log2().abs() < BUCKET_WIDTH;
+            offered.iter().filter(|(other, _)| is_near(*other)).map(|(_, units)| units).sum()
         };
         let widest = offered.iter().map(|(value, _)| units_near(*value)).fold(0.0, f64::max);
         let expected = total * admission.max(other_admission);
--- a/crates/site-failover/tests/recording/sites.rs
+++ b/crates/site-failover/tests/recording/sites.rs
@@ -26,24 +26,24 @@
 
 pub struct SimulatedSites {
     endpoints: Vec<Endpoint>,
-    sites: u32,
+    site_count: u32,
 }
 
 /// The behavior of an endpoint without faults.
-const USUAL: Behavior = Behavior::Answers {
+const HEALTHY: Behavior = Behavior::Answers {
     mean_latency: 40 * MILLISECOND,
 };
 
 impl SimulatedSites {
     pub fn new(rng: &mut Rng) -> SimulatedSites {
-        let sites = rng.u32(2..6);
+        let site_count = rng.u32(2..6);
         let mut endpoints = Vec::new();
-        for site in 0..sites {
+        for site in 0..site_count {
             for _ in 0..rng.u64(1..6) {
                 endpoints.push(Endpoint {
                     id: endpoints.len() as u64,
                     site,
-                    behavior: USUAL,
+                    behavior: HEALTHY,
                     started_at: (rng.u32(0..4) == 0).then_some(rng.u64(0..SECOND)),
                     in_service: true,
                     is_listed: true,
@@ -51,11 +51,14 @@
                 });
             }
         }
-        SimulatedSites { endpoints, sites }
+        SimulatedSites {
+            endpoints,
+            site_count,
+        }
     }
 
     pub fn draw_site(&self, rng: &mut Rng) -> u32 {
-        rng.u32(0..self.sites)
+        rng.u32(0..self.site_count)
     }
 
     pub fn draw_endpoint(&self, rng: &mut Rng) -> u64 {
@@ -87,7 +90,7 @@
             4 | 5 => Behavior::Answers {
                 mean_latency: rng.u64(100..600) * MILLISECOND,
             },
-            _ => USUAL,
+            _ => HEALTHY,
         };
         let has_restarted = rng.u32(0..5) == 0;
         let site = self.draw_site(rng);
--- a/crates/site-failover/tests/recovery.rs
+++ b/crates/site-failover/tests/recovery.rs
@@ -3,7 +3,7 @@
 
 use chalkdeck_site_failover::{Event, FailoverCore, SiteId, SiteOverride, SiteState};
 use chalkdeck_time::Timestamp;
-use fleet::{listed_endpoint, millis, settings, Behavior, Fleet, SECOND, USUAL};
+use fleet::{listed_endpoint, millis, settings, Behavior, Fleet, HEALTHY, SECOND};
 
 fn set_override(fleet: &mut Fleet, site: u32, site_override: SiteOverride) {
     let site = SiteId(site);
@@ -21,7 +21,7 @@
     fleet.set_behavior(0, Behavior::Refuses);
     fleet.run_until(SECOND * 2, |fleet| fleet.state(0, 0) == SiteState::Lost);
     fleet.run(SECOND * 5);
-    fleet.set_behavior(0, USUAL);
+    fleet.set_behavior(0, HEALTHY);
     fleet.started_at[0] = Some(fleet.now);
     fleet.publish_list();
     fleet.run_until(SECOND * 10, |fleet| {
@@ -49,7 +49,7 @@
     fleet.set_behavior(0, Behavior::Refuses);
     fleet.run_until(SECOND * 2, |fleet| fleet.state(0, 0) == SiteState::Lost);
     fleet.run(SECOND * 2);
-    fleet.set_behavior(0, USUAL);
+    fleet.set_behavior(0, HEALTHY);
     fleet.run_until(SECOND * 30, |fleet| {
         fleet.state(0, 0) == SiteState::Returning && fleet.site(0, 0).ramp_fraction > 0.4
     });
@@ -67,7 +67,7 @@
         fleet.set_behavior(0, Behavior::Refuses);
         fleet.run_until(SECOND * 3, |fleet| fleet.state(0, 0) == SiteState::Lost);
         backoffs.push(fleet.site(0, 0).evidence.backoff_until - fleet.now);
-        fleet.set_behavior(0, USUAL);
+        fleet.set_behavior(0, HEALTHY);
         fleet.run_until(SECOND * 80, |fleet| fleet.state(0, 0) != SiteState::Lost);
     }
     assert!(
--- a/crates/site-failover/tests/site_loss.rs
+++ b/crates/site-failover/tests/site_loss.rs
@@ -4,7 +4,7 @@
 use chalkdeck_site_failover::{
     AttemptEvidence, EndedAttempt, EndpointConcurrency, EndpointId, Event, FailoverCore, SiteState,
 };
-use fleet::{millis, settings, Behavior, Fleet, SECOND, USUAL};
+use fleet::{millis, settings, Behavior, Fleet, HEALTHY, SECOND};
 
 #[test]
 fn without_faults_all_load_stays_at_the_own_site() {
@@ -96,7 +96,7 @@
         fleet.behavior[0][1] = [Behavior::Silent; 4];
         fleet.run_until(SECOND * 4, |fleet| {
             fleet.handle(0, counter);
-            fleet.state(0, 1).is_out()
+            fleet.state(0, 1).is_out_of_service()
         });
         assert_eq!(fleet.state(0, 1), state);
     }
@@ -112,7 +112,7 @@
     }
     fleet.run(SECOND * 6);
     let site = fleet.site(0, 0);
-    assert!(!site.state.is_out(), "{site:?}");
+    assert!(!site.state.is_out_of_service(), "{site:?}");
     assert_eq!(site.evidence.silent_endpoints, 2);
 }
 
@@ -125,7 +125,7 @@
     }
     for _ in 0..500 {
         fleet.run(millis(10));
-        assert!(!fleet.state(0, 0).is_out());
+        assert!(!fleet.state(0, 0).is_out_of_service());
     }
 }
 
@@ -169,12 +169,12 @@
     fleet.set_behavior(0, Behavior::Answers(millis(400)));
     fleet.run(SECOND * 10);
     let site = fleet.site(0, 0);
-    assert!(!site.state.is_out(), "{site:?}");
+    assert!(!site.state.is_out_of_service(), "{site:?}");
     assert!(
         site.share < 0.7,
         "the gateway sends part of the load to other sites: {site:?}"
     );
-    fleet.set_behavior(0, USUAL);
+    fleet.set_behavior(0, HEALTHY);
     fleet.run(SECOND * 60);
     let site = fleet.site(0, 0);
     assert!(site.share > 0.95, "the load has returned: {site:?}");
@@ -194,8 +194,8 @@
         (sum - 1.0).abs() < 1e-9 && plan.sites.iter().all(|site| site.share > 0.2),
         "{plan:?}"
     );
-    fleet.set_behavior(2, USUAL);
-    fleet.run_until(SECOND * 30, |fleet| !fleet.state(0, 2).is_out());
+    fleet.set_behavior(2, HEALTHY);
+    fleet.run_until(SECOND * 30, |fleet| !fleet.state(0, 2).is_out_of_service());
 }
 
 #[test]
@@ -235,7 +235,7 @@
     );
     fleet.run_until(SECOND * 2, |fleet| fleet.state(0, 0) == SiteState::Lost);
     fleet.run(SECOND * 2);
-    fleet.set_behavior(0, USUAL);
+    fleet.set_behavior(0, HEALTHY);
     fleet.run_until(SECOND * 5, |fleet| {
         fleet.state(0, 0) == SiteState::Returning
     });
--- a/crates/site-failover/tests/state_model.rs
+++ b/crates/site-failover/tests/state_model.rs
@@ -7,11 +7,11 @@
 use stateright::{Checker, Model, Property};
 
 /// Updates without an answer after which a site is doubtful.
-const DOUBTFUL_AFTER: u8 = 1;
+const DOUBTFUL_AFTER_UPDATES: u8 = 1;
 /// Updates without an answer after which a site is lost.
-const LOST_AFTER: u8 = 2;
+const LOST_AFTER_UPDATES: u8 = 2;
 /// Updates that a backoff lasts.
-const BACKOFF: u8 = 2;
+const BACKOFF_UPDATES: u8 = 2;
 /// Steps of a recovery ramp.
 const RAMP_STEPS: u8 = 2;
 /// The most losses, recoveries, partitions and repairs in one run of the model.
@@ -60,15 +60,15 @@
         view.silent_updates = if answers {
             0
         } else {
-            (view.silent_updates + 1).min(LOST_AFTER)
+            (view.silent_updates + 1).min(LOST_AFTER_UPDATES)
         };
-        view.has_answered |= answers && view.state.is_out();
+        view.has_answered |= answers && view.state.is_out_of_service();
         view.backoff = view.backoff.saturating_sub(1);
         let earns_step = answers && view.state == SiteState::Returning;
         view.ramp_steps = (view.ramp_steps + u8::from(earns_step)).min(RAMP_STEPS);
         let observed = Observations {
-            is_unresponsive: view.silent_updates >= LOST_AFTER,
-            is_doubtful: view.silent_updates >= DOUBTFUL_AFTER,
+            is_unresponsive: view.silent_updates >= LOST_AFTER_UPDATES,
+            is_doubtful: view.silent_updates >= DOUBTFUL_AFTER_UPDATES,
             is_partitioned: world.is_partitioned[gateway],
             is_backoff_over: view.backoff == 0,
             has_answered: view.has_answered,
@@ -77,8 +77,8 @@
         };
         let before = view.state;
         view.state = next_state(before, observed);
-        if view.state.is_out() && !before.is_out() {
-            view.backoff = BACKOFF;
+        if view.state.is_out_of_service() && !before.is_out_of_service() {
+            view.backoff = BACKOFF_UPDATES;
             view.has_answered = false;
             view.ramp_steps = 0;
         }
@@ -91,7 +91,7 @@
     /// The world after enough updates of both gateways for their states to settle, without further faults.
     fn settled(world: &World) -> World {
         let mut settled = world.clone();
-        for _ in 0..(LOST_AFTER + BACKOFF + RAMP_STEPS + 3) {
+        for _ in 0..(LOST_AFTER_UPDATES + BACKOFF_UPDATES + RAMP_STEPS + 3) {
             settled.views = [
                 SiteModel::update(&settled, 0),
                 SiteModel::update(&settled, 1),
@@ -150,7 +150,8 @@
                 |_, world: &World| {
                     let settled = SiteModel::settled(world);
                     (0..2).all(|gateway| {
-                        world.is_reachable_from(gateway) || settled.views[gateway].state.is_out()
+                        world.is_reachable_from(gateway)
+                            || settled.views[gateway].state.is_out_of_service()
                     })
                 },
             ),
@@ -169,7 +170,7 @@
                     let before = world.views[gateway].state;
                     let after = SiteModel::update(world, gateway).state;
                     let skips_recovery = matches!(after, SiteState::Serving | SiteState::Doubtful);
-                    !(before.is_out() && skips_recovery)
+                    !(before.is_out_of_service() && skips_recovery)
                 })
             }),
             Property::always(
@@ -178,7 +179,8 @@
                     (0..2).all(|gateway| {
                         let before = &world.views[gateway];
                         let after = SiteModel::update(world, gateway);
-                        let starts = before.state.is_out() && after.state == SiteState::Returning;
+                        let starts =
+                            before.state.is_out_of_service() && after.state == SiteState::Returning;
                         !starts || after.has_answered && after.backoff == 0
                     })
                 },
