--- a/crates/admission-queue/src/round_robin.rs
+++ b/crates/admission-queue/src/round_robin.rs
@@ -99,7 +99,7 @@
     }
 
     /// The waiting units divided by the weight.
-    fn weighted_len(&self) -> f64 {
+    fn weighted_units(&self) -> f64 {
         self.units / self.weight.max(MIN_WEIGHT)
     }
 
@@ -228,12 +228,12 @@
 
     /// The queue with the most waiting units divided by its weight.
     pub(crate) fn longest_queue(&self) -> QueueId {
-        let weighted_len = |index: &usize| self.queues[*index].weighted_len();
+        let weighted_units = |index: &usize| self.queues[*index].weighted_units();
         let longest = self
             .round
             .iter()
             .copied()
-            .max_by(|left, right| weighted_len(left).total_cmp(&weighted_len(right)));
+            .max_by(|left, right| weighted_units(left).total_cmp(&weighted_units(right)));
         QueueId(longest.unwrap_or(0))
     }
 
--- a/crates/admission-queue/tests/fair_queue.rs
+++ b/crates/admission-queue/tests/fair_queue.rs
@@ -10,7 +10,7 @@
 const START: Timestamp = Timestamp::from_millis(1_000);
 const TURN: TimeDelta = TimeDelta::from_millis(1);
 /// A customer that sends far more than the others.
-const FLOODING: u64 = 99;
+const FLOODING_CUSTOMER: u64 = 99;
 
 fn request(id: u64, customer: u64) -> Request {
     Request {
@@ -29,7 +29,7 @@
     verdicts
 }
 
-fn admitted(verdicts: &[Verdict]) -> Vec<RequestId> {
+fn admitted_ids(verdicts: &[Verdict]) -> Vec<RequestId> {
     let ids = verdicts.iter().filter_map(|verdict| match verdict {
         Verdict::Admit { id } => Some(*id),
         Verdict::Reject { .. } => None,
@@ -82,7 +82,7 @@
             ..self.next_request(customer)
         };
         if let Some(verdict) = self.queue.offer(self.now, request) {
-            self.count(verdict, TimeDelta::ZERO);
+            self.apply_verdict(verdict, TimeDelta::ZERO);
         }
     }
 
@@ -92,7 +92,7 @@
         }
     }
 
-    fn count(&mut self, verdict: Verdict, service_time: TimeDelta) {
+    fn apply_verdict(&mut self, verdict: Verdict, service_time: TimeDelta) {
         match verdict {
             Verdict::Admit { id } => {
                 *self.admitted.entry(self.customers[&id]).or_default() += 1;
@@ -111,7 +111,7 @@
         let now = self.now;
         self.complete(|_, request| request.ends_at <= now);
         for verdict in admit(&mut self.queue, now) {
-            self.count(verdict, service_time);
+            self.apply_verdict(verdict, service_time);
         }
     }
 
@@ -149,7 +149,7 @@
             ..Settings::default()
         });
         for _ in 0..500 {
-            simulation.offer_many(flood, FLOODING, 1.0, 1.0);
+            simulation.offer_many(flood, FLOODING_CUSTOMER, 1.0, 1.0);
             for customer in 0..10 {
                 simulation.offer(customer, 1.0, 1.0);
             }
@@ -158,7 +158,7 @@
         let least = simulation.least_admitted_fraction(0..10);
         assert!(least > 0.99, "{flood}: {least}");
         if flood > 0 {
-            let per_turn = simulation.admitted[&FLOODING] as f64 / 500.0;
+            let per_turn = simulation.admitted[&FLOODING_CUSTOMER] as f64 / 500.0;
             assert!(
                 (9.0..=10.5).contains(&per_turn),
                 "the flooding customer gets the remaining capacity: {per_turn} per turn"
@@ -196,15 +196,16 @@
         ..Settings::default()
     });
     for turn in 0..1_500 {
-        simulation.offer_many(20, FLOODING, 1.0, 1.0);
+        simulation.offer_many(20, FLOODING_CUSTOMER, 1.0, 1.0);
         for customer in 0..4 {
             simulation.offer(customer, 1.0, 1.0);
         }
         simulation.now = simulation.now + TURN;
         let now = simulation.now;
-        simulation.complete(|customer, request| customer != FLOODING || request.ends_at <= now);
+        simulation
+            .complete(|customer, request| customer != FLOODING_CUSTOMER || request.ends_at <= now);
         for verdict in admit(&mut simulation.queue, now) {
-            simulation.count(verdict, SECOND * 5);
+            simulation.apply_verdict(verdict, SECOND * 5);
         }
         assert!(simulation.queue.in_flight() <= 100, "turn {turn}");
     }
@@ -226,7 +227,7 @@
         if id % requests_per_turn == 0 {
             verdicts.clear();
             queue.admit(now, &mut verdicts);
-            for id in admitted(&verdicts) {
+            for id in admitted_ids(&verdicts) {
                 queue.complete(id);
             }
         }
@@ -305,7 +306,7 @@
         ..Settings::default()
     });
     queue.offer(START, request(1, 1));
-    assert_eq!(admitted(&admit(&mut queue, START)), [RequestId(1)]);
+    assert_eq!(admitted_ids(&admit(&mut queue, START)), [RequestId(1)]);
     let with_deadline = Request {
         deadline: START + TimeDelta::from_millis(500),
         ..request(2, 1)
@@ -415,7 +416,7 @@
                     // twice their share in flight.
                     if queue.in_flight() * 2 < settings.max_in_flight {
                         let expected = queued.min(free_slots).min(settings.max_admitted_per_turn);
-                        prop_assert!(admitted(&turn).len() == expected || queue.queued() == 0);
+                        prop_assert!(admitted_ids(&turn).len() == expected || queue.queued() == 0);
                     }
                     prop_assert!(verdicts.record(turn));
                 }
--- a/crates/site-failover/tests/fleet/mod.rs
+++ b/crates/site-failover/tests/fleet/mod.rs
@@ -36,7 +36,7 @@
 }
 
 /// An attempt in flight and the time of its end.
-struct PendingEnd {
+struct PendingAttempt {
     at: Timestamp,
     gateway: usize,
     attempt: EndedAttempt,
@@ -53,8 +53,8 @@
     /// Whether the list contains the endpoints of each site.
     pub is_listed: Vec<bool>,
     /// The attempts sent, by gateway and site.
-    pub sent: Vec<Vec<u64>>,
-    pending: VecDeque<PendingEnd>,
+    pub sent_attempts: Vec<Vec<u64>>,
+    pending: VecDeque<PendingAttempt>,
     requests: u64,
 }
 
@@ -89,7 +89,7 @@
             behavior: vec![vec![[HEALTHY; ENDPOINTS_PER_SITE]; SITES]; SITES],
             started_at: vec![None; SITES],
             is_listed: vec![true; SITES],
-            sent: vec![vec![0; SITES]; SITES],
+            sent_attempts: vec![vec![0; SITES]; SITES],
             pending: VecDeque::new(),
             requests: 0,
         };
@@ -140,7 +140,7 @@
         let end = self.now + span;
         while self.now < end {
             self.now = self.now + REQUEST_INTERVAL;
-            self.deliver_ends();
+            self.deliver_attempt_ends();
             for gateway in 0..self.cores.len() {
                 self.send_request(gateway);
             }
@@ -167,7 +167,7 @@
         self.now - start
     }
 
-    fn deliver_ends(&mut self) {
+    fn deliver_attempt_ends(&mut self) {
         while let Some(pending) = self.pending.pop_front() {
             if pending.at > self.now {
                 self.pending.push_front(pending);
@@ -200,14 +200,14 @@
     fn send_attempt(&mut self, gateway: usize, site: usize) {
         let endpoint = (self.requests / SITES as u64) as usize % ENDPOINTS_PER_SITE;
         let id = EndpointId((site * ENDPOINTS_PER_SITE + endpoint) as u64);
-        self.sent[gateway][site] += 1;
+        self.sent_attempts[gateway][site] += 1;
         self.handle(gateway, Event::AttemptSent(id));
         let (latency, evidence) = match self.behavior[gateway][site][endpoint] {
             Behavior::Answers(latency) => (latency, AttemptEvidence::Answered),
             Behavior::Silent => (OBJECTIVE, AttemptEvidence::TimedOut),
             Behavior::Refuses => (millis(1), AttemptEvidence::Unreachable),
         };
-        self.pending.push_back(PendingEnd {
+        self.pending.push_back(PendingAttempt {
             at: self.now + latency,
             gateway,
             attempt: EndedAttempt {
--- a/crates/site-failover/tests/learning.rs
+++ b/crates/site-failover/tests/learning.rs
@@ -12,13 +12,13 @@
 const MIN_LIMIT: f64 = 5.0;
 
 /// A stream of answers of one unit each.
-struct Answers {
+struct AnswerStream {
     seconds: u64,
     per_second: u64,
     congestion: f64,
 }
 
-impl Answers {
+impl AnswerStream {
     /// Records the stream in the capacity from `start` on and returns its end.
     fn record(&self, capacity: &mut LearnedCapacity, start: Timestamp) -> Timestamp {
         let interval = TimeDelta::from_micros(SECOND.as_micros() / self.per_second);
@@ -57,14 +57,14 @@
 #[test]
 fn congested_answers_set_a_limit_near_the_throughput() {
     let mut capacity = LearnedCapacity::default();
-    let uncongested = Answers {
+    let uncongested = AnswerStream {
         seconds: 4,
         per_second: 50,
         congestion: 0.0,
     };
     let now = uncongested.record(&mut capacity, at(SECOND));
     assert_eq!(capacity.limit(), None, "no limit was reached");
-    let congested = Answers {
+    let congested = AnswerStream {
         congestion: 1.0,
         ..uncongested
     };
@@ -79,7 +79,7 @@
 #[test]
 fn congestion_at_low_throughput_sets_no_limit() {
     let mut capacity = LearnedCapacity::default();
-    let low_rate = Answers {
+    let low_rate = AnswerStream {
         seconds: 4,
         per_second: 2,
         congestion: 1.0,
@@ -91,13 +91,13 @@
 #[test]
 fn limit_that_is_not_reached_grows_and_is_dropped() {
     let mut capacity = LearnedCapacity::default();
-    let congested = Answers {
+    let congested = AnswerStream {
         seconds: 4,
         per_second: 50,
         congestion: 1.0,
     };
     let now = congested.record(&mut capacity, at(SECOND));
-    let low_rate = Answers {
+    let low_rate = AnswerStream {
         seconds: 60,
         per_second: 5,
         congestion: 0.0,
--- a/crates/site-failover/tests/site_loss.rs
+++ b/crates/site-failover/tests/site_loss.rs
@@ -215,9 +215,9 @@
     fleet.run(SECOND);
     fleet.set_behavior(0, Behavior::Silent);
     fleet.run_until(SECOND * 3, |fleet| fleet.state(0, 0) == SiteState::Lost);
-    let before = fleet.sent[0][0];
+    let before = fleet.sent_attempts[0][0];
     fleet.run(SECOND * 10);
-    let probes = fleet.sent[0][0] - before;
+    let probes = fleet.sent_attempts[0][0] - before;
     // Probes are at most 2 % of 100 requests per second.
     assert!((1..=25).contains(&probes), "{probes} in ten seconds");
 }
