--- a/crates/admission-queue/tests/fair_queue.rs
+++ b/crates/admission-queue/tests/fair_queue.rs
@@ -383,7 +383,7 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
     /// For any sequence of calls, each request gets exactly one verdict, the queue is work-conserving, the limits hold, and no
-    /// request waits longer than the longest wait.
+    /// request waits indefinitely.
     #[test]
     fn every_request_gets_exactly_one_verdict(steps in proptest::collection::vec(step(), 1..400)) {
         let settings = Settings {
@@ -427,7 +427,7 @@
             }
             prop_assert!(queue.queued() <= settings.max_queued && queue.in_flight() <= settings.max_in_flight);
         }
-        // All waiting requests get their verdicts within the longest wait.
+        // All waiting requests get their verdicts within 400 ms, several times the longest wait.
         for _ in 0..400 {
             now = now + TURN;
             let in_flight = verdicts.in_flight.len();
--- a/crates/site-failover/src/event.rs
+++ b/crates/site-failover/src/event.rs
@@ -75,7 +75,7 @@
     Rejected,
 }
 
-/// A request that has got its final answer.
+/// A request that has its final answer.
 #[derive(Clone, Copy, Debug)]
 pub struct CompletedRequest {
     /// What the client got.
@@ -100,7 +100,7 @@
 /// An event that the gateway reports to the core.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
-    /// The endpoint list was read; it is complete.
+    /// The endpoint list was read. Its entries replace all earlier ones.
     EndpointListUpdated(&'a [EndpointEntry]),
     /// A request arrived.
     RequestOffered {
