--- a/crates/coordinator/src/replica/apply.rs
+++ b/crates/coordinator/src/replica/apply.rs
@@ -68,7 +68,7 @@
                 for renewed in &renew.sessions {
                     if let Some(session) = self.state.session(SessionId(renewed.session)) {
                         self.failure_detector
-                            .renewal_applied(last_renewal(session), self.now);
+                            .record_renewal(last_renewal(session), self.now);
                     }
                 }
             }
@@ -78,15 +78,15 @@
                     session,
                     log_index: self.state.session(session).map_or(0, |s| s.renewal_index),
                 };
-                self.failure_detector.renewal_applied(renewal, self.now);
+                self.failure_detector.record_renewal(renewal, self.now);
             }
             Some(CommandKind::CloseSession(close)) => {
-                self.failure_detector.forget(SessionId(close.session));
+                self.failure_detector.remove(SessionId(close.session));
             }
             Some(CommandKind::ExpireSession(expiry)) => {
                 let session = SessionId(expiry.session);
                 if self.state.session(session).is_none() {
-                    self.failure_detector.forget(session);
+                    self.failure_detector.remove(session);
                 }
             }
             _ => {}
--- a/crates/coordinator/src/replica/maintenance.rs
+++ b/crates/coordinator/src/replica/maintenance.rs
@@ -68,7 +68,7 @@
     fn expire_sessions(&mut self) {
         for expired in self.failure_detector.expired(self.now) {
             if self.state.session(expired.session).is_none() {
-                self.failure_detector.forget(expired.session);
+                self.failure_detector.remove(expired.session);
                 continue;
             }
             let expiry = wire::ExpireSession {
--- a/crates/coordinator/src/replica/membership.rs
+++ b/crates/coordinator/src/replica/membership.rs
@@ -36,7 +36,7 @@
         }
         self.apply_decided();
         let renewals = self.state.sessions().map(super::apply::last_renewal);
-        self.failure_detector.restart(renewals, self.now);
+        self.failure_detector.reset(renewals, self.now);
         Ok(())
     }
 
@@ -65,7 +65,7 @@
         self.state = state;
         for session in self.state.sessions() {
             self.failure_detector
-                .renewal_applied(super::apply::last_renewal(session), self.now);
+                .record_renewal(super::apply::last_renewal(session), self.now);
         }
         self.has_announced_version = false;
         Ok(())
--- a/crates/coordinator/src/session/renewal.rs
+++ b/crates/coordinator/src/session/renewal.rs
@@ -53,7 +53,7 @@
     }
 
     pub(super) fn granted(&mut self, number: RenewalNumber) {
-        self.lease.renewal_granted(number);
+        self.lease.record_grant(number);
     }
 
     pub(super) fn end(&mut self) {
@@ -74,7 +74,7 @@
         session: SessionId,
         cached_version: u64,
     ) -> wire::Renewal {
-        let number = self.lease.renewal_sent(now);
+        let number = self.lease.start_renewal(now);
         self.renew_at = now + self.terms().renewal_interval();
         self.acknowledged_version = self.durable_version(cached_version);
         wire::Renewal {
--- a/crates/leader-election/src/fencing.rs
+++ b/crates/leader-election/src/fencing.rs
@@ -1,40 +1,40 @@
-//! Fencing tokens: numbers that only grow, carried by each effect of a leader and compared by each resource.
+//! Fencing tokens: monotonically increasing numbers that a leader attaches to every operation and that every resource checks.
 
-/// The right to act as the leader of an election; a later leader's token is larger.
+/// Identifies one leadership of an election. Each later leader gets a larger token.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FencingToken(pub u64);
 
-/// An effect carried a smaller token than one that the resource has seen: another leader has followed its sender.
+/// An operation carried a smaller token than one that the resource has already seen: a newer leader has replaced its sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("stale fencing token {}, expected at least {}", .presented.0, .highest_seen.0)]
 pub struct StaleToken {
-    /// The token that the effect carried.
+    /// The token that the operation carried.
     pub presented: FencingToken,
-    /// The largest token that the resource has seen.
+    /// The largest token that the resource has seen so far.
     pub highest_seen: FencingToken,
 }
 
-/// Check of fencing tokens at a resource. Guards against a leader that was stalled, and acts before it checks its lease.
+/// Checks fencing tokens at a resource. Protects it from a former leader that was stalled and acts before it rechecks its lease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FencingGuard {
     highest_seen: FencingToken,
 }
 
 impl FencingGuard {
-    /// A guard of a resource that has already seen this token.
+    /// Creates the guard of a resource that has already seen this token.
     pub fn with_highest_seen(highest_seen: FencingToken) -> FencingGuard {
         FencingGuard { highest_seen }
     }
 
-    /// The largest token that was seen.
+    /// Returns the largest token seen so far.
     pub fn highest_seen(&self) -> FencingToken {
         self.highest_seen
     }
 
-    /// Admits an effect with this token, and from here on none with a smaller one.
+    /// Admits an operation with this token, and rejects every smaller token from now on.
     ///
     /// # Errors
-    /// [`StaleToken`] if a larger token was seen before; the effect must not be carried out.
+    /// [`StaleToken`] if a larger token was seen before; the operation must not be executed.
     pub fn check(&mut self, presented: FencingToken) -> Result<(), StaleToken> {
         if presented < self.highest_seen {
             return Err(StaleToken {
--- a/crates/leader-election/src/lease.rs
+++ b/crates/leader-election/src/lease.rs
@@ -1,36 +1,36 @@
-//! A lease as its holder measures it.
+//! A lease, as measured by its holder.
 
 use crate::LeaseTerms;
 use chalkdeck_time::Timestamp;
 use std::collections::VecDeque;
 
-/// Renewals that are remembered until they are granted; the grant of an older one extends nothing.
+/// The most renewals that wait for their grants. Older ones are dropped, and their grants no longer extend the lease.
 const MAX_PENDING_RENEWALS: usize = 16;
 
-/// The number of a renewal, from 1, which its grant carries again; 0 stands for none.
+/// The number of a renewal, counted from 1 and echoed in its grant. 0 means no renewal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RenewalNumber(pub u64);
 
-/// A renewal that was sent and is not granted yet.
+/// A renewal that was sent but not granted yet.
 #[derive(Clone, Copy, Debug)]
 struct PendingRenewal {
     number: RenewalNumber,
     sent_at: Timestamp,
 }
 
-/// A session's lease by its holder's own clock. It counts from when a renewal was sent, which is before anybody else can count
-/// from it.
+/// A session's lease, timed by its holder's own clock. The lease runs from the moment a renewal was sent, which precedes every
+/// moment from which a replica may time it.
 #[derive(Clone, Debug)]
 pub struct Lease {
     terms: LeaseTerms,
-    /// In the order in which they were sent.
+    /// Pending renewals in the order in which they were sent.
     pending: VecDeque<PendingRenewal>,
     last_number: RenewalNumber,
     expires_at: Option<Timestamp>,
 }
 
 impl Lease {
-    /// A lease that was never granted.
+    /// Creates a lease that has not been granted yet.
     pub fn new(terms: LeaseTerms) -> Lease {
         Lease {
             terms,
@@ -40,13 +40,13 @@
         }
     }
 
-    /// The terms that were agreed on.
+    /// Returns the terms of the lease.
     pub fn terms(&self) -> &LeaseTerms {
         &self.terms
     }
 
     /// Records that a renewal is sent at `now`, and returns its number.
-    pub fn renewal_sent(&mut self, now: Timestamp) -> RenewalNumber {
+    pub fn start_renewal(&mut self, now: Timestamp) -> RenewalNumber {
         self.last_number.0 += 1;
         self.pending.push_back(PendingRenewal {
             number: self.last_number,
@@ -58,8 +58,8 @@
         self.last_number
     }
 
-    /// Records that a renewal was granted. Earlier ones that are still pending are then needless.
-    pub fn renewal_granted(&mut self, number: RenewalNumber) {
+    /// Records that a renewal was granted, and drops the earlier ones that are still pending.
+    pub fn record_grant(&mut self, number: RenewalNumber) {
         while let Some(renewal) = self.pending.front().copied() {
             if renewal.number > number {
                 return;
@@ -72,18 +72,19 @@
         }
     }
 
-    /// Ends the lease: its session was closed, or the replicas do not know it.
+    /// Ends the lease because its session was closed or is unknown to the replicas.
     pub fn end(&mut self) {
         self.expires_at = None;
         self.pending.clear();
     }
 
-    /// Whether the lease is valid at `now`. To be checked right before each effect and each decision that rests on it.
+    /// Returns whether the lease is valid at `now`. Check this immediately before every operation or decision that depends on the
+    /// lease.
     pub fn is_valid(&self, now: Timestamp) -> bool {
         self.expires_at.is_some_and(|expires_at| now < expires_at)
     }
 
-    /// When the lease expires unless it is renewed; `None` if it was never granted, or has ended.
+    /// Returns when the lease expires unless it is renewed, or `None` if it was never granted or has ended.
     pub fn expires_at(&self) -> Option<Timestamp> {
         self.expires_at
     }
--- a/crates/leader-election/src/lib.rs
+++ b/crates/leader-election/src/lib.rs
@@ -1,9 +1,9 @@
-//! Leader election by leases, free of I/O and of any wall clock.
+//! Leader election with leases and fencing tokens. The crate does no I/O and reads no clock: callers pass the time in.
 //!
-//! Each participant measures time by its own monotonic clock: the lease holder's [`Lease`] counts from when a renewal was *sent*;
-//! a replica's [`FailureDetector`] counts from when a renewal was *applied*, and for longer. [`placement`] spreads elections over
-//! gateways and sites. A lease alone excludes nobody: each effect of a leader carries the election's [`FencingToken`], and each
-//! resource compares it with a [`FencingGuard`].
+//! Each participant measures time with its own monotonic clock. The lease holder's [`Lease`] runs from the moment a renewal was
+//! *sent*; a replica's [`FailureDetector`] runs from the moment a renewal was *applied*, and with a longer timeout.
+//! [`placement`] balances the elections over gateways and sites. A lease alone does not guarantee mutual exclusion: every operation
+//! of a leader carries the election's [`FencingToken`], and every resource checks it with a [`FencingGuard`].
 #![forbid(unsafe_code)]
 
 mod failure_detector;
@@ -17,6 +17,6 @@
 pub use lease::{Lease, RenewalNumber};
 pub use terms::LeaseTerms;
 
-/// The id of a lease's session, assigned by the replicated state; 0 is never assigned.
+/// The id of the session that a lease belongs to, assigned by the replicated state machine. 0 is never assigned.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u64);
--- a/crates/leader-election/src/placement.rs
+++ b/crates/leader-election/src/placement.rs
@@ -1,32 +1,32 @@
-//! Which gateway leads which election: evenly over gateways and sites, with as few moves as possible.
+//! Placement of leaders: spreads the elections evenly over gateways and sites with as few moves as possible.
 //!
-//! Elections are given as a slice with the session of each one's leader, or `None` where it has none.
+//! The elections are passed as a slice that holds the session of each election's leader, or `None` if it has no leader.
 
 use crate::SessionId;
 use std::cmp::Reverse;
 
-/// How many more elections a gateway or site must lead than another before one is moved.
+/// By how many elections two gateways or two sites must differ before an election is moved between them.
 const MIN_IMBALANCE: usize = 2;
 
-/// A gateway that may lead elections.
+/// A gateway that can lead elections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate<'a> {
-    /// Its session.
+    /// The gateway's session.
     pub session: SessionId,
-    /// The site it is in.
+    /// The site of the gateway.
     pub site: &'a str,
 }
 
-/// A move of one election to another leader.
+/// Moves one election to another leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reassignment {
-    /// The place of the election in the slice of leaders.
+    /// The index of the election in the slice of leaders.
     pub election: usize,
-    /// The session that is to lead it.
+    /// The session of the new leader.
     pub to: SessionId,
 }
 
-/// Elections led by a candidate and by its whole site; the candidate's own number compares first.
+/// The number of elections led by a candidate and by all candidates of its site. Ordered by the candidate's own number first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Load {
     own: usize,
@@ -47,8 +47,8 @@
     }
 }
 
-/// The candidate that is to lead an election without a leader: the one that leads least, of those the one in the site that leads
-/// least, of those the one with the smallest session id, the oldest. `excluded` is chosen only if it is the single candidate.
+/// Chooses a leader for an election that has none: the candidate that leads the fewest elections. Ties go to the site that leads
+/// the fewest, then to the smallest session id, which is the oldest session. `excluded` is chosen only if it is the only candidate.
 pub fn choose_leader(
     leaders: &[Option<SessionId>],
     candidates: &[Candidate],
@@ -61,8 +61,8 @@
         .map(|c| c.session)
 }
 
-/// The one move that balances best, or `None` if no move makes the most loaded lead less without another leading as much, over
-/// gateways first and then over sites.
+/// Returns a move from the most loaded candidate to the least loaded one, or `None` if the elections are balanced already. A move
+/// is due if the two candidates differ by [`MIN_IMBALANCE`] elections, or if they differ by less but their sites by that many.
 pub fn rebalance(leaders: &[Option<SessionId>], candidates: &[Candidate]) -> Option<Reassignment> {
     let load = |c: &Candidate| Load::of(c, leaders, candidates);
     let target = candidates.iter().min_by_key(|c| (load(c), c.session))?;
--- a/crates/leader-election/src/terms.rs
+++ b/crates/leader-election/src/terms.rs
@@ -1,20 +1,20 @@
-//! Lease length and clock drift, as agreed on by all participants.
+//! The terms of a lease: its length and the bound on clock drift, which must be the same for all participants.
 
 use chalkdeck_time::TimeDelta;
 
-/// Parts per million in a whole.
+/// Parts per million in a whole, and microseconds in a second.
 const MILLION: u64 = 1_000_000;
-/// Rounding of a clock that counts whole microseconds.
+/// Rounding error of a clock that counts whole microseconds.
 const CLOCK_RESOLUTION: TimeDelta = TimeDelta::from_micros(1);
-/// A holder renews this often within its lease, so that two renewals may be lost.
+/// How many times a holder renews within one lease, so that the lease survives the loss of two renewals.
 const RENEWALS_PER_LEASE: u64 = 4;
 
-/// Lease length and the bound on clock drift that all participants have agreed on.
+/// Lease length and the bound on clock drift, which must be the same for all participants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseTerms {
-    /// How long a lease lasts from when its renewal was sent, measured by an exact clock.
+    /// How long a lease lasts after its renewal was sent, measured by an exact clock.
     pub lease: TimeDelta,
-    /// How far any clock's rate may differ from an exact one, in parts per million.
+    /// By how much the rate of any clock may deviate from an exact clock, in parts per million.
     pub drift_ppm: u32,
 }
 
@@ -28,34 +28,35 @@
 }
 
 impl LeaseTerms {
-    /// How long a holder relies on its lease: shorter than the lease by the drift, as the holder's clock may be slow.
+    /// How long a holder may rely on its lease. Shorter than the lease by the drift, because the holder's clock may run slow.
     pub fn holder_lease(&self) -> TimeDelta {
         self.lease - self.max_drift()
     }
 
-    /// How long a replica waits before it expires a session: longer than the lease by the drift, as the replica's clock may be
-    /// fast.
+    /// How long a replica waits before it expires a session. Longer than the lease by the drift, because the replica's clock may
+    /// run fast.
     pub fn expiry_timeout(&self) -> TimeDelta {
         self.lease + self.max_drift()
     }
 
-    /// How often a holder renews its lease.
+    /// The interval at which a holder renews its lease.
     pub fn renewal_interval(&self) -> TimeDelta {
         TimeDelta::from_micros(self.holder_lease().as_micros() / RENEWALS_PER_LEASE)
     }
 
-    /// Half of a lease. Whoever hears nothing for so long still has time to turn to another replica before the lease expires.
+    /// Half the lease length. A holder that receives no response for this long still has time to switch to another replica before
+    /// its lease expires.
     pub fn half_lease(&self) -> TimeDelta {
         TimeDelta::from_micros(self.lease.as_micros() / 2)
     }
 
-    /// By how much a clock may be off over one lease, rounded up. Whole seconds and their rest are scaled apart, as the product
-    /// of a long lease in microseconds would overflow.
+    /// The largest drift of a clock over one lease, rounded up. Whole seconds and the remainder are scaled separately, because the
+    /// product of a long lease in microseconds would overflow.
     fn max_drift(&self) -> TimeDelta {
         let lease = self.lease.as_micros();
         let drift_ppm = u64::from(self.drift_ppm);
-        let of_whole_seconds = lease / MILLION * drift_ppm;
-        let of_rest = (lease % MILLION * drift_ppm).div_ceil(MILLION);
-        TimeDelta::from_micros(of_whole_seconds + of_rest) + CLOCK_RESOLUTION
+        let whole_seconds_drift = lease / MILLION * drift_ppm;
+        let remainder_drift = (lease % MILLION * drift_ppm).div_ceil(MILLION);
+        TimeDelta::from_micros(whole_seconds_drift + remainder_drift) + CLOCK_RESOLUTION
     }
 }
--- a/crates/leader-election/tests/model.rs
+++ b/crates/leader-election/tests/model.rs
@@ -1,5 +1,6 @@
-//! A model over the real lease, failure detector and fencing guard: one leader that may stall anywhere, one replica, one resource,
-//! clocks whose rates differ. With a safeguard taken out the checker must find the violation; those runs are tests, too.
+//! Model checking of leader election with the real lease, failure detector and fencing guard. The model has a first leader that may
+//! stall at any step, its successor, one replica, one resource, and clocks that run at different rates. Further tests disable one
+//! safeguard each and check which property the model checker finds violated.
 
 use chalkdeck_leader_election::{
     FailureDetector, FencingGuard, FencingToken, Lease, LeaseTerms, SessionId, SessionRenewal,
@@ -7,32 +8,32 @@
 use chalkdeck_time::{TimeDelta, Timestamp};
 use stateright::{Checker, Model, Property};
 
-/// A lease of four ticks of a right clock, and clocks that are a quarter from right: small, so that all orders fit.
+/// A lease of four ticks of an exact clock, and a drift of a quarter. Small, so that the checker can visit all interleavings.
 const TERMS: LeaseTerms = LeaseTerms {
     lease: TimeDelta::from_micros(400),
     drift_ppm: 250_000,
 };
-/// Ticks after which time stands still.
+/// The number of ticks after which the model's time no longer advances.
 const LAST_TICK: u64 = 9;
-/// The session and the tokens of the first leader and of the one that follows it.
+/// The session of the first leader, and the tokens of the first leader and of its successor.
 const SESSION: SessionId = SessionId(1);
 const FIRST_TOKEN: u64 = 1;
-const SECOND_TOKEN: u64 = 2;
-/// Names of the properties.
-const IN_ORDER: &str = "effects are carried out in the order of their tokens";
-const ONE_LEADER: &str = "no two gateways believe to lead at the same time";
+const SUCCESSOR_TOKEN: u64 = 2;
+/// Names of the checked properties.
+const OPERATIONS_IN_ORDER: &str = "operations are executed in the order of their tokens";
+const ONE_LEADER: &str = "no two gateways consider themselves the leader at the same time";
 
-/// The safeguard that is taken out.
+/// The safeguard that a run disables. Each variant describes the behaviour without the safeguard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Without {
-    Nothing,
+enum DisabledSafeguard {
+    None,
     /// The resource does not compare tokens.
     FencingGuard,
     /// The leader acts without checking its lease.
     LeaseCheck,
-    /// The leader counts its lease from when the grant came.
-    CountFromSending,
-    /// The replica waits no longer than the leader counts.
+    /// The leader times its lease from the arrival of the grant instead of the sending of the renewal.
+    LeaseFromSendTime,
+    /// The replica's expiry timeout has no margin for clock drift over the leader's lease.
     ExpiryMargin,
 }
 
@@ -44,30 +45,32 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    /// Time gone.
+    /// Elapsed ticks.
     tick: u64,
-    /// The leader's clock is as slow and the replica's as fast as the terms allow; otherwise both are exact.
-    clocks_differ: bool,
-    /// The first leader: its renewals, its lease, its token, and whether an effect that it checked waits to be sent.
-    sent: Vec<SentRenewal>,
+    /// The leader's clock is as slow, and the replica's as fast, as the terms allow; otherwise both are exact.
+    has_clock_drift: bool,
+    /// The first leader: its renewals, its lease, its token, and whether it has checked its lease and is about to act.
+    sent_renewals: Vec<SentRenewal>,
     last_number: u64,
     lease_expires_at: Option<Timestamp>,
     token: u64,
-    about_to_act: bool,
-    /// Renewals on the way to the replica, and grants on the way back.
+    is_about_to_act: bool,
+    /// Renewals in flight to the replica, and grants in flight to the leader.
     renewals_in_flight: Vec<u64>,
     grants_in_flight: Vec<u64>,
-    /// The replica: when it last applied a renewal, and the token it has given out.
+    /// The replica: when it last applied a renewal, which one that was, and the token of the current leader.
     applied_at: Option<Timestamp>,
     last_renewal: u64,
     current_token: u64,
-    second_acted: bool,
-    /// Tokens of effects on the way to the resource, the largest token that it saw, and those that it carried out in their order.
-    effects_in_flight: Vec<u64>,
+    /// Whether the successor has sent its operation.
+    has_successor_acted: bool,
+    /// Tokens of the operations in flight to the resource, the largest token that the resource has seen, and the tokens of the
+    /// operations that it has executed, in order.
+    operations_in_flight: Vec<u64>,
     highest_seen: u64,
-    carried_out: Vec<u64>,
-    /// The first leader believed in its lease while the second could already act.
-    two_leaders: bool,
+    executed: Vec<u64>,
+    /// The lease of the first leader was still valid when its successor could already act.
+    had_two_leaders: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -77,49 +80,49 @@
     DeliverRenewal,
     DeliverGrant,
     LoseRenewal,
-    /// The leader checks its lease, and is about to act.
+    /// The leader checks its lease and is about to act.
     CheckLease,
-    /// It acts on that check; it may have stalled in between.
+    /// The leader acts on that check; it may have stalled in between.
     Act,
     ExpireSession,
-    SecondActs,
-    DeliverEffect(usize),
+    SuccessorActs,
+    DeliverOperation(usize),
 }
 
 impl State {
-    fn initial(clocks_differ: bool) -> State {
+    fn initial(has_clock_drift: bool) -> State {
         State {
             tick: 0,
-            clocks_differ,
-            sent: Vec::new(),
+            has_clock_drift,
+            sent_renewals: Vec::new(),
             last_number: 0,
             lease_expires_at: None,
             token: FIRST_TOKEN,
-            about_to_act: false,
+            is_about_to_act: false,
             renewals_in_flight: Vec::new(),
             grants_in_flight: Vec::new(),
             applied_at: Some(Timestamp::ZERO),
             last_renewal: 0,
             current_token: FIRST_TOKEN,
-            second_acted: false,
-            effects_in_flight: Vec::new(),
+            has_successor_acted: false,
+            operations_in_flight: Vec::new(),
             highest_seen: 0,
-            carried_out: Vec::new(),
-            two_leaders: false,
+            executed: Vec::new(),
+            had_two_leaders: false,
         }
     }
     fn leader_clock(&self) -> Timestamp {
-        Timestamp::from_micros(self.tick * if self.clocks_differ { 75 } else { 100 })
+        Timestamp::from_micros(self.tick * if self.has_clock_drift { 75 } else { 100 })
     }
     fn replica_clock(&self) -> Timestamp {
-        Timestamp::from_micros(self.tick * if self.clocks_differ { 125 } else { 100 })
+        Timestamp::from_micros(self.tick * if self.has_clock_drift { 125 } else { 100 })
     }
-    /// The leader's lease, rebuilt by the real calls: one renewal sent so that it lasts as long.
+    /// Rebuilds the leader's lease through the public API, from one renewal sent at the time that gives the same expiry.
     fn lease(&self) -> Lease {
         let mut lease = Lease::new(TERMS);
         if let Some(expires_at) = self.lease_expires_at {
-            let number = lease.renewal_sent(expires_at - TERMS.holder_lease());
-            lease.renewal_granted(number);
+            let number = lease.start_renewal(expires_at - TERMS.holder_lease());
+            lease.record_grant(number);
         }
         lease
     }
@@ -129,7 +132,7 @@
 
     fn send_renewal(&mut self) {
         self.last_number += 1;
-        self.sent.push(SentRenewal {
+        self.sent_renewals.push(SentRenewal {
             number: self.last_number,
             sent_at: self.leader_clock(),
         });
@@ -137,61 +140,61 @@
     }
     fn deliver_renewal(&mut self) {
         let number = self.renewals_in_flight.remove(0);
-        // A session that has expired is not granted again.
+        // An expired session gets no further grants.
         if self.current_token == FIRST_TOKEN {
             self.applied_at = Some(self.replica_clock());
             self.last_renewal = number;
             self.grants_in_flight.push(number);
         }
     }
-    fn deliver_grant(&mut self, without: Without) -> Option<()> {
+    fn deliver_grant(&mut self, disabled: DisabledSafeguard) -> Option<()> {
         let number = self.grants_in_flight.remove(0);
-        let renewal = self.sent.iter().find(|r| r.number == number)?;
-        let counts_from = if without == Without::CountFromSending {
+        let renewal = self.sent_renewals.iter().find(|r| r.number == number)?;
+        let lease_start = if disabled == DisabledSafeguard::LeaseFromSendTime {
             self.leader_clock()
         } else {
             renewal.sent_at
         };
         let mut lease = Lease::new(TERMS);
-        let renewal = lease.renewal_sent(counts_from);
-        lease.renewal_granted(renewal);
+        let renewal = lease.start_renewal(lease_start);
+        lease.record_grant(renewal);
         self.lease_expires_at = self.lease_expires_at.max(lease.expires_at());
         Some(())
     }
-    fn check_lease(&mut self, without: Without) -> Option<()> {
-        self.about_to_act = without == Without::LeaseCheck || self.lease_is_valid();
-        self.about_to_act.then_some(())
+    fn check_lease(&mut self, disabled: DisabledSafeguard) -> Option<()> {
+        self.is_about_to_act = disabled == DisabledSafeguard::LeaseCheck || self.lease_is_valid();
+        self.is_about_to_act.then_some(())
     }
-    fn expire_session(&mut self, without: Without) -> Option<()> {
+    fn expire_session(&mut self, disabled: DisabledSafeguard) -> Option<()> {
         let last = SessionRenewal {
             session: SESSION,
             log_index: self.last_renewal,
         };
         let mut detector = FailureDetector::new(TERMS);
-        detector.renewal_applied(last, self.applied_at?);
+        detector.record_renewal(last, self.applied_at?);
         let mut now = self.replica_clock();
-        if without == Without::ExpiryMargin {
+        if disabled == DisabledSafeguard::ExpiryMargin {
             now = now + (TERMS.expiry_timeout() - TERMS.holder_lease()) * 2;
         }
         if !detector.expired(now).contains(&last) {
             return None;
         }
-        self.current_token = SECOND_TOKEN;
-        self.two_leaders |= self.lease_is_valid();
+        self.current_token = SUCCESSOR_TOKEN;
+        self.had_two_leaders |= self.lease_is_valid();
         Some(())
     }
-    fn deliver_effect(&mut self, place: usize, without: Without) {
-        let token = self.effects_in_flight.remove(place);
+    fn deliver_operation(&mut self, index: usize, disabled: DisabledSafeguard) {
+        let token = self.operations_in_flight.remove(index);
         let mut guard = FencingGuard::with_highest_seen(FencingToken(self.highest_seen));
         let admitted = guard.check(FencingToken(token)).is_ok();
-        if admitted || without == Without::FencingGuard {
-            self.carried_out.push(token);
+        if admitted || disabled == DisabledSafeguard::FencingGuard {
+            self.executed.push(token);
         }
         self.highest_seen = guard.highest_seen().0;
     }
 }
 
-struct ElectionModel(Without);
+struct ElectionModel(DisabledSafeguard);
 
 impl Model for ElectionModel {
     type State = State;
@@ -214,18 +217,18 @@
         if !state.grants_in_flight.is_empty() {
             steps.push(Step::DeliverGrant);
         }
-        if state.about_to_act {
+        if state.is_about_to_act {
             steps.push(Step::Act);
-        } else if state.effects_in_flight.is_empty() && state.carried_out.len() < 2 {
+        } else if state.operations_in_flight.is_empty() && state.executed.len() < 2 {
             steps.push(Step::CheckLease);
         }
         if state.current_token == FIRST_TOKEN && state.applied_at.is_some() {
             steps.push(Step::ExpireSession);
         }
-        if state.current_token == SECOND_TOKEN && !state.second_acted {
-            steps.push(Step::SecondActs);
+        if state.current_token == SUCCESSOR_TOKEN && !state.has_successor_acted {
+            steps.push(Step::SuccessorActs);
         }
-        steps.extend((0..state.effects_in_flight.len()).map(Step::DeliverEffect));
+        steps.extend((0..state.operations_in_flight.len()).map(Step::DeliverOperation));
     }
 
     fn next_state(&self, last: &State, step: Step) -> Option<State> {
@@ -240,44 +243,46 @@
             Step::DeliverGrant => state.deliver_grant(self.0)?,
             Step::CheckLease => state.check_lease(self.0)?,
             Step::Act => {
-                state.about_to_act = false;
-                state.effects_in_flight.push(state.token);
+                state.is_about_to_act = false;
+                state.operations_in_flight.push(state.token);
             }
             Step::ExpireSession => state.expire_session(self.0)?,
-            Step::SecondActs => {
-                state.second_acted = true;
-                state.effects_in_flight.push(SECOND_TOKEN);
+            Step::SuccessorActs => {
+                state.has_successor_acted = true;
+                state.operations_in_flight.push(SUCCESSOR_TOKEN);
             }
-            Step::DeliverEffect(place) => state.deliver_effect(place, self.0),
+            Step::DeliverOperation(index) => state.deliver_operation(index, self.0),
         }
         Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(IN_ORDER, |_, state: &State| state.carried_out.is_sorted()),
-            Property::always(ONE_LEADER, |_, state: &State| !state.two_leaders),
+            Property::always(OPERATIONS_IN_ORDER, |_, state: &State| {
+                state.executed.is_sorted()
+            }),
+            Property::always(ONE_LEADER, |_, state: &State| !state.had_two_leaders),
             Property::sometimes("the session expires", |_, state: &State| {
-                state.current_token == SECOND_TOKEN
+                state.current_token == SUCCESSOR_TOKEN
             }),
-            Property::sometimes("both act", |_, state: &State| {
-                state.carried_out == [FIRST_TOKEN, SECOND_TOKEN]
+            Property::sometimes("both leaders act", |_, state: &State| {
+                state.executed == [FIRST_TOKEN, SUCCESSOR_TOKEN]
             }),
         ]
     }
 }
 
-fn violated_property(without: Without) -> Option<&'static str> {
-    let model = ElectionModel(without);
+fn violated_property(disabled: DisabledSafeguard) -> Option<&'static str> {
+    let model = ElectionModel(disabled);
     let checker = model.checker().threads(2).spawn_bfs().join();
-    [IN_ORDER, ONE_LEADER]
+    [OPERATIONS_IN_ORDER, ONE_LEADER]
         .into_iter()
         .find(|name| checker.discovery(name).is_some())
 }
 
 #[test]
-fn with_all_safeguards_effects_stay_in_order_and_one_gateway_leads() {
-    let model = ElectionModel(Without::Nothing);
+fn with_all_safeguards_operations_stay_in_order_and_one_gateway_leads() {
+    let model = ElectionModel(DisabledSafeguard::None);
     let checker = model.checker().threads(2).spawn_bfs().join();
     checker.assert_properties();
     assert!(
@@ -289,17 +294,23 @@
 
 #[test]
 fn without_the_fencing_guard_a_stalled_leader_acts_after_its_successor() {
-    assert_eq!(violated_property(Without::FencingGuard), Some(IN_ORDER));
+    assert_eq!(
+        violated_property(DisabledSafeguard::FencingGuard),
+        Some(OPERATIONS_IN_ORDER)
+    );
 }
 
 #[test]
-fn without_a_lease_safeguard_the_fencing_guard_alone_keeps_effects_in_order() {
-    // With the guard in place a leader that does not check its lease does no harm to the order; the lease is what keeps the
-    // overlap rare.
-    assert_eq!(violated_property(Without::LeaseCheck), None);
+fn without_a_lease_safeguard_the_fencing_guard_alone_keeps_operations_in_order() {
+    // With the fencing guard in place, a leader that does not check its lease cannot break the order of operations. The lease makes
+    // overlapping leaders rare.
+    assert_eq!(violated_property(DisabledSafeguard::LeaseCheck), None);
+    assert_eq!(
+        violated_property(DisabledSafeguard::LeaseFromSendTime),
+        Some(ONE_LEADER)
+    );
     assert_eq!(
-        violated_property(Without::CountFromSending),
+        violated_property(DisabledSafeguard::ExpiryMargin),
         Some(ONE_LEADER)
     );
-    assert_eq!(violated_property(Without::ExpiryMargin), Some(ONE_LEADER));
 }
--- a/crates/leader-election/tests/placement.rs
+++ b/crates/leader-election/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Elections are spread evenly, and moved as little as that takes.
+//! Tests that elections are spread evenly over gateways and sites, with as few moves as possible.
 
 use chalkdeck_leader_election::placement::{choose_leader, rebalance, Candidate, Reassignment};
 use chalkdeck_leader_election::SessionId;
@@ -10,14 +10,14 @@
     sites
         .iter()
         .enumerate()
-        .map(|(place, site)| Candidate {
-            session: SessionId(place as u64 + 1),
+        .map(|(index, site)| Candidate {
+            session: SessionId(index as u64 + 1),
             site: SITES[*site],
         })
         .collect()
 }
 
-fn led_by_each(leaders: &[Option<SessionId>], all: &[Candidate]) -> Vec<usize> {
+fn elections_per_candidate(leaders: &[Option<SessionId>], all: &[Candidate]) -> Vec<usize> {
     all.iter()
         .map(|c| {
             leaders
@@ -38,31 +38,31 @@
         for i in 0..elections {
             leaders[i] = choose_leader(&leaders, &all, None);
         }
-        let led = led_by_each(&leaders, &all);
-        prop_assert!(led.iter().max().unwrap() - led.iter().min().unwrap() <= 1, "{led:?}");
-        prop_assert!(led.iter().sum::<usize>() == elections);
+        let counts = elections_per_candidate(&leaders, &all);
+        prop_assert!(counts.iter().max().unwrap() - counts.iter().min().unwrap() <= 1, "{counts:?}");
+        prop_assert!(counts.iter().sum::<usize>() == elections);
     }
 
     #[test]
-    fn rebalancing_ends_and_leaves_it_balanced(sites in prop::collection::vec(0..3usize, 1..20),
-                                               led in prop::collection::vec(0..20usize, 1..64)) {
+    fn rebalancing_terminates_in_a_balanced_state(sites in prop::collection::vec(0..3usize, 1..20),
+                                               initial_leaders in prop::collection::vec(0..20usize, 1..64)) {
         let all = candidates(&sites);
         let mut leaders: Vec<Option<SessionId>> =
-            led.iter().map(|place| Some(SessionId((place % all.len()) as u64 + 1))).collect();
+            initial_leaders.iter().map(|index| Some(SessionId((index % all.len()) as u64 + 1))).collect();
         let mut moves = 0;
         while let Some(Reassignment { election, to }) = rebalance(&leaders, &all) {
             prop_assert_ne!(leaders[election], Some(to));
             leaders[election] = Some(to);
             moves += 1;
-            prop_assert!(moves <= 2 * leaders.len(), "it does not come to an end");
+            prop_assert!(moves <= 2 * leaders.len(), "rebalancing does not terminate");
         }
-        let led = led_by_each(&leaders, &all);
-        prop_assert!(led.iter().max().unwrap() - led.iter().min().unwrap() <= 1, "{led:?}");
+        let counts = elections_per_candidate(&leaders, &all);
+        prop_assert!(counts.iter().max().unwrap() - counts.iter().min().unwrap() <= 1, "{counts:?}");
     }
 }
 
 #[test]
-fn a_new_gateway_takes_its_share_and_no_more() {
+fn a_new_gateway_gets_its_share_with_the_fewest_moves() {
     let all = candidates(&[0, 1, 2, 0]);
     let mut leaders: Vec<Option<SessionId>> = (0..12).map(|i| Some(SessionId(i % 3 + 1))).collect();
     let mut moves = 0;
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_site_that_leads_nothing_gets_its_share() {
+fn sites_are_balanced_and_the_excluded_gateway_is_avoided() {
     let all = candidates(&[0, 0, 0, 1]);
     let leader = |session| Some(SessionId(session));
     let leaders = [leader(1), leader(2), leader(3)];
@@ -89,22 +89,22 @@
     assert_eq!(
         rebalance(&[leader(1), leader(4)], &all),
         None,
-        "each site leads one"
+        "each site leads one election"
     );
     assert_eq!(choose_leader(&[None], &[], None), None);
     assert_eq!(
         choose_leader(&[None], &all, leader(1)),
         leader(2),
-        "another one than the leader that steps down"
+        "the excluded gateway is not chosen"
     );
     assert_eq!(
         choose_leader(&[None], &all[..1], leader(1)),
         leader(1),
-        "unless there is no other"
+        "unless it is the only candidate"
     );
     assert_eq!(
         choose_leader(&[None, leader(2)], &all, leader(1)),
         leader(4),
-        "of those that lead none, the one whose site does not either"
+        "of the gateways that lead nothing, one whose site leads nothing either"
     );
 }
