--- a/crates/resp-gateway/src/config.rs
+++ b/crates/resp-gateway/src/config.rs
@@ -132,7 +132,7 @@
     fn parse(file: &Path, text: &[u8]) -> Result<Config, ConfigErrorKind> {
         let content: ConfigFile = serde_json::from_slice(text)?;
         let paths = setting_paths::flatten(&content.settings);
-        let mut named_settings = settings::read_paths(&paths)?;
+        let mut named_settings = settings::parse_values_by_path(&paths)?;
         named_settings.settings.check()?;
         let initial_endpoints = parse_initial_endpoints(&content, &mut named_settings);
         let counter = content.counter.as_deref();
@@ -167,7 +167,7 @@
     names: &mut NamedSettings,
 ) -> Option<EndpointList> {
     let list = content.initial_endpoints.as_ref()?;
-    match endpoint_list::parse(list, &mut names.zones) {
+    match endpoint_list::parse(list, &mut names.zone_numbers) {
         Ok(list) => Some(list),
         Err(error) => {
             tracing::warn!(%error, "initial endpoint list not readable: starting without endpoints");
--- a/crates/resp-gateway/src/config/tests.rs
+++ b/crates/resp-gateway/src/config/tests.rs
@@ -49,12 +49,12 @@
         .initial_endpoints
         .as_ref()
         .expect("the list is valid");
-    let zone = config.named_settings.zones["south_hall"];
+    let zone = config.named_settings.zone_numbers["south_hall"];
     assert_eq!(
         (initial.version, initial.endpoints[0].entry.zone.0),
         (4, zone)
     );
-    assert_eq!(set.zone.0, config.named_settings.zones["north_hall"]);
+    assert_eq!(set.zone.0, config.named_settings.zone_numbers["north_hall"]);
 }
 
 #[test]
--- a/crates/resp-gateway/src/request.rs
+++ b/crates/resp-gateway/src/request.rs
@@ -148,12 +148,12 @@
 }
 
 fn find_class(fields: &Fields, names: &NamedSettings) -> Result<ClassId, RequestError> {
-    let index = fields.class.and_then(|name| names.classes.get(name));
+    let index = fields.class.and_then(|name| names.class_indices.get(name));
     index.copied().map(ClassId).ok_or(RequestError::Class)
 }
 
 fn find_plan(fields: &Fields, names: &NamedSettings) -> Result<PlanId, RequestError> {
-    let index = fields.plan.and_then(|name| names.plans.get(name));
+    let index = fields.plan.and_then(|name| names.plan_indices.get(name));
     index.copied().map(PlanId).ok_or(RequestError::Plan)
 }
 
--- a/crates/resp-gateway/src/server/event_loop.rs
+++ b/crates/resp-gateway/src/server/event_loop.rs
@@ -80,7 +80,7 @@
         } else if self.counter_owns(conn) {
             self.on_counter_bytes(conn, data);
         } else {
-            let zones = &mut self.config.named_settings.zones;
+            let zones = &mut self.config.named_settings.zone_numbers;
             let actions = self.discovery.on_bytes(&mut self.engine, conn, data, zones);
             for action in actions {
                 self.carry_out_discovery(action);
@@ -98,7 +98,7 @@
         } else if self.counter_owns(conn) {
             self.on_counter_closed(conn, unsent);
         } else {
-            let zones = &mut self.config.named_settings.zones;
+            let zones = &mut self.config.named_settings.zone_numbers;
             let actions = self
                 .discovery
                 .on_closed(&mut self.engine, conn, reason, zones);
--- a/crates/simulator-adapter/src/actions.rs
+++ b/crates/simulator-adapter/src/actions.rs
@@ -1,14 +1,15 @@
-//! Actions of the decision engine as lines of a reply.
+//! Formats the actions of the decision engine as lines of a reply.
 
-use crate::instance::EndpointAddresses;
+use crate::gateway::EndpointAddresses;
 use chalkdeck::api::Action;
 use std::fmt::{self, Write};
 
-/// Appends the line of an action; nothing for those that the simulator doesn't know.
+/// Appends the reply line of an action. Appends nothing for an action that the simulator has no
+/// message for.
 pub(crate) fn write_action(
     action: &Action,
     addresses: &EndpointAddresses,
-    out: &mut String,
+    reply: &mut String,
 ) -> fmt::Result {
     match action {
         Action::SendAttempt {
@@ -17,46 +18,51 @@
             deadline,
         } => {
             let address = addresses.address(*endpoint);
-            let until = deadline.as_micros();
+            let deadline_us = deadline.as_micros();
             writeln!(
-                out,
-                "ROUTE ref={} backend={address} abandon_at={until}",
+                reply,
+                "ROUTE ref={} backend={address} abandon_at={deadline_us}",
                 request.0
             )
         }
         Action::Reject {
             request,
             retry_after: None,
-        } => writeln!(out, "REJECT ref={}", request.0),
+        } => writeln!(reply, "REJECT ref={}", request.0),
         Action::Reject {
             request,
-            retry_after: Some(wait),
-        } => writeln!(out, "REJECT ref={} backoff={}", request.0, wait.as_micros()),
-        // The simulator has no admission-only requests.
+            retry_after: Some(delay),
+        } => writeln!(
+            reply,
+            "REJECT ref={} backoff={}",
+            request.0,
+            delay.as_micros()
+        ),
+        // Grants answer admission-only requests, which the simulator does not have.
         Action::Grant(_) => Ok(()),
-        Action::Fail(request) => writeln!(out, "FINISH_ERROR ref={}", request.0),
+        Action::Fail(request) => writeln!(reply, "FINISH_ERROR ref={}", request.0),
         Action::CancelAttempt { request, attempt } => {
-            writeln!(out, "ABANDON ref={} trial={attempt}", request.0)
+            writeln!(reply, "ABANDON ref={} trial={attempt}", request.0)
         }
         Action::Probe(endpoint) => {
-            writeln!(out, "PROBE backend={}", addresses.address(*endpoint))
+            writeln!(reply, "PROBE backend={}", addresses.address(*endpoint))
         }
         Action::AddToCounter {
             key,
             amount,
             time_to_live,
         } => {
-            let life = time_to_live.as_micros();
+            let lifetime_us = time_to_live.as_micros();
             writeln!(
-                out,
-                "ADD_AND_GET book={} amount={amount} lifetime={life}",
+                reply,
+                "ADD_AND_GET book={} amount={amount} lifetime={lifetime_us}",
                 key.0
             )
         }
         Action::SetTimer { timer, after } => {
-            writeln!(out, "WAKE_ME ref={} in={}", timer.0, after.as_micros())
+            writeln!(reply, "WAKE_ME ref={} in={}", timer.0, after.as_micros())
         }
-        Action::Subscribe => writeln!(out, "LISTEN active=1"),
-        Action::FetchEndpoints => writeln!(out, "RELOAD"),
+        Action::Subscribe => writeln!(reply, "LISTEN active=1"),
+        Action::FetchEndpoints => writeln!(reply, "RELOAD"),
     }
 }
--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,101 +1,106 @@
-//! The text protocol of the simulator: batches of lines in, one reply for each batch out.
+//! The text protocol of the simulator: reads batches of lines and returns one reply for each batch.
 
 use crate::actions::write_action;
 use crate::fields::{Fields, Result};
-use crate::instance::Instance;
+use crate::gateway::SimulatedGateway;
 use crate::WireError;
 use chalkdeck::api::{Action, EndpointEntry, Event, Timestamp, UpdateScope};
 use std::collections::BTreeMap;
 
-/// An endpoint list whose entries are still coming.
-struct OpenList {
+/// An endpoint list of which some entries have not been read yet.
+struct PartialEndpointList {
     scope: UpdateScope,
     entries: Vec<EndpointEntry>,
-    /// Entries still to come.
-    missing: u64,
+    /// The number of entries that are still to be read.
+    missing_entries: u64,
 }
 
-/// The gateways of one process by their numbers, and the batch that is being read.
+/// The simulated gateways of one process, and the batch that is being read.
 #[derive(Default)]
 pub struct Adapter {
-    instances: BTreeMap<u32, Instance>,
-    /// Number of the gateway that the next lines are for.
-    current: Option<u32>,
+    /// Gateways by their numbers on the wire.
+    gateways: BTreeMap<u32, SimulatedGateway>,
+    /// The number of the gateway that the following lines belong to.
+    current_gateway: Option<u32>,
+    /// The simulator's time in the latest batch.
     now: Timestamp,
-    /// Number of the last line.
-    line: u64,
+    /// The number of the last line read, from 1.
+    line_number: u64,
     is_in_batch: bool,
-    list: Option<OpenList>,
+    partial_list: Option<PartialEndpointList>,
+    /// Reply lines of the current batch by gateway number.
     replies: BTreeMap<u32, String>,
-    /// Buffer for the actions on one event.
+    /// Reusable buffer for the actions on one event.
     actions: Vec<Action>,
 }
 
 impl Adapter {
-    /// Takes one line of input; at the end of a batch, returns the reply.
+    /// Handles one line of input, and returns the reply if the line ends a batch.
     ///
     /// # Errors
     ///
-    /// The line cannot be used; the input as a whole is not to be trusted from there on.
-    pub fn line(&mut self, text: &str) -> Result<Option<String>> {
-        self.line += 1;
+    /// The line is invalid. The rest of the input should not be processed after an error.
+    pub fn handle_line(&mut self, text: &str) -> Result<Option<String>> {
+        self.line_number += 1;
         if text.is_empty() {
             return Ok(None);
         }
-        let fields = Fields::parse(self.line, text)?;
-        self.check_place(&fields)?;
-        match fields.message {
+        let fields = Fields::parse(self.line_number, text)?;
+        self.check_message_order(&fields)?;
+        match fields.message_name {
             "TICK" => self.begin_batch(&fields)?,
-            "FOR" => self.current = Some(fields.small("who")?),
-            "START" => self.start_instance(&fields)?,
-            "DOWN" => self.remove_instance(&fields)?,
+            "FOR" => self.current_gateway = Some(fields.required_u32("who")?),
+            "START" => self.start_gateway(&fields)?,
+            "DOWN" => self.remove_gateway(&fields)?,
             "FLUSH" => return Ok(Some(self.end_batch())),
-            "FLEET" => self.begin_list(&fields)?,
-            "ITEM" => self.add_entry(&fields)?,
-            _ => self.handle_message(&fields)?,
+            "FLEET" => self.begin_endpoint_list(&fields)?,
+            "ITEM" => self.add_endpoint_entry(&fields)?,
+            _ => self.handle_event_message(&fields)?,
         }
         Ok(None)
     }
 
-    /// Checks that the input may end now.
+    /// Checks that the input is complete when it ends.
     ///
     /// # Errors
     ///
-    /// A batch has no end.
+    /// The input ended within a batch.
     pub fn finish(&self) -> Result<()> {
         if self.is_in_batch {
-            return Err(WireError::UnfinishedBatch { line: self.line });
+            return Err(WireError::UnfinishedBatch {
+                line: self.line_number,
+            });
         }
         Ok(())
     }
 
-    /// Checks that a message may stand where it does.
-    fn check_place(&self, fields: &Fields) -> Result<()> {
-        let message = fields.message;
-        if message != "TICK" && !self.is_in_batch {
+    /// Checks that a message is allowed at this point of the input.
+    fn check_message_order(&self, fields: &Fields) -> Result<()> {
+        let message_name = fields.message_name;
+        if message_name != "TICK" && !self.is_in_batch {
             return Err(WireError::OutsideBatch {
-                line: fields.line,
-                message: message.to_string(),
+                line: fields.line_number,
+                message_name: message_name.to_string(),
             });
         }
-        if message != "ITEM" && self.list.is_some() {
-            return Err(WireError::ListIsShort {
-                line: fields.line,
-                message: message.to_string(),
+        if message_name != "ITEM" && self.partial_list.is_some() {
+            return Err(WireError::IncompleteList {
+                line: fields.line_number,
+                message_name: message_name.to_string(),
             });
         }
         Ok(())
     }
 
     fn begin_batch(&mut self, fields: &Fields) -> Result<()> {
-        let now = Timestamp::from_micros(fields.whole("now")?);
+        let now = Timestamp::from_micros(fields.required_u64("now")?);
         if self.is_in_batch || now < self.now {
             let expected = "a batch's end first, and a clock that moves forward";
             return Err(fields.field_error("now", expected));
         }
         self.now = now;
         self.is_in_batch = true;
-        self.current = None;
+        self.current_gateway = None;
         Ok(())
     }
 
@@ -111,62 +116,67 @@
         reply
     }
 
-    fn current_number(&self, fields: &Fields) -> Result<u32> {
-        self.current.ok_or_else(|| WireError::NoInstance {
-            line: fields.line,
-            message: fields.message.to_string(),
-        })
+    /// Returns the number of the current gateway, or an error if no `FOR` line has selected one.
+    fn require_current_gateway(&self, fields: &Fields) -> Result<u32> {
+        self.current_gateway
+            .ok_or_else(|| WireError::NoCurrentGateway {
+                line: fields.line_number,
+                message_name: fields.message_name.to_string(),
+            })
     }
 
-    fn start_instance(&mut self, fields: &Fields) -> Result<()> {
-        let number = self.current_number(fields)?;
-        let instance = Instance::start(fields)?;
-        self.instances.insert(number, instance);
+    fn start_gateway(&mut self, fields: &Fields) -> Result<()> {
+        let number = self.require_current_gateway(fields)?;
+        let gateway = SimulatedGateway::start(fields)?;
+        self.gateways.insert(number, gateway);
         Ok(())
     }
 
-    fn remove_instance(&mut self, fields: &Fields) -> Result<()> {
-        let number = self.current_number(fields)?;
-        self.instances.remove(&number);
+    fn remove_gateway(&mut self, fields: &Fields) -> Result<()> {
+        let number = self.require_current_gateway(fields)?;
+        self.gateways.remove(&number);
         self.replies.remove(&number);
         Ok(())
     }
 
-    fn begin_list(&mut self, fields: &Fields) -> Result<()> {
-        let scope = match fields.text("scope")? {
+    fn begin_endpoint_list(&mut self, fields: &Fields) -> Result<()> {
+        let scope = match fields.required_text("scope")? {
             "incr" => UpdateScope::Incremental,
             "total" | "warm_copy" => UpdateScope::Complete,
             "lost" => UpdateScope::Unavailable,
             _ => return Err(fields.field_error("scope", "incr, total, warm_copy or lost")),
         };
-        let missing = fields.whole_or("items", 0)?;
-        let number = self.current_number(fields)?;
-        self.list = Some(OpenList {
+        let missing_entries = fields.u64_or("items", 0)?;
+        let number = self.require_current_gateway(fields)?;
+        self.partial_list = Some(PartialEndpointList {
             scope,
             entries: Vec::new(),
-            missing,
+            missing_entries,
         });
-        self.hand_over_complete_list(number);
+        self.deliver_list_if_complete(number);
         Ok(())
     }
 
-    fn add_entry(&mut self, fields: &Fields) -> Result<()> {
-        let Some(list) = &mut self.list else {
-            return Err(WireError::ItemOutsideList { line: fields.line });
+    fn add_endpoint_entry(&mut self, fields: &Fields) -> Result<()> {
+        let Some(list) = &mut self.partial_list else {
+            return Err(WireError::ItemOutsideList {
+                line: fields.line_number,
+            });
         };
-        let Some(number) = self.current else {
+        let Some(number) = self.current_gateway else {
             return Ok(());
         };
-        if let Some(instance) = self.instances.get_mut(&number) {
-            list.entries.push(instance.endpoint_entry(fields)?);
+        if let Some(gateway) = self.gateways.get_mut(&number) {
+            list.entries.push(gateway.endpoint_entry(fields)?);
         }
-        list.missing -= 1;
-        self.hand_over_complete_list(number);
+        list.missing_entries -= 1;
+        self.deliver_list_if_complete(number);
         Ok(())
     }
 
-    fn hand_over_complete_list(&mut self, number: u32) {
-        if let Some(list) = self.list.take_if(|list| list.missing == 0) {
+    /// Passes the endpoint list to its gateway once all entries have been read.
+    fn deliver_list_if_complete(&mut self, number: u32) {
+        if let Some(list) = self.partial_list.take_if(|list| list.missing_entries == 0) {
             let event = Event::EndpointsUpdated {
                 scope: list.scope,
                 entries: list.entries,
@@ -175,27 +185,27 @@
         }
     }
 
-    fn handle_message(&mut self, fields: &Fields) -> Result<()> {
-        let number = self.current_number(fields)?;
-        let Some(instance) = self.instances.get_mut(&number) else {
+    fn handle_event_message(&mut self, fields: &Fields) -> Result<()> {
+        let number = self.require_current_gateway(fields)?;
+        let Some(gateway) = self.gateways.get_mut(&number) else {
             return Ok(());
         };
-        if let Some(event) = instance.event(fields, self.now)? {
+        if let Some(event) = gateway.event(fields, self.now)? {
             self.handle_event(number, event);
         }
         Ok(())
     }
 
-    /// Lets a gateway handle an event, and adds its actions to its reply.
+    /// Has a gateway handle an event, and appends the resulting actions to its reply.
     fn handle_event(&mut self, number: u32, event: Event) {
-        let Some(instance) = self.instances.get_mut(&number) else {
+        let Some(gateway) = self.gateways.get_mut(&number) else {
             return;
         };
         self.actions.clear();
-        instance.engine.handle(self.now, event, &mut self.actions);
+        gateway.engine.handle(self.now, event, &mut self.actions);
         let reply = self.replies.entry(number).or_default();
         for action in &self.actions {
-            write_action(action, &instance.addresses, reply)
+            write_action(action, &gateway.addresses, reply)
                 .expect("writing to a string cannot fail");
         }
     }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,73 +1,73 @@
-//! What can be wrong with a line of input.
+//! Errors in the input from the simulator.
 
 use chalkdeck::api::SettingsError;
 
-/// A line that cannot be used, and where it is.
+/// An invalid line of input, with its line number.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WireError {
-    /// A part of a line is not `name=value`.
-    #[error("line {line}: {message}: expected name=value, found '{found}'")]
-    Unnamed {
+    /// A field of a line does not have the form `name=value`.
+    #[error("line {line}: {message_name}: expected name=value, found '{found}'")]
+    MalformedField {
         /// Number of the line, from 1.
         line: u64,
-        /// The line's message.
-        message: String,
-        /// The part.
+        /// Name of the message on the line.
+        message_name: String,
+        /// The text of the field.
         found: String,
     },
-    /// A field is missing or has a value that cannot be used.
-    #[error("{}{message}: {field}: expected {expected}, found {}", line_prefix(*line), quoted(found))]
-    Field {
-        /// Number of the line, from 1; 0: the settings came in another form than lines.
+    /// A field is missing or has an invalid value.
+    #[error("{}{message_name}: {field}: expected {expected}, found {}", line_prefix(*line), quoted(found))]
+    InvalidField {
+        /// Number of the line, from 1; 0 if the settings were not read from a line.
         line: u64,
-        /// The line's message.
-        message: String,
+        /// Name of the message on the line.
+        message_name: String,
         /// Name of the field.
         field: String,
-        /// What it should hold.
+        /// Description of a valid value.
         expected: &'static str,
-        /// What it holds; none: it is missing.
+        /// The value of the field, or `None` if it is missing.
         found: Option<String>,
     },
-    /// The settings of an instance make no sense.
+    /// The decision engine rejected the settings of a gateway.
     #[error("line {line}: START: settings: {reason}")]
-    Settings {
+    InvalidSettings {
         /// Number of the line, from 1.
         line: u64,
-        /// What is wrong with them.
+        /// Why the settings were rejected.
         reason: SettingsError,
     },
-    /// A message outside a batch.
-    #[error("line {line}: {message}: expected TICK to begin a batch")]
+    /// A message is outside a batch.
+    #[error("line {line}: {message_name}: expected TICK to begin a batch")]
     OutsideBatch {
         /// Number of the line, from 1.
         line: u64,
-        /// The line's message.
-        message: String,
+        /// Name of the message on the line.
+        message_name: String,
     },
-    /// Another message where an entry of the endpoint list should be.
-    #[error("line {line}: {message}: expected ITEM, the list is short")]
-    ListIsShort {
+    /// Another message interrupts an endpoint list of which entries are missing.
+    #[error("line {line}: {message_name}: expected ITEM, the list is short")]
+    IncompleteList {
         /// Number of the line, from 1.
         line: u64,
-        /// The line's message.
-        message: String,
+        /// Name of the message on the line.
+        message_name: String,
     },
-    /// An entry without a list.
+    /// An endpoint entry is outside an endpoint list.
     #[error("line {line}: ITEM: expected only inside a FLEET list")]
     ItemOutsideList {
         /// Number of the line, from 1.
         line: u64,
     },
-    /// A message that no instance was named for.
-    #[error("line {line}: {message}: expected a FOR line before it")]
-    NoInstance {
+    /// No gateway has been selected for a message.
+    #[error("line {line}: {message_name}: expected a FOR line before it")]
+    NoCurrentGateway {
         /// Number of the line, from 1.
         line: u64,
-        /// The line's message.
-        message: String,
+        /// Name of the message on the line.
+        message_name: String,
     },
-    /// The input ended within a batch.
+    /// The input ends within a batch.
     #[error("line {line}: expected FLUSH before the input's end")]
     UnfinishedBatch {
         /// Number of the last line.
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,5 +1,7 @@
-//! Adapter between the decision engine and the operators' simulator: text batches in, text replies
-//! out. The names on the wire are the operators'; nothing here decides.
+//! Adapter between the decision engine and the operators' simulator. It reads batches of events as
+//! text lines and writes one text reply with the resulting actions for each batch. The message and
+//! field names on the wire are the simulator's. The adapter only translates: all decisions are made
+//! by the engine.
 #![forbid(unsafe_code)]
 
 mod actions;
@@ -7,7 +9,7 @@
 mod error;
 mod events;
 mod fields;
-mod instance;
+mod gateway;
 pub mod settings;
 
 pub use adapter::Adapter;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! The decisions on the operators' simulator: batches on standard input, replies on standard output.
+//! Runs the decision engine on the operators' simulator: reads batches of events from standard input
+//! and writes replies to standard output.
 #![forbid(unsafe_code)]
 
 use chalkdeck_simulator_adapter::Adapter;
@@ -15,7 +16,7 @@
         if input.read_line(&mut line)? == 0 {
             return Ok(adapter.finish()?);
         }
-        if let Some(reply) = adapter.line(line.trim_end_matches(['\n', '\r']))? {
+        if let Some(reply) = adapter.handle_line(line.trim_end_matches(['\n', '\r']))? {
             output.write_all(reply.as_bytes())?;
             output.flush()?;
         }
@@ -25,8 +26,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("chalkdeck-drill: {e}");
+        Err(error) => {
+            eprintln!("chalkdeck-drill: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/simulator-adapter/src/settings.rs
+++ b/crates/simulator-adapter/src/settings.rs
@@ -1,233 +1,235 @@
-//! The settings of a gateway under the names of the operators' wire.
+//! Parses the settings of a gateway, which have the names of the simulator's protocol.
 
 use crate::fields::{Fields, Result};
 use crate::WireError;
 use chalkdeck::api::{Class, EndpointId, Idempotency, KeyScope, Plan, Settings, TimeDelta, ZoneId};
 use std::collections::HashMap;
 
-/// The most classes, or plans, that are read.
+/// The largest number of classes or of plans.
 const MAX_LIST_LENGTH: u64 = 10_000;
-/// Offset and prime of the 64-bit FNV-1a hash.
-const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
+/// Offset basis and prime of the 64-bit FNV-1a hash.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// Settings, and the names by which the wire knows what they hold.
+/// Settings of the decision engine, with the names of the classes, plans and zones that they contain.
 #[derive(Clone, Debug)]
 pub struct NamedSettings {
-    /// What the decision engine takes.
+    /// Settings of the decision engine.
     pub settings: Settings,
-    /// Indices of the classes by their names.
-    pub classes: HashMap<String, usize>,
-    /// Indices of the plans by their names.
-    pub plans: HashMap<String, usize>,
-    /// Numbers of the zones by their names.
-    pub zones: HashMap<String, u32>,
+    /// Indices of the classes by name.
+    pub class_indices: HashMap<String, usize>,
+    /// Indices of the plans by name.
+    pub plan_indices: HashMap<String, usize>,
+    /// Zone numbers by name.
+    pub zone_numbers: HashMap<String, u32>,
 }
 
-/// Reads settings that come in another form, as text values by their paths (`classes.count`,
-/// `classes.0.name`).
+/// Parses settings from another source than a line, as text values by path, for example
+/// `classes.count` or `classes.0.name`.
 ///
 /// # Errors
 ///
-/// A value is missing or cannot be used. The error names its path, what was expected and what was
+/// A value is missing or invalid. The error contains its path, the expected value and the value
 /// found.
-pub fn read_paths(
-    paths: &HashMap<String, String>,
+pub fn parse_values_by_path(
+    values: &HashMap<String, String>,
 ) -> std::result::Result<NamedSettings, WireError> {
-    let pairs = paths
+    let values_by_name = values
         .iter()
         .map(|(path, value)| (path.as_str(), value.as_str()))
         .collect();
-    read(&Fields {
-        line: 0,
-        message: "settings",
-        pairs,
+    parse_fields(&Fields {
+        line_number: 0,
+        message_name: "settings",
+        values_by_name,
     })
 }
 
-/// The id of an endpoint's name, the same at every gateway: its FNV-1a hash.
+/// Returns the id of an endpoint: the FNV-1a hash of its name, so that every gateway assigns the same
+/// id.
 pub fn endpoint_id(name: &str) -> EndpointId {
-    let hash = name.bytes().fold(FNV_OFFSET, |hash, byte| {
+    let hash = name.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
     });
     EndpointId(hash)
 }
 
-/// The number of a zone's name; a new name gets the next one.
-pub fn zone_id(zones: &mut HashMap<String, u32>, name: &str) -> ZoneId {
-    let next = zones.len() as u32;
-    ZoneId(*zones.entry(name.to_string()).or_insert(next))
+/// Returns the id of a zone. A new name is added to `zone_numbers` with the next number.
+pub fn zone_id(zone_numbers: &mut HashMap<String, u32>, name: &str) -> ZoneId {
+    let next = zone_numbers.len() as u32;
+    ZoneId(*zone_numbers.entry(name.to_string()).or_insert(next))
 }
 
-/// Reads the settings out of their paths.
-pub(crate) fn read(fields: &Fields) -> Result<NamedSettings> {
+/// Parses the settings from the fields of a message.
+pub(crate) fn parse_fields(fields: &Fields) -> Result<NamedSettings> {
     let mut class_indices = HashMap::new();
     let mut classes = Vec::new();
     for index in 0..list_length(fields, "classes")? {
-        let path = ListPath::new(fields, "classes", index);
-        class_indices.insert(path.text("name")?.to_string(), index);
-        classes.push(read_class(&path)?);
+        let entry = ListEntry::new(fields, "classes", index);
+        class_indices.insert(entry.required_text("name")?.to_string(), index);
+        classes.push(parse_class(&entry)?);
     }
     let mut plan_indices = HashMap::new();
     let mut plans = Vec::new();
     for index in 0..list_length(fields, "plans")? {
-        let path = ListPath::new(fields, "plans", index);
-        plan_indices.insert(path.text("name")?.to_string(), index);
-        plans.push(read_plan(&path)?);
+        let entry = ListEntry::new(fields, "plans", index);
+        plan_indices.insert(entry.required_text("name")?.to_string(), index);
+        plans.push(parse_plan(&entry)?);
     }
-    let mut zones = HashMap::new();
+    let mut zone_numbers = HashMap::new();
     if let Some(names) = fields.get("zones") {
         for name in names.split(',') {
-            zone_id(&mut zones, name);
+            zone_id(&mut zone_numbers, name);
         }
     }
-    let zone = zone_id(&mut zones, fields.get("zone").unwrap_or(""));
+    let zone = zone_id(&mut zone_numbers, fields.get("zone").unwrap_or(""));
     Ok(NamedSettings {
-        settings: read_settings(fields, zone, classes, plans)?,
-        classes: class_indices,
-        plans: plan_indices,
-        zones,
+        settings: parse_engine_settings(fields, zone, classes, plans)?,
+        class_indices,
+        plan_indices,
+        zone_numbers,
     })
 }
 
 fn list_length(fields: &Fields, list: &str) -> Result<usize> {
     let field = format!("{list}.count");
-    let count = fields.whole_or(&field, 0)?;
+    let count = fields.u64_or(&field, 0)?;
     if count > MAX_LIST_LENGTH {
         return Err(fields.field_error(&field, "at most 10000"));
     }
     Ok(count as usize)
 }
 
-/// One entry of a list of settings, and its fields by their last names.
-struct ListPath<'f, 'a> {
+/// Access to the fields of one entry of a list in the settings, by their names within the entry.
+struct ListEntry<'f, 'a> {
     fields: &'f Fields<'a>,
-    prefix: String,
+    /// Path of the entry, for example `classes.0`.
+    path: String,
 }
 
-impl<'f, 'a> ListPath<'f, 'a> {
-    fn new(fields: &'f Fields<'a>, list: &str, index: usize) -> ListPath<'f, 'a> {
-        ListPath {
+impl<'f, 'a> ListEntry<'f, 'a> {
+    fn new(fields: &'f Fields<'a>, list: &str, index: usize) -> ListEntry<'f, 'a> {
+        ListEntry {
             fields,
-            prefix: format!("{list}.{index}"),
+            path: format!("{list}.{index}"),
         }
     }
 
-    fn path(&self, name: &str) -> String {
-        format!("{}.{name}", self.prefix)
+    fn field_path(&self, name: &str) -> String {
+        format!("{}.{name}", self.path)
     }
 
     fn get(&self, name: &str) -> Option<&'a str> {
-        self.fields.get(&self.path(name))
+        self.fields.get(&self.field_path(name))
     }
 
     fn field_error(&self, name: &str, expected: &'static str) -> WireError {
-        self.fields.field_error(&self.path(name), expected)
+        self.fields.field_error(&self.field_path(name), expected)
     }
 
-    fn text(&self, name: &str) -> Result<&'a str> {
-        self.fields.text(&self.path(name))
+    fn required_text(&self, name: &str) -> Result<&'a str> {
+        self.fields.required_text(&self.field_path(name))
     }
 
-    fn span(&self, name: &str) -> Result<TimeDelta> {
-        let micros = self.fields.whole(&self.path(name))?;
+    fn required_duration(&self, name: &str) -> Result<TimeDelta> {
+        let micros = self.fields.required_u64(&self.field_path(name))?;
         Ok(TimeDelta::from_micros(micros))
     }
 
-    fn span_or(&self, name: &str, default: TimeDelta) -> Result<TimeDelta> {
-        self.fields.span_or(&self.path(name), default)
+    fn duration_or(&self, name: &str, default: TimeDelta) -> Result<TimeDelta> {
+        self.fields.duration_or(&self.field_path(name), default)
     }
 
-    fn real_or(&self, name: &str, default: f64) -> Result<f64> {
-        self.fields.real_or(&self.path(name), default)
+    fn f64_or(&self, name: &str, default: f64) -> Result<f64> {
+        self.fields.f64_or(&self.field_path(name), default)
     }
 
-    fn flag_or(&self, name: &str, default: bool) -> Result<bool> {
-        self.fields.flag_or(&self.path(name), default)
+    fn bool_or(&self, name: &str, default: bool) -> Result<bool> {
+        self.fields.bool_or(&self.field_path(name), default)
     }
 }
 
-fn read_class(path: &ListPath) -> Result<Class> {
-    let deadline = path.span("deadline")?;
+fn parse_class(entry: &ListEntry) -> Result<Class> {
+    let deadline = entry.required_duration("deadline")?;
     Ok(Class {
-        latency_objective: path.span_or("on_time", deadline)?,
+        latency_objective: entry.duration_or("on_time", deadline)?,
         deadline,
-        priority_weight: path.real_or("credit", 1.0)?,
-        late_priority_weight: path.real_or("late_share", 0.0)?,
-        idempotency: read_idempotency(path)?,
-        key_scope: read_key_scope(path)?,
-        key_window: path.span_or("window", TimeDelta::ZERO)?,
-        is_streaming: path.flag_or("streaming", false)?,
+        priority_weight: entry.f64_or("credit", 1.0)?,
+        late_priority_weight: entry.f64_or("late_share", 0.0)?,
+        idempotency: parse_idempotency(entry)?,
+        key_scope: parse_key_scope(entry)?,
+        key_window: entry.duration_or("window", TimeDelta::ZERO)?,
+        is_streaming: entry.bool_or("streaming", false)?,
         admission_only: false,
     })
 }
 
-fn read_idempotency(path: &ListPath) -> Result<Idempotency> {
-    match path.get("effect") {
+fn parse_idempotency(entry: &ListEntry) -> Result<Idempotency> {
+    match entry.get("effect") {
         Some("pure") => Ok(Idempotency::Idempotent),
         Some("token") => Ok(Idempotency::Keyed),
         Some("side_effect") | None => Ok(Idempotency::NonIdempotent),
-        Some(_) => Err(path.field_error("effect", "pure, token or side_effect")),
+        Some(_) => Err(entry.field_error("effect", "pure, token or side_effect")),
     }
 }
 
-fn read_key_scope(path: &ListPath) -> Result<KeyScope> {
-    match path.get("key_scope") {
+fn parse_key_scope(entry: &ListEntry) -> Result<KeyScope> {
+    match entry.get("key_scope") {
         Some("all") => Ok(KeyScope::All),
         Some("zone") => Ok(KeyScope::Zone),
         Some("cell") | None => Ok(KeyScope::Cell),
-        Some(_) => Err(path.field_error("key_scope", "all, zone or cell")),
+        Some(_) => Err(entry.field_error("key_scope", "all, zone or cell")),
     }
 }
 
-fn read_plan(path: &ListPath) -> Result<Plan> {
+fn parse_plan(entry: &ListEntry) -> Result<Plan> {
     Ok(Plan {
-        rate: path.real_or("per_second", 0.0)?,
-        burst: path.real_or("peak_units", 0.0)?,
-        max_concurrency: path.real_or("open", 0.0)?,
-        priority_multiplier: path.real_or("price", 1.0)?,
-        over_quota_weight: path.real_or("extra_worth", 0.0)?,
-        over_quota_cost: path.real_or("excess_cost", 0.0)?,
-        ceiling_rate: path.real_or("ceiling_rate", 0.0)?,
-        ceiling_burst: path.real_or("cap_depth", 0.0)?,
-        ceiling_slack: path.real_or("tolerance", 0.0)?,
+        rate: entry.f64_or("per_second", 0.0)?,
+        burst: entry.f64_or("peak_units", 0.0)?,
+        max_concurrency: entry.f64_or("open", 0.0)?,
+        priority_multiplier: entry.f64_or("price", 1.0)?,
+        over_quota_weight: entry.f64_or("extra_worth", 0.0)?,
+        over_quota_cost: entry.f64_or("excess_cost", 0.0)?,
+        ceiling_rate: entry.f64_or("ceiling_rate", 0.0)?,
+        ceiling_burst: entry.f64_or("cap_depth", 0.0)?,
+        ceiling_slack: entry.f64_or("tolerance", 0.0)?,
     })
 }
 
-fn read_settings(
+fn parse_engine_settings(
     fields: &Fields,
     zone: ZoneId,
     classes: Vec<Class>,
     plans: Vec<Plan>,
 ) -> Result<Settings> {
-    let small_or = |name: &str, default| -> Result<u32> {
-        let value = fields.whole_or(name, default)?;
+    let u32_or = |name: &str, default| -> Result<u32> {
+        let value = fields.u64_or(name, default)?;
         Ok(u32::try_from(value).unwrap_or(u32::MAX))
     };
-    let span = |name: &str| fields.span_or(name, TimeDelta::ZERO);
-    let flag = |name: &str| fields.flag_or(name, false);
+    let duration = |name: &str| fields.duration_or(name, TimeDelta::ZERO);
+    let is_enabled = |name: &str| fields.bool_or(name, false);
     Ok(Settings {
-        gateways: small_or("balancers", 1)?,
-        gateway_index: small_or("my_number", 0)?,
+        gateways: u32_or("balancers", 1)?,
+        gateway_index: u32_or("my_number", 0)?,
         zone,
         classes,
         plans,
-        max_attempts: fields.whole_or("bounds.max_attempts", 1)? as usize,
-        allow_hedging: flag("bounds.second_copies")?,
-        allow_cancel: flag("bounds.may_cancel")?,
-        allow_probes: flag("bounds.probing")?,
-        send_retry_after: flag("bounds.retry_after")?,
-        max_retry_after: span("bounds.max_retry_after")?,
-        use_counter: flag("specifics.counter")?,
-        counter_timeout: span("specifics.count_limit")?,
-        max_request_units: fields.real_or("specifics.units_top", 1.0)?,
+        max_attempts: fields.u64_or("bounds.max_attempts", 1)? as usize,
+        allow_hedging: is_enabled("bounds.second_copies")?,
+        allow_cancel: is_enabled("bounds.may_cancel")?,
+        allow_probes: is_enabled("bounds.probing")?,
+        send_retry_after: is_enabled("bounds.retry_after")?,
+        max_retry_after: duration("bounds.max_retry_after")?,
+        use_counter: is_enabled("specifics.counter")?,
+        counter_timeout: duration("specifics.count_limit")?,
+        max_request_units: fields.f64_or("specifics.units_top", 1.0)?,
         requires_subscription: fields.get("membership_mode") == Some("subscribe"),
-        dial_timeout: span("bounds.dial_timeout")?,
-        answer_slack: span("rules.answer_slack")?,
-        slow_start_min_capacity: fields.real_or("rules.cold_from", 1.0)?,
-        slow_start_duration: span("rules.cold")?,
-        overload_multiple: fields.real_or("rules.fall_multiple", 1.0)?,
-        overload_duration: span("rules.tip_after")?,
-        timer_resolution: span("tick")?,
+        dial_timeout: duration("bounds.dial_timeout")?,
+        answer_slack: duration("rules.answer_slack")?,
+        slow_start_min_capacity: fields.f64_or("rules.cold_from", 1.0)?,
+        slow_start_duration: duration("rules.cold")?,
+        overload_multiple: fields.f64_or("rules.fall_multiple", 1.0)?,
+        overload_duration: duration("rules.tip_after")?,
+        timer_resolution: duration("tick")?,
     })
 }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter on good and bad text.
+//! Tests of the adapter's text protocol: the replies to valid batches, and the errors for invalid input.
 use chalkdeck_simulator_adapter::Adapter;
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -14,9 +14,13 @@
     let mut adapter = Adapter::default();
     let mut replies = Vec::new();
     for line in text.lines() {
-        replies.extend(adapter.line(line).map_err(|e| e.to_string())?);
+        replies.extend(
+            adapter
+                .handle_line(line)
+                .map_err(|error| error.to_string())?,
+        );
     }
-    adapter.finish().map_err(|e| e.to_string())?;
+    adapter.finish().map_err(|error| error.to_string())?;
     Ok(replies)
 }
 
@@ -35,17 +39,20 @@
 }
 
 #[test]
-fn a_request_is_counted_and_then_routed() {
+fn a_request_is_routed_after_the_counter_reply() {
     let replies = replies_after_start(&format!("{REQUEST}\nFLUSH")).unwrap();
-    let add = replies[0]
+    let counter_call = replies[0]
         .lines()
-        .find(|l| l.starts_with("ADD_AND_GET") && l.contains("amount=2"))
-        .expect("an add");
+        .find(|line| line.starts_with("ADD_AND_GET") && line.contains("amount=2"))
+        .expect("the reply has a counter call");
     assert!(replies[0].starts_with("AS who=3\n") && replies[0].ends_with("EOR\n"));
-    let book = add.split(' ').find(|p| p.starts_with("book=")).unwrap();
-    let answer = format!("COUNT_RESULT {book} how=200 result_value=2 took=900");
+    let book = counter_call
+        .split(' ')
+        .find(|field| field.starts_with("book="))
+        .unwrap();
+    let counter_reply = format!("COUNT_RESULT {book} how=200 result_value=2 took=900");
     let replies = replies_after_start(&format!(
-        "{REQUEST}\nFLUSH\nTICK now=1002000\nFOR who=3\nSOMETHING_NEW a=1\n{answer}\nFLUSH"
+        "{REQUEST}\nFLUSH\nTICK now=1002000\nFOR who=3\nSOMETHING_NEW a=1\n{counter_reply}\nFLUSH"
     ))
     .unwrap();
     assert!(
@@ -56,13 +63,13 @@
 }
 
 #[test]
-fn a_removed_instance_gets_no_reply() {
+fn a_removed_gateway_gets_no_reply() {
     let replies = replies_after_start(&format!("{REQUEST}\nDOWN\n{REQUEST}\nFLUSH")).unwrap();
     assert_eq!(replies, ["EOR\n"]);
 }
 
 #[test]
-fn the_error_for_an_unusable_line_names_it() {
+fn the_error_for_an_invalid_line_names_the_line_and_the_problem() {
     let cases = [
         ("KNOCK ref=x", "kind"),
         (
@@ -85,10 +92,10 @@
         ("FLEET scope=total items=2\nFLUSH", "ITEM"),
         ("ITEM backend=b status=in_service", "FLEET"),
     ];
-    for (line, field) in cases {
+    for (line, expected_text) in cases {
         let error = replies_after_start(&format!("{line}\nFLUSH")).expect_err(line);
         assert!(
-            error.starts_with("line ") && error.contains(field),
+            error.starts_with("line ") && error.contains(expected_text),
             "{line}: {error}"
         );
         assert_eq!(error.lines().count(), 1);
@@ -96,35 +103,35 @@
     assert!(replies_to("RING ref=1").is_err(), "outside a batch");
     assert!(
         replies_to("TICK now=5\nFLUSH\nTICK now=4\nFLUSH").is_err(),
-        "a clock that goes back"
+        "the clock moves backwards"
     );
-    assert!(replies_to("TICK now=5").is_err(), "a batch without an end");
+    assert!(replies_to("TICK now=5").is_err(), "the batch has no end");
     assert!(
         replies_to("TICK now=5\nRING ref=1\nFLUSH").is_err(),
-        "an event without an instance"
+        "an event for no gateway"
     );
-    let unsound = START.replace("balancers=2", "balancers=0");
-    assert!(replies_to(&format!("TICK now=1\nFOR who=1\n{unsound}\nFLUSH")).is_err());
+    let invalid_start = START.replace("balancers=2", "balancers=0");
+    assert!(replies_to(&format!("TICK now=1\nFOR who=1\n{invalid_start}\nFLUSH")).is_err());
 }
 
 #[test]
-fn the_program_exits_with_one_plain_line() {
+fn the_program_fails_with_one_line_on_standard_error() {
     let mut child = Command::new(env!("CARGO_BIN_EXE_chalkdeck-drill"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("it starts");
+        .expect("the program starts");
     child
         .stdin
         .take()
-        .expect("piped")
+        .expect("standard input is piped")
         .write_all(b"TICK now=1\nFLUSH\nTICK now=abc\n")
-        .expect("it reads");
-    let done = child.wait_with_output().expect("it ends");
-    assert!(!done.status.success());
-    assert_eq!(done.stdout, b"EOR\n");
-    let error = String::from_utf8(done.stderr).expect("plain text");
+        .expect("the program reads its input");
+    let output = child.wait_with_output().expect("the program exits");
+    assert!(!output.status.success());
+    assert_eq!(output.stdout, b"EOR\n");
+    let error = String::from_utf8(output.stderr).expect("the error is UTF-8");
     assert_eq!(error.lines().count(), 1, "{error}");
     assert!(error.contains("line 3") && error.contains("now"));
 }
