--- a/crates/access/src/call.rs
+++ b/crates/access/src/call.rs
@@ -1,21 +1,21 @@
-//! A call as the rules see it, and what they decide about it.
+//! The properties of a call that rules match, and the decision about a call.
 
 use crate::Action;
 
-/// What is known of a call when it arrives.
+/// The properties of a call that are known when it arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Call<'a> {
-    /// The caller's region; empty if it is not known, and then no rule that names regions matches.
+    /// The caller's region. Empty if it is unknown; a rule with caller regions then does not match.
     pub caller_region: &'a str,
     /// The gateway's region.
     pub gateway_region: &'a str,
-    /// The path; for RESP commands the command's name after a `/`.
+    /// The path. For RESP commands, a `/` and the name of the command.
     pub path: &'a str,
     /// The request class.
     pub class: &'a str,
 }
 
-/// What calls have in common that all rules treat alike; a [`Call`] that owns its texts.
+/// The properties that calls share if every rule treats them the same; the owned form of [`Call`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallKind {
     /// The caller's region.
@@ -29,7 +29,7 @@
 }
 
 impl CallKind {
-    /// Any call of this kind.
+    /// Returns the properties as a borrowed call.
     pub fn as_call(&self) -> Call<'_> {
         Call {
             caller_region: &self.caller_region,
@@ -51,15 +51,15 @@
     }
 }
 
-/// The position of a rule in its set, from 0.
+/// The position of a rule in its set, counted from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RuleIndex(pub u32);
 
-/// What a rule set decides about a call.
+/// The decision of a rule set about a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Decision {
     /// Whether the call is admitted.
     pub action: Action,
-    /// The rule that decided; `None` for the set's default.
+    /// The rule that decided, or `None` if the default action of the set applied.
     pub rule: Option<RuleIndex>,
 }
--- a/crates/access/src/compiled_rules.rs
+++ b/crates/access/src/compiled_rules.rs
@@ -1,8 +1,8 @@
-//! A rule set that was prepared for many calls.
+//! A rule set that is compiled for fast decisions.
 
 use crate::decision_cache::{DecisionCache, Lookup};
 use crate::route_index::RouteIndex;
-use crate::{Call, Decision, Rule, RuleIndex, RuleSet, StalePolicy, DEFAULT_RULE};
+use crate::{Call, Decision, Rule, RuleIndex, RuleSet, StalePolicy, DEFAULT_RULE_ID};
 use std::cell::RefCell;
 
 /// A rule set with an index of its routes and a cache of its decisions.
@@ -14,7 +14,7 @@
 }
 
 impl CompiledRules {
-    /// Prepares a set that has passed [`RuleSet::check`].
+    /// Compiles a set that has passed [`RuleSet::check`].
     pub fn new(set: RuleSet) -> CompiledRules {
         CompiledRules {
             routes: RouteIndex::new(&set.rules),
@@ -23,23 +23,23 @@
         }
     }
 
-    /// The set itself.
+    /// Returns the source rule set.
     pub fn set(&self) -> &RuleSet {
         &self.set
     }
 
-    /// What holds while the gateway has no session.
+    /// Returns how calls are handled while the gateway has no valid session.
     pub fn stale_policy(&self) -> StalePolicy {
         self.set.stale_policy
     }
 
-    /// The id of the rule that decided; `default` if none did.
+    /// Returns the id of the rule that decided, or `default` if no rule matched.
     pub fn rule_id(&self, rule: Option<RuleIndex>) -> &str {
         rule.and_then(|index| self.set.rules.get(index.0 as usize))
-            .map_or(DEFAULT_RULE, |rule| rule.id.as_str())
+            .map_or(DEFAULT_RULE_ID, |rule| rule.id.as_str())
     }
 
-    /// Decides a call by the first rule that matches, or else by the set's default.
+    /// Decides a call by the first matching rule, or by the default action of the set if no rule matches.
     pub fn decide(&self, call: &Call) -> Decision {
         let mut cache = self.cache.borrow_mut();
         match cache.lookup(call) {
@@ -53,12 +53,13 @@
         }
     }
 
+    /// Decides a call without the cache.
     fn evaluate(&self, call: &Call) -> Decision {
         let first_match = |candidates: &[RuleIndex]| {
             candidates
                 .iter()
                 .copied()
-                .find(|&index| matches(self.rule(index), call))
+                .find(|&index| matches_except_routes(self.rule(index), call))
         };
         let rule = self
             .routes
@@ -76,14 +77,14 @@
     }
 }
 
-/// Whether the rule's other fields match, its routes aside.
-fn matches(rule: &Rule, call: &Call) -> bool {
-    is_among(&rule.caller_regions, call.caller_region)
-        && is_among(&rule.gateway_regions, call.gateway_region)
-        && is_among(&rule.classes, call.class)
+/// Returns whether the fields of a rule other than its routes match.
+fn matches_except_routes(rule: &Rule, call: &Call) -> bool {
+    field_matches(&rule.caller_regions, call.caller_region)
+        && field_matches(&rule.gateway_regions, call.gateway_region)
+        && field_matches(&rule.classes, call.class)
 }
 
-/// Whether a field without values, or with this one among them, matches.
-fn is_among(values: &[String], value: &str) -> bool {
+/// Returns whether a field matches a value: it has no values, or this is one of them.
+fn field_matches(values: &[String], value: &str) -> bool {
     values.is_empty() || values.iter().any(|v| v == value)
 }
--- a/crates/access/src/decision_cache.rs
+++ b/crates/access/src/decision_cache.rs
@@ -1,19 +1,19 @@
-//! Decisions of one rule set about the calls that it saw lately.
+//! A cache of the decisions of one rule set.
 
 use crate::{Call, CallKind, Decision};
 use rustc_hash::{FxHashMap, FxHasher};
 use std::hash::{Hash, Hasher};
 
-/// Decisions that are kept. A full cache is cleared, which bounds its memory at the price of deciding the calls anew.
+/// The most decisions in the cache. A full cache is cleared, which bounds its memory at the cost of evaluating the calls again.
 const MAX_ENTRIES: usize = 4_096;
 
-/// What the cache knows of a call.
+/// The result of a cache lookup.
 pub(crate) enum Lookup {
-    /// The decision about an equal call.
+    /// The cache has the decision about an equal call.
     Hit(Decision),
-    /// Nothing; the decision may be stored under this key.
+    /// The cache has no decision; one can be stored under this key.
     Miss(CacheKey),
-    /// Another call has the same key, so that the decision cannot be stored.
+    /// A different call has the same key, so the decision cannot be stored.
     Collision,
 }
 
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct CacheKey(u64);
 
-/// Decisions by the hashes of their calls.
+/// Decisions by the hash of the call.
 #[derive(Debug, Default)]
 pub(crate) struct DecisionCache {
     entries: FxHashMap<CacheKey, Entry>,
@@ -29,13 +29,13 @@
 
 #[derive(Debug)]
 struct Entry {
-    // Boxed to keep the table small: most look-ups compare one entry only.
+    // Boxed to keep the table small: most lookups compare only one entry.
     kind: Box<CallKind>,
     decision: Decision,
 }
 
 impl DecisionCache {
-    /// Finds the decision about an equal call. The whole call is compared, not only its hash.
+    /// Looks up the decision about an equal call. The whole call is compared, not only its hash.
     pub(crate) fn lookup(&self, call: &Call) -> Lookup {
         let key = key_of(call);
         match self.entries.get(&key) {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Stores a decision under the key that [`DecisionCache::lookup`] gave.
+    /// Stores a decision under the key that [`DecisionCache::lookup`] returned.
     pub(crate) fn insert(&mut self, key: CacheKey, call: &Call, decision: Decision) {
         if self.entries.len() >= MAX_ENTRIES {
             self.entries.clear();
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -1,5 +1,7 @@
-//! Customers' access rules by region, free of I/O: a customer's [`RuleSet`] is checked and compiled once, and decides each of its
-//! calls once, when the call arrives. Matches are counted for each rule and can be merged over gateways without counting twice.
+//! Access rules of customers by region. The crate does no I/O.
+//!
+//! A customer's [`RuleSet`] is validated and compiled once. Each call of the customer is decided when it arrives. Hits are counted
+//! for each rule, and the counts of several gateways can be merged without counting a hit twice.
 #![forbid(unsafe_code)]
 
 mod call;
@@ -20,11 +22,12 @@
 pub use hit_totals::{HitCounts, HitTotals, RuleVersion};
 pub use region_table::{RegionError, RegionTable};
 pub use rule_set::{
-    Action, Rule, RuleSet, RuleSetError, StalePolicy, MAX_RULES, MAX_TEXT_BYTES, MAX_VALUES,
+    Action, Rule, RuleSet, RuleSetError, StalePolicy, MAX_RULES_PER_SET, MAX_TEXT_BYTES,
+    MAX_VALUES_PER_FIELD,
 };
 pub use rule_store::{RuleStore, SessionState, Verdict, MAX_CUSTOMERS, MAX_STORED_RULES};
 
-/// Stands for a rule's id where no rule matched and the set's default decided.
-pub(crate) const DEFAULT_RULE: &str = "default";
-/// Stands for a rule's id where the session had expired and the set denies calls then.
-pub(crate) const STALE_RULE: &str = "stale";
+/// Reported in place of a rule id when no rule matched and the default action of the set decided.
+pub(crate) const DEFAULT_RULE_ID: &str = "default";
+/// Reported in place of a rule id when the session had expired and the set denies calls in that case.
+pub(crate) const STALE_RULE_ID: &str = "stale";
--- a/crates/access/src/region_table.rs
+++ b/crates/access/src/region_table.rs
@@ -1,37 +1,37 @@
-//! Regions of callers by the prefixes of their addresses.
+//! Maps caller addresses to regions by address prefix.
 
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use prefix_trie::PrefixMap;
 use std::net::IpAddr;
 
-/// The most prefixes of one table.
+/// The most prefixes in one table.
 const MAX_PREFIXES: usize = 1_000_000;
-/// The rest of a line after this is a remark.
-const REMARK: char = '#';
+/// Starts a comment that extends to the end of the line.
+const COMMENT_START: char = '#';
 
-/// Why a table is not accepted.
+/// Why a region table is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
 pub enum RegionError {
-    /// A line is not a prefix and a region.
+    /// A line does not consist of a prefix and a region.
     #[error("line {line}: expected a prefix as 10.0.0.0/8 and a region, found '{found}'")]
     #[diagnostic(
         code(chalkdeck::access::prefix),
         help("one prefix and one region a line, parted by a space; '#' begins a remark")
     )]
     InvalidLine {
-        /// The number of the line, from 1.
+        /// The line number, from 1.
         line: usize,
-        /// The line without its remark.
+        /// The line without its comment.
         found: String,
     },
-    /// A prefix is given twice.
+    /// A prefix occurs twice.
     #[error("line {line}: {found} stands twice")]
     #[diagnostic(
         code(chalkdeck::access::prefix_twice),
         help("one region for each prefix; give the part that differs as a longer prefix")
     )]
     DuplicatePrefix {
-        /// The number of the second line, from 1.
+        /// The line number of the second occurrence, from 1.
         line: usize,
         /// The prefix.
         found: String,
@@ -45,7 +45,7 @@
     TooManyPrefixes,
 }
 
-/// A table of address prefixes and their regions.
+/// Regions by address prefix.
 #[derive(Clone, Debug, Default)]
 pub struct RegionTable {
     v4: PrefixMap<Ipv4Net, String>,
@@ -53,15 +53,15 @@
 }
 
 impl RegionTable {
-    /// Parses a table with one prefix and its region a line.
+    /// Parses a table that has one prefix and its region on each line.
     ///
     /// # Errors
-    /// A line that is no prefix and region, a prefix that is given twice, or too many prefixes.
+    /// A line is not a prefix and a region, a prefix occurs twice, or there are too many prefixes.
     pub fn parse(text: &str) -> Result<RegionTable, RegionError> {
         let mut table = RegionTable::default();
         let mut prefixes = 0;
         for (index, whole_line) in text.lines().enumerate() {
-            let line = whole_line.split(REMARK).next().unwrap_or("").trim();
+            let line = whole_line.split(COMMENT_START).next().unwrap_or("").trim();
             if line.is_empty() {
                 continue;
             }
@@ -74,9 +74,9 @@
         Ok(table)
     }
 
-    fn insert_line(&mut self, number: usize, line: &str) -> Result<(), RegionError> {
+    fn insert_line(&mut self, line_number: usize, line: &str) -> Result<(), RegionError> {
         let invalid = || RegionError::InvalidLine {
-            line: number,
+            line: line_number,
             found: line.to_string(),
         };
         let (prefix, region) = line.split_once(char::is_whitespace).ok_or_else(invalid)?;
@@ -89,14 +89,14 @@
         };
         if replaced.is_some() {
             return Err(RegionError::DuplicatePrefix {
-                line: number,
+                line: line_number,
                 found: prefix.to_string(),
             });
         }
         Ok(())
     }
 
-    /// The region of an address by its longest prefix; `None` if no prefix contains it.
+    /// Returns the region of the longest prefix that contains the address, or `None` if no prefix does.
     pub fn region_of(&self, address: IpAddr) -> Option<&str> {
         match address.to_canonical() {
             IpAddr::V4(address) => {
--- a/crates/access/src/route_index.rs
+++ b/crates/access/src/route_index.rs
@@ -1,20 +1,20 @@
-//! The rules of a set that may match a path, found without reading all rules.
+//! An index that finds the rules whose routes match a path without scanning the whole set.
 
 use crate::{Rule, RuleIndex};
 use rustc_hash::FxHashMap;
 
-/// A route that ends with this matches every path that begins with the rest of it.
+/// At the end of a route, makes it match every path that starts with the text before it.
 const WILDCARD: char = '*';
 
-/// Rules by their routes. Each list of rules is in the order of the set.
+/// Rules by route. Each list of rules is in the order of the set.
 #[derive(Debug, Default)]
 pub(crate) struct RouteIndex {
     by_path: FxHashMap<String, Vec<RuleIndex>>,
     by_prefix: FxHashMap<String, Vec<RuleIndex>>,
-    /// Lengths of all prefixes in bytes, ascending.
+    /// The distinct lengths of the prefixes in bytes, ascending.
     prefix_lengths: Vec<usize>,
     /// Rules without routes, which match every path.
-    for_every_path: Vec<RuleIndex>,
+    without_routes: Vec<RuleIndex>,
 }
 
 impl RouteIndex {
@@ -31,7 +31,7 @@
 
     fn add(&mut self, position: RuleIndex, rule: &Rule) {
         if rule.routes.is_empty() {
-            self.for_every_path.push(position);
+            self.without_routes.push(position);
         }
         for route in &rule.routes {
             let rules = match route.strip_suffix(WILDCARD) {
@@ -44,14 +44,14 @@
         }
     }
 
-    /// Lists of the rules whose routes match the path.
+    /// Returns lists of the rules whose routes match the path.
     pub(crate) fn candidates<'a>(&'a self, path: &'a str) -> impl Iterator<Item = &'a [RuleIndex]> {
         self.prefix_lengths
             .iter()
             .filter_map(move |&length| path.get(..length))
             .filter_map(|prefix| self.by_prefix.get(prefix))
             .chain(self.by_path.get(path))
-            .chain([&self.for_every_path])
+            .chain([&self.without_routes])
             .map(Vec::as_slice)
     }
 }
--- a/crates/access/src/rule_set.rs
+++ b/crates/access/src/rule_set.rs
@@ -1,48 +1,48 @@
-//! A customer's rule set as it is written, and its validation.
+//! The source form of a customer's rule set, and its validation.
 
 use std::collections::HashSet;
 
-/// The most rules of one set.
-pub const MAX_RULES: usize = 20_000;
-/// The most values of one field of a rule.
-pub const MAX_VALUES: usize = 64;
-/// The most bytes of one name, region or pattern.
+/// The most rules in one set.
+pub const MAX_RULES_PER_SET: usize = 20_000;
+/// The most values in one field of a rule.
+pub const MAX_VALUES_PER_FIELD: usize = 64;
+/// The length limit of a name, a region or a route pattern, in bytes.
 pub const MAX_TEXT_BYTES: usize = 256;
-/// What a value of any field has to be. Names the same limit as [`MAX_TEXT_BYTES`].
+/// Describes a valid value of any field. Contains the limit of [`MAX_TEXT_BYTES`].
 const EXPECTED_VALUE: &str = "a value of 1 to 256 bytes";
-/// What a route has to be.
+/// Describes a valid route.
 const EXPECTED_ROUTE: &str = "a path from '/' on, with a '*' at its end at most";
 
-/// What a rule does with a call that it matches.
+/// What is done with a call that matches a rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// The call is admitted.
     Allow,
-    /// The call is answered at once, as not permitted.
+    /// The call is rejected immediately as not permitted.
     Deny,
 }
 
-/// What holds at a gateway whose session with the replicated state has expired.
+/// How a gateway handles a customer's calls after its session with the replicated state has expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StalePolicy {
-    /// The set as it was last known.
+    /// Continue to apply the last known rule set.
     Keep,
-    /// Every call of the customer is denied.
+    /// Deny every call of the customer.
     Deny,
 }
 
 /// One rule. A field without values matches every call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rule {
-    /// Its name within the set.
+    /// The name of the rule, unique within the set.
     pub id: String,
-    /// What it does with the calls that it matches.
+    /// What is done with matching calls.
     pub action: Action,
-    /// Regions of the caller.
+    /// Regions of callers.
     pub caller_regions: Vec<String>,
-    /// Regions of the gateway that takes the call.
+    /// Regions of the gateways that receive the calls.
     pub gateway_regions: Vec<String>,
-    /// Paths, whole or up to a final `*`.
+    /// Full paths, or path prefixes followed by `*`.
     pub routes: Vec<String>,
     /// Request classes.
     pub classes: Vec<String>,
@@ -53,21 +53,21 @@
 pub struct RuleSet {
     /// The customer.
     pub customer: String,
-    /// Grows with each set of the customer.
+    /// The version of the set. Each new set of the customer has a larger one.
     pub version: u64,
-    /// What is done with calls that no rule matches.
+    /// What is done with calls that match no rule.
     pub default_action: Action,
-    /// What holds while the gateway has no session.
+    /// How calls are handled while the gateway has no valid session.
     pub stale_policy: StalePolicy,
-    /// The rules in their order.
+    /// The rules, in order of precedence.
     pub rules: Vec<Rule>,
 }
 
-/// Why a set is not accepted.
+/// Why a rule set is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
 pub enum RuleSetError {
     /// The set has too many rules.
-    #[error("rules: expected at most {MAX_RULES}, found {0}")]
+    #[error("rules: expected at most {MAX_RULES_PER_SET}, found {0}")]
     #[diagnostic(
         code(chalkdeck::access::too_many),
         help("join rules that differ in one field only: a rule takes several values of each")
@@ -80,7 +80,7 @@
         help("give the customer as its calls name it")
     )]
     InvalidCustomer,
-    /// A rule's id is empty, too long or that of an earlier rule.
+    /// A rule's id is empty, too long or already used by an earlier rule.
     #[error(
         "rules[{index}].id: expected a name of its own of at most {MAX_TEXT_BYTES} bytes, found '{found}'"
     )]
@@ -91,11 +91,13 @@
     InvalidId {
         /// The rule's position.
         index: usize,
-        /// The id.
+        /// The invalid id.
         found: String,
     },
     /// A field of a rule has too many values.
-    #[error("rules[{index}].{field}: expected at most {MAX_VALUES} values, found {found}")]
+    #[error(
+        "rules[{index}].{field}: expected at most {MAX_VALUES_PER_FIELD} values, found {found}"
+    )]
     #[diagnostic(
         code(chalkdeck::access::values),
         help("split the rule in two with the same action")
@@ -105,10 +107,10 @@
         index: usize,
         /// The field's name.
         field: &'static str,
-        /// How many values it has.
+        /// The number of values.
         found: usize,
     },
-    /// A field of a rule has a value that can never match.
+    /// A field of a rule has an invalid value, which could never match a call.
     #[error("rules[{index}].{field}: expected {expected}, found '{found}'")]
     #[diagnostic(
         code(chalkdeck::access::value),
@@ -119,23 +121,23 @@
         index: usize,
         /// The field's name.
         field: &'static str,
-        /// What the field can have.
+        /// Description of a valid value.
         expected: &'static str,
-        /// The value.
+        /// The invalid value.
         found: String,
     },
 }
 
 impl RuleSet {
-    /// Checks whether the set can be applied.
+    /// Validates the set.
     ///
     /// # Errors
-    /// The first thing that is wrong.
+    /// The first problem found.
     pub fn check(&self) -> Result<(), RuleSetError> {
         if !is_valid_text(&self.customer) {
             return Err(RuleSetError::InvalidCustomer);
         }
-        if self.rules.len() > MAX_RULES {
+        if self.rules.len() > MAX_RULES_PER_SET {
             return Err(RuleSetError::TooManyRules(self.rules.len()));
         }
         let mut ids = HashSet::new();
@@ -171,7 +173,7 @@
 }
 
 fn check_values(index: usize, field: &'static str, values: &[String]) -> Result<(), RuleSetError> {
-    if values.len() > MAX_VALUES {
+    if values.len() > MAX_VALUES_PER_FIELD {
         return Err(RuleSetError::TooManyValues {
             index,
             field,
@@ -193,7 +195,7 @@
     !text.is_empty() && text.len() <= MAX_TEXT_BYTES
 }
 
-/// Whether the text is a path, with a wildcard at its end at most.
+/// Returns whether a route is a path that has a wildcard only at its end, if any.
 fn is_valid_route(route: &str) -> bool {
     let before_wildcard = route.strip_suffix('*').unwrap_or(route);
     route.starts_with('/') && !before_wildcard.contains('*')
--- a/crates/access/src/rule_store.rs
+++ b/crates/access/src/rule_store.rs
@@ -1,25 +1,25 @@
-//! All rule sets that a gateway has, and what they decide about its calls.
+//! The rule sets of all customers at one gateway, and the decisions about its calls.
 
 use crate::hit_counter::{MatchedBy, RuleHitCounter, RuleHits};
-use crate::{Action, Call, CompiledRules, RuleSet, StalePolicy, STALE_RULE};
+use crate::{Action, Call, CompiledRules, RuleSet, StalePolicy, STALE_RULE_ID};
 use rustc_hash::FxHashMap;
 
-/// The most rules of all sets together.
+/// The most rules in all sets together.
 pub const MAX_STORED_RULES: usize = 200_000;
-/// The most customers that have a set.
+/// The most customers with a rule set.
 pub const MAX_CUSTOMERS: usize = 10_000;
 
-/// Whether the gateway has a session with the replicated state.
+/// Whether the gateway has a valid session with the replicated state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionState {
-    /// It has: the sets are up to date.
+    /// The session is valid, so the sets are up to date.
     Live,
-    /// Its session has expired: the sets may be outdated.
+    /// The session has expired, so the sets may be outdated.
     Expired,
 }
 
 impl SessionState {
-    /// `Live` if `is_live`, else `Expired`.
+    /// Returns `Live` if `is_live`, otherwise `Expired`.
     pub fn new(is_live: bool) -> SessionState {
         if is_live {
             SessionState::Live
@@ -29,23 +29,23 @@
     }
 }
 
-/// What is decided about a call.
+/// The final decision about a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is admitted.
+    /// The call is admitted.
     Admitted,
-    /// It is answered as not permitted.
+    /// The call is rejected as not permitted.
     Denied {
-        /// The id of the rule that denies it.
+        /// The id of the rule that denies the call; `default` or `stale` if no rule does.
         rule: String,
         /// The version of the set that the rule belongs to.
         version: u64,
-        /// Not a rule denies it but the set's [`StalePolicy`], as the gateway's session has expired.
+        /// Whether the call is denied by the set's [`StalePolicy`] because the gateway's session has expired.
         is_stale: bool,
     },
 }
 
-/// A verdict and what it rests on.
+/// A verdict and the reason for it.
 struct Evaluation {
     matched_by: MatchedBy,
     verdict: Verdict,
@@ -56,25 +56,26 @@
 pub struct RuleStore {
     sets: FxHashMap<String, CompiledRules>,
     rule_count: usize,
-    hits: RuleHitCounter,
+    hit_counter: RuleHitCounter,
 }
 
 impl RuleStore {
-    /// Puts a set in the place of its customer's earlier one and returns true. Returns false, and changes nothing, if the present
-    /// set has this version or a later one or if there is no room for the set.
+    /// Inserts a set, replacing an earlier one of the same customer, and returns true. Returns false, and changes nothing, if the
+    /// stored set has the same or a later version, or if the store has no capacity for the set.
     pub fn insert(&mut self, set: RuleSet) -> bool {
-        let present = self.sets.get(&set.customer);
-        if present.is_some_and(|present| present.set().version >= set.version) {
+        let stored = self.sets.get(&set.customer);
+        if stored.is_some_and(|stored| stored.set().version >= set.version) {
             return false;
         }
-        let replaced = present.map_or(0, |present| present.set().rules.len());
-        let rule_count = self.rule_count - replaced + set.rules.len();
-        let is_store_full = present.is_none() && self.sets.len() >= MAX_CUSTOMERS;
+        let replaced_rules = stored.map_or(0, |stored| stored.set().rules.len());
+        let rule_count = self.rule_count - replaced_rules + set.rules.len();
+        let is_store_full = stored.is_none() && self.sets.len() >= MAX_CUSTOMERS;
         if rule_count > MAX_STORED_RULES || is_store_full {
             return false;
         }
         self.rule_count = rule_count;
-        self.hits.start_set(&set, present.map(CompiledRules::set));
+        self.hit_counter
+            .start_set(&set, stored.map(CompiledRules::set));
         self.sets
             .insert(set.customer.clone(), CompiledRules::new(set));
         true
@@ -84,42 +85,42 @@
     pub fn remove(&mut self, customer: &str) {
         if let Some(removed) = self.sets.remove(customer) {
             self.rule_count -= removed.set().rules.len();
-            self.hits.end_set(removed.set());
+            self.hit_counter.end_set(removed.set());
         }
     }
 
-    /// A customer's set.
+    /// Returns a customer's compiled set.
     pub fn get(&self, customer: &str) -> Option<&CompiledRules> {
         self.sets.get(customer)
     }
 
-    /// The customers that have a set, in no order.
+    /// Returns the customers that have a set, in no particular order.
     pub fn customers(&self) -> impl Iterator<Item = &str> {
         self.sets.keys().map(String::as_str)
     }
 
-    /// The number of rules of all sets.
+    /// Returns the number of rules in all sets.
     pub fn rule_count(&self) -> usize {
         self.rule_count
     }
 
-    /// Decides a call that arrives, and counts the hit.
+    /// Decides an arriving call and counts the hit.
     pub fn decide(&mut self, customer: &str, call: &Call, session: SessionState) -> Verdict {
         let Some(evaluation) = self.evaluate(customer, call, session) else {
             return Verdict::Admitted;
         };
-        self.hits.record(customer, evaluation.matched_by);
+        self.hit_counter.record(customer, evaluation.matched_by);
         evaluation.verdict
     }
 
-    /// Decides again about a call that is under way, such as a stream whose set has changed or whose session has expired. This is
-    /// not counted as a hit.
+    /// Decides a call in progress again without counting a hit, for example a stream when the rule set has changed or the session
+    /// has expired.
     pub fn recheck(&self, customer: &str, call: &Call, session: SessionState) -> Verdict {
         self.evaluate(customer, call, session)
             .map_or(Verdict::Admitted, |evaluation| evaluation.verdict)
     }
 
-    /// `None` if the customer has no set.
+    /// Decides a call without counting a hit. Returns `None` if the customer has no set.
     fn evaluate(&self, customer: &str, call: &Call, session: SessionState) -> Option<Evaluation> {
         let rules = self.sets.get(customer)?;
         let version = rules.set().version;
@@ -127,7 +128,7 @@
             return Some(Evaluation {
                 matched_by: MatchedBy::Stale,
                 verdict: Verdict::Denied {
-                    rule: STALE_RULE.into(),
+                    rule: STALE_RULE_ID.into(),
                     version,
                     is_stale: true,
                 },
@@ -148,16 +149,19 @@
         })
     }
 
-    /// The cumulative counts that changed since the last report, of at most `max_customers` customers.
+    /// Returns the cumulative counts that changed since the last report, of at most `max_customers` customers, and the final counts
+    /// of replaced and removed sets that are not confirmed yet.
     pub fn report_hits(&mut self, max_customers: usize) -> Vec<RuleHits> {
-        let RuleStore { sets, hits, .. } = self;
-        hits.report(max_customers, |customer| {
+        let RuleStore {
+            sets, hit_counter, ..
+        } = self;
+        hit_counter.report(max_customers, |customer| {
             sets.get(customer).map(CompiledRules::set)
         })
     }
 
-    /// The counter of this gateway's hits.
-    pub fn hits(&mut self) -> &mut RuleHitCounter {
-        &mut self.hits
+    /// Returns the counter of this gateway's hits.
+    pub fn hit_counter(&mut self) -> &mut RuleHitCounter {
+        &mut self.hit_counter
     }
 }
--- a/crates/access/tests/common/mod.rs
+++ b/crates/access/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! Short ways to write rules, sets and calls.
+//! Constructors for rules, rule sets and calls in tests.
 #![allow(
     dead_code,
-    reason = "each test program that includes this module uses a part of it"
+    reason = "each test program that includes this module uses only a part of it"
 )]
 
 use chalkdeck_access::{Action, Call, Rule, RuleSet, StalePolicy};
@@ -12,9 +12,9 @@
     Rule {
         id: id.into(),
         action,
-        caller_regions: owned(caller_regions),
+        caller_regions: to_strings(caller_regions),
         gateway_regions: Vec::new(),
-        routes: owned(routes),
+        routes: to_strings(routes),
         classes: Vec::new(),
     }
 }
@@ -43,6 +43,6 @@
     }
 }
 
-pub fn owned(texts: &[&str]) -> Vec<String> {
+pub fn to_strings(texts: &[&str]) -> Vec<String> {
     texts.iter().map(|text| text.to_string()).collect()
 }
--- a/crates/access/tests/decisions.rs
+++ b/crates/access/tests/decisions.rs
@@ -1,11 +1,11 @@
-//! What rule sets decide, against a plain reading of them; which sets are accepted; how many fit.
+//! Tests of rule sets: decisions compared with a reference implementation, validation, the dry run, and the capacity of the store.
 mod common;
 
 use chalkdeck_access::{
     Action, Call, CallHistory, CallKind, CompiledRules, Rule, RuleIndex, RuleSet, RuleSetError,
     RuleStore, SessionState, StalePolicy, Verdict,
 };
-use common::{call, owned, rule, rule_set};
+use common::{call, rule, rule_set, to_strings};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -37,17 +37,21 @@
     }
 }
 
-fn any_of(from: &'static [&'static str], most: usize) -> impl Strategy<Value = Vec<String>> {
-    prop::collection::vec(prop::sample::select(from), 0..most).prop_map(|texts| owned(&texts))
+fn any_values(
+    choices: &'static [&'static str],
+    max_len_exclusive: usize,
+) -> impl Strategy<Value = Vec<String>> {
+    prop::collection::vec(prop::sample::select(choices), 0..max_len_exclusive)
+        .prop_map(|texts| to_strings(&texts))
 }
 
 fn any_rule() -> impl Strategy<Value = Rule> {
     let fields = (
         any::<bool>(),
-        any_of(&REGIONS[..3], 3),
-        any_of(&REGIONS[..3], 2),
-        any_of(&ROUTES, 3),
-        any_of(&CLASSES, 2),
+        any_values(&REGIONS[..3], 3),
+        any_values(&REGIONS[..3], 2),
+        any_values(&ROUTES, 3),
+        any_values(&CLASSES, 2),
     );
     fields.prop_map(
         |(is_denied, caller_regions, gateway_regions, routes, classes)| Rule {
@@ -61,7 +65,7 @@
     )
 }
 
-/// Every call of the tested regions, paths and classes.
+/// Returns a call for every combination of the tested regions, paths and classes.
 fn all_calls() -> Vec<Call<'static>> {
     let mut calls = Vec::new();
     for caller_region in REGIONS {
@@ -81,19 +85,19 @@
     calls
 }
 
-/// Decides by reading the rules one after another, as they are written.
-fn decide_plainly(set: &RuleSet, call: &Call) -> (Action, Option<RuleIndex>) {
-    let has =
+/// Reference implementation: decides by scanning the rules in order, without an index or a cache.
+fn decide_by_linear_scan(set: &RuleSet, call: &Call) -> (Action, Option<RuleIndex>) {
+    let field_matches =
         |values: &[String], value: &str| values.is_empty() || values.iter().any(|v| v == value);
     let matches_route = |route: &String| match route.strip_suffix('*') {
         Some(prefix) => call.path.starts_with(prefix),
         None => route == call.path,
     };
     for (index, rule) in set.rules.iter().enumerate() {
-        if has(&rule.caller_regions, call.caller_region)
-            && has(&rule.gateway_regions, call.gateway_region)
+        if field_matches(&rule.caller_regions, call.caller_region)
+            && field_matches(&rule.gateway_regions, call.gateway_region)
             && (rule.routes.is_empty() || rule.routes.iter().any(matches_route))
-            && has(&rule.classes, call.class)
+            && field_matches(&rule.classes, call.class)
         {
             return (rule.action, Some(RuleIndex(index as u32)));
         }
@@ -105,20 +109,20 @@
     #![proptest_config(ProptestConfig { cases: 500, ..ProptestConfig::default() })]
 
     #[test]
-    fn compiled_set_decides_as_its_rules_read(
+    fn compiled_set_decides_like_a_linear_scan(
         rules in prop::collection::vec(any_rule(), 0..12),
         is_denied in any::<bool>(),
     ) {
-        let numbered = rules.into_iter().enumerate();
-        let rules = numbered.map(|(index, rule)| Rule { id: format!("r{index}"), ..rule }).collect();
+        let indexed_rules = rules.into_iter().enumerate();
+        let rules = indexed_rules.map(|(index, rule)| Rule { id: format!("r{index}"), ..rule }).collect();
         let set = rule_set(1, action(is_denied), StalePolicy::Keep, rules);
         prop_assert_eq!(set.check(), Ok(()));
         let compiled = CompiledRules::new(set.clone());
-        // The second round is answered from the cache.
+        // The second iteration reads the decisions from the cache.
         for _ in 0..2 {
             for call in all_calls() {
                 let decision = compiled.decide(&call);
-                prop_assert_eq!((decision.action, decision.rule), decide_plainly(&set, &call), "{:?}", call);
+                prop_assert_eq!((decision.action, decision.rule), decide_by_linear_scan(&set, &call), "{:?}", call);
             }
         }
     }
@@ -127,11 +131,11 @@
 fn check_error(rules: Vec<Rule>) -> RuleSetError {
     rule_set(1, Action::Allow, StalePolicy::Keep, rules)
         .check()
-        .expect_err("it is wrong")
+        .expect_err("the set is invalid")
 }
 
 #[test]
-fn set_with_an_invalid_field_is_rejected_with_the_field_named() {
+fn error_for_an_invalid_set_names_the_problem() {
     let valid = rule("a", Action::Deny, &["west"], &["/x"]);
     assert!(matches!(
         check_error(vec![valid.clone(), valid.clone()]),
@@ -169,7 +173,7 @@
 }
 
 #[test]
-fn route_that_ends_in_a_character_of_several_bytes_is_checked_without_a_panic() {
+fn route_that_ends_in_a_multibyte_character_is_validated_without_a_panic() {
     let rules = vec![rule("a", Action::Deny, &[], &["/café"])];
     let set = rule_set(1, Action::Allow, StalePolicy::Keep, rules);
     assert_eq!(set.check(), Ok(()));
@@ -178,7 +182,7 @@
 }
 
 #[test]
-fn dry_run_finds_a_set_that_would_lock_its_customer_out() {
+fn dry_run_detects_a_set_that_locks_out_its_customer() {
     let mut history = CallHistory::default();
     let kind = |caller_region: &str| CallKind::from(&call(caller_region, "/x"));
     history.record(kind("east"), 5);
@@ -198,16 +202,16 @@
     assert!(history.dry_run(&deny_all).locks_out());
     assert!(
         !CallHistory::default().dry_run(&deny_all).locks_out(),
-        "there were no calls"
+        "an empty history locks nobody out"
     );
     for number in 0..300 {
         history.record(kind(&format!("r{number}")), 1);
     }
-    assert_eq!(history.other_calls(), 45, "kinds are bounded");
+    assert_eq!(history.other_calls(), 45, "the number of kinds is limited");
 }
 
 #[test]
-fn two_hundred_thousand_rules_fit_and_no_more() {
+fn store_accepts_200000_rules_and_rejects_one_more() {
     let mut store = RuleStore::default();
     let set_of = |customer: String, rules: Vec<Rule>| RuleSet {
         customer,
--- a/crates/access/tests/region_table.rs
+++ b/crates/access/tests/region_table.rs
@@ -1,4 +1,4 @@
-//! Which region a caller's address belongs to.
+//! Tests of the table that maps caller addresses to regions.
 
 use chalkdeck_access::{RegionError, RegionTable};
 use proptest::prelude::*;
@@ -7,7 +7,7 @@
 
 const REGIONS: [&str; 3] = ["east", "west", "north"];
 
-/// A prefix as the bits of its address and their number.
+/// A prefix: the bits of its address and its length.
 type Prefix = (u32, u8);
 
 fn mask(length: u8) -> u32 {
@@ -19,14 +19,14 @@
 }
 
 fn address(text: &str) -> IpAddr {
-    text.parse().expect("an address")
+    text.parse().expect("the text is an address")
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, ..ProptestConfig::default() })]
 
     #[test]
-    fn longest_prefix_gives_the_region(
+    fn region_is_that_of_the_longest_matching_prefix(
         nets in prop::collection::btree_map((any::<u32>(), 0u8..=32), 0usize..3, 0..40),
         addresses in prop::collection::vec(any::<u32>(), 20),
     ) {
@@ -38,7 +38,7 @@
             format!("{}/{length} {}", Ipv4Addr::from(*bits), REGIONS[*region])
         };
         let lines: Vec<String> = prefixes.iter().map(line).collect();
-        let table = RegionTable::parse(&lines.join("\n")).expect("it is valid");
+        let table = RegionTable::parse(&lines.join("\n")).expect("the table is valid");
         for address in addresses.into_iter().chain(prefixes.keys().map(|(bits, _)| *bits)) {
             let longest = prefixes
                 .iter()
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn table_with_an_invalid_line_is_rejected_with_the_line_named() {
+fn error_for_an_invalid_table_names_the_line() {
     let cases = [
         (
             "10.0.0.0/8",
@@ -61,7 +61,7 @@
             },
         ),
         (
-            "# a remark\n10.0.0.0/8 east\n\n10.0.0.1/8 west",
+            "# a comment\n10.0.0.0/8 east\n\n10.0.0.1/8 west",
             RegionError::DuplicatePrefix {
                 line: 4,
                 found: "10.0.0.0/8".into(),
@@ -81,9 +81,9 @@
 }
 
 #[test]
-fn mapped_addresses_belong_to_the_region_of_their_ipv4_address() {
-    let text = "10.0.0.0/8 east\n10.1.0.0/16 west # nearer\n2001:db8::/32 north";
-    let table = RegionTable::parse(text).expect("it is valid");
+fn ipv4_mapped_addresses_have_the_region_of_their_ipv4_address() {
+    let text = "10.0.0.0/8 east\n10.1.0.0/16 west # longer prefix\n2001:db8::/32 north";
+    let table = RegionTable::parse(text).expect("the table is valid");
     assert_eq!(table.region_of(address("10.1.2.3")), Some("west"));
     assert_eq!(table.region_of(address("::ffff:10.2.2.3")), Some("east"));
     assert_eq!(
--- a/crates/coordinator/src/agent/mod.rs
+++ b/crates/coordinator/src/agent/mod.rs
@@ -210,7 +210,7 @@
             self.state_updated(update);
         }
         if received.report_acknowledged {
-            self.access.hits().confirm_report();
+            self.access.hit_counter().confirm_report();
         }
         if received.session_changed {
             self.is_reading_proposals = false;
@@ -262,7 +262,7 @@
             return;
         }
         self.report_at = now + self.report_interval;
-        if !self.access.hits().has_changes() && self.statistics.is_empty() {
+        if !self.access.hit_counter().has_changes() && self.statistics.is_empty() {
             return;
         }
         let hits = self.access.report_hits(CUSTOMERS_PER_REPORT).into_iter();
