--- a/crates/access/src/call.rs
+++ b/crates/access/src/call.rs
@@ -15,7 +15,7 @@
     pub class: &'a str,
 }
 
-/// The properties that calls share if every rule treats them the same; the owned form of [`Call`].
+/// The properties of a call that determine which rule matches it; the owned form of [`Call`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallKind {
     /// The caller's region.
--- a/crates/leader-election/src/placement.rs
+++ b/crates/leader-election/src/placement.rs
@@ -5,7 +5,7 @@
 use crate::SessionId;
 use std::cmp::Reverse;
 
-/// By how many elections two gateways or two sites must differ before an election is moved between them.
+/// The least difference in led elections between two gateways, or two sites, at which an election is moved between them.
 const MIN_IMBALANCE: usize = 2;
 
 /// A gateway that can lead elections.
@@ -62,7 +62,8 @@
 }
 
 /// Returns a move from the most loaded candidate to the least loaded one, or `None` if the elections are balanced already. A move
-/// is due if the two candidates differ by [`MIN_IMBALANCE`] elections, or if they differ by less but their sites by that many.
+/// is due if the two candidates differ by at least [`MIN_IMBALANCE`] elections, or if they differ by one and their sites by at
+/// least [`MIN_IMBALANCE`].
 pub fn rebalance(leaders: &[Option<SessionId>], candidates: &[Candidate]) -> Option<Reassignment> {
     let load = |c: &Candidate| Load::of(c, leaders, candidates);
     let target = candidates.iter().min_by_key(|c| (load(c), c.session))?;
--- a/crates/leader-election/tests/model.rs
+++ b/crates/leader-election/tests/model.rs
@@ -15,8 +15,9 @@
 };
 /// The number of ticks after which the model's time no longer advances.
 const LAST_TICK: u64 = 9;
-/// The session of the first leader, and the tokens of the first leader and of its successor.
-const SESSION: SessionId = SessionId(1);
+/// The session of the first leader.
+const FIRST_SESSION: SessionId = SessionId(1);
+/// Tokens of the first leader and of its successor.
 const FIRST_TOKEN: u64 = 1;
 const SUCCESSOR_TOKEN: u64 = 2;
 /// Names of the checked properties.
@@ -51,7 +52,7 @@
     has_clock_drift: bool,
     /// The first leader: its renewals, its lease, its token, and whether it has checked its lease and is about to act.
     sent_renewals: Vec<SentRenewal>,
-    last_number: u64,
+    last_renewal_number: u64,
     lease_expires_at: Option<Timestamp>,
     token: u64,
     is_about_to_act: bool,
@@ -60,7 +61,7 @@
     grants_in_flight: Vec<u64>,
     /// The replica: when it last applied a renewal, which one that was, and the token of the current leader.
     applied_at: Option<Timestamp>,
-    last_renewal: u64,
+    last_applied_renewal: u64,
     current_token: u64,
     /// Whether the successor has sent its operation.
     has_successor_acted: bool,
@@ -95,14 +96,14 @@
             tick: 0,
             has_clock_drift,
             sent_renewals: Vec::new(),
-            last_number: 0,
+            last_renewal_number: 0,
             lease_expires_at: None,
             token: FIRST_TOKEN,
             is_about_to_act: false,
             renewals_in_flight: Vec::new(),
             grants_in_flight: Vec::new(),
             applied_at: Some(Timestamp::ZERO),
-            last_renewal: 0,
+            last_applied_renewal: 0,
             current_token: FIRST_TOKEN,
             has_successor_acted: false,
             operations_in_flight: Vec::new(),
@@ -126,24 +127,24 @@
         }
         lease
     }
-    fn lease_is_valid(&self) -> bool {
+    fn is_lease_valid(&self) -> bool {
         self.lease().is_valid(self.leader_clock())
     }
 
     fn send_renewal(&mut self) {
-        self.last_number += 1;
+        self.last_renewal_number += 1;
         self.sent_renewals.push(SentRenewal {
-            number: self.last_number,
+            number: self.last_renewal_number,
             sent_at: self.leader_clock(),
         });
-        self.renewals_in_flight.push(self.last_number);
+        self.renewals_in_flight.push(self.last_renewal_number);
     }
     fn deliver_renewal(&mut self) {
         let number = self.renewals_in_flight.remove(0);
         // An expired session gets no further grants.
         if self.current_token == FIRST_TOKEN {
             self.applied_at = Some(self.replica_clock());
-            self.last_renewal = number;
+            self.last_applied_renewal = number;
             self.grants_in_flight.push(number);
         }
     }
@@ -162,13 +163,13 @@
         Some(())
     }
     fn check_lease(&mut self, disabled: DisabledSafeguard) -> Option<()> {
-        self.is_about_to_act = disabled == DisabledSafeguard::LeaseCheck || self.lease_is_valid();
+        self.is_about_to_act = disabled == DisabledSafeguard::LeaseCheck || self.is_lease_valid();
         self.is_about_to_act.then_some(())
     }
     fn expire_session(&mut self, disabled: DisabledSafeguard) -> Option<()> {
         let last = SessionRenewal {
-            session: SESSION,
-            log_index: self.last_renewal,
+            session: FIRST_SESSION,
+            log_index: self.last_applied_renewal,
         };
         let mut detector = FailureDetector::new(TERMS);
         detector.record_renewal(last, self.applied_at?);
@@ -180,7 +181,7 @@
             return None;
         }
         self.current_token = SUCCESSOR_TOKEN;
-        self.had_two_leaders |= self.lease_is_valid();
+        self.had_two_leaders |= self.is_lease_valid();
         Some(())
     }
     fn deliver_operation(&mut self, index: usize, disabled: DisabledSafeguard) {
@@ -208,7 +209,7 @@
         if state.tick < LAST_TICK {
             steps.push(Step::Tick);
         }
-        if state.last_number < 2 && state.renewals_in_flight.is_empty() {
+        if state.last_renewal_number < 2 && state.renewals_in_flight.is_empty() {
             steps.push(Step::SendRenewal);
         }
         if !state.renewals_in_flight.is_empty() {
@@ -302,8 +303,8 @@
 
 #[test]
 fn without_a_lease_safeguard_the_fencing_guard_alone_keeps_operations_in_order() {
-    // With the fencing guard in place, a leader that does not check its lease cannot break the order of operations. The lease makes
-    // overlapping leaders rare.
+    // With the fencing guard in place, a leader that does not check its lease cannot break the order of operations. The lease is
+    // what makes overlapping leaders rare.
     assert_eq!(violated_property(DisabledSafeguard::LeaseCheck), None);
     assert_eq!(
         violated_property(DisabledSafeguard::LeaseFromSendTime),
--- a/crates/simulator-adapter/src/gateway.rs
+++ b/crates/simulator-adapter/src/gateway.rs
@@ -40,6 +40,7 @@
     pub(crate) plan_indices: HashMap<String, usize>,
     /// Zone numbers by name.
     pub(crate) zone_numbers: HashMap<String, u32>,
+    /// The classes of the settings, by index.
     pub(crate) classes: Vec<Class>,
 }
 
--- a/crates/simulator-adapter/src/settings.rs
+++ b/crates/simulator-adapter/src/settings.rs
@@ -1,4 +1,4 @@
-//! Parses the settings of a gateway, which have the names of the simulator's protocol.
+//! Parses the settings of a gateway from fields with the names of the simulator's protocol.
 
 use crate::fields::{Fields, Result};
 use crate::WireError;
@@ -24,7 +24,7 @@
     pub zone_numbers: HashMap<String, u32>,
 }
 
-/// Parses settings from another source than a line, as text values by path, for example
+/// Parses settings that were not read from a line. The values are given by path, for example
 /// `classes.count` or `classes.0.name`.
 ///
 /// # Errors
