--- a/crates/grpc-gateway/src/attempt_outcome.rs
+++ b/crates/grpc-gateway/src/attempt_outcome.rs
@@ -1,19 +1,19 @@
-//! Translates how an attempt ended on the wire into the terms of the decisions; nothing is decided here.
+//! Translates the end of an attempt on the wire into an [`Outcome`] for the decisions.
 
 use chalkdeck::api::Outcome;
 use chalkdeck_net::grpc::{Code, UNPROCESSED};
 use chalkdeck_net::StreamError;
 use http::HeaderMap;
 
-/// How an attempt ended, and whether the server's answer is the client's.
+/// The outcome of an attempt, and whether its response is the final answer to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct AttemptEnd {
     pub(crate) outcome: Outcome,
     pub(crate) is_answer: bool,
 }
 
-/// By the status in a server's trailers. UNAVAILABLE and DEADLINE_EXCEEDED come from what stands before the service
-/// or from its time running out; every other status is the service's own answer and goes to the client as it is.
+/// The end of an attempt by the status in the endpoint's trailers. UNAVAILABLE and DEADLINE_EXCEEDED come from infrastructure in
+/// front of the service or from a time-out; every other status is the service's own answer and is forwarded unchanged.
 pub(crate) fn from_trailers(trailers: &HeaderMap) -> AttemptEnd {
     let end = |outcome, is_answer| AttemptEnd { outcome, is_answer };
     match Code::from_trailers(trailers) {
@@ -27,7 +27,7 @@
     }
 }
 
-/// By the error that ended its stream.
+/// The outcome of an attempt by the error that ended its stream.
 pub(crate) fn from_stream_error(error: StreamError) -> Outcome {
     match error {
         StreamError::Refused | StreamError::GoneAway => Outcome::Rejected,
--- a/crates/grpc-gateway/src/attempt_outcome/tests.rs
+++ b/crates/grpc-gateway/src/attempt_outcome/tests.rs
@@ -4,7 +4,7 @@
 use chalkdeck_net::grpc;
 
 #[test]
-fn endpoint_proves_that_it_did_not_start_then_the_attempt_never_ran() {
+fn attempt_never_ran_only_if_the_endpoint_proves_it() {
     let mut trailers = grpc::trailers(Code::Unavailable, "full");
     assert!(!from_trailers(&trailers).outcome.never_ran());
     trailers.insert(UNPROCESSED, http::HeaderValue::from_static("1"));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn service_answers_with_a_status_then_it_goes_to_the_client() {
+fn status_of_the_service_is_the_answer_to_the_client() {
     for code in [
         Code::Ok,
         Code::NotFound,
--- a/crates/grpc-gateway/src/base/call_head.rs
+++ b/crates/grpc-gateway/src/base/call_head.rs
@@ -1,4 +1,4 @@
-//! A call as its head describes it.
+//! The parsed head of a call, or the reason why it is invalid.
 
 use chalkdeck::api::IncomingRequest;
 use chalkdeck_net::grpc::Code;
@@ -8,22 +8,22 @@
 /// A call whose head is valid.
 pub(crate) struct CallHead {
     pub(crate) request: IncomingRequest,
-    /// The client's own deadline by the loop's clock in microseconds, where it gave one.
+    /// The deadline that the client set, in microseconds of the loop's clock; `None`: it set none.
     pub(crate) client_deadline: Option<u64>,
     pub(crate) path: PathAndQuery,
-    /// Metadata for the endpoint.
+    /// Metadata that is forwarded to the endpoint.
     pub(crate) headers: HeaderMap,
-    /// Attempts that the client has made before.
+    /// Attempts that the client has already made, by its `grpc-previous-rpc-attempts`.
     pub(crate) previous_attempts: u32,
 }
 
-/// Why a call is not accepted.
+/// Why a call is invalid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct InvalidCall {
-    /// The status of the response; `None`: HTTP 415.
+    /// The gRPC status of the response; `None`: the response is HTTP 415.
     pub(crate) code: Option<Code>,
-    /// For the client and the log.
+    /// The message for the client and the log.
     pub(crate) reason: String,
-    /// The label value in metrics.
+    /// The value of the metric's label.
     pub(crate) kind: &'static str,
 }
--- a/crates/grpc-gateway/src/base/failed.rs
+++ b/crates/grpc-gateway/src/base/errors.rs
@@ -1,4 +1,4 @@
-//! Why a gateway does not start, or does not apply an operator's override.
+//! Errors at the start of a gateway, in site overrides and in requests about sites.
 
 use chalkdeck_access::RegionError;
 use chalkdeck_coordinator::cache_file::CacheFileError;
@@ -9,14 +9,14 @@
 /// Why a gateway does not start.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum StartError {
-    /// The system gives no poll handle.
+    /// The operating system provides no poll handle.
     #[error("poll: {0}")]
     #[diagnostic(
         code(chalkdeck::gateway::poll),
         help("see the limit of descriptors (ulimit -n)")
     )]
     Poll(io::Error),
-    /// An address cannot be listened at.
+    /// The gateway cannot listen at an address.
     #[error("cannot listen at {address}: {source}")]
     #[diagnostic(
         code(chalkdeck::gateway::listen),
@@ -27,10 +27,10 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The decisions do not take the settings.
+    /// The settings violate a bound of the decisions.
     #[error("{0}")]
     #[diagnostic(
         code(chalkdeck::gateway::decisions),
@@ -47,7 +47,7 @@
     Coordinator(#[from] CoordinatorError),
 }
 
-/// Why the operators' overrides of sites can't be read or persisted.
+/// Why the operators' site overrides can't be read or persisted.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum SiteOverridesError {
     /// The file can't be read or written.
@@ -59,7 +59,7 @@
     File {
         /// Its path.
         file: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The file can't be parsed.
@@ -76,7 +76,7 @@
         /// What was expected there.
         what: String,
     },
-    /// Too many sites.
+    /// The file holds out more sites than allowed.
     #[error("expected at most {0} sites kept out")]
     #[diagnostic(
         code(chalkdeck::gateway::words_most),
@@ -88,40 +88,40 @@
 /// Why a request about sites is rejected.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum SiteRequestError {
-    /// Sites are not watched by the settings.
+    /// Site failover is not enabled in the settings.
     #[error("sites are not watched: settings have no 'sites {{ on: true }}'")]
     #[diagnostic(
         code(chalkdeck::gateway::sites_off),
         help("say it to gateways that watch sites")
     )]
     Off,
-    /// No such override.
+    /// There is no override of this name.
     #[error("expected drain, hold or let-back, found '{0}'")]
     #[diagnostic(
         code(chalkdeck::gateway::site_word),
         help("see docs/site-loss.md for what each does")
     )]
     UnknownOverride(String),
-    /// No such site.
+    /// The endpoint list has no site of this name.
     #[error("expected one of {known}, found '{found}'")]
     #[diagnostic(
         code(chalkdeck::gateway::site_name),
         help("sites are named as the server list names its zones")
     )]
     UnknownSite {
-        /// Sites that the list names.
+        /// The sites of the endpoint list.
         known: String,
-        /// What was asked for.
+        /// The requested name.
         found: String,
     },
-    /// No such path.
+    /// The path is not one of the admin port's site paths.
     #[error("expected /sites or /sites/WORD/NAME")]
     #[diagnostic(
         code(chalkdeck::gateway::sites_path),
         help("`chalkdeck site` says it rightly")
     )]
     Path,
-    /// It could not be persisted, so it is not applied.
+    /// The override could not be persisted and is not applied.
     #[error("the word could not be kept: {0}")]
     #[diagnostic(
         code(chalkdeck::gateway::word_kept),
@@ -130,14 +130,14 @@
     NotPersisted(#[from] SiteOverridesError),
 }
 
-/// Why the gateway can't take part in the shared state.
+/// Why the gateway can't use the coordinator's shared state.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum CoordinatorError {
     /// See [`CacheFileError`].
     #[error(transparent)]
     #[diagnostic(transparent)]
     CacheFile(#[from] CacheFileError),
-    /// The table of regions is not read.
+    /// The file with the table of regions can't be read.
     #[error("{}: {source}", file.display())]
     #[diagnostic(
         code(chalkdeck::gateway::regions_file),
@@ -146,10 +146,10 @@
     RegionsFile {
         /// Its path.
         file: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The table of regions is not sound.
+    /// The table of regions is invalid.
     #[error("{}: {source}", file.display())]
     #[diagnostic(
         code(chalkdeck::gateway::regions),
@@ -158,7 +158,7 @@
     Regions {
         /// Its path.
         file: PathBuf,
-        /// What is wrong there.
+        /// What is invalid, and on which line.
         source: RegionError,
     },
 }
--- a/crates/grpc-gateway/src/base/mod.rs
+++ b/crates/grpc-gateway/src/base/mod.rs
@@ -1,6 +1,6 @@
-//! Types that the gateway's files pass round. Nothing here knows the files above.
+//! Types that are shared by the modules of the gateway. They depend on none of these modules.
 
 pub(crate) mod call_head;
-pub(crate) mod failed;
-pub(crate) mod server;
+pub(crate) mod errors;
+pub(crate) mod listed_endpoint;
 pub(crate) mod settings;
--- a/crates/grpc-gateway/src/base/settings.rs
+++ b/crates/grpc-gateway/src/base/settings.rs
@@ -1,4 +1,4 @@
-//! Checked settings, as all parts of the gateway read them.
+//! The validated settings, which all modules of the gateway read.
 
 use chalkdeck::api;
 use chalkdeck_net::Limits;
@@ -6,130 +6,130 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// What is wrong with settings, and where.
+/// What is wrong with the settings, and where.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{file}:{line}: {what}")]
 pub struct SettingsError {
-    /// The file as it was given.
+    /// The path of the settings file, as it was given.
     pub file: String,
-    /// Its line, from 1; 1 also where something is missing.
+    /// The line, from 1; also 1 if a field is missing.
     pub line: usize,
-    /// The field, what was found there and what was expected.
+    /// The field, what was found in it and what was expected.
     pub what: String,
 }
 
-/// A path, and what a call there is.
+/// A path, and the class and units of its calls.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Path, or its beginning.
+    /// The full path, or a prefix of it.
     pub path: String,
-    /// Whether `path` is a beginning.
-    pub prefix: bool,
-    /// Place in the classes.
+    /// Whether `path` is a prefix.
+    pub is_prefix: bool,
+    /// The index of the class.
     pub class: usize,
-    /// Units of a call.
+    /// The units that a call costs.
     pub units: f64,
-    /// Whether a client may say its units.
-    pub client_units: bool,
+    /// Whether a client may set the units of its call.
+    pub allows_client_units: bool,
 }
 
-/// Settings of the front.
+/// Settings of the RESP port.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RespSettings {
-    /// Where it listens.
+    /// The address to listen at.
     pub listen: SocketAddr,
-    /// CallHead of clients; empty: none.
+    /// The password that clients have to send; empty: none.
     pub password: String,
-    /// The class that its requests have; callers do the work themselves.
+    /// The index of the class of its requests, which are only admitted: callers do the work themselves.
     pub class: usize,
-    /// How long a ticket lasts that names no lease, in microseconds.
-    pub lease: u64,
-    /// Connections at once.
-    pub connections: usize,
+    /// The lease of an admitted request that names none, in microseconds.
+    pub default_lease: u64,
+    /// The most open connections.
+    pub max_connections: usize,
 }
 
-/// How a gateway reaches the coordinator.
+/// Settings of the connection to the coordinator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CoordinatorSettings {
-    /// Addresses of the replicas.
+    /// The addresses of the coordinator's replicas.
     pub addresses: Vec<SocketAddr>,
-    /// This gateway's name in the fleet.
+    /// The name of this gateway, unique in the fleet.
     pub name: String,
-    /// Where it stands, as access rules name it.
+    /// The region of this gateway, by its name in access rules.
     pub region: String,
-    /// The metadata in which a trusted front tells the caller's region.
+    /// The metadata in which a trusted proxy sends the caller's region; `None`: no metadata is trusted.
     pub region_metadata: Option<http::HeaderName>,
-    /// A table of prefixes and regions.
-    pub regions: Option<PathBuf>,
+    /// The file with the table of address prefixes and their regions.
+    pub regions_file: Option<PathBuf>,
     /// The cache file of the shared state.
-    pub state: Option<PathBuf>,
-    /// Between reports, in microseconds.
+    pub state_file: Option<PathBuf>,
+    /// The interval of reports to the coordinator, in microseconds.
     pub report_interval: u64,
-    /// Whether it may lead elections.
+    /// Whether this gateway may become the leader of elections.
     pub is_candidate: bool,
-    /// The metadata in which a caller tells the version that it speaks.
+    /// The metadata in which a caller sends the version of the service that it uses.
     pub version_metadata: http::HeaderName,
 }
 
-/// Checked settings.
+/// The validated settings of a gateway.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// What the decisions take.
+    /// The settings of the decisions.
     pub policy: api::Settings,
-    /// Where calls come in.
+    /// The address that accepts calls.
     pub listen: SocketAddr,
-    /// Where health and metrics are served.
+    /// The address of the admin port; `None`: there is none.
     pub admin: Option<SocketAddr>,
-    /// Names of classes and plans, in their order.
+    /// The names of the classes, by index.
     pub class_names: Vec<String>,
-    /// See `class_names`.
+    /// The names of the plans, by index.
     pub plan_names: Vec<String>,
-    /// For each class the place of the one that its calls without a key belong to: they count as unsafe.
-    pub unkeyed: Vec<usize>,
-    /// Routes; the first match wins.
+    /// For each class the index of the class that its calls without an idempotency key have: they are non-idempotent.
+    pub unkeyed_class: Vec<usize>,
+    /// The routes; the first match applies.
     pub routes: Vec<Route>,
     /// The metadata that names the customer.
     pub customer_metadata: http::HeaderName,
-    /// Place of the plan of customers that are not listed.
+    /// The index of the plan of customers that are not in `plan_of`; `None`: their calls are rejected.
     pub default_plan: Option<usize>,
-    /// Plans of listed customers.
+    /// The indices of plans by customer.
     pub plan_of: HashMap<String, usize>,
-    /// Through how many gateways a customer's calls come.
-    pub spread: u32,
-    /// The second front; none: gRPC only.
+    /// The number of gateways that receive calls of one customer.
+    pub customer_gateways: u32,
+    /// The RESP port; `None`: there is none.
     pub resp: Option<RespSettings>,
-    /// The fair queue; none: requests go to the decisions as they come.
-    pub door: Option<chalkdeck_admission_queue::Settings>,
-    /// Zones are watched as sites, and what they cannot bear is refused by worth.
-    pub sites: bool,
-    /// See `sites`.
-    pub site_floor: bool,
-    /// Where an operator's words on sites are kept; none: nowhere.
-    pub site_words: Option<PathBuf>,
-    /// How the coordinator is reached; `None`: there is none.
+    /// The fair admission queue; `None`: requests reach the decisions in order of arrival.
+    pub admission_queue: Option<chalkdeck_admission_queue::Settings>,
+    /// Whether zones are monitored as sites, and load of a lost one fails over to the others.
+    pub is_site_failover_enabled: bool,
+    /// Whether load beyond the capacity of the remaining sites is shed, lowest priority first.
+    pub is_site_shedding_enabled: bool,
+    /// The file that persists operators' site overrides; `None`: overrides last until the gateway ends.
+    pub site_overrides_file: Option<PathBuf>,
+    /// The connection to the coordinator; `None`: there is no coordinator.
     pub coordinator: Option<CoordinatorSettings>,
-    /// The name of the own zone.
+    /// The name of this gateway's zone.
     pub zone_name: String,
-    /// The counter's parts, in the order that all gateways have; none: there is no counter.
-    pub counter: Vec<SocketAddr>,
-    /// The file with the server list.
-    pub endpoints: PathBuf,
-    /// How often it is looked at, in microseconds.
-    pub poll: u64,
-    /// A connection not made by then has failed, in microseconds.
+    /// The addresses of the counter's partitions, in the same order at all gateways; empty: there is no counter.
+    pub counter_addresses: Vec<SocketAddr>,
+    /// The file with the endpoint list.
+    pub endpoints_file: PathBuf,
+    /// The interval at which that file is checked for changes, in microseconds.
+    pub endpoint_poll_interval: u64,
+    /// The time-out of establishing a connection to an endpoint, in microseconds.
     pub connect_timeout: u64,
-    /// Connections to one server.
-    pub server_connections: usize,
-    /// Calls on one of them.
-    pub server_streams: u32,
-    /// How often a connection to a server is pinged, in microseconds.
-    pub keepalive: u64,
-    /// Bytes of a request kept for a repeat, and of a unary answer kept back.
-    pub keep_bytes: usize,
-    /// Bounds of the clients' side.
-    pub front: Limits,
-    /// Log level and form.
+    /// The most connections to one endpoint.
+    pub max_connections_per_endpoint: usize,
+    /// The most concurrent calls on one connection to an endpoint.
+    pub max_streams_per_connection: u32,
+    /// The interval of HTTP/2 pings on connections to endpoints, in microseconds.
+    pub keepalive_interval: u64,
+    /// The most bytes that are buffered of a request, for a retry, and of a unary response, until it ends.
+    pub max_buffered_bytes: usize,
+    /// The limits of clients' connections.
+    pub client_limits: Limits,
+    /// The log level.
     pub log_level: String,
-    /// Logs as JSON lines.
+    /// Whether logs are JSON lines.
     pub log_json: bool,
 }
--- a/crates/grpc-gateway/src/call_flow/accept.rs
+++ b/crates/grpc-gateway/src/call_flow/accept.rs
@@ -1,4 +1,4 @@
-//! Calls as they arrive from clients.
+//! Accepts calls of clients, or rejects invalid ones.
 
 use crate::base::call_head::InvalidCall;
 use crate::call_head;
@@ -12,7 +12,7 @@
 use http::request;
 
 impl GatewayServer {
-    /// A client opened a stream. `ended`: its request has no body.
+    /// Handles a stream that a client opened. `ended`: its request has no body.
     pub(crate) fn on_call(
         &mut self,
         stream: StreamId,
@@ -43,7 +43,7 @@
             "taken"
         );
         let request = call_head.request.clone();
-        let buffer = RequestBuffer::new(self.settings.keep_bytes, ended);
+        let buffer = RequestBuffer::new(self.settings.max_buffered_bytes, ended);
         let call = Call::new(call_head, stream, now, buffer);
         self.calls.insert(Call { caller, ..call });
         self.metrics.accepted_calls.inc();
@@ -51,7 +51,7 @@
         self.enqueue_request(request);
     }
 
-    /// Answers a call that cannot be accepted, before the decisions hear of it.
+    /// Answers an invalid call without passing it to the decisions.
     fn reject_invalid(&mut self, stream: StreamId, id: RequestId, rejected: &InvalidCall) {
         tracing::info!(call = id.0, kind = rejected.kind, reason = %rejected.reason, "call rejected as invalid");
         self.metrics.input_rejected(rejected.kind);
--- a/crates/grpc-gateway/src/call_flow/attempts.rs
+++ b/crates/grpc-gateway/src/call_flow/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at endpoints: how they are sent, and how they end.
+//! Sends attempts to endpoints and ends them.
 
 use crate::calls::{Attempt, Call, ResponseState};
 use crate::endpoint_connections::{AttemptId, FoundConnection};
@@ -11,11 +11,11 @@
 use http::uri::{Authority, PathAndQuery, Scheme};
 use http::{HeaderName, HeaderValue};
 
-/// An attempt with this deadline is not timed out before its call.
+/// An attempt with this deadline has no time-out of its own.
 const NO_ATTEMPT_DEADLINE: u64 = u64::MAX;
 
 impl GatewayServer {
-    /// Starts an attempt, which times out at `deadline`.
+    /// Starts an attempt that times out at `deadline`.
     pub(crate) fn send_attempt(&mut self, id: RequestId, endpoint: EndpointId, deadline: u64) {
         let now = self.engine.now();
         let Some(call) = self.calls.get(id) else {
@@ -35,7 +35,7 @@
         call.response = ResponseState::Pending;
         let call_deadline = call.request.deadline.as_micros();
         tracing::debug!(call = id.0, attempt = attempt.number, endpoint = ?self.endpoint_connections.address(endpoint), "attempt forwarded");
-        // At the call's deadline the decisions end the call, and its attempt with it.
+        // At the call's deadline the decisions end the call and its attempt.
         if deadline < call_deadline {
             self.set_timer(
                 deadline.saturating_sub(now),
@@ -46,10 +46,10 @@
         self.connect_attempt(attempt, endpoint);
     }
 
-    /// Finds a connection for an attempt. Connections that take no new stream are dropped on the way.
+    /// Finds a connection for an attempt. Drops established connections that accept no new stream.
     fn connect_attempt(&mut self, attempt: AttemptId, endpoint: EndpointId) {
-        let endpoint = self.freshest.unwrap_or(endpoint);
-        for _ in 0..=self.settings.server_connections {
+        let endpoint = self.newest_endpoint.unwrap_or(endpoint);
+        for _ in 0..=self.settings.max_connections_per_endpoint {
             match self
                 .endpoint_connections
                 .find(&mut self.engine, endpoint, attempt)
@@ -60,7 +60,7 @@
                     }
                     self.drop_endpoint_connection(conn);
                 }
-                FoundConnection::Begun(conn) => {
+                FoundConnection::Started(conn) => {
                     return self.set_timer(
                         self.settings.connect_timeout,
                         TimerPurpose::ConnectTimeout(conn),
@@ -76,7 +76,7 @@
         self.end_attempt(attempt, Outcome::ConnectFailed, false);
     }
 
-    /// Opens a stream for an attempt and sends what was received of the request. Returns false if the connection takes no stream.
+    /// Opens a stream for an attempt and sends what was received of the request. Returns false if the connection accepts no stream.
     pub(super) fn open_attempt_stream(&mut self, conn: ConnId, attempt: AttemptId) -> bool {
         let now = self.engine.now();
         let Some(call) = self.calls.get(attempt.call) else {
@@ -118,7 +118,7 @@
         true
     }
 
-    /// Injected fault: sends the attempt twice, against the second rule.
+    /// Injected fault: sends the attempt twice, in violation of the second safety rule.
     fn send_duplicate(&mut self, conn: ConnId, attempt: AttemptId) {
         let Some(call) = self.calls.get(attempt.call) else {
             return;
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Injected fault: forwards a rejected call, against the fifth rule. The decisions have forgotten the call; whatever the endpoint
-    /// answers is passed on. Returns false if it cannot be forwarded.
+    /// Injected fault: forwards a rejected call, in violation of the fifth safety rule. The decisions no longer know the call; any
+    /// answer of the endpoint is forwarded to the client. Returns false if the call cannot be forwarded.
     pub(super) fn send_rejected(&mut self, id: RequestId) -> bool {
         let Some(endpoint) = self.endpoint_connections.first_endpoint() else {
             return false;
@@ -148,7 +148,7 @@
         is_unsent
     }
 
-    /// An attempt ended. `is_final`: the call has its final answer by it.
+    /// Ends an attempt. `is_final`: it completed the call.
     pub(crate) fn end_attempt(&mut self, id: AttemptId, outcome: Outcome, is_final: bool) {
         let now = self.engine.now();
         let Some(attempt) = self.calls.open_attempt(id) else {
@@ -190,7 +190,7 @@
             settled_units: None,
             load_report: LoadReport::default(),
         }));
-        self.calls.remove_if_over(id.call);
+        self.calls.remove_if_finished(id.call);
     }
 
     /// Resets an attempt's stream and ends it with this outcome.
@@ -199,14 +199,14 @@
             return;
         };
         let Some(stream) = attempt.stream else {
-            // It was still waiting for a connection.
+            // It is still waiting for a connection.
             return self.end_attempt(id, Outcome::ConnectFailed, false);
         };
         self.engine.reset(stream, h2::Reason::CANCEL);
         self.end_attempt(id, outcome, false);
     }
 
-    /// An attempt's own deadline passed. A response that has started goes on.
+    /// Handles the time-out of an attempt. A response that has started continues.
     pub(crate) fn time_out_attempt(&mut self, id: AttemptId) {
         let is_streaming = self
             .calls
@@ -219,7 +219,7 @@
     }
 
     pub(super) fn drop_endpoint_connection(&mut self, conn: ConnId) {
-        for attempt in self.endpoint_connections.forget(conn).unwrap_or_default() {
+        for attempt in self.endpoint_connections.remove(conn).unwrap_or_default() {
             self.end_attempt(attempt, Outcome::ConnectFailed, false);
         }
     }
@@ -241,7 +241,9 @@
     if let Some(timeout) = timeout {
         headers.insert(grpc::TIMEOUT, grpc::timeout(timeout));
     }
-    let earlier_attempts = call.client_attempts.saturating_add(attempt.number as u32);
+    let earlier_attempts = call
+        .earlier_client_attempts
+        .saturating_add(attempt.number as u32);
     if earlier_attempts > 0 {
         headers.insert(
             HeaderName::from_static(grpc::ATTEMPTS),
@@ -256,12 +258,12 @@
     parts.scheme = Some(Scheme::HTTP);
     parts.authority = Some(authority);
     parts.path_and_query = Some(path);
-    // All three parts are there, so it cannot fail.
+    // It cannot fail: all three parts are set.
     http::Uri::from_parts(parts).unwrap_or_default()
 }
 
-/// The time that is left for an endpoint, in microseconds: up to the call's deadline; for a stream, which may outlive it, up to the
-/// client's own.
+/// The remaining time for an endpoint, in microseconds: until the call's deadline, or, for a streaming class, whose responses may
+/// outlast it, until the deadline that the client set.
 fn timeout(call: &Call, has_stream_class: bool, now: u64) -> Option<u64> {
     let deadline = if has_stream_class {
         call.client_deadline?
--- a/crates/grpc-gateway/src/call_flow/cancellation.rs
+++ b/crates/grpc-gateway/src/call_flow/cancellation.rs
@@ -1,4 +1,4 @@
-//! Calls that end before their answer: by a deadline, an access rule, a shutdown or their client.
+//! Calls that are aborted before their response is complete: by a deadline, an access rule, a shutdown or the client.
 
 use crate::endpoint_connections::AttemptId;
 use crate::gateway_server::{GatewayServer, TimerPurpose};
@@ -7,7 +7,7 @@
 use chalkdeck_net::grpc::{self, Code};
 
 impl GatewayServer {
-    /// The deadline that was set for a call when it arrived, or when its stream started, has passed.
+    /// Handles the timer of a call's deadline, which is set when its response starts to stream.
     pub(crate) fn on_client_deadline(&mut self, id: RequestId) {
         let now = self.engine.now();
         let Some(call) = self.calls.get_open(id) else {
@@ -15,9 +15,9 @@
         };
         let has_stream_class = self.settings.policy.classes[call.request.class.0].is_streaming;
         match call.client_deadline {
-            // A stream without a deadline of its client's has none once it has started.
+            // If the client set no deadline, a started stream has none.
             None if has_stream_class => {}
-            // The client's deadline is later than the first answer may be by the class.
+            // The client's deadline is later than the deadline of the class, which applies only until the response starts.
             Some(deadline) if has_stream_class && deadline > now => {
                 self.set_timer(deadline - now, TimerPurpose::ClientDeadline(id));
             }
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Ends a call with this status and cancels its attempts.
+    /// Ends a call with a status and cancels its attempts.
     pub(crate) fn abort_call(&mut self, id: RequestId, code: Code, reason: &str) {
         let Some(call) = self.calls.get_open(id) else {
             return;
@@ -39,20 +39,21 @@
             let response = grpc::trailers_only(trailers);
             self.engine.respond(stream, response, true);
         }
-        self.end_for_client(id, CallEnd::Failed, streaming_attempt);
+        self.complete_for_client(id, CallEnd::Failed, streaming_attempt);
     }
 
-    /// The client reset its stream, or its connection is gone.
+    /// Handles a client that reset its stream or closed its connection.
     pub(super) fn on_client_gone(&mut self, id: RequestId) {
         let Some(call) = self.calls.get(id) else {
             return;
         };
         let streaming_attempt = call.last_attempt().filter(|_| call.is_streaming());
-        self.end_for_client(id, CallEnd::Cancelled, streaming_attempt);
+        self.complete_for_client(id, CallEnd::Cancelled, streaming_attempt);
     }
 
-    /// The decisions cancel the attempts of a call without a response; a response that has started ends with its client.
-    fn end_for_client(
+    /// Completes a call on the client's side. The decisions cancel the attempts of a call whose response has not started; the attempt
+    /// of one that streams is cancelled here.
+    fn complete_for_client(
         &mut self,
         id: RequestId,
         end: CallEnd,
--- a/crates/grpc-gateway/src/call_flow/events.rs
+++ b/crates/grpc-gateway/src/call_flow/events.rs
@@ -1,4 +1,4 @@
-//! What happens on connections and streams, handed to the session, the counter or the call that it belongs to.
+//! Dispatches events of connections and streams to the coordinator session, the counter client or the call that they belong to.
 
 use super::responses::ResponseForm;
 use crate::attempt_outcome;
@@ -25,7 +25,7 @@
         }
         for attempt in self
             .endpoint_connections
-            .connected(conn)
+            .mark_established(conn)
             .unwrap_or_default()
         {
             let is_open = self.calls.open_attempt(attempt).is_some();
@@ -39,14 +39,18 @@
         if self.on_coordinator_closed(conn) {
             return;
         }
-        if let Some(results) = self.counter.as_mut().and_then(|c| c.closed(conn)) {
+        if let Some(results) = self
+            .counter
+            .as_mut()
+            .and_then(|counter| counter.closed(conn))
+        {
             tracing::warn!(reason, "counter connection closed");
             return self.on_counter_results(results);
         }
         self.drop_endpoint_connection(conn);
     }
 
-    /// The head of a response arrived. `ended`: nothing follows it.
+    /// Handles the head of a response. `ended`: it has no body and no further trailers.
     pub(crate) fn on_head(&mut self, stream: StreamId, head: Box<response::Parts>, ended: bool) {
         if self.on_coordinator_head(stream, StreamProgress::from_ended(ended)) {
             return;
@@ -63,7 +67,7 @@
             };
             return self.on_counter_results(results);
         }
-        if let Some(id) = self.calls.of_attempt_stream(stream) {
+        if let Some(id) = self.calls.id_of_attempt_stream(stream) {
             self.on_response_head(stream, id, head, ended);
         }
     }
@@ -108,10 +112,10 @@
             let results = counter.on_data(&mut self.engine, stream, &data);
             return self.on_counter_results(results);
         }
-        if let Some(id) = self.calls.of_client_stream(stream) {
+        if let Some(id) = self.calls.id_of_client_stream(stream) {
             return self.on_request_data(id, data);
         }
-        match self.calls.of_attempt_stream(stream) {
+        match self.calls.id_of_attempt_stream(stream) {
             Some(id) => self.on_response_data(stream, id, data),
             None => self.engine.consume(stream, data.len()),
         }
@@ -136,7 +140,7 @@
     }
 
     fn on_response_data(&mut self, stream: StreamId, id: AttemptId, data: Bytes) {
-        let limit = self.settings.keep_bytes;
+        let limit = self.settings.max_buffered_bytes;
         let Some(call) = self.calls.get(id.call) else {
             return;
         };
@@ -157,9 +161,9 @@
         }
     }
 
-    /// Bytes that were sent on a stream have left the gateway: the window of the stream that they came from is returned.
-    pub(crate) fn on_sent(&mut self, stream: StreamId, bytes: usize) {
-        if let Some(id) = self.calls.of_attempt_stream(stream) {
+    /// Handles bytes that were sent on a stream: returns the window of the stream that they were received on.
+    pub(crate) fn on_bytes_sent(&mut self, stream: StreamId, bytes: usize) {
+        if let Some(id) = self.calls.id_of_attempt_stream(stream) {
             return self.on_request_sent(id, bytes);
         }
         let Some(call) = self.calls.get_by_client_stream(stream) else {
@@ -182,8 +186,8 @@
         self.engine.consume(call.client_stream, window);
     }
 
-    /// The other side has sent all that it will send on a stream.
-    pub(crate) fn on_end(&mut self, stream: StreamId, trailers: Option<HeaderMap>) {
+    /// Handles the end of what the peer sends on a stream.
+    pub(crate) fn on_stream_ended(&mut self, stream: StreamId, trailers: Option<HeaderMap>) {
         if self.on_coordinator_data(stream, &[], StreamProgress::Ended) {
             return;
         }
@@ -202,13 +206,13 @@
             }
             return;
         }
-        if let Some(id) = self.calls.of_attempt_stream(stream) {
+        if let Some(id) = self.calls.id_of_attempt_stream(stream) {
             self.on_response_end(id, trailers.unwrap_or_default(), ResponseForm::Whole);
         }
     }
 
-    /// A stream was reset, or its connection is gone.
-    pub(crate) fn on_broken(&mut self, stream: StreamId, how: StreamError) {
+    /// Handles a stream that was reset or whose connection is closed.
+    pub(crate) fn on_stream_failed(&mut self, stream: StreamId, error: StreamError) {
         if self.on_coordinator_data(stream, &[], StreamProgress::Ended) {
             return;
         }
@@ -220,15 +224,15 @@
             let results = counter.on_stream_ended(&mut self.engine);
             return self.on_counter_results(results);
         }
-        if let Some(id) = self.calls.of_client_stream(stream) {
+        if let Some(id) = self.calls.id_of_client_stream(stream) {
             return self.on_client_gone(id);
         }
-        if let Some(id) = self.calls.of_attempt_stream(stream) {
-            self.on_attempt_broken(id, attempt_outcome::from_stream_error(how));
+        if let Some(id) = self.calls.id_of_attempt_stream(stream) {
+            self.on_attempt_stream_failed(id, attempt_outcome::from_stream_error(error));
         }
     }
 
-    fn on_attempt_broken(&mut self, id: AttemptId, outcome: Outcome) {
+    fn on_attempt_stream_failed(&mut self, id: AttemptId, outcome: Outcome) {
         let streaming_call = self.calls.get(id.call).filter(|call| call.is_streaming());
         let Some(call) = streaming_call else {
             return self.end_without_answer(id, outcome, String::new());
--- a/crates/grpc-gateway/src/call_flow/mod.rs
+++ b/crates/grpc-gateway/src/call_flow/mod.rs
@@ -1,4 +1,4 @@
-//! How calls go through the gateway: from a client's stream to attempts at endpoints and back, as the decisions say.
+//! The flow of calls through the gateway: from a client's stream to attempts at endpoints and back, as the decisions direct.
 
 mod accept;
 mod attempts;
--- a/crates/grpc-gateway/src/call_flow/responses.rs
+++ b/crates/grpc-gateway/src/call_flow/responses.rs
@@ -1,4 +1,4 @@
-//! Final answers to clients, and responses of endpoints on their way to them.
+//! Final answers to clients: the gateway's own, and the responses of endpoints.
 
 use crate::attempt_outcome::{self, AttemptEnd};
 use crate::calls::{BufferedResponse, ResponseState};
@@ -11,15 +11,15 @@
 use chalkdeck_net::StreamId;
 use http::{HeaderMap, HeaderValue};
 
-/// What a client reads of a rejection whose endpoint, if there was one, gave no reason.
-const REJECTED: &str = "over the quota or no room to serve it";
-/// What a client reads of a failure whose endpoint gave no reason.
-const FAILED: &str = "no answer; it may have run";
-/// A call that fails so many timer intervals before its deadline or later has failed by it.
-const DEADLINE_TOLERANCE_TIMERS: u64 = 3;
+/// The status message of a rejected call without a message of an endpoint.
+const REJECTED_MESSAGE: &str = "over the quota or no room to serve it";
+/// The status message of a failed call without a message of an endpoint.
+const FAILED_MESSAGE: &str = "no answer; it may have run";
+/// A call that fails at most this many intervals of the timer's resolution before its deadline is reported as DEADLINE_EXCEEDED.
+const DEADLINE_TOLERANCE_TICKS: u64 = 3;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Which parts of a response there are.
+/// The parts that a response consists of.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum ResponseForm {
     /// A head, perhaps a body, and trailers.
@@ -29,7 +29,7 @@
 }
 
 impl GatewayServer {
-    /// The decisions reject a call. `retry_after`: the time in microseconds after which it may be sent again.
+    /// Answers a call that the decisions reject. `retry_after`: the time in microseconds after which the client may retry.
     pub(crate) fn reject_call(&mut self, id: RequestId, retry_after: Option<u64>) {
         if self.resp_refused(id, retry_after) {
             return;
@@ -40,17 +40,17 @@
         let Some(call) = self.calls.get(id) else {
             return;
         };
-        let message = call.endpoint_message.as_deref().unwrap_or(REJECTED);
+        let message = call.endpoint_message.as_deref().unwrap_or(REJECTED_MESSAGE);
         let mut trailers = grpc::trailers(Code::ResourceExhausted, message);
         grpc::add_retry_info(&mut trailers, Code::ResourceExhausted, message, retry_after);
         self.answer(id, grpc::trailers_only(trailers), CallEnd::Rejected);
     }
 
-    /// The decisions let a call fail.
+    /// Answers a call that the decisions fail.
     pub(crate) fn fail_call(&mut self, id: RequestId) {
         let now = self.engine.now();
         let tolerance =
-            DEADLINE_TOLERANCE_TIMERS * self.settings.policy.timer_resolution.as_micros();
+            DEADLINE_TOLERANCE_TICKS * self.settings.policy.timer_resolution.as_micros();
         let Some(call) = self.calls.get(id) else {
             return;
         };
@@ -59,7 +59,7 @@
         } else {
             Code::Unavailable
         };
-        let message = call.endpoint_message.as_deref().unwrap_or(FAILED);
+        let message = call.endpoint_message.as_deref().unwrap_or(FAILED_MESSAGE);
         let trailers = grpc::trailers(code, message);
         self.answer(id, grpc::trailers_only(trailers), CallEnd::Failed);
     }
@@ -76,7 +76,7 @@
         self.complete_call(id, end);
     }
 
-    /// The call has its final answer, or its client is gone.
+    /// Completes a call: it has its final answer, or its client is gone.
     pub(super) fn complete_call(&mut self, id: RequestId, end: CallEnd) {
         let now = self.engine.now();
         self.release_from_queue(id);
@@ -96,13 +96,13 @@
             .observe(duration as f64 / MICROS_PER_SECOND);
         self.metrics.open_calls.dec();
         self.report_request_completed(class, end, TimeDelta::from_micros(duration));
-        self.calls.remove_if_over(id);
+        self.calls.remove_if_finished(id);
         if self.fault == Some(Fault::Leak) {
             self.leaked.push(Leaked::new());
         }
     }
 
-    /// Sends the buffered response to the client. From here on bytes are forwarded as they are received.
+    /// Sends the buffered response to the client. Later bytes are forwarded as they are received.
     pub(super) fn start_streaming(&mut self, id: RequestId) {
         let Some(call) = self.calls.get(id) else {
             return;
@@ -116,11 +116,11 @@
         let call_deadline = call.request.deadline.as_micros();
         self.send_buffered(stream, buffered);
         self.decisions.push(Event::ResponseStarted(id));
-        // A stream may last for long, while the admission queue is for calls with an answer soon.
+        // The admission queue limits calls that end soon; a stream may last long and is not counted.
         self.release_from_queue(id);
-        // The decisions keep no deadline for it from here on; the client's own stays.
-        let left = call_deadline.saturating_sub(self.engine.now());
-        self.set_timer(left, TimerPurpose::ClientDeadline(id));
+        // The decisions track no deadline for a started response; only the client's own applies.
+        let remaining = call_deadline.saturating_sub(self.engine.now());
+        self.set_timer(remaining, TimerPurpose::ClientDeadline(id));
     }
 
     fn send_buffered(&mut self, stream: StreamId, buffered: BufferedResponse) {
@@ -131,7 +131,7 @@
         }
     }
 
-    /// The response of an attempt has ended with these trailers.
+    /// Handles the end of an attempt's response, which has these trailers.
     pub(super) fn on_response_end(
         &mut self,
         id: AttemptId,
@@ -163,7 +163,7 @@
         self.end_attempt(id, outcome, true);
     }
 
-    /// An attempt ended without an answer for the client. The decisions say what follows.
+    /// Ends an attempt without an answer for the client. The decisions choose whether to retry, reject or fail the call.
     pub(super) fn end_without_answer(&mut self, id: AttemptId, outcome: Outcome, message: String) {
         if let Some(call) = self.calls.get(id.call) {
             call.endpoint_message = Some(message).filter(|message| !message.is_empty());
@@ -182,7 +182,7 @@
     }
 }
 
-/// Adds a status that a client can read to trailers without one.
+/// Adds the status UNKNOWN to trailers without a valid status.
 fn with_status(mut trailers: HeaderMap) -> HeaderMap {
     if Code::from_trailers(&trailers).is_none() {
         trailers.insert(grpc::STATUS, HeaderValue::from(Code::Unknown as i32));
--- a/crates/grpc-gateway/src/call_head.rs
+++ b/crates/grpc-gateway/src/call_head.rs
@@ -1,22 +1,22 @@
-//! Parses a call's head: its route, customer, deadline and units, or why it can't be accepted.
+//! Parses the head of a call: its route, customer, deadline and units, or the reason why it is invalid.
 
 use crate::base::call_head::{CallHead, InvalidCall};
-use crate::base::server::number_of;
+use crate::base::listed_endpoint::hash_name;
 use crate::base::settings::{Route, Settings};
 use chalkdeck::api::{ClassId, CustomerId, IncomingRequest, PlanId, RequestId, Timestamp};
 use chalkdeck_net::grpc::{self, Code};
 use http::uri::PathAndQuery;
 use http::{request, HeaderMap, HeaderName};
 
-/// The metadata with the units of a call.
-const UNITS: &str = "x-units";
-/// Stands for metadata that is not text.
-const NOT_TEXT: &str = "\u{fffd}";
+/// The metadata in which a client sets the units of its call.
+const UNITS_METADATA: &str = "x-units";
+/// Replaces a metadata value that is not text.
+const NON_TEXT_VALUE: &str = "\u{fffd}";
 
-/// Parses a head that has arrived at `now`, in microseconds of the loop's clock.
+/// Parses a head that arrived at `now`, in microseconds of the loop's clock.
 ///
 /// # Errors
-/// The call can't be accepted; the first reason is named.
+/// The call is invalid; the first reason is returned.
 pub(crate) fn parse(
     settings: &Settings,
     id: RequestId,
@@ -30,7 +30,7 @@
     let timeout = parse_timeout(headers)?;
     let units = parse_units(settings, route, headers)?;
     let class = class_of(settings, route, headers);
-    let longest = settings.policy.classes[class].deadline.as_micros();
+    let max_timeout = settings.policy.classes[class].deadline.as_micros();
     let previous_attempts = text(headers, grpc::ATTEMPTS)
         .and_then(|value| value.parse().ok())
         .unwrap_or(0);
@@ -38,9 +38,9 @@
         id,
         class: ClassId(class),
         plan,
-        customer: CustomerId(number_of(customer)),
-        customer_gateways: settings.spread,
-        deadline: Timestamp::from_micros(now + timeout.unwrap_or(longest).min(longest)),
+        customer: CustomerId(hash_name(customer)),
+        customer_gateways: settings.customer_gateways,
+        deadline: Timestamp::from_micros(now + timeout.unwrap_or(max_timeout).min(max_timeout)),
         units,
         is_retry: previous_attempts > 0,
     };
@@ -67,7 +67,7 @@
 
 fn find_route<'a>(settings: &'a Settings, path: &str) -> Result<&'a Route, InvalidCall> {
     let matches = |route: &&Route| {
-        if route.prefix {
+        if route.is_prefix {
             path.starts_with(&route.path)
         } else {
             path == route.path
@@ -86,7 +86,7 @@
     let name = settings.customer_metadata.as_str();
     let no_customer = |reason| invalid(Code::Unauthenticated, "no_customer", reason);
     let customer = text(headers, name)
-        .filter(|customer| !customer.is_empty() && *customer != NOT_TEXT)
+        .filter(|customer| !customer.is_empty() && *customer != NON_TEXT_VALUE)
         .ok_or_else(|| no_customer(format!("expected metadata {name}")))?;
     let plan = settings
         .plan_for(customer)
@@ -94,7 +94,7 @@
     Ok((customer, plan))
 }
 
-/// The client's time-out in microseconds, if it gave one.
+/// The client's time-out in microseconds, if it set one.
 fn parse_timeout(headers: &HeaderMap) -> Result<Option<u64>, InvalidCall> {
     let Some(value) = text(headers, grpc::TIMEOUT) else {
         return Ok(None);
@@ -112,7 +112,7 @@
     route: &Route,
     headers: &HeaderMap,
 ) -> Result<f64, InvalidCall> {
-    let Some(value) = text(headers, UNITS).filter(|_| route.client_units) else {
+    let Some(value) = text(headers, UNITS_METADATA).filter(|_| route.allows_client_units) else {
         return Ok(route.units);
     };
     let max_units = settings.policy.max_request_units;
@@ -125,13 +125,13 @@
     }
 }
 
-/// The index of the call's class: without an idempotency key, keyed routes have another one.
+/// The index of the call's class; calls of keyed routes without an idempotency key have a class of their own.
 fn class_of(settings: &Settings, route: &Route, headers: &HeaderMap) -> usize {
     let has_key = headers.get(grpc::KEY).is_some_and(|key| !key.is_empty());
     if has_key {
         route.class
     } else {
-        settings.unkeyed[route.class]
+        settings.unkeyed_class[route.class]
     }
 }
 
@@ -145,13 +145,13 @@
 
 fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let value = headers.get(name)?;
-    Some(value.to_str().unwrap_or(NOT_TEXT))
+    Some(value.to_str().unwrap_or(NON_TEXT_VALUE))
 }
 
-/// Metadata for the endpoint, without what belongs to the connection or is set anew for each attempt.
+/// Metadata that is forwarded to the endpoint: without the headers of the client's connection and those that each attempt sets.
 fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let mut forwarded = headers.clone();
-    let of_connection = [
+    let removed_headers = [
         grpc::TIMEOUT,
         grpc::ATTEMPTS,
         "host",
@@ -159,7 +159,7 @@
         "te",
         "content-length",
     ];
-    for name in of_connection {
+    for name in removed_headers {
         forwarded.remove(HeaderName::from_static(name));
     }
     forwarded
--- a/crates/grpc-gateway/src/calls.rs
+++ b/crates/grpc-gateway/src/calls.rs
@@ -1,4 +1,4 @@
-//! The calls that a gateway has open, found by their streams.
+//! The open calls of a gateway, indexed by their streams.
 
 use crate::base::call_head::CallHead;
 use crate::endpoint_connections::AttemptId;
@@ -10,9 +10,9 @@
 use http::{response, HeaderMap};
 use rustc_hash::FxHashMap;
 
-/// How far the response to the client is.
+/// The progress of the response to the client.
 pub(crate) enum ResponseState {
-    /// Nothing was received from an endpoint.
+    /// No response of an endpoint has started.
     Pending,
     /// The head and the body of an attempt's response are buffered until its end.
     Buffered(BufferedResponse),
@@ -32,17 +32,17 @@
 /// One attempt at an endpoint.
 pub(crate) struct Attempt {
     pub(crate) endpoint: EndpointId,
-    /// Without a stream it waits for a connection.
+    /// `None`: it waits for a connection.
     pub(crate) stream: Option<StreamId>,
     /// When it was started, in microseconds of the loop's clock.
     pub(crate) started_at: u64,
     /// Whether it has not ended yet.
     pub(crate) is_open: bool,
-    /// First bytes of the request's body whose window was returned before.
+    /// The number of bytes at the beginning of the request's body whose flow-control window is already returned to the client.
     pub(crate) returned_bytes: usize,
 }
 
-/// The caller of a stream, whom a change of the access rules may come to deny.
+/// The caller of a stream, kept because a change of the access rules may deny it while the stream is open.
 pub(crate) struct Caller {
     pub(crate) customer: String,
     pub(crate) region: String,
@@ -53,20 +53,20 @@
     pub(crate) client_stream: StreamId,
     pub(crate) request: IncomingRequest,
     pub(crate) arrived_at: u64,
-    /// The client's own deadline, if it gave one.
+    /// The deadline that the client set, if any.
     pub(crate) client_deadline: Option<u64>,
     pub(crate) path: PathAndQuery,
     pub(crate) headers: HeaderMap,
-    /// Attempts that the client made before.
-    pub(crate) client_attempts: u32,
-    /// Only of streams, and only where there are access rules.
+    /// Attempts that the client made before this call.
+    pub(crate) earlier_client_attempts: u32,
+    /// Set only for streams, and only if there are access rules.
     pub(crate) caller: Option<Box<Caller>>,
     pub(crate) request_buffer: RequestBuffer,
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) response: ResponseState,
-    /// First bytes of the response whose window was returned when they were buffered.
+    /// The number of bytes at the beginning of the response whose window was returned to the endpoint when they were buffered.
     pub(crate) response_returned_bytes: usize,
-    /// What an endpoint said when it last ended an attempt without an answer.
+    /// The status message of the last attempt that ended without an answer for the client.
     pub(crate) endpoint_message: Option<String>,
 }
 
@@ -84,7 +84,7 @@
             client_deadline: head.client_deadline,
             path: head.path,
             headers: head.headers,
-            client_attempts: head.previous_attempts,
+            earlier_client_attempts: head.previous_attempts,
             caller: None,
             request_buffer,
             attempts: Vec::new(),
@@ -122,7 +122,7 @@
     }
 }
 
-/// All calls of a gateway. Their number is bounded by the streams that clients may open.
+/// All calls of a gateway. The limits on clients' streams bound their number.
 #[derive(Default)]
 pub(crate) struct Calls {
     by_id: FxHashMap<RequestId, Box<Call>>,
@@ -130,7 +130,7 @@
     by_attempt_stream: FxHashMap<StreamId, AttemptId>,
     last_id: u64,
     /// The number of calls without a final answer.
-    pub(crate) open: usize,
+    pub(crate) open_count: usize,
 }
 
 impl Calls {
@@ -143,28 +143,28 @@
         let id = call.request.id;
         self.by_client_stream.insert(call.client_stream, id);
         self.by_id.insert(id, Box::new(call));
-        self.open += 1;
+        self.open_count += 1;
     }
 
     pub(crate) fn get(&mut self, id: RequestId) -> Option<&mut Call> {
         self.by_id.get_mut(&id).map(Box::as_mut)
     }
 
-    /// The call, while it has no final answer.
+    /// The call, unless it is complete.
     pub(crate) fn get_open(&mut self, id: RequestId) -> Option<&mut Call> {
         self.get(id).filter(|call| !call.is_complete())
     }
 
-    pub(crate) fn of_client_stream(&self, stream: StreamId) -> Option<RequestId> {
+    pub(crate) fn id_of_client_stream(&self, stream: StreamId) -> Option<RequestId> {
         self.by_client_stream.get(&stream).copied()
     }
 
     pub(crate) fn get_by_client_stream(&mut self, stream: StreamId) -> Option<&mut Call> {
-        let id = self.of_client_stream(stream)?;
+        let id = self.id_of_client_stream(stream)?;
         self.get(id)
     }
 
-    pub(crate) fn of_attempt_stream(&self, stream: StreamId) -> Option<AttemptId> {
+    pub(crate) fn id_of_attempt_stream(&self, stream: StreamId) -> Option<AttemptId> {
         self.by_attempt_stream.get(&stream).copied()
     }
 
@@ -176,14 +176,14 @@
         self.by_attempt_stream.remove(&stream);
     }
 
-    /// Forgets the stream of a client that gets nothing more.
+    /// Removes the stream of a client whose call is complete.
     pub(crate) fn release_client_stream(&mut self, stream: StreamId) {
         if self.by_client_stream.remove(&stream).is_some() {
-            self.open -= 1;
+            self.open_count -= 1;
         }
     }
 
-    /// The attempt, while it is open.
+    /// The attempt, unless it has ended.
     pub(crate) fn open_attempt(&mut self, id: AttemptId) -> Option<&mut Attempt> {
         let attempts = &mut self.by_id.get_mut(&id.call)?.attempts;
         attempts
@@ -191,15 +191,15 @@
             .filter(|attempt| attempt.is_open)
     }
 
-    /// Forgets a call that is complete and has no open attempt.
-    pub(crate) fn remove_if_over(&mut self, id: RequestId) {
+    /// Removes a call that is complete and has no open attempt.
+    pub(crate) fn remove_if_finished(&mut self, id: RequestId) {
         let call = self.by_id.get(&id);
         if call.is_some_and(|call| call.is_complete() && !call.has_open_attempt()) {
             self.by_id.remove(&id);
         }
     }
 
-    pub(crate) fn all(&self) -> impl Iterator<Item = &Call> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &Call> {
         self.by_id.values().map(Box::as_ref)
     }
 
--- a/crates/grpc-gateway/src/coordinator_link/access.rs
+++ b/crates/grpc-gateway/src/coordinator_link/access.rs
@@ -129,7 +129,7 @@
         };
         let now = self.now();
         let mut denied = Vec::new();
-        for call in self.calls.all().filter(|call| !call.is_complete()) {
+        for call in self.calls.iter().filter(|call| !call.is_complete()) {
             let Some(caller) = call.caller.as_deref() else {
                 continue;
             };
--- a/crates/grpc-gateway/src/coordinator_link/contracts.rs
+++ b/crates/grpc-gateway/src/coordinator_link/contracts.rs
@@ -1,13 +1,13 @@
 //! Endpoints whose contract version was not admitted get no new requests.
 
 use super::CoordinatorLink;
-use crate::base::server::Server;
+use crate::base::listed_endpoint::ListedEndpoint;
 use chalkdeck::api::EndpointState;
 use chalkdeck_contract::{hold_back, ServerContract};
 
 impl CoordinatorLink {
     /// Remembers the list and marks endpoints whose contract version was not admitted as draining.
-    pub(super) fn hold_back(&mut self, servers: &mut [Server]) {
+    pub(super) fn hold_back(&mut self, servers: &mut [ListedEndpoint]) {
         self.listed = servers.to_vec();
         let state = self.agent.session().state();
         let contracts = servers.iter().map(|server| ServerContract {
--- a/crates/grpc-gateway/src/coordinator_link/events.rs
+++ b/crates/grpc-gateway/src/coordinator_link/events.rs
@@ -2,7 +2,7 @@
 
 use super::connection::loop_time;
 use super::CoordinatorStatus;
-use crate::base::server::Server;
+use crate::base::listed_endpoint::ListedEndpoint;
 use crate::gateway_server::{GatewayServer, TimerPurpose};
 use chalkdeck_coordinator::agent::AgentAction;
 use chalkdeck_net::{ConnId, StreamId};
@@ -87,7 +87,7 @@
     }
 
     /// Marks endpoints that must not get new requests as draining; see `contracts`.
-    pub(crate) fn hold_back_endpoints(&mut self, servers: &mut [Server]) {
+    pub(crate) fn hold_back_endpoints(&mut self, servers: &mut [ListedEndpoint]) {
         if let Some(link) = &mut self.coordinator {
             link.hold_back(servers);
         }
--- a/crates/grpc-gateway/src/coordinator_link/mod.rs
+++ b/crates/grpc-gateway/src/coordinator_link/mod.rs
@@ -12,8 +12,8 @@
 pub(crate) use events::StreamProgress;
 pub use status::{CoordinatorStatus, LeadershipStatus, RuleSetStatus};
 
-use crate::base::failed::CoordinatorError;
-use crate::base::server::Server;
+use crate::base::errors::CoordinatorError;
+use crate::base::listed_endpoint::ListedEndpoint;
 use crate::base::settings::{CoordinatorSettings, Settings};
 use chalkdeck_access::RegionTable;
 use chalkdeck_coordinator::agent::{AgentSettings, GatewayAgent};
@@ -39,7 +39,7 @@
     stream: Option<StreamId>,
     deframer: Deframer,
     /// The endpoint list as it was read.
-    listed: Vec<Server>,
+    listed: Vec<ListedEndpoint>,
     /// Addresses of endpoints whose contract version was not admitted.
     held_back: Vec<String>,
     /// No endpoint in service has an admitted contract version, so all are used.
@@ -68,11 +68,11 @@
         zone_name: &str,
         now: Timestamp,
     ) -> Result<CoordinatorLink, CoordinatorError> {
-        let regions = match &settings.regions {
+        let regions = match &settings.regions_file {
             Some(file) => read_regions(file)?,
             None => RegionTable::default(),
         };
-        let (cache_file, state) = match &settings.state {
+        let (cache_file, state) = match &settings.state_file {
             Some(file) => {
                 let (cache_file, state) = CacheFile::open(file)?;
                 (Some(cache_file), state)
--- a/crates/grpc-gateway/src/endpoint_connections.rs
+++ b/crates/grpc-gateway/src/endpoint_connections.rs
@@ -1,16 +1,16 @@
-//! Connections to the endpoints. No endpoint is chosen here; a connection to the chosen one is found or begun.
+//! Connections to the endpoints. The decisions choose the endpoint; this module finds or starts a connection to it.
 //!
-//! Limits: `server_connections` for each endpoint, `server_streams` calls on each connection, and as many that wait until one is
-//! established.
+//! Limits: `max_connections_per_endpoint` connections to each endpoint, `max_streams_per_connection` calls on each connection, and
+//! as many that wait for a connection to be established.
 
-use crate::base::server::Server;
+use crate::base::listed_endpoint::ListedEndpoint;
 use chalkdeck::api::{EndpointId, RequestId};
 use chalkdeck_net::{ConnId, Engine, Limits};
 use http::uri::Authority;
 use rustc_hash::FxHashMap;
 use std::net::SocketAddr;
 
-/// An attempt by its call and number.
+/// An attempt, by its call and its number among the call's attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct AttemptId {
     pub(crate) call: RequestId,
@@ -20,7 +20,7 @@
 struct Connection {
     conn: ConnId,
     is_established: bool,
-    /// Attempts that are sent once it is established.
+    /// Attempts that wait until it is established.
     waiting: Vec<AttemptId>,
 }
 
@@ -30,22 +30,22 @@
     connections: Vec<Connection>,
 }
 
-/// Where an attempt can be sent.
+/// The connection for an attempt, or why there is none.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum FoundConnection {
-    /// On this connection, now.
+    /// This connection is established and has a free stream.
     Established(ConnId),
-    /// Once a connection is established that was begun for this attempt.
-    Begun(ConnId),
-    /// Once a connection is established that was begun before.
+    /// This connection was started for the attempt, which waits for it.
+    Started(ConnId),
+    /// The attempt waits for a connection that was started earlier.
     Connecting,
-    /// All connections to the endpoint are full.
+    /// All connections to the endpoint are full, and no other is allowed.
     Full,
-    /// The endpoint is not known, or no connection can be begun.
+    /// The endpoint is not on the list, or no connection can be started.
     Unreachable,
 }
 
-/// The connections to all endpoints of the list.
+/// The connections to all endpoints of the list, and those that are draining.
 pub(crate) struct EndpointConnections {
     limits: Limits,
     max_connections: usize,
@@ -56,7 +56,7 @@
 }
 
 impl EndpointConnections {
-    /// No connections yet. `keepalive`: the interval of pings, in microseconds.
+    /// Without connections. `keepalive`: the interval of pings, in microseconds.
     pub(crate) fn new(max_connections: usize, streams: u32, keepalive: u64) -> EndpointConnections {
         let limits = Limits {
             streams,
@@ -72,31 +72,38 @@
         }
     }
 
-    /// Takes over a new list; connections to endpoints that are no longer on it are closed once their last call has ended.
-    /// Returns the attempts that waited for one that was never established.
-    pub(crate) fn update(&mut self, engine: &mut Engine, servers: &[Server]) -> Vec<AttemptId> {
-        let mut old = std::mem::take(&mut self.endpoints);
-        for server in servers {
-            let id = server.entry.endpoint;
-            let connections = old.remove(&id).map(|endpoint| endpoint.connections);
+    /// Applies a new list; connections to endpoints that are no longer on it are closed once their last call has ended.
+    /// Returns the attempts that waited for one of these connections to be established.
+    pub(crate) fn update(
+        &mut self,
+        engine: &mut Engine,
+        listed: &[ListedEndpoint],
+    ) -> Vec<AttemptId> {
+        let mut previous = std::mem::take(&mut self.endpoints);
+        for endpoint in listed {
+            let id = endpoint.entry.endpoint;
+            let connections = previous.remove(&id).map(|endpoint| endpoint.connections);
             let endpoint = Endpoint {
-                address: server.address,
-                authority: authority_of(server.address),
+                address: endpoint.address,
+                authority: authority_of(endpoint.address),
                 connections: connections.unwrap_or_default(),
             };
             self.endpoints.insert(id, endpoint);
         }
-        let mut unsent = Vec::new();
-        for connection in old.into_values().flat_map(|endpoint| endpoint.connections) {
+        let mut waiting = Vec::new();
+        for connection in previous
+            .into_values()
+            .flat_map(|endpoint| endpoint.connections)
+        {
             self.endpoint_of.remove(&connection.conn);
             self.draining.push(connection.conn);
-            unsent.extend(connection.waiting);
+            waiting.extend(connection.waiting);
         }
         self.close_idle(engine);
-        unsent
+        waiting
     }
 
-    /// Closes connections to endpoints that have left the list once no call is open on them.
+    /// Closes draining connections without open calls.
     pub(crate) fn close_idle(&mut self, engine: &mut Engine) {
         self.draining.retain(|&conn| {
             let is_busy = engine.open_streams(conn) > 0;
@@ -107,24 +114,24 @@
         });
     }
 
-    /// The endpoint's authority in the heads of calls.
+    /// The authority for requests to an endpoint.
     pub(crate) fn authority(&self, endpoint: EndpointId) -> Option<Authority> {
         let endpoint = self.endpoints.get(&endpoint)?;
         Some(endpoint.authority.clone())
     }
 
-    /// The endpoint of the list with the lowest id.
+    /// The listed endpoint with the lowest id.
     pub(crate) fn first_endpoint(&self) -> Option<EndpointId> {
         self.endpoints.keys().min().copied()
     }
 
-    /// The endpoint's address.
+    /// The address of an endpoint.
     pub(crate) fn address(&self, endpoint: EndpointId) -> Option<SocketAddr> {
         let endpoint = self.endpoints.get(&endpoint)?;
         Some(endpoint.address)
     }
 
-    /// Finds or begins a connection for an attempt. One that must wait for it is remembered.
+    /// Finds or starts a connection for an attempt. Stores the attempt if it has to wait.
     pub(crate) fn find(
         &mut self,
         engine: &mut Engine,
@@ -137,7 +144,7 @@
         if let Some(conn) = endpoint.least_loaded(engine) {
             return FoundConnection::Established(conn);
         }
-        if endpoint.wait_for_connecting(attempt, self.limits.streams as usize) {
+        if endpoint.wait_for_connection(attempt, self.limits.streams as usize) {
             return FoundConnection::Connecting;
         }
         if endpoint.connections.len() >= self.max_connections {
@@ -152,18 +159,19 @@
             waiting: vec![attempt],
         });
         self.endpoint_of.insert(conn, endpoint_id);
-        FoundConnection::Begun(conn)
+        FoundConnection::Started(conn)
     }
 
-    /// A connection is established. Returns the attempts that waited for it; `None`: it is not one to an endpoint.
-    pub(crate) fn connected(&mut self, conn: ConnId) -> Option<Vec<AttemptId>> {
+    /// Marks a connection as established. Returns the attempts that waited for it; `None`: it does not lead to a
+    /// listed endpoint.
+    pub(crate) fn mark_established(&mut self, conn: ConnId) -> Option<Vec<AttemptId>> {
         let connection = self.connection(conn)?;
         connection.is_established = true;
         Some(std::mem::take(&mut connection.waiting))
     }
 
-    /// A connection is closed, or accepts nothing new: it is forgotten. Returns the attempts that waited for it.
-    pub(crate) fn forget(&mut self, conn: ConnId) -> Option<Vec<AttemptId>> {
+    /// Removes a connection that is closed or accepts no new stream. Returns the attempts that waited for it.
+    pub(crate) fn remove(&mut self, conn: ConnId) -> Option<Vec<AttemptId>> {
         let endpoint_id = self.endpoint_of.remove(&conn)?;
         let connections = &mut self.endpoints.get_mut(&endpoint_id)?.connections;
         let index = connections
@@ -189,7 +197,7 @@
 }
 
 impl Endpoint {
-    /// The established connection with the most free streams, if it has any.
+    /// The established connection with the most free streams, unless it has none.
     fn least_loaded(&self, engine: &Engine) -> Option<ConnId> {
         let conn = self
             .connections
@@ -200,8 +208,8 @@
         (engine.available_streams(conn) > 0).then_some(conn)
     }
 
-    /// Lets an attempt wait for a connection that is being established. Returns false if none has room.
-    fn wait_for_connecting(&mut self, attempt: AttemptId, max_waiting: usize) -> bool {
+    /// Adds an attempt to those that wait for a connection in progress. Returns false if none has room.
+    fn wait_for_connection(&mut self, attempt: AttemptId, max_waiting: usize) -> bool {
         let connecting = self.connections.iter_mut().find(|connection| {
             !connection.is_established && connection.waiting.len() < max_waiting
         });
@@ -216,7 +224,7 @@
 }
 
 fn authority_of(address: SocketAddr) -> Authority {
-    // An address is always a valid authority.
+    // The fallback is never used: an address is always a valid authority.
     address
         .to_string()
         .parse()
--- a/crates/grpc-gateway/src/endpoints.rs
+++ b/crates/grpc-gateway/src/endpoints.rs
@@ -1,12 +1,14 @@
-//! Parses the endpoint list out of Envoy's `ClusterLoadAssignment`.
+//! Parses the endpoint list from Envoy's `ClusterLoadAssignment`.
 //!
-//! Metadata under the key `chalkdeck`: `cell` (text; none: the locality's) and `started_ms` (Unix time in milliseconds
-//! at which the server last started; none: long ago), `server` (text; by which all gateways know it where they reach it
-//! under different addresses; none: its address), `contract` (text; the service and version that it serves, parted by a
-//! space; none: it is put in service whatever the fleet admits).
-
-pub use crate::base::server::Server;
-use crate::base::server::{number_of, zone_of};
+//! Optional metadata of an endpoint under the key `chalkdeck`:
+//! - `cell` (text or number): its cell; by default the zone of its locality.
+//! - `started_ms` (number): the Unix time in milliseconds at which it last started; by default long ago.
+//! - `server` (text): its name, the same at all gateways even if they reach it at different addresses; by default its address.
+//! - `contract` (text): the service and version that it serves, separated by a space; by default it is in service whichever
+//!   versions the fleet admits.
+
+pub use crate::base::listed_endpoint::ListedEndpoint;
+use crate::base::listed_endpoint::{hash_name, zone_id_of};
 use chalkdeck::api::{CellId, EndpointEntry, EndpointId, EndpointState, Timestamp};
 use chalkdeck_net::file_watch::FileWatchError;
 use chalkdeck_proto::envoy::config::core::v3::{address, socket_address, HealthStatus};
@@ -20,30 +22,30 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The message's full name.
+/// The full name of the protobuf message.
 pub const MESSAGE: &str = "envoy.config.endpoint.v3.ClusterLoadAssignment";
-/// The most endpoints that a list may have.
+/// The most endpoints on a list.
 const MAX_ENDPOINTS: usize = 10_000;
-/// The key of this gateway's own metadata.
+/// The key of chalkdeck's metadata.
 const METADATA_KEY: &str = "chalkdeck";
-/// Times after this, in the year 33658, are mistakes of the unit.
+/// Later times (this one is in the year 33658) are taken for a wrong unit and rejected.
 const MAX_UNIX_MILLIS: f64 = 1e15;
 const MICROS_PER_MILLI: f64 = 1e3;
-/// Endings of file names that mean the text form; other files are binary.
+/// File name extensions of the text format; other files are binary.
 const TEXT_EXTENSIONS: [&str; 3] = ["txtpb", "textproto", "pb_text"];
 
-/// Why a file is no endpoint list; the text names the place.
+/// Why a file is not a valid endpoint list; the message names the place.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct ListError(String);
 
-/// Why a watched list is not put in force.
+/// Why a new endpoint list is not applied.
 #[derive(Debug, thiserror::Error)]
 pub enum EndpointListError {
     /// Its file could not be read.
     #[error(transparent)]
     Read(#[from] FileWatchError),
-    /// It could not be parsed.
+    /// Its content is invalid.
     #[error(transparent)]
     List(#[from] ListError),
 }
@@ -52,54 +54,56 @@
     Err(ListError(reason.into()))
 }
 
-/// Parses a list; the extension of the file's name tells text (`txtpb`, `textproto`, `pb_text`) from binary.
-pub fn parse(path: &Path, bytes: &[u8]) -> Result<Vec<Server>, ListError> {
-    let extension = path.extension().and_then(|e| e.to_str()).unwrap_or("");
+/// Parses a list; files with the extension `txtpb`, `textproto` or `pb_text` are text, others are binary.
+pub fn parse(path: &Path, bytes: &[u8]) -> Result<Vec<ListedEndpoint>, ListError> {
+    let extension = path
+        .extension()
+        .and_then(|extension| extension.to_str())
+        .unwrap_or("");
     let list = if TEXT_EXTENSIONS.contains(&extension) {
         let Ok(text) = std::str::from_utf8(bytes) else {
             return invalid("expected UTF-8 text");
         };
-        text::parse(MESSAGE, text).map_err(|e| ListError(e.to_string()))?
+        text::parse(MESSAGE, text).map_err(|error| ListError(error.to_string()))?
     } else {
         ClusterLoadAssignment::decode(bytes)
             .map_err(|e| ListError(format!("expected {MESSAGE}: {e}")))?
     };
-    parse_servers(&list)
+    parse_endpoints(&list)
 }
 
-/// The servers of a list.
-fn parse_servers(list: &ClusterLoadAssignment) -> Result<Vec<Server>, ListError> {
-    let mut servers = Vec::new();
-    let mut known = HashSet::new();
+fn parse_endpoints(list: &ClusterLoadAssignment) -> Result<Vec<ListedEndpoint>, ListError> {
+    let mut listed_endpoints = Vec::new();
+    let mut seen_ids = HashSet::new();
     for (locality_index, locality) in list.endpoints.iter().enumerate() {
         for (endpoint_index, endpoint) in locality.lb_endpoints.iter().enumerate() {
-            let server = parse_server(locality, endpoint).map_err(|e| {
+            let listed = parse_endpoint(locality, endpoint).map_err(|e| {
                 ListError(format!(
                     "endpoints[{locality_index}].lb_endpoints[{endpoint_index}]: {e}"
                 ))
             })?;
-            if !known.insert(server.entry.endpoint) {
+            if !seen_ids.insert(listed.entry.endpoint) {
                 return invalid(format!(
                     "endpoints[{locality_index}].lb_endpoints[{endpoint_index}]: {} is listed twice",
-                    server.address
+                    listed.address
                 ));
             }
-            servers.push(server);
+            listed_endpoints.push(listed);
         }
     }
-    if servers.len() > MAX_ENDPOINTS {
+    if listed_endpoints.len() > MAX_ENDPOINTS {
         return invalid(format!(
             "expected at most {MAX_ENDPOINTS} endpoints, found {}",
-            servers.len()
+            listed_endpoints.len()
         ));
     }
-    Ok(servers)
+    Ok(listed_endpoints)
 }
 
-fn parse_server(
+fn parse_endpoint(
     locality: &LocalityLbEndpoints,
     endpoint: &LbEndpoint,
-) -> Result<Server, ListError> {
+) -> Result<ListedEndpoint, ListError> {
     let address = address_of(endpoint)?;
     let zone_name = locality
         .locality
@@ -107,17 +111,17 @@
         .map_or("", |locality| locality.zone.as_str());
     let state = state_of(endpoint)?;
     let cell = cell_of(endpoint, zone_name)?;
-    let started_at = start_of(endpoint)?;
+    let started_at = started_at_of(endpoint)?;
     let name = name_of(endpoint, address)?;
     let entry = EndpointEntry {
-        endpoint: EndpointId(number_of(&name)),
-        zone: zone_of(zone_name),
-        cell: CellId(number_of(&cell)),
+        endpoint: EndpointId(hash_name(&name)),
+        zone: zone_id_of(zone_name),
+        cell: CellId(hash_name(&cell)),
         state,
         weight: f64::from(endpoint.load_balancing_weight.unwrap_or(1)),
         started_at,
     };
-    Ok(Server {
+    Ok(ListedEndpoint {
         address,
         zone_name: zone_name.to_string(),
         contract: contract_of(endpoint)?,
@@ -149,7 +153,7 @@
     }
 }
 
-fn start_of(endpoint: &LbEndpoint) -> Result<Option<Timestamp>, ListError> {
+fn started_at_of(endpoint: &LbEndpoint) -> Result<Option<Timestamp>, ListError> {
     match metadata(endpoint, "started_ms") {
         None => Ok(None),
         Some(Kind::NumberValue(millis)) if (0.0..MAX_UNIX_MILLIS).contains(millis) => {
@@ -160,7 +164,7 @@
     }
 }
 
-/// The name by which all gateways know the endpoint.
+/// The name of the endpoint, the same at all gateways.
 fn name_of(endpoint: &LbEndpoint, address: SocketAddr) -> Result<String, ListError> {
     match metadata(endpoint, "server") {
         None => Ok(address.to_string()),
--- a/crates/grpc-gateway/src/endpoints/tests.rs
+++ b/crates/grpc-gateway/src/endpoints/tests.rs
@@ -17,13 +17,13 @@
         }"#;
 
 #[test]
-fn text_and_binary_form_then_the_same_list() {
-    let from_text = parse(Path::new("a.txtpb"), TEXT.as_bytes()).expect("it is sound");
-    let list: ClusterLoadAssignment = text::parse(MESSAGE, TEXT).expect("it is sound");
-    let binary = parse(Path::new("a.pb"), &list.encode_to_vec()).expect("it is sound");
-    for servers in [from_text, binary] {
-        assert_eq!(servers.len(), 1);
-        let entry = &servers[0].entry;
+fn text_and_binary_files_give_the_same_list() {
+    let from_text = parse(Path::new("a.txtpb"), TEXT.as_bytes()).expect("a valid list");
+    let list: ClusterLoadAssignment = text::parse(MESSAGE, TEXT).expect("a valid list");
+    let binary = parse(Path::new("a.pb"), &list.encode_to_vec()).expect("a valid list");
+    for endpoints in [from_text, binary] {
+        assert_eq!(endpoints.len(), 1);
+        let entry = &endpoints[0].entry;
         assert_eq!(
             (entry.state, entry.started_at),
             (
@@ -35,8 +35,8 @@
 }
 
 #[test]
-fn invalid_list_then_the_error_names_the_place() {
-    let wrong = [
+fn error_of_an_invalid_list_names_the_place() {
+    let invalid_lists = [
         (TEXT.replace("8001", "80010"), "80010"),
         (TEXT.replace("127.0.0.1", "farm.example"), "farm.example"),
         (
@@ -45,9 +45,9 @@
         ),
         (TEXT.replace("DRAINING", "TIRED"), "TIRED"),
     ];
-    for (text, place) in wrong {
+    for (text, place) in invalid_lists {
         let error = parse(Path::new("a.txtpb"), text.as_bytes())
-            .expect_err("it is wrong")
+            .expect_err("an invalid list")
             .to_string();
         assert!(error.contains(place), "{error} names {place}");
     }
--- a/crates/grpc-gateway/src/fault.rs
+++ b/crates/grpc-gateway/src/fault.rs
@@ -1,12 +1,12 @@
-//! Faults put into the carrying code at run time, so that an audit of what crosses the sockets can be seen to fail.
+//! Fault injection: faults that are switched on at run time to verify that the audits of the testbed detect them.
 
 use std::fs::File;
 use std::str::FromStr;
 
-/// Memory that [`Fault::Leak`] leaves behind, in bytes.
+/// The memory that [`Fault::Leak`] leaks for each call, in bytes.
 const LEAKED_BYTES: usize = 256 << 10;
 
-/// What [`Fault::Leak`] leaves behind of one call.
+/// The resources that [`Fault::Leak`] leaks for one call.
 pub(crate) struct Leaked {
     _file: Option<File>,
     _memory: Vec<u8>,
@@ -21,26 +21,26 @@
     }
 }
 
-/// One fault for each of the five rules, and for each further check of the soak.
+/// One fault for each of the five safety rules and for each further check of the soak test.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Some final answers are not sent.
+    /// The gateway's own final answers, rejections and failures, are not sent.
     Lose,
-    /// Every attempt goes out twice.
+    /// Every attempt is sent twice.
     Repeat,
-    /// Drains on the list are not told.
+    /// Draining endpoints of the list count as in service.
     Drains,
-    /// All calls go to the server that started last.
+    /// All attempts are sent to the newest endpoint: the last one on the list with a start time. This violates slow start.
     Cold,
-    /// What is refused is sent on all the same.
+    /// Rejected calls are forwarded to an endpoint.
     Ceiling,
     /// A graceful shutdown never ends.
     Linger,
-    /// Each call's end leaves a descriptor open and memory behind.
+    /// Each completed call leaks a file descriptor and memory.
     Leak,
     /// Each reload is logged as an error.
     Complain,
-    /// After a reload no more calls are admitted.
+    /// After a reload all new calls are answered with UNAVAILABLE.
     Shut,
 }
 
--- a/crates/grpc-gateway/src/gateway_server/admin.rs
+++ b/crates/grpc-gateway/src/gateway_server/admin.rs
@@ -10,7 +10,7 @@
 
 /// A response of the admin port.
 struct AdminResponse {
-    /// The HTTP status.
+    /// The HTTP status code.
     status: u16,
     body: String,
 }
--- a/crates/grpc-gateway/src/gateway_server/counter_calls.rs
+++ b/crates/grpc-gateway/src/gateway_server/counter_calls.rs
@@ -1,11 +1,11 @@
-//! Calls to the shared counter: they are sent for the decisions, and their results are passed back.
+//! Sends the decisions' increments to the shared counter and passes the results back.
 
 use super::{GatewayServer, TimerPurpose};
 use crate::counter_client::{CounterClient, CounterResult, Increment, StateChange};
 use chalkdeck::api::{CounterKey, Event};
 
 impl GatewayServer {
-    /// Sends an increment; `time_to_live` in microseconds.
+    /// Sends an increment; `time_to_live` is in microseconds.
     pub(super) fn add_to_counter(&mut self, key: CounterKey, amount: f64, time_to_live: u64) {
         let Some(counter) = &mut self.counter else {
             return;
@@ -21,7 +21,7 @@
         self.on_counter_results(results);
     }
 
-    /// All calls have the same time-out, so the earliest one times out first and one timer serves all.
+    /// Sets the timer of the next time-out. All counter calls have the same time-out and expire in order, so one timer serves all.
     fn set_counter_timer(&mut self) {
         let Some(deadline) = self.counter.as_mut().and_then(CounterClient::next_timeout) else {
             return;
@@ -34,7 +34,7 @@
         self.set_timer(after, TimerPurpose::CounterTimeout);
     }
 
-    /// The earliest counter call may have timed out.
+    /// Handles the timer of counter calls: the earliest one may have timed out.
     pub(super) fn on_counter_timeout(&mut self) {
         self.is_counter_timer_set = false;
         let Some(counter) = &mut self.counter else {
--- a/crates/grpc-gateway/src/gateway_server/endpoint_list.rs
+++ b/crates/grpc-gateway/src/gateway_server/endpoint_list.rs
@@ -1,24 +1,27 @@
-//! The endpoint list: read when its file changes, and passed to connections, sites and decisions.
+//! Reads the endpoint list when its file changes and passes it to the connections, the sites and the decisions.
 
 use super::{GatewayServer, TimerPurpose};
-use crate::endpoints::{self, EndpointListError, Server};
+use crate::endpoints::{self, EndpointListError, ListedEndpoint};
 use crate::fault::Fault;
 use chalkdeck::api::{EndpointEntry, EndpointState, Event, Outcome, UpdateScope};
 use chalkdeck_net::file_watch::FileWatchError;
 
 impl GatewayServer {
-    /// Reads the endpoint list if its file has changed. An invalid one leaves the last valid list in force.
+    /// Reads the endpoint list if its file has changed. If it is invalid, the last valid list stays in use.
     pub(super) fn poll_endpoint_list(&mut self) {
-        self.set_timer(self.settings.poll, TimerPurpose::EndpointPoll);
+        self.set_timer(
+            self.settings.endpoint_poll_interval,
+            TimerPurpose::EndpointPoll,
+        );
         self.endpoint_connections.close_idle(&mut self.engine);
         let Some(content) = self.endpoint_file.poll() else {
             return;
         };
         match self.parse_endpoint_list(content) {
-            Ok(servers) => {
-                tracing::info!(endpoints = servers.len(), "endpoint list read");
-                self.metrics.endpoints.set(servers.len() as i64);
-                self.apply_endpoint_list(servers);
+            Ok(listed) => {
+                tracing::info!(endpoints = listed.len(), "endpoint list read");
+                self.metrics.endpoints.set(listed.len() as i64);
+                self.apply_endpoint_list(listed);
             }
             Err(error) => {
                 self.metrics.endpoint_list_failures.inc();
@@ -35,21 +38,21 @@
     fn parse_endpoint_list(
         &self,
         content: Result<Vec<u8>, FileWatchError>,
-    ) -> Result<Vec<Server>, EndpointListError> {
-        let servers = endpoints::parse(self.endpoint_file.path(), &content?)?;
-        Ok(servers)
+    ) -> Result<Vec<ListedEndpoint>, EndpointListError> {
+        let listed = endpoints::parse(self.endpoint_file.path(), &content?)?;
+        Ok(listed)
     }
 
-    /// Puts a list in force.
-    pub(crate) fn apply_endpoint_list(&mut self, mut servers: Vec<Server>) {
-        self.hold_back_endpoints(&mut servers);
-        let unsent = self.endpoint_connections.update(&mut self.engine, &servers);
-        for attempt in unsent {
+    /// Applies an endpoint list.
+    pub(crate) fn apply_endpoint_list(&mut self, mut listed: Vec<ListedEndpoint>) {
+        self.hold_back_endpoints(&mut listed);
+        let waiting = self.endpoint_connections.update(&mut self.engine, &listed);
+        for attempt in waiting {
             self.end_attempt(attempt, Outcome::ConnectFailed, false);
         }
-        self.report_endpoint_list(&servers);
+        self.report_endpoint_list(&listed);
         let mut entries: Vec<EndpointEntry> =
-            servers.into_iter().map(|server| server.entry).collect();
+            listed.into_iter().map(|endpoint| endpoint.entry).collect();
         self.inject_list_fault(&mut entries);
         self.decisions.push(Event::EndpointsUpdated {
             scope: UpdateScope::Complete,
@@ -63,7 +66,7 @@
                 entry.state = EndpointState::InService;
             }
             if self.fault == Some(Fault::Cold) && entry.started_at.is_some() {
-                self.freshest = Some(entry.endpoint);
+                self.newest_endpoint = Some(entry.endpoint);
             }
         }
     }
--- a/crates/grpc-gateway/src/gateway_server/event_loop.rs
+++ b/crates/grpc-gateway/src/gateway_server/event_loop.rs
@@ -1,4 +1,4 @@
-//! The loop: waits for events of the sockets, passes each to its part, and carries out the actions of the decisions.
+//! The event loop: waits for socket events, dispatches them to their handlers, and executes the actions of the decisions.
 
 use super::{GatewayServer, TimerPurpose};
 use crate::endpoint_connections::AttemptId;
@@ -7,14 +7,14 @@
 use chalkdeck_net::Event as NetEvent;
 use std::io;
 
-/// The longest wait of the loop, in microseconds; signals are checked that often.
+/// The longest wait for events, in microseconds, and with it the interval at which signals are checked.
 pub(super) const MAX_WAIT: u64 = 100_000;
 
 impl GatewayServer {
-    /// Serves calls until a signal asks for a shutdown and that is complete, at the latest by the longest deadline.
+    /// Serves calls until a signal requests a shutdown and the shutdown is complete. It takes at most the longest deadline of a class.
     ///
     /// # Errors
-    /// The system call that waits has failed.
+    /// The system call that waits for events failed.
     pub fn run(&mut self, signals: &Signals) -> io::Result<()> {
         loop {
             self.turn(MAX_WAIT)?;
@@ -30,10 +30,10 @@
         }
     }
 
-    /// Waits for events, at most so many microseconds, and handles them.
+    /// Waits for events, at most `max_wait` microseconds, and handles them.
     ///
     /// # Errors
-    /// The system call that waits has failed.
+    /// The system call that waits for events failed.
     pub fn turn(&mut self, max_wait: u64) -> io::Result<()> {
         let mut events = std::mem::take(&mut self.events);
         self.engine
@@ -73,15 +73,15 @@
                 ended,
             } => self.on_head(stream, head, ended),
             NetEvent::Data { stream, data } => self.on_data(stream, data),
-            NetEvent::End { stream, trailers } => self.on_end(stream, trailers),
-            NetEvent::Sent { stream, bytes } => self.on_sent(stream, bytes),
-            NetEvent::StreamFailed { stream, error } => self.on_broken(stream, error),
+            NetEvent::End { stream, trailers } => self.on_stream_ended(stream, trailers),
+            NetEvent::Sent { stream, bytes } => self.on_bytes_sent(stream, bytes),
+            NetEvent::StreamFailed { stream, error } => self.on_stream_failed(stream, error),
             NetEvent::Timer(token) => self.on_timer(token),
             NetEvent::Get { conn, path } => self.on_get(conn, &path),
         }
     }
 
-    /// Passes pending events to the decisions and carries out their actions, until none follows.
+    /// Passes pending events to the decisions and executes their actions until there are no more.
     pub(super) fn run_decisions(&mut self) {
         while let Some(action) = self.decisions.next_action(self.now()) {
             self.run_action(&action);
@@ -114,7 +114,7 @@
                 self.set_timer(after.as_micros(), TimerPurpose::Decision(timer));
             }
             Action::FetchEndpoints => self.poll_endpoint_list(),
-            // The settings allow neither probes nor subscriptions: the list's file is watched.
+            // The settings enable neither probes nor subscriptions; the endpoint list's file is polled instead.
             Action::Probe(_) | Action::Subscribe => {}
         }
     }
--- a/crates/grpc-gateway/src/gateway_server/mod.rs
+++ b/crates/grpc-gateway/src/gateway_server/mod.rs
@@ -1,6 +1,6 @@
-//! One gateway on real sockets: what happens there is raised as events of the decisions, and each action that follows is carried
-//! out. Nothing is sent, rejected, failed, retried or cancelled that was not decided there; only a client's own deadline on a
-//! response that has started is handled as the client's cancellation.
+//! A gateway on real sockets: it passes events to the decisions and executes the resulting actions. All sending, rejecting, failing,
+//! retrying and cancelling of calls is decided there, with one exception: when the client's own deadline passes after a response
+//! has started, the gateway treats it as a cancellation by the client.
 
 mod admin;
 mod counter_calls;
@@ -36,7 +36,7 @@
     pub(crate) engine: Engine,
     pub(crate) decisions: Decisions,
     pub(crate) settings: Settings,
-    /// Where settings are read again from.
+    /// The file that a reload reads; `None`: settings can't be reloaded.
     settings_file: Option<PathBuf>,
     listener: ListenerId,
     listen_address: SocketAddr,
@@ -52,24 +52,24 @@
     endpoint_file: FileWatch,
     pub(crate) metrics: Metrics,
     timers: TimerQueue<TimerPurpose>,
-    /// Events of one turn; kept for its allocation.
+    /// Buffer for the events of one turn, reused to avoid allocations.
     events: Vec<NetEvent>,
-    /// When a shutdown ends at the latest, by the loop's clock; `None`: none has begun.
+    /// When a shutdown ends at the latest, in microseconds of the loop's clock; `None`: none is in progress.
     shutdown_deadline: Option<u64>,
     pub(crate) fault: Option<Fault>,
-    /// What [`Fault::Leak`] has left behind.
+    /// The resources that [`Fault::Leak`] has leaked.
     pub(crate) leaked: Vec<Leaked>,
     /// Whether settings were reloaded, for [`Fault::Shut`].
     pub(crate) has_reloaded: bool,
-    /// Whether the timer of the next counter call's time-out is set.
+    /// Whether the timer of the next counter time-out is set.
     is_counter_timer_set: bool,
-    /// The endpoint that gets all attempts under [`Fault::Cold`].
-    pub(crate) freshest: Option<EndpointId>,
+    /// The endpoint that receives all attempts under [`Fault::Cold`].
+    pub(crate) newest_endpoint: Option<EndpointId>,
 }
 
 impl GatewayServer {
-    /// Injects a fault, for audits that must find it.
-    pub fn inject(&mut self, fault: Fault) {
+    /// Injects a fault that the audits have to detect.
+    pub fn inject_fault(&mut self, fault: Fault) {
         tracing::warn!(
             ?fault,
             "fault injection is on: safety rules will be violated"
@@ -78,22 +78,22 @@
     }
 
     /// The address that accepts calls.
-    pub fn listen(&self) -> SocketAddr {
+    pub fn listen_address(&self) -> SocketAddr {
         self.listen_address
     }
 
     /// The address of the admin port.
-    pub fn admin(&self) -> Option<SocketAddr> {
+    pub fn admin_address(&self) -> Option<SocketAddr> {
         self.admin_address
     }
 
-    /// The number of calls without their final answer.
-    pub fn open_calls(&self) -> usize {
-        self.calls.open
+    /// The number of calls without a final answer.
+    pub fn open_call_count(&self) -> usize {
+        self.calls.open_count
     }
 
-    /// The metrics as the admin port serves them.
-    pub fn metrics(&self) -> String {
+    /// The metrics in the text format of the admin port.
+    pub fn metrics_text(&self) -> String {
         self.metrics.text()
     }
 }
--- a/crates/grpc-gateway/src/gateway_server/reload.rs
+++ b/crates/grpc-gateway/src/gateway_server/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that are read again while the gateway runs.
+//! Reload of the settings while the gateway runs.
 
 use super::GatewayServer;
 use crate::base::settings::Settings;
@@ -6,7 +6,7 @@
 use chalkdeck_net::file_watch::FileWatch;
 
 impl GatewayServer {
-    /// Reads the settings again and applies what can change while the gateway runs. The rest needs a restart.
+    /// Reloads the settings. Rejects the reload if the new settings are invalid or change what needs a restart.
     pub fn reload(&mut self) {
         let Some(file) = &self.settings_file else {
             return;
@@ -23,8 +23,8 @@
             );
             return;
         }
-        if new.endpoints != self.settings.endpoints {
-            self.endpoint_file = FileWatch::new(new.endpoints.clone());
+        if new.endpoints_file != self.settings.endpoints_file {
+            self.endpoint_file = FileWatch::new(new.endpoints_file.clone());
         }
         self.settings = new;
         self.has_reloaded = true;
@@ -35,14 +35,14 @@
     }
 }
 
-/// Whether the settings differ in what is fixed at the start.
+/// Whether the settings differ in a field that can't change without a restart.
 fn needs_restart(old: &Settings, new: &Settings) -> bool {
-    // Settings of the decisions can't be compared; their debug form has every field.
+    // The settings of the decisions don't implement `PartialEq`; their debug output contains every field.
     format!("{:?}", old.policy) != format!("{:?}", new.policy)
         || old.listen != new.listen
         || old.admin != new.admin
-        || old.sites != new.sites
-        || old.counter != new.counter
+        || old.is_site_failover_enabled != new.is_site_failover_enabled
+        || old.counter_addresses != new.counter_addresses
         || old.resp != new.resp
         || old.coordinator != new.coordinator
 }
--- a/crates/grpc-gateway/src/gateway_server/shutdown.rs
+++ b/crates/grpc-gateway/src/gateway_server/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: nothing new is accepted, open calls are finished, streams without an end are aborted.
+//! Graceful shutdown: accepts no new connections, finishes open calls, and aborts those that outlast the longest deadline.
 
 use super::event_loop::MAX_WAIT;
 use super::GatewayServer;
@@ -6,13 +6,13 @@
 use chalkdeck_net::grpc::Code;
 use std::io;
 
-/// The wait of one turn while the last responses are written, in microseconds.
+/// The longest wait of one turn while the last responses are written, in microseconds.
 const FLUSH_WAIT: u64 = 1_000;
-/// Turns after the last stream has ended, so that its bytes leave the sockets.
+/// The number of turns after the last stream has ended, which write its remaining bytes to the socket.
 const FINAL_TURNS: usize = 3;
 
 impl GatewayServer {
-    /// Begins a graceful shutdown: clients are asked to open nothing new, and open calls are finished.
+    /// Starts a graceful shutdown: asks clients to open no new calls (GOAWAY), and lets open ones finish.
     pub fn shut_down(&mut self) {
         if self.shutdown_deadline.is_some() {
             return;
@@ -23,13 +23,13 @@
         self.resp_stop();
         self.resign_leaderships();
         tracing::info!(
-            open = self.calls.open,
+            open = self.calls.open_count,
             "graceful shutdown: rejecting new calls, finishing open ones"
         );
     }
 
-    /// Whether a shutdown is complete: nothing is open and no client is left that could still open something, or the longest
-    /// deadline has passed. Calls that a client opens before it has read that it must not are accepted and answered.
+    /// Whether a shutdown is complete: no call is open and no client is connected that could open one, or the longest deadline has
+    /// passed. Calls that a client opens before it reads the GOAWAY are accepted and answered.
     pub fn is_shut_down(&self) -> bool {
         if self.fault == Some(Fault::Linger) {
             return false;
@@ -39,7 +39,7 @@
     }
 
     fn has_no_clients(&self) -> bool {
-        self.calls.open == 0
+        self.calls.open_count == 0
             && self.engine.connections_of(self.listener) == 0
             && self.resp_is_alone()
     }
@@ -54,7 +54,7 @@
             .unwrap_or(0)
     }
 
-    /// Aborts what is still open, which are streams without an end of their own, and flushes the sockets.
+    /// Aborts the calls that are still open, which are streams that outlast the deadline, and flushes the sockets.
     pub(super) fn finish_shutdown(&mut self) -> io::Result<()> {
         for id in self.calls.open_ids() {
             self.abort_call(id, Code::Unavailable, "the gateway stops");
--- a/crates/grpc-gateway/src/gateway_server/startup.rs
+++ b/crates/grpc-gateway/src/gateway_server/startup.rs
@@ -1,7 +1,7 @@
-//! How a gateway starts: sockets are bound, files read, parts created.
+//! Starts a gateway: binds the sockets, reads its files and creates its components.
 
 use super::GatewayServer;
-use crate::base::failed::StartError;
+use crate::base::errors::StartError;
 use crate::base::settings::Settings;
 use crate::calls::Calls;
 use crate::coordinator_link::CoordinatorLink;
@@ -19,8 +19,8 @@
 use std::path::PathBuf;
 
 impl GatewayServer {
-    /// Binds the sockets and reads the endpoint list. `shared`: other instances listen at the same address.
-    /// `settings_file`: where settings are read again from.
+    /// Binds the sockets and reads the endpoint list. `settings_file`: the file that a reload reads. `seed`: seeds the random choices
+    /// of the decisions. `shared`: other instances listen at the same addresses.
     ///
     /// # Errors
     /// See [`StartError`].
@@ -32,7 +32,7 @@
     ) -> Result<GatewayServer, StartError> {
         let mut engine = Engine::new().map_err(StartError::Poll)?;
         let mut bind = |address, http1| {
-            let bound = engine.listen(address, settings.front, shared, http1);
+            let bound = engine.listen(address, settings.client_limits, shared, http1);
             bound.map_err(|source| StartError::Listen { address, source })
         };
         let (listener, listen_address) = bind(settings.listen, false)?;
@@ -42,11 +42,11 @@
         };
         let decision_engine = DecisionEngine::new(seed, settings.policy.clone())?;
         let resp = start_resp(&mut engine, &settings)?;
-        let counter = CounterClient::new(&settings.counter, engine.now());
+        let counter = CounterClient::new(&settings.counter_addresses, engine.now());
         let now = Timestamp::from_micros(engine.now());
         let coordinator = CoordinatorLink::from_settings(&settings, now)?;
         let sites = settings
-            .sites
+            .is_site_failover_enabled
             .then(|| SiteMonitor::new(&settings))
             .transpose()?;
         let mut gateway = GatewayServer {
@@ -59,15 +59,15 @@
             calls: Calls::default(),
             counter,
             resp,
-            request_queue: settings.door.clone().map(RequestQueue::new),
+            request_queue: settings.admission_queue.clone().map(RequestQueue::new),
             sites,
             coordinator,
             endpoint_connections: EndpointConnections::new(
-                settings.server_connections,
-                settings.server_streams,
-                settings.keepalive,
+                settings.max_connections_per_endpoint,
+                settings.max_streams_per_connection,
+                settings.keepalive_interval,
             ),
-            endpoint_file: FileWatch::new(settings.endpoints.clone()),
+            endpoint_file: FileWatch::new(settings.endpoints_file.clone()),
             metrics: Metrics::new(&settings.class_names, &settings.plan_names),
             timers: TimerQueue::default(),
             events: Vec::new(),
@@ -76,15 +76,15 @@
             leaked: Vec::new(),
             has_reloaded: false,
             is_counter_timer_set: false,
-            freshest: None,
+            newest_endpoint: None,
             settings,
         };
-        gateway.begin();
+        gateway.start_polling();
         Ok(gateway)
     }
 
-    /// Reads the endpoint list and sets the first timers.
-    fn begin(&mut self) {
+    /// Polls the endpoint list, the site plan and the coordinator for the first time, which sets their timers.
+    fn start_polling(&mut self) {
         self.poll_endpoint_list();
         if self.sites.is_some() {
             self.refresh_site_plan();
--- a/crates/grpc-gateway/src/gateway_server/timers.rs
+++ b/crates/grpc-gateway/src/gateway_server/timers.rs
@@ -1,21 +1,23 @@
-//! Timers of the loop: what each is for, and what happens when it fires.
+//! The timers of the event loop: their purposes and handlers.
 
 use super::GatewayServer;
 use crate::endpoint_connections::AttemptId;
 use chalkdeck::api::{Event, RequestId, TimerId, Timestamp};
 use chalkdeck_net::ConnId;
 
-/// What a timer of the loop is for.
+/// The purpose of a timer.
 #[derive(Clone, Copy)]
 pub(crate) enum TimerPurpose {
     /// A timer that the decisions have set.
     Decision(TimerId),
     AttemptTimeout(AttemptId),
-    /// A RESP client's lease on its admitted request ends.
+    /// The lease of a RESP client on an admitted request expires.
     RespLease(RequestId),
-    /// A RESP client may have stopped reading or writing.
+    /// Checks whether a RESP client has stopped reading or writing.
     RespStallCheck(ConnId),
+    /// Resumes a paused RESP connection in the next turn, so that a long pipeline does not delay other clients.
     RespResume(ConnId),
+    /// The deadline of a call whose response has started passes.
     ClientDeadline(RequestId),
     CounterTimeout,
     ConnectTimeout(ConnId),
@@ -25,17 +27,17 @@
 }
 
 impl GatewayServer {
-    /// The loop's clock, as deciding code takes it.
+    /// The time of the loop's clock, in the type that the decisions use.
     pub(crate) fn now(&self) -> Timestamp {
         Timestamp::from_micros(self.engine.now())
     }
 
-    /// Sets a timer that fires after so many microseconds.
+    /// Sets a timer that fires after `after` microseconds.
     pub(crate) fn set_timer(&mut self, after: u64, purpose: TimerPurpose) {
         self.timers.set(&mut self.engine, after, purpose);
     }
 
-    /// A timer of the loop has fired.
+    /// Handles a timer that has fired.
     pub(super) fn on_timer(&mut self, token: u64) {
         let Some(purpose) = self.timers.take(token) else {
             return;
--- a/crates/grpc-gateway/src/lib.rs
+++ b/crates/grpc-gateway/src/lib.rs
@@ -1,7 +1,7 @@
-//! The gRPC gateway as a library: its settings, the server that carries calls, and its RESP port.
+//! The gRPC gateway as a library: its settings, the server that forwards calls, and its RESP port.
 //!
-//! The decisions are those of the package `chalkdeck`; this package raises their events from what happens on sockets and carries
-//! out their actions.
+//! The package `chalkdeck` makes the decisions. This package translates what happens on sockets into its events and executes its
+//! actions.
 #![forbid(unsafe_code)]
 
 mod attempt_outcome;
@@ -25,6 +25,6 @@
 mod site_overrides;
 pub mod sites;
 
-pub use base::failed::{CoordinatorError, SiteOverridesError, SiteRequestError, StartError};
+pub use base::errors::{CoordinatorError, SiteOverridesError, SiteRequestError, StartError};
 pub use gateway_server::GatewayServer;
 pub use settings::{Settings, SettingsError};
--- a/crates/grpc-gateway/src/logs.rs
+++ b/crates/grpc-gateway/src/logs.rs
@@ -2,7 +2,7 @@
 
 use tracing_subscriber::EnvFilter;
 
-/// Starts logging at a level, as text or JSON lines. A second start changes nothing.
+/// Starts logging at a level, as text or JSON lines. Later calls have no effect.
 pub fn start(level: &str, json: bool) {
     let filter =
         EnvFilter::try_new(format!("{level},h2=warn")).unwrap_or_else(|_| EnvFilter::new("info"));
--- a/crates/grpc-gateway/src/relay.rs
+++ b/crates/grpc-gateway/src/relay.rs
@@ -1,4 +1,4 @@
-//! A bare relay on the same sockets, without the decisions: the yardstick for what those cost.
+//! A plain gRPC proxy on the same event loop, without the decisions: the baseline for measuring their cost.
 
 use bytes::Bytes;
 use chalkdeck_net::grpc::{self, Code};
@@ -9,47 +9,55 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Passes each call to the next of its servers, in turn.
+/// A plain proxy that forwards calls to its servers in round-robin order.
 pub struct Relay {
     engine: Engine,
-    listen: SocketAddr,
+    listen_address: SocketAddr,
     servers: Vec<SocketAddr>,
-    conns: Vec<Option<ConnId>>,
-    turn: usize,
-    peer: HashMap<StreamId, StreamId>,
-    backs: HashSet<StreamId>,
+    /// One for each server; `None`: it is closed.
+    connections: Vec<Option<ConnId>>,
+    last_server: usize,
+    /// The client's stream of each server stream, and the reverse.
+    peer_stream: HashMap<StreamId, StreamId>,
+    server_streams: HashSet<StreamId>,
 }
 
 impl Relay {
-    /// Binds the socket and connects to the servers. Errors: an address that cannot be bound.
+    /// Binds the socket and connects to the servers.
+    ///
+    /// # Errors
+    /// The address cannot be bound.
     pub fn start(listen: SocketAddr, servers: Vec<SocketAddr>) -> io::Result<Relay> {
         let mut engine = Engine::new()?;
-        let (_, listen) = engine.listen(listen, Limits::default(), false, false)?;
-        let conns = vec![None; servers.len()];
+        let (_, listen_address) = engine.listen(listen, Limits::default(), false, false)?;
+        let connections = vec![None; servers.len()];
         let mut relay = Relay {
             engine,
-            listen,
+            listen_address,
             servers,
-            conns,
-            turn: 0,
-            peer: HashMap::new(),
-            backs: HashSet::new(),
+            connections,
+            last_server: 0,
+            peer_stream: HashMap::new(),
+            server_streams: HashSet::new(),
         };
         relay.connect();
         Ok(relay)
     }
-    /// Where calls come in.
-    pub fn listen(&self) -> SocketAddr {
-        self.listen
+    /// The address that accepts calls.
+    pub fn listen_address(&self) -> SocketAddr {
+        self.listen_address
     }
     fn connect(&mut self) {
-        for (slot, address) in self.conns.iter_mut().zip(&self.servers) {
-            if slot.is_none() {
-                *slot = self.engine.connect(*address, Limits::default()).ok();
+        for (connection, address) in self.connections.iter_mut().zip(&self.servers) {
+            if connection.is_none() {
+                *connection = self.engine.connect(*address, Limits::default()).ok();
             }
         }
     }
-    /// Carries calls until it is asked to stop.
+    /// Forwards calls until a signal requests a stop.
+    ///
+    /// # Errors
+    /// The system call that waits for events failed.
     pub fn run(&mut self, signals: &Signals) -> io::Result<()> {
         let mut events = Vec::new();
         while !signals.stop() {
@@ -68,42 +76,45 @@
                 head,
                 ended,
             } => {
-                let Some(&front) = self.peer.get(&stream) else {
+                let Some(&client_stream) = self.peer_stream.get(&stream) else {
                     return;
                 };
                 self.engine
-                    .respond(front, http::Response::from_parts(*head, ()), ended);
+                    .respond(client_stream, http::Response::from_parts(*head, ()), ended);
                 if ended {
-                    self.forget(front, stream);
+                    self.remove_streams(client_stream, stream);
                 }
             }
             Event::Data { stream, data } => self.on_data(stream, data),
             Event::End { stream, trailers } => {
-                let Some(&other) = self.peer.get(&stream) else {
+                let Some(&other) = self.peer_stream.get(&stream) else {
                     return;
                 };
                 self.engine.finish(other, trailers);
-                // The server's end is the call's.
-                if self.backs.contains(&stream) {
-                    self.forget(other, stream);
+                // A call ends when the server ends its stream.
+                if self.server_streams.contains(&stream) {
+                    self.remove_streams(other, stream);
                 }
             }
             Event::Sent { stream, bytes } => {
-                let Some(&other) = self.peer.get(&stream) else {
+                let Some(&other) = self.peer_stream.get(&stream) else {
                     return;
                 };
                 self.engine.consume(other, bytes);
             }
             Event::StreamFailed { stream, .. } => {
-                let Some(&other) = self.peer.get(&stream) else {
+                let Some(&other) = self.peer_stream.get(&stream) else {
                     return;
                 };
                 self.engine.reset(other, h2::Reason::CANCEL);
-                self.forget(stream, other);
+                self.remove_streams(stream, other);
             }
             Event::Closed { conn, .. } => {
-                let gone = self.conns.iter_mut().filter(|c| **c == Some(conn));
-                gone.for_each(|slot| *slot = None);
+                let closed = self
+                    .connections
+                    .iter_mut()
+                    .filter(|connection| **connection == Some(conn));
+                closed.for_each(|connection| *connection = None);
             }
             Event::Accepted { .. }
             | Event::Connected { .. }
@@ -112,36 +123,37 @@
             | Event::Bytes { .. } => {}
         }
     }
-    fn on_call(&mut self, front: StreamId, head: &request::Parts) {
+    fn on_call(&mut self, client_stream: StreamId, head: &request::Parts) {
         self.connect();
-        self.turn = (self.turn + 1) % self.servers.len();
-        let request = grpc::request(&self.servers[self.turn].to_string(), head.uri.path());
-        let opened = request
-            .zip(self.conns[self.turn])
-            .and_then(|(mut request, conn)| {
-                request.headers_mut().extend(head.headers.clone());
-                self.engine.open(conn, request, false)
-            });
-        let Some(back) = opened else {
+        self.last_server = (self.last_server + 1) % self.servers.len();
+        let request = grpc::request(&self.servers[self.last_server].to_string(), head.uri.path());
+        let opened =
+            request
+                .zip(self.connections[self.last_server])
+                .and_then(|(mut request, conn)| {
+                    request.headers_mut().extend(head.headers.clone());
+                    self.engine.open(conn, request, false)
+                });
+        let Some(server_stream) = opened else {
             let trailers = grpc::trailers(Code::Unavailable, "no connection");
             return self
                 .engine
-                .respond(front, grpc::trailers_only(trailers), true);
+                .respond(client_stream, grpc::trailers_only(trailers), true);
         };
-        self.peer.insert(front, back);
-        self.peer.insert(back, front);
-        self.backs.insert(back);
+        self.peer_stream.insert(client_stream, server_stream);
+        self.peer_stream.insert(server_stream, client_stream);
+        self.server_streams.insert(server_stream);
     }
     fn on_data(&mut self, stream: StreamId, data: Bytes) {
-        match self.peer.get(&stream) {
+        match self.peer_stream.get(&stream) {
             Some(&other) => self.engine.send(other, data),
             None => self.engine.consume(stream, data.len()),
         }
     }
-    fn forget(&mut self, a: StreamId, b: StreamId) {
-        self.peer.remove(&a);
-        self.peer.remove(&b);
-        self.backs.remove(&a);
-        self.backs.remove(&b);
+    fn remove_streams(&mut self, stream: StreamId, other: StreamId) {
+        self.peer_stream.remove(&stream);
+        self.peer_stream.remove(&other);
+        self.server_streams.remove(&stream);
+        self.server_streams.remove(&other);
     }
 }
--- a/crates/grpc-gateway/src/request_buffer.rs
+++ b/crates/grpc-gateway/src/request_buffer.rs
@@ -1,10 +1,11 @@
-//! The body of a request while it may have to be sent again, and the flow control of the client's stream.
+//! Buffers the body of a request for retries and tracks the flow control of the client's stream.
 //!
-//! At most `limit` bytes and one window are buffered. A longer body is discarded as it is sent, and cannot be sent again.
+//! At most `limit` bytes and one flow-control window are buffered. A longer body is discarded once it is forwarded;
+//! the call can't be retried then.
 
 use bytes::Bytes;
 
-/// The body of one request.
+/// The buffered body of one request.
 #[derive(Debug, Default)]
 pub(crate) struct RequestBuffer {
     chunks: Vec<Bytes>,
@@ -14,25 +15,25 @@
     /// Received bytes whose flow-control window was returned to the client.
     returned_bytes: usize,
     is_discarded: bool,
-    /// Whether the client has sent all of it.
+    /// Whether the client has sent the whole body.
     pub(crate) is_complete: bool,
 }
 
-/// What follows from received bytes.
+/// The result of [`RequestBuffer::append`].
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(crate) struct Appended {
     /// Bytes of window to return to the client now.
     pub(crate) window: usize,
-    /// Whether the body was discarded by this.
+    /// Whether the body became too long and was discarded now.
     pub(crate) is_discarded: bool,
 }
 
-/// What an attempt sends first.
+/// The bytes that a new attempt sends first.
 pub(crate) struct Replay {
     pub(crate) chunks: Vec<Bytes>,
-    /// The first bytes of it whose window was returned before.
+    /// The number of bytes at its beginning whose window was already returned.
     pub(crate) returned_bytes: usize,
-    /// Whether the body was discarded by this.
+    /// Whether the body was too long and was discarded now.
     pub(crate) is_discarded: bool,
 }
 
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Takes received bytes. If no attempt forwards them at once, their window is returned as long as the buffer has room.
+    /// Appends received bytes. If no attempt forwards them at once, their window is returned while the buffer has room.
     pub(crate) fn append(&mut self, data: &Bytes, is_forwarded: bool) -> Appended {
         self.received_bytes += data.len();
         if self.is_discarded {
@@ -68,7 +69,7 @@
         }
     }
 
-    /// An attempt starts and sends all bytes that were received so far.
+    /// Returns all bytes received so far, for a new attempt.
     pub(crate) fn replay(&mut self) -> Replay {
         let unreturned = self.received_bytes - self.returned_bytes;
         let returned_bytes = self.buffered_bytes - unreturned.min(self.buffered_bytes);
@@ -81,8 +82,8 @@
         }
     }
 
-    /// Takes into account that an attempt has sent bytes, of which the first `returned_bytes` need no window any more. Returns the
-    /// bytes of window to return to the client.
+    /// Records that an attempt sent bytes; the window of its next `returned_bytes` was already returned. Returns the bytes of window
+    /// to return to the client.
     pub(crate) fn record_sent(&mut self, returned_bytes: &mut usize, bytes: usize) -> usize {
         let already_returned = bytes.min(*returned_bytes);
         *returned_bytes -= already_returned;
@@ -92,7 +93,7 @@
         window
     }
 
-    /// Frees the body of a call that is over.
+    /// Frees the body of a completed call.
     pub(crate) fn clear(&mut self) {
         self.chunks = Vec::new();
     }
--- a/crates/grpc-gateway/src/request_buffer/tests.rs
+++ b/crates/grpc-gateway/src/request_buffer/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn short_body_is_buffered_and_sent_again_whole() {
+fn short_body_is_buffered_and_replayed_whole() {
     let mut buffer = RequestBuffer::new(10, false);
     assert_eq!(
         buffer.append(&bytes(6), false),
@@ -30,13 +30,13 @@
         assert_eq!(
             buffer.record_sent(&mut replay.returned_bytes, 6),
             0,
-            "its window was returned on arrival"
+            "its window was returned when it was received"
         );
     }
 }
 
 #[test]
-fn long_body_makes_the_client_wait_and_is_sent_once() {
+fn long_body_withholds_window_and_is_sent_once() {
     let mut buffer = RequestBuffer::new(10, false);
     assert_eq!(buffer.append(&bytes(8), false).window, 8);
     assert_eq!(
@@ -45,7 +45,7 @@
             window: 0,
             is_discarded: false
         },
-        "the client waits"
+        "no window is returned beyond the limit"
     );
     let mut replay = buffer.replay();
     assert!(replay.is_discarded && replay.returned_bytes == 8);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn body_that_outgrows_the_limit_while_it_is_sent_is_discarded_once() {
+fn body_that_exceeds_the_limit_while_it_is_sent_is_discarded_once() {
     let mut buffer = RequestBuffer::new(10, false);
     buffer.replay();
     let discarded: Vec<bool> = (0..4)
--- a/crates/grpc-gateway/src/request_queue.rs
+++ b/crates/grpc-gateway/src/request_queue.rs
@@ -1,15 +1,15 @@
-//! The fair queue between the arrival of requests and the decisions.
+//! Passes requests through the fair admission queue to the decisions.
 
 use crate::gateway_server::GatewayServer;
 use chalkdeck::api::{Event, IncomingRequest, RequestId, TimeDelta, Timestamp};
 use chalkdeck_admission_queue::{self as admission_queue, FairQueue, Settings, Verdict};
 use rustc_hash::FxHashMap;
 
-/// The fair queue and the requests that wait in it.
+/// The fair admission queue and the requests that wait in it.
 pub(crate) struct RequestQueue {
     queue: FairQueue,
     waiting: FxHashMap<RequestId, IncomingRequest>,
-    /// Verdicts of one turn; kept for its allocation.
+    /// Buffer for the verdicts of one turn, reused to avoid allocations.
     verdicts: Vec<Verdict>,
 }
 
@@ -25,7 +25,7 @@
 }
 
 impl GatewayServer {
-    /// A request has arrived: it goes through the queue, or to the decisions at once if there is none.
+    /// Adds a request to the queue; without a queue it goes to the decisions at once.
     pub(crate) fn enqueue_request(&mut self, request: IncomingRequest) {
         self.report_request_offered(&request);
         if self.request_queue.is_none() {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The request as the queue knows it.
+    /// The request in the form that the queue takes.
     fn queue_request(&self, now: Timestamp, request: &IncomingRequest) -> admission_queue::Request {
         let quota = self
             .decisions
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Passes the requests on that may leave the queue in this turn.
+    /// Passes the requests that the queue admits in this turn to the decisions.
     pub(crate) fn admit_queued_requests(&mut self) {
         let now = self.now();
         let Some(requests) = &mut self.request_queue else {
@@ -99,15 +99,15 @@
                 requests.waiting.remove(&id);
                 self.metrics.queue_rejections.inc();
                 let policy = &self.settings.policy;
-                let longest = policy.max_retry_after.as_micros();
-                let retry_after = retry_after.as_micros().min(longest);
+                let max_retry_after = policy.max_retry_after.as_micros();
+                let retry_after = retry_after.as_micros().min(max_retry_after);
                 let sent_retry_after = policy.send_retry_after.then_some(retry_after);
                 self.reject_call(id, sent_retry_after);
             }
         }
     }
 
-    /// How long the next turn may wait, in microseconds: at most `max_wait`, and not beyond the queue's next admission.
+    /// How long the next turn may wait for events, in microseconds: at most `max_wait`, and not beyond the queue's next admission.
     pub(crate) fn wait_until_queue_wakes(&self, max_wait: u64) -> u64 {
         let now = self.now();
         let next_wake = self
@@ -120,7 +120,7 @@
         }
     }
 
-    /// A request has left the queue for good: it is complete, or goes on without being counted.
+    /// Removes a request from the queue and from its count of requests in flight: it is complete, or its response streams.
     pub(crate) fn release_from_queue(&mut self, id: RequestId) {
         let Some(requests) = &mut self.request_queue else {
             return;
--- a/crates/grpc-gateway/src/resp/mod.rs
+++ b/crates/grpc-gateway/src/resp/mod.rs
@@ -56,7 +56,7 @@
 impl Resp {
     pub(crate) fn start(engine: &mut Engine, set: &RespSettings) -> io::Result<Resp> {
         let limits = Limits {
-            connections: set.connections,
+            connections: set.max_connections,
             ..Limits::default()
         };
         let (listener, listen) = engine.listen_raw(set.listen, limits)?;
@@ -203,7 +203,7 @@
                 units,
                 lease,
             } => {
-                let lease = lease.or(self.settings.resp.as_ref().map(|r| r.lease));
+                let lease = lease.or(self.settings.resp.as_ref().map(|r| r.default_lease));
                 self.resp_ask(conn, (&customer, "/CHALK.TAKE"), units, lease);
             }
             Command::Give { ticket, units } => {
@@ -260,7 +260,7 @@
         let Some(session) = resp.sessions.get_mut(&conn) else {
             return;
         };
-        let customer = CustomerId(crate::base::server::number_of(customer));
+        let customer = CustomerId(crate::base::listed_endpoint::hash_name(customer));
         resp.asks.insert(
             id,
             Ask {
@@ -277,7 +277,7 @@
             class: ClassId(class),
             plan,
             customer,
-            customer_gateways: self.settings.spread,
+            customer_gateways: self.settings.customer_gateways,
             deadline: Timestamp::from_micros(
                 now + self.settings.policy.classes[class].deadline.as_micros(),
             ),
@@ -397,7 +397,7 @@
         let now = Timestamp::from_micros(self.engine.now());
         let standing = self.decisions.engine.quota_status(
             now,
-            CustomerId(crate::base::server::number_of(customer)),
+            CustomerId(crate::base::listed_endpoint::hash_name(customer)),
             plan,
         );
         let numbers = [
--- a/crates/grpc-gateway/src/site_overrides.rs
+++ b/crates/grpc-gateway/src/site_overrides.rs
@@ -1,6 +1,6 @@
 //! Operators' overrides of sites, persisted over restarts: a gateway that starts in the middle of a drain must know of it.
 
-use crate::base::failed::SiteOverridesError;
+use crate::base::errors::SiteOverridesError;
 use chalkdeck_proto::chalkdeck::config::v1::HeldSites;
 use chalkdeck_proto::text;
 use std::collections::BTreeSet;
--- a/crates/grpc-gateway/src/sites/admin.rs
+++ b/crates/grpc-gateway/src/sites/admin.rs
@@ -2,8 +2,8 @@
 
 use super::monitor::site_of;
 use super::SiteMonitor;
-use crate::base::failed::SiteRequestError;
-use crate::base::server::zone_of;
+use crate::base::errors::SiteRequestError;
+use crate::base::listed_endpoint::zone_id_of;
 use crate::gateway_server::GatewayServer;
 use crate::site_overrides::SitePlacement;
 use chalkdeck_site_failover::{Event, SiteOverride};
@@ -83,7 +83,7 @@
     }
 
     fn require_known_site(&self, site_name: &str) -> Result<(), SiteRequestError> {
-        let known_name = self.names.get(&site_of(zone_of(site_name)));
+        let known_name = self.names.get(&site_of(zone_id_of(site_name)));
         if known_name.is_some_and(|known_name| known_name == site_name) {
             return Ok(());
         }
@@ -96,7 +96,7 @@
 
     fn set_override(&mut self, now: Timestamp, site_name: &str, site_override: SiteOverride) {
         let event = Event::OverrideSet {
-            site: site_of(zone_of(site_name)),
+            site: site_of(zone_id_of(site_name)),
             site_override,
         };
         self.handle(now, event);
--- a/crates/grpc-gateway/src/sites/events.rs
+++ b/crates/grpc-gateway/src/sites/events.rs
@@ -1,6 +1,6 @@
 //! Events of the failover core, raised from the endpoint list, calls, attempts and counter calls.
 
-use crate::base::server::Server;
+use crate::base::listed_endpoint::ListedEndpoint;
 use crate::counter_client::CounterResult;
 use crate::gateway_server::GatewayServer;
 use crate::metrics::CallEnd;
@@ -22,7 +22,7 @@
 
 impl GatewayServer {
     /// A new endpoint list is in force.
-    pub(crate) fn report_endpoint_list(&mut self, servers: &[Server]) {
+    pub(crate) fn report_endpoint_list(&mut self, servers: &[ListedEndpoint]) {
         let now = self.now();
         if let Some(sites) = &mut self.sites {
             sites.update_endpoints(now, servers);
--- a/crates/grpc-gateway/src/sites/monitor.rs
+++ b/crates/grpc-gateway/src/sites/monitor.rs
@@ -1,7 +1,7 @@
 //! The failover core together with the names of its sites and the operators' overrides.
 
-use crate::base::failed::SiteOverridesError;
-use crate::base::server::{zone_of, Server};
+use crate::base::errors::SiteOverridesError;
+use crate::base::listed_endpoint::{zone_id_of, ListedEndpoint};
 use crate::base::settings::Settings;
 use crate::site_overrides::SiteOverrides;
 use chalkdeck::api::{EndpointState, ZoneId};
@@ -36,7 +36,7 @@
             warm_up: settings.policy.slow_start_duration,
             overload_factor: settings.policy.overload_multiple,
         });
-        let overrides = SiteOverrides::load(settings.site_words.as_deref())?;
+        let overrides = SiteOverrides::load(settings.site_overrides_file.as_deref())?;
         Ok(SiteMonitor {
             core,
             names: BTreeMap::from([(own_site, settings.zone_name.clone())]),
@@ -46,7 +46,7 @@
     }
 
     /// Takes over a new endpoint list.
-    pub(super) fn update_endpoints(&mut self, now: Timestamp, servers: &[Server]) {
+    pub(super) fn update_endpoints(&mut self, now: Timestamp, servers: &[ListedEndpoint]) {
         for server in servers {
             let site = site_of(server.entry.zone);
             self.names.insert(site, server.zone_name.clone());
@@ -56,7 +56,7 @@
         // An override of an earlier process counts from the first list that names its site on.
         for name in self.overrides.out_of_service() {
             let event = Event::OverrideSet {
-                site: site_of(zone_of(name)),
+                site: site_of(zone_id_of(name)),
                 site_override: SiteOverride::HoldOut,
             };
             self.core.on(now, event);
@@ -84,7 +84,7 @@
     SiteId(zone.0)
 }
 
-fn endpoint_entry(server: &Server) -> EndpointEntry {
+fn endpoint_entry(server: &ListedEndpoint) -> EndpointEntry {
     EndpointEntry {
         endpoint: EndpointId(server.entry.endpoint.0),
         site: site_of(server.entry.zone),
--- a/crates/grpc-gateway/src/sites/plan.rs
+++ b/crates/grpc-gateway/src/sites/plan.rs
@@ -39,7 +39,7 @@
         let now = self.now();
         let Some(sites) = &mut self.sites else { return };
         let mut plan = sites.plan(now);
-        if !self.settings.site_floor {
+        if !self.settings.is_site_shedding_enabled {
             plan.threshold = SheddingThreshold::ADMIT_ALL;
         }
         let applied = sites.applied_plan.as_ref();
--- a/crates/grpc-gateway/tests/calls.rs
+++ b/crates/grpc-gateway/tests/calls.rs
@@ -277,5 +277,5 @@
             .iter()
             .all(|s| r.servers.seen[s].broken.is_some())
     });
-    rig.until("no call is held", |r| r.gateway.open_calls() == 0);
+    rig.until("no call is held", |r| r.gateway.open_call_count() == 0);
 }
--- a/crates/grpc-gateway/tests/common/mod.rs
+++ b/crates/grpc-gateway/tests/common/mod.rs
@@ -280,7 +280,7 @@
         let set = Settings::load(&file).expect("sound settings");
         let gateway = GatewayServer::start(set, Some(file), 7, false).expect("a gateway");
         let mut client = Peer::new();
-        let conn = client.connect(gateway.listen());
+        let conn = client.connect(gateway.listen_address());
         let (totals, adds, answered) = (HashMap::new(), 0, 0);
         let mut rig = Rig {
             gateway,
@@ -402,7 +402,7 @@
     }
     /// A figure of the gateway's own, summed over labels that contain `label`.
     pub fn metric(&mut self, name: &str, label: &str) -> f64 {
-        let text = self.gateway.metrics();
+        let text = self.gateway.metrics_text();
         let lines = text
             .lines()
             .filter(|l| l.starts_with(name) && l.contains(label));
--- a/crates/grpc-gateway/tests/flow.rs
+++ b/crates/grpc-gateway/tests/flow.rs
@@ -135,7 +135,7 @@
 #[test]
 fn a_flood_of_resets_ends_its_own_connection_alone() {
     let mut rig = Rig::new(1);
-    let bad = rig.client.connect(rig.gateway.listen());
+    let bad = rig.client.connect(rig.gateway.listen_address());
     rig.until("a second connection", |r| r.client.up.contains(&bad));
     let mut sent = 0;
     while !rig.client.closed.contains(&bad) && sent < 20_000 {
@@ -154,13 +154,13 @@
         "after {sent} resets it is closed"
     );
     others_are_served(&mut rig);
-    rig.until("nothing is held", |r| r.gateway.open_calls() == 0);
+    rig.until("nothing is held", |r| r.gateway.open_call_count() == 0);
 }
 
 #[test]
 fn a_flood_of_pings_keeps_nobody_waiting() {
     let mut rig = Rig::new(1);
-    let mut socket = TcpStream::connect(rig.gateway.listen()).expect("a connection");
+    let mut socket = TcpStream::connect(rig.gateway.listen_address()).expect("a connection");
     socket
         .set_nonblocking(true)
         .expect("a socket that does not wait");
@@ -192,7 +192,7 @@
         &[0xff; 300][..],
         b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\x09\x07\0",
     ] {
-        let mut socket = TcpStream::connect(rig.gateway.listen()).expect("a connection");
+        let mut socket = TcpStream::connect(rig.gateway.listen_address()).expect("a connection");
         socket.write_all(garbage).expect("it goes out");
         drop(socket);
         others_are_served(&mut rig);
--- a/crates/grpc-gateway/tests/life.rs
+++ b/crates/grpc-gateway/tests/life.rs
@@ -108,7 +108,7 @@
         ..
     } = &mut rig;
     std::thread::scope(|scope| {
-        let stopped = scope.spawn(|| gateway.run(&signals).map(|()| gateway.open_calls()));
+        let stopped = scope.spawn(|| gateway.run(&signals).map(|()| gateway.open_call_count()));
         servers.answer(stream, b"fine");
         let end = std::time::Instant::now() + std::time::Duration::from_secs(20);
         while !client.seen.get(&call).is_some_and(|s| s.ended) {
--- a/crates/grpc-gateway/tests/servers.rs
+++ b/crates/grpc-gateway/tests/servers.rs
@@ -118,7 +118,7 @@
         },
     ]));
     rig.until("the new list", |r| {
-        r.gateway.metrics().contains("chalkdeck_servers 2")
+        r.gateway.metrics_text().contains("chalkdeck_servers 2")
     });
     rig.pass(50);
     for i in 0..6 {
@@ -159,7 +159,7 @@
         health: "HEALTHY",
     }]));
     rig.until("the list", |r| {
-        r.gateway.metrics().contains("chalkdeck_servers 1")
+        r.gateway.metrics_text().contains("chalkdeck_servers 1")
     });
     let (begin, call) = (Instant::now(), rig.call(BUY, &[("grpc-timeout", "400m")]));
     assert_eq!(rig.ended(call), Code::DeadlineExceeded);
@@ -266,7 +266,7 @@
         health: "HEALTHY",
     }]));
     rig.until("the list", |r| {
-        r.gateway.metrics().contains("chalkdeck_servers 1")
+        r.gateway.metrics_text().contains("chalkdeck_servers 1")
     });
     let call = rig.call(BUY, &[]);
     let stream = rig.arrived(1);
@@ -280,7 +280,7 @@
     rig.relist("cluster_name: 7 endpoints {");
     rig.until("the list was looked at", |r| {
         r.gateway
-            .metrics()
+            .metrics_text()
             .contains("chalkdeck_server_list_failures_total 1")
     });
     let call = rig.call(BUY, &[]);
@@ -370,7 +370,7 @@
     });
     rig.relist(&list(&both));
     rig.until("the list", |r| {
-        r.gateway.metrics().contains("chalkdeck_servers 2")
+        r.gateway.metrics_text().contains("chalkdeck_servers 2")
     });
     rig.pass(50);
     let mut answered = 0;
@@ -395,7 +395,7 @@
     assert!(
         rig.metric("chalkdeck_attempts_total", "full") >= 1.0,
         "{}",
-        rig.gateway.metrics()
+        rig.gateway.metrics_text()
     );
     stop.store(true, Ordering::Relaxed);
     drop(std::net::TcpStream::connect(address));
@@ -496,7 +496,7 @@
     let stream = rig.arrived(1);
     rig.relist("cluster_name: \"farm\"");
     rig.until("the empty list", |r| {
-        r.gateway.metrics().contains("chalkdeck_servers 0")
+        r.gateway.metrics_text().contains("chalkdeck_servers 0")
     });
     rig.pass(50);
     assert!(rig.servers.closed.is_empty(), "its call goes on");
--- a/crates/grpc-gateway/tests/sites.rs
+++ b/crates/grpc-gateway/tests/sites.rs
@@ -37,7 +37,7 @@
 
 /// Asks the admin port while the gateway turns.
 fn get(rig: &mut Rig, path: &str) -> (String, String) {
-    let admin = rig.gateway.admin().expect("an admin port");
+    let admin = rig.gateway.admin_address().expect("an admin port");
     let mut stream = TcpStream::connect(admin).expect("it listens");
     write!(stream, "GET {path} HTTP/1.1\r\nhost: x\r\n\r\n").expect("sent");
     stream.set_nonblocking(true).expect("a socket");
--- a/crates/grpc-gateway/tests/stops.rs
+++ b/crates/grpc-gateway/tests/stops.rs
@@ -55,7 +55,7 @@
 #[test]
 fn one_that_is_still_greeting_hears_of_the_stop_too() {
     let mut rig = Rig::new(1);
-    let late = rig.client.connect(rig.gateway.listen());
+    let late = rig.client.connect(rig.gateway.listen_address());
     rig.gateway.shut_down();
     rig.until("all have gone", |r| r.gateway.is_shut_down());
     rig.until("the client hears of it", |r| {
--- a/crates/testbed/src/rig/serve.rs
+++ b/crates/testbed/src/rig/serve.rs
@@ -39,13 +39,15 @@
     let signals = Signals::take()?;
     let mut shell = GatewayServer::start(set, Some(args.config.clone()), fastrand::u64(..), false)?;
     if let Some(fault) = &args.fault {
-        shell.inject(fault.parse().map_err(anyhow::Error::msg)?);
+        shell.inject_fault(fault.parse().map_err(anyhow::Error::msg)?);
     }
-    let admin = shell.admin().map_or("-".to_string(), |a| a.to_string());
+    let admin = shell
+        .admin_address()
+        .map_or("-".to_string(), |a| a.to_string());
     let resp = shell
         .resp_listen()
         .map_or(String::new(), |a| format!(" resp={a}"));
-    println!("ready grpc={} admin={admin}{resp}", shell.listen());
+    println!("ready grpc={} admin={admin}{resp}", shell.listen_address());
     Ok(shell.run(&signals)?)
 }
 
@@ -54,6 +56,6 @@
     begin(args.with_parent);
     let signals = Signals::take()?;
     let mut relay = Relay::start(args.listen, args.servers)?;
-    println!("ready grpc={}", relay.listen());
+    println!("ready grpc={}", relay.listen_address());
     Ok(relay.run(&signals)?)
 }
