--- a/crates/grpc-gateway/tests/calls.rs
+++ b/crates/grpc-gateway/tests/calls.rs
@@ -1,158 +1,182 @@
-//! Calls of all kinds from a client over the gateway to a server and back.
+//! Calls of all kinds through the gateway: unary, streaming, invalid, rejected and cancelled ones.
 mod common;
 use chalkdeck_net::grpc::{self, Code};
 use chalkdeck_net::StreamError;
 use common::*;
 
 #[test]
-fn a_unary_call_goes_there_and_back_with_its_metadata() {
-    let mut rig = Rig::new(2);
-    let call = rig.call(VIEW, &[("x-trace", "t1"), ("grpc-timeout", "900m")]);
-    let stream = rig.arrived(1);
-    rig.until("the request's end", |r| r.servers.seen[&stream].ended);
-    let seen = &rig.servers.seen[&stream];
+fn unary_call_is_forwarded_with_its_metadata_and_answered() {
+    let mut harness = Harness::new(2);
+    let call = harness.call(VIEW, &[("x-trace", "t1"), ("grpc-timeout", "900m")]);
+    let stream = harness.wait_for_server_call(1);
+    harness.turn_until("the request's end", |r| r.servers.streams[&stream].is_ended);
+    let received = &harness.servers.streams[&stream];
     assert_eq!(
-        (seen.headers["x-trace"].as_bytes(), seen.path.as_str()),
+        (
+            received.headers["x-trace"].as_bytes(),
+            received.path.as_str()
+        ),
         (&b"t1"[..], VIEW)
     );
-    let left = grpc::parse_timeout(seen.headers["grpc-timeout"].to_str().expect("text"))
+    let remaining = grpc::parse_timeout(received.headers["grpc-timeout"].to_str().expect("text"))
         .expect("a timeout");
     assert!(
-        left > 0 && left <= 900_000,
-        "what is left is passed on: {left}"
+        remaining > 0 && remaining <= 900_000,
+        "the remaining time is forwarded: {remaining}"
+    );
+    assert_eq!(
+        received.unary_message.message().map(|m| &m[..]),
+        Some(&b"ask"[..])
     );
-    assert_eq!(seen.gather.message().map(|m| &m[..]), Some(&b"ask"[..]));
-    rig.servers.answer(stream, b"fine");
-    assert_eq!(rig.ended(call), Code::Ok);
+    harness.servers.answer(stream, b"fine");
+    assert_eq!(harness.wait_for_status(call), Code::Ok);
     assert_eq!(
-        rig.client.seen[&call].gather.message().map(|m| &m[..]),
+        harness.client.streams[&call]
+            .unary_message
+            .message()
+            .map(|m| &m[..]),
         Some(&b"fine"[..])
     );
-    assert_eq!(rig.metric("chalkdeck_calls_ended_total", "served"), 1.0);
+    assert_eq!(
+        harness.metric_sum("chalkdeck_calls_ended_total", "served"),
+        1.0
+    );
 }
 
 #[test]
-fn a_server_s_own_status_reaches_the_client_as_it_is() {
-    let mut rig = Rig::new(2);
+fn status_of_the_server_reaches_the_client_unchanged() {
+    let mut harness = Harness::new(2);
     for (i, code) in [Code::NotFound, Code::Internal, Code::ResourceExhausted]
         .into_iter()
         .enumerate()
     {
-        let call = rig.call(BUY, &[]);
-        let stream = rig.arrived(i + 1);
-        rig.servers.status(stream, code, false);
-        assert_eq!(rig.ended(call), code);
+        let call = harness.call(BUY, &[]);
+        let stream = harness.wait_for_server_call(i + 1);
+        harness.servers.answer_with_status(stream, code, false);
+        assert_eq!(harness.wait_for_status(call), code);
         assert_eq!(
-            grpc::message_of(rig.client.seen[&call].trailers.as_ref().expect("trailers")),
+            grpc::message_of(
+                harness.client.streams[&call]
+                    .trailers
+                    .as_ref()
+                    .expect("trailers")
+            ),
             "said by the server"
         );
     }
     assert_eq!(
-        rig.servers.opened.len(),
+        harness.servers.incoming_streams.len(),
         3,
-        "an answer is not asked for again"
+        "an answered call is not retried"
     );
 }
 
 #[test]
-fn messages_of_a_streamed_answer_come_as_they_are_sent() {
-    let mut rig = Rig::with(
+fn streamed_messages_are_forwarded_as_they_are_sent() {
+    let mut harness = Harness::with_settings(
         1,
-        CounterMood::Answers,
+        CounterBehavior::Answers,
         &[("deadline_ms: 8000", "deadline_ms: 1500")],
     );
-    let call = rig.call(WATCH, &[]);
-    let stream = rig.arrived(1);
-    rig.servers.engine.respond(stream, grpc::head(), false);
+    let call = harness.call(WATCH, &[]);
+    let stream = harness.wait_for_server_call(1);
+    harness.servers.engine.respond(stream, grpc::head(), false);
     for sent in 1..=3 {
-        rig.servers.engine.send(stream, grpc::frame(b"tick"));
-        rig.until("a message", |r| {
-            r.heard(call).is_some_and(|s| s.bytes == sent * 9)
+        harness.servers.engine.send(stream, grpc::frame(b"tick"));
+        harness.turn_until("a message", |r| {
+            r.client_stream(call)
+                .is_some_and(|s| s.received_bytes == sent * 9)
         });
     }
-    // It has started: the class's deadline no longer ends it.
-    rig.pass(1_700);
-    assert!(rig
-        .heard(call)
-        .is_some_and(|s| !s.ended && s.broken.is_none()));
-    rig.servers
+    // The deadline of the class does not apply to a started response.
+    harness.turn_for(1_700);
+    assert!(harness
+        .client_stream(call)
+        .is_some_and(|s| !s.is_ended && s.error.is_none()));
+    harness
+        .servers
         .engine
         .finish(stream, Some(grpc::trailers(Code::Ok, "")));
-    assert_eq!(rig.ended(call), Code::Ok);
+    assert_eq!(harness.wait_for_status(call), Code::Ok);
 }
 
 #[test]
-fn a_client_s_own_deadline_ends_a_started_stream() {
-    let mut rig = Rig::new(1);
-    let call = rig.call(WATCH, &[("grpc-timeout", "300m")]);
-    let stream = rig.arrived(1);
-    rig.servers.engine.respond(stream, grpc::head(), false);
-    rig.servers.engine.send(stream, grpc::frame(b"tick"));
-    assert_eq!(rig.ended(call), Code::DeadlineExceeded);
-    rig.until("the server hears it", |r| {
-        r.servers.seen[&stream].broken.is_some()
+fn client_deadline_ends_a_started_stream() {
+    let mut harness = Harness::new(1);
+    let call = harness.call(WATCH, &[("grpc-timeout", "300m")]);
+    let stream = harness.wait_for_server_call(1);
+    harness.servers.engine.respond(stream, grpc::head(), false);
+    harness.servers.engine.send(stream, grpc::frame(b"tick"));
+    assert_eq!(harness.wait_for_status(call), Code::DeadlineExceeded);
+    harness.turn_until("the reset at the server", |r| {
+        r.servers.streams[&stream].error.is_some()
     });
 }
 
 #[test]
-fn both_sides_of_a_stream_talk_in_turn() {
-    let mut rig = Rig::new(1);
-    let call = rig.open("/farm.v1.Farm/WatchBoth", &[]);
-    let stream = rig.arrived(1);
-    rig.servers.engine.respond(stream, grpc::head(), false);
-    for turn in 1..=5 {
-        rig.client.engine.send(call, grpc::frame(b"ping"));
-        rig.until("the client's message", |r| {
-            r.servers.seen[&stream].bytes == turn * 9
+fn bidirectional_stream_forwards_messages_of_both_sides() {
+    let mut harness = Harness::new(1);
+    let call = harness.open_call("/farm.v1.Farm/WatchBoth", &[]);
+    let stream = harness.wait_for_server_call(1);
+    harness.servers.engine.respond(stream, grpc::head(), false);
+    for round in 1..=5 {
+        harness.client.engine.send(call, grpc::frame(b"ping"));
+        harness.turn_until("the client's message", |r| {
+            r.servers.streams[&stream].received_bytes == round * 9
         });
-        rig.servers.engine.send(stream, grpc::frame(b"pong"));
-        rig.until("the server's message", |r| {
-            r.heard(call).is_some_and(|s| s.bytes == turn * 9)
+        harness.servers.engine.send(stream, grpc::frame(b"pong"));
+        harness.turn_until("the server's message", |r| {
+            r.client_stream(call)
+                .is_some_and(|s| s.received_bytes == round * 9)
         });
     }
-    rig.client.engine.finish(call, None);
-    rig.until("the client's end", |r| r.servers.seen[&stream].ended);
-    rig.servers
+    harness.client.engine.finish(call, None);
+    harness.turn_until("the client's end", |r| r.servers.streams[&stream].is_ended);
+    harness
+        .servers
         .engine
         .finish(stream, Some(grpc::trailers(Code::Ok, "")));
-    assert_eq!(rig.ended(call), Code::Ok);
+    assert_eq!(harness.wait_for_status(call), Code::Ok);
 }
 
 #[test]
-fn a_client_may_send_many_messages_before_its_one_answer() {
-    let mut rig = Rig::new(1);
-    let call = rig.open(VIEW, &[]);
-    let stream = rig.arrived(1);
+fn client_stream_is_forwarded_before_its_single_response() {
+    let mut harness = Harness::new(1);
+    let call = harness.open_call(VIEW, &[]);
+    let stream = harness.wait_for_server_call(1);
     for _ in 0..10 {
-        rig.client.engine.send(call, grpc::frame(b"part"));
+        harness.client.engine.send(call, grpc::frame(b"part"));
     }
-    rig.until("all messages", |r| r.servers.seen[&stream].bytes == 90);
-    rig.client.engine.finish(call, None);
-    rig.until("the end", |r| r.servers.seen[&stream].ended);
-    rig.servers.answer(stream, b"sum");
-    assert_eq!(rig.ended(call), Code::Ok);
+    harness.turn_until("all messages", |r| {
+        r.servers.streams[&stream].received_bytes == 90
+    });
+    harness.client.engine.finish(call, None);
+    harness.turn_until("the end", |r| r.servers.streams[&stream].is_ended);
+    harness.servers.answer(stream, b"sum");
+    assert_eq!(harness.wait_for_status(call), Code::Ok);
 }
 
 #[test]
-fn beyond_its_quota_a_customer_is_refused_with_a_time_to_come_back() {
-    let mut rig = Rig::new(1);
-    let mut refused = None;
+fn customer_over_quota_is_rejected_with_a_retry_time() {
+    let mut harness = Harness::new(1);
+    let mut rejected = None;
     for i in 0..8 {
-        let call = rig.call(VIEW, &[("x-customer", "small")]);
-        rig.until("a server or an answer", |r| {
-            r.servers.opened.len() > i || r.heard(call).is_some_and(|s| s.ended)
+        let call = harness.call(VIEW, &[("x-customer", "small")]);
+        harness.turn_until("a server or an answer", |r| {
+            r.servers.incoming_streams.len() > i
+                || r.client_stream(call).is_some_and(|s| s.is_ended)
         });
-        if rig.servers.opened.len() <= i {
-            refused = Some(call);
+        if harness.servers.incoming_streams.len() <= i {
+            rejected = Some(call);
             break;
         }
-        let stream = rig.servers.opened[i];
-        rig.servers.answer(stream, b"fine");
-        assert_eq!(rig.ended(call), Code::Ok);
+        let stream = harness.servers.incoming_streams[i];
+        harness.servers.answer(stream, b"fine");
+        assert_eq!(harness.wait_for_status(call), Code::Ok);
     }
-    let refused = refused.expect("a burst of four is all that it has");
-    assert_eq!(rig.ended(refused), Code::ResourceExhausted);
-    let trailers = rig.client.seen[&refused]
+    let rejected = rejected.expect("a rejected call after a burst of 4 units");
+    assert_eq!(harness.wait_for_status(rejected), Code::ResourceExhausted);
+    let trailers = harness.client.streams[&rejected]
         .trailers
         .clone()
         .expect("trailers");
@@ -161,28 +185,28 @@
         .expect("text")
         .parse()
         .expect("milliseconds");
-    let told = grpc::retry_info(&trailers).expect("retry info");
+    let retry_delay = grpc::retry_info(&trailers).expect("retry info");
     assert!(
-        pushback <= 5_000 && told.div_ceil(1_000) == pushback,
-        "{pushback} ms and {told} us are one"
+        pushback <= 5_000 && retry_delay.div_ceil(1_000) == pushback,
+        "{pushback} ms and {retry_delay} us are equal"
     );
-    assert!(rig.adds > 0, "the counter was asked");
+    assert!(harness.increment_count > 0, "the counter was used");
 }
 
 #[test]
 fn units_of_a_call_count_against_the_quota() {
-    let mut rig = Rig::new(1);
-    let first = rig.call(VIEW, &[("x-customer", "small"), ("x-units", "4")]);
-    let stream = rig.arrived(1);
-    rig.servers.answer(stream, b"fine");
-    assert_eq!(rig.ended(first), Code::Ok);
-    let second = rig.call(VIEW, &[("x-customer", "small"), ("x-units", "4")]);
-    assert_eq!(rig.ended(second), Code::ResourceExhausted);
+    let mut harness = Harness::new(1);
+    let first = harness.call(VIEW, &[("x-customer", "small"), ("x-units", "4")]);
+    let stream = harness.wait_for_server_call(1);
+    harness.servers.answer(stream, b"fine");
+    assert_eq!(harness.wait_for_status(first), Code::Ok);
+    let second = harness.call(VIEW, &[("x-customer", "small"), ("x-units", "4")]);
+    assert_eq!(harness.wait_for_status(second), Code::ResourceExhausted);
 }
 
 #[test]
-fn what_is_no_call_is_told_so() {
-    let mut rig = Rig::new(1);
+fn invalid_calls_are_rejected_with_their_status() {
+    let mut harness = Harness::new(1);
     type Metadata<'a> = &'a [(&'a str, &'a str)];
     let cases: [(&str, Metadata, Code); 7] = [
         ("/farm.v1.Farm/Nothing", &[], Code::Unimplemented),
@@ -198,84 +222,100 @@
         (VIEW, &[("x-units", "-1")], Code::InvalidArgument),
     ];
     for (path, metadata, code) in cases {
-        let call = rig.call(path, metadata);
-        assert_eq!(rig.ended(call), code, "{path} {metadata:?}");
+        let call = harness.call(path, metadata);
+        assert_eq!(harness.wait_for_status(call), code, "{path} {metadata:?}");
     }
-    let call = rig.call(VIEW, &[("content-type", "application/json")]);
-    rig.until("an HTTP answer", |r| {
-        r.heard(call).is_some_and(|s| s.head.is_some())
+    let call = harness.call(VIEW, &[("content-type", "application/json")]);
+    harness.turn_until("an HTTP response", |r| {
+        r.client_stream(call)
+            .is_some_and(|s| s.http_status.is_some())
     });
     assert_eq!(
-        rig.client.seen[&call].head,
+        harness.client.streams[&call].http_status,
         Some(http::StatusCode::UNSUPPORTED_MEDIA_TYPE)
     );
-    assert!(rig.servers.opened.is_empty(), "none of them was sent on");
-    assert_eq!(rig.metric("chalkdeck_calls_rejected_total", ""), 8.0);
+    assert!(
+        harness.servers.incoming_streams.is_empty(),
+        "none of them was forwarded"
+    );
+    assert_eq!(
+        harness.metric_sum("chalkdeck_calls_rejected_total", ""),
+        8.0
+    );
 }
 
 #[test]
-fn a_thousand_calls_on_one_connection() {
-    let mut rig = Rig::new(2);
-    let calls: Vec<_> = (0..1000).map(|_| rig.call(WATCH, &[])).collect();
-    rig.until("calls at the servers or refused", |r| {
-        let refused = calls
+fn thousand_calls_on_one_connection_are_served_or_rejected() {
+    let mut harness = Harness::new(2);
+    let calls: Vec<_> = (0..1000).map(|_| harness.call(WATCH, &[])).collect();
+    harness.turn_until("calls at the servers or rejected", |r| {
+        let rejected = calls
             .iter()
-            .filter(|c| r.heard(**c).is_some_and(|s| s.ended))
+            .filter(|c| r.client_stream(**c).is_some_and(|s| s.is_ended))
             .count();
-        r.servers.opened.len() + refused >= 1000
+        r.servers.incoming_streams.len() + rejected >= 1000
     });
-    for stream in rig.servers.opened.clone() {
-        rig.servers.answer(stream, b"fine");
+    for stream in harness.servers.incoming_streams.clone() {
+        harness.servers.answer(stream, b"fine");
     }
     for call in &calls {
-        assert!([Code::Ok, Code::ResourceExhausted].contains(&rig.ended(*call)));
+        assert!([Code::Ok, Code::ResourceExhausted].contains(&harness.wait_for_status(*call)));
     }
-    let served = rig.metric("chalkdeck_calls_ended_total", "served");
-    let refused = rig.metric("chalkdeck_calls_ended_total", "refused");
-    assert_eq!(served + refused, 1000.0);
+    let served = harness.metric_sum("chalkdeck_calls_ended_total", "served");
+    let rejected = harness.metric_sum("chalkdeck_calls_ended_total", "refused");
+    assert_eq!(served + rejected, 1000.0);
     assert!(served >= 1.0);
 }
 
 #[test]
-fn a_client_that_goes_away_is_gone_at_the_server_too() {
-    for begun in [false, true] {
-        let mut rig = Rig::new(2);
-        let call = rig.call(WATCH, &[]);
-        let stream = rig.arrived(1);
-        if begun {
-            rig.servers.engine.respond(stream, grpc::head(), false);
-            rig.servers.engine.send(stream, grpc::frame(b"tick"));
-            rig.until("the first message", |r| {
-                r.heard(call).is_some_and(|s| s.bytes > 0)
+fn cancellation_by_the_client_resets_the_server_stream() {
+    for has_response_started in [false, true] {
+        let mut harness = Harness::new(2);
+        let call = harness.call(WATCH, &[]);
+        let stream = harness.wait_for_server_call(1);
+        if has_response_started {
+            harness.servers.engine.respond(stream, grpc::head(), false);
+            harness.servers.engine.send(stream, grpc::frame(b"tick"));
+            harness.turn_until("the first message", |r| {
+                r.client_stream(call).is_some_and(|s| s.received_bytes > 0)
             });
         }
-        rig.client.engine.reset(call, h2::Reason::CANCEL);
-        rig.until("the server hears it", |r| {
-            r.servers.seen[&stream].broken.is_some()
+        harness.client.engine.reset(call, h2::Reason::CANCEL);
+        harness.turn_until("the reset at the server", |r| {
+            r.servers.streams[&stream].error.is_some()
         });
         assert_eq!(
-            rig.servers.seen[&stream].broken,
+            harness.servers.streams[&stream].error,
             Some(StreamError::Reset(h2::Reason::CANCEL))
         );
-        assert_eq!(rig.metric("chalkdeck_calls_ended_total", "gone"), 1.0);
-        assert_eq!(rig.servers.opened.len(), 1, "nothing is sent for it after");
+        assert_eq!(
+            harness.metric_sum("chalkdeck_calls_ended_total", "gone"),
+            1.0
+        );
+        assert_eq!(
+            harness.servers.incoming_streams.len(),
+            1,
+            "the call is not retried"
+        );
     }
 }
 
 #[test]
-fn a_client_s_lost_connection_ends_all_its_calls() {
-    let mut rig = Rig::new(1);
+fn lost_client_connection_ends_all_its_calls() {
+    let mut harness = Harness::new(1);
     for _ in 0..20 {
-        rig.call(WATCH, &[]);
+        harness.call(WATCH, &[]);
     }
-    rig.until("calls at the server", |r| !r.servers.opened.is_empty());
-    rig.pass(50);
-    rig.client.engine.close(rig.conn);
-    rig.until("all gone", |r| {
+    harness.turn_until("calls at the server", |r| {
+        !r.servers.incoming_streams.is_empty()
+    });
+    harness.turn_for(50);
+    harness.client.engine.close(harness.connection);
+    harness.turn_until("resets at the server", |r| {
         r.servers
-            .opened
+            .incoming_streams
             .iter()
-            .all(|s| r.servers.seen[s].broken.is_some())
+            .all(|s| r.servers.streams[s].error.is_some())
     });
-    rig.until("no call is held", |r| r.gateway.open_call_count() == 0);
+    harness.turn_until("no open call", |r| r.gateway.open_call_count() == 0);
 }
--- a/crates/grpc-gateway/tests/common/mod.rs
+++ b/crates/grpc-gateway/tests/common/mod.rs
@@ -1,8 +1,5 @@
-//! A gateway, scripted servers, a counter and clients, all turned by one thread over loopback sockets.
-#![allow(
-    dead_code,
-    reason = "each test file uses another part of these helpers"
-)]
+//! The test harness: a gateway, scripted servers, a counter and a client on loopback sockets, all driven by one thread.
+#![allow(dead_code, reason = "each test file uses only some of these helpers")]
 
 use bytes::Bytes;
 use chalkdeck_grpc_gateway::{GatewayServer, Settings};
@@ -22,57 +19,60 @@
 pub const SELL: &str = "/farm.v1.Farm/Sell";
 pub const BUY: &str = "/farm.v1.Farm/Buy";
 pub const WATCH: &str = "/farm.v1.Farm/Watch";
-const PATIENCE: Duration = Duration::from_secs(20);
+/// A test fails if a state that it waits for is not reached in this time.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a peer has heard on one stream.
+/// Everything that a peer has received on one stream.
 #[derive(Default, Debug)]
-pub struct Seen {
+pub struct StreamRecord {
     pub path: String,
     pub headers: HeaderMap,
-    pub head: Option<http::StatusCode>,
-    pub bytes: usize,
-    pub gather: UnaryMessage,
+    pub http_status: Option<http::StatusCode>,
+    pub received_bytes: usize,
+    pub unary_message: UnaryMessage,
     pub deframer: Deframer,
     pub messages: Vec<Bytes>,
     pub trailers: Option<HeaderMap>,
-    pub ended: bool,
-    pub broken: Option<StreamError>,
+    pub is_ended: bool,
+    pub error: Option<StreamError>,
 }
 
-impl Seen {
+impl StreamRecord {
     pub fn code(&self) -> Option<Code> {
         self.trailers.as_ref().and_then(Code::from_trailers)
     }
 }
 
-/// One end of connections that a test plays.
+/// A server or client whose actions a test scripts. It records everything that it receives.
 pub struct Peer {
     pub engine: Engine,
-    pub seen: HashMap<StreamId, Seen>,
-    pub opened: Vec<StreamId>,
-    pub conns: Vec<ConnId>,
+    pub streams: HashMap<StreamId, StreamRecord>,
+    /// Streams that other peers opened here, in order.
+    pub incoming_streams: Vec<StreamId>,
+    pub accepted_connections: Vec<ConnId>,
     pub listeners: HashMap<ListenerId, SocketAddr>,
-    pub closed: Vec<ConnId>,
-    pub up: HashSet<ConnId>,
-    conn_of: HashMap<StreamId, ConnId>,
+    pub closed_connections: Vec<ConnId>,
+    /// Connections from here that are established.
+    pub established_connections: HashSet<ConnId>,
+    connection_of: HashMap<StreamId, ConnId>,
     listener_of: HashMap<ConnId, ListenerId>,
-    /// Do not give the window back: a slow reader.
-    pub slow: bool,
+    /// Whether it returns no flow-control window for what it receives, like a slow reader.
+    pub withholds_window: bool,
 }
 
 impl Peer {
     pub fn new() -> Peer {
         Peer {
             engine: Engine::new().expect("a poll handle"),
-            seen: HashMap::new(),
-            opened: Vec::new(),
-            conns: Vec::new(),
+            streams: HashMap::new(),
+            incoming_streams: Vec::new(),
+            accepted_connections: Vec::new(),
             listeners: HashMap::new(),
-            closed: Vec::new(),
-            up: HashSet::new(),
-            conn_of: HashMap::new(),
+            closed_connections: Vec::new(),
+            established_connections: HashSet::new(),
+            connection_of: HashMap::new(),
             listener_of: HashMap::new(),
-            slow: false,
+            withholds_window: false,
         }
     }
     pub fn listen(&mut self) -> SocketAddr {
@@ -92,9 +92,9 @@
         };
         self.engine.connect(address, limits).expect("a socket")
     }
-    /// At which of its addresses a call came in.
+    /// The address of this peer at which a stream was opened.
     pub fn address_of(&self, stream: StreamId) -> SocketAddr {
-        self.listeners[&self.listener_of[&self.conn_of[&stream]]]
+        self.listeners[&self.listener_of[&self.connection_of[&stream]]]
     }
     pub fn turn(&mut self) {
         let mut events = Vec::new();
@@ -107,20 +107,20 @@
         match event {
             Event::Accepted { listener, conn } => {
                 self.listener_of.insert(conn, listener);
-                self.conns.push(conn);
+                self.accepted_connections.push(conn);
             }
-            Event::Connected { conn } => drop(self.up.insert(conn)),
-            Event::Closed { conn, .. } => self.closed.push(conn),
+            Event::Connected { conn } => drop(self.established_connections.insert(conn)),
+            Event::Closed { conn, .. } => self.closed_connections.push(conn),
             Event::Opened {
                 stream,
                 conn,
                 head,
                 ended,
             } => {
-                self.conn_of.insert(stream, conn);
-                self.opened.push(stream);
-                let seen = self.seen.entry(stream).or_default();
-                (seen.path, seen.headers, seen.ended) =
+                self.connection_of.insert(stream, conn);
+                self.incoming_streams.push(stream);
+                let record = self.streams.entry(stream).or_default();
+                (record.path, record.headers, record.is_ended) =
                     (head.uri.path().to_string(), head.headers, ended);
             }
             Event::Head {
@@ -128,50 +128,48 @@
                 head,
                 ended,
             } => {
-                let seen = self.seen.entry(stream).or_default();
-                seen.head = Some(head.status);
+                let record = self.streams.entry(stream).or_default();
+                record.http_status = Some(head.status);
                 if ended {
-                    (seen.trailers, seen.ended) = (Some(head.headers), true);
+                    (record.trailers, record.is_ended) = (Some(head.headers), true);
                 } else {
-                    seen.headers = head.headers;
+                    record.headers = head.headers;
                 }
             }
             Event::Data { stream, data } => {
-                let seen = self.seen.entry(stream).or_default();
-                seen.bytes += data.len();
-                if seen.bytes < 1 << 20 {
-                    let _ = seen.gather.push(&data, 1 << 20);
-                    seen.deframer.push(&data);
-                    while let Ok(Some(message)) = seen.deframer.next(1 << 20) {
-                        seen.messages.push(message);
+                let record = self.streams.entry(stream).or_default();
+                record.received_bytes += data.len();
+                if record.received_bytes < 1 << 20 {
+                    let _ = record.unary_message.push(&data, 1 << 20);
+                    record.deframer.push(&data);
+                    while let Ok(Some(message)) = record.deframer.next(1 << 20) {
+                        record.messages.push(message);
                     }
                 }
-                if !self.slow {
+                if !self.withholds_window {
                     self.engine.consume(stream, data.len());
                 }
             }
             Event::End { stream, trailers } => {
-                let seen = self.seen.entry(stream).or_default();
-                assert!(
-                    !seen.ended || trailers.is_none(),
-                    "a second end of one stream"
-                );
-                (seen.trailers, seen.ended) = (trailers, true);
+                let record = self.streams.entry(stream).or_default();
+                assert!(!record.is_ended || trailers.is_none(), "a stream ends once");
+                (record.trailers, record.is_ended) = (trailers, true);
             }
             Event::StreamFailed { stream, error } => {
-                self.seen.entry(stream).or_default().broken = Some(error)
+                self.streams.entry(stream).or_default().error = Some(error)
             }
             Event::Sent { .. } | Event::Timer(_) | Event::Get { .. } | Event::Bytes { .. } => {}
         }
     }
-    /// Answers a unary call.
+    /// Answers a unary call with one message and status OK.
     pub fn answer(&mut self, stream: StreamId, message: &[u8]) {
         self.engine.respond(stream, grpc::head(), false);
         self.engine.send(stream, grpc::frame(message));
         self.engine
             .finish(stream, Some(grpc::trailers(Code::Ok, "")));
     }
-    pub fn status(&mut self, stream: StreamId, code: Code, unprocessed: bool) {
+    /// Answers a call with a status only. `unprocessed`: marks the call as not processed.
+    pub fn answer_with_status(&mut self, stream: StreamId, code: Code, unprocessed: bool) {
         let mut trailers = grpc::trailers(code, "said by the server");
         if unprocessed {
             trailers.insert("x-chalkdeck-unprocessed", HeaderValue::from_static("1"));
@@ -181,40 +179,46 @@
     }
 }
 
-/// How the counter of a test behaves.
+/// How the counter of the harness reacts to increments.
 #[derive(Clone, Copy, PartialEq)]
-pub enum CounterMood {
+pub enum CounterBehavior {
     Answers,
     Silent,
 }
 
-pub struct Rig {
+/// The gateway under test with the peers around it.
+pub struct Harness {
     pub gateway: GatewayServer,
     pub servers: Peer,
     pub counter: Peer,
     pub client: Peer,
-    pub counter_mood: CounterMood,
+    pub counter_behavior: CounterBehavior,
     pub totals: HashMap<u64, f64>,
-    pub adds: usize,
-    answered: usize,
-    pub conn: ConnId,
-    pub addresses: Vec<SocketAddr>,
+    /// The number of increments that the counter received.
+    pub increment_count: usize,
+    /// The number of counter streams whose response has started.
+    answered_streams: usize,
+    /// The client's connection to the gateway.
+    pub connection: ConnId,
+    pub server_addresses: Vec<SocketAddr>,
+    /// The folder of the settings file and the endpoint list.
     pub dir: PathBuf,
 }
 
-/// A server on the list.
-pub struct Entry {
+/// An entry of the endpoint list.
+pub struct ListEntry {
     pub address: SocketAddr,
     pub health: &'static str,
 }
 
-pub fn list(entries: &[Entry]) -> String {
-    let endpoint = |e: &Entry| {
+/// The text of an endpoint list in zone `a`.
+pub fn endpoint_list(entries: &[ListEntry]) -> String {
+    let endpoint = |entry: &ListEntry| {
         format!(
             "lb_endpoints {{ endpoint {{ address {{ socket_address {{ address: \"127.0.0.1\" port_value: {} }} }} }} \
              health_status: {} }}\n",
-            e.address.port(),
-            e.health
+            entry.address.port(),
+            entry.health
         )
     };
     let lines: String = entries.iter().map(endpoint).collect();
@@ -239,127 +243,138 @@
 logs { level: "error" }
 "#;
 
-impl Rig {
-    pub fn new(servers: usize) -> Rig {
-        Rig::with(servers, CounterMood::Answers, &[])
+impl Harness {
+    pub fn new(servers: usize) -> Harness {
+        Harness::with_settings(servers, CounterBehavior::Answers, &[])
     }
-    pub fn with(servers: usize, counter_mood: CounterMood, edits: &[(&str, &str)]) -> Rig {
+    /// A harness whose settings are changed by `edits`: pairs of a text and its replacement.
+    pub fn with_settings(
+        servers: usize,
+        counter_behavior: CounterBehavior,
+        edits: &[(&str, &str)],
+    ) -> Harness {
         let mut counter = Peer::new();
         let counter_address = counter.listen();
-        Rig::full(servers, counter, counter_address, counter_mood, edits)
+        Harness::with_counter(servers, counter, counter_address, counter_behavior, edits)
     }
-    pub fn full(
+    /// Like [`Harness::with_settings`], with a given peer as the counter and a given counter address in the settings.
+    pub fn with_counter(
         servers: usize,
         counter: Peer,
         counter_address: SocketAddr,
-        counter_mood: CounterMood,
+        counter_behavior: CounterBehavior,
         edits: &[(&str, &str)],
-    ) -> Rig {
-        static RIGS: AtomicU32 = AtomicU32::new(0);
-        let number = RIGS.fetch_add(1, Ordering::Relaxed);
+    ) -> Harness {
+        static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
         let dir =
             std::env::temp_dir().join(format!("chalkdeck-test-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&dir).expect("a folder for the test");
-        let mut peer = Peer::new();
-        let addresses: Vec<SocketAddr> = (0..servers).map(|_| peer.listen()).collect();
-        let entries: Vec<Entry> = addresses
+        let mut server_peer = Peer::new();
+        let server_addresses: Vec<SocketAddr> =
+            (0..servers).map(|_| server_peer.listen()).collect();
+        let entries: Vec<ListEntry> = server_addresses
             .iter()
-            .map(|&address| Entry {
+            .map(|&address| ListEntry {
                 address,
                 health: "HEALTHY",
             })
             .collect();
-        std::fs::write(dir.join("list.txtpb"), list(&entries)).expect("a list");
-        let counted =
+        std::fs::write(dir.join("list.txtpb"), endpoint_list(&entries)).expect("a list");
+        let settings_with_counter =
             format!("{SETTINGS}\ncounter {{ address: \"{counter_address}\" timeout_ms: 60 }}\n");
-        let text = edits
-            .iter()
-            .fold(counted, |text, edit| text.replace(edit.0, edit.1));
+        let text = edits.iter().fold(settings_with_counter, |text, edit| {
+            text.replace(edit.0, edit.1)
+        });
         let file = dir.join("gateway.txtpb");
         std::fs::write(&file, text).expect("settings");
-        let set = Settings::load(&file).expect("sound settings");
-        let gateway = GatewayServer::start(set, Some(file), 7, false).expect("a gateway");
+        let settings = Settings::load(&file).expect("valid settings");
+        let gateway = GatewayServer::start(settings, Some(file), 7, false).expect("a gateway");
         let mut client = Peer::new();
-        let conn = client.connect(gateway.listen_address());
-        let (totals, adds, answered) = (HashMap::new(), 0, 0);
-        let mut rig = Rig {
+        let connection = client.connect(gateway.listen_address());
+        let (totals, increment_count, answered_streams) = (HashMap::new(), 0, 0);
+        let mut harness = Harness {
             gateway,
-            servers: peer,
+            servers: server_peer,
             counter,
             client,
-            counter_mood,
+            counter_behavior,
             totals,
-            adds,
-            answered,
-            conn,
-            addresses,
+            increment_count,
+            answered_streams,
+            connection,
+            server_addresses,
             dir,
         };
-        rig.until("the client's connection", |r| r.client.up.contains(&r.conn));
-        rig
+        harness.turn_until("the client's connection", |r| {
+            r.client.established_connections.contains(&r.connection)
+        });
+        harness
     }
-    /// Puts a new list in the file's place.
-    pub fn relist(&self, text: &str) {
+    /// Replaces the file of the endpoint list atomically.
+    pub fn replace_endpoint_list(&self, text: &str) {
         std::fs::write(self.dir.join("new"), text).expect("a file");
         std::fs::rename(self.dir.join("new"), self.dir.join("list.txtpb")).expect("a new list");
     }
+    /// Runs one turn of every party's event loop.
     pub fn turn(&mut self) {
         self.client.turn();
         self.gateway.turn(300).expect("a turn");
         self.servers.turn();
         self.counter.turn();
-        self.count();
+        self.answer_increments();
     }
-    fn count(&mut self) {
-        if self.counter_mood == CounterMood::Silent {
+    fn answer_increments(&mut self) {
+        if self.counter_behavior == CounterBehavior::Silent {
             return;
         }
-        let Some(&stream) = self.counter.opened.last() else {
+        let Some(&stream) = self.counter.incoming_streams.last() else {
             return;
         };
-        if self.answered != self.counter.opened.len() {
-            self.answered = self.counter.opened.len();
+        if self.answered_streams != self.counter.incoming_streams.len() {
+            self.answered_streams = self.counter.incoming_streams.len();
             self.counter.engine.respond(stream, grpc::head(), false);
         }
         let messages = std::mem::take(
             &mut self
                 .counter
-                .seen
+                .streams
                 .get_mut(&stream)
-                .expect("it was opened")
+                .expect("an open stream")
                 .messages,
         );
         for message in messages {
-            let add = AddRequest::decode(&message[..]).expect("an add");
-            let total = self.totals.entry(add.name).or_default();
-            *total += add.amount;
-            let answer = AddResponse {
+            let request = AddRequest::decode(&message[..]).expect("an AddRequest");
+            let total = self.totals.entry(request.name).or_default();
+            *total += request.amount;
+            let response = AddResponse {
                 total: *total,
-                number: add.number,
+                number: request.number,
                 ..AddResponse::default()
             };
             self.counter
                 .engine
-                .send(stream, grpc::frame(&answer.encode_to_vec()));
-            self.adds += 1;
+                .send(stream, grpc::frame(&response.encode_to_vec()));
+            self.increment_count += 1;
         }
     }
-    /// Turns all until it holds.
-    pub fn until(&mut self, what: &str, mut holds: impl FnMut(&Rig) -> bool) {
-        let end = Instant::now() + PATIENCE;
-        while !holds(self) {
-            assert!(Instant::now() < end, "not in time: {what}");
+    /// Runs turns until a condition holds, and panics if it does not hold in time.
+    pub fn turn_until(&mut self, description: &str, mut condition: impl FnMut(&Harness) -> bool) {
+        let end = Instant::now() + WAIT_TIMEOUT;
+        while !condition(self) {
+            assert!(Instant::now() < end, "not in time: {description}");
             self.turn();
         }
     }
-    /// Turns all for a while, where nothing is to happen.
-    pub fn pass(&mut self, millis: u64) {
+    /// Runs turns for this time, for example to check that nothing happens.
+    pub fn turn_for(&mut self, millis: u64) {
         let end = Instant::now() + Duration::from_millis(millis);
         while Instant::now() < end {
             self.turn();
         }
     }
-    pub fn open(&mut self, path: &str, metadata: &[(&str, &str)]) -> StreamId {
+    /// Opens a call with a customer and this metadata, without a body yet.
+    pub fn open_call(&mut self, path: &str, metadata: &[(&str, &str)]) -> StreamId {
         let mut head = grpc::request("gateway", path).expect("a head");
         if !metadata.iter().any(|m| m.0 == "x-customer") {
             head.headers_mut()
@@ -372,36 +387,39 @@
         }
         self.client
             .engine
-            .open(self.conn, head, false)
+            .open(self.connection, head, false)
             .expect("room for a call")
     }
-    /// A unary call with a small message.
+    /// Sends a unary call with a small message.
     pub fn call(&mut self, path: &str, metadata: &[(&str, &str)]) -> StreamId {
-        let stream = self.open(path, metadata);
+        let stream = self.open_call(path, metadata);
         self.client.engine.send(stream, grpc::frame(b"ask"));
         self.client.engine.finish(stream, None);
         stream
     }
-    /// Waits until so many calls in all have come to the servers; returns the last of them.
-    pub fn arrived(&mut self, count: usize) -> StreamId {
-        self.until("a call at a server", |r| r.servers.opened.len() >= count);
-        self.servers.opened[count - 1]
+    /// Waits until the servers have received `count` calls in total; returns the stream of the last of these.
+    pub fn wait_for_server_call(&mut self, count: usize) -> StreamId {
+        self.turn_until("a call at a server", |r| {
+            r.servers.incoming_streams.len() >= count
+        });
+        self.servers.incoming_streams[count - 1]
     }
-    /// Waits for a call's end at the client.
-    pub fn ended(&mut self, call: StreamId) -> Code {
-        self.until("the call's end", |r| {
+    /// Waits until a call has ended at the client; returns its status.
+    pub fn wait_for_status(&mut self, call: StreamId) -> Code {
+        self.turn_until("the call's end", |r| {
             r.client
-                .seen
+                .streams
                 .get(&call)
-                .is_some_and(|s| s.ended || s.broken.is_some())
+                .is_some_and(|s| s.is_ended || s.error.is_some())
         });
-        self.client.seen[&call].code().expect("a status")
+        self.client.streams[&call].code().expect("a status")
     }
-    pub fn heard(&self, call: StreamId) -> Option<&Seen> {
-        self.client.seen.get(&call)
+    /// What the client has received on a call's stream; `None`: nothing.
+    pub fn client_stream(&self, call: StreamId) -> Option<&StreamRecord> {
+        self.client.streams.get(&call)
     }
-    /// A figure of the gateway's own, summed over labels that contain `label`.
-    pub fn metric(&mut self, name: &str, label: &str) -> f64 {
+    /// The sum of a metric of the gateway over the lines that contain `label`.
+    pub fn metric_sum(&mut self, name: &str, label: &str) -> f64 {
         let text = self.gateway.metrics_text();
         let lines = text
             .lines()
@@ -412,12 +430,13 @@
     }
 }
 
-impl Drop for Rig {
+impl Drop for Harness {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.dir);
     }
 }
 
+/// A gRPC frame with a message of this length.
 pub fn payload(bytes: usize) -> Bytes {
     grpc::frame(&vec![7; bytes])
 }
--- a/crates/grpc-gateway/tests/life.rs
+++ b/crates/grpc-gateway/tests/lifecycle.rs
@@ -1,11 +1,11 @@
-//! Settings that are wrong, settings that are read again, and stops.
+//! Invalid settings, reloads and shutdown.
 mod common;
 use chalkdeck_grpc_gateway::Settings;
 use chalkdeck_net::grpc::Code;
 use chalkdeck_net::signals::Signals;
 use common::*;
 
-const SOUND: &str = r#"listen: "127.0.0.1:0"
+const VALID_SETTINGS: &str = r#"listen: "127.0.0.1:0"
 classes { name: "view" deadline_ms: 1000 effect: SAFE }
 plans { name: "free" }
 routes { path: "/a.B/C" class: "view" }
@@ -14,8 +14,8 @@
 "#;
 
 #[test]
-fn each_wrong_setting_is_named_with_its_line() {
-    assert!(Settings::parse("x", SOUND).is_ok());
+fn error_of_each_invalid_setting_names_it_and_its_line() {
+    assert!(Settings::parse("x", VALID_SETTINGS).is_ok());
     let cases = [
         ("listen: \"127.0.0.1:0\"", "listen: \"here\"", 1, "listen"),
         ("deadline_ms: 1000", "deadline_ms: 0", 2, "deadline_ms"),
@@ -57,75 +57,90 @@
             "loud",
         ),
     ];
-    for (from, to, line, place) in cases {
-        let error = Settings::parse("x", &SOUND.replace(from, to)).expect_err(to);
-        assert!(error.what.contains(place), "{error} names {place}");
+    for (from, to, line, name) in cases {
+        let error = Settings::parse("x", &VALID_SETTINGS.replace(from, to)).expect_err(to);
+        assert!(error.what.contains(name), "{error} names {name}");
         assert_eq!(error.line, line, "{error}");
     }
 }
 
 #[test]
-fn settings_read_again_take_customers_and_leave_what_needs_a_start() {
-    let mut rig = Rig::new(1);
-    let file = rig.dir.join("gateway.txtpb");
+fn reload_applies_customers_and_rejects_what_needs_a_restart() {
+    let mut harness = Harness::new(1);
+    let file = harness.dir.join("gateway.txtpb");
     let text = std::fs::read_to_string(&file).expect("settings");
     std::fs::write(&file, text.replace("default_plan: \"free\"", "")).expect("settings");
-    rig.gateway.reload();
-    let call = rig.call(VIEW, &[]);
+    harness.gateway.reload();
+    let call = harness.call(VIEW, &[]);
     assert_eq!(
-        rig.ended(call),
+        harness.wait_for_status(call),
         Code::Unauthenticated,
-        "there is no default plan any more"
+        "the new settings have no default plan"
     );
-    for wrong in [
+    for rejected in [
         text.replace("rate: 2", "rate: 900"),
         "fleet: \"many\"".to_string(),
     ] {
-        std::fs::write(&file, wrong).expect("settings");
-        rig.gateway.reload();
-        let call = rig.call(VIEW, &[]);
+        std::fs::write(&file, rejected).expect("settings");
+        harness.gateway.reload();
+        let call = harness.call(VIEW, &[]);
         assert_eq!(
-            rig.ended(call),
+            harness.wait_for_status(call),
             Code::Unauthenticated,
-            "the earlier settings stay"
+            "the previous settings stay"
         );
     }
 }
 
 #[test]
-fn a_stop_lets_calls_end_and_takes_no_new_ones() {
-    let mut rig = Rig::new(1);
-    let call = rig.call(BUY, &[]);
-    let stream = rig.arrived(1);
+fn shutdown_finishes_open_calls_and_accepts_no_new_ones() {
+    let mut harness = Harness::new(1);
+    let call = harness.call(BUY, &[]);
+    let stream = harness.wait_for_server_call(1);
     let signals = Signals::default();
     signals.ask_stop();
-    let Rig {
+    let Harness {
         gateway,
         servers,
         client,
-        conn,
+        connection,
         counter,
         ..
-    } = &mut rig;
+    } = &mut harness;
     std::thread::scope(|scope| {
-        let stopped = scope.spawn(|| gateway.run(&signals).map(|()| gateway.open_call_count()));
+        let gateway_thread =
+            scope.spawn(|| gateway.run(&signals).map(|()| gateway.open_call_count()));
         servers.answer(stream, b"fine");
-        let end = std::time::Instant::now() + std::time::Duration::from_secs(20);
-        while !client.seen.get(&call).is_some_and(|s| s.ended) {
-            assert!(std::time::Instant::now() < end, "the call ends");
+        let timeout = std::time::Instant::now() + std::time::Duration::from_secs(20);
+        while !client.streams.get(&call).is_some_and(|s| s.is_ended) {
+            assert!(
+                std::time::Instant::now() < timeout,
+                "the call did not end in time"
+            );
             client.turn();
             servers.turn();
             counter.turn();
         }
-        assert_eq!(client.seen[&call].code(), Some(Code::Ok));
-        assert_eq!(stopped.join().expect("it runs").expect("it stops well"), 0);
-        while !client.closed.contains(conn) && client.engine.available_streams(*conn) > 0 {
-            assert!(std::time::Instant::now() < end, "the client hears of it");
+        assert_eq!(client.streams[&call].code(), Some(Code::Ok));
+        assert_eq!(
+            gateway_thread
+                .join()
+                .expect("no panic")
+                .expect("a clean shutdown"),
+            0
+        );
+        while !client.closed_connections.contains(connection)
+            && client.engine.available_streams(*connection) > 0
+        {
+            assert!(
+                std::time::Instant::now() < timeout,
+                "the client received no GOAWAY in time"
+            );
             client.turn();
             if client
                 .engine
                 .open(
-                    *conn,
+                    *connection,
                     chalkdeck_net::grpc::request("g", BUY).expect("a head"),
                     true,
                 )
--- a/crates/grpc-gateway/tests/resp.rs
+++ b/crates/grpc-gateway/tests/resp.rs
@@ -1,7 +1,7 @@
 //! The RESP front over sockets: stock clients, raw bytes, and one quota over both fronts.
 mod common;
 use chalkdeck_net::grpc::Code;
-use common::{CounterMood, Rig, VIEW};
+use common::{CounterBehavior, Harness, VIEW};
 use redis::{ConnectionLike, RedisResult, Value};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -36,11 +36,11 @@
         let over = Arc::new(AtomicBool::new(false));
         let (ends, (tell, hear)) = (over.clone(), channel());
         let thread = std::thread::spawn(move || {
-            let mut rig = Rig::with(1, CounterMood::Answers, &edits(front));
-            tell.send(rig.gateway.resp_listen().expect("a RESP port"))
+            let mut harness = Harness::with_settings(1, CounterBehavior::Answers, &edits(front));
+            tell.send(harness.gateway.resp_listen().expect("a RESP port"))
                 .expect("a test that listens");
             while !ends.load(Ordering::Relaxed) {
-                rig.turn();
+                harness.turn();
             }
         });
         Running {
@@ -211,15 +211,15 @@
 
 #[test]
 fn one_quota_over_both_fronts() {
-    let mut rig = Rig::with(1, CounterMood::Answers, &edits(FRONT));
+    let mut harness = Harness::with_settings(1, CounterBehavior::Answers, &edits(FRONT));
     let mut stream =
-        TcpStream::connect(rig.gateway.resp_listen().expect("a port")).expect("a connection");
+        TcpStream::connect(harness.gateway.resp_listen().expect("a port")).expect("a connection");
     stream.set_nonblocking(true).expect("a mode");
     stream
         .write_all(&b"CL.THROTTLE slow 1 1 1 4\r\n".repeat(3))
         .expect("lines");
     let mut bytes = Vec::new();
-    rig.until("answers over RESP", |_| {
+    harness.turn_until("answers over RESP", |_| {
         let mut chunk = [0; 256];
         if let Ok(n) = stream.read(&mut chunk) {
             bytes.extend_from_slice(&chunk[..n]);
@@ -227,12 +227,12 @@
         bytes.windows(4).filter(|w| w == b"*5\r\n").count() == 3
     });
     for (customer, code) in [("slow", Code::ResourceExhausted), ("slow2", Code::Ok)] {
-        let call = rig.call(VIEW, &[("x-customer", customer), ("x-units", "4")]);
+        let call = harness.call(VIEW, &[("x-customer", customer), ("x-units", "4")]);
         if code == Code::Ok {
-            let asked = rig.arrived(1);
-            rig.servers.answer(asked, b"served");
+            let asked = harness.wait_for_server_call(1);
+            harness.servers.answer(asked, b"served");
         }
-        assert_eq!(rig.ended(call), code, "{customer}");
+        assert_eq!(harness.wait_for_status(call), code, "{customer}");
     }
 }
 
--- a/crates/grpc-gateway/tests/servers.rs
+++ b/crates/grpc-gateway/tests/servers.rs
@@ -24,50 +24,53 @@
 fn second_attempt(
     path: &str,
     metadata: &[(&str, &str)],
-    end: impl Fn(&mut Rig, StreamId),
-) -> (Rig, StreamId, Option<StreamId>) {
-    let mut rig = Rig::new(3);
-    let call = rig.call(path, metadata);
-    let first = rig.arrived(1);
-    rig.until("the request's end", |r| r.servers.seen[&first].ended);
-    end(&mut rig, first);
-    rig.until("a second attempt or an answer", |r| {
-        r.servers.opened.len() > 1 || r.heard(call).is_some_and(|s| s.ended)
+    end: impl Fn(&mut Harness, StreamId),
+) -> (Harness, StreamId, Option<StreamId>) {
+    let mut harness = Harness::new(3);
+    let call = harness.call(path, metadata);
+    let first = harness.wait_for_server_call(1);
+    harness.turn_until("the request's end", |r| r.servers.streams[&first].is_ended);
+    end(&mut harness, first);
+    harness.turn_until("a second attempt or an answer", |r| {
+        r.servers.incoming_streams.len() > 1 || r.client_stream(call).is_some_and(|s| s.is_ended)
     });
-    let second = rig.servers.opened.get(1).copied();
-    (rig, call, second)
+    let second = harness.servers.incoming_streams.get(1).copied();
+    (harness, call, second)
 }
 
 #[test]
 fn refused_streams_never_ran_so_even_unsafe_calls_go_elsewhere() {
-    let (mut rig, call, second) = second_attempt(BUY, &[], |r, s| {
+    let (mut harness, call, second) = second_attempt(BUY, &[], |r, s| {
         r.servers.engine.reset(s, h2::Reason::REFUSED_STREAM)
     });
     let second = second.expect("it goes again");
-    rig.until("the request's end", |r| r.servers.seen[&second].ended);
+    harness.turn_until("the request's end", |r| r.servers.streams[&second].is_ended);
     assert_eq!(
-        rig.servers.seen[&second].headers["grpc-previous-rpc-attempts"],
+        harness.servers.streams[&second].headers["grpc-previous-rpc-attempts"],
         "1"
     );
-    rig.servers.answer(second, b"fine");
-    assert_eq!(rig.ended(call), Code::Ok);
+    harness.servers.answer(second, b"fine");
+    assert_eq!(harness.wait_for_status(call), Code::Ok);
 }
 
 #[test]
 fn unprocessed_calls_go_elsewhere_and_others_do_not() {
-    let (mut rig, call, second) = second_attempt(BUY, &[], |r, s| {
-        r.servers.status(s, Code::Unavailable, true)
+    let (mut harness, call, second) = second_attempt(BUY, &[], |r, s| {
+        r.servers.answer_with_status(s, Code::Unavailable, true)
     });
     let second = second.expect("it goes again");
-    rig.servers.answer(second, b"fine");
-    assert_eq!(rig.ended(call), Code::Ok);
+    harness.servers.answer(second, b"fine");
+    assert_eq!(harness.wait_for_status(call), Code::Ok);
 
-    let (mut rig, call, second) = second_attempt(BUY, &[], |r, s| {
-        r.servers.status(s, Code::Unavailable, false)
+    let (mut harness, call, second) = second_attempt(BUY, &[], |r, s| {
+        r.servers.answer_with_status(s, Code::Unavailable, false)
     });
     assert_eq!(second, None, "it may have run");
-    assert_eq!(rig.ended(call), Code::Unavailable);
-    let trailers = rig.client.seen[&call].trailers.clone().expect("trailers");
+    assert_eq!(harness.wait_for_status(call), Code::Unavailable);
+    let trailers = harness.client.streams[&call]
+        .trailers
+        .clone()
+        .expect("trailers");
     assert!(
         !trailers.contains_key(grpc::PUSHBACK),
         "a failure promises nothing"
@@ -76,74 +79,80 @@
 
 #[test]
 fn a_connection_lost_after_the_request_left_may_have_run() {
-    let lose = |r: &mut Rig, _: StreamId| {
+    let lose = |r: &mut Harness, _: StreamId| {
         r.servers
-            .conns
+            .accepted_connections
             .clone()
             .into_iter()
             .for_each(|c| r.servers.engine.close(c))
     };
-    let (mut rig, call, second) = second_attempt(BUY, &[], lose);
+    let (mut harness, call, second) = second_attempt(BUY, &[], lose);
     assert_eq!(second, None);
-    assert_eq!(rig.ended(call), Code::Unavailable);
+    assert_eq!(harness.wait_for_status(call), Code::Unavailable);
 
-    let (mut rig, call, second) = second_attempt(VIEW, &[], lose);
+    let (mut harness, call, second) = second_attempt(VIEW, &[], lose);
     let second = second.expect("a safe call goes again");
-    rig.servers.answer(second, b"fine");
-    assert_eq!(rig.ended(call), Code::Ok);
+    harness.servers.answer(second, b"fine");
+    assert_eq!(harness.wait_for_status(call), Code::Ok);
 
-    let (mut rig, call, second) = second_attempt(SELL, &keyed(), lose);
+    let (mut harness, call, second) = second_attempt(SELL, &keyed(), lose);
     let second = second.expect("a keyed call goes again inside its group");
-    rig.servers.answer(second, b"fine");
-    assert_eq!(rig.ended(call), Code::Ok);
+    harness.servers.answer(second, b"fine");
+    assert_eq!(harness.wait_for_status(call), Code::Ok);
 
-    let (mut rig, call, second) = second_attempt(SELL, &[], lose);
+    let (mut harness, call, second) = second_attempt(SELL, &[], lose);
     assert_eq!(second, None, "without its key it is unsafe");
-    assert_eq!(rig.ended(call), Code::Unavailable);
+    assert_eq!(harness.wait_for_status(call), Code::Unavailable);
 }
 
 #[test]
 fn a_connection_that_is_refused_proves_that_nothing_ran() {
-    let mut rig = Rig::new(2);
+    let mut harness = Harness::new(2);
     let gone = nobody();
-    let alive = Entry {
-        address: rig.addresses[0],
+    let alive = ListEntry {
+        address: harness.server_addresses[0],
         health: "HEALTHY",
     };
-    rig.relist(&list(&[
+    harness.replace_endpoint_list(&endpoint_list(&[
         alive,
-        Entry {
+        ListEntry {
             address: gone,
             health: "HEALTHY",
         },
     ]));
-    rig.until("the new list", |r| {
+    harness.turn_until("the new list", |r| {
         r.gateway.metrics_text().contains("chalkdeck_servers 2")
     });
-    rig.pass(50);
+    harness.turn_for(50);
     for i in 0..6 {
-        let call = rig.call(BUY, &[]);
-        let stream = rig.arrived(i + 1);
-        rig.servers.answer(stream, b"fine");
-        assert_eq!(rig.ended(call), Code::Ok);
+        let call = harness.call(BUY, &[]);
+        let stream = harness.wait_for_server_call(i + 1);
+        harness.servers.answer(stream, b"fine");
+        assert_eq!(harness.wait_for_status(call), Code::Ok);
     }
 }
 
 #[test]
 fn goaway_lets_calls_in_flight_end_and_sends_the_next_elsewhere() {
-    let mut rig = Rig::new(1);
-    let first = rig.call(BUY, &[]);
-    let stream = rig.arrived(1);
-    let listener = *rig.servers.listeners.keys().next().expect("a listener");
-    rig.servers.engine.drain(listener);
-    rig.pass(50);
-    let second = rig.call(BUY, &[]);
-    let other = rig.arrived(2);
-    rig.servers.answer(stream, b"fine");
-    rig.servers.answer(other, b"fine");
-    assert_eq!((rig.ended(first), rig.ended(second)), (Code::Ok, Code::Ok));
+    let mut harness = Harness::new(1);
+    let first = harness.call(BUY, &[]);
+    let stream = harness.wait_for_server_call(1);
+    let listener = *harness.servers.listeners.keys().next().expect("a listener");
+    harness.servers.engine.drain(listener);
+    harness.turn_for(50);
+    let second = harness.call(BUY, &[]);
+    let other = harness.wait_for_server_call(2);
+    harness.servers.answer(stream, b"fine");
+    harness.servers.answer(other, b"fine");
     assert_eq!(
-        rig.servers.conns.len(),
+        (
+            harness.wait_for_status(first),
+            harness.wait_for_status(second)
+        ),
+        (Code::Ok, Code::Ok)
+    );
+    assert_eq!(
+        harness.servers.accepted_connections.len(),
         2,
         "the second call took a new connection"
     );
@@ -153,16 +162,19 @@
 fn a_server_that_accepts_and_says_nothing_costs_no_more_than_the_deadline() {
     let silent = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = silent.local_addr().expect("its address");
-    let mut rig = Rig::new(0);
-    rig.relist(&list(&[Entry {
+    let mut harness = Harness::new(0);
+    harness.replace_endpoint_list(&endpoint_list(&[ListEntry {
         address,
         health: "HEALTHY",
     }]));
-    rig.until("the list", |r| {
+    harness.turn_until("the list", |r| {
         r.gateway.metrics_text().contains("chalkdeck_servers 1")
     });
-    let (begin, call) = (Instant::now(), rig.call(BUY, &[("grpc-timeout", "400m")]));
-    assert_eq!(rig.ended(call), Code::DeadlineExceeded);
+    let (begin, call) = (
+        Instant::now(),
+        harness.call(BUY, &[("grpc-timeout", "400m")]),
+    );
+    assert_eq!(harness.wait_for_status(call), Code::DeadlineExceeded);
     assert!(
         begin.elapsed() >= Duration::from_millis(350),
         "it waits as long as it may"
@@ -176,170 +188,182 @@
 
 #[test]
 fn an_answer_after_the_deadline_reaches_nobody() {
-    let mut rig = Rig::new(1);
-    let call = rig.call(BUY, &[("grpc-timeout", "200m")]);
-    let stream = rig.arrived(1);
-    assert_eq!(rig.ended(call), Code::DeadlineExceeded);
-    rig.until("the server hears it", |r| {
-        r.servers.seen[&stream].broken.is_some()
+    let mut harness = Harness::new(1);
+    let call = harness.call(BUY, &[("grpc-timeout", "200m")]);
+    let stream = harness.wait_for_server_call(1);
+    assert_eq!(harness.wait_for_status(call), Code::DeadlineExceeded);
+    harness.turn_until("the server hears it", |r| {
+        r.servers.streams[&stream].error.is_some()
     });
-    rig.servers.answer(stream, b"late");
-    rig.pass(50);
-    assert_eq!(rig.client.seen[&call].bytes, 0);
-    assert_eq!(rig.metric("chalkdeck_calls_ended_total", ""), 1.0);
+    harness.servers.answer(stream, b"late");
+    harness.turn_for(50);
+    assert_eq!(harness.client.streams[&call].received_bytes, 0);
+    assert_eq!(harness.metric_sum("chalkdeck_calls_ended_total", ""), 1.0);
 }
 
 #[test]
 fn at_the_very_deadline_there_is_one_answer() {
-    let mut rig = Rig::new(1);
+    let mut harness = Harness::new(1);
     for early in 0..24 {
         let begin = Instant::now();
-        let call = rig.call(VIEW, &[("grpc-timeout", "60m")]);
+        let call = harness.call(VIEW, &[("grpc-timeout", "60m")]);
         let count = early as usize + 1;
-        rig.until("a call at the server or its end", |r| {
-            r.servers.opened.len() >= count || r.heard(call).is_some_and(|s| s.ended)
+        harness.turn_until("a call at the server or its end", |r| {
+            r.servers.incoming_streams.len() >= count
+                || r.client_stream(call).is_some_and(|s| s.is_ended)
         });
         let at = Duration::from_micros(55_000 + early * 250);
         while begin.elapsed() < at {
-            rig.client.turn();
-            rig.gateway.turn(0).expect("a turn");
+            harness.client.turn();
+            harness.gateway.turn(0).expect("a turn");
         }
-        if let Some(&stream) = rig.servers.opened.get(count - 1) {
-            rig.servers.answer(stream, b"just");
+        if let Some(&stream) = harness.servers.incoming_streams.get(count - 1) {
+            harness.servers.answer(stream, b"just");
         }
-        rig.ended(call);
-        rig.pass(5);
-        let ended = rig.metric("chalkdeck_calls_ended_total", "");
+        harness.wait_for_status(call);
+        harness.turn_for(5);
+        let ended = harness.metric_sum("chalkdeck_calls_ended_total", "");
         assert_eq!(ended, count as f64, "one end a call");
-        rig.servers.opened.truncate(count);
-        while rig.servers.opened.len() < count {
-            rig.servers.opened.push(StreamId(0));
+        harness.servers.incoming_streams.truncate(count);
+        while harness.servers.incoming_streams.len() < count {
+            harness.servers.incoming_streams.push(StreamId(0));
         }
     }
 }
 
 #[test]
 fn a_stream_cut_in_the_middle_fails_and_does_not_go_again() {
-    let mut rig = Rig::new(3);
-    let call = rig.call(WATCH, &[]);
-    let stream = rig.arrived(1);
-    rig.servers.engine.respond(stream, grpc::head(), false);
-    rig.servers.engine.send(stream, grpc::frame(b"tick"));
-    rig.until("the first message", |r| {
-        r.heard(call).is_some_and(|s| s.bytes > 0)
+    let mut harness = Harness::new(3);
+    let call = harness.call(WATCH, &[]);
+    let stream = harness.wait_for_server_call(1);
+    harness.servers.engine.respond(stream, grpc::head(), false);
+    harness.servers.engine.send(stream, grpc::frame(b"tick"));
+    harness.turn_until("the first message", |r| {
+        r.client_stream(call).is_some_and(|s| s.received_bytes > 0)
     });
-    rig.servers.engine.reset(stream, h2::Reason::INTERNAL_ERROR);
-    assert_eq!(rig.ended(call), Code::Unavailable);
-    rig.pass(50);
-    assert_eq!(rig.servers.opened.len(), 1);
+    harness
+        .servers
+        .engine
+        .reset(stream, h2::Reason::INTERNAL_ERROR);
+    assert_eq!(harness.wait_for_status(call), Code::Unavailable);
+    harness.turn_for(50);
+    assert_eq!(harness.servers.incoming_streams.len(), 1);
 }
 
 #[test]
 fn half_an_answer_that_was_kept_back_is_not_mixed_with_the_next() {
-    let mut rig = Rig::new(3);
-    let call = rig.call(VIEW, &[]);
-    let first = rig.arrived(1);
-    rig.servers.engine.respond(first, grpc::head(), false);
-    rig.servers
+    let mut harness = Harness::new(3);
+    let call = harness.call(VIEW, &[]);
+    let first = harness.wait_for_server_call(1);
+    harness.servers.engine.respond(first, grpc::head(), false);
+    harness
+        .servers
         .engine
         .send(first, grpc::frame(b"half of the first"));
-    rig.pass(30);
-    rig.servers.engine.reset(first, h2::Reason::INTERNAL_ERROR);
-    let second = rig.arrived(2);
-    rig.servers.answer(second, b"whole");
-    assert_eq!(rig.ended(call), Code::Ok);
+    harness.turn_for(30);
+    harness
+        .servers
+        .engine
+        .reset(first, h2::Reason::INTERNAL_ERROR);
+    let second = harness.wait_for_server_call(2);
+    harness.servers.answer(second, b"whole");
+    assert_eq!(harness.wait_for_status(call), Code::Ok);
     assert_eq!(
-        rig.client.seen[&call].gather.message().map(|m| &m[..]),
+        harness.client.streams[&call]
+            .unary_message
+            .message()
+            .map(|m| &m[..]),
         Some(&b"whole"[..])
     );
-    assert_eq!(rig.client.seen[&call].bytes, 10);
+    assert_eq!(harness.client.streams[&call].received_bytes, 10);
 }
 
 #[test]
 fn with_no_server_calls_are_refused_until_the_list_is_filled() {
-    let mut rig = Rig::new(0);
-    let call = rig.call(BUY, &[]);
-    assert_eq!(rig.ended(call), Code::ResourceExhausted);
-    let address = rig.servers.listen();
-    rig.relist(&list(&[Entry {
+    let mut harness = Harness::new(0);
+    let call = harness.call(BUY, &[]);
+    assert_eq!(harness.wait_for_status(call), Code::ResourceExhausted);
+    let address = harness.servers.listen();
+    harness.replace_endpoint_list(&endpoint_list(&[ListEntry {
         address,
         health: "HEALTHY",
     }]));
-    rig.until("the list", |r| {
+    harness.turn_until("the list", |r| {
         r.gateway.metrics_text().contains("chalkdeck_servers 1")
     });
-    let call = rig.call(BUY, &[]);
-    let stream = rig.arrived(1);
-    rig.servers.answer(stream, b"fine");
-    assert_eq!(rig.ended(call), Code::Ok);
+    let call = harness.call(BUY, &[]);
+    let stream = harness.wait_for_server_call(1);
+    harness.servers.answer(stream, b"fine");
+    assert_eq!(harness.wait_for_status(call), Code::Ok);
 }
 
 #[test]
 fn a_broken_list_leaves_the_last_good_one_and_a_drain_is_kept() {
-    let mut rig = Rig::new(2);
-    rig.relist("cluster_name: 7 endpoints {");
-    rig.until("the list was looked at", |r| {
+    let mut harness = Harness::new(2);
+    harness.replace_endpoint_list("cluster_name: 7 endpoints {");
+    harness.turn_until("the list was looked at", |r| {
         r.gateway
             .metrics_text()
             .contains("chalkdeck_server_list_failures_total 1")
     });
-    let call = rig.call(BUY, &[]);
-    let stream = rig.arrived(1);
-    rig.servers.answer(stream, b"fine");
-    assert_eq!(rig.ended(call), Code::Ok);
+    let call = harness.call(BUY, &[]);
+    let stream = harness.wait_for_server_call(1);
+    harness.servers.answer(stream, b"fine");
+    assert_eq!(harness.wait_for_status(call), Code::Ok);
 
-    let entries = [("DRAINING", 0), ("HEALTHY", 1)].map(|(health, i)| Entry {
-        address: rig.addresses[i],
+    let entries = [("DRAINING", 0), ("HEALTHY", 1)].map(|(health, i)| ListEntry {
+        address: harness.server_addresses[i],
         health,
     });
-    rig.relist(&list(&entries));
-    rig.pass(100);
+    harness.replace_endpoint_list(&endpoint_list(&entries));
+    harness.turn_for(100);
     for i in 1..10 {
-        let call = rig.call(VIEW, &[]);
-        let stream = rig.arrived(i + 1);
+        let call = harness.call(VIEW, &[]);
+        let stream = harness.wait_for_server_call(i + 1);
         assert_eq!(
-            rig.servers.address_of(stream),
-            rig.addresses[1],
+            harness.servers.address_of(stream),
+            harness.server_addresses[1],
             "the other one drains"
         );
-        rig.servers.answer(stream, b"fine");
-        assert_eq!(rig.ended(call), Code::Ok);
+        harness.servers.answer(stream, b"fine");
+        assert_eq!(harness.wait_for_status(call), Code::Ok);
     }
 }
 
 #[test]
 fn a_counter_that_was_never_there_leaves_the_local_share() {
-    let mut rig = Rig::full(1, Peer::new(), nobody(), CounterMood::Silent, &[]);
+    let mut harness = Harness::with_counter(1, Peer::new(), nobody(), CounterBehavior::Silent, &[]);
     let mut ends = Vec::new();
     for _ in 0..12 {
-        let call = rig.call(VIEW, &[("x-customer", "small")]);
-        let seen = rig.servers.opened.len();
-        rig.until("a server or an answer", |r| {
-            r.servers.opened.len() > seen || r.heard(call).is_some_and(|s| s.ended)
+        let call = harness.call(VIEW, &[("x-customer", "small")]);
+        let seen = harness.servers.incoming_streams.len();
+        harness.turn_until("a server or an answer", |r| {
+            r.servers.incoming_streams.len() > seen
+                || r.client_stream(call).is_some_and(|s| s.is_ended)
         });
-        if let Some(&stream) = rig.servers.opened.get(seen) {
-            rig.servers.answer(stream, b"fine");
+        if let Some(&stream) = harness.servers.incoming_streams.get(seen) {
+            harness.servers.answer(stream, b"fine");
         }
-        ends.push(rig.ended(call));
+        ends.push(harness.wait_for_status(call));
     }
     let served = ends.iter().filter(|c| **c == Code::Ok).count();
     assert!(
         (1..12).contains(&served),
         "its share is served and no more: {ends:?}"
     );
-    assert!(rig.metric("chalkdeck_counter_calls_total", "connectfailed") >= 1.0);
+    assert!(harness.metric_sum("chalkdeck_counter_calls_total", "connectfailed") >= 1.0);
 }
 
 #[test]
 fn a_silent_counter_costs_its_time_out_and_then_nothing() {
-    let mut rig = Rig::with(1, CounterMood::Silent, &[]);
+    let mut harness = Harness::with_settings(1, CounterBehavior::Silent, &[]);
     for i in 0..4 {
-        let call = rig.call(VIEW, &[("x-customer", "small"), ("x-units", "1")]);
-        let stream = rig.arrived(i + 1);
-        rig.servers.answer(stream, b"fine");
-        assert_eq!(rig.ended(call), Code::Ok);
+        let call = harness.call(VIEW, &[("x-customer", "small"), ("x-units", "1")]);
+        let stream = harness.wait_for_server_call(i + 1);
+        harness.servers.answer(stream, b"fine");
+        assert_eq!(harness.wait_for_status(call), Code::Ok);
     }
-    let calls = rig.metric("chalkdeck_counter_calls_total", "timeout");
+    let calls = harness.metric_sum("chalkdeck_counter_calls_total", "timeout");
     assert!(
         (1.0..=3.0).contains(&calls),
         "the breaker opens: {calls} calls"
@@ -363,39 +387,40 @@
             held.push(socket);
         }
     });
-    let mut rig = Rig::new(1);
-    let both = [address, rig.addresses[0]].map(|address| Entry {
+    let mut harness = Harness::new(1);
+    let both = [address, harness.server_addresses[0]].map(|address| ListEntry {
         address,
         health: "HEALTHY",
     });
-    rig.relist(&list(&both));
-    rig.until("the list", |r| {
+    harness.replace_endpoint_list(&endpoint_list(&both));
+    harness.turn_until("the list", |r| {
         r.gateway.metrics_text().contains("chalkdeck_servers 2")
     });
-    rig.pass(50);
+    harness.turn_for(50);
     let mut answered = 0;
     for _ in 0..50 {
-        let call = rig.call(BUY, &[]);
-        rig.until("an end", |r| {
-            r.servers.opened.len() > answered || r.heard(call).is_some_and(|s| s.ended)
+        let call = harness.call(BUY, &[]);
+        harness.turn_until("an end", |r| {
+            r.servers.incoming_streams.len() > answered
+                || r.client_stream(call).is_some_and(|s| s.is_ended)
         });
-        if let Some(&stream) = rig.servers.opened.get(answered) {
-            rig.servers.answer(stream, b"fine");
+        if let Some(&stream) = harness.servers.incoming_streams.get(answered) {
+            harness.servers.answer(stream, b"fine");
             answered += 1;
         }
-        let code = rig.ended(call);
+        let code = harness.wait_for_status(call);
         assert!(
             [Code::Ok, Code::ResourceExhausted].contains(&code),
             "it never ran: {code:?}"
         );
-        if rig.metric("chalkdeck_attempts_total", "full") >= 1.0 {
+        if harness.metric_sum("chalkdeck_attempts_total", "full") >= 1.0 {
             break;
         }
     }
     assert!(
-        rig.metric("chalkdeck_attempts_total", "full") >= 1.0,
+        harness.metric_sum("chalkdeck_attempts_total", "full") >= 1.0,
         "{}",
-        rig.gateway.metrics_text()
+        harness.gateway.metrics_text()
     );
     stop.store(true, Ordering::Relaxed);
     drop(std::net::TcpStream::connect(address));
@@ -434,13 +459,13 @@
 
 #[test]
 fn a_cancelled_attempt_is_reset_at_its_server() {
-    let mut rig = Rig::new(1);
-    let call = rig.call(VIEW, &[("grpc-timeout", "150m")]);
-    let stream = rig.arrived(1);
-    let code = rig.ended(call);
+    let mut harness = Harness::new(1);
+    let call = harness.call(VIEW, &[("grpc-timeout", "150m")]);
+    let stream = harness.wait_for_server_call(1);
+    let code = harness.wait_for_status(call);
     assert!([Code::ResourceExhausted, Code::DeadlineExceeded].contains(&code));
-    rig.until("the reset", |r| {
-        r.servers.seen[&stream].broken == Some(StreamError::Reset(h2::Reason::CANCEL))
+    harness.turn_until("the reset", |r| {
+        r.servers.streams[&stream].error == Some(StreamError::Reset(h2::Reason::CANCEL))
     });
 }
 
@@ -448,59 +473,73 @@
 /// client's, and the first one's, which comes after it, is nobody's.
 #[test]
 fn a_late_answer_after_the_retry_s_is_nobody_s() {
-    let mut rig = Rig::new(3);
-    let bad = rig.addresses[0];
+    let mut harness = Harness::new(3);
+    let bad = harness.server_addresses[0];
     let (mut seen, mut failures, mut late) = (0, 0, None);
     let end = Instant::now() + Duration::from_secs(15);
     while late.is_none() {
         assert!(Instant::now() < end, "the bad server is tried again");
-        let call = rig.call(VIEW, &[]);
-        while !rig.heard(call).is_some_and(|s| s.ended) {
-            rig.turn();
-            let Some(&stream) = rig.servers.opened.get(seen) else {
+        let call = harness.call(VIEW, &[]);
+        while !harness.client_stream(call).is_some_and(|s| s.is_ended) {
+            harness.turn();
+            let Some(&stream) = harness.servers.incoming_streams.get(seen) else {
                 continue;
             };
             seen += 1;
-            if rig.servers.address_of(stream) != bad {
-                rig.servers.answer(stream, b"fine");
+            if harness.servers.address_of(stream) != bad {
+                harness.servers.answer(stream, b"fine");
             } else if failures < 2 {
                 failures += 1;
-                rig.servers.status(stream, Code::Unavailable, false);
+                harness
+                    .servers
+                    .answer_with_status(stream, Code::Unavailable, false);
             } else {
                 late = Some(stream);
             }
         }
         if let Some(stream) = late {
-            assert_eq!(rig.ended(call), Code::Ok, "another one answered in time");
-            rig.servers.answer(stream, b"late and longer");
-            rig.pass(50);
-            assert_eq!(rig.client.seen[&call].bytes, 9);
             assert_eq!(
-                rig.client.seen[&call].gather.message().map(|m| &m[..]),
+                harness.wait_for_status(call),
+                Code::Ok,
+                "another one answered in time"
+            );
+            harness.servers.answer(stream, b"late and longer");
+            harness.turn_for(50);
+            assert_eq!(harness.client.streams[&call].received_bytes, 9);
+            assert_eq!(
+                harness.client.streams[&call]
+                    .unary_message
+                    .message()
+                    .map(|m| &m[..]),
                 Some(&b"fine"[..])
             );
         }
     }
-    let ended = rig.metric("chalkdeck_calls_ended_total", "served");
+    let ended = harness.metric_sum("chalkdeck_calls_ended_total", "served");
     assert_eq!(
         ended,
-        rig.metric("chalkdeck_calls_taken_total", ""),
+        harness.metric_sum("chalkdeck_calls_taken_total", ""),
         "one end a call"
     );
 }
 
 #[test]
 fn a_server_that_left_the_list_keeps_its_call_and_then_loses_its_connection() {
-    let mut rig = Rig::new(1);
-    let call = rig.call(BUY, &[]);
-    let stream = rig.arrived(1);
-    rig.relist("cluster_name: \"farm\"");
-    rig.until("the empty list", |r| {
+    let mut harness = Harness::new(1);
+    let call = harness.call(BUY, &[]);
+    let stream = harness.wait_for_server_call(1);
+    harness.replace_endpoint_list("cluster_name: \"farm\"");
+    harness.turn_until("the empty list", |r| {
         r.gateway.metrics_text().contains("chalkdeck_servers 0")
     });
-    rig.pass(50);
-    assert!(rig.servers.closed.is_empty(), "its call goes on");
-    rig.servers.answer(stream, b"fine");
-    assert_eq!(rig.ended(call), Code::Ok);
-    rig.until("the connection's end", |r| r.servers.closed.len() == 1);
+    harness.turn_for(50);
+    assert!(
+        harness.servers.closed_connections.is_empty(),
+        "its call goes on"
+    );
+    harness.servers.answer(stream, b"fine");
+    assert_eq!(harness.wait_for_status(call), Code::Ok);
+    harness.turn_until("the connection's end", |r| {
+        r.servers.closed_connections.len() == 1
+    });
 }
