--- a/crates/grpc-gateway/src/base/errors.rs
+++ b/crates/grpc-gateway/src/base/errors.rs
@@ -68,7 +68,7 @@
         code(chalkdeck::gateway::words_form),
         help("put it right, or remove it if no site is to be kept out: a gateway does not start on a word it cannot read")
     )]
-    Form {
+    Malformed {
         /// Its path.
         file: PathBuf,
         /// The line, from 1.
@@ -94,7 +94,7 @@
         code(chalkdeck::gateway::sites_off),
         help("say it to gateways that watch sites")
     )]
-    Off,
+    NotEnabled,
     /// There is no override of this name.
     #[error("expected drain, hold or let-back, found '{0}'")]
     #[diagnostic(
@@ -120,7 +120,7 @@
         code(chalkdeck::gateway::sites_path),
         help("`chalkdeck site` says it rightly")
     )]
-    Path,
+    UnknownPath,
     /// The override could not be persisted and is not applied.
     #[error("the word could not be kept: {0}")]
     #[diagnostic(
--- a/crates/grpc-gateway/src/call_flow/accept.rs
+++ b/crates/grpc-gateway/src/call_flow/accept.rs
@@ -30,11 +30,11 @@
         let now = self.engine.now();
         let mut call_head = match call_head::parse(&self.settings, id, now, head) {
             Ok(call_head) => call_head,
-            Err(rejected) => return self.reject_invalid(stream, id, &rejected),
+            Err(invalid) => return self.reject_invalid(stream, id, &invalid),
         };
         let caller = match self.admit_call(&mut call_head, head, conn) {
             Ok(caller) => caller,
-            Err(rejected) => return self.reject_invalid(stream, id, &rejected),
+            Err(invalid) => return self.reject_invalid(stream, id, &invalid),
         };
         tracing::debug!(
             call = id.0,
@@ -52,11 +52,11 @@
     }
 
     /// Answers an invalid call without passing it to the decisions.
-    fn reject_invalid(&mut self, stream: StreamId, id: RequestId, rejected: &InvalidCall) {
-        tracing::info!(call = id.0, kind = rejected.kind, reason = %rejected.reason, "call rejected as invalid");
-        self.metrics.input_rejected(rejected.kind);
-        let response = match rejected.code {
-            Some(code) => grpc::trailers_only(grpc::trailers(code, &rejected.reason)),
+    fn reject_invalid(&mut self, stream: StreamId, id: RequestId, invalid: &InvalidCall) {
+        tracing::info!(call = id.0, kind = invalid.kind, reason = %invalid.reason, "call rejected as invalid");
+        self.metrics.input_rejected(invalid.kind);
+        let response = match invalid.code {
+            Some(code) => grpc::trailers_only(grpc::trailers(code, &invalid.reason)),
             None => unsupported_media_type(),
         };
         self.engine.respond(stream, response, true);
--- a/crates/grpc-gateway/src/call_flow/attempts.rs
+++ b/crates/grpc-gateway/src/call_flow/attempts.rs
@@ -88,12 +88,12 @@
         else {
             return false;
         };
-        let has_stream_class = self.settings.policy.classes[call.request.class.0].is_streaming;
+        let is_streaming_class = self.settings.policy.classes[call.request.class.0].is_streaming;
         let head = attempt_head(
             call,
             authority,
             attempt,
-            timeout(call, has_stream_class, now),
+            timeout(call, is_streaming_class, now),
         );
         let Some(stream) = self.engine.open(conn, head, false) else {
             return false;
@@ -241,13 +241,13 @@
     if let Some(timeout) = timeout {
         headers.insert(grpc::TIMEOUT, grpc::timeout(timeout));
     }
-    let earlier_attempts = call
-        .earlier_client_attempts
+    let previous_attempts = call
+        .previous_client_attempts
         .saturating_add(attempt.number as u32);
-    if earlier_attempts > 0 {
+    if previous_attempts > 0 {
         headers.insert(
             HeaderName::from_static(grpc::ATTEMPTS),
-            HeaderValue::from(earlier_attempts),
+            HeaderValue::from(previous_attempts),
         );
     }
     head
@@ -264,8 +264,8 @@
 
 /// The remaining time for an endpoint, in microseconds: until the call's deadline, or, for a streaming class, whose responses may
 /// outlast it, until the deadline that the client set.
-fn timeout(call: &Call, has_stream_class: bool, now: u64) -> Option<u64> {
-    let deadline = if has_stream_class {
+fn timeout(call: &Call, is_streaming_class: bool, now: u64) -> Option<u64> {
+    let deadline = if is_streaming_class {
         call.client_deadline?
     } else {
         call.request.deadline.as_micros()
--- a/crates/grpc-gateway/src/call_flow/cancellation.rs
+++ b/crates/grpc-gateway/src/call_flow/cancellation.rs
@@ -13,12 +13,12 @@
         let Some(call) = self.calls.get_open(id) else {
             return;
         };
-        let has_stream_class = self.settings.policy.classes[call.request.class.0].is_streaming;
+        let is_streaming_class = self.settings.policy.classes[call.request.class.0].is_streaming;
         match call.client_deadline {
             // If the client set no deadline, a started stream has none.
-            None if has_stream_class => {}
+            None if is_streaming_class => {}
             // The client's deadline is later than the deadline of the class, which applies only until the response starts.
-            Some(deadline) if has_stream_class && deadline > now => {
+            Some(deadline) if is_streaming_class && deadline > now => {
                 self.set_timer(deadline - now, TimerPurpose::ClientDeadline(id));
             }
             _ => self.abort_call(id, Code::DeadlineExceeded, "the deadline passed on the way"),
--- a/crates/grpc-gateway/src/calls.rs
+++ b/crates/grpc-gateway/src/calls.rs
@@ -58,7 +58,7 @@
     pub(crate) path: PathAndQuery,
     pub(crate) headers: HeaderMap,
     /// Attempts that the client made before this call.
-    pub(crate) earlier_client_attempts: u32,
+    pub(crate) previous_client_attempts: u32,
     /// Set only for streams, and only if there are access rules.
     pub(crate) caller: Option<Box<Caller>>,
     pub(crate) request_buffer: RequestBuffer,
@@ -84,7 +84,7 @@
             client_deadline: head.client_deadline,
             path: head.path,
             headers: head.headers,
-            earlier_client_attempts: head.previous_attempts,
+            previous_client_attempts: head.previous_attempts,
             caller: None,
             request_buffer,
             attempts: Vec::new(),
--- a/crates/grpc-gateway/src/coordinator_link/events.rs
+++ b/crates/grpc-gateway/src/coordinator_link/events.rs
@@ -39,7 +39,7 @@
         };
         link.retry_persist(now);
         link.agent.tick(now);
-        self.set_timer(TICK_INTERVAL, TimerPurpose::Coordinator);
+        self.set_timer(TICK_INTERVAL, TimerPurpose::CoordinatorTick);
         self.run_coordinator_actions();
     }
 
--- a/crates/grpc-gateway/src/endpoints.rs
+++ b/crates/grpc-gateway/src/endpoints.rs
@@ -37,7 +37,7 @@
 /// Why a file is not a valid endpoint list; the message names the place.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
-pub struct ListError(String);
+pub struct InvalidListError(String);
 
 /// Why a new endpoint list is not applied.
 #[derive(Debug, thiserror::Error)]
@@ -47,15 +47,15 @@
     Read(#[from] FileWatchError),
     /// Its content is invalid.
     #[error(transparent)]
-    List(#[from] ListError),
+    List(#[from] InvalidListError),
 }
 
-fn invalid<T>(reason: impl Into<String>) -> Result<T, ListError> {
-    Err(ListError(reason.into()))
+fn invalid<T>(reason: impl Into<String>) -> Result<T, InvalidListError> {
+    Err(InvalidListError(reason.into()))
 }
 
 /// Parses a list; files with the extension `txtpb`, `textproto` or `pb_text` are text, others are binary.
-pub fn parse(path: &Path, bytes: &[u8]) -> Result<Vec<ListedEndpoint>, ListError> {
+pub fn parse(path: &Path, bytes: &[u8]) -> Result<Vec<ListedEndpoint>, InvalidListError> {
     let extension = path
         .extension()
         .and_then(|extension| extension.to_str())
@@ -64,22 +64,22 @@
         let Ok(text) = std::str::from_utf8(bytes) else {
             return invalid("expected UTF-8 text");
         };
-        text::parse(MESSAGE, text).map_err(|error| ListError(error.to_string()))?
+        text::parse(MESSAGE, text).map_err(|error| InvalidListError(error.to_string()))?
     } else {
         ClusterLoadAssignment::decode(bytes)
-            .map_err(|e| ListError(format!("expected {MESSAGE}: {e}")))?
+            .map_err(|error| InvalidListError(format!("expected {MESSAGE}: {error}")))?
     };
     parse_endpoints(&list)
 }
 
-fn parse_endpoints(list: &ClusterLoadAssignment) -> Result<Vec<ListedEndpoint>, ListError> {
+fn parse_endpoints(list: &ClusterLoadAssignment) -> Result<Vec<ListedEndpoint>, InvalidListError> {
     let mut listed_endpoints = Vec::new();
     let mut seen_ids = HashSet::new();
     for (locality_index, locality) in list.endpoints.iter().enumerate() {
         for (endpoint_index, endpoint) in locality.lb_endpoints.iter().enumerate() {
-            let listed = parse_endpoint(locality, endpoint).map_err(|e| {
-                ListError(format!(
-                    "endpoints[{locality_index}].lb_endpoints[{endpoint_index}]: {e}"
+            let listed = parse_endpoint(locality, endpoint).map_err(|error| {
+                InvalidListError(format!(
+                    "endpoints[{locality_index}].lb_endpoints[{endpoint_index}]: {error}"
                 ))
             })?;
             if !seen_ids.insert(listed.entry.endpoint) {
@@ -103,7 +103,7 @@
 fn parse_endpoint(
     locality: &LocalityLbEndpoints,
     endpoint: &LbEndpoint,
-) -> Result<ListedEndpoint, ListError> {
+) -> Result<ListedEndpoint, InvalidListError> {
     let address = address_of(endpoint)?;
     let zone_name = locality
         .locality
@@ -129,7 +129,7 @@
     })
 }
 
-fn state_of(endpoint: &LbEndpoint) -> Result<EndpointState, ListError> {
+fn state_of(endpoint: &LbEndpoint) -> Result<EndpointState, InvalidListError> {
     match HealthStatus::try_from(endpoint.health_status) {
         Ok(HealthStatus::Unknown | HealthStatus::Healthy | HealthStatus::Degraded) => {
             Ok(EndpointState::InService)
@@ -144,7 +144,7 @@
     }
 }
 
-fn cell_of(endpoint: &LbEndpoint, zone_name: &str) -> Result<String, ListError> {
+fn cell_of(endpoint: &LbEndpoint, zone_name: &str) -> Result<String, InvalidListError> {
     match metadata(endpoint, "cell") {
         None => Ok(zone_name.to_string()),
         Some(Kind::StringValue(cell)) => Ok(cell.clone()),
@@ -153,7 +153,7 @@
     }
 }
 
-fn started_at_of(endpoint: &LbEndpoint) -> Result<Option<Timestamp>, ListError> {
+fn started_at_of(endpoint: &LbEndpoint) -> Result<Option<Timestamp>, InvalidListError> {
     match metadata(endpoint, "started_ms") {
         None => Ok(None),
         Some(Kind::NumberValue(millis)) if (0.0..MAX_UNIX_MILLIS).contains(millis) => {
@@ -165,7 +165,7 @@
 }
 
 /// The name of the endpoint, the same at all gateways.
-fn name_of(endpoint: &LbEndpoint, address: SocketAddr) -> Result<String, ListError> {
+fn name_of(endpoint: &LbEndpoint, address: SocketAddr) -> Result<String, InvalidListError> {
     match metadata(endpoint, "server") {
         None => Ok(address.to_string()),
         Some(Kind::StringValue(name)) => Ok(name.clone()),
@@ -173,7 +173,7 @@
     }
 }
 
-fn contract_of(endpoint: &LbEndpoint) -> Result<Option<String>, ListError> {
+fn contract_of(endpoint: &LbEndpoint) -> Result<Option<String>, InvalidListError> {
     match metadata(endpoint, "contract") {
         None => Ok(None),
         Some(Kind::StringValue(contract)) if contract.split(' ').count() == 2 => {
@@ -185,7 +185,7 @@
     }
 }
 
-fn address_of(endpoint: &LbEndpoint) -> Result<SocketAddr, ListError> {
+fn address_of(endpoint: &LbEndpoint) -> Result<SocketAddr, InvalidListError> {
     let Some(lb_endpoint::HostIdentifier::Endpoint(host)) = &endpoint.host_identifier else {
         return invalid("expected an endpoint with an address");
     };
--- a/crates/grpc-gateway/src/gateway_server/event_loop.rs
+++ b/crates/grpc-gateway/src/gateway_server/event_loop.rs
@@ -7,8 +7,8 @@
 use chalkdeck_net::Event as NetEvent;
 use std::io;
 
-/// The longest wait for events, in microseconds, and with it the interval at which signals are checked.
-pub(super) const MAX_WAIT: u64 = 100_000;
+/// The longest wait for events; signals are checked at least this often.
+pub(super) const MAX_WAIT_MICROS: u64 = 100_000;
 
 impl GatewayServer {
     /// Serves calls until a signal requests a shutdown and the shutdown is complete. It takes at most the longest deadline of a class.
@@ -17,7 +17,7 @@
     /// The system call that waits for events failed.
     pub fn run(&mut self, signals: &Signals) -> io::Result<()> {
         loop {
-            self.turn(MAX_WAIT)?;
+            self.turn(MAX_WAIT_MICROS)?;
             if signals.reload() {
                 self.reload();
             }
--- a/crates/grpc-gateway/src/gateway_server/shutdown.rs
+++ b/crates/grpc-gateway/src/gateway_server/shutdown.rs
@@ -1,13 +1,13 @@
 //! Graceful shutdown: accepts no new connections, finishes open calls, and aborts those that outlast the longest deadline.
 
-use super::event_loop::MAX_WAIT;
+use super::event_loop::MAX_WAIT_MICROS;
 use super::GatewayServer;
 use crate::fault::Fault;
 use chalkdeck_net::grpc::Code;
 use std::io;
 
-/// The longest wait of one turn while the last responses are written, in microseconds.
-const FLUSH_WAIT: u64 = 1_000;
+/// The longest wait of one turn while the last responses are written.
+const FLUSH_WAIT_MICROS: u64 = 1_000;
 /// The number of turns after the last stream has ended, which write its remaining bytes to the socket.
 const FINAL_TURNS: usize = 3;
 
@@ -61,12 +61,12 @@
         }
         self.run_decisions();
         self.close_coordinator_session();
-        let flush_deadline = self.engine.now() + MAX_WAIT;
+        let flush_deadline = self.engine.now() + MAX_WAIT_MICROS;
         while self.engine.stream_count() > 0 && self.engine.now() < flush_deadline {
-            self.turn(FLUSH_WAIT)?;
+            self.turn(FLUSH_WAIT_MICROS)?;
         }
         for _ in 0..FINAL_TURNS {
-            self.turn(FLUSH_WAIT)?;
+            self.turn(FLUSH_WAIT_MICROS)?;
         }
         tracing::info!("stopped");
         Ok(())
--- a/crates/grpc-gateway/src/gateway_server/timers.rs
+++ b/crates/grpc-gateway/src/gateway_server/timers.rs
@@ -22,8 +22,8 @@
     CounterTimeout,
     ConnectTimeout(ConnId),
     EndpointPoll,
-    SitePlan,
-    Coordinator,
+    SitePlanRefresh,
+    CoordinatorTick,
 }
 
 impl GatewayServer {
@@ -52,8 +52,8 @@
             TimerPurpose::CounterTimeout => self.on_counter_timeout(),
             TimerPurpose::ConnectTimeout(conn) => self.on_connect_timeout(conn),
             TimerPurpose::EndpointPoll => self.poll_endpoint_list(),
-            TimerPurpose::SitePlan => self.refresh_site_plan(),
-            TimerPurpose::Coordinator => self.tick_coordinator(),
+            TimerPurpose::SitePlanRefresh => self.refresh_site_plan(),
+            TimerPurpose::CoordinatorTick => self.tick_coordinator(),
         }
     }
 
--- a/crates/grpc-gateway/src/site_overrides.rs
+++ b/crates/grpc-gateway/src/site_overrides.rs
@@ -91,7 +91,7 @@
         }
     };
     let message: HeldSites =
-        text::parse(MESSAGE, &content).map_err(|error| SiteOverridesError::Form {
+        text::parse(MESSAGE, &content).map_err(|error| SiteOverridesError::Malformed {
             file: path.into(),
             line: error.line,
             what: error.what,
--- a/crates/grpc-gateway/src/sites/admin.rs
+++ b/crates/grpc-gateway/src/sites/admin.rs
@@ -45,14 +45,14 @@
     /// Sites are not watched, the path is no request, or the override could not be persisted.
     pub(crate) fn answer_site_request(&mut self, path: &str) -> Result<String, SiteRequestError> {
         let now = self.now();
-        let sites = self.sites.as_mut().ok_or(SiteRequestError::Off)?;
+        let sites = self.sites.as_mut().ok_or(SiteRequestError::NotEnabled)?;
         let override_request = path
             .strip_prefix(OVERRIDE_PREFIX)
             .and_then(|rest| rest.split_once('/'));
         if let Some((action, site_name)) = override_request {
             sites.override_by_operator(now, action, site_name)?;
         } else if path != STATUS_PATH {
-            return Err(SiteRequestError::Path);
+            return Err(SiteRequestError::UnknownPath);
         }
         let status = sites.status(now, &self.settings);
         self.apply_site_plan();
--- a/crates/grpc-gateway/src/sites/plan.rs
+++ b/crates/grpc-gateway/src/sites/plan.rs
@@ -17,7 +17,7 @@
 impl GatewayServer {
     /// Reports the endpoints' concurrency and computes the plan again.
     pub(crate) fn refresh_site_plan(&mut self) {
-        self.set_timer(PLAN_INTERVAL, TimerPurpose::SitePlan);
+        self.set_timer(PLAN_INTERVAL, TimerPurpose::SitePlanRefresh);
         let now = self.now();
         let Some(sites) = &mut self.sites else { return };
         let reported: Vec<EndpointConcurrency> = self
--- a/crates/grpc-gateway/tests/calls.rs
+++ b/crates/grpc-gateway/tests/calls.rs
@@ -61,7 +61,7 @@
                     .as_ref()
                     .expect("trailers")
             ),
-            "said by the server"
+            "message of the server"
         );
     }
     assert_eq!(
--- a/crates/grpc-gateway/tests/common/mod.rs
+++ b/crates/grpc-gateway/tests/common/mod.rs
@@ -15,6 +15,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
+// Methods of the classes `view`, `sale`, `buy` and `watch` in the settings below.
 pub const VIEW: &str = "/farm.v1.Farm/View";
 pub const SELL: &str = "/farm.v1.Farm/Sell";
 pub const BUY: &str = "/farm.v1.Farm/Buy";
@@ -38,6 +39,7 @@
 }
 
 impl StreamRecord {
+    /// The status code of the trailers, if they were received.
     pub fn code(&self) -> Option<Code> {
         self.trailers.as_ref().and_then(Code::from_trailers)
     }
@@ -75,6 +77,7 @@
             withholds_window: false,
         }
     }
+    /// Listens at a free port of the loopback interface.
     pub fn listen(&mut self) -> SocketAddr {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let (id, address) = self
@@ -84,6 +87,7 @@
         self.listeners.insert(id, address);
         address
     }
+    /// Starts a connection with limits high enough that the gateway's limits apply first.
     pub fn connect(&mut self, address: SocketAddr) -> ConnId {
         let limits = Limits {
             streams: 20_000,
@@ -96,6 +100,7 @@
     pub fn address_of(&self, stream: StreamId) -> SocketAddr {
         self.listeners[&self.listener_of[&self.connection_of[&stream]]]
     }
+    /// Handles the events that are ready, without waiting.
     pub fn turn(&mut self) {
         let mut events = Vec::new();
         self.engine.turn(0, &mut events).expect("a turn");
@@ -170,7 +175,7 @@
     }
     /// Answers a call with a status only. `unprocessed`: marks the call as not processed.
     pub fn answer_with_status(&mut self, stream: StreamId, code: Code, unprocessed: bool) {
-        let mut trailers = grpc::trailers(code, "said by the server");
+        let mut trailers = grpc::trailers(code, "message of the server");
         if unprocessed {
             trailers.insert("x-chalkdeck-unprocessed", HeaderValue::from_static("1"));
         }
@@ -244,6 +249,7 @@
 "#;
 
 impl Harness {
+    /// A harness with this number of servers and a counter that answers.
     pub fn new(servers: usize) -> Harness {
         Harness::with_settings(servers, CounterBehavior::Answers, &[])
     }
@@ -280,7 +286,7 @@
                 health: "HEALTHY",
             })
             .collect();
-        std::fs::write(dir.join("list.txtpb"), endpoint_list(&entries)).expect("a list");
+        std::fs::write(dir.join("list.txtpb"), endpoint_list(&entries)).expect("the endpoint list");
         let settings_with_counter =
             format!("{SETTINGS}\ncounter {{ address: \"{counter_address}\" timeout_ms: 60 }}\n");
         let text = edits.iter().fold(settings_with_counter, |text, edit| {
@@ -314,7 +320,8 @@
     /// Replaces the file of the endpoint list atomically.
     pub fn replace_endpoint_list(&self, text: &str) {
         std::fs::write(self.dir.join("new"), text).expect("a file");
-        std::fs::rename(self.dir.join("new"), self.dir.join("list.txtpb")).expect("a new list");
+        std::fs::rename(self.dir.join("new"), self.dir.join("list.txtpb"))
+            .expect("the new endpoint list");
     }
     /// Runs one turn of every party's event loop.
     pub fn turn(&mut self) {
@@ -436,7 +443,7 @@
     }
 }
 
-/// A gRPC frame with a message of this length.
+/// A gRPC frame: a header of 5 bytes and a message of this length.
 pub fn payload(bytes: usize) -> Bytes {
     grpc::frame(&vec![7; bytes])
 }
--- a/crates/grpc-gateway/tests/lifecycle.rs
+++ b/crates/grpc-gateway/tests/lifecycle.rs
@@ -59,7 +59,7 @@
     ];
     for (from, to, line, name) in cases {
         let error = Settings::parse("x", &VALID_SETTINGS.replace(from, to)).expect_err(to);
-        assert!(error.what.contains(name), "{error} names {name}");
+        assert!(error.what.contains(name), "{error} does not name {name}");
         assert_eq!(error.line, line, "{error}");
     }
 }
@@ -111,10 +111,10 @@
         let gateway_thread =
             scope.spawn(|| gateway.run(&signals).map(|()| gateway.open_call_count()));
         servers.answer(stream, b"fine");
-        let timeout = std::time::Instant::now() + std::time::Duration::from_secs(20);
+        let deadline = std::time::Instant::now() + std::time::Duration::from_secs(20);
         while !client.streams.get(&call).is_some_and(|s| s.is_ended) {
             assert!(
-                std::time::Instant::now() < timeout,
+                std::time::Instant::now() < deadline,
                 "the call did not end in time"
             );
             client.turn();
@@ -133,7 +133,7 @@
             && client.engine.available_streams(*connection) > 0
         {
             assert!(
-                std::time::Instant::now() < timeout,
+                std::time::Instant::now() < deadline,
                 "the client received no GOAWAY in time"
             );
             client.turn();
