--- a/crates/grpc-gateway/src/settings.rs
+++ b/crates/grpc-gateway/src/settings.rs
@@ -45,7 +45,7 @@
             what,
         })
     }
-    fn address(&self, field: &str, value: &str) -> Result<SocketAddr> {
+    fn parse_address(&self, field: &str, value: &str) -> Result<SocketAddr> {
         match value.parse() {
             Ok(address) => Ok(address),
             Err(_) => self.error_at(value, format!("{field}: expected ip:port, found '{value}'")),
@@ -74,28 +74,30 @@
         Ok(())
     }
     fn parse_class(&self, i: usize, class: &wire::Class) -> Result<api::Class> {
-        let at = |what: String| {
+        let invalid = |what: String| {
             self.error_at(
                 &format!("\"{}\"", class.name),
                 format!("classes[{i}].{what}"),
             )
         };
         if class.deadline_ms == 0 {
-            return at("deadline_ms: expected milliseconds above 0".to_string());
+            return invalid("deadline_ms: expected milliseconds above 0".to_string());
         }
-        let effect = match class.effect() {
+        let idempotency = match class.effect() {
             wire::class::Effect::Safe => Idempotency::Idempotent,
             wire::class::Effect::Keyed => Idempotency::Keyed,
             wire::class::Effect::Unsafe => Idempotency::NonIdempotent,
             wire::class::Effect::Unspecified => {
-                return at("effect: expected SAFE, KEYED or UNSAFE, found none".to_string())
+                return invalid("effect: expected SAFE, KEYED or UNSAFE, found none".to_string())
             }
         };
-        if effect == Idempotency::Keyed && class.window_ms == 0 {
-            return at("window_ms: expected milliseconds above 0 for a KEYED class".to_string());
+        if idempotency == Idempotency::Keyed && class.window_ms == 0 {
+            return invalid(
+                "window_ms: expected milliseconds above 0 for a KEYED class".to_string(),
+            );
         }
         if class.aim_ms > class.deadline_ms {
-            return at(format!(
+            return invalid(format!(
                 "aim_ms: expected at most deadline_ms ({}), found {}",
                 class.deadline_ms, class.aim_ms
             ));
@@ -109,7 +111,7 @@
             deadline: millis(class.deadline_ms),
             priority_weight: if class.worth == 0.0 { 1.0 } else { class.worth },
             late_priority_weight: class.late_worth,
-            idempotency: effect,
+            idempotency,
             key_scope: match class.group() {
                 wire::class::Group::All => KeyScope::All,
                 wire::class::Group::Zone => KeyScope::Zone,
@@ -202,20 +204,20 @@
 fn parse_routes(source: &Source, wire: &wire::Gateway, classes: &[String]) -> Result<Vec<Route>> {
     let mut routes = Vec::new();
     for (i, route) in wire.routes.iter().enumerate() {
-        let at = |what: String| {
+        let invalid = |what: String| {
             source.error_at(
                 &format!("\"{}\"", route.path),
                 format!("routes[{i}].{what}"),
             )
         };
         if !route.path.starts_with('/') {
-            return at(format!(
+            return invalid(format!(
                 "path: expected a path like /package.Service/Method, found '{}'",
                 route.path
             ));
         }
         if !route.units.is_finite() || route.units < 0.0 {
-            return at(format!(
+            return invalid(format!(
                 "units: expected a number of 0 or more, found {}",
                 route.units
             ));
@@ -269,7 +271,7 @@
     classes.push(admission_class);
     names.push(names[class].clone());
     Ok(Some(RespSettings {
-        listen: source.address("resp.listen", &resp.listen)?,
+        listen: source.parse_address("resp.listen", &resp.listen)?,
         password: resp.password.clone(),
         class: classes.len() - 1,
         default_lease: u64::from(or_default(resp.lease_ms, 30_000)) * 1_000,
@@ -287,7 +289,7 @@
     let addresses = coordinator
         .addresses
         .iter()
-        .map(|address| source.address("keepers.addresses", address))
+        .map(|address| source.parse_address("keepers.addresses", address))
         .collect::<Result<Vec<_>>>()?;
     if addresses.is_empty() || addresses.len() > 5 {
         return source.error(format!(
@@ -353,7 +355,7 @@
     let sites = wire.sites.clone().unwrap_or_default();
     let limits = wire.limits.unwrap_or_default();
     Ok(Settings {
-        listen: source.address("listen", &wire.listen)?,
+        listen: source.parse_address("listen", &wire.listen)?,
         admin: parse_admin_address(source, wire)?,
         routes,
         unkeyed_class,
@@ -477,10 +479,10 @@
     }
     let mut addresses = Vec::new();
     if !counter.address.is_empty() {
-        addresses.push(source.address("counter.address", &counter.address)?);
+        addresses.push(source.parse_address("counter.address", &counter.address)?);
     }
     for part in &counter.parts {
-        addresses.push(source.address("counter.parts", part)?);
+        addresses.push(source.parse_address("counter.parts", part)?);
     }
     Ok(addresses)
 }
@@ -488,7 +490,7 @@
 fn parse_admin_address(source: &Source, wire: &wire::Gateway) -> Result<Option<SocketAddr>> {
     match wire.admin.as_str() {
         "" => Ok(None),
-        text => Ok(Some(source.address("admin", text)?)),
+        text => Ok(Some(source.parse_address("admin", text)?)),
     }
 }
 
