--- a/crates/grpc-gateway/src/base/settings.rs
+++ b/crates/grpc-gateway/src/base/settings.rs
@@ -113,7 +113,7 @@
     /// The addresses of the counter's partitions, in the same order at all gateways; empty: there is no counter.
     pub counter_addresses: Vec<SocketAddr>,
     /// The file with the endpoint list.
-    pub endpoints_file: PathBuf,
+    pub endpoint_list_file: PathBuf,
     /// The interval at which that file is checked for changes, in microseconds.
     pub endpoint_poll_interval: u64,
     /// The time-out of establishing a connection to an endpoint, in microseconds.
--- a/crates/grpc-gateway/src/call_flow/accept.rs
+++ b/crates/grpc-gateway/src/call_flow/accept.rs
@@ -12,13 +12,13 @@
 use http::request;
 
 impl GatewayServer {
-    /// Handles a stream that a client opened. `ended`: its request has no body.
+    /// Handles a stream that a client opened. `is_ended`: its request has no body.
     pub(crate) fn on_call(
         &mut self,
         stream: StreamId,
         conn: ConnId,
         head: &request::Parts,
-        ended: bool,
+        is_ended: bool,
     ) {
         if self.fault == Some(Fault::Shut) && self.has_reloaded {
             let trailers = grpc::trailers(Code::Unavailable, "fault injection");
@@ -43,7 +43,7 @@
             "taken"
         );
         let request = call_head.request.clone();
-        let buffer = RequestBuffer::new(self.settings.max_buffered_bytes, ended);
+        let buffer = RequestBuffer::new(self.settings.max_buffered_bytes, is_ended);
         let call = Call::new(call_head, stream, now, buffer);
         self.calls.insert(Call { caller, ..call });
         self.metrics.accepted_calls.inc();
--- a/crates/grpc-gateway/src/call_flow/events.rs
+++ b/crates/grpc-gateway/src/call_flow/events.rs
@@ -50,9 +50,9 @@
         self.drop_endpoint_connection(conn);
     }
 
-    /// Handles the head of a response. `ended`: it has no body and no further trailers.
-    pub(crate) fn on_head(&mut self, stream: StreamId, head: Box<response::Parts>, ended: bool) {
-        if self.on_coordinator_head(stream, StreamProgress::from_ended(ended)) {
+    /// Handles the head of a response. `is_ended`: it has no body and no further trailers.
+    pub(crate) fn on_head(&mut self, stream: StreamId, head: Box<response::Parts>, is_ended: bool) {
+        if self.on_coordinator_head(stream, StreamProgress::from_ended(is_ended)) {
             return;
         }
         if let Some(counter) = self
@@ -60,7 +60,7 @@
             .as_mut()
             .and_then(|counter| counter.partition_of_stream(stream))
         {
-            let results = if ended {
+            let results = if is_ended {
                 counter.on_stream_ended(&mut self.engine)
             } else {
                 Vec::new()
@@ -68,7 +68,7 @@
             return self.on_counter_results(results);
         }
         if let Some(id) = self.calls.id_of_attempt_stream(stream) {
-            self.on_response_head(stream, id, head, ended);
+            self.on_response_head(stream, id, head, is_ended);
         }
     }
 
@@ -77,14 +77,14 @@
         stream: StreamId,
         id: AttemptId,
         head: Box<response::Parts>,
-        ended: bool,
+        is_ended: bool,
     ) {
         if head.status != http::StatusCode::OK || !grpc::is_grpc(&head.headers) {
             self.engine.reset(stream, h2::Reason::CANCEL);
             let message = format!("the server answered HTTP {}", head.status.as_u16());
             return self.end_without_answer(id, Outcome::Error, message);
         }
-        if ended {
+        if is_ended {
             return self.on_response_end(id, head.headers, ResponseForm::TrailersOnly);
         }
         let Some(call) = self.calls.get(id.call) else {
--- a/crates/grpc-gateway/src/endpoints.rs
+++ b/crates/grpc-gateway/src/endpoints.rs
@@ -2,7 +2,7 @@
 //!
 //! Optional metadata of an endpoint under the key `chalkdeck`:
 //! - `cell` (text or number): its cell; by default the zone of its locality.
-//! - `started_ms` (number): the Unix time in milliseconds at which it last started; by default long ago.
+//! - `started_ms` (number): the Unix time in milliseconds at which it last started; by default it counts as started long ago.
 //! - `server` (text): its name, the same at all gateways even if they reach it at different addresses; by default its address.
 //! - `contract` (text): the service and version that it serves, separated by a space; by default it is in service whichever
 //!   versions the fleet admits.
--- a/crates/grpc-gateway/src/gateway_server/endpoint_list.rs
+++ b/crates/grpc-gateway/src/gateway_server/endpoint_list.rs
@@ -14,7 +14,7 @@
             TimerPurpose::EndpointPoll,
         );
         self.endpoint_connections.close_idle(&mut self.engine);
-        let Some(content) = self.endpoint_file.poll() else {
+        let Some(content) = self.endpoint_list_watch.poll() else {
             return;
         };
         match self.parse_endpoint_list(content) {
@@ -26,7 +26,7 @@
             Err(error) => {
                 self.metrics.endpoint_list_failures.inc();
                 tracing::error!(
-                    file = %self.endpoint_file.path().display(),
+                    file = %self.endpoint_list_watch.path().display(),
                     %error,
                     "endpoint list not readable: keeping the last good one"
                 );
@@ -39,7 +39,7 @@
         &self,
         content: Result<Vec<u8>, FileWatchError>,
     ) -> Result<Vec<ListedEndpoint>, EndpointListError> {
-        let listed = endpoints::parse(self.endpoint_file.path(), &content?)?;
+        let listed = endpoints::parse(self.endpoint_list_watch.path(), &content?)?;
         Ok(listed)
     }
 
--- a/crates/grpc-gateway/src/gateway_server/mod.rs
+++ b/crates/grpc-gateway/src/gateway_server/mod.rs
@@ -49,7 +49,7 @@
     pub(crate) coordinator: Option<CoordinatorLink>,
     pub(crate) endpoint_connections: EndpointConnections,
     /// Watches the file of the endpoint list.
-    endpoint_file: FileWatch,
+    endpoint_list_watch: FileWatch,
     pub(crate) metrics: Metrics,
     timers: TimerQueue<TimerPurpose>,
     /// Buffer for the events of one turn, reused to avoid allocations.
--- a/crates/grpc-gateway/src/gateway_server/reload.rs
+++ b/crates/grpc-gateway/src/gateway_server/reload.rs
@@ -23,8 +23,8 @@
             );
             return;
         }
-        if new.endpoints_file != self.settings.endpoints_file {
-            self.endpoint_file = FileWatch::new(new.endpoints_file.clone());
+        if new.endpoint_list_file != self.settings.endpoint_list_file {
+            self.endpoint_list_watch = FileWatch::new(new.endpoint_list_file.clone());
         }
         self.settings = new;
         self.has_reloaded = true;
--- a/crates/grpc-gateway/src/gateway_server/startup.rs
+++ b/crates/grpc-gateway/src/gateway_server/startup.rs
@@ -67,7 +67,7 @@
                 settings.max_streams_per_connection,
                 settings.keepalive_interval,
             ),
-            endpoint_file: FileWatch::new(settings.endpoints_file.clone()),
+            endpoint_list_watch: FileWatch::new(settings.endpoint_list_file.clone()),
             metrics: Metrics::new(&settings.class_names, &settings.plan_names),
             timers: TimerQueue::default(),
             events: Vec::new(),
--- a/crates/grpc-gateway/src/settings.rs
+++ b/crates/grpc-gateway/src/settings.rs
@@ -162,7 +162,7 @@
         })?;
         let mut settings = Settings::parse(&file, &text)?;
         if let Some(folder) = path.parent() {
-            settings.endpoints_file = folder.join(&settings.endpoints_file);
+            settings.endpoint_list_file = folder.join(&settings.endpoint_list_file);
             settings.site_overrides_file =
                 settings.site_overrides_file.map(|file| folder.join(file));
             if let Some(coordinator) = &mut settings.coordinator {
@@ -373,7 +373,7 @@
         counter_addresses,
         resp,
         admission_queue: admission_queue_settings(wire.door.unwrap_or_default()),
-        endpoints_file: PathBuf::from(endpoints.file),
+        endpoint_list_file: PathBuf::from(endpoints.file),
         endpoint_poll_interval: u64::from(or_default(endpoints.poll_ms, 200)) * 1_000,
         connect_timeout: u64::from(or_default(endpoints.connect_timeout_ms, 250)) * 1_000,
         max_connections_per_endpoint: or_default(endpoints.connections, 2) as usize,
