--- a/crates/grpc-gateway/src/sites/admin.rs
+++ b/crates/grpc-gateway/src/sites/admin.rs
@@ -2,8 +2,8 @@
 
 use super::monitor::site_of;
 use super::SiteMonitor;
-use crate::base::failed::SiteRequestError;
-use crate::base::server::zone_of;
+use crate::base::errors::SiteRequestError;
+use crate::base::listed_endpoint::zone_id_of;
 use crate::gateway_server::GatewayServer;
 use crate::site_overrides::SitePlacement;
 use chalkdeck_site_failover::{Event, SiteOverride};
@@ -45,14 +45,14 @@
     /// Sites are not watched, the path is no request, or the override could not be persisted.
     pub(crate) fn answer_site_request(&mut self, path: &str) -> Result<String, SiteRequestError> {
         let now = self.now();
-        let sites = self.sites.as_mut().ok_or(SiteRequestError::Off)?;
+        let sites = self.sites.as_mut().ok_or(SiteRequestError::NotEnabled)?;
         let override_request = path
             .strip_prefix(OVERRIDE_PREFIX)
             .and_then(|rest| rest.split_once('/'));
         if let Some((action, site_name)) = override_request {
             sites.override_by_operator(now, action, site_name)?;
         } else if path != STATUS_PATH {
-            return Err(SiteRequestError::Path);
+            return Err(SiteRequestError::UnknownPath);
         }
         let status = sites.status(now, &self.settings);
         self.apply_site_plan();
@@ -83,7 +83,7 @@
     }
 
     fn require_known_site(&self, site_name: &str) -> Result<(), SiteRequestError> {
-        let known_name = self.names.get(&site_of(zone_of(site_name)));
+        let known_name = self.names.get(&site_of(zone_id_of(site_name)));
         if known_name.is_some_and(|known_name| known_name == site_name) {
             return Ok(());
         }
@@ -96,7 +96,7 @@
 
     fn set_override(&mut self, now: Timestamp, site_name: &str, site_override: SiteOverride) {
         let event = Event::OverrideSet {
-            site: site_of(zone_of(site_name)),
+            site: site_of(zone_id_of(site_name)),
             site_override,
         };
         self.handle(now, event);
