--- a/crates/resp-gateway/src/config/tests.rs
+++ b/crates/resp-gateway/src/config/tests.rs
@@ -54,7 +54,10 @@
         (initial.version, initial.endpoints[0].entry.zone.0),
         (4, zone)
     );
-    assert_eq!(settings.zone.0, config.named_settings.zone_numbers["north_hall"]);
+    assert_eq!(
+        settings.zone.0,
+        config.named_settings.zone_numbers["north_hall"]
+    );
 }
 
 #[test]
