--- a/crates/coordinator/src/cache_file.rs
+++ b/crates/coordinator/src/cache_file.rs
@@ -162,7 +162,7 @@
     }
     // Only the last record may be torn.
     let is_torn = offset < bytes.len();
-    let is_damaged = is_torn && (offset == 0 || record::exists_from(bytes, offset + 1));
+    let is_damaged = is_torn && (offset == 0 || record::has_valid_record_from(bytes, offset + 1));
     (!is_damaged).then_some(state)
 }
 
--- a/crates/wal/src/disk.rs
+++ b/crates/wal/src/disk.rs
@@ -1,4 +1,4 @@
-//! The operations on a folder of files that the log needs; tests replace it by a simulated one that fails.
+//! The file operations that the log needs, on one folder. Tests use a simulated disk that injects errors instead.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, Write};
@@ -7,25 +7,25 @@
 
 /// A folder of files.
 ///
-/// After a crash, bytes that were not synced may be lost, torn or out of order; so may changes of names until the folder is
-/// synced.
+/// A crash may lose, tear or reorder bytes that were not synced. The same holds for creations, renames and removals until
+/// the folder is synced.
 pub trait Disk: Clone + Send + 'static {
     /// A file that is open for appending.
     type File: Send;
 
-    /// Names of the files.
+    /// Lists the names of the files.
     fn list(&self) -> io::Result<Vec<String>>;
     /// Reads a whole file.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
-    /// Creates a file; fails if there is one of that name.
+    /// Creates a file; fails if a file of that name exists.
     fn create(&self, name: &str) -> io::Result<Self::File>;
-    /// Appends all bytes; after an error a part of them may have been appended.
+    /// Appends all bytes; after an error some of them may have been appended.
     fn append(&self, file: &mut Self::File, bytes: &[u8]) -> io::Result<()>;
-    /// Makes the bytes of a file durable. After an error the state of the bytes is unknown.
+    /// Makes the bytes of a file durable. After an error it is unknown which of them are durable.
     fn sync(&self, file: &mut Self::File) -> io::Result<()>;
-    /// Shortens a file to a length in bytes, durably.
+    /// Truncates a file to a length in bytes, durably.
     fn truncate(&self, name: &str, len: u64) -> io::Result<()>;
-    /// Renames a file, replacing one that has the new name.
+    /// Renames a file, replacing any file that has the new name.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
     fn remove(&self, name: &str) -> io::Result<()>;
@@ -33,7 +33,7 @@
     fn sync_folder(&self) -> io::Result<()>;
 }
 
-/// Name of the file whose lock keeps other processes out of a folder.
+/// Name of the file that a process locks while it uses a folder.
 const LOCK_FILE: &str = "lock";
 
 /// Another process uses the folder.
@@ -47,7 +47,7 @@
     }
 }
 
-/// A folder of the file system, used by one process at a time.
+/// A folder of the file system. A lock file keeps a second process from using it.
 #[derive(Clone, Debug)]
 pub struct Folder {
     path: PathBuf,
@@ -59,7 +59,7 @@
     ///
     /// # Errors
     ///
-    /// [`FolderLocked`] if another process uses it; any error of the file system.
+    /// [`FolderLocked`] if another process holds the lock; any error of the file system.
     pub fn open(path: &Path) -> io::Result<Folder> {
         std::fs::create_dir_all(path)?;
         let lock = OpenOptions::new()
--- a/crates/wal/src/error.rs
+++ b/crates/wal/src/error.rs
@@ -17,7 +17,7 @@
         /// The error that the disk returned.
         error: io::Error,
     },
-    /// Recorded data is unreadable or missing. Nothing has been changed.
+    /// Stored data is corrupt or missing. Opening has not changed any file.
     #[error("{file}, offset {offset}: expected {expected}. What was kept would be lost. Put the file back from a copy; or give up what follows from \
              there on: move this file and all later ones away, and start again")]
     #[diagnostic(
@@ -35,7 +35,7 @@
 }
 
 impl OpenError {
-    /// Damage in a file at an offset.
+    /// The error for damage at an offset of a file.
     pub(crate) fn damage(file: &str, offset: usize, expected: impl Into<String>) -> OpenError {
         OpenError::Damage {
             file: file.into(),
@@ -45,7 +45,7 @@
     }
 }
 
-/// Adds the failed operation to a disk's error.
+/// Adds the failed operation to an I/O error of a disk.
 pub(crate) trait DiskContext<T> {
     /// Turns an error into [`OpenError::Disk`] for the given operation.
     fn during(self, operation: impl Into<String>) -> Result<T, OpenError>;
@@ -63,13 +63,13 @@
 /// Why a record was not appended or synced.
 #[derive(Debug, thiserror::Error)]
 pub enum AppendError {
-    /// Nothing of the record is in the log, which accepts further records.
-    #[error("not kept: {0}")]
+    /// The record is not in the log. The log accepts further records.
+    #[error("record not written: {0}")]
     NotWritten(io::Error),
-    /// The record may be there after the next start. The log is closed.
-    #[error("may be kept, the log is closed: {0}")]
+    /// It is unknown whether recovery will find the record. The log is closed.
+    #[error("log closed, record may have been written: {0}")]
     OutcomeUnknown(io::Error),
-    /// The log was closed by an earlier error; nothing was written.
-    #[error("the log is closed: not kept")]
+    /// An earlier error closed the log; nothing was written.
+    #[error("log closed by an earlier error, record not written")]
     Closed,
 }
--- a/crates/wal/src/file_names.rs
+++ b/crates/wal/src/file_names.rs
@@ -1,23 +1,24 @@
-//! Names of segments and snapshots. They begin with the position, in a fixed width, so that they sort by it.
+//! Names of segment and snapshot files. The position has a fixed width, so that sorting the names sorts the files by
+//! position.
 
 use crate::disk::Disk;
 use std::io;
 
 const SEGMENT_PREFIX: &str = "segment-";
 const SNAPSHOT_PREFIX: &str = "snapshot-";
-/// Name of a snapshot while it is written.
+/// Name of the file that a snapshot is written to before it is renamed.
 pub(crate) const TEMPORARY_SNAPSHOT: &str = "snapshot.new";
-/// Width of a position: the digits of the largest `u64`.
+/// Digits of a position: as many as the largest `u64` has.
 const POSITION_DIGITS: usize = 20;
-/// Least width of an epoch.
+/// Minimum number of digits of an epoch.
 const EPOCH_DIGITS: usize = 10;
 
-/// Name of the segment that begins at a position in an epoch.
+/// Name of the segment that starts at a position in an epoch.
 pub fn segment(position: u64, epoch: u64) -> String {
     format!("{SEGMENT_PREFIX}{position:0POSITION_DIGITS$}-{epoch:0EPOCH_DIGITS$}")
 }
 
-/// Name of the snapshot at a position.
+/// Name of the snapshot of the state at a position.
 pub fn snapshot(position: u64) -> String {
     format!("{SNAPSHOT_PREFIX}{position:0POSITION_DIGITS$}")
 }
@@ -45,12 +46,12 @@
     digits.parse().ok()
 }
 
-/// The segments of a folder, oldest first.
+/// Lists the segments of a folder, oldest first.
 pub fn list_segments<D: Disk>(disk: &D) -> io::Result<Vec<String>> {
     list_sorted(disk, segment_position)
 }
 
-/// The snapshots of a folder, oldest first.
+/// Lists the snapshots of a folder, oldest first.
 pub fn list_snapshots<D: Disk>(disk: &D) -> io::Result<Vec<String>> {
     list_sorted(disk, snapshot_position)
 }
--- a/crates/wal/src/lib.rs
+++ b/crates/wal/src/lib.rs
@@ -1,8 +1,8 @@
-//! A write-ahead log with snapshots that survives crashes, for any state that can be replayed.
+//! A crash-safe write-ahead log with snapshots, for any state that can be rebuilt by replaying records.
 //!
-//! A state implements [`state::ReplayableState`]. [`log::Log`] appends its records to segments on a [`disk::Disk`],
-//! [`snapshot`] writes all of it at once, and [`recovery`] restores it from both. [`retention`] removes files that a
-//! newer snapshot has made superfluous.
+//! A state implements [`state::ReplayableState`]. [`log::Log`] appends its records to segment files on a
+//! [`disk::Disk`], [`snapshot`] writes the whole state to one file, and [`recovery`] restores the state from the newest
+//! snapshot and the records after it. [`retention`] removes files that newer snapshots supersede.
 #![forbid(unsafe_code)]
 
 pub mod disk;
--- a/crates/wal/src/log.rs
+++ b/crates/wal/src/log.rs
@@ -1,6 +1,7 @@
 //! The log that records are appended to.
 //!
-//! A record may be acknowledged only once it is as durable as was promised: after [`Log::append`], or after [`Log::sync`].
+//! A caller may acknowledge a record once the record has the durability that the caller promises: after [`Log::append`]
+//! it survives a crash of the process, after [`Log::sync`] also a crash of the machine.
 
 use crate::disk::Disk;
 use crate::error::{AppendError, DiskContext, OpenError};
@@ -10,7 +11,7 @@
 use crate::state::{Identity, ReplayableState};
 use std::io;
 
-/// An open log.
+/// A log that is open for appending.
 pub struct Log<D: Disk> {
     disk: D,
     segment: OpenSegment<D::File>,
@@ -30,12 +31,12 @@
 }
 
 impl<D: Disk> Log<D> {
-    /// Recovers the state of a folder, cuts off a torn end and begins a new segment in a new epoch. A folder that contains
-    /// nothing gets `new_incarnation`.
+    /// Recovers the state of a folder, truncates a torn tail and starts a new segment in a new epoch. An empty folder gets
+    /// `new_incarnation`.
     ///
     /// # Errors
     ///
-    /// The disk failed, or a file is damaged before the torn end; then nothing has been changed.
+    /// The disk failed, or a file is damaged in another place than the torn tail. Damage leaves all files unchanged.
     pub fn open<S: ReplayableState>(
         disk: D,
         settings: &S::Settings,
@@ -47,24 +48,24 @@
             report,
         } = recovery::recover::<D, S>(&disk, settings, u64::MAX)?;
         if let Some(tail) = &report.torn_tail {
-            cut_off(&disk, tail)?;
+            truncate_torn_tail(&disk, tail)?;
         }
         identity.epoch += 1;
         if identity.incarnation == 0 {
             identity.incarnation = new_incarnation;
         }
-        let log = Log::begin(disk, identity, S::VERSION, state.position())?;
+        let log = Log::with_new_segment(disk, identity, S::VERSION, state.position())?;
         Ok(OpenedLog { log, state, report })
     }
 
-    fn begin(
+    fn with_new_segment(
         disk: D,
         identity: Identity,
         version: u32,
         position: u64,
     ) -> Result<Log<D>, OpenError> {
         let name = file_names::segment(position, identity.epoch);
-        let operation = format!("beginning {name}");
+        let operation = format!("creating {name}");
         let head = SegmentHead::new(version, identity, position);
         let segment = segment::create(&disk, name, &head).during(operation)?;
         Ok(Log {
@@ -76,7 +77,7 @@
         })
     }
 
-    /// Which log this is.
+    /// The incarnation and epoch of this log.
     pub fn identity(&self) -> Identity {
         self.identity
     }
@@ -86,7 +87,8 @@
         self.is_closed
     }
 
-    /// Appends an encoded record. What a failed write left is cut off again; the log closes if that fails too.
+    /// Appends an encoded record. After a failed write the segment is truncated to its previous length; if that fails too,
+    /// the log closes.
     pub fn append(&mut self, record: &[u8]) -> Result<(), AppendError> {
         if self.is_closed {
             return Err(AppendError::Closed);
@@ -95,16 +97,16 @@
             self.segment.len += record.len() as u64;
             return Ok(());
         };
-        let restored = self.disk.truncate(&self.segment.name, self.segment.len);
-        if restored.is_ok() {
+        let truncated = self.disk.truncate(&self.segment.name, self.segment.len);
+        if truncated.is_ok() {
             return Err(AppendError::NotWritten(error));
         }
         self.is_closed = true;
         Err(AppendError::OutcomeUnknown(error))
     }
 
-    /// Makes what was appended durable. An error closes the log: the state of the bytes is unknown then, and a second sync
-    /// that succeeds would not prove anything about them.
+    /// Makes the appended records durable. An error closes the log: it is then unknown which bytes are durable, and a later
+    /// sync may succeed although the earlier bytes are lost.
     pub fn sync(&mut self) -> Result<(), AppendError> {
         if self.is_closed {
             return Err(AppendError::Closed);
@@ -112,11 +114,11 @@
         self.sync_segment().map_err(AppendError::OutcomeUnknown)
     }
 
-    /// Begins a new segment at a position, so that a snapshot there can replace the older segments. After an error in
-    /// creating it the present segment stays in use.
+    /// Starts a new segment at a position, so that a snapshot at that position supersedes the older segments. If the new
+    /// segment cannot be created, it is removed and the current one stays in use; if that fails too, the log closes.
     pub fn roll(&mut self, position: u64) -> io::Result<()> {
         let name = file_names::segment(position, self.identity.epoch);
-        // The name is that of the present segment if nothing was appended to it.
+        // Nothing was appended to the current segment if it already has this name.
         if self.is_closed || name == self.segment.name {
             return Ok(());
         }
@@ -124,7 +126,7 @@
         let head = SegmentHead::new(self.version, self.identity, position);
         let created = segment::create(&self.disk, name.clone(), &head);
         if created.is_err() {
-            // An empty segment must not follow one that still grows.
+            // Recovery permits a torn tail in the newest segment only, so no newer segment may exist while this one grows.
             self.is_closed = self.disk.remove(&name).is_err();
         }
         self.segment = created?;
@@ -138,15 +140,15 @@
     }
 }
 
-/// Removes a torn end, and the whole file if there is nothing else in it.
-fn cut_off<D: Disk>(disk: &D, tail: &TornTail) -> Result<(), OpenError> {
+/// Truncates a torn tail, or removes the file if all of it is torn.
+fn truncate_torn_tail<D: Disk>(disk: &D, tail: &TornTail) -> Result<(), OpenError> {
     let name = &tail.file;
     let file_len = disk.read(name).during(name.as_str())?.len() as u64;
     if tail.len == file_len {
         return disk.remove(name).during(format!("removing {name}"));
     }
     disk.truncate(name, file_len - tail.len)
-        .during(format!("cutting {name}"))
+        .during(format!("truncating {name}"))
 }
 
 #[cfg(test)]
--- a/crates/wal/src/log/tests.rs
+++ b/crates/wal/src/log/tests.rs
@@ -5,16 +5,16 @@
 use crate::test_state::{edit, encode, Harness, Sum};
 
 #[test]
-fn tail_is_torn_then_opening_cuts_it_off() {
+fn tail_is_torn_then_opening_truncates_it() {
     let disk = SimulatedDisk::new(1);
     Harness::open(&disk).append(&[1, 2]);
     let name = file_names::segment(0, 1);
-    let sound = disk.read(&name).expect("a file");
+    let intact = disk.read(&name).expect("a file");
     edit(&disk, &name, |bytes| bytes.extend([0xff; 4]));
     let opened = Harness::open(&disk);
     assert_eq!(opened.sum.total, 3);
     assert_eq!(opened.log.identity().epoch, 2);
-    assert_eq!(disk.read(&name).expect("a file"), sound);
+    assert_eq!(disk.read(&name).expect("a file"), intact);
 }
 
 #[test]
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn append_fails_then_its_bytes_are_cut_off_and_the_log_goes_on() {
+fn append_fails_then_its_bytes_are_truncated_and_the_log_stays_open() {
     let disk = SimulatedDisk::new(1);
     let mut harness = Harness::open(&disk);
     disk.fail_next_append();
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn failed_append_cannot_be_cut_off_then_log_closes() {
+fn failed_append_cannot_be_truncated_then_log_closes() {
     let disk = SimulatedDisk::new(1);
     let mut harness = Harness::open(&disk);
     disk.fail_next_append();
--- a/crates/wal/src/record.rs
+++ b/crates/wal/src/record.rs
@@ -1,4 +1,4 @@
-//! Framing of records on disk: length and CRC32C (32 bits each, little endian), then the body.
+//! Framing of records on disk: a header of body length and CRC32C (32 bits each, little endian), then the body.
 
 use prost::Message;
 
@@ -18,7 +18,7 @@
 pub fn append_message(out: &mut Vec<u8>, message: &impl Message) {
     let start = out.len();
     out.extend([0; HEADER_LEN]);
-    message.encode(out).expect("a vector grows");
+    message.encode(out).expect("a vector grows as needed");
     let body = &out[start + HEADER_LEN..];
     let len = body.len() as u32;
     let crc = checksum(body);
@@ -37,7 +37,7 @@
 pub fn body_at(bytes: &[u8], offset: usize) -> Option<&[u8]> {
     let len = read_u32(bytes, offset)? as usize;
     let crc = read_u32(bytes, offset + CHECKSUM_OFFSET)?;
-    // A record is never empty: a tail of zeros would read as one.
+    // Records are never empty: otherwise a tail of zeros would read as an empty record with a valid checksum.
     if len == 0 || len > MAX_BODY_LEN {
         return None;
     }
@@ -50,13 +50,13 @@
     Some(u32::from_le_bytes(word.try_into().ok()?))
 }
 
-/// Whether a valid record begins at this offset or anywhere after it.
-pub fn exists_from(bytes: &[u8], offset: usize) -> bool {
+/// Whether a valid record starts at this offset or anywhere after it.
+pub fn has_valid_record_from(bytes: &[u8], offset: usize) -> bool {
     let end = bytes.len().saturating_sub(HEADER_LEN);
     (offset..end).any(|candidate| body_at(bytes, candidate).is_some())
 }
 
-/// A record and its place.
+/// A record and its offset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Record<'a> {
     /// Offset of its header in bytes.
@@ -65,7 +65,7 @@
     pub body: &'a [u8],
 }
 
-/// Reads valid records one after the other and stops before the first that is not.
+/// Iterates over valid records and stops at the first invalid one.
 #[derive(Clone, Debug)]
 pub struct RecordReader<'a> {
     bytes: &'a [u8],
@@ -73,12 +73,12 @@
 }
 
 impl<'a> RecordReader<'a> {
-    /// Reads from the first byte on.
+    /// A reader that starts at the first byte.
     pub fn new(bytes: &'a [u8]) -> RecordReader<'a> {
         RecordReader { bytes, offset: 0 }
     }
 
-    /// Offset behind the last record that was read.
+    /// Offset of the end of the last record that was read.
     pub fn offset(&self) -> usize {
         self.offset
     }
--- a/crates/wal/src/record/tests.rs
+++ b/crates/wal/src/record/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn bytes_are_cut_anywhere_then_only_whole_records_are_read() {
+fn bytes_end_anywhere_then_only_complete_records_are_read() {
     let bytes = two_records();
     let first_len = HEADER_LEN + b"first".len();
     for len in 0..bytes.len() {
@@ -31,18 +31,21 @@
 
 #[test]
 fn bit_is_flipped_then_record_is_not_read() {
-    let sound = two_records();
+    let intact = two_records();
     let first_len = HEADER_LEN + b"first".len();
     for bit in 0..first_len * 8 {
-        let mut bytes = sound.clone();
+        let mut bytes = intact.clone();
         bytes[bit / 8] ^= 1 << (bit % 8);
         assert_eq!(body_at(&bytes, 0), None, "bit {bit}");
-        assert!(exists_from(&bytes, 1), "the second record is found");
+        assert!(
+            has_valid_record_from(&bytes, 1),
+            "the second record is found"
+        );
     }
 }
 
 #[test]
-fn zeros_are_no_record() {
+fn zeros_are_not_read_as_a_record() {
     assert_eq!(body_at(&[0; 64], 0), None);
-    assert!(!exists_from(&[0; 64], 0));
+    assert!(!has_valid_record_from(&[0; 64], 0));
 }
--- a/crates/wal/src/recovery.rs
+++ b/crates/wal/src/recovery.rs
@@ -1,7 +1,7 @@
-//! Recovery: the newest sound snapshot, and the records that follow it.
+//! Recovery of a state from the newest valid snapshot and the records that follow it.
 //!
-//! Only one record at a time is on its way to the disk, so a crash tears nothing but the end of the newest segment. Damage
-//! anywhere else is an error, because records that were acknowledged would be lost.
+//! The log writes one record at a time, so a crash can tear only the tail of the newest segment. Damage anywhere else is
+//! an error, because acknowledged records would be lost.
 
 use crate::disk::Disk;
 use crate::error::{DiskContext, OpenError};
@@ -11,29 +11,29 @@
 use crate::state::{Identity, ReplayableState, Replayed};
 use prost::Message;
 
-/// The unfinished end of a segment that a crash left behind.
+/// An incomplete record that a crash left at the end of a segment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TornTail {
     /// Name of the segment.
     pub file: String,
-    /// Length of the torn end in bytes.
+    /// Length of the torn tail in bytes.
     pub len: u64,
 }
 
 /// How a state was recovered.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecoveryReport {
-    /// Position of the snapshot that was restored; 0 if there was none.
+    /// Position of the snapshot that was restored; 0 if none was.
     pub snapshot_position: u64,
-    /// Damaged snapshots that were passed over, each with what is wrong with it.
+    /// Damaged snapshots that were skipped: the name of each and what is wrong with it.
     pub damaged_snapshots: Vec<String>,
     /// Number of changes that were replayed after the snapshot.
     pub replayed_changes: u64,
-    /// A torn end that opening the log cuts off.
+    /// A torn tail, which opening the log truncates.
     pub torn_tail: Option<TornTail>,
 }
 
-/// What a folder contained.
+/// A state that was recovered from a folder.
 pub struct RecoveredState<S> {
     /// The state.
     pub state: S,
@@ -45,11 +45,11 @@
 
 /// Recovers the state of a folder without changing the folder.
 ///
-/// Replays no record that begins at `end_position` or later; `u64::MAX` replays all.
+/// Replays no record that starts at `end_position` or later; `u64::MAX` replays all records.
 ///
 /// # Errors
 ///
-/// The disk failed, or a file is damaged before the torn end of the newest segment.
+/// The disk failed, or a file is damaged in another place than the torn tail of the newest segment.
 pub fn recover<D: Disk, S: ReplayableState>(
     disk: &D,
     settings: &S::Settings,
@@ -69,7 +69,7 @@
     Ok(recovery.recovered)
 }
 
-/// A recovery under way.
+/// A recovery in progress.
 struct Recovery<'a, D, S> {
     disk: &'a D,
     end_position: u64,
@@ -106,7 +106,7 @@
         let names = list_segments(self.disk).during("listing the folder")?;
         for (index, name) in names.iter().enumerate() {
             let next_name = names.get(index + 1);
-            // The epoch is taken from the name, as the segment itself may be skipped.
+            // The epoch comes from the file name because a segment that the snapshot covers is not read.
             let epoch = file_names::segment_epoch(name).unwrap_or(0);
             self.raise_epoch(epoch);
             if self.is_covered_by_snapshot(next_name) {
@@ -120,7 +120,7 @@
         Ok(())
     }
 
-    /// Whether the snapshot contains all of a segment, given the name of the next one.
+    /// Whether the snapshot contains all records of a segment, given the name of the next segment.
     fn is_covered_by_snapshot(&self, next_name: Option<&String>) -> bool {
         let next_position = next_name.and_then(|next| file_names::segment_position(next));
         next_position.is_some_and(|next| next <= self.recovered.report.snapshot_position)
@@ -135,27 +135,27 @@
         identity.epoch = identity.epoch.max(epoch);
     }
 
-    /// Replays a segment; a torn end is permitted in the newest one only.
+    /// Replays the file of a segment; only the newest segment may have a torn tail.
     fn replay_segment_file(&mut self, name: &str, is_newest: bool) -> Result<(), OpenError> {
         let bytes = self.disk.read(name).during(name)?;
-        let sound_len = self.replay_segment(&bytes, name)?;
-        // A segment without a sound head was torn while it was created.
-        let is_whole = sound_len == bytes.len() && sound_len > 0;
+        let valid_len = self.replay_segment(&bytes, name)?;
+        // A segment without a valid head was torn while it was created.
+        let is_whole = valid_len == bytes.len() && valid_len > 0;
         if is_whole || self.is_complete() {
             return Ok(());
         }
-        if !is_newest || record::exists_from(&bytes, sound_len + 1) {
+        if !is_newest || record::has_valid_record_from(&bytes, valid_len + 1) {
             let expected = "a sound record, as others follow";
-            return Err(OpenError::damage(name, sound_len, expected));
+            return Err(OpenError::damage(name, valid_len, expected));
         }
         self.recovered.report.torn_tail = Some(TornTail {
             file: name.to_owned(),
-            len: (bytes.len() - sound_len) as u64,
+            len: (bytes.len() - valid_len) as u64,
         });
         Ok(())
     }
 
-    /// Applies the records of a segment and returns the length of its sound part in bytes.
+    /// Applies the records of a segment and returns the length in bytes of its valid part.
     fn replay_segment(&mut self, bytes: &[u8], name: &str) -> Result<usize, OpenError> {
         let mut records = RecordReader::new(bytes);
         let Some(head) = records.next() else {
@@ -208,7 +208,7 @@
         }
     }
 
-    /// The error for changes that are missing before a position.
+    /// The error for changes that are missing between the state and a position.
     fn gap(&self, name: &str, offset: usize, found_position: u64) -> OpenError {
         let position = self.recovered.state.position();
         let content = S::RECORD_CONTENT;
--- a/crates/wal/src/recovery/tests.rs
+++ b/crates/wal/src/recovery/tests.rs
@@ -34,7 +34,7 @@
 
 #[test]
 fn empty_folder_then_state_is_empty() {
-    let recovered = recover_all(&SimulatedDisk::new(1)).expect("sound");
+    let recovered = recover_all(&SimulatedDisk::new(1)).expect("a valid log");
     assert_eq!(recovered.state, Sum::default());
     assert_eq!(recovered.identity, Identity::default());
     assert_eq!(recovered.report, RecoveryReport::default());
@@ -42,7 +42,7 @@
 
 #[test]
 fn snapshot_exists_then_only_later_records_are_replayed() {
-    let recovered = recover_all(&folder()).expect("sound");
+    let recovered = recover_all(&folder()).expect("a valid log");
     assert_eq!(recovered.state.total, 45);
     assert_eq!(recovered.report.snapshot_position, 6);
     assert_eq!(recovered.report.replayed_changes, 3);
@@ -53,7 +53,8 @@
 fn end_position_is_given_then_state_stops_there() {
     let disk = folder();
     for (end_position, total) in [(0, 0), (2, 3), (3, 6), (5, 15), (9, 45)] {
-        let recovered: RecoveredState<Sum> = recover(&disk, &(), end_position).expect("sound");
+        let recovered: RecoveredState<Sum> =
+            recover(&disk, &(), end_position).expect("a valid log");
         assert_eq!(recovered.state.position, end_position);
         assert_eq!(recovered.state.total, total);
     }
@@ -63,7 +64,7 @@
 fn newest_snapshot_is_damaged_then_older_one_and_all_records_give_the_state() {
     let disk = folder();
     edit(&disk, &file_names::snapshot(6), |bytes| bytes[9] ^= 1);
-    let recovered = recover_all(&disk).expect("sound");
+    let recovered = recover_all(&disk).expect("a valid log");
     assert_eq!(recovered.state.total, 45);
     assert_eq!(recovered.report.snapshot_position, 3);
     assert_eq!(recovered.report.replayed_changes, 6);
@@ -71,27 +72,27 @@
 }
 
 #[test]
-fn tail_is_torn_then_it_is_reported_and_the_rest_is_kept() {
+fn tail_is_torn_then_it_is_reported_and_the_rest_is_recovered() {
     let disk = folder();
     let name = newest_segment(&disk);
     for torn in [vec![0; 100], encode(9, 10)[..9].to_vec(), vec![0xff]] {
-        let sound = disk.read(&name).expect("a file");
+        let intact = disk.read(&name).expect("a file");
         edit(&disk, &name, |bytes| bytes.extend(&torn));
-        let recovered = recover_all(&disk).expect("a torn tail is no damage");
+        let recovered = recover_all(&disk).expect("a torn tail is not damage");
         let tail = recovered.report.torn_tail.expect("a torn tail");
         assert_eq!(tail.file, name);
         assert_eq!(tail.len, torn.len() as u64);
         assert_eq!(recovered.state.total, 45);
-        disk.put(&name, sound);
+        disk.put(&name, intact);
     }
 }
 
 #[test]
-fn head_of_newest_segment_is_torn_then_whole_file_is_a_torn_tail() {
+fn head_of_newest_segment_is_torn_then_the_whole_file_is_the_torn_tail() {
     let disk = folder();
     let name = file_names::segment(9, 2);
     disk.put(&name, vec![0; 5]);
-    let recovered = recover_all(&disk).expect("a torn tail is no damage");
+    let recovered = recover_all(&disk).expect("a torn tail is not damage");
     let tail = recovered.report.torn_tail.expect("a torn tail");
     assert_eq!((tail.file, tail.len), (name, 5));
     assert_eq!(recovered.identity.epoch, 2);
@@ -101,9 +102,9 @@
 fn record_in_the_middle_is_damaged_then_error_names_file_and_offset() {
     let disk = folder();
     let name = newest_segment(&disk);
-    let sound_len = disk.read(&name).expect("a file").len();
+    let intact_len = disk.read(&name).expect("a file").len();
     let record_len = encode(0, 0).len();
-    let damaged_offset = sound_len - 2 * record_len;
+    let damaged_offset = intact_len - 2 * record_len;
     edit(&disk, &name, |bytes| {
         bytes[damaged_offset + record::HEADER_LEN] ^= 1;
     });
@@ -164,7 +165,7 @@
 }
 
 #[test]
-fn head_is_of_another_version_or_incarnation_then_error_is_returned() {
+fn segment_head_has_another_version_or_incarnation_then_error_is_returned() {
     let heads = [
         (4, INCARNATION, "expected version 3, found 4"),
         (3, 78, "expected incarnation 4d, found 4e"),
--- a/crates/wal/src/retention.rs
+++ b/crates/wal/src/retention.rs
@@ -1,14 +1,14 @@
-//! Which files stay once a newer snapshot exists.
+//! Removal of files that newer snapshots supersede.
 
 use crate::disk::Disk;
 use crate::file_names::{self, list_segments, list_snapshots};
 use std::io;
 
-/// Snapshots that are retained, so that damage to the newest one loses nothing.
+/// Number of snapshots that are retained: with an older one, damage to the newest snapshot loses no data.
 const RETAINED_SNAPSHOTS: usize = 2;
 
-/// Removes all but the newest snapshots, and the segments that the oldest retained snapshot contains. While there are fewer
-/// snapshots than are retained all segments stay, as the snapshot might be damaged.
+/// Removes all but the newest `RETAINED_SNAPSHOTS` snapshots, and the segments whose records the oldest retained snapshot
+/// contains. While fewer snapshots exist all segments stay, because the only snapshot might be damaged.
 pub fn remove_superseded<D: Disk>(disk: &D) -> io::Result<()> {
     let snapshots = list_snapshots(disk)?;
     let Some(oldest_retained) = snapshots.len().checked_sub(RETAINED_SNAPSHOTS) else {
@@ -24,7 +24,7 @@
     disk.sync_folder()
 }
 
-/// Removes segments that contain only changes before a position, which is so if the next one begins there or earlier.
+/// Removes segments that contain only changes before a position: those whose next segment starts at or before it.
 fn remove_segments_before<D: Disk>(disk: &D, position: u64) -> io::Result<()> {
     let segments = list_segments(disk)?;
     for (name, next_name) in segments.iter().zip(segments.iter().skip(1)) {
--- a/crates/wal/src/retention/tests.rs
+++ b/crates/wal/src/retention/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn three_snapshots_exist_then_two_and_the_segments_behind_them_are_retained() {
+fn three_snapshots_exist_then_two_and_the_segments_after_them_are_retained() {
     let disk = SimulatedDisk::new(1);
     let mut harness = Harness::open(&disk);
     for values in [[1, 2], [3, 4], [5, 6]] {
--- a/crates/wal/src/segment.rs
+++ b/crates/wal/src/segment.rs
@@ -1,4 +1,4 @@
-//! Segments: files that begin with a head and continue with the records of the state.
+//! Segments of the log: files that start with a [`SegmentHead`] record, followed by the records of the state.
 
 use crate::disk::Disk;
 use crate::record;
@@ -9,22 +9,22 @@
 /// The first record of each segment.
 #[derive(Clone, PartialEq, Message)]
 pub struct SegmentHead {
-    /// Version of the format.
+    /// Version of the record format.
     #[prost(uint32, tag = "1")]
     pub version: u32,
-    /// Incarnation of the folder.
+    /// [`Identity::incarnation`] of the log.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
-    /// Number of starts of the service, this one included.
+    /// [`Identity::epoch`] in which the segment was created.
     #[prost(uint64, tag = "3")]
     pub epoch: u64,
-    /// Number of changes before this segment.
+    /// Number of changes that precede this segment.
     #[prost(uint64, tag = "4")]
     pub position: u64,
 }
 
 impl SegmentHead {
-    /// The head of a segment that begins at a position.
+    /// The head of a segment that starts at a position.
     pub(crate) fn new(version: u32, identity: Identity, position: u64) -> SegmentHead {
         SegmentHead {
             version,
@@ -35,17 +35,17 @@
     }
 }
 
-/// A segment that records are appended to.
+/// The segment that records are appended to.
 pub(crate) struct OpenSegment<F> {
     /// Name of the file.
     pub(crate) name: String,
     /// The file, open for appending.
     pub(crate) file: F,
-    /// Bytes that were appended without an error.
+    /// Length in bytes of the records that were appended without an error, the head included.
     pub(crate) len: u64,
 }
 
-/// Creates a segment that contains its head, and makes it durable.
+/// Creates a segment that contains only its head, and makes it durable.
 pub(crate) fn create<D: Disk>(
     disk: &D,
     name: String,
--- a/crates/wal/src/simulated_disk.rs
+++ b/crates/wal/src/simulated_disk.rs
@@ -1,20 +1,20 @@
-//! A disk in memory for tests. It fails and stops on demand, and after a stop it retains only what the rules of a file system
-//! promise.
+//! An in-memory disk for tests. It injects I/O errors and crashes on demand; after a crash it retains only what a file
+//! system guarantees.
 
 use crate::disk::Disk;
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::{Arc, Mutex};
 
-/// Place of a file's contents in [`DiskState::files`].
+/// Index of a file's contents in [`DiskState::files`].
 type FileId = usize;
 /// File names and the contents that they refer to.
 type Directory = BTreeMap<String, FileId>;
 
-/// An error that the simulated disk produces where a system call would fail.
+/// An injected error, in place of the error of a system call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SimulatedError {
-    /// The machine has stopped; every call fails.
+    /// The simulated machine has crashed; every call fails.
     #[error("the machine stopped")]
     Stopped,
     /// A sync failed.
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, Default)]
 struct FileContents {
     bytes: Vec<u8>,
-    /// Length that survives a crash.
+    /// Length in bytes that is certain to survive a crash.
     synced_len: usize,
 }
 
@@ -61,10 +61,10 @@
     }
 }
 
-/// Errors that are to be produced.
+/// Errors that the next calls return.
 #[derive(Debug, Default)]
-struct PlannedErrors {
-    /// The next append writes a part and fails.
+struct InjectedErrors {
+    /// The next append writes a part of its bytes and fails.
     next_append: bool,
     /// Every sync fails.
     syncs: bool,
@@ -76,14 +76,14 @@
 struct DiskState {
     files: Vec<FileContents>,
     directory: Directory,
-    /// The directory that survives a crash.
+    /// The directory that is certain to survive a crash.
     synced_directory: Directory,
-    /// Changes of the directory since it was synced.
+    /// Changes since the directory was last synced.
     unsynced_changes: Vec<DirectoryChange>,
     calls: u64,
-    /// The disk stops after this number of calls.
+    /// Every call after this number of calls fails.
     stop_after: u64,
-    planned_errors: PlannedErrors,
+    injected_errors: InjectedErrors,
     rng: fastrand::Rng,
 }
 
@@ -96,7 +96,7 @@
             unsynced_changes: Vec::new(),
             calls: 0,
             stop_after: u64::MAX,
-            planned_errors: PlannedErrors::default(),
+            injected_errors: InjectedErrors::default(),
             rng: fastrand::Rng::with_seed(seed),
         }
     }
@@ -111,33 +111,33 @@
         self.unsynced_changes.push(change);
     }
 
-    /// Whether the next call is the first to find the disk stopped.
+    /// Whether the next call is the first to fail because the disk has stopped.
     fn stops_at_next_call(&self) -> bool {
         self.calls + 1 > self.stop_after && self.calls <= self.stop_after
     }
 
-    /// Appends a random part of the bytes.
+    /// Appends the first bytes, of a random number.
     fn append_part(&mut self, file: FileId, bytes: &[u8]) {
         let part_len = self.rng.usize(0..=bytes.len());
         self.files[file].bytes.extend(&bytes[..part_len]);
     }
 
-    /// The directory after a crash: the synced one, with some of the changes since.
+    /// The directory after a crash: the synced one with the first of the later changes, of a random number.
     fn directory_after_crash(&mut self) -> Directory {
         let mut directory = self.synced_directory.clone();
-        let survivors = self.rng.usize(0..=self.unsynced_changes.len());
-        for change in &self.unsynced_changes[..survivors] {
+        let surviving_changes = self.rng.usize(0..=self.unsynced_changes.len());
+        for change in &self.unsynced_changes[..surviving_changes] {
             change.apply(&mut directory);
         }
         directory
     }
 
-    /// The files after a crash: of bytes that were not synced a part, perhaps with zeros in it.
+    /// The files after a crash: each keeps a random part of its unsynced bytes, which may end in zeros.
     fn files_after_crash(&mut self) -> Vec<FileContents> {
         let mut files = self.files.clone();
         for file in &mut files {
             let surviving_len = self.rng.usize(file.synced_len..=file.bytes.len());
-            // Blocks reach the disk in any order; one that did not reads as zeros.
+            // Blocks reach the disk in any order; a block that was not written reads as zeros.
             if surviving_len > file.synced_len && self.rng.u8(..3) == 0 {
                 let hole_start = self.rng.usize(file.synced_len..surviving_len);
                 file.bytes[hole_start..surviving_len].fill(0);
@@ -154,7 +154,7 @@
 pub struct SimulatedDisk(Arc<Mutex<DiskState>>);
 
 impl SimulatedDisk {
-    /// An empty disk. The seed determines what survives a crash.
+    /// Creates an empty disk. The seed determines what survives a crash.
     pub fn new(seed: u64) -> SimulatedDisk {
         SimulatedDisk::from_state(DiskState::new(seed))
     }
@@ -167,37 +167,37 @@
         action(&mut self.0.lock().expect("no thread panics inside"))
     }
 
-    /// Number of calls so far.
+    /// Number of disk operations so far, failed ones included.
     pub fn calls(&self) -> u64 {
         self.with_state(|state| state.calls)
     }
 
-    /// Stops the disk after this number of further calls.
+    /// Makes the disk stop, as in a crash, after this number of further calls.
     pub fn stop_after(&self, calls: u64) {
         self.with_state(|state| state.stop_after = state.calls.saturating_add(calls));
     }
 
-    /// Whether a call has found the disk stopped.
+    /// Whether a call has failed because the disk has stopped.
     pub fn is_stopped(&self) -> bool {
         self.with_state(|state| state.calls > state.stop_after)
     }
 
-    /// Lets the next append write a part of its bytes and fail, as on a full disk.
+    /// Makes the next append write a part of its bytes and fail, as on a full disk.
     pub fn fail_next_append(&self) {
-        self.with_state(|state| state.planned_errors.next_append = true);
+        self.with_state(|state| state.injected_errors.next_append = true);
     }
 
-    /// Lets every sync fail from here on.
+    /// Makes every further sync fail.
     pub fn fail_syncs(&self) {
-        self.with_state(|state| state.planned_errors.syncs = true);
+        self.with_state(|state| state.injected_errors.syncs = true);
     }
 
-    /// Lets every truncation fail from here on.
+    /// Makes every further truncation fail.
     pub fn fail_truncations(&self) {
-        self.with_state(|state| state.planned_errors.truncations = true);
+        self.with_state(|state| state.injected_errors.truncations = true);
     }
 
-    /// Puts a durable file on the disk, replacing one of that name.
+    /// Puts a durable file on the disk, replacing any file of that name.
     pub fn put(&self, name: &str, bytes: Vec<u8>) {
         self.with_state(|state| {
             let synced_len = bytes.len();
@@ -207,7 +207,7 @@
         });
     }
 
-    /// The disk as the machine finds it when it starts again after a crash.
+    /// Simulates a crash and returns the disk as it is after the restart.
     pub fn after_crash(&self) -> SimulatedDisk {
         self.with_state(|state| {
             let directory = state.directory_after_crash();
@@ -222,7 +222,7 @@
         })
     }
 
-    /// Counts a call, which fails if the disk has stopped.
+    /// Counts a call; returns an error if the disk has stopped.
     fn count_call(&self) -> Result<(), SimulatedError> {
         self.with_state(|state| {
             state.calls += 1;
@@ -266,7 +266,7 @@
     fn append(&self, file: &mut FileId, bytes: &[u8]) -> io::Result<()> {
         let is_full = self.with_state(|state| {
             let stops = state.stops_at_next_call();
-            let is_full = std::mem::take(&mut state.planned_errors.next_append);
+            let is_full = std::mem::take(&mut state.injected_errors.next_append);
             if stops || is_full {
                 state.append_part(*file, bytes);
             }
@@ -283,7 +283,7 @@
     fn sync(&self, file: &mut FileId) -> io::Result<()> {
         self.count_call()?;
         self.with_state(|state| {
-            if state.planned_errors.syncs {
+            if state.injected_errors.syncs {
                 return Err(SimulatedError::SyncFailed.into());
             }
             let contents = &mut state.files[*file];
@@ -295,7 +295,7 @@
     fn truncate(&self, name: &str, len: u64) -> io::Result<()> {
         self.count_call()?;
         self.with_state(|state| {
-            if state.planned_errors.truncations {
+            if state.injected_errors.truncations {
                 return Err(io::ErrorKind::ReadOnlyFilesystem.into());
             }
             let file = state.directory[name];
--- a/crates/wal/src/snapshot.rs
+++ b/crates/wal/src/snapshot.rs
@@ -1,11 +1,12 @@
-//! Snapshots on disk: a state at one position.
+//! Writing of snapshots: the whole state at one position.
 
 use crate::disk::Disk;
 use crate::file_names::{self, TEMPORARY_SNAPSHOT};
 use crate::state::{Identity, ReplayableState};
 use std::io;
 
-/// Writes a snapshot so that a crash leaves it whole or absent: temporary file, sync, rename, sync of the folder.
+/// Writes a snapshot atomically: writes and syncs a temporary file, renames it and syncs the folder. After a crash the
+/// snapshot is complete or absent.
 pub fn write<D: Disk, S: ReplayableState>(
     disk: &D,
     state: &S,
--- a/crates/wal/src/state.rs
+++ b/crates/wal/src/state.rs
@@ -1,15 +1,15 @@
-//! What a state must offer so that a log and snapshots can restore it.
+//! The trait of a state that is restored from snapshots and a log, and the types that it uses.
 
-/// Which log a record or snapshot belongs to.
+/// Identifies the log that a record or snapshot belongs to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Identity {
-    /// Drawn when the folder was created; a folder that was emptied gets another one.
+    /// Chosen when the folder was first used; a folder that was emptied gets a new one.
     pub incarnation: u64,
     /// Number of starts of the service with this folder.
     pub epoch: u64,
 }
 
-/// Why a snapshot cannot be restored.
+/// A snapshot is damaged and cannot be restored.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("offset {offset}: expected {expected}")]
 pub struct SnapshotDamage {
@@ -29,35 +29,36 @@
 pub enum Replayed {
     /// The record was applied and made this many changes.
     Changes(u64),
-    /// The state contains the record already; nothing was changed.
+    /// The state already contains the record; the state is unchanged.
     AlreadyApplied,
-    /// Changes between the state and the record are missing; nothing was changed.
+    /// Changes between the state and the record are missing; the state is unchanged.
     Gap {
-        /// Position at which the record begins.
+        /// Position at which the record starts.
         record_position: u64,
     },
 }
 
-/// A state that a log and snapshots restore.
+/// A state that can be restored from snapshots and a log.
 ///
-/// The same records in the same order must give the same state, and the same state the same snapshot.
+/// It must be deterministic: the same records in the same order give the same state, and equal states give the same
+/// snapshot bytes.
 pub trait ReplayableState: Sized {
-    /// What an empty state is created from, such as its bounds.
+    /// Settings that an empty state is created with, such as its limits.
     type Settings: Clone;
-    /// Version of the format of records and snapshots; other versions are rejected.
+    /// Format version of records and snapshots; recovery rejects other versions.
     const VERSION: u32;
-    /// What a record contains, in the plural, for error messages.
+    /// Plural noun for the changes in a record, for error messages.
     const RECORD_CONTENT: &'static str;
 
-    /// An empty state.
+    /// Creates an empty state.
     fn new(settings: &Self::Settings) -> Self;
-    /// Number of changes that the state contains; grows with each of them.
+    /// Number of changes that were applied to the state.
     fn position(&self) -> u64;
-    /// Applies the body of a record that follows this state; leaves the state unchanged otherwise.
+    /// Applies the body of a record if the record starts at this state's position; otherwise the state stays unchanged.
     fn replay(&mut self, body: &[u8]) -> Result<Replayed, MalformedRecord>;
     /// Encodes the whole state.
     fn snapshot(&self, identity: Identity) -> Vec<u8>;
-    /// Decodes a snapshot completely or not at all.
+    /// Decodes a snapshot; returns an error unless all of it is valid.
     fn restore(bytes: &[u8], settings: &Self::Settings)
         -> Result<(Self, Identity), SnapshotDamage>;
 }
--- a/crates/wal/src/test_state.rs
+++ b/crates/wal/src/test_state.rs
@@ -1,4 +1,4 @@
-//! A small state for the tests of this package: a sum of bytes.
+//! A minimal state for the tests of this package: a sum of byte values.
 
 use crate::disk::Disk;
 use crate::log::Log;
@@ -7,7 +7,7 @@
 use crate::snapshot;
 use crate::state::{Identity, MalformedRecord, ReplayableState, Replayed, SnapshotDamage};
 
-/// Incarnation of the folders that the tests create.
+/// Incarnation of the logs that the tests create.
 pub(crate) const INCARNATION: u64 = 77;
 
 /// Sum of the values of all records; each record is one change.
@@ -17,7 +17,7 @@
     pub(crate) total: u64,
 }
 
-/// A record: the position before it and a value.
+/// Encodes a record: the position before it and a value.
 pub(crate) fn encode(position: u8, value: u8) -> Vec<u8> {
     let mut out = Vec::new();
     record::append_bytes(&mut out, &[position, value]);
@@ -87,7 +87,7 @@
     }
 }
 
-/// A log with a sum, and the disk under them.
+/// A log with its state on a simulated disk.
 pub(crate) struct Harness {
     pub(crate) disk: SimulatedDisk,
     pub(crate) log: Log<SimulatedDisk>,
@@ -98,7 +98,7 @@
     /// Opens the log on a disk.
     pub(crate) fn open(disk: &SimulatedDisk) -> Harness {
         let opened = Log::open(disk.clone(), &(), INCARNATION)
-            .unwrap_or_else(|error| panic!("a sound log: {error}"));
+            .unwrap_or_else(|error| panic!("expected a valid log: {error}"));
         Harness {
             disk: disk.clone(),
             log: opened.log,
@@ -114,18 +114,18 @@
             self.log.sync().expect("synced");
             self.sum
                 .replay(&record[record::HEADER_LEN..])
-                .expect("a sound record");
+                .expect("a valid record");
         }
     }
 
-    /// Begins a segment and writes a snapshot.
+    /// Starts a new segment and writes a snapshot.
     pub(crate) fn snapshot(&mut self) {
         self.log.roll(self.sum.position).expect("a new segment");
         snapshot::write(&self.disk, &self.sum, self.log.identity()).expect("a snapshot");
     }
 }
 
-/// Changes the bytes of a file.
+/// Applies a change to the bytes of a file.
 pub(crate) fn edit(disk: &SimulatedDisk, name: &str, change: impl FnOnce(&mut Vec<u8>)) {
     let mut bytes = disk.read(name).expect("a file");
     change(&mut bytes);
