--- a/crates/counter/src/batch.rs
+++ b/crates/counter/src/batch.rs
@@ -1,4 +1,4 @@
-//! Batches of increments, the records of the counter's log.
+//! Batches of increments: the records of the counter's log.
 
 use crate::state::{CallerId, Increment, NameId};
 use chalkdeck_proto::chalkdeck::counter::v1::Batch;
@@ -6,25 +6,25 @@
 use chalkdeck_wal::record;
 use prost::Message;
 
-/// Increments that are counted together.
+/// Increments that are written and counted together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IncrementBatch {
-    /// Number of increments that were counted before.
+    /// Number of increments that were counted before this batch.
     pub position: u64,
-    /// When all of them are counted.
+    /// Time at which all increments of the batch count.
     pub time: Timestamp,
-    /// The increments in their order.
+    /// The increments, in the order in which they are counted.
     pub increments: Vec<Increment>,
 }
 
-/// Why the body of a record is not a batch.
+/// Why the body of a record is not a valid batch.
 #[derive(Debug, thiserror::Error)]
 pub enum BatchError {
-    /// It is not a message.
+    /// The bytes are not a protobuf message.
     #[error(transparent)]
     Message(#[from] prost::DecodeError),
-    /// Its columns differ in length, or an amount is not finite.
-    #[error("expected columns of one length")]
+    /// The columns differ in length, or an amount is not finite.
+    #[error("expected columns of equal length and finite amounts")]
     Columns,
 }
 
--- a/crates/counter/src/batch/tests.rs
+++ b/crates/counter/src/batch/tests.rs
@@ -25,7 +25,7 @@
 
 #[test]
 fn batch_is_encoded_then_decoding_gives_it_back() {
-    let decoded = IncrementBatch::decode(&encoded_body()).expect("a sound batch");
+    let decoded = IncrementBatch::decode(&encoded_body()).expect("a valid batch");
     assert_eq!(decoded, batch());
 }
 
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn body_is_no_message_then_decoding_fails() {
+fn body_is_not_a_message_then_decoding_fails() {
     let decoded = IncrementBatch::decode(&[0xff]);
     assert!(matches!(decoded, Err(BatchError::Message(_))));
 }
--- a/crates/counter/src/cli.rs
+++ b/crates/counter/src/cli.rs
@@ -1,4 +1,4 @@
-//! Commands of `chalkdeck-counter`: the service, and tools for a part's folder and for a running part.
+//! Commands of `chalkdeck-counter`: the service, and tools for the folder of a partition and for a running partition.
 
 mod folder;
 mod hot_names;
@@ -16,20 +16,20 @@
 pub enum Command {
     /// Run the counter
     Serve {
-        /// Settings, `chalkdeck.counter.v1.Settings` in text form
+        /// Settings file, `chalkdeck.counter.v1.Settings` in protobuf text format
         config: PathBuf,
     },
-    /// Check settings without starting
+    /// Check a settings file without starting the counter
     Check {
-        /// The settings
+        /// Settings file
         config: PathBuf,
     },
-    /// Look at a part's folder; its service must not run
+    /// Inspect or compact a part's folder while its service is stopped
     #[command(subcommand)]
     Log(LogCommand),
-    /// The hottest names of a running part
+    /// Print the hottest names of a running part
     Top {
-        /// Its admin port
+        /// Address of its admin port
         admin: SocketAddr,
     },
 }
--- a/crates/counter/src/cli/folder.rs
+++ b/crates/counter/src/cli/folder.rs
@@ -1,4 +1,4 @@
-//! Tools for the folder of a part whose service does not run.
+//! Tools for the folder of a partition whose service is stopped.
 
 use crate::batch::IncrementBatch;
 use crate::recovery;
@@ -14,7 +14,7 @@
 use std::io::Write;
 use std::path::PathBuf;
 
-/// A part's folder.
+/// The folder of a partition.
 #[derive(Args)]
 pub struct FolderArgs {
     /// The folder, such as `log/part-0`
@@ -24,26 +24,26 @@
 /// Commands on a folder.
 #[derive(Subcommand)]
 pub enum LogCommand {
-    /// Read all of it and say what a start would find; changes nothing
+    /// Check all files and print what a start would recover; changes nothing
     Verify(FolderArgs),
-    /// Print each segment's batches
+    /// Print the batches of each segment
     Dump(FolderArgs),
-    /// Print the totals as they stood at a position
+    /// Print the totals at a position
     Replay {
         /// The folder
         #[command(flatten)]
         folder: FolderArgs,
-        /// Adds to count; the batch that holds the last of them is counted whole
+        /// Number of adds to replay; the batch that contains the last of them is replayed whole
         #[arg(long, default_value_t = u64::MAX)]
         until: u64,
     },
-    /// Make a snapshot and remove what it makes needless
+    /// Write a snapshot and remove the files that are superseded
     Compact(FolderArgs),
 }
 
 impl FolderArgs {
     fn open(&self) -> anyhow::Result<Folder> {
-        // Opening would create the folder.
+        // `Folder::open` would create a missing folder.
         anyhow::ensure!(
             self.folder.is_dir(),
             "{}: expected a folder",
@@ -79,12 +79,12 @@
         report.replayed_changes
     )?;
     for snapshot in &report.damaged_snapshots {
-        writeln!(out, "damaged, passed over: {snapshot}")?;
+        writeln!(out, "damaged, skipped: {snapshot}")?;
     }
     if let Some(tail) = &report.torn_tail {
         writeln!(
             out,
-            "a start would cut {} bytes off {}: torn by a crash, never answered as counted",
+            "a start would remove the last {} bytes of {}: torn by a crash, never acknowledged",
             tail.len, tail.file
         )?;
     }
--- a/crates/counter/src/cli/hot_names.rs
+++ b/crates/counter/src/cli/hot_names.rs
@@ -1,4 +1,4 @@
-//! Prints the hottest names of a running part.
+//! Prints the hottest names of a running partition.
 
 use anyhow::Context;
 use std::io::{Read, Write};
@@ -8,7 +8,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Asks the admin port of a part for its hottest names.
+/// Requests the hottest names from the admin port of a partition and prints them.
 pub(super) fn print(admin: SocketAddr) -> anyhow::Result<()> {
     let mut stream = TcpStream::connect_timeout(&admin, CONNECT_TIMEOUT)?;
     stream.set_read_timeout(Some(READ_TIMEOUT))?;
@@ -17,7 +17,7 @@
     stream.read_to_string(&mut response)?;
     let (_, body) = response
         .split_once("\r\n\r\n")
-        .context("expected an HTTP answer")?;
+        .context("expected an HTTP response")?;
     print!("{body}");
     Ok(())
 }
--- a/crates/counter/src/hot_names.rs
+++ b/crates/counter/src/hot_names.rs
@@ -1,33 +1,34 @@
-//! The names with the most recent increments, in bounded memory: the space-saving sketch of Metwally, Agrawal and El Abbadi
-//! (2005). Its counts are halved now and then, so that old traffic fades.
+//! Estimates which names currently get the most increments, in bounded memory: the space-saving sketch of Metwally,
+//! Agrawal and El Abbadi (2005). Counts are halved periodically, so that old traffic decays.
 
 use crate::state::NameId;
 use rustc_hash::FxHashMap;
 use std::cmp::Reverse;
 
-/// Names in the sketch.
+/// Maximum number of names in the sketch.
 const CAPACITY: usize = 1_024;
-/// Names that are evicted at once. A flood of new names then rarely needs a pass over the whole sketch.
-const EVICTED_AT_ONCE: usize = CAPACITY / 4;
-/// Increments between two halvings of the counts.
+/// Number of names that are evicted together. With a flood of new names, few increments then need a pass over the whole
+/// sketch.
+const EVICTION_BATCH: usize = CAPACITY / 4;
+/// Number of recorded increments between two halvings of the counts.
 const HALVING_INTERVAL: u64 = 1 << 18;
 
-/// One increment in this number is recorded by [`HotNameSampler`].
+/// [`HotNameSampler`] records one of this many increments.
 pub(crate) const SAMPLING_INTERVAL: u64 = 8;
 
-/// A name with its count.
+/// A name with its estimated count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct HotName {
     pub(crate) name: NameId,
-    /// Recent increments, at most too many by [`HotNames::max_error`].
+    /// Number of recent increments; may be too high by up to [`HotNames::max_error`].
     pub(crate) count: u64,
 }
 
-/// The sketch. A name with more than one in `CAPACITY` of the increments is in it.
+/// The sketch. It contains every name that gets more than one in `CAPACITY` of the recorded increments.
 #[derive(Debug, Default)]
 pub(crate) struct HotNames {
     counts: FxHashMap<NameId, u64>,
-    recorded: u64,
+    recorded_increments: u64,
     /// The highest count that was evicted.
     max_error: u64,
 }
@@ -35,8 +36,8 @@
 impl HotNames {
     /// Records an increment of a name.
     pub(crate) fn record(&mut self, name: NameId) {
-        self.recorded += 1;
-        if self.recorded.is_multiple_of(HALVING_INTERVAL) {
+        self.recorded_increments += 1;
+        if self.recorded_increments.is_multiple_of(HALVING_INTERVAL) {
             self.halve_counts();
         }
         if let Some(count) = self.counts.get_mut(&name) {
@@ -55,13 +56,14 @@
         self.max_error /= 2;
     }
 
-    /// A new name takes the place, and the count, of the names with the lowest counts.
+    /// Evicts the names with the lowest counts. The new name starts with the highest evicted count, because it may have been
+    /// evicted with that count before.
     fn evict_and_insert(&mut self, name: NameId) {
         let mut counts: Vec<u64> = self.counts.values().copied().collect();
-        let (_, threshold, _) = counts.select_nth_unstable(EVICTED_AT_ONCE);
+        let (_, threshold, _) = counts.select_nth_unstable(EVICTION_BATCH);
         let threshold = *threshold;
         self.max_error = threshold;
-        let mut evictions_left = EVICTED_AT_ONCE;
+        let mut evictions_left = EVICTION_BATCH;
         self.counts.retain(|_, count| {
             let is_evicted = *count <= threshold && evictions_left > 0;
             evictions_left -= usize::from(is_evicted);
@@ -70,7 +72,7 @@
         self.counts.insert(name, threshold + 1);
     }
 
-    /// The names with the highest counts, highest first.
+    /// Returns the names with the highest counts, highest first.
     pub(crate) fn hottest(&self, max_names: usize) -> Vec<HotName> {
         let mut names: Vec<HotName> = self
             .counts
@@ -82,29 +84,29 @@
         names
     }
 
-    /// How much too high a count may be.
+    /// Upper bound of how much too high a count is.
     pub(crate) fn max_error(&self) -> u64 {
         self.max_error
     }
 }
 
-/// Records one in [`SAMPLING_INTERVAL`] increments.
+/// Records one in [`SAMPLING_INTERVAL`] increments in a sketch.
 #[derive(Debug, Default)]
 pub(crate) struct HotNameSampler {
     hot_names: HotNames,
-    seen: u64,
+    observed_increments: u64,
 }
 
 impl HotNameSampler {
-    /// Takes note of an increment of a name.
+    /// Observes an increment of a name, and records it if it is sampled.
     pub(crate) fn observe(&mut self, name: NameId) {
-        self.seen += 1;
-        if self.seen.is_multiple_of(SAMPLING_INTERVAL) {
+        self.observed_increments += 1;
+        if self.observed_increments.is_multiple_of(SAMPLING_INTERVAL) {
             self.hot_names.record(name);
         }
     }
 
-    /// What was recorded.
+    /// The sketch of the sampled increments.
     pub(crate) fn hot_names(&self) -> &HotNames {
         &self.hot_names
     }
--- a/crates/counter/src/lib.rs
+++ b/crates/counter/src/lib.rs
@@ -1,7 +1,10 @@
-//! A counter that all gateways share, with a log: an increment that was acknowledged is there again after a crash.
+//! The counter service that all gateways share. Increments are written to a log, so acknowledged ones survive a crash.
 //!
-//! [`state::CounterState`] counts and does no I/O. [`recovery`] and [`snapshot`] restore it from a folder by `chalkdeck_wal`.
-//! [`writer`] appends to the log on a thread of its own, and [`server`] is the service on sockets.
+//! A counter has one or more partitions, each with its own address, state and folder; gateways assign each name to one of
+//! them. Settings and folder names call a partition a "part", and an increment an "add".
+//!
+//! [`state::CounterState`] counts and does no I/O. [`recovery`] and [`snapshot`] restore it from a folder with
+//! `chalkdeck_wal`. [`writer`] appends to the log on a separate thread, and [`server`] serves a partition over gRPC.
 #![forbid(unsafe_code)]
 
 pub mod batch;
--- a/crates/counter/src/main.rs
+++ b/crates/counter/src/main.rs
@@ -1,11 +1,11 @@
-//! `chalkdeck-counter`: the counter and its tools.
+//! The program `chalkdeck-counter`: the counter service and its tools.
 #![forbid(unsafe_code)]
 
 use chalkdeck_counter::cli::Command;
 use clap::Parser;
 use std::process::ExitCode;
 
-/// Named numbers that all gateways share, with a log.
+/// Counter service that all gateways share, with a write-ahead log.
 #[derive(Parser)]
 #[command(name = "chalkdeck-counter", version)]
 struct Cli {
--- a/crates/counter/src/metrics.rs
+++ b/crates/counter/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of one part of the counter.
+//! Metrics of one partition of the counter.
 
 use crate::state::CounterState;
 use chalkdeck_net::grpc::Code;
@@ -18,7 +18,7 @@
     status: String,
 }
 
-/// Gauges that are set when the metrics are read.
+/// Gauges that are updated when the metrics are scraped.
 #[derive(Default)]
 struct Gauges {
     names: Gauge,
@@ -58,8 +58,8 @@
 /// The metrics and their registry.
 pub(crate) struct Metrics {
     registry: Registry,
-    /// By the number of the status code.
-    answers: Vec<Counter>,
+    /// Indexed by the number of the gRPC status code.
+    responses: Vec<Counter>,
     batch_sizes: Histogram,
     write_seconds: Histogram,
     gauges: Gauges,
@@ -67,14 +67,14 @@
 
 impl Metrics {
     pub(crate) fn new() -> Metrics {
-        let answers_by_status: Family<StatusLabel, Counter> = Family::default();
-        let answer_counter = |number: i32| {
+        let responses_by_status: Family<StatusLabel, Counter> = Family::default();
+        let response_counter = |number: i32| {
             let status = format!("{:?}", Code::from_number(number)).to_lowercase();
-            answers_by_status
+            responses_by_status
                 .get_or_create(&StatusLabel { status })
                 .clone()
         };
-        let answers = (0..STATUS_CODES).map(answer_counter).collect();
+        let responses = (0..STATUS_CODES).map(response_counter).collect();
         let batch_sizes = Histogram::new(exponential_buckets(1.0, 2.0, 15));
         let write_seconds = Histogram::new(exponential_buckets(0.000_05, 2.0, 18));
         let gauges = Gauges::default();
@@ -82,7 +82,7 @@
         registry.register(
             "answers",
             "Adds by the status of their answer",
-            answers_by_status,
+            responses_by_status,
         );
         registry.register("batch_adds", "Adds in one batch", batch_sizes.clone());
         registry.register_with_unit(
@@ -94,16 +94,16 @@
         gauges.register(&mut registry);
         Metrics {
             registry,
-            answers,
+            responses,
             batch_sizes,
             write_seconds,
             gauges,
         }
     }
 
-    /// Counts an answer by its status.
-    pub(crate) fn record_answer(&self, code: Code) {
-        self.answers[code as usize].inc();
+    /// Counts a response by its status.
+    pub(crate) fn record_response(&self, code: Code) {
+        self.responses[code as usize].inc();
     }
 
     /// Records the size of a batch.
@@ -111,7 +111,7 @@
         self.batch_sizes.observe(increments as f64);
     }
 
-    /// Records how long a batch took to reach the disk.
+    /// Records how long it took to write a batch.
     pub(crate) fn record_write(&self, elapsed: Duration) {
         self.write_seconds.observe(elapsed.as_secs_f64());
     }
@@ -121,7 +121,7 @@
         self.gauges.log_closed.set(i64::from(is_closed));
     }
 
-    /// The metrics in the text format of Prometheus.
+    /// Encodes the metrics in the Prometheus text format.
     pub(crate) fn text(&self, state: &CounterState, epoch: u64, pending: usize) -> String {
         self.gauges.names.set(state.name_count() as i64);
         self.gauges.callers.set(state.caller_count() as i64);
--- a/crates/counter/src/metrics/tests.rs
+++ b/crates/counter/src/metrics/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::state::Limits;
 
-/// Names and labels that dashboards use; they must not change.
+/// Metric names and labels that dashboards use; they must not change.
 const LINES: [&str; 13] = [
     "chalkdeck_counter_answers_total{status=\"ok\"} 1",
     "chalkdeck_counter_answers_total{status=\"dataloss\"} 2",
@@ -23,9 +23,9 @@
 #[test]
 fn metrics_are_recorded_then_text_has_them_under_their_names() {
     let metrics = Metrics::new();
-    metrics.record_answer(Code::Ok);
-    metrics.record_answer(Code::DataLoss);
-    metrics.record_answer(Code::DataLoss);
+    metrics.record_response(Code::Ok);
+    metrics.record_response(Code::DataLoss);
+    metrics.record_response(Code::DataLoss);
     metrics.record_batch(3);
     metrics.record_write(Duration::from_millis(500));
     metrics.set_log_closed(true);
--- a/crates/counter/src/pending/tests.rs
+++ b/crates/counter/src/pending/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn one_connection_floods_then_others_have_room_and_turns() {
+fn one_connection_floods_the_queue_then_others_keep_capacity_and_turns() {
     let mut pending = PendingQueue::new(40);
     for item in 0..10 {
         pending.push('a', item).expect("room");
@@ -11,7 +11,7 @@
     assert_eq!(
         pending.push('a', 10),
         Err(10),
-        "a quarter is one connection's"
+        "one connection may use a quarter"
     );
     pending.push('b', 100).expect("room for others");
     pending.push('c', 200).expect("room for others");
--- a/crates/counter/src/recovery.rs
+++ b/crates/counter/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery of the counter's state from its log and snapshots.
+//! Recovery of the counter's state from its snapshots and log.
 
 use crate::batch::IncrementBatch;
 use crate::snapshot;
@@ -9,7 +9,7 @@
 use chalkdeck_wal::recovery::{self, RecoveredState};
 use chalkdeck_wal::state::{Identity, MalformedRecord, ReplayableState, Replayed, SnapshotDamage};
 
-/// Recovers the state of a folder without changing the folder, up to a position; see [`recovery::recover`].
+/// Recovers the state of a folder up to a position, without changing the folder; see [`recovery::recover`].
 pub fn recover<D: Disk>(
     disk: &D,
     limits: Limits,
@@ -18,7 +18,7 @@
     recovery::recover(disk, &limits, end_position)
 }
 
-/// Opens the log of a folder with its state; see [`Log::open`].
+/// Opens the log of a folder and recovers its state; see [`Log::open`].
 pub fn open<D: Disk>(
     disk: D,
     limits: Limits,
--- a/crates/counter/src/server.rs
+++ b/crates/counter/src/server.rs
@@ -1,15 +1,15 @@
-//! One part of the counter on sockets: increments in, batches to the log, answers out.
+//! The server of one partition: receives increments, writes them to the log in batches and sends the responses.
 
 mod admin;
 mod batches;
 mod completions;
 mod error;
-mod parts;
+mod partitions;
 mod startup;
 mod streams;
 
 pub use error::ServerError;
-pub use parts::run;
+pub use partitions::run;
 
 use crate::hot_names::HotNameSampler;
 use crate::metrics::Metrics;
@@ -28,20 +28,20 @@
 use std::net::SocketAddr;
 use streams::IncrementStream;
 
-/// Longest wait of a turn without an event, in microseconds.
-const TURN_WAIT: u64 = 50_000;
-/// The same while the server drains.
-const DRAIN_TURN_WAIT: u64 = 5_000;
-/// How long a drain may take, in microseconds.
-const DRAIN_TIMEOUT: u64 = 2_000_000;
+/// Longest time that a turn of the event loop waits for an event, in microseconds.
+const MAX_TURN_WAIT_US: u64 = 50_000;
+/// Longest time that a turn waits for an event while the server drains, in microseconds.
+const MAX_DRAIN_TURN_WAIT_US: u64 = 5_000;
+/// Longest duration of a drain, in microseconds.
+const DRAIN_TIMEOUT_US: u64 = 2_000_000;
 
-/// Where a part keeps its log and snapshots.
+/// Where a partition stores its log and snapshots.
 struct Storage {
     writer: Writer,
     folder: Folder,
 }
 
-/// One part of the counter.
+/// The server of one partition of the counter.
 pub struct Server {
     engine: Engine,
     grpc_listener: ListenerId,
@@ -49,18 +49,18 @@
     admin_address: Option<SocketAddr>,
     state: CounterState,
     identity: Identity,
-    /// `None`: the state is in memory only.
+    /// `None` if the state is in memory only.
     storage: Option<Storage>,
     streams: FxHashMap<StreamId, IncrementStream>,
     pending: PendingQueue<ConnId, PendingIncrement>,
     in_flight: Option<BatchInFlight>,
-    /// Encoded answers of this turn.
-    answers: FxHashMap<StreamId, BytesMut>,
+    /// Encoded responses that this turn sends.
+    responses: FxHashMap<StreamId, BytesMut>,
     hot_names: HotNameSampler,
     metrics: Metrics,
     snapshot_schedule: SnapshotSchedule,
-    /// Whether the log is closed, so that nothing more is counted.
-    is_closed: bool,
+    /// Whether an error closed the log; then no further increments are counted.
+    is_log_closed: bool,
 }
 
 impl Server {
@@ -74,11 +74,11 @@
         self.admin_address
     }
 
-    /// Serves until a signal asks for the stop; then answers what waits and writes a snapshot.
+    /// Serves until a signal requests the stop, then drains pending increments and writes a snapshot.
     pub fn run(mut self, signals: &Signals) -> Result<(), ServerError> {
         let mut events = Vec::new();
         while !signals.stop() {
-            self.turn(TURN_WAIT, &mut events)?;
+            self.turn(MAX_TURN_WAIT_US, &mut events)?;
         }
         self.drain(&mut events)?;
         self.write_last_snapshot()
@@ -86,11 +86,11 @@
 
     fn drain(&mut self, events: &mut Vec<Event>) -> Result<(), ServerError> {
         self.engine.drain(self.grpc_listener);
-        let deadline = self.engine.now() + DRAIN_TIMEOUT;
+        let deadline = self.engine.now() + DRAIN_TIMEOUT_US;
         while self.has_unanswered_increments() && self.engine.now() < deadline {
-            self.turn(DRAIN_TURN_WAIT, events)?;
+            self.turn(MAX_DRAIN_TURN_WAIT_US, events)?;
         }
-        // One more turn sends the last answers.
+        // One more turn sends the last responses.
         self.turn(0, events)
     }
 
@@ -109,7 +109,7 @@
             self.on_completion(completion);
         }
         self.begin_batch();
-        self.send_answers();
+        self.send_responses();
         Ok(())
     }
 
@@ -126,7 +126,7 @@
             Event::StreamFailed { stream, .. } => {
                 self.streams.remove(&stream);
             }
-            // Pending increments of a lost connection are not counted: nobody would get the answers.
+            // Pending increments of a closed connection are dropped: no client could receive the responses.
             Event::Closed { conn, .. } => self.pending.remove_connection(conn),
             Event::Get { conn, path } => self.on_get(conn, &path),
             _ => {}
@@ -134,10 +134,10 @@
     }
 
     fn write_last_snapshot(self) -> Result<(), ServerError> {
-        let Some(storage) = self.storage.filter(|_| !self.is_closed) else {
+        let Some(storage) = self.storage.filter(|_| !self.is_log_closed) else {
             return Ok(());
         };
-        // Ends the threads, which sync what they wrote.
+        // Stops the threads; the log thread syncs the log before it ends.
         drop(storage.writer);
         snapshot::write(&storage.folder, &self.state, self.identity)?;
         retention::remove_superseded(&storage.folder)?;
--- a/crates/counter/src/server/admin.rs
+++ b/crates/counter/src/server/admin.rs
@@ -1,17 +1,17 @@
-//! The admin port: metrics, health and the hottest names.
+//! HTTP requests to the admin port: metrics, health and the hottest names.
 
 use super::Server;
 use crate::hot_names::SAMPLING_INTERVAL;
 use chalkdeck_net::ConnId;
 use std::fmt::Write;
 
-/// Names that `/top` lists.
+/// Number of names that `/top` lists.
 const LISTED_NAMES: usize = 20;
-/// HTTP status of an answer.
+/// HTTP status of a successful request.
 const OK: u16 = 200;
-/// HTTP status of a path that does not exist.
+/// HTTP status of an unknown path.
 const NOT_FOUND: u16 = 404;
-/// HTTP status of a part that counts nothing more.
+/// HTTP status of `/healthz` while the log is closed.
 const SERVICE_UNAVAILABLE: u16 = 503;
 
 impl Server {
@@ -22,7 +22,7 @@
                 let text = self.metrics.text(&self.state, epoch, self.pending.len());
                 self.engine.reply(connection, OK, &text);
             }
-            "/healthz" if self.is_closed => self.engine.reply(
+            "/healthz" if self.is_log_closed => self.engine.reply(
                 connection,
                 SERVICE_UNAVAILABLE,
                 "the log is closed; start again\n",
--- a/crates/counter/src/server/batches.rs
+++ b/crates/counter/src/server/batches.rs
@@ -1,4 +1,4 @@
-//! Batches: pending increments are checked, written together and counted.
+//! Batches of pending increments: they are checked, written to the log together and counted.
 
 use super::Server;
 use crate::batch::IncrementBatch;
@@ -7,32 +7,32 @@
 use chalkdeck_net::StreamId;
 use chalkdeck_time::Timestamp;
 
-/// Increments in one batch; the record of so many is far below the longest one.
+/// Maximum number of increments in a batch; keeps its record far below [`chalkdeck_wal::record::MAX_BODY_LEN`].
 const MAX_BATCH_LEN: usize = 16_384;
 
-/// An increment and the stream that its answer goes to.
+/// An increment and the stream that gets the response to it.
 pub(super) struct PendingIncrement {
     pub(super) stream: StreamId,
     pub(super) increment: Increment,
 }
 
-/// A batch on its way to the disk.
+/// A batch that is being written to the log.
 pub(super) struct BatchInFlight {
     pub(super) increments: Vec<PendingIncrement>,
-    /// When the increments are counted.
+    /// Time at which the increments count.
     time: Timestamp,
 }
 
 impl Server {
-    /// Begins the next batch unless one is in flight.
+    /// Starts the next batch, unless one is in flight or no increments are pending.
     pub(super) fn begin_batch(&mut self) {
         if self.in_flight.is_some() || self.pending.is_empty() {
             return;
         }
         let mut increments = self.pending.take(MAX_BATCH_LEN);
         let now = Timestamp::from_micros(self.engine.now());
-        let time = self.state.clock(now);
-        increments.retain(|pending| self.check(pending));
+        let time = self.state.monotonic_time(now);
+        increments.retain(|pending| self.check_or_reject(pending));
         if increments.is_empty() {
             return;
         }
@@ -50,29 +50,29 @@
         }
     }
 
-    /// Whether an increment can be counted; answers it otherwise.
-    fn check(&mut self, pending: &PendingIncrement) -> bool {
+    /// Whether an increment can be counted; responds with the reason if it cannot.
+    fn check_or_reject(&mut self, pending: &PendingIncrement) -> bool {
         let Err(rejection) = self.state.check(&pending.increment) else {
             return true;
         };
         let code = status_code(rejection);
-        self.answer(pending.stream, pending.increment.number, Err(code));
+        self.respond(pending.stream, pending.increment.number, Err(code));
         false
     }
 
-    /// Counts a batch and answers its increments.
+    /// Counts the increments of a batch and responds to them.
     pub(super) fn count(&mut self, batch: BatchInFlight) {
         for PendingIncrement { stream, increment } in batch.increments {
             let total = self.state.apply(batch.time, &increment);
             self.hot_names.observe(increment.name);
-            self.answer(stream, increment.number, Ok(total));
+            self.respond(stream, increment.number, Ok(total));
         }
     }
 
-    /// Answers increments that were not counted.
-    pub(super) fn answer_all(&mut self, increments: Vec<PendingIncrement>, code: Code) {
+    /// Responds with an error to increments that were not counted.
+    pub(super) fn respond_to_all(&mut self, increments: Vec<PendingIncrement>, code: Code) {
         for PendingIncrement { stream, increment } in increments {
-            self.answer(stream, increment.number, Err(code));
+            self.respond(stream, increment.number, Err(code));
         }
     }
 }
--- a/crates/counter/src/server/completions.rs
+++ b/crates/counter/src/server/completions.rs
@@ -1,4 +1,5 @@
-//! What the writer has completed: batches are acknowledged once they are durable, and snapshots follow the growth of the log.
+//! Handles the completions of the writer: acknowledges batches once they are written, and schedules snapshots by the growth
+//! of the log.
 
 use super::Server;
 use crate::writer::{Completion, WriteOutcome};
@@ -6,26 +7,26 @@
 use chalkdeck_wal::error::AppendError;
 use std::io;
 
-/// When the next snapshot is written.
+/// Decides when the next snapshot is due.
 pub(super) struct SnapshotSchedule {
-    /// Bytes of log after which a snapshot is written.
-    interval: u64,
-    /// Bytes of log since the last snapshot was begun.
+    /// Bytes of log between two snapshots.
+    interval_bytes: u64,
+    /// Bytes of log since the last snapshot was started.
     bytes_since_snapshot: u64,
     is_in_progress: bool,
 }
 
 impl SnapshotSchedule {
-    pub(super) fn new(interval: u64) -> SnapshotSchedule {
+    pub(super) fn new(interval_bytes: u64) -> SnapshotSchedule {
         SnapshotSchedule {
-            interval,
+            interval_bytes,
             bytes_since_snapshot: 0,
             is_in_progress: false,
         }
     }
 
     fn is_snapshot_due(&self) -> bool {
-        self.bytes_since_snapshot >= self.interval && !self.is_in_progress
+        self.bytes_since_snapshot >= self.interval_bytes && !self.is_in_progress
     }
 }
 
@@ -63,19 +64,19 @@
             AppendError::NotWritten(_) | AppendError::Closed => Code::Unavailable,
             AppendError::OutcomeUnknown(_) => Code::DataLoss,
         };
-        self.is_closed |= !matches!(error, AppendError::NotWritten(_));
-        self.metrics.set_log_closed(self.is_closed);
+        self.is_log_closed |= !matches!(error, AppendError::NotWritten(_));
+        self.metrics.set_log_closed(self.is_log_closed);
         if let Some(batch) = self.in_flight.take() {
-            self.answer_all(batch.increments, code);
+            self.respond_to_all(batch.increments, code);
         }
-        if self.is_closed {
+        if self.is_log_closed {
             let pending = self.pending.take(usize::MAX);
-            self.answer_all(pending, Code::Unavailable);
+            self.respond_to_all(pending, Code::Unavailable);
         }
     }
 
-    /// Begins a new segment, after which a snapshot is written. No batch is in flight here, so the state is that at the end
-    /// of the log.
+    /// Starts a new segment if a snapshot is due; the snapshot is written once the segment exists. No batch is in flight
+    /// here, so the state is that at the end of the log.
     fn begin_segment_if_due(&mut self) {
         if !self.snapshot_schedule.is_snapshot_due() {
             return;
--- a/crates/counter/src/server/error.rs
+++ b/crates/counter/src/server/error.rs
@@ -1,10 +1,10 @@
-//! Errors of the service.
+//! Errors of the server.
 
 use chalkdeck_wal::error::OpenError;
 use std::io;
 use std::path::PathBuf;
 
-/// Why a part could not start or go on.
+/// Why a partition could not start or had to stop.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum ServerError {
     /// The folder cannot be used.
@@ -35,11 +35,11 @@
         help("see whether another process uses the ports, and the folder's rights and room")
     )]
     Io(#[from] io::Error),
-    /// The thread of a part panicked.
+    /// The thread of a partition panicked.
     #[error("a part panicked")]
     #[diagnostic(
         code(chalkdeck::counter::panic),
         help("this is a fault of the program: the other parts go on; keep the log and report it")
     )]
-    PartPanicked,
+    PartitionPanicked,
 }
--- a/crates/counter/src/server/parts.rs
+++ b/crates/counter/src/server/partitions.rs
@@ -1,4 +1,4 @@
-//! All parts of a process, each on a thread of its own.
+//! Runs all partitions of a process, each on its own thread.
 
 use super::{Server, ServerError};
 use crate::settings::Settings;
@@ -6,12 +6,12 @@
 use std::net::SocketAddr;
 use std::thread::JoinHandle;
 
-/// Starts all parts, prints their addresses and waits until they stop. A part that ends with an error leaves the others
-/// running; the error is returned at the end.
+/// Starts all partitions, prints their addresses and waits until all have stopped. If a partition ends with an error, the
+/// others continue; the error is returned at the end.
 pub fn run(settings: &Settings, signals: &Signals) -> Result<(), ServerError> {
     let mut servers = Vec::new();
-    for part in &settings.parts {
-        servers.push(Server::start(part, settings)?);
+    for partition in &settings.partitions {
+        servers.push(Server::start(partition, settings)?);
     }
     let grpc = join_addresses(servers.iter().map(Server::grpc_address));
     let admin = join_addresses(servers.iter().filter_map(Server::admin_address));
@@ -22,7 +22,7 @@
         .collect();
     let mut outcome = Ok(());
     for thread in threads {
-        let result = thread.join().unwrap_or(Err(ServerError::PartPanicked));
+        let result = thread.join().unwrap_or(Err(ServerError::PartitionPanicked));
         if result.is_err() {
             outcome = result;
         }
--- a/crates/counter/src/server/startup.rs
+++ b/crates/counter/src/server/startup.rs
@@ -1,11 +1,11 @@
-//! Start of a part: recovery of its folder and its ports.
+//! Start of a partition: recovers the state from its folder and binds its ports.
 
 use super::{Server, ServerError, SnapshotSchedule, Storage};
 use crate::hot_names::HotNameSampler;
 use crate::metrics::Metrics;
 use crate::pending::PendingQueue;
 use crate::recovery;
-use crate::settings::{PartSettings, Settings};
+use crate::settings::{PartitionSettings, Settings};
 use crate::state::CounterState;
 use crate::writer::Writer;
 use chalkdeck_net::clock::incarnation;
@@ -17,10 +17,10 @@
 use rustc_hash::FxHashMap;
 use std::path::Path;
 
-/// Streams that may be open at once on one connection.
+/// Maximum number of concurrent streams on one connection.
 const STREAMS_PER_CONNECTION: u32 = 20_000;
 
-/// State of a part when it starts.
+/// State and storage of a partition at its start.
 struct Recovered {
     state: CounterState,
     identity: Identity,
@@ -28,14 +28,17 @@
 }
 
 impl Server {
-    /// Recovers the state of a part and binds its ports.
+    /// Recovers the state of a partition and binds its ports.
     ///
     /// # Errors
     ///
     /// The folder is in use or damaged, the disk failed, or a port is in use.
-    pub fn start(part: &PartSettings, settings: &Settings) -> Result<Server, ServerError> {
+    pub fn start(
+        partition: &PartitionSettings,
+        settings: &Settings,
+    ) -> Result<Server, ServerError> {
         let mut engine = Engine::new()?;
-        let recovered = match &part.folder {
+        let recovered = match &partition.folder {
             Some(path) => open_folder(path, settings, &engine)?,
             None => empty_state(settings, &engine),
         };
@@ -44,9 +47,9 @@
             ..Limits::default()
         };
         let (grpc_listener, grpc_address) =
-            engine.listen(part.grpc_address, limits, false, false)?;
+            engine.listen(partition.grpc_address, limits, false, false)?;
         let mut admin_address = None;
-        if let Some(address) = part.admin_address {
+        if let Some(address) = partition.admin_address {
             let (_, bound_address) = engine.listen(address, limits, false, true)?;
             admin_address = Some(bound_address);
         }
@@ -61,11 +64,11 @@
             streams: FxHashMap::default(),
             pending: PendingQueue::new(settings.pending_capacity),
             in_flight: None,
-            answers: FxHashMap::default(),
+            responses: FxHashMap::default(),
             hot_names: HotNameSampler::default(),
             metrics: Metrics::new(),
-            snapshot_schedule: SnapshotSchedule::new(settings.snapshot_interval),
-            is_closed: false,
+            snapshot_schedule: SnapshotSchedule::new(settings.snapshot_interval_bytes),
+            is_log_closed: false,
         })
     }
 }
--- a/crates/counter/src/server/streams.rs
+++ b/crates/counter/src/server/streams.rs
@@ -1,4 +1,4 @@
-//! Streams of clients: increments as they arrive, and the answers to them.
+//! gRPC streams of clients: decodes requests, queues their increments and sends the responses.
 
 use super::batches::PendingIncrement;
 use super::Server;
@@ -9,19 +9,19 @@
 use chalkdeck_time::TimeDelta;
 use prost::Message;
 
-/// Path of the method that takes many increments on one stream.
+/// Path of the method that accepts any number of increments on one stream.
 const ADDS_METHOD: &str = "/chalkdeck.counter.v1.Counter/Adds";
-/// Path of the method that takes one increment.
+/// Path of the method that accepts one increment.
 const ADD_METHOD: &str = "/chalkdeck.counter.v1.Counter/Add";
-/// The longest request that is read, in bytes.
+/// Maximum length of a request, in bytes.
 const MAX_REQUEST_LEN: usize = 1_024;
-/// Bytes of answers that may wait for a slow client; beyond that its stream is reset.
+/// Maximum number of response bytes that are queued for a slow client; beyond it the stream is reset.
 const MAX_UNSENT_BYTES: usize = 4 << 20;
 
-/// Which method a stream calls.
+/// The method that a stream calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Method {
-    /// One increment; its answer ends the stream.
+    /// One increment; the response ends the stream.
     Single,
     /// Any number of increments.
     Streaming,
@@ -35,7 +35,7 @@
 }
 
 impl IncrementStream {
-    /// The next whole request; an error if the bytes are none.
+    /// Decodes the next complete request, if there is one.
     fn next_request(&mut self) -> Result<Option<AddRequest>, MalformedRequest> {
         let message = self
             .deframer
@@ -49,11 +49,11 @@
     }
 }
 
-/// The bytes on a stream are not a request.
+/// The bytes on a stream cannot be decoded as a request.
 struct MalformedRequest;
 
-/// An answer to an increment: the total, or why there is none.
-pub(super) type Answer = Result<f64, Code>;
+/// Outcome of an increment: the total, or the status that says why it was not counted.
+pub(super) type IncrementOutcome = Result<f64, Code>;
 
 impl Server {
     pub(super) fn on_stream_opened(&mut self, connection: ConnId, stream: StreamId, path: &str) {
@@ -81,12 +81,12 @@
         self.streams.insert(stream, increment_stream);
     }
 
-    /// The client has sent its last increment. The answer to a single one is still to come.
+    /// The client has ended the stream. A [`Method::Single`] stream stays open until its response is sent.
     pub(super) fn on_stream_ended(&mut self, stream: StreamId) {
         let is_streaming = self
             .streams
             .get(&stream)
-            .is_some_and(|open| open.method == Method::Streaming);
+            .is_some_and(|increment_stream| increment_stream.method == Method::Streaming);
         if is_streaming {
             self.streams.remove(&stream);
             self.engine
@@ -95,24 +95,24 @@
     }
 
     pub(super) fn on_data(&mut self, stream: StreamId, data: &[u8]) {
-        if let Some(open) = self.streams.get_mut(&stream) {
-            open.deframer.push(data);
+        if let Some(increment_stream) = self.streams.get_mut(&stream) {
+            increment_stream.deframer.push(data);
         }
-        // An answer may close the stream, so it is looked up for each request.
-        while let Some(open) = self.streams.get_mut(&stream) {
-            let connection = open.connection;
-            match open.next_request() {
-                Ok(Some(request)) => self.accept(connection, stream, &request),
+        // A response may close the stream, so it is looked up again for each request.
+        while let Some(increment_stream) = self.streams.get_mut(&stream) {
+            let connection = increment_stream.connection;
+            match increment_stream.next_request() {
+                Ok(Some(request)) => self.enqueue(connection, stream, &request),
                 Ok(None) => return,
                 Err(MalformedRequest) => return self.reject_malformed(stream),
             }
         }
     }
 
-    /// Queues an increment for the next batch, or answers that there is no room for it.
-    fn accept(&mut self, connection: ConnId, stream: StreamId, request: &AddRequest) {
-        if self.is_closed {
-            return self.answer(stream, request.number, Err(Code::Unavailable));
+    /// Queues an increment for the next batch; responds with an error if the queue is full or the log is closed.
+    fn enqueue(&mut self, connection: ConnId, stream: StreamId, request: &AddRequest) {
+        if self.is_log_closed {
+            return self.respond(stream, request.number, Err(Code::Unavailable));
         }
         let increment = Increment {
             name: NameId(request.name),
@@ -123,13 +123,16 @@
         };
         let pending = PendingIncrement { stream, increment };
         if self.pending.push(connection, pending).is_err() {
-            self.answer(stream, request.number, Err(Code::ResourceExhausted));
+            self.respond(stream, request.number, Err(Code::ResourceExhausted));
         }
     }
 
     fn reject_malformed(&mut self, stream: StreamId) {
         let trailers = grpc::trailers(Code::InvalidArgument, "expected an AddRequest");
-        let method = self.streams.remove(&stream).map(|open| open.method);
+        let method = self
+            .streams
+            .remove(&stream)
+            .map(|increment_stream| increment_stream.method);
         match method {
             Some(Method::Single) => {
                 self.engine
@@ -139,31 +142,31 @@
         }
     }
 
-    /// Answers an increment, if its stream is still open.
-    pub(super) fn answer(&mut self, stream: StreamId, number: u64, answer: Answer) {
-        let code = answer.err().unwrap_or(Code::Ok);
-        self.metrics.record_answer(code);
-        let Some(open) = self.streams.get(&stream) else {
+    /// Responds to an increment, if its stream is still open.
+    pub(super) fn respond(&mut self, stream: StreamId, number: u64, outcome: IncrementOutcome) {
+        let code = outcome.err().unwrap_or(Code::Ok);
+        self.metrics.record_response(code);
+        let Some(increment_stream) = self.streams.get(&stream) else {
             return;
         };
         let response = AddResponse {
-            total: answer.unwrap_or(0.0),
+            total: outcome.unwrap_or(0.0),
             number,
             status: code as i32,
             incarnation: self.identity.incarnation,
             epoch: self.identity.epoch,
             position: self.state.position(),
         };
-        match open.method {
-            Method::Single => self.answer_single(stream, code, &response),
+        match increment_stream.method {
+            Method::Single => self.respond_to_single(stream, code, &response),
             Method::Streaming => {
-                let queued = self.answers.entry(stream).or_default();
+                let queued = self.responses.entry(stream).or_default();
                 grpc::push_frame(queued, &response);
             }
         }
     }
 
-    fn answer_single(&mut self, stream: StreamId, code: Code, response: &AddResponse) {
+    fn respond_to_single(&mut self, stream: StreamId, code: Code, response: &AddResponse) {
         self.streams.remove(&stream);
         let trailers = grpc::trailers(code, "");
         if code != Code::Ok {
@@ -177,9 +180,9 @@
         self.engine.finish(stream, Some(trailers));
     }
 
-    /// Sends the answers of a turn, all of a stream at once.
-    pub(super) fn send_answers(&mut self) {
-        for (stream, bytes) in self.answers.drain() {
+    /// Sends the responses of this turn, all of one stream together.
+    pub(super) fn send_responses(&mut self) {
+        for (stream, bytes) in self.responses.drain() {
             if self.engine.queued(stream) > MAX_UNSENT_BYTES {
                 self.streams.remove(&stream);
                 self.engine.reset(stream, h2::Reason::ENHANCE_YOUR_CALM);
--- a/crates/counter/src/settings.rs
+++ b/crates/counter/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the counter, read from protobuf text.
+//! Settings of the counter, read from a file in protobuf text format.
 
 use crate::state::Limits;
 use crate::writer::SyncPolicy;
@@ -9,14 +9,14 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Full name of the settings' message.
+/// Full name of the protobuf message of the settings.
 const MESSAGE: &str = "chalkdeck.counter.v1.Settings";
-/// Increments that may wait at a part, unless set.
+/// Default of [`Settings::pending_capacity`].
 const DEFAULT_PENDING_CAPACITY: usize = 65_536;
-/// Bytes of log after which a snapshot is written, unless set.
-const DEFAULT_SNAPSHOT_INTERVAL: u64 = 64 << 20;
+/// Default of [`Settings::snapshot_interval_bytes`].
+const DEFAULT_SNAPSHOT_INTERVAL_BYTES: u64 = 64 << 20;
 
-/// Settings that cannot be used.
+/// A settings file that cannot be used.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 #[error("{file}: {problem}")]
 pub struct SettingsError {
@@ -25,7 +25,7 @@
     problem: SettingsProblem,
 }
 
-/// What is wrong with settings.
+/// Why settings cannot be used.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum SettingsProblem {
     /// The file cannot be read.
@@ -35,33 +35,33 @@
         help("see the path, and whether it may be read")
     )]
     Unreadable(io::Error),
-    /// The text is not a message of settings.
+    /// The text is not a valid message of settings.
     #[error("{0}")]
     #[diagnostic(
         code(chalkdeck::counter::settings_form),
         help("see the named line; docs/counter.md shows each field")
     )]
     Malformed(TextError),
-    /// There is no part.
+    /// There is no partition.
     #[error("listen: expected at least one ip:port")]
     #[diagnostic(
         code(chalkdeck::counter::parts),
         help("give one `listen` for each part")
     )]
-    NoParts,
-    /// The number of admin addresses is not the number of parts.
+    NoPartitions,
+    /// The number of admin addresses differs from the number of partitions.
     #[error("admin: expected {expected} of them, one for each part, or none; found {found}")]
     #[diagnostic(
         code(chalkdeck::counter::admin),
         help("give one `admin` for each `listen`, in the same order, or leave all out")
     )]
     AdminCount {
-        /// Number of parts.
+        /// Number of partitions.
         expected: usize,
         /// Number of admin addresses.
         found: usize,
     },
-    /// A folder is given without a log, or a log without a folder.
+    /// A folder is set although the state is in memory only, or no folder is set for the log.
     #[error("folder: expected one, or promise: MEMORY without one")]
     #[diagnostic(
         code(chalkdeck::counter::log_folder),
@@ -75,41 +75,41 @@
         help("give an address and a port, not a name: there is no DNS here")
     )]
     Address {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// Its text.
+        /// Value of the field.
         found: String,
     },
 }
 
-/// One part of the counter.
+/// Settings of one partition of the counter.
 #[derive(Clone, Debug)]
-pub struct PartSettings {
+pub struct PartitionSettings {
     /// Address of the gRPC service.
     pub grpc_address: SocketAddr,
     /// Address of the admin port.
     pub admin_address: Option<SocketAddr>,
-    /// Folder of log and snapshots; `None`: the state is in memory only.
+    /// Folder of the log and the snapshots; `None` if the state is in memory only.
     pub folder: Option<PathBuf>,
 }
 
-/// All settings.
+/// Settings of the counter process.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The parts, at least one.
-    pub parts: Vec<PartSettings>,
-    /// When the log of a part that has a folder is synced.
+    /// The partitions, at least one.
+    pub partitions: Vec<PartitionSettings>,
+    /// When the log of a partition is synced.
     pub sync_policy: SyncPolicy,
-    /// Limits of each part's state.
+    /// Limits of the state of each partition.
     pub limits: Limits,
-    /// Increments that may wait at a part.
+    /// Maximum number of increments that wait for a batch at one partition.
     pub pending_capacity: usize,
-    /// Bytes of log after which a snapshot is written.
-    pub snapshot_interval: u64,
+    /// Bytes of log between two snapshots of a partition.
+    pub snapshot_interval_bytes: u64,
 }
 
 impl Settings {
-    /// Reads a file; folders are relative to its folder.
+    /// Loads a settings file. A relative `folder` is resolved against the folder of the file.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let in_file = |problem| SettingsError {
             file: path.display().to_string(),
@@ -121,18 +121,18 @@
         Settings::parse(&source, base).map_err(in_file)
     }
 
-    /// Parses a text; folders are relative to `base`.
+    /// Parses settings. A relative `folder` is resolved against `base`.
     pub fn parse(source: &str, base: &Path) -> Result<Settings, SettingsProblem> {
         let wire: wire::Settings =
             text::parse(MESSAGE, source).map_err(SettingsProblem::Malformed)?;
         check_consistency(&wire)?;
         Ok(Settings {
-            parts: parts(&wire, base)?,
+            partitions: partitions(&wire, base)?,
             sync_policy: sync_policy(wire.promise()),
             limits: limits(&wire),
-            pending_capacity: count_or(wire.waiting, DEFAULT_PENDING_CAPACITY),
-            snapshot_interval: match wire.snapshot_bytes {
-                0 => DEFAULT_SNAPSHOT_INTERVAL,
+            pending_capacity: count_or_default(wire.waiting, DEFAULT_PENDING_CAPACITY),
+            snapshot_interval_bytes: match wire.snapshot_bytes {
+                0 => DEFAULT_SNAPSHOT_INTERVAL_BYTES,
                 bytes => bytes,
             },
         })
@@ -141,7 +141,7 @@
 
 fn check_consistency(wire: &wire::Settings) -> Result<(), SettingsProblem> {
     if wire.listen.is_empty() {
-        return Err(SettingsProblem::NoParts);
+        return Err(SettingsProblem::NoPartitions);
     }
     if !wire.admin.is_empty() && wire.admin.len() != wire.listen.len() {
         return Err(SettingsProblem::AdminCount {
@@ -156,20 +156,23 @@
     Ok(())
 }
 
-fn parts(wire: &wire::Settings, base: &Path) -> Result<Vec<PartSettings>, SettingsProblem> {
+fn partitions(
+    wire: &wire::Settings,
+    base: &Path,
+) -> Result<Vec<PartitionSettings>, SettingsProblem> {
     let has_log = wire.promise() != wire::Promise::Memory;
-    let mut parts = Vec::new();
+    let mut partitions = Vec::new();
     for (index, listen) in wire.listen.iter().enumerate() {
         let admin = wire.admin.get(index);
         let admin_address = admin.map(|text| address("admin", text)).transpose()?;
         let folder = base.join(&wire.folder).join(format!("part-{index}"));
-        parts.push(PartSettings {
+        partitions.push(PartitionSettings {
             grpc_address: address("listen", listen)?,
             admin_address,
             folder: has_log.then_some(folder),
         });
     }
-    Ok(parts)
+    Ok(partitions)
 }
 
 fn address(field: &'static str, text: &str) -> Result<SocketAddr, SettingsProblem> {
@@ -189,9 +192,9 @@
 fn limits(wire: &wire::Settings) -> Limits {
     let default = Limits::default();
     Limits {
-        names: count_or(wire.names, default.names),
-        callers: count_or(wire.callers, default.callers),
-        remembered: count_or(wire.remembered, default.remembered),
+        names: count_or_default(wire.names, default.names),
+        callers: count_or_default(wire.callers, default.callers),
+        increments_per_caller: count_or_default(wire.remembered, default.increments_per_caller),
         horizon: match wire.horizon_ms {
             0 => default.horizon,
             millis => TimeDelta::from_millis(u64::from(millis)),
@@ -199,8 +202,8 @@
     }
 }
 
-/// A number that stands for a default if it is 0.
-fn count_or(number: u32, default: usize) -> usize {
+/// The value of a field, or the default if the field is 0.
+fn count_or_default(number: u32, default: usize) -> usize {
     match number {
         0 => default,
         count => count as usize,
--- a/crates/counter/src/settings/tests.rs
+++ b/crates/counter/src/settings/tests.rs
@@ -6,9 +6,9 @@
 fn settings_are_wrong_then_error_names_the_field_or_line() {
     let parse = |text: &str| Settings::parse(text, Path::new("/x"));
     let settings = parse("listen: '127.0.0.1:0' listen: '127.0.0.1:0' folder: 'log' horizon_ms: 5")
-        .expect("sound");
+        .expect("valid settings");
     assert_eq!(
-        settings.parts[1].folder.as_deref(),
+        settings.partitions[1].folder.as_deref(),
         Some(Path::new("/x/log/part-1"))
     );
     assert_eq!(
--- a/crates/counter/src/snapshot.rs
+++ b/crates/counter/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Encoding of the whole state as the records of a snapshot. The same state gives the same bytes.
+//! Encoding of the whole state as the records of a snapshot. Equal states give equal bytes.
 
 use crate::state::{Acknowledged, CallerId, CallerRecord, CounterState, Limits, NameEntry, NameId};
 use chalkdeck_proto::chalkdeck::counter::v1::{CallerState, SnapshotHead, SnapshotPart};
@@ -7,12 +7,12 @@
 use chalkdeck_wal::state::{Identity, SnapshotDamage};
 use prost::Message;
 
-/// Version of the format; other versions are rejected.
+/// Version of the snapshot and record format; other versions are rejected.
 pub const VERSION: u32 = 1;
-/// Names, or remembered increments, in one record. Keeps records far below the longest one.
+/// Maximum number of names, or of remembered increments, in one record; keeps records far below [`record::MAX_BODY_LEN`].
 const ENTRIES_PER_RECORD: usize = 32_768;
 
-/// Encodes the state.
+/// Encodes the state as a snapshot.
 pub fn encode(state: &CounterState, identity: Identity) -> Vec<u8> {
     let names = state.names.sorted_entries();
     let callers = state.callers.sorted_records();
@@ -50,7 +50,8 @@
     record::append_message(out, &part);
 }
 
-/// Appends one caller, in several records if one would grow too long and in one if there are no increments.
+/// Appends the record of one caller, split into several if it has many increments. A caller without increments gets one
+/// record too.
 fn append_caller(out: &mut Vec<u8>, caller: CallerId, caller_record: &CallerRecord) {
     let entries: Vec<Acknowledged> = caller_record.acknowledged.iter().copied().collect();
     if entries.is_empty() {
@@ -73,7 +74,10 @@
         floor: caller_record.forgotten_up_to,
         numbers: entries.iter().map(|entry| entry.number).collect(),
         totals: entries.iter().map(|entry| entry.total).collect(),
-        times: entries.iter().map(|entry| entry.at.as_micros()).collect(),
+        times: entries
+            .iter()
+            .map(|entry| entry.counted_at.as_micros())
+            .collect(),
     };
     let part = SnapshotPart {
         callers: vec![caller_state],
@@ -91,7 +95,7 @@
     pub identity: Identity,
 }
 
-/// Decodes a snapshot completely or not at all.
+/// Decodes a snapshot; returns an error unless all of it is valid.
 pub fn decode(bytes: &[u8], limits: Limits) -> Result<DecodedSnapshot, SnapshotDamage> {
     let mut records = RecordReader::new(bytes);
     let head = records.next().ok_or_else(|| damage(0, "a sound record"))?;
@@ -107,8 +111,12 @@
     for record in records.by_ref() {
         let part = SnapshotPart::decode(record.body)
             .map_err(|_| damage(record.offset, "a part of a snapshot"))?;
-        restore_part(&mut state, part)
-            .map_err(|MalformedPart| damage(record.offset, "as many totals and ends as names"))?;
+        restore_part(&mut state, part).map_err(|MalformedPart| {
+            damage(
+                record.offset,
+                "columns of equal length and ascending numbers",
+            )
+        })?;
     }
     if !records.is_at_end() {
         return Err(damage(records.offset(), "a sound record"));
@@ -142,7 +150,7 @@
     Err(damage(len, expected))
 }
 
-/// The columns of a part differ in length, or numbers do not ascend.
+/// The columns of a part differ in length, or the numbers of a caller do not ascend.
 struct MalformedPart;
 
 fn restore_part(state: &mut CounterState, part: SnapshotPart) -> Result<(), MalformedPart> {
@@ -180,8 +188,12 @@
         if last.is_some_and(|last| last.number >= number) {
             return Err(MalformedPart);
         }
-        let at = Timestamp::from_micros(time);
-        let entry = Acknowledged { number, total, at };
+        let counted_at = Timestamp::from_micros(time);
+        let entry = Acknowledged {
+            number,
+            total,
+            counted_at,
+        };
         caller_record.acknowledged.push_back(entry);
     }
     Ok(())
--- a/crates/counter/src/snapshot/tests.rs
+++ b/crates/counter/src/snapshot/tests.rs
@@ -33,7 +33,7 @@
 #[test]
 fn snapshot_is_decoded_then_state_and_identity_are_the_same() {
     let bytes = encode(&state(), IDENTITY);
-    let decoded = decode(&bytes, Limits::default()).expect("sound");
+    let decoded = decode(&bytes, Limits::default()).expect("a valid snapshot");
     assert_eq!(decoded.identity, IDENTITY);
     assert_eq!(decoded.state.position(), 4);
     assert_eq!(decoded.state.totals(), state().totals());
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn snapshot_ends_anywhere_then_decoding_fails() {
+fn snapshot_is_truncated_anywhere_then_decoding_fails() {
     let bytes = encode(&state(), IDENTITY);
     for len in 0..bytes.len() {
         assert!(decode(&bytes[..len], Limits::default()).is_err(), "{len}");
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn version_is_another_then_error_names_it() {
+fn version_differs_then_error_names_both_versions() {
     let head = SnapshotHead {
         version: VERSION + 1,
         ..SnapshotHead::default()
--- a/crates/counter/src/state.rs
+++ b/crates/counter/src/state.rs
@@ -1,7 +1,7 @@
-//! The counter's state machine, without I/O: the same increments in the same order give the same totals, the same memory of
-//! callers and the same snapshot.
+//! The counter's deterministic state machine, without I/O: the same increments in the same order give the same totals, the
+//! same records of callers and the same snapshot.
 //!
-//! Points in time count from the Unix epoch and never go back.
+//! Timestamps are relative to the Unix epoch. The state's time never goes backwards.
 
 mod callers;
 mod names;
@@ -12,16 +12,16 @@
 use callers::Lookup;
 use chalkdeck_time::{TimeDelta, Timestamp};
 
-/// Upper bounds of what the state remembers.
+/// Upper bounds of the state's memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Names at once; a name takes about 80 bytes.
+    /// Maximum number of names; a name takes about 80 bytes.
     pub names: usize,
-    /// Callers that are remembered for deduplication.
+    /// Maximum number of callers that are remembered for deduplication.
     pub callers: usize,
-    /// Increments that are remembered of each caller, 24 bytes each.
-    pub remembered: usize,
-    /// How long an increment is remembered. One that arrives again later is rejected.
+    /// Maximum number of increments that are remembered of each caller; an increment takes 24 bytes.
+    pub increments_per_caller: usize,
+    /// How long an increment is remembered. If it arrives again later than that, it is rejected.
     pub horizon: TimeDelta,
 }
 
@@ -30,22 +30,22 @@
         Limits {
             names: 2_000_000,
             callers: 1_024,
-            remembered: 16_384,
+            increments_per_caller: 16_384,
             horizon: TimeDelta::from_secs(30),
         }
     }
 }
 
-/// Id of a counted name: a hash that all gateways agree on.
+/// Id of a name: a hash that all gateways compute in the same way.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NameId(pub u64);
 
-/// Incarnation of a caller, which is greater than that of any earlier life of it.
+/// Incarnation of a caller. After a restart a caller uses a greater one than before.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallerId(pub u64);
 
 impl CallerId {
-    /// A caller that is not remembered: its increments count as often as they arrive.
+    /// The id of callers that are not remembered. Their increments are not deduplicated.
     pub const ANONYMOUS: CallerId = CallerId(0);
 
     /// Whether increments of this caller are not deduplicated.
@@ -59,13 +59,13 @@
 pub struct Increment {
     /// The name.
     pub name: NameId,
-    /// What is added; a negative amount is subtracted, and 0 reads the total.
+    /// Amount to add; may be negative. An amount of 0 reads the total.
     pub amount: f64,
-    /// How long the name is retained after its first increment.
+    /// How long after its first increment the name expires.
     pub lifetime: TimeDelta,
-    /// Who sent it.
+    /// The caller that sent it.
     pub caller: CallerId,
-    /// Its sequence number among those of the caller.
+    /// Sequence number among the increments of the caller.
     pub number: u64,
 }
 
@@ -74,11 +74,11 @@
 pub enum Rejection {
     /// The maximum number of names is reached.
     TooManyNames,
-    /// It may have been counted before; that is no longer remembered.
+    /// The number is so old that it is no longer known whether the increment was counted.
     TooOld,
     /// The caller has been forgotten and must use a new incarnation.
     ForgottenCaller,
-    /// The amount, or the total that it would give, is not a finite number.
+    /// The amount or the resulting total is not finite.
     NotFinite,
 }
 
@@ -93,7 +93,7 @@
     pub expires_at: Timestamp,
 }
 
-/// All totals of one part of the counter.
+/// State of one partition of the counter.
 #[derive(Clone, Debug, Default)]
 pub struct CounterState {
     limits: Limits,
@@ -117,7 +117,7 @@
         self.position
     }
 
-    /// The latest time that was passed in.
+    /// Latest time that was passed to [`CounterState::apply`].
     pub fn time(&self) -> Timestamp {
         self.time
     }
@@ -142,15 +142,15 @@
         self.names.totals(self.time)
     }
 
-    /// The later of the state's own time and `now`: a clock that went back stands still.
-    pub fn clock(&self, now: Timestamp) -> Timestamp {
+    /// Returns the later of the state's time and `now`, so that time does not go backwards when the clock does.
+    pub fn monotonic_time(&self, now: Timestamp) -> Timestamp {
         self.time.max(now)
     }
 
     /// Whether an increment may be written to the log.
     ///
-    /// What passes here is counted by [`CounterState::apply`] whatever is applied in between. A repeated increment passes
-    /// too and gets its first total there.
+    /// [`CounterState::apply`] counts an increment that passes, even if other increments are applied in between. A repeated
+    /// increment passes too; it gets its first total again.
     pub fn check(&self, increment: &Increment) -> Result<(), Rejection> {
         let total = self.total(increment.name).unwrap_or(0.0) + increment.amount;
         if !increment.amount.is_finite() || !total.is_finite() {
@@ -165,20 +165,20 @@
         }
         let needs_room =
             self.names.len() >= self.limits.names && !self.names.contains(increment.name);
-        // The first name to expire may make room.
+        // An expired name will be removed and makes room.
         if needs_room && !self.names.has_expired(self.time) {
             return Err(Rejection::TooManyNames);
         }
         Ok(())
     }
 
-    /// Counts an increment that passed [`CounterState::check`] and returns its total. A repeated one is counted once and
-    /// gets the total of the first time.
+    /// Counts an increment that passed [`CounterState::check`] and returns the total after it. A repeated increment is not
+    /// counted again; its first total is returned.
     pub fn apply(&mut self, time: Timestamp, increment: &Increment) -> f64 {
-        self.time = self.clock(time);
+        self.time = self.monotonic_time(time);
         let index = match self.callers.find(increment.caller, increment.number) {
             Lookup::Acknowledged { total } => return total,
-            Lookup::Unknown { index } => index,
+            Lookup::NotRemembered { index } => index,
         };
         self.position += 1;
         self.names.remove_expired(self.time);
@@ -189,7 +189,7 @@
         let acknowledged = Acknowledged {
             number: increment.number,
             total,
-            at: self.time,
+            counted_at: self.time,
         };
         self.callers
             .remember(increment.caller, index, acknowledged, &self.limits);
--- a/crates/counter/src/state/callers.rs
+++ b/crates/counter/src/state/callers.rs
@@ -1,4 +1,4 @@
-//! Deduplication: which increments of which callers were counted, and with which total they were acknowledged.
+//! Deduplication of increments: which increments of each caller were counted, and with which totals they were acknowledged.
 
 use super::{CallerId, Limits, Rejection};
 use chalkdeck_time::Timestamp;
@@ -8,35 +8,35 @@
 /// An increment that was counted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Acknowledged {
-    /// Its sequence number.
+    /// Sequence number of the increment.
     pub(crate) number: u64,
-    /// The total after it.
+    /// Total after the increment.
     pub(crate) total: f64,
-    /// When it was counted.
-    pub(crate) at: Timestamp,
+    /// When the increment was counted.
+    pub(crate) counted_at: Timestamp,
 }
 
 /// What is remembered of a caller.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct CallerRecord {
-    /// When an increment of the caller was counted last.
+    /// When the last increment of the caller was counted.
     pub(crate) last_used: Timestamp,
-    /// The highest number that was forgotten. Numbers up to it that are not in `acknowledged` are too old.
+    /// Highest number that was forgotten. Increments up to it that are not in `acknowledged` are rejected as too old.
     pub(crate) forgotten_up_to: u64,
-    /// Increments by ascending number.
+    /// Remembered increments, by ascending number.
     pub(crate) acknowledged: VecDeque<Acknowledged>,
 }
 
-/// Whether an increment is remembered.
+/// Result of looking up an increment.
 pub(crate) enum Lookup {
-    /// It was counted.
+    /// The increment was counted and acknowledged.
     Acknowledged {
-        /// The total after it.
+        /// Total after the increment.
         total: f64,
     },
-    /// It is not remembered.
-    Unknown {
-        /// Where it belongs among the increments of its caller.
+    /// The increment is not remembered.
+    NotRemembered {
+        /// Index at which to insert it in [`CallerRecord::acknowledged`].
         index: usize,
     },
 }
@@ -45,7 +45,7 @@
     fn find(&self, number: u64) -> Lookup {
         let found = match self.acknowledged.back() {
             None => Err(0),
-            // Numbers ascend as a rule, so most belong at the end.
+            // Fast path: numbers usually ascend.
             Some(last) if last.number < number => Err(self.acknowledged.len()),
             Some(_) => self
                 .acknowledged
@@ -55,14 +55,14 @@
             Ok(index) => Lookup::Acknowledged {
                 total: self.acknowledged[index].total,
             },
-            Err(index) => Lookup::Unknown { index },
+            Err(index) => Lookup::NotRemembered { index },
         }
     }
 
     fn remember(&mut self, index: usize, entry: Acknowledged, limits: &Limits) {
-        self.last_used = self.last_used.max(entry.at);
+        self.last_used = self.last_used.max(entry.counted_at);
         self.acknowledged.insert(index, entry);
-        while self.has_surplus(entry.at, limits) {
+        while self.has_surplus(entry.counted_at, limits) {
             let Some(dropped) = self.acknowledged.pop_front() else {
                 break;
             };
@@ -70,10 +70,10 @@
         }
     }
 
-    /// Whether the increment with the lowest number is to be forgotten.
+    /// Whether the increment with the lowest number exceeds the limits and has to be forgotten.
     fn has_surplus(&self, now: Timestamp, limits: &Limits) -> bool {
-        let is_past_horizon = |entry: &Acknowledged| entry.at + limits.horizon < now;
-        self.acknowledged.len() > limits.remembered
+        let is_past_horizon = |entry: &Acknowledged| entry.counted_at + limits.horizon < now;
+        self.acknowledged.len() > limits.increments_per_caller
             || self.acknowledged.front().is_some_and(is_past_horizon)
     }
 }
@@ -82,7 +82,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CallerTable {
     records: FxHashMap<CallerId, CallerRecord>,
-    /// The newest caller that was forgotten. Callers up to it that have no record are forgotten too.
+    /// Highest caller id that was forgotten. Callers up to it that have no record are treated as forgotten.
     pub(crate) forgotten_up_to: CallerId,
 }
 
@@ -91,7 +91,7 @@
         self.records.len()
     }
 
-    /// Whether an increment was counted before. An error says that this is no longer known.
+    /// Whether an increment was counted before; an error if that is no longer known.
     pub(crate) fn is_repeated(&self, caller: CallerId, number: u64) -> Result<bool, Rejection> {
         let Some(record) = self.records.get(&caller) else {
             if caller <= self.forgotten_up_to {
@@ -108,11 +108,11 @@
         Ok(false)
     }
 
-    /// Looks an increment up; one of an unknown caller belongs at the beginning.
+    /// Looks up an increment.
     pub(crate) fn find(&self, caller: CallerId, number: u64) -> Lookup {
         match self.records.get(&caller) {
             Some(record) => record.find(number),
-            None => Lookup::Unknown { index: 0 },
+            None => Lookup::NotRemembered { index: 0 },
         }
     }
 
@@ -135,8 +135,7 @@
         record.remember(index, entry, limits);
     }
 
-    /// Forgets the caller that was not heard of for the longest time. A late increment of it is recognised by its
-    /// incarnation, as incarnations only grow.
+    /// Forgets the least recently used caller. Late increments of it are still recognized, because caller ids only grow.
     fn forget_least_recently_used(&mut self) {
         let records = self.records.iter();
         let oldest = records
@@ -148,7 +147,7 @@
         }
     }
 
-    /// All records, sorted by caller.
+    /// Returns all records, sorted by caller.
     pub(crate) fn sorted_records(&self) -> Vec<(CallerId, &CallerRecord)> {
         let mut records: Vec<(CallerId, &CallerRecord)> = self
             .records
@@ -159,7 +158,8 @@
         records
     }
 
-    /// The record of a caller in a snapshot, which may be spread over several parts.
+    /// Returns the record of a caller, created if missing, to restore it from a snapshot. A snapshot may contain a caller in
+    /// several parts.
     pub(crate) fn restore(&mut self, caller: CallerId) -> &mut CallerRecord {
         self.records.entry(caller).or_default()
     }
--- a/crates/counter/src/state/names.rs
+++ b/crates/counter/src/state/names.rs
@@ -1,11 +1,11 @@
-//! Totals by name, with expiry.
+//! Totals by name, and their expiry.
 
 use super::{Increment, NameId, NameTotal};
 use chalkdeck_time::Timestamp;
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 
-/// Expired names that one increment removes at most, so that no increment pays for many.
+/// Maximum number of expired names that one increment removes; bounds the time that an increment takes.
 const REMOVALS_PER_INCREMENT: usize = 4;
 
 /// Total of one name.
@@ -15,14 +15,14 @@
     pub(crate) expires_at: Timestamp,
 }
 
-/// When a name expires; ordered by time.
+/// A name with its expiry time; ordered by time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Expiry {
-    at: Timestamp,
+    expires_at: Timestamp,
     name: NameId,
 }
 
-/// All names.
+/// All names with their totals.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct NameTable {
     entries: FxHashMap<NameId, NameEntry>,
@@ -38,13 +38,13 @@
         self.entries.contains_key(&name)
     }
 
-    /// The total of a name that has not expired at `now`.
+    /// Returns the total of a name that has not expired at `now`.
     pub(crate) fn total(&self, name: NameId, now: Timestamp) -> Option<f64> {
         let entry = self.entries.get(&name)?;
         (entry.expires_at > now).then_some(entry.total)
     }
 
-    /// All names that have not expired at `now`, sorted by id.
+    /// Returns all names that have not expired at `now`, sorted by id.
     pub(crate) fn totals(&self, now: Timestamp) -> Vec<NameTotal> {
         let live = self
             .entries
@@ -61,7 +61,7 @@
         totals
     }
 
-    /// All names, expired ones included, sorted by id.
+    /// Returns all names, including expired ones, sorted by id.
     pub(crate) fn sorted_entries(&self) -> Vec<(NameId, NameEntry)> {
         let mut entries: Vec<(NameId, NameEntry)> = self
             .entries
@@ -72,19 +72,21 @@
         entries
     }
 
-    /// Puts a name of a snapshot back.
+    /// Inserts a name from a snapshot.
     pub(crate) fn restore(&mut self, name: NameId, entry: NameEntry) {
-        let at = entry.expires_at;
+        let expires_at = entry.expires_at;
         self.entries.insert(name, entry);
-        self.expiries.insert(Expiry { at, name });
+        self.expiries.insert(Expiry { expires_at, name });
     }
 
     /// Whether any name has expired at `now`.
     pub(crate) fn has_expired(&self, now: Timestamp) -> bool {
-        self.expiries.first().is_some_and(|first| first.at <= now)
+        self.expiries
+            .first()
+            .is_some_and(|first| first.expires_at <= now)
     }
 
-    /// Removes some of the names that have expired at `now`.
+    /// Removes up to [`REMOVALS_PER_INCREMENT`] names that have expired at `now`.
     pub(crate) fn remove_expired(&mut self, now: Timestamp) {
         for _ in 0..REMOVALS_PER_INCREMENT {
             if !self.has_expired(now) {
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Adds to a name, which starts at zero if it is new or has expired, and returns its total.
+    /// Adds to the total of a name and returns it. A new or expired name starts at zero.
     pub(crate) fn increment(&mut self, increment: &Increment, now: Timestamp) -> f64 {
         let name = increment.name;
         let entry = self.entries.entry(name).or_insert(NameEntry {
@@ -105,15 +107,18 @@
         });
         if entry.expires_at <= now {
             let previous = entry.expires_at;
-            let at = now + increment.lifetime;
+            let expires_at = now + increment.lifetime;
             *entry = NameEntry {
                 total: 0.0,
-                expires_at: at,
+                expires_at,
             };
-            self.expiries.remove(&Expiry { at: previous, name });
-            self.expiries.insert(Expiry { at, name });
+            self.expiries.remove(&Expiry {
+                expires_at: previous,
+                name,
+            });
+            self.expiries.insert(Expiry { expires_at, name });
         }
-        // The increments of a batch are checked before any of them is counted, so their sum may leave the range.
+        // All increments of a batch are checked before any of them is counted, so their sum may overflow.
         entry.total = (entry.total + increment.amount).clamp(f64::MIN, f64::MAX);
         entry.total
     }
--- a/crates/counter/src/state/tests.rs
+++ b/crates/counter/src/state/tests.rs
@@ -51,7 +51,7 @@
 #[test]
 fn increment_is_no_longer_remembered_then_it_is_rejected() {
     let limits = Limits {
-        remembered: 3,
+        increments_per_caller: 3,
         horizon: TimeDelta::from_micros(100),
         callers: 2,
         ..Limits::default()
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn names_are_at_the_limit_then_new_ones_wait_for_an_expiry() {
+fn names_are_at_the_limit_then_new_ones_are_rejected_until_one_expires() {
     let mut state = CounterState::new(Limits {
         names: 2,
         ..Limits::default()
--- a/crates/counter/src/writer.rs
+++ b/crates/counter/src/writer.rs
@@ -1,4 +1,4 @@
-//! The log and its snapshots on threads of their own, so that the loop accepts the next increments while the disk works.
+//! Writes the log and the snapshots on separate threads, so that the event loop is not blocked by the disk.
 
 mod log_thread;
 mod snapshot_thread;
@@ -25,27 +25,27 @@
     Periodic,
 }
 
-/// How a batch was written.
+/// Outcome of writing a batch.
 pub struct WriteOutcome {
-    /// Whether the batch is as durable as the [`SyncPolicy`] says.
+    /// An error if the batch does not have the durability of the [`SyncPolicy`].
     pub result: Result<(), AppendError>,
-    /// How long it took.
+    /// How long the write took, including the sync if there was one.
     pub elapsed: Duration,
-    /// Length of its record in bytes.
+    /// Length of the record in bytes.
     pub record_len: usize,
 }
 
-/// What a thread has completed.
+/// A request that a thread has completed.
 pub enum Completion {
-    /// A batch was written or failed.
+    /// A batch was written, or writing it failed.
     Batch(WriteOutcome),
-    /// A new segment was begun, so that a snapshot of the present state can replace the older ones.
+    /// A new segment was started, so that a snapshot of the current state supersedes the older segments.
     Rolled(io::Result<()>),
     /// A snapshot was written, and the files that it supersedes were removed.
     Snapshot(io::Result<()>),
 }
 
-/// Reports completions to the loop and wakes it.
+/// Sends completions to the event loop and wakes it.
 #[derive(Clone)]
 struct CompletionSender {
     completions: Sender<Completion>,
@@ -54,22 +54,22 @@
 
 impl CompletionSender {
     fn send(&self, completion: Completion) {
-        // The loop may have ended; then nobody waits for the completion.
+        // An error means that the event loop has ended and needs no completion.
         let _ = self.completions.send(completion);
         let _ = self.waker.wake();
     }
 }
 
-/// Handle of the threads. Dropping it ends them after they have done what was requested.
+/// Handle of the threads. Dropping it waits until they have completed all requests and ended.
 pub struct Writer {
     requests: Option<Sender<LogRequest>>,
-    snapshots: Option<Sender<CounterState>>,
+    snapshot_requests: Option<Sender<CounterState>>,
     completions: Receiver<Completion>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Writer {
-    /// Starts a thread for the log and one for snapshots.
+    /// Starts one thread for the log and one for snapshots.
     pub fn start<D: Disk>(
         disk: D,
         log: Log<D>,
@@ -77,7 +77,7 @@
         waker: LoopWaker,
     ) -> io::Result<Writer> {
         let (requests, request_inbox) = channel();
-        let (snapshots, snapshot_inbox) = channel();
+        let (snapshot_requests, snapshot_inbox) = channel();
         let (completion_sender, completions) = channel();
         let completion_sender = CompletionSender {
             completions: completion_sender,
@@ -94,31 +94,31 @@
         ];
         Ok(Writer {
             requests: Some(requests),
-            snapshots: Some(snapshots),
+            snapshot_requests: Some(snapshot_requests),
             completions,
             threads,
         })
     }
 
-    /// Writes a batch. The caller waits for [`Completion::Batch`] before the next one.
+    /// Requests the write of a batch. The caller waits for [`Completion::Batch`] before it requests the next one.
     pub fn write_batch(&self, batch: IncrementBatch) {
         self.request(LogRequest::Write(batch));
     }
 
-    /// Begins a new segment at a position, after the batches that were requested before.
+    /// Requests a new segment at a position, after the batches that were requested before.
     pub fn roll(&self, position: u64) {
         self.request(LogRequest::Roll { position });
     }
 
-    /// Writes a snapshot, concurrently with batches.
+    /// Requests a snapshot, which is written concurrently with batches.
     pub fn write_snapshot(&self, state: CounterState) {
-        if let Some(snapshots) = &self.snapshots {
+        if let Some(requests) = &self.snapshot_requests {
             // The thread lives as long as this handle.
-            let _ = snapshots.send(state);
+            let _ = requests.send(state);
         }
     }
 
-    /// The next completion that was not returned yet.
+    /// Returns the next completion, if there is one.
     pub fn next_completion(&self) -> Option<Completion> {
         self.completions.try_recv().ok()
     }
@@ -135,7 +135,7 @@
     fn drop(&mut self) {
         // The threads end when their channels are closed.
         self.requests = None;
-        self.snapshots = None;
+        self.snapshot_requests = None;
         for thread in self.threads.drain(..) {
             let _ = thread.join();
         }
--- a/crates/counter/src/writer/log_thread.rs
+++ b/crates/counter/src/writer/log_thread.rs
@@ -1,4 +1,4 @@
-//! Appends batches to the log, one at a time.
+//! The thread that appends batches to the log, one at a time.
 
 use super::{Completion, CompletionSender, SyncPolicy, WriteOutcome};
 use crate::batch::IncrementBatch;
@@ -8,16 +8,16 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::{Duration, Instant};
 
-/// How long a batch may stay unsynced with [`SyncPolicy::Periodic`].
+/// Longest time that a batch stays unsynced with [`SyncPolicy::Periodic`].
 const SYNC_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the thread is asked to do.
+/// A request to the thread.
 pub(super) enum LogRequest {
     /// Append a batch.
     Write(IncrementBatch),
     /// Begin a new segment.
     Roll {
-        /// Number of increments before it.
+        /// Number of increments before the segment.
         position: u64,
     },
 }
@@ -28,9 +28,9 @@
     sync_policy: SyncPolicy,
     completions: CompletionSender,
     last_periodic_sync: Instant,
-    /// Whether batches were written since the last sync.
+    /// Whether batches have been written since the last periodic sync; always `false` with other policies.
     has_unsynced_batches: bool,
-    /// Buffer of the record that is written.
+    /// Buffer for encoding a record.
     record: Vec<u8>,
 }
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Runs until the channel is closed, and syncs the log then.
+    /// Runs until the channel is closed, then syncs the log.
     pub(super) fn run(mut self, inbox: &Receiver<LogRequest>) {
         loop {
             match inbox.recv_timeout(self.time_until_sync()) {
@@ -61,7 +61,7 @@
                 }
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => {
-                    // Nobody is left to report an error to.
+                    // The event loop has dropped the writer, so no one can handle an error.
                     let _ = self.log.sync();
                     return;
                 }
--- a/crates/counter/src/writer/snapshot_thread.rs
+++ b/crates/counter/src/writer/snapshot_thread.rs
@@ -1,4 +1,4 @@
-//! Writes snapshots and removes the files that they supersede.
+//! The thread that writes snapshots and removes the files that they supersede.
 
 use super::{Completion, CompletionSender};
 use crate::state::CounterState;
--- a/crates/counter/tests/common/mod.rs
+++ b/crates/counter/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of this package share.
+//! Helpers that the tests of this package share.
 #![allow(dead_code, reason = "each test uses a part of it")]
 
 pub mod program;
@@ -6,7 +6,7 @@
 use chalkdeck_counter::state::{CallerId, Increment, NameId};
 use chalkdeck_time::TimeDelta;
 
-/// A lifetime that no test outlasts.
+/// A lifetime that ends after every test.
 pub const FOREVER: TimeDelta = TimeDelta::from_micros(u64::MAX / 2);
 
 /// An increment of a name by 1 that does not expire.
--- a/crates/counter/tests/common/program.rs
+++ b/crates/counter/tests/common/program.rs
@@ -1,4 +1,4 @@
-//! The program `chalkdeck-counter` as a child process.
+//! Runs the program `chalkdeck-counter` as a child process.
 
 use rustix::process::{kill_process, Pid, Signal};
 use std::io::{BufRead, BufReader};
@@ -6,10 +6,10 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
 
-/// Path of the method that the tests call.
+/// Path of the gRPC method that the tests call.
 pub const ADDS_METHOD: &str = "/chalkdeck.counter.v1.Counter/Adds";
 
-/// Runs the program to its end.
+/// Runs the program until it exits.
 pub fn run(args: &[&str]) -> Output {
     command(args).output().expect("the program runs")
 }
@@ -20,12 +20,12 @@
     command
 }
 
-/// Output as text.
+/// Converts output to text.
 pub fn text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// An empty folder for one test.
+/// Creates an empty folder for one test.
 pub fn temporary_folder(test: &str) -> PathBuf {
     let name = format!("chalkdeck-counter-{}-{test}", std::process::id());
     let folder = std::env::temp_dir().join(name);
@@ -34,12 +34,12 @@
     folder
 }
 
-/// A running counter, killed when it is dropped.
+/// A running counter; dropping it kills the process.
 pub struct Program {
     child: Child,
-    /// gRPC address of each part.
-    pub parts: Vec<SocketAddr>,
-    /// Admin address of each part.
+    /// gRPC address of each partition.
+    pub partitions: Vec<SocketAddr>,
+    /// Admin address of each partition.
     pub admin: Vec<SocketAddr>,
 }
 
@@ -55,20 +55,20 @@
         let stdout = child.stdout.take().expect("its output");
         BufReader::new(stdout).read_line(&mut line).expect("a line");
         Program {
-            parts: addresses(&line, "grpc="),
+            partitions: addresses(&line, "grpc="),
             admin: addresses(&line, "admin="),
             child,
         }
     }
 
-    /// Asks the service to stop; returns whether it ended with success.
+    /// Stops the service with SIGTERM; returns whether it exited with success.
     pub fn stop(&mut self) -> bool {
         let pid = Pid::from_raw(self.child.id() as i32).expect("an id");
         kill_process(pid, Signal::TERM).expect("a signal");
         self.child.wait().expect("its end").success()
     }
 
-    /// Kills the service.
+    /// Kills the service with SIGKILL.
     pub fn kill(&mut self) {
         self.child.kill().expect("a kill");
         self.child.wait().expect("its end");
@@ -82,7 +82,7 @@
     }
 }
 
-/// The addresses after a key in the line that says that the service is ready.
+/// Parses the addresses after a key in the ready line of the service.
 fn addresses(ready_line: &str, key: &str) -> Vec<SocketAddr> {
     let list = ready_line
         .split_whitespace()
--- a/crates/counter/tests/crash.rs
+++ b/crates/counter/tests/crash.rs
@@ -1,4 +1,5 @@
-//! Every crash point: a disk that stops at any call, and what gateways were told before against what is there afterwards.
+//! Simulates crashes at every disk operation and compares the responses that gateways received before with the state that is
+//! recovered afterwards.
 
 mod common;
 
@@ -16,26 +17,27 @@
 use common::increment;
 use std::collections::BTreeMap;
 
-const NAMES: u64 = 5;
+const NAME_COUNT: u64 = 5;
 const INCARNATION: u64 = 77;
 const ROUNDS: u64 = 12;
 
-/// An increment with the total that a gateway was told.
+/// An increment with the total in its response.
 #[derive(Clone, Copy)]
 struct Acknowledged {
     increment: Increment,
     total: f64,
 }
 
-/// What gateways know of their increments.
+/// The increments that gateways have sent, as the gateways know them.
 #[derive(Default)]
-struct Ledger {
+struct GatewayView {
     acknowledged: Vec<Acknowledged>,
-    unanswered: Vec<Increment>,
+    /// Increments without a response, which may or may not have been counted.
+    unacknowledged: Vec<Increment>,
     last_numbers: BTreeMap<u64, u64>,
 }
 
-fn is_same(left: &Increment, right: &Increment) -> bool {
+fn is_same_increment(left: &Increment, right: &Increment) -> bool {
     (left.caller, left.number) == (right.caller, right.number)
 }
 
@@ -46,18 +48,18 @@
         .sum()
 }
 
-impl Ledger {
+impl GatewayView {
     fn next_batch(&mut self, rng: &mut fastrand::Rng) -> Vec<Increment> {
         let mut increments = Vec::new();
         for _ in 0..rng.usize(1..6) {
-            // Now and then one arrives again.
+            // Sometimes repeats an acknowledged increment.
             match rng.choice(&self.acknowledged) {
                 Some(repeated) if rng.u8(..5) == 0 => increments.push(repeated.increment),
                 _ => {
                     let caller = rng.u64(1..=3);
                     let number = self.last_numbers.entry(caller).or_default();
                     *number += rng.u64(1..3);
-                    increments.push(increment(caller, *number, rng.u64(..NAMES)));
+                    increments.push(increment(caller, *number, rng.u64(..NAME_COUNT)));
                 }
             }
         }
@@ -67,7 +69,7 @@
     fn find(&self, increment: &Increment) -> Option<&Acknowledged> {
         self.acknowledged
             .iter()
-            .find(|known| is_same(&known.increment, increment))
+            .find(|known| is_same_increment(&known.increment, increment))
     }
 
     fn acknowledge(&mut self, increments: &[Increment], totals: &[f64]) {
@@ -85,29 +87,29 @@
         }
     }
 
-    fn add_unanswered(&mut self, increments: &[Increment]) {
+    fn add_unacknowledged(&mut self, increments: &[Increment]) {
         for increment in increments {
             if self.find(increment).is_none() {
-                self.unanswered.push(*increment);
+                self.unacknowledged.push(*increment);
             }
         }
     }
 
     fn check(&self, state: &CounterState, seed: u64) {
-        for name in 0..NAMES {
+        for name in 0..NAME_COUNT {
             let known = self.acknowledged.iter().map(|known| known.increment);
-            let least = sum(known, name);
-            let most = least + sum(self.unanswered.iter().copied(), name);
+            let min_total = sum(known, name);
+            let max_total = min_total + sum(self.unacknowledged.iter().copied(), name);
             let total = state.total(NameId(name)).unwrap_or(0.0);
             assert!(
-                least <= total && total <= most,
-                "seed {seed}, name {name}: {least} <= {total} <= {most}"
+                min_total <= total && total <= max_total,
+                "seed {seed}, name {name}: {min_total} <= {total} <= {max_total}"
             );
         }
     }
 }
 
-/// A log with its state on a simulated disk.
+/// A counter state with its log on a simulated disk.
 struct Counter {
     disk: SimulatedDisk,
     log: Log<SimulatedDisk>,
@@ -125,7 +127,7 @@
     }
 
     fn open(disk: &SimulatedDisk) -> Counter {
-        Counter::try_open(disk).unwrap_or_else(|error| panic!("a crash is no damage: {error}"))
+        Counter::try_open(disk).unwrap_or_else(|error| panic!("a crash is not damage: {error}"))
     }
 
     /// Writes increments as one batch and counts them.
@@ -162,7 +164,7 @@
 }
 
 fn recover(disk: &SimulatedDisk) -> RecoveredState<CounterState> {
-    try_recover(disk).unwrap_or_else(|error| panic!("a sound log: {error}"))
+    try_recover(disk).unwrap_or_else(|error| panic!("expected a valid log: {error}"))
 }
 
 fn recovery_error(disk: &SimulatedDisk) -> String {
@@ -172,69 +174,70 @@
     error.to_string()
 }
 
-/// Works until the disk stops.
+/// Writes batches and snapshots; after the disk has stopped, every further batch fails.
 fn run_until_stop(
     disk: &SimulatedDisk,
-    ledger: &mut Ledger,
+    gateway_view: &mut GatewayView,
     rng: &mut fastrand::Rng,
 ) -> Result<(), OpenError> {
     let mut counter = Counter::try_open(disk)?;
     for round in 0..ROUNDS {
-        let increments = ledger.next_batch(rng);
+        let increments = gateway_view.next_batch(rng);
         match counter.count(&increments, round) {
-            Ok(totals) => ledger.acknowledge(&increments, &totals),
-            Err(_) => ledger.add_unanswered(&increments),
+            Ok(totals) => gateway_view.acknowledge(&increments, &totals),
+            Err(_) => gateway_view.add_unacknowledged(&increments),
         }
         if rng.u8(..4) == 0 {
-            // Without a snapshot the log is complete.
+            // A failed snapshot loses nothing: the log still contains all records.
             let _ = counter.write_snapshot();
         }
     }
     Ok(())
 }
 
-/// Four lives of a counter on a disk that stops; `first_stop` is the number of calls in the first one.
-fn play_history(seed: u64, first_stop: u64) {
+/// Runs a counter four times on a disk that stops; `calls_before_first_stop` is the number of disk operations in the first
+/// run. Checks the recovered state after each crash.
+fn run_with_crashes(seed: u64, calls_before_first_stop: u64) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut disk = SimulatedDisk::new(seed);
-    let mut ledger = Ledger::default();
+    let mut gateway_view = GatewayView::default();
     let mut epoch = 0;
-    for life in 0..4 {
-        let calls = if life == 0 {
-            first_stop
+    for run in 0..4 {
+        let calls = if run == 0 {
+            calls_before_first_stop
         } else {
             rng.u64(1..60)
         };
         disk.stop_after(calls);
-        match run_until_stop(&disk, &mut ledger, &mut rng) {
+        match run_until_stop(&disk, &mut gateway_view, &mut rng) {
             Err(error @ OpenError::Damage { .. }) => {
-                panic!("seed {seed}: a crash is no damage: {error}")
+                panic!("seed {seed}: a crash is not damage: {error}")
             }
-            // The start itself was stopped.
+            // With `OpenError::Disk` the disk stopped while the log was opened.
             Ok(()) | Err(OpenError::Disk { .. }) => {}
         }
         disk = disk.after_crash();
         let mut counter = Counter::open(&disk);
-        ledger.check(&counter.state, seed);
+        gateway_view.check(&counter.state, seed);
         assert!(
             counter.log.identity().epoch > epoch,
-            "each start is an epoch"
+            "each start begins a new epoch"
         );
         epoch = counter.log.identity().epoch;
-        // What was never answered arrives again, and counts once whether or not it was counted.
-        for increment in std::mem::take(&mut ledger.unanswered) {
+        // Gateways retry the unacknowledged increments. Each counts once, whether or not it was counted before the crash.
+        for increment in std::mem::take(&mut gateway_view.unacknowledged) {
             let totals = counter.count(&[increment], 0).expect("the disk works");
-            ledger.acknowledge(&[increment], &totals);
+            gateway_view.acknowledge(&[increment], &totals);
         }
-        ledger.check(&counter.state, seed);
+        gateway_view.check(&counter.state, seed);
     }
 }
 
 #[test]
 fn disk_stops_at_random_then_nothing_acknowledged_is_lost_and_nothing_counts_twice() {
     for seed in 0..2_000 {
-        let first_stop = fastrand::Rng::with_seed(seed ^ 9).u64(1..120);
-        play_history(seed, first_stop);
+        let calls_before_first_stop = fastrand::Rng::with_seed(seed ^ 9).u64(1..120);
+        run_with_crashes(seed, calls_before_first_stop);
     }
 }
 
@@ -244,11 +247,11 @@
     for seed in 0..8 {
         let disk = SimulatedDisk::new(seed);
         let mut rng = fastrand::Rng::with_seed(seed);
-        run_until_stop(&disk, &mut Ledger::default(), &mut rng).expect("a sound disk");
+        run_until_stop(&disk, &mut GatewayView::default(), &mut rng).expect("a working disk");
         let calls = disk.calls();
         all_calls += calls;
-        for first_stop in 0..=calls {
-            play_history(seed, first_stop);
+        for calls_before_first_stop in 0..=calls {
+            run_with_crashes(seed, calls_before_first_stop);
         }
     }
     assert!(
@@ -257,32 +260,32 @@
     );
 }
 
-/// A folder with two snapshots and several segments.
+/// A folder with two snapshots and several segments, and its state.
 struct Folder {
     disk: SimulatedDisk,
     state: CounterState,
-    /// Sum of the last batch.
-    last_batch: f64,
+    /// Sum of the amounts of the last batch.
+    last_batch_sum: f64,
 }
 
 fn folder(seed: u64) -> Folder {
     let disk = SimulatedDisk::new(seed);
     let mut counter = Counter::open(&disk);
-    let mut last_batch = 0.0;
+    let mut last_batch_sum = 0.0;
     for round in 0..9_u64 {
         let increments: Vec<Increment> = (0..4)
-            .map(|i| increment(1, round * 4 + i + 1, i % NAMES))
+            .map(|i| increment(1, round * 4 + i + 1, i % NAME_COUNT))
             .collect();
-        counter.count(&increments, round).expect("a sound disk");
-        last_batch = increments.len() as f64;
+        counter.count(&increments, round).expect("a working disk");
+        last_batch_sum = increments.len() as f64;
         if round % 3 == 2 && round < 8 {
-            counter.write_snapshot().expect("a sound disk");
+            counter.write_snapshot().expect("a working disk");
         }
     }
     Folder {
         disk,
         state: counter.state,
-        last_batch,
+        last_batch_sum,
     }
 }
 
@@ -322,7 +325,7 @@
                 damaged_snapshots += usize::from(!report.damaged_snapshots.is_empty());
                 torn_tails += usize::from(report.torn_tail.is_some());
                 let reported = if report.torn_tail.is_some() {
-                    folder.last_batch
+                    folder.last_batch_sum
                 } else {
                     0.0
                 };
@@ -340,20 +343,20 @@
 }
 
 #[test]
-fn tail_is_torn_then_it_is_cut_off() {
+fn tail_is_torn_then_recovery_reports_and_ignores_it() {
     let Folder { disk, state, .. } = folder(1);
     let newest = list_segments(&disk)
         .expect("a list")
         .pop()
         .expect("a segment");
-    let whole = disk.read(&newest).expect("bytes");
+    let intact = disk.read(&newest).expect("bytes");
     let tails = [
         vec![0; 4096],
-        whole[whole.len() - 30..].to_vec(),
+        intact[intact.len() - 30..].to_vec(),
         vec![0xff; 3],
     ];
     for tail in tails {
-        let mut bytes = whole.clone();
+        let mut bytes = intact.clone();
         bytes.extend(&tail);
         disk.put(&newest, bytes);
         let recovered = recover(&disk);
@@ -375,15 +378,15 @@
         .expect("a list")
         .pop()
         .expect("a segment");
-    let whole = disk.read(&newest).expect("bytes");
-    let mut bytes = whole.clone();
+    let intact = disk.read(&newest).expect("bytes");
+    let mut bytes = intact.clone();
     bytes.extend([0; 100]);
-    bytes.extend(&whole[whole.len() - 120..]);
-    bytes.extend(&whole);
+    bytes.extend(&intact[intact.len() - 120..]);
+    bytes.extend(&intact);
     disk.put(&newest, bytes);
     let error = recovery_error(&disk);
     assert!(
-        error.contains(&newest) && error.contains(&format!("offset {}", whole.len())),
+        error.contains(&newest) && error.contains(&format!("offset {}", intact.len())),
         "{error}"
     );
 }
@@ -401,12 +404,12 @@
 }
 
 #[test]
-fn disk_fails_then_no_increment_is_acknowledged_wrongly() {
+fn disk_fails_then_only_durable_increments_are_acknowledged() {
     let disk = SimulatedDisk::new(3);
     let mut counter = Counter::open(&disk);
     counter
         .count(&[increment(1, 1, 0)], 1)
-        .expect("a sound disk");
+        .expect("a working disk");
     disk.fail_next_append();
     let full = counter.count(&[increment(1, 2, 0)], 2).expect_err("full");
     assert!(matches!(full, AppendError::NotWritten(_)), "{full}");
@@ -433,7 +436,7 @@
 }
 
 #[test]
-fn failed_append_cannot_be_cut_off_then_the_log_closes() {
+fn failed_append_cannot_be_truncated_then_the_log_closes() {
     let disk = SimulatedDisk::new(4);
     let mut counter = Counter::open(&disk);
     disk.fail_truncations();
@@ -452,24 +455,27 @@
     let Folder { disk, state, .. } = folder(5);
     let recovered = recover(&disk);
     let identity = recovered.identity;
-    let whole = snapshot::encode(&state, identity);
-    assert_eq!(snapshot::encode(&recovered.state, identity), whole);
-    let decoded = snapshot::decode(&whole, Limits::default()).expect("sound");
-    assert_eq!(snapshot::encode(&decoded.state, decoded.identity), whole);
-    let part = recovery::recover(&disk, Limits::default(), 16).expect("sound");
+    let snapshot_bytes = snapshot::encode(&state, identity);
+    assert_eq!(snapshot::encode(&recovered.state, identity), snapshot_bytes);
+    let decoded = snapshot::decode(&snapshot_bytes, Limits::default()).expect("a valid snapshot");
     assert_eq!(
-        part.state.position(),
+        snapshot::encode(&decoded.state, decoded.identity),
+        snapshot_bytes
+    );
+    let partial = recovery::recover(&disk, Limits::default(), 16).expect("a valid log");
+    assert_eq!(
+        partial.state.position(),
         16,
         "a recovery stops at the given position"
     );
 }
 
 #[test]
-fn folder_is_emptied_then_it_is_another_incarnation() {
+fn folder_is_emptied_then_it_gets_a_new_incarnation() {
     let Folder { disk, state, .. } = folder(6);
     let reopened = recovery::open(disk, Limits::default(), 99)
         .map_err(|error| error.to_string())
-        .expect("sound");
+        .expect("a valid log");
     let identity = reopened.log.identity();
     assert_eq!((identity.incarnation, identity.epoch), (INCARNATION, 2));
     assert_eq!(reopened.state.position(), state.position());
--- a/crates/counter/tests/fuzz.rs
+++ b/crates/counter/tests/fuzz.rs
@@ -1,4 +1,4 @@
-//! Arbitrary bytes where records and snapshots are expected: an error or a state, never a panic.
+//! Decodes arbitrary bytes as records and snapshots: the result is an error or a state, never a panic.
 
 use chalkdeck_counter::state::Limits;
 use chalkdeck_counter::{recovery, snapshot};
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Bodies in records with the right checksums, which are decoded further than noise.
+/// Records with valid checksums around arbitrary bodies. Arbitrary bytes alone rarely pass the check of the checksum.
 fn records_around(bodies: &[Vec<u8>]) -> Vec<u8> {
     let mut out = Vec::new();
     for body in bodies {
@@ -19,11 +19,11 @@
 }
 
 proptest! {
-    // The same cases every time.
+    // A fixed seed makes every run test the same cases.
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn bytes_are_noise_then_decoding_does_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400), bodies in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..60), 0..6)) {
+    fn bytes_are_arbitrary_then_decoding_does_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400), bodies in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..60), 0..6)) {
         for bytes in [bytes, records_around(&bodies)] {
             let _ = snapshot::decode(&bytes, Limits::default());
             let disk = SimulatedDisk::new(1);
@@ -34,7 +34,7 @@
     }
 
     #[test]
-    fn messages_are_odd_then_totals_are_finite(position in 0..3_u64, names in proptest::collection::vec(0..4_u64, 0..6), amounts in proptest::collection::vec(any::<f64>(), 0..6),
+    fn messages_have_arbitrary_fields_then_totals_are_finite(position in 0..3_u64, names in proptest::collection::vec(0..4_u64, 0..6), amounts in proptest::collection::vec(any::<f64>(), 0..6),
         lifetimes in proptest::collection::vec(any::<u64>(), 0..6), callers in proptest::collection::vec(0..3_u64, 0..6), numbers in proptest::collection::vec(0..9_u64, 0..6)) {
         let mut segment = Vec::new();
         record::append_message(&mut segment, &SegmentHead { version: 1, incarnation: 5, epoch: 1, position: 0 });
--- a/crates/counter/tests/kill.rs
+++ b/crates/counter/tests/kill.rs
@@ -1,5 +1,5 @@
-//! The program killed at random, again and again, under several gateways: what was acknowledged is there again, and nothing
-//! counts twice. `CHALKDECK_KILLS` sets how often.
+//! Kills the program repeatedly at random times while several gateways send increments: acknowledged increments survive, and
+//! none counts twice. `CHALKDECK_KILLS` sets the number of kills.
 
 mod common;
 
@@ -16,41 +16,41 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-const NAMES: u64 = 50;
-const GATEWAYS: u64 = 4;
-/// Increments that a gateway has on the way at most.
+const NAME_COUNT: u64 = 50;
+const GATEWAY_COUNT: u64 = 4;
+/// Maximum number of unacknowledged increments of a gateway.
 const MAX_UNACKNOWLEDGED: usize = 64;
 const DEFAULT_KILLS: u32 = 12;
 const TIMEOUT: Duration = Duration::from_secs(30);
-/// Longest wait of a turn in microseconds.
-const TURN_WAIT: u64 = 2_000;
+/// Longest time that a turn of the event loop waits for an event, in microseconds.
+const MAX_TURN_WAIT_US: u64 = 2_000;
 
-/// The name of an increment and the total that it got.
+/// The name of an acknowledged increment and the total in its response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Acknowledged {
     name: u64,
     total: f64,
 }
 
-/// A connection to the counter.
+/// A gateway's connection to the counter.
 struct Link {
     connection: ConnId,
     stream: Option<StreamId>,
     deframer: Deframer,
 }
 
-/// A gateway that sends each increment again until it is acknowledged.
+/// A gateway that retries each increment until it is acknowledged.
 struct Gateway {
     caller: u64,
     link: Option<Link>,
     last_number: u64,
-    /// Names of the increments that were sent, by number.
+    /// Names of the unacknowledged increments, by number.
     unacknowledged: BTreeMap<u64, u64>,
-    /// Numbers that are to be sent again on this link.
+    /// Numbers of the increments to retry on this link.
     retries: VecDeque<u64>,
     acknowledged: BTreeMap<u64, Acknowledged>,
     epoch: u64,
-    repeated_answers: u64,
+    repeated_responses: u64,
 }
 
 impl Gateway {
@@ -63,7 +63,7 @@
             retries: VecDeque::new(),
             acknowledged: BTreeMap::new(),
             epoch: 0,
-            repeated_answers: 0,
+            repeated_responses: 0,
         }
     }
 
@@ -82,7 +82,7 @@
         let head = grpc::request(&address.to_string(), ADDS_METHOD).expect("a head");
         link.stream = engine.open(link.connection, head, false);
         self.retries = self.unacknowledged.keys().copied().collect();
-        // One that was answered arrives late, once more.
+        // Also repeats an acknowledged increment, as a duplicate that arrives late would.
         self.retries.extend(self.acknowledged.keys().next_back());
     }
 
@@ -96,7 +96,7 @@
         while load == Load::New && self.unacknowledged.len() < MAX_UNACKNOWLEDGED {
             self.last_number += 1;
             self.unacknowledged
-                .insert(self.last_number, rng.u64(..NAMES));
+                .insert(self.last_number, rng.u64(..NAME_COUNT));
             self.send_increment(engine, stream, self.last_number);
         }
     }
@@ -123,36 +123,36 @@
     fn on_data(&mut self, data: &[u8]) {
         let Some(link) = &mut self.link else { return };
         link.deframer.push(data);
-        let mut answers = Vec::new();
-        while let Some(message) = link.deframer.next(1_024).expect("sound frames") {
-            answers.push(AddResponse::decode(&message[..]).expect("an answer"));
+        let mut responses = Vec::new();
+        while let Some(message) = link.deframer.next(1_024).expect("valid frames") {
+            responses.push(AddResponse::decode(&message[..]).expect("a response"));
         }
-        for answer in answers {
-            self.on_answer(&answer);
+        for response in responses {
+            self.on_response(&response);
         }
     }
 
-    fn on_answer(&mut self, answer: &AddResponse) {
-        assert_eq!(answer.status, 0, "{answer:?}");
-        assert!(answer.epoch >= self.epoch, "an epoch does not go back");
-        self.epoch = answer.epoch;
-        let total = answer.total;
-        if let Some(name) = self.unacknowledged.remove(&answer.number) {
+    fn on_response(&mut self, response: &AddResponse) {
+        assert_eq!(response.status, 0, "{response:?}");
+        assert!(response.epoch >= self.epoch, "the epoch never decreases");
+        self.epoch = response.epoch;
+        let total = response.total;
+        if let Some(name) = self.unacknowledged.remove(&response.number) {
             self.acknowledged
-                .insert(answer.number, Acknowledged { name, total });
+                .insert(response.number, Acknowledged { name, total });
             return;
         }
-        self.repeated_answers += 1;
-        let first_total = self.acknowledged[&answer.number].total;
+        self.repeated_responses += 1;
+        let first_total = self.acknowledged[&response.number].total;
         assert_eq!(
             total, first_total,
             "increment {} gets the same total again",
-            answer.number
+            response.number
         );
     }
 }
 
-/// Whether gateways send new increments or only retries.
+/// Whether gateways send new increments too, or only retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Load {
     New,
@@ -170,7 +170,7 @@
     fn new(address: SocketAddr) -> Fleet {
         Fleet {
             engine: Engine::new().expect("a poll handle"),
-            gateways: (1..=GATEWAYS).map(Gateway::new).collect(),
+            gateways: (1..=GATEWAY_COUNT).map(Gateway::new).collect(),
             rng: fastrand::Rng::with_seed(7),
             address,
         }
@@ -178,7 +178,9 @@
 
     fn turn(&mut self, load: Load) {
         let mut events = Vec::new();
-        self.engine.turn(TURN_WAIT, &mut events).expect("a turn");
+        self.engine
+            .turn(MAX_TURN_WAIT_US, &mut events)
+            .expect("a turn");
         for event in events {
             self.on_event(event);
         }
@@ -193,20 +195,20 @@
     fn on_event(&mut self, event: Event) {
         match event {
             Event::Connected { conn } => {
-                let gateway = find(&mut self.gateways, |link| link.connection == conn);
+                let gateway = find_gateway(&mut self.gateways, |link| link.connection == conn);
                 if let Some(gateway) = gateway {
                     gateway.on_connected(&mut self.engine, self.address);
                 }
             }
             Event::Closed { conn, .. } => {
-                let gateway = find(&mut self.gateways, |link| link.connection == conn);
+                let gateway = find_gateway(&mut self.gateways, |link| link.connection == conn);
                 if let Some(gateway) = gateway {
                     gateway.link = None;
                 }
             }
             Event::Data { stream, data } => {
                 self.engine.consume(stream, data.len());
-                let gateway = find(&mut self.gateways, |link| link.stream == Some(stream));
+                let gateway = find_gateway(&mut self.gateways, |link| link.stream == Some(stream));
                 if let Some(gateway) = gateway {
                     gateway.on_data(&data);
                 }
@@ -235,7 +237,7 @@
         let target = self.acknowledged_count() + increments;
         let deadline = Instant::now() + TIMEOUT;
         while self.acknowledged_count() < target {
-            assert!(Instant::now() < deadline, "answers come again after a kill");
+            assert!(Instant::now() < deadline, "responses resume after a kill");
             self.turn(Load::New);
         }
     }
@@ -257,21 +259,21 @@
     }
 }
 
-fn find(gateways: &mut [Gateway], matches: impl Fn(&Link) -> bool) -> Option<&mut Gateway> {
+fn find_gateway(gateways: &mut [Gateway], matches: impl Fn(&Link) -> bool) -> Option<&mut Gateway> {
     gateways
         .iter_mut()
         .find(|gateway| gateway.link.as_ref().is_some_and(&matches))
 }
 
 fn write_settings(config: &Path, listen: &str) {
-    // Snapshots come often, so that kills hit them too.
+    // Frequent snapshots, so that some kills interrupt one.
     let settings = format!("listen: \"{listen}\" folder: \"log\" snapshot_bytes: 20000\n");
     std::fs::write(config, settings).expect("settings");
 }
 
-/// Each increment of a name got its own total: 1, 2, 3 and so on; and the last one is the recovered total.
+/// Checks that the increments of each name got the totals 1, 2, 3 and so on, and that the recovered total is the last one.
 fn check_totals(acknowledged: &[Acknowledged], state: &CounterState) {
-    for name in 0..NAMES {
+    for name in 0..NAME_COUNT {
         let mut totals: Vec<f64> = acknowledged
             .iter()
             .filter(|increment| increment.name == name)
@@ -299,12 +301,12 @@
         .unwrap_or(DEFAULT_KILLS);
     let folder = temporary_folder("kill");
     let config = folder.join("counter.txtpb");
-    // The port has to be the same after each start.
+    // The port has to stay the same across restarts.
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let port = ReservedPort::reserve(any).expect("a free port");
     write_settings(&config, &port.address().to_string());
     let mut program = Program::start(&config);
-    let address = program.parts[0];
+    let address = program.partitions[0];
     let mut fleet = Fleet::new(address);
     for _ in 0..kills {
         let increments = fleet.rng.usize(50..2_000);
@@ -317,15 +319,18 @@
 
     let disk = Folder::open(&folder.join("log/part-0")).expect("the folder");
     let recovered =
-        recovery::recover(&disk, StateLimits::default(), u64::MAX).expect("a sound log");
+        recovery::recover(&disk, StateLimits::default(), u64::MAX).expect("a valid log");
     let acknowledged = fleet.acknowledged();
     check_totals(&acknowledged, &recovered.state);
-    let repeated_answers: u64 = fleet
+    let repeated_responses: u64 = fleet
         .gateways
         .iter()
-        .map(|gateway| gateway.repeated_answers)
+        .map(|gateway| gateway.repeated_responses)
         .sum();
-    assert!(repeated_answers > 0, "repeated increments were among them");
+    assert!(
+        repeated_responses > 0,
+        "repeated increments were among them"
+    );
     assert!(fleet
         .gateways
         .iter()
--- a/crates/counter/tests/model.rs
+++ b/crates/counter/tests/model.rs
@@ -1,43 +1,44 @@
-//! A model of one gateway, a link that loses, repeats and reorders, and the shipped state machine with crashes: what was
-//! acknowledged is durable, each increment counts once, totals never fall.
+//! Model checking of one gateway, a network that loses, repeats and reorders messages, and the real [`CounterState`] with
+//! crashes. Acknowledged increments are durable, each increment counts once, and totals never decrease.
 
 use chalkdeck_counter::state::{CallerId, CounterState, Increment, Limits, NameId};
 use chalkdeck_time::{TimeDelta, Timestamp};
 use stateright::{Checker, Model, Property};
 
-const INCREMENTS: u64 = 3;
+const INCREMENT_COUNT: u64 = 3;
 const MAX_SENDS: u8 = 5;
 const MAX_CRASHES: u8 = 2;
 const NAME: NameId = NameId(1);
 const NOW: Timestamp = Timestamp::from_micros(1);
 
-/// An answer to an increment.
+/// The response to an increment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct Answer {
+struct Response {
     number: u64,
     total: u64,
 }
 
-/// Increments stand for themselves by their numbers; the state is what the shipped code makes of the log.
+/// State of the model. An increment is represented by its number; totals follow from replaying the log with the real
+/// [`CounterState`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct SystemState {
-    /// On the way to the counter, in any order; a repeated one is listed twice.
+    /// Requests in flight, delivered in any order; a repeated one is listed twice.
     requests: Vec<u64>,
-    /// On the way back.
-    answers: Vec<Answer>,
+    /// Responses in flight.
+    responses: Vec<Response>,
     /// Durable records of the log.
     synced: Vec<u64>,
-    /// Records that were written and not yet synced.
+    /// Records that were written but not yet synced.
     unsynced: Vec<u64>,
-    /// What the gateway has received.
-    acknowledged: Vec<Answer>,
+    /// Responses that the gateway has received.
+    acknowledged: Vec<Response>,
     sends: u8,
     crashes: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
-    /// The gateway sends an increment, perhaps again.
+    /// The gateway sends an increment for the first time or again.
     Send {
         number: u64,
     },
@@ -48,28 +49,28 @@
         index: usize,
     },
     Sync,
-    /// Of what was not synced a first part may survive.
+    /// The counter crashes; the first `surviving` unsynced records survive.
     Crash {
         surviving: usize,
     },
     Receive {
         index: usize,
     },
-    LoseAnswer {
+    LoseResponse {
         index: usize,
     },
 }
 
-/// When the modelled counter answers.
+/// When the modelled counter acknowledges an increment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum AnswerTime {
+enum AcknowledgementPolicy {
     AfterSync,
-    /// As a broken counter would: the model must find it.
+    /// A deliberate fault, to prove that the model detects it.
     BeforeSync,
 }
 
 struct CounterModel {
-    answer_time: AnswerTime,
+    acknowledgement_policy: AcknowledgementPolicy,
 }
 
 fn increment(number: u64) -> Increment {
@@ -100,7 +101,7 @@
 
     fn actions(&self, state: &SystemState, actions: &mut Vec<Action>) {
         if state.sends < MAX_SENDS {
-            actions.extend((1..=INCREMENTS).map(|number| Action::Send { number }));
+            actions.extend((1..=INCREMENT_COUNT).map(|number| Action::Send { number }));
         }
         for index in 0..state.requests.len() {
             actions.push(Action::LoseRequest { index });
@@ -113,9 +114,9 @@
             let survivors = 0..=state.unsynced.len();
             actions.extend(survivors.map(|surviving| Action::Crash { surviving }));
         }
-        for index in 0..state.answers.len() {
+        for index in 0..state.responses.len() {
             actions.push(Action::Receive { index });
-            actions.push(Action::LoseAnswer { index });
+            actions.push(Action::LoseResponse { index });
         }
     }
 
@@ -129,18 +130,18 @@
             Action::Write { index } => {
                 let number = next.requests.remove(index);
                 next.unsynced.push(number);
-                if self.answer_time == AnswerTime::BeforeSync {
-                    next.answer_unsynced();
+                if self.acknowledgement_policy == AcknowledgementPolicy::BeforeSync {
+                    next.respond_to_unsynced();
                 }
             }
             Action::Sync => {
-                next.answer_unsynced();
+                next.respond_to_unsynced();
                 next.synced.append(&mut next.unsynced);
             }
             Action::Crash { surviving } => next.crash(surviving),
             Action::Receive { index } => next.receive(index),
-            Action::LoseAnswer { index } => {
-                next.answers.remove(index);
+            Action::LoseResponse { index } => {
+                next.responses.remove(index);
             }
         }
         Some(next)
@@ -152,7 +153,7 @@
                 let acknowledged = &state.acknowledged;
                 acknowledged
                     .iter()
-                    .all(|answer| state.synced.contains(&answer.number))
+                    .all(|response| state.synced.contains(&response.number))
             }),
             Property::always("each increment counts once", |_, state: &SystemState| {
                 let mut distinct = state.synced.clone();
@@ -167,7 +168,7 @@
                     .all(|pair| pair[0].number != pair[1].number)
             }),
             Property::always("totals never fall", |_, state: &SystemState| {
-                let totals = state.acknowledged.iter().map(|answer| answer.total);
+                let totals = state.acknowledged.iter().map(|response| response.total);
                 let highest = totals.max().unwrap_or(0);
                 replay(&state.synced).total(NAME).unwrap_or(0.0) >= highest as f64
             }),
@@ -180,7 +181,7 @@
             Property::sometimes(
                 "a repeated increment is acknowledged",
                 |_, state: &SystemState| {
-                    state.synced.len() > INCREMENTS as usize && state.has_acknowledged_all()
+                    state.synced.len() > INCREMENT_COUNT as usize && state.has_acknowledged_all()
                 },
             ),
         ]
@@ -189,7 +190,7 @@
 
 impl SystemState {
     fn has_acknowledged_all(&self) -> bool {
-        self.acknowledged.len() == INCREMENTS as usize
+        self.acknowledged.len() == INCREMENT_COUNT as usize
     }
 
     fn send(&mut self, number: u64) {
@@ -198,39 +199,39 @@
         self.sends += 1;
     }
 
-    /// Answers what is written and not yet synced, by the shipped code.
-    fn answer_unsynced(&mut self) {
+    /// Responds to the unsynced records with totals of the real [`CounterState`].
+    fn respond_to_unsynced(&mut self) {
         let mut state = replay(&self.synced);
         for number in self.unsynced.clone() {
             let total = state.apply(NOW, &increment(number)) as u64;
-            let answer = Answer { number, total };
-            if !self.answers.contains(&answer) {
-                self.answers.push(answer);
+            let response = Response { number, total };
+            if !self.responses.contains(&response) {
+                self.responses.push(response);
             }
         }
-        self.answers.sort_unstable();
+        self.responses.sort_unstable();
     }
 
     fn crash(&mut self, surviving: usize) {
         self.synced.extend(&self.unsynced[..surviving]);
         self.unsynced.clear();
         self.requests.clear();
-        self.answers.clear();
+        self.responses.clear();
         self.crashes += 1;
     }
 
     fn receive(&mut self, index: usize) {
-        let answer = self.answers.remove(index);
-        self.acknowledged.push(answer);
+        let response = self.responses.remove(index);
+        self.acknowledged.push(response);
         self.acknowledged.sort_unstable();
         self.acknowledged.dedup();
     }
 }
 
 #[test]
-fn counter_answers_after_the_sync_then_all_properties_hold() {
+fn counter_responds_after_the_sync_then_all_properties_hold() {
     let model = CounterModel {
-        answer_time: AnswerTime::AfterSync,
+        acknowledgement_policy: AcknowledgementPolicy::AfterSync,
     };
     let checked = model.checker().threads(4).spawn_bfs().join();
     checked.assert_properties();
@@ -242,9 +243,9 @@
 }
 
 #[test]
-fn counter_answers_before_the_sync_then_the_model_finds_it() {
+fn counter_responds_before_the_sync_then_the_model_finds_a_violation() {
     let model = CounterModel {
-        answer_time: AnswerTime::BeforeSync,
+        acknowledgement_policy: AcknowledgementPolicy::BeforeSync,
     };
     let checked = model.checker().threads(4).spawn_bfs().join();
     assert!(checked.discovery("acknowledged implies durable").is_some());
--- a/crates/counter/tests/service.rs
+++ b/crates/counter/tests/service.rs
@@ -1,4 +1,4 @@
-//! The program on sockets and its tools: bounds, parts, the lock, the drain, a damaged folder.
+//! Tests of the running program and its tools: limits, partitions, the folder lock, the drain and a damaged folder.
 
 mod common;
 
@@ -12,25 +12,25 @@
 use std::time::{Duration, Instant};
 
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// Longest wait of a turn in microseconds.
-const TURN_WAIT: u64 = 5_000;
+/// Longest time that a turn of the event loop waits for an event, in microseconds.
+const MAX_TURN_WAIT_US: u64 = 5_000;
 
-/// Writes settings with so many parts and returns their file.
-fn write_settings(folder: &Path, parts: usize, more: &str) -> PathBuf {
-    let lines = "listen: \"127.0.0.1:0\" admin: \"127.0.0.1:0\"\n".repeat(parts);
+/// Writes settings for a number of partitions and returns the path of the file.
+fn write_settings(folder: &Path, partitions: usize, extra_settings: &str) -> PathBuf {
+    let lines = "listen: \"127.0.0.1:0\" admin: \"127.0.0.1:0\"\n".repeat(partitions);
     let file = folder.join("counter.txtpb");
-    std::fs::write(&file, format!("{lines}folder: \"log\" {more}\n")).expect("settings");
+    std::fs::write(&file, format!("{lines}folder: \"log\" {extra_settings}\n")).expect("settings");
     file
 }
 
-/// A client with one stream of increments.
+/// A client that sends increments on one stream.
 struct Client {
     engine: Engine,
     connection: ConnId,
     stream: StreamId,
     deframer: Deframer,
-    answers: Vec<AddResponse>,
-    is_over: bool,
+    responses: Vec<AddResponse>,
+    is_stream_closed: bool,
 }
 
 impl Client {
@@ -46,7 +46,7 @@
             .any(|event| matches!(event, Event::Connected { .. }))
         {
             assert!(Instant::now() < deadline, "a connection in time");
-            engine.turn(TURN_WAIT, &mut events).expect("a turn");
+            engine.turn(MAX_TURN_WAIT_US, &mut events).expect("a turn");
         }
         let head = grpc::request(&address.to_string(), ADDS_METHOD).expect("a head");
         let stream = engine.open(connection, head, false).expect("a stream");
@@ -55,8 +55,8 @@
             connection,
             stream,
             deframer: Deframer::default(),
-            answers: Vec::new(),
-            is_over: false,
+            responses: Vec::new(),
+            is_stream_closed: false,
         }
     }
 
@@ -68,8 +68,8 @@
         self.engine.send(self.stream, frames.into());
     }
 
-    fn wait_for_answers(&mut self, count: usize) {
-        self.wait_until("answers", |client| client.answers.len() == count);
+    fn wait_for_responses(&mut self, count: usize) {
+        self.wait_until("responses", |client| client.responses.len() == count);
     }
 
     fn wait_until(&mut self, what: &str, is_met: impl Fn(&Client) -> bool) {
@@ -77,7 +77,9 @@
         let mut events = Vec::new();
         while !is_met(self) {
             assert!(Instant::now() < deadline, "not in time: {what}");
-            self.engine.turn(TURN_WAIT, &mut events).expect("a turn");
+            self.engine
+                .turn(MAX_TURN_WAIT_US, &mut events)
+                .expect("a turn");
             for event in events.drain(..) {
                 self.on_event(event);
             }
@@ -90,26 +92,29 @@
                 self.engine.consume(stream, data.len());
                 self.deframer.push(&data);
                 while let Some(message) = self.deframer.next(1_024).expect("frames") {
-                    let answer = AddResponse::decode(&message[..]).expect("an answer");
-                    self.answers.push(answer);
+                    let response = AddResponse::decode(&message[..]).expect("a response");
+                    self.responses.push(response);
                 }
             }
-            Event::End { .. } | Event::StreamFailed { .. } => self.is_over = true,
-            Event::Closed { conn, .. } if conn == self.connection => self.is_over = true,
+            Event::End { .. } | Event::StreamFailed { .. } => self.is_stream_closed = true,
+            Event::Closed { conn, .. } if conn == self.connection => self.is_stream_closed = true,
             _ => {}
         }
     }
 
-    fn count_of(&self, code: Code) -> usize {
-        let answers = self.answers.iter();
-        answers
-            .filter(|answer| answer.status == code as i32)
+    fn count_with_status(&self, code: Code) -> usize {
+        let responses = self.responses.iter();
+        responses
+            .filter(|response| response.status == code as i32)
             .count()
     }
 
     fn status_of(&self, number: u64) -> Option<i32> {
-        let answer = self.answers.iter().find(|answer| answer.number == number)?;
-        Some(answer.status)
+        let response = self
+            .responses
+            .iter()
+            .find(|response| response.number == number)?;
+        Some(response.status)
     }
 }
 
@@ -136,41 +141,45 @@
     let folder = temporary_folder("drain");
     let config = write_settings(&folder, 1, "");
     let mut program = Program::start(&config);
-    let mut client = Client::new(program.parts[0]);
+    let mut client = Client::new(program.partitions[0]);
     client.send((1..=300).map(|number| increment(number, number % 3, 1.0)));
-    client.wait_for_answers(300);
-    let first = client.answers[0];
+    client.wait_for_responses(300);
+    let first = client.responses[0];
     assert_eq!((first.status, first.total, first.epoch), (0, 1.0, 1));
 
-    let part = folder.join("log/part-0").display().to_string();
-    assert_folder_is_locked(&["log", "verify", &part]);
+    let partition_folder = folder.join("log/part-0").display().to_string();
+    assert_folder_is_locked(&["log", "verify", &partition_folder]);
     assert_folder_is_locked(&["serve", &config.display().to_string()]);
     let top = run(&["top", &program.admin[0].to_string()]);
     assert!(text(&top.stdout).contains("0000000000000001"), "{top:?}");
 
     assert!(program.stop(), "a drain ends with success");
-    let verify = text(&run(&["log", "verify", &part]).stdout);
+    let verify = text(&run(&["log", "verify", &partition_folder]).stdout);
     assert!(
         verify.contains("position 300 names 3; snapshot at 300, 0 adds replayed"),
         "{verify}"
     );
-    let replay = text(&run(&["log", "replay", &part]).stdout);
+    let replay = text(&run(&["log", "replay", &partition_folder]).stdout);
     assert_eq!(replay.matches(" 100 until").count(), 3, "{replay}");
-    let dump = text(&run(&["log", "dump", &part]).stdout);
+    let dump = text(&run(&["log", "dump", &partition_folder]).stdout);
     assert!(dump.contains("caller 5 number 300"), "{dump}");
-    assert!(run(&["log", "compact", &part]).status.success());
+    assert!(run(&["log", "compact", &partition_folder]).status.success());
 
     let program = Program::start(&config);
-    let mut client = Client::new(program.parts[0]);
+    let mut client = Client::new(program.partitions[0]);
     client.send([increment(1, 1, 1.0), increment(301, 1, 1.0)]);
-    client.wait_for_answers(2);
-    let totals: Vec<f64> = client.answers.iter().map(|answer| answer.total).collect();
+    client.wait_for_responses(2);
+    let totals: Vec<f64> = client
+        .responses
+        .iter()
+        .map(|response| response.total)
+        .collect();
     assert_eq!(
         totals,
         [1.0, 101.0],
-        "a repeated increment gets the same total; a new one counts on"
+        "a repeated increment gets the same total; a new one is added"
     );
-    assert_eq!(client.answers[0].incarnation, first.incarnation);
+    assert_eq!(client.responses[0].incarnation, first.incarnation);
     let _ = std::fs::remove_dir_all(&folder);
 }
 
@@ -179,10 +188,10 @@
     let folder = temporary_folder("damage");
     let config = write_settings(&folder, 1, "");
     let program = Program::start(&config);
-    let mut client = Client::new(program.parts[0]);
+    let mut client = Client::new(program.partitions[0]);
     for number in 1..=5 {
         client.send([increment(number, number, 1.0)]);
-        client.wait_for_answers(number as usize);
+        client.wait_for_responses(number as usize);
     }
     drop(program);
     let segment = std::fs::read_dir(folder.join("log/part-0"))
@@ -213,31 +222,31 @@
     let folder = temporary_folder("bounds");
     let config = write_settings(&folder, 1, "waiting: 400 names: 10");
     let program = Program::start(&config);
-    let mut client = Client::new(program.parts[0]);
+    let mut client = Client::new(program.partitions[0]);
     client.send((1..=5_000).map(|number| increment(number, number % 3, 1.0)));
-    client.wait_for_answers(5_000);
-    let rejected = client.count_of(Code::ResourceExhausted);
-    let counted = client.count_of(Code::Ok);
+    client.wait_for_responses(5_000);
+    let rejected = client.count_with_status(Code::ResourceExhausted);
+    let counted = client.count_with_status(Code::Ok);
     assert!(
         rejected > 0 && counted >= 100 && rejected + counted == 5_000,
         "{rejected} rejected, {counted} counted"
     );
 
-    client.answers.clear();
+    client.responses.clear();
     client.send((6_000..6_020).map(|number| increment(number, number, 1.0)));
-    client.wait_for_answers(20);
+    client.wait_for_responses(20);
     assert_eq!(
-        client.count_of(Code::ResourceExhausted),
+        client.count_with_status(Code::ResourceExhausted),
         0,
         "one batch may exceed the limit of names"
     );
-    client.answers.clear();
+    client.responses.clear();
     client.send([
         increment(7_000, 9_999, 1.0),
         increment(7_001, 1, f64::NAN),
         increment(7_002, 1, 1.0),
     ]);
-    client.wait_for_answers(3);
+    client.wait_for_responses(3);
     assert_eq!(
         (
             client.status_of(7_000),
@@ -254,27 +263,27 @@
     let folder = temporary_folder("malformed");
     let config = write_settings(&folder, 1, "");
     let program = Program::start(&config);
-    let mut client = Client::new(program.parts[0]);
-    let mut malformed = Client::new(program.parts[0]);
+    let mut client = Client::new(program.partitions[0]);
+    let mut malformed = Client::new(program.partitions[0]);
     let frame = vec![0, 0, 0, 0, 3, 0xff, 0xff, 0xff];
     malformed.engine.send(malformed.stream, frame.into());
-    malformed.wait_until("its end", |client| client.is_over);
+    malformed.wait_until("its end", |client| client.is_stream_closed);
     client.send([increment(1, 1, 0.0)]);
-    client.wait_for_answers(1);
+    client.wait_for_responses(1);
     let _ = std::fs::remove_dir_all(&folder);
 }
 
 #[test]
-fn counter_has_two_parts_then_they_count_separately() {
+fn counter_has_two_partitions_then_they_count_separately() {
     let folder = temporary_folder("parts");
     let config = write_settings(&folder, 2, "");
     let mut program = Program::start(&config);
-    assert_eq!((program.parts.len(), program.admin.len()), (2, 2));
-    for part in program.parts.clone() {
-        let mut client = Client::new(part);
+    assert_eq!((program.partitions.len(), program.admin.len()), (2, 2));
+    for partition in program.partitions.clone() {
+        let mut client = Client::new(partition);
         client.send([increment(1, 1, 1.0)]);
-        client.wait_for_answers(1);
-        assert_eq!(client.answers[0].total, 1.0);
+        client.wait_for_responses(1);
+        assert_eq!(client.responses[0].total, 1.0);
     }
     assert!(program.stop());
     let _ = std::fs::remove_dir_all(&folder);
--- a/crates/counter/tests/stored_data.rs
+++ b/crates/counter/tests/stored_data.rs
@@ -1,6 +1,8 @@
-//! A folder that the program of commit d5a4349 left behind, killed in the middle of a record, is opened by today's.
+//! Compatibility with stored data: opens a folder that the program of commit d5a4349 wrote until it was killed in the middle
+//! of a record.
 //!
-//! 1,500 increments of 1.5 to 40 names by caller 5; the last 25 of them are torn. Two snapshots, two segments.
+//! The fixture contains 1,500 increments by 1.5 of 40 names, sent by caller 5, in two snapshots and two segments. The last 25
+//! increments are in the torn record.
 
 use chalkdeck_counter::recovery;
 use chalkdeck_counter::state::{Limits, NameId};
@@ -8,8 +10,8 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-const WHOLE_INCREMENTS: u64 = 1_475;
-const NAMES: u64 = 40;
+const COMPLETE_INCREMENTS: u64 = 1_475;
+const NAME_COUNT: u64 = 40;
 const AMOUNT: f64 = 1.5;
 
 fn copy_of_fixture(test: &str) -> PathBuf {
@@ -25,8 +27,8 @@
 }
 
 fn expected_total(name: u64) -> f64 {
-    let increments = (1..=WHOLE_INCREMENTS)
-        .filter(|number| number % NAMES == name)
+    let increments = (1..=COMPLETE_INCREMENTS)
+        .filter(|number| number % NAME_COUNT == name)
         .count();
     increments as f64 * AMOUNT
 }
@@ -41,22 +43,22 @@
 }
 
 #[test]
-fn recorded_totals_are_replayed_and_the_torn_tail_is_named() {
+fn stored_totals_are_recovered_and_the_torn_tail_is_reported() {
     let folder = copy_of_fixture("replay");
     let path = folder.display().to_string();
-    let verdict = run(&["log", "verify", &path]);
+    let report = run(&["log", "verify", &path]);
     assert!(
-        verdict.contains("position 1475") && verdict.contains("torn by a crash"),
-        "{verdict}"
+        report.contains("position 1475") && report.contains("torn by a crash"),
+        "{report}"
     );
     let recovered = recovery::recover(
         &Folder::open(&folder).expect("a folder"),
         Limits::default(),
         u64::MAX,
     );
-    let recovered = recovered.expect("a sound log");
-    assert_eq!(recovered.state.position(), WHOLE_INCREMENTS);
-    for name in 0..NAMES {
+    let recovered = recovered.expect("a valid log");
+    assert_eq!(recovered.state.position(), COMPLETE_INCREMENTS);
+    for name in 0..NAME_COUNT {
         assert_eq!(
             recovered.state.total(NameId(name)),
             Some(expected_total(name)),
@@ -67,14 +69,14 @@
 }
 
 #[test]
-fn a_recorded_folder_is_compacted_and_opened_again() {
+fn stored_folder_is_compacted_and_opened_again() {
     let folder = copy_of_fixture("compact");
     let path = folder.display().to_string();
     assert!(run(&["log", "compact", &path]).contains("snapshot at 1475"));
-    let verdict = run(&["log", "verify", &path]);
+    let report = run(&["log", "verify", &path]);
     assert!(
-        verdict.contains("epoch 2") && verdict.contains("snapshot at 1475"),
-        "{verdict}"
+        report.contains("epoch 2") && report.contains("snapshot at 1475"),
+        "{report}"
     );
     let replayed = run(&["log", "replay", &path]);
     assert!(replayed.contains("0000000000000001 55.5 "), "{replayed}");
