--- a/crates/counter/src/hot_names.rs
+++ b/crates/counter/src/hot_names.rs
@@ -20,20 +20,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct HotName {
     pub(crate) name: NameId,
-    /// Number of recent increments; may be too high by up to [`HotNames::max_error`].
+    /// Number of recent increments; may be too high by up to [`HotNameSketch::max_error`].
     pub(crate) count: u64,
 }
 
-/// The sketch. It contains every name that gets more than one in `CAPACITY` of the recorded increments.
+/// A space-saving sketch. It contains every name that gets more than one in `CAPACITY` of the recorded increments.
 #[derive(Debug, Default)]
-pub(crate) struct HotNames {
+pub(crate) struct HotNameSketch {
     counts: FxHashMap<NameId, u64>,
     recorded_increments: u64,
-    /// The highest count that was evicted.
+    /// Highest count that an evicted name may have had.
     max_error: u64,
 }
 
-impl HotNames {
+impl HotNameSketch {
     /// Records an increment of a name.
     pub(crate) fn record(&mut self, name: NameId) {
         self.recorded_increments += 1;
@@ -56,8 +56,8 @@
         self.max_error /= 2;
     }
 
-    /// Evicts the names with the lowest counts. The new name starts with the highest evicted count, because it may have been
-    /// evicted with that count before.
+    /// Evicts the names with the lowest counts. The new name starts from the eviction threshold, because it may have been
+    /// evicted with a count up to the threshold before.
     fn evict_and_insert(&mut self, name: NameId) {
         let mut counts: Vec<u64> = self.counts.values().copied().collect();
         let (_, threshold, _) = counts.select_nth_unstable(EVICTION_BATCH);
@@ -93,7 +93,7 @@
 /// Records one in [`SAMPLING_INTERVAL`] increments in a sketch.
 #[derive(Debug, Default)]
 pub(crate) struct HotNameSampler {
-    hot_names: HotNames,
+    sketch: HotNameSketch,
     observed_increments: u64,
 }
 
@@ -102,13 +102,13 @@
     pub(crate) fn observe(&mut self, name: NameId) {
         self.observed_increments += 1;
         if self.observed_increments.is_multiple_of(SAMPLING_INTERVAL) {
-            self.hot_names.record(name);
+            self.sketch.record(name);
         }
     }
 
     /// The sketch of the sampled increments.
-    pub(crate) fn hot_names(&self) -> &HotNames {
-        &self.hot_names
+    pub(crate) fn sketch(&self) -> &HotNameSketch {
+        &self.sketch
     }
 }
 
--- a/crates/counter/src/hot_names/tests.rs
+++ b/crates/counter/src/hot_names/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn one_name_is_hot_in_a_flood_of_others_then_it_is_listed_first() {
-    let mut hot_names = HotNames::default();
+    let mut sketch = HotNameSketch::default();
     let mut rng = fastrand::Rng::with_seed(1);
     for increment in 0..100_000_u64 {
         let name = if increment % 20 == 0 {
@@ -12,8 +12,8 @@
         } else {
             rng.u64(100..)
         };
-        hot_names.record(NameId(name));
+        sketch.record(NameId(name));
     }
-    assert_eq!(hot_names.hottest(1)[0].name, NameId(7));
-    assert!(hot_names.counts.len() <= CAPACITY);
+    assert_eq!(sketch.hottest(1)[0].name, NameId(7));
+    assert!(sketch.counts.len() <= CAPACITY);
 }
--- a/crates/counter/src/metrics.rs
+++ b/crates/counter/src/metrics.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// Number of gRPC status codes.
-const STATUS_CODES: i32 = 17;
+const STATUS_CODE_COUNT: i32 = 17;
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct StatusLabel {
@@ -74,7 +74,7 @@
                 .get_or_create(&StatusLabel { status })
                 .clone()
         };
-        let responses = (0..STATUS_CODES).map(response_counter).collect();
+        let responses = (0..STATUS_CODE_COUNT).map(response_counter).collect();
         let batch_sizes = Histogram::new(exponential_buckets(1.0, 2.0, 15));
         let write_seconds = Histogram::new(exponential_buckets(0.000_05, 2.0, 18));
         let gauges = Gauges::default();
--- a/crates/counter/src/metrics/tests.rs
+++ b/crates/counter/src/metrics/tests.rs
@@ -35,6 +35,6 @@
     }
     assert_eq!(
         text.matches("chalkdeck_counter_answers_total{").count(),
-        STATUS_CODES as usize
+        STATUS_CODE_COUNT as usize
     );
 }
--- a/crates/counter/src/pending.rs
+++ b/crates/counter/src/pending.rs
@@ -8,7 +8,7 @@
 /// One connection may use the capacity divided by this number.
 const CONNECTION_CAPACITY_DIVISOR: usize = 4;
 
-/// A bounded queue of items for each connection, taken round robin.
+/// A bounded queue that serves its connections round robin.
 #[derive(Debug)]
 pub struct PendingQueue<K, T> {
     queues: FxHashMap<K, VecDeque<T>>,
--- a/crates/counter/src/server.rs
+++ b/crates/counter/src/server.rs
@@ -56,7 +56,7 @@
     in_flight: Option<BatchInFlight>,
     /// Encoded responses that this turn sends.
     responses: FxHashMap<StreamId, BytesMut>,
-    hot_names: HotNameSampler,
+    hot_name_sampler: HotNameSampler,
     metrics: Metrics,
     snapshot_schedule: SnapshotSchedule,
     /// Whether an error closed the log; then no further increments are counted.
@@ -87,21 +87,21 @@
     fn drain(&mut self, events: &mut Vec<Event>) -> Result<(), ServerError> {
         self.engine.drain(self.grpc_listener);
         let deadline = self.engine.now() + DRAIN_TIMEOUT_US;
-        while self.has_unanswered_increments() && self.engine.now() < deadline {
+        while self.has_outstanding_increments() && self.engine.now() < deadline {
             self.turn(MAX_DRAIN_TURN_WAIT_US, events)?;
         }
         // One more turn sends the last responses.
         self.turn(0, events)
     }
 
-    fn has_unanswered_increments(&self) -> bool {
+    fn has_outstanding_increments(&self) -> bool {
         self.in_flight.is_some() || !self.pending.is_empty()
     }
 
-    fn turn(&mut self, max_wait: u64, events: &mut Vec<Event>) -> Result<(), ServerError> {
+    fn turn(&mut self, max_wait_us: u64, events: &mut Vec<Event>) -> Result<(), ServerError> {
         let can_begin_batch = self.in_flight.is_none() && !self.pending.is_empty();
-        let wait = if can_begin_batch { 0 } else { max_wait };
-        self.engine.turn(wait, events)?;
+        let wait_us = if can_begin_batch { 0 } else { max_wait_us };
+        self.engine.turn(wait_us, events)?;
         for event in events.drain(..) {
             self.on_event(event);
         }
--- a/crates/counter/src/server/admin.rs
+++ b/crates/counter/src/server/admin.rs
@@ -6,7 +6,7 @@
 use std::fmt::Write;
 
 /// Number of names that `/top` lists.
-const LISTED_NAMES: usize = 20;
+const MAX_LISTED_NAMES: usize = 20;
 /// HTTP status of a successful request.
 const OK: u16 = 200;
 /// HTTP status of an unknown path.
@@ -41,12 +41,12 @@
     }
 
     fn hot_names_text(&self) -> String {
-        let hot_names = self.hot_names.hot_names();
+        let sketch = self.hot_name_sampler.sketch();
         let mut text = format!(
             "# name adds, one in {SAMPLING_INTERVAL} looked at (at most {} too many)\n",
-            hot_names.max_error()
+            sketch.max_error()
         );
-        for hot in hot_names.hottest(LISTED_NAMES) {
+        for hot in sketch.hottest(MAX_LISTED_NAMES) {
             // Writing to a string does not fail.
             let _ = writeln!(text, "{:016x} {}", hot.name.0, hot.count);
         }
--- a/crates/counter/src/server/batches.rs
+++ b/crates/counter/src/server/batches.rs
@@ -64,7 +64,7 @@
     pub(super) fn count(&mut self, batch: BatchInFlight) {
         for PendingIncrement { stream, increment } in batch.increments {
             let total = self.state.apply(batch.time, &increment);
-            self.hot_names.observe(increment.name);
+            self.hot_name_sampler.observe(increment.name);
             self.respond(stream, increment.number, Ok(total));
         }
     }
--- a/crates/counter/src/server/completions.rs
+++ b/crates/counter/src/server/completions.rs
@@ -13,7 +13,7 @@
     interval_bytes: u64,
     /// Bytes of log since the last snapshot was started.
     bytes_since_snapshot: u64,
-    is_in_progress: bool,
+    is_snapshot_in_progress: bool,
 }
 
 impl SnapshotSchedule {
@@ -21,12 +21,12 @@
         SnapshotSchedule {
             interval_bytes,
             bytes_since_snapshot: 0,
-            is_in_progress: false,
+            is_snapshot_in_progress: false,
         }
     }
 
     fn is_snapshot_due(&self) -> bool {
-        self.bytes_since_snapshot >= self.interval_bytes && !self.is_in_progress
+        self.bytes_since_snapshot >= self.interval_bytes && !self.is_snapshot_in_progress
     }
 }
 
@@ -39,7 +39,7 @@
         match completion {
             Completion::Batch(outcome) => self.on_batch_written(outcome),
             Completion::Rolled(Ok(())) => self.write_snapshot(),
-            Completion::Snapshot(Ok(())) => self.snapshot_schedule.is_in_progress = false,
+            Completion::Snapshot(Ok(())) => self.snapshot_schedule.is_snapshot_in_progress = false,
             Completion::Rolled(Err(error)) | Completion::Snapshot(Err(error)) => {
                 self.on_snapshot_failed(&error);
             }
@@ -81,7 +81,7 @@
         if !self.snapshot_schedule.is_snapshot_due() {
             return;
         }
-        self.snapshot_schedule.is_in_progress = true;
+        self.snapshot_schedule.is_snapshot_in_progress = true;
         if let Some(storage) = &self.storage {
             storage.writer.roll(self.state.position());
         }
@@ -96,6 +96,6 @@
 
     fn on_snapshot_failed(&mut self, error: &io::Error) {
         tracing::error!(%error, "snapshot not written: the log keeps growing");
-        self.snapshot_schedule.is_in_progress = false;
+        self.snapshot_schedule.is_snapshot_in_progress = false;
     }
 }
--- a/crates/counter/src/server/startup.rs
+++ b/crates/counter/src/server/startup.rs
@@ -18,7 +18,7 @@
 use std::path::Path;
 
 /// Maximum number of concurrent streams on one connection.
-const STREAMS_PER_CONNECTION: u32 = 20_000;
+const MAX_STREAMS_PER_CONNECTION: u32 = 20_000;
 
 /// State and storage of a partition at its start.
 struct Recovered {
@@ -43,7 +43,7 @@
             None => empty_state(settings, &engine),
         };
         let limits = Limits {
-            streams: STREAMS_PER_CONNECTION,
+            streams: MAX_STREAMS_PER_CONNECTION,
             ..Limits::default()
         };
         let (grpc_listener, grpc_address) =
@@ -65,7 +65,7 @@
             pending: PendingQueue::new(settings.pending_capacity),
             in_flight: None,
             responses: FxHashMap::default(),
-            hot_names: HotNameSampler::default(),
+            hot_name_sampler: HotNameSampler::default(),
             metrics: Metrics::new(),
             snapshot_schedule: SnapshotSchedule::new(settings.snapshot_interval_bytes),
             is_log_closed: false,
--- a/crates/counter/src/server/streams.rs
+++ b/crates/counter/src/server/streams.rs
@@ -98,7 +98,7 @@
         if let Some(increment_stream) = self.streams.get_mut(&stream) {
             increment_stream.deframer.push(data);
         }
-        // A response may close the stream, so it is looked up again for each request.
+        // Each request looks the stream up again, because the response to the previous one may have removed it.
         while let Some(increment_stream) = self.streams.get_mut(&stream) {
             let connection = increment_stream.connection;
             match increment_stream.next_request() {
--- a/crates/counter/src/snapshot.rs
+++ b/crates/counter/src/snapshot.rs
@@ -1,6 +1,8 @@
 //! Encoding of the whole state as the records of a snapshot. Equal states give equal bytes.
 
-use crate::state::{Acknowledged, CallerId, CallerRecord, CounterState, Limits, NameEntry, NameId};
+use crate::state::{
+    AcknowledgedIncrement, CallerId, CallerRecord, CounterState, Limits, NameEntry, NameId,
+};
 use chalkdeck_proto::chalkdeck::counter::v1::{CallerState, SnapshotHead, SnapshotPart};
 use chalkdeck_time::Timestamp;
 use chalkdeck_wal::record::{self, RecordReader};
@@ -10,7 +12,7 @@
 /// Version of the snapshot and record format; other versions are rejected.
 pub const VERSION: u32 = 1;
 /// Maximum number of names, or of remembered increments, in one record; keeps records far below [`record::MAX_BODY_LEN`].
-const ENTRIES_PER_RECORD: usize = 32_768;
+const MAX_ENTRIES_PER_RECORD: usize = 32_768;
 
 /// Encodes the state as a snapshot.
 pub fn encode(state: &CounterState, identity: Identity) -> Vec<u8> {
@@ -28,7 +30,7 @@
     };
     let mut out = Vec::new();
     record::append_message(&mut out, &head);
-    for chunk in names.chunks(ENTRIES_PER_RECORD) {
+    for chunk in names.chunks(MAX_ENTRIES_PER_RECORD) {
         append_names(&mut out, chunk);
     }
     for (caller, caller_record) in callers {
@@ -53,11 +55,11 @@
 /// Appends the record of one caller, split into several if it has many increments. A caller without increments gets one
 /// record too.
 fn append_caller(out: &mut Vec<u8>, caller: CallerId, caller_record: &CallerRecord) {
-    let entries: Vec<Acknowledged> = caller_record.acknowledged.iter().copied().collect();
+    let entries: Vec<AcknowledgedIncrement> = caller_record.acknowledged.iter().copied().collect();
     if entries.is_empty() {
         append_caller_part(out, caller, caller_record, &[]);
     }
-    for chunk in entries.chunks(ENTRIES_PER_RECORD) {
+    for chunk in entries.chunks(MAX_ENTRIES_PER_RECORD) {
         append_caller_part(out, caller, caller_record, chunk);
     }
 }
@@ -66,7 +68,7 @@
     out: &mut Vec<u8>,
     caller: CallerId,
     caller_record: &CallerRecord,
-    entries: &[Acknowledged],
+    entries: &[AcknowledgedIncrement],
 ) {
     let caller_state = CallerState {
         caller: caller.0,
@@ -189,7 +191,7 @@
             return Err(MalformedPart);
         }
         let counted_at = Timestamp::from_micros(time);
-        let entry = Acknowledged {
+        let entry = AcknowledgedIncrement {
             number,
             total,
             counted_at,
--- a/crates/counter/src/state.rs
+++ b/crates/counter/src/state.rs
@@ -6,7 +6,7 @@
 mod callers;
 mod names;
 
-pub(crate) use callers::{Acknowledged, CallerRecord, CallerTable};
+pub(crate) use callers::{AcknowledgedIncrement, CallerRecord, CallerTable};
 pub(crate) use names::{NameEntry, NameTable};
 
 use callers::Lookup;
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NameId(pub u64);
 
-/// Incarnation of a caller. After a restart a caller uses a greater one than before.
+/// Id of a caller: its incarnation, which grows with each restart of the caller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallerId(pub u64);
 
@@ -104,7 +104,7 @@
 }
 
 impl CounterState {
-    /// A state without names and callers.
+    /// Creates an empty state.
     pub fn new(limits: Limits) -> CounterState {
         CounterState {
             limits,
@@ -132,12 +132,12 @@
         self.callers.len()
     }
 
-    /// The total of a name that has not expired.
+    /// Returns the total of a name that has not expired.
     pub fn total(&self, name: NameId) -> Option<f64> {
         self.names.total(name, self.time)
     }
 
-    /// All names that have not expired, sorted by their ids.
+    /// Returns all names that have not expired, sorted by id.
     pub fn totals(&self) -> Vec<NameTotal> {
         self.names.totals(self.time)
     }
@@ -147,7 +147,7 @@
         self.time.max(now)
     }
 
-    /// Whether an increment may be written to the log.
+    /// Checks whether an increment may be written to the log.
     ///
     /// [`CounterState::apply`] counts an increment that passes, even if other increments are applied in between. A repeated
     /// increment passes too; it gets its first total again.
@@ -163,10 +163,10 @@
         {
             return Ok(());
         }
-        let needs_room =
+        let has_no_room =
             self.names.len() >= self.limits.names && !self.names.contains(increment.name);
         // An expired name will be removed and makes room.
-        if needs_room && !self.names.has_expired(self.time) {
+        if has_no_room && !self.names.has_expired(self.time) {
             return Err(Rejection::TooManyNames);
         }
         Ok(())
@@ -186,7 +186,7 @@
         if increment.caller.is_anonymous() {
             return total;
         }
-        let acknowledged = Acknowledged {
+        let acknowledged = AcknowledgedIncrement {
             number: increment.number,
             total,
             counted_at: self.time,
--- a/crates/counter/src/state/callers.rs
+++ b/crates/counter/src/state/callers.rs
@@ -7,7 +7,7 @@
 
 /// An increment that was counted.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Acknowledged {
+pub(crate) struct AcknowledgedIncrement {
     /// Sequence number of the increment.
     pub(crate) number: u64,
     /// Total after the increment.
@@ -24,7 +24,7 @@
     /// Highest number that was forgotten. Increments up to it that are not in `acknowledged` are rejected as too old.
     pub(crate) forgotten_up_to: u64,
     /// Remembered increments, by ascending number.
-    pub(crate) acknowledged: VecDeque<Acknowledged>,
+    pub(crate) acknowledged: VecDeque<AcknowledgedIncrement>,
 }
 
 /// Result of looking up an increment.
@@ -59,7 +59,7 @@
         }
     }
 
-    fn remember(&mut self, index: usize, entry: Acknowledged, limits: &Limits) {
+    fn remember(&mut self, index: usize, entry: AcknowledgedIncrement, limits: &Limits) {
         self.last_used = self.last_used.max(entry.counted_at);
         self.acknowledged.insert(index, entry);
         while self.has_surplus(entry.counted_at, limits) {
@@ -72,7 +72,8 @@
 
     /// Whether the increment with the lowest number exceeds the limits and has to be forgotten.
     fn has_surplus(&self, now: Timestamp, limits: &Limits) -> bool {
-        let is_past_horizon = |entry: &Acknowledged| entry.counted_at + limits.horizon < now;
+        let is_past_horizon =
+            |entry: &AcknowledgedIncrement| entry.counted_at + limits.horizon < now;
         self.acknowledged.len() > limits.increments_per_caller
             || self.acknowledged.front().is_some_and(is_past_horizon)
     }
@@ -121,7 +122,7 @@
         &mut self,
         caller: CallerId,
         index: usize,
-        entry: Acknowledged,
+        entry: AcknowledgedIncrement,
         limits: &Limits,
     ) {
         if let Some(record) = self.records.get_mut(&caller) {
--- a/crates/counter/src/state/names.rs
+++ b/crates/counter/src/state/names.rs
@@ -6,9 +6,9 @@
 use std::collections::BTreeSet;
 
 /// Maximum number of expired names that one increment removes; bounds the time that an increment takes.
-const REMOVALS_PER_INCREMENT: usize = 4;
+const MAX_REMOVALS_PER_INCREMENT: usize = 4;
 
-/// Total of one name.
+/// Total and expiry time of one name.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct NameEntry {
     pub(crate) total: f64,
@@ -86,9 +86,9 @@
             .is_some_and(|first| first.expires_at <= now)
     }
 
-    /// Removes up to [`REMOVALS_PER_INCREMENT`] names that have expired at `now`.
+    /// Removes up to [`MAX_REMOVALS_PER_INCREMENT`] names that have expired at `now`.
     pub(crate) fn remove_expired(&mut self, now: Timestamp) {
-        for _ in 0..REMOVALS_PER_INCREMENT {
+        for _ in 0..MAX_REMOVALS_PER_INCREMENT {
             if !self.has_expired(now) {
                 return;
             }
--- a/crates/counter/tests/crash.rs
+++ b/crates/counter/tests/crash.rs
@@ -19,11 +19,12 @@
 
 const NAME_COUNT: u64 = 5;
 const INCARNATION: u64 = 77;
+/// Batches that a counter writes in one run.
 const ROUNDS: u64 = 12;
 
 /// An increment with the total in its response.
 #[derive(Clone, Copy)]
-struct Acknowledged {
+struct AcknowledgedIncrement {
     increment: Increment,
     total: f64,
 }
@@ -31,9 +32,10 @@
 /// The increments that gateways have sent, as the gateways know them.
 #[derive(Default)]
 struct GatewayView {
-    acknowledged: Vec<Acknowledged>,
+    acknowledged: Vec<AcknowledgedIncrement>,
     /// Increments without a response, which may or may not have been counted.
     unacknowledged: Vec<Increment>,
+    /// Last sequence number of each caller.
     last_numbers: BTreeMap<u64, u64>,
 }
 
@@ -41,7 +43,7 @@
     (left.caller, left.number) == (right.caller, right.number)
 }
 
-fn sum(increments: impl Iterator<Item = Increment>, name: u64) -> f64 {
+fn sum_for_name(increments: impl Iterator<Item = Increment>, name: u64) -> f64 {
     increments
         .filter(|increment| increment.name == NameId(name))
         .map(|increment| increment.amount)
@@ -66,7 +68,7 @@
         increments
     }
 
-    fn find(&self, increment: &Increment) -> Option<&Acknowledged> {
+    fn find(&self, increment: &Increment) -> Option<&AcknowledgedIncrement> {
         self.acknowledged
             .iter()
             .find(|known| is_same_increment(&known.increment, increment))
@@ -79,7 +81,7 @@
                     *total, known.total,
                     "a repeated increment gets the same total"
                 ),
-                None => self.acknowledged.push(Acknowledged {
+                None => self.acknowledged.push(AcknowledgedIncrement {
                     increment: *increment,
                     total: *total,
                 }),
@@ -95,11 +97,12 @@
         }
     }
 
+    /// Checks that all acknowledged increments are in the totals, and nothing but sent ones.
     fn check(&self, state: &CounterState, seed: u64) {
         for name in 0..NAME_COUNT {
             let known = self.acknowledged.iter().map(|known| known.increment);
-            let min_total = sum(known, name);
-            let max_total = min_total + sum(self.unacknowledged.iter().copied(), name);
+            let min_total = sum_for_name(known, name);
+            let max_total = min_total + sum_for_name(self.unacknowledged.iter().copied(), name);
             let total = state.total(NameId(name)).unwrap_or(0.0);
             assert!(
                 min_total <= total && total <= max_total,
--- a/crates/counter/tests/kill.rs
+++ b/crates/counter/tests/kill.rs
@@ -27,7 +27,7 @@
 
 /// The name of an acknowledged increment and the total in its response.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Acknowledged {
+struct AcknowledgedIncrement {
     name: u64,
     total: f64,
 }
@@ -48,7 +48,7 @@
     unacknowledged: BTreeMap<u64, u64>,
     /// Numbers of the increments to retry on this link.
     retries: VecDeque<u64>,
-    acknowledged: BTreeMap<u64, Acknowledged>,
+    acknowledged: BTreeMap<u64, AcknowledgedIncrement>,
     epoch: u64,
     repeated_responses: u64,
 }
@@ -86,14 +86,14 @@
         self.retries.extend(self.acknowledged.keys().next_back());
     }
 
-    fn send(&mut self, engine: &mut Engine, rng: &mut fastrand::Rng, load: Load) {
+    fn send(&mut self, engine: &mut Engine, rng: &mut fastrand::Rng, mode: SendMode) {
         let Some(stream) = self.link.as_ref().and_then(|link| link.stream) else {
             return;
         };
         while let Some(number) = self.retries.pop_front() {
             self.send_increment(engine, stream, number);
         }
-        while load == Load::New && self.unacknowledged.len() < MAX_UNACKNOWLEDGED {
+        while mode == SendMode::NewAndRetries && self.unacknowledged.len() < MAX_UNACKNOWLEDGED {
             self.last_number += 1;
             self.unacknowledged
                 .insert(self.last_number, rng.u64(..NAME_COUNT));
@@ -139,7 +139,7 @@
         let total = response.total;
         if let Some(name) = self.unacknowledged.remove(&response.number) {
             self.acknowledged
-                .insert(response.number, Acknowledged { name, total });
+                .insert(response.number, AcknowledgedIncrement { name, total });
             return;
         }
         self.repeated_responses += 1;
@@ -154,8 +154,8 @@
 
 /// Whether gateways send new increments too, or only retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Load {
-    New,
+enum SendMode {
+    NewAndRetries,
     RetriesOnly,
 }
 
@@ -176,7 +176,7 @@
         }
     }
 
-    fn turn(&mut self, load: Load) {
+    fn turn(&mut self, mode: SendMode) {
         let mut events = Vec::new();
         self.engine
             .turn(MAX_TURN_WAIT_US, &mut events)
@@ -188,7 +188,7 @@
             if gateway.link.is_none() {
                 gateway.connect(&mut self.engine, self.address);
             }
-            gateway.send(&mut self.engine, &mut self.rng, load);
+            gateway.send(&mut self.engine, &mut self.rng, mode);
         }
     }
 
@@ -225,7 +225,7 @@
         counts.sum()
     }
 
-    fn acknowledged(&self) -> Vec<Acknowledged> {
+    fn acknowledged(&self) -> Vec<AcknowledgedIncrement> {
         let gateways = self.gateways.iter();
         gateways
             .flat_map(|gateway| gateway.acknowledged.values().copied())
@@ -238,7 +238,7 @@
         let deadline = Instant::now() + TIMEOUT;
         while self.acknowledged_count() < target {
             assert!(Instant::now() < deadline, "responses resume after a kill");
-            self.turn(Load::New);
+            self.turn(SendMode::NewAndRetries);
         }
     }
 
@@ -254,7 +254,7 @@
                 Instant::now() < deadline,
                 "all increments are acknowledged in the end"
             );
-            self.turn(Load::RetriesOnly);
+            self.turn(SendMode::RetriesOnly);
         }
     }
 }
@@ -272,7 +272,7 @@
 }
 
 /// Checks that the increments of each name got the totals 1, 2, 3 and so on, and that the recovered total is the last one.
-fn check_totals(acknowledged: &[Acknowledged], state: &CounterState) {
+fn check_totals(acknowledged: &[AcknowledgedIncrement], state: &CounterState) {
     for name in 0..NAME_COUNT {
         let mut totals: Vec<f64> = acknowledged
             .iter()
--- a/crates/wal/src/error.rs
+++ b/crates/wal/src/error.rs
@@ -35,7 +35,7 @@
 }
 
 impl OpenError {
-    /// The error for damage at an offset of a file.
+    /// Creates the error for damage at an offset of a file.
     pub(crate) fn damage(file: &str, offset: usize, expected: impl Into<String>) -> OpenError {
         OpenError::Damage {
             file: file.into(),
--- a/crates/wal/src/record.rs
+++ b/crates/wal/src/record.rs
@@ -2,14 +2,14 @@
 
 use prost::Message;
 
-/// The longest body that is written or accepted, in bytes.
+/// Maximum length of a body, in bytes. Readers treat longer records as damaged, so writers must not exceed it.
 pub const MAX_BODY_LEN: usize = 4 << 20;
 /// Length of the header before each body, in bytes.
 pub const HEADER_LEN: usize = 8;
 /// Offset of the checksum within the header.
 const CHECKSUM_OFFSET: usize = 4;
 
-/// The checksum of a body.
+/// Computes the checksum of a body.
 pub fn checksum(body: &[u8]) -> u32 {
     crc32c::crc32c(body)
 }
@@ -33,7 +33,7 @@
     out.extend_from_slice(body);
 }
 
-/// The body of the record at an offset; `None` if there is no complete record with the right checksum.
+/// Returns the body of the record at an offset; `None` if there is no complete record with a matching checksum.
 pub fn body_at(bytes: &[u8], offset: usize) -> Option<&[u8]> {
     let len = read_u32(bytes, offset)? as usize;
     let crc = read_u32(bytes, offset + CHECKSUM_OFFSET)?;
--- a/crates/wal/src/recovery.rs
+++ b/crates/wal/src/recovery.rs
@@ -140,8 +140,8 @@
         let bytes = self.disk.read(name).during(name)?;
         let valid_len = self.replay_segment(&bytes, name)?;
         // A segment without a valid head was torn while it was created.
-        let is_whole = valid_len == bytes.len() && valid_len > 0;
-        if is_whole || self.is_complete() {
+        let is_intact = valid_len == bytes.len() && valid_len > 0;
+        if is_intact || self.is_complete() {
             return Ok(());
         }
         if !is_newest || record::has_valid_record_from(&bytes, valid_len + 1) {
@@ -186,7 +186,7 @@
             return Err(OpenError::damage(name, 0, expected));
         }
         if head.position > self.recovered.state.position() {
-            return Err(self.gap(name, 0, head.position));
+            return Err(self.gap_error(name, 0, head.position));
         }
         Ok(())
     }
@@ -199,7 +199,7 @@
             }
             Ok(Replayed::AlreadyApplied) => Ok(()),
             Ok(Replayed::Gap { record_position }) => {
-                Err(self.gap(name, record.offset, record_position))
+                Err(self.gap_error(name, record.offset, record_position))
             }
             Err(_) => {
                 let expected = format!("a record of {}", S::RECORD_CONTENT);
@@ -208,8 +208,8 @@
         }
     }
 
-    /// The error for changes that are missing between the state and a position.
-    fn gap(&self, name: &str, offset: usize, found_position: u64) -> OpenError {
+    /// Creates the error for changes that are missing between the state and a position.
+    fn gap_error(&self, name: &str, offset: usize, found_position: u64) -> OpenError {
         let position = self.recovered.state.position();
         let content = S::RECORD_CONTENT;
         let expected = format!("{content} from {position} on, found {found_position}");
--- a/crates/wal/src/simulated_disk.rs
+++ b/crates/wal/src/simulated_disk.rs
@@ -116,13 +116,13 @@
         self.calls + 1 > self.stop_after && self.calls <= self.stop_after
     }
 
-    /// Appends the first bytes, of a random number.
+    /// Appends a random prefix of the bytes.
     fn append_part(&mut self, file: FileId, bytes: &[u8]) {
         let part_len = self.rng.usize(0..=bytes.len());
         self.files[file].bytes.extend(&bytes[..part_len]);
     }
 
-    /// The directory after a crash: the synced one with the first of the later changes, of a random number.
+    /// Returns the directory after a crash: the synced one with a random prefix of the later changes.
     fn directory_after_crash(&mut self) -> Directory {
         let mut directory = self.synced_directory.clone();
         let surviving_changes = self.rng.usize(0..=self.unsynced_changes.len());
@@ -132,7 +132,7 @@
         directory
     }
 
-    /// The files after a crash: each keeps a random part of its unsynced bytes, which may end in zeros.
+    /// Returns the files after a crash: each keeps a random prefix of its unsynced bytes, which may end in zeros.
     fn files_after_crash(&mut self) -> Vec<FileContents> {
         let mut files = self.files.clone();
         for file in &mut files {
