--- a/crates/counter/src/pending/tests.rs
+++ b/crates/counter/src/pending/tests.rs
@@ -6,15 +6,15 @@
 fn one_connection_floods_the_queue_then_others_keep_capacity_and_turns() {
     let mut pending = PendingQueue::new(40);
     for item in 0..10 {
-        pending.push('a', item).expect("room");
+        pending.push('a', item).expect("capacity");
     }
     assert_eq!(
         pending.push('a', 10),
         Err(10),
         "one connection may use a quarter"
     );
-    pending.push('b', 100).expect("room for others");
-    pending.push('c', 200).expect("room for others");
+    pending.push('b', 100).expect("capacity for others");
+    pending.push('c', 200).expect("capacity for others");
     assert_eq!(pending.take(4), [0, 100, 200, 1]);
     pending.remove_connection('a');
     assert!(pending.is_empty() && pending.take(9).is_empty());
--- a/crates/counter/src/state/tests.rs
+++ b/crates/counter/src/state/tests.rs
@@ -24,7 +24,7 @@
     assert_eq!(
         apply(&mut state, 11, &increment(2, 1, 7)),
         2.0,
-        "the number of another caller is another increment"
+        "sequence numbers are separate for each caller"
     );
     assert_eq!(apply(&mut state, 12, &increment(1, 1, 7)), 1.0);
     assert_eq!(
@@ -98,12 +98,12 @@
     assert_eq!(
         state.check(&increment(1, 3, 2)),
         Ok(()),
-        "known names go on"
+        "known names are still counted"
     );
     assert_eq!(
         apply(&mut state, 1, &increment(1, 3, 2)),
         2.0,
-        "a clock that went back expires nothing and restarts nothing"
+        "a clock that goes backwards does not expire or reset a name"
     );
     assert_eq!(
         apply(&mut state, 6_000, &increment(1, 4, 2)),
--- a/crates/counter/tests/common/program.rs
+++ b/crates/counter/tests/common/program.rs
@@ -52,7 +52,7 @@
             .spawn()
             .expect("the program starts");
         let mut line = String::new();
-        let stdout = child.stdout.take().expect("its output");
+        let stdout = child.stdout.take().expect("a piped stdout");
         BufReader::new(stdout).read_line(&mut line).expect("a line");
         Program {
             partitions: addresses(&line, "grpc="),
@@ -64,14 +64,14 @@
     /// Stops the service with SIGTERM; returns whether it exited with success.
     pub fn stop(&mut self) -> bool {
         let pid = Pid::from_raw(self.child.id() as i32).expect("an id");
-        kill_process(pid, Signal::TERM).expect("a signal");
-        self.child.wait().expect("its end").success()
+        kill_process(pid, Signal::TERM).expect("signalled");
+        self.child.wait().expect("the process exits").success()
     }
 
     /// Kills the service with SIGKILL.
     pub fn kill(&mut self) {
-        self.child.kill().expect("a kill");
-        self.child.wait().expect("its end");
+        self.child.kill().expect("killed");
+        self.child.wait().expect("the process exits");
     }
 }
 
--- a/crates/counter/tests/crash.rs
+++ b/crates/counter/tests/crash.rs
@@ -327,13 +327,13 @@
                 let report = &opened.report;
                 damaged_snapshots += usize::from(!report.damaged_snapshots.is_empty());
                 torn_tails += usize::from(report.torn_tail.is_some());
-                let reported = if report.torn_tail.is_some() {
+                let max_loss = if report.torn_tail.is_some() {
                     folder.last_batch_sum
                 } else {
                     0.0
                 };
                 assert!(
-                    (0.0..=reported).contains(&lost),
+                    (0.0..=max_loss).contains(&lost),
                     "{name}, seed {seed}: {lost} lost, {report:?}"
                 );
             }
@@ -398,9 +398,9 @@
 fn oldest_segment_and_snapshots_are_missing_then_recovery_fails() {
     let Folder { disk, .. } = folder(1);
     let oldest = list_segments(&disk).expect("a list").remove(0);
-    disk.remove(&oldest).expect("a removal");
+    disk.remove(&oldest).expect("removed");
     for name in list_snapshots(&disk).expect("a list") {
-        disk.remove(&name).expect("a removal");
+        disk.remove(&name).expect("removed");
     }
     let error = recovery_error(&disk);
     assert!(error.contains("expected adds from 0 on"), "{error}");
@@ -414,22 +414,28 @@
         .count(&[increment(1, 1, 0)], 1)
         .expect("a working disk");
     disk.fail_next_append();
-    let full = counter.count(&[increment(1, 2, 0)], 2).expect_err("full");
+    let full = counter
+        .count(&[increment(1, 2, 0)], 2)
+        .expect_err("the disk is full");
     assert!(matches!(full, AppendError::NotWritten(_)), "{full}");
     assert_eq!(
-        counter.count(&[increment(1, 3, 0)], 3).expect("room again"),
+        counter
+            .count(&[increment(1, 3, 0)], 3)
+            .expect("the disk has space again"),
         [2.0]
     );
 
     disk.fail_syncs();
     let unknown = counter
         .count(&[increment(1, 4, 0)], 4)
-        .expect_err("no sync");
+        .expect_err("the sync fails");
     assert!(
         matches!(unknown, AppendError::OutcomeUnknown(_)),
         "{unknown}"
     );
-    let closed = counter.count(&[increment(1, 5, 0)], 5).expect_err("closed");
+    let closed = counter
+        .count(&[increment(1, 5, 0)], 5)
+        .expect_err("the log is closed");
     assert!(
         matches!(closed, AppendError::Closed) && counter.log.is_closed(),
         "{closed}"
@@ -446,7 +452,7 @@
     disk.fail_next_append();
     let unknown = counter
         .count(&[increment(1, 1, 0)], 1)
-        .expect_err("read-only by now");
+        .expect_err("the truncation fails");
     assert!(
         matches!(unknown, AppendError::OutcomeUnknown(_)) && counter.log.is_closed(),
         "{unknown}"
--- a/crates/counter/tests/kill.rs
+++ b/crates/counter/tests/kill.rs
@@ -329,7 +329,7 @@
         .sum();
     assert!(
         repeated_responses > 0,
-        "repeated increments were among them"
+        "some responses were to repeated increments"
     );
     assert!(fleet
         .gateways
--- a/crates/counter/tests/service.rs
+++ b/crates/counter/tests/service.rs
@@ -267,7 +267,7 @@
     let mut malformed = Client::new(program.partitions[0]);
     let frame = vec![0, 0, 0, 0, 3, 0xff, 0xff, 0xff];
     malformed.engine.send(malformed.stream, frame.into());
-    malformed.wait_until("its end", |client| client.is_stream_closed);
+    malformed.wait_until("the end of the stream", |client| client.is_stream_closed);
     client.send([increment(1, 1, 0.0)]);
     client.wait_for_responses(1);
     let _ = std::fs::remove_dir_all(&folder);
