--- a/crates/cli/src/coordinator.rs
+++ b/crates/cli/src/coordinator.rs
@@ -80,7 +80,7 @@
     if with_parent {
         end_with_parent();
     }
-    let signals = Signals::take()?;
+    let signals = Signals::install()?;
     let server = ReplicaServer::start(&settings, start_mode)?;
     let admin = server.admin().map_or("-".to_string(), |a| a.to_string());
     println!("ready grpc={} admin={admin}", server.listen());
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -66,7 +66,7 @@
 fn run_platform_gateway() -> Result<(), Failure> {
     logs::start("info", false);
     let config = Config::from_env()?;
-    let signals = Signals::take()?;
+    let signals = Signals::install()?;
     tracing::info!(name = config.name, listen = %config.listen, "gateway starting");
     Ok(GatewayServer::start(config)?.run(&signals)?)
 }
--- a/crates/cli/tests/fleet/mod.rs
+++ b/crates/cli/tests/fleet/mod.rs
@@ -360,7 +360,7 @@
                 let Event::Opened { stream, head, .. } = event else {
                     continue;
                 };
-                engine.respond(stream, grpc::head(), false);
+                engine.respond(stream, grpc::response_head(), false);
                 engine.send(stream, grpc::frame(b"answer"));
                 if head.uri.path() != WATCH {
                     engine.finish(stream, Some(grpc::trailers(Code::Ok, "")));
@@ -402,13 +402,13 @@
                 Event::Head {
                     stream,
                     head,
-                    ended: true,
+                    is_end_stream: true,
                 } => {
                     self.ended.insert(
                         stream,
                         (
                             Code::from_trailers(&head.headers),
-                            grpc::message_of(&head.headers),
+                            grpc::decode_message(&head.headers),
                         ),
                     );
                 }
@@ -418,7 +418,10 @@
                     let trailers = trailers.unwrap_or_default();
                     self.ended.insert(
                         stream,
-                        (Code::from_trailers(&trailers), grpc::message_of(&trailers)),
+                        (
+                            Code::from_trailers(&trailers),
+                            grpc::decode_message(&trailers),
+                        ),
                     );
                 }
                 Event::StreamFailed { stream, .. } => {
@@ -431,13 +434,13 @@
     pub fn open(&mut self, path: &str, metadata: &[(&str, &str)]) -> StreamId {
         let end = Instant::now() + PATIENCE;
         loop {
-            let mut head = grpc::request("gateway", path).expect("a head");
+            let mut head = grpc::request_head("gateway", path).expect("a head");
             for (name, value) in metadata {
                 let name = HeaderName::from_bytes(name.as_bytes()).expect("a name");
                 head.headers_mut()
                     .insert(name, HeaderValue::from_str(value).expect("a value"));
             }
-            if let Some(stream) = self.engine.open(self.conn, head, false) {
+            if let Some(stream) = self.engine.open_stream(self.conn, head, false) {
                 self.engine.send(stream, grpc::frame(b"ask"));
                 self.engine.finish(stream, None);
                 return stream;
--- a/crates/client/src/attempt_headers.rs
+++ b/crates/client/src/attempt_headers.rs
@@ -17,25 +17,25 @@
     attempt: u32,
     time_left: TimeDelta,
 ) -> Option<Request<()>> {
-    let mut request = grpc::request(&address.to_string(), &call.path)?;
+    let mut request = grpc::request_head(&address.to_string(), &call.path)?;
     let headers = request.headers_mut();
     for (name, value) in &call.metadata {
         let name = HeaderName::from_bytes(name.as_bytes()).ok()?;
         headers.insert(name, HeaderValue::from_str(value).ok()?);
     }
     if let Some(key) = &call.key {
-        headers.insert(grpc::KEY, HeaderValue::from_str(key).ok()?);
+        headers.insert(grpc::IDEMPOTENCY_KEY, HeaderValue::from_str(key).ok()?);
     }
     if attempt > 0 {
-        headers.insert(grpc::ATTEMPTS, HeaderValue::from(attempt));
+        headers.insert(grpc::PREVIOUS_ATTEMPTS, HeaderValue::from(attempt));
     }
-    headers.insert(grpc::TIMEOUT, grpc::timeout(time_left.as_micros()));
+    headers.insert(grpc::TIMEOUT, grpc::encode_timeout(time_left.as_micros()));
     Some(request)
 }
 
 /// What the trailers of an attempt mean. A rejection is marked by its pushback; one that cannot be read gives no time.
 pub(crate) fn attempt_outcome(trailers: &HeaderMap) -> AttemptOutcome {
-    let pushback = trailers.get(grpc::PUSHBACK);
+    let pushback = trailers.get(grpc::RETRY_PUSHBACK);
     let is_not_processed = trailers
         .get(grpc::UNPROCESSED)
         .is_some_and(|value| value == NOT_PROCESSED);
--- a/crates/client/src/driver.rs
+++ b/crates/client/src/driver.rs
@@ -170,7 +170,7 @@
             NetEvent::Head {
                 stream,
                 head,
-                ended: true,
+                is_end_stream: true,
             } => self.on_response_ended(stream, &head.headers),
             NetEvent::Data { stream, data } => {
                 self.engine.consume(stream, data.len());
--- a/crates/client/src/driver/attempts.rs
+++ b/crates/client/src/driver/attempts.rs
@@ -29,7 +29,7 @@
             .and_then(|address| request_head(&open_call.call, address, id.attempt, time_left));
         let stream = head
             .zip(target.connection)
-            .and_then(|(head, connection)| self.engine.open(connection, head, false));
+            .and_then(|(head, connection)| self.engine.open_stream(connection, head, false));
         let Some(stream) = stream else {
             return self.on_attempt_not_sent(id, gateway);
         };
@@ -95,7 +95,7 @@
         let call = self.attempts.get(&stream).map(|id| id.call);
         if let Some(open_call) = call.and_then(|call| self.calls.get_mut(&call)) {
             open_call.status = Code::from_trailers(trailers);
-            open_call.status_message = grpc::message_of(trailers);
+            open_call.status_message = grpc::decode_message(trailers);
         }
         self.end_attempt(stream, attempt_outcome(trailers));
     }
--- a/crates/client/src/driver/connections.rs
+++ b/crates/client/src/driver/connections.rs
@@ -50,8 +50,8 @@
             return;
         };
         let limits = Limits {
-            streams: STREAMS_PER_CONNECTION,
-            keepalive: self.keepalive_interval.as_micros(),
+            max_streams: STREAMS_PER_CONNECTION,
+            keepalive_interval: self.keepalive_interval.as_micros(),
             ..Limits::default()
         };
         let Ok(connection) = self.engine.connect(address, limits) else {
@@ -61,7 +61,8 @@
         self.last_connect += 1;
         self.connects.insert(self.last_connect, connection);
         let timeout_at = self.now() + self.connect_timeout;
-        self.engine.timer(timeout_at.as_micros(), self.last_connect);
+        self.engine
+            .set_timer(timeout_at.as_micros(), self.last_connect);
     }
 
     pub(super) fn on_connected(&mut self, connection: ConnId) {
@@ -101,7 +102,7 @@
             return;
         };
         self.engine
-            .timer(next_check.as_micros(), GATEWAY_FILE_TIMER);
+            .set_timer(next_check.as_micros(), GATEWAY_FILE_TIMER);
         let Some(read) = watch.poll() else {
             return;
         };
--- a/crates/client/src/tower.rs
+++ b/crates/client/src/tower.rs
@@ -33,8 +33,8 @@
     "te",
     "content-type",
     grpc::TIMEOUT,
-    grpc::KEY,
-    grpc::ATTEMPTS,
+    grpc::IDEMPOTENCY_KEY,
+    grpc::PREVIOUS_ATTEMPTS,
     "user-agent",
 ];
 
--- a/crates/client/src/tower/response.rs
+++ b/crates/client/src/tower/response.rs
@@ -22,7 +22,7 @@
 /// A response with the head of gRPC.
 pub(super) fn with_body<B>(body: ResponseBody<B>) -> Response<ResponseBody<B>> {
     let mut response = Response::new(body);
-    *response.headers_mut() = grpc::head().headers().clone();
+    *response.headers_mut() = grpc::response_head().headers().clone();
     response
 }
 
@@ -34,7 +34,7 @@
     } = reply.outcome
     {
         let millis = retry_after.as_micros().div_ceil(MICROS_PER_MILLI);
-        trailers.insert(grpc::PUSHBACK, HeaderValue::from(millis));
+        trailers.insert(grpc::RETRY_PUSHBACK, HeaderValue::from(millis));
     }
     if matches!(reply.outcome, Outcome::NotSent | Outcome::TooManyCalls) {
         trailers.insert(grpc::UNPROCESSED, HeaderValue::from_static("1"));
--- a/crates/client/tests/calls.rs
+++ b/crates/client/tests/calls.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use chalkdeck_client::{Client, Idempotency, Outcome, Settings, TimeDelta};
-use chalkdeck_net::clock::{Clock, Jumps};
+use chalkdeck_net::clock::{Clock, ClockJumps};
 use chalkdeck_net::grpc::{self, Code};
 use common::{call, start_call, start_client, start_client_with, ScriptedGateway, KEYED, TIMEOUT};
 use http::{HeaderMap, HeaderValue};
@@ -33,7 +33,10 @@
     assert_eq!(first["x-idempotency-key"], second["x-idempotency-key"]);
     assert_eq!(first["x-idempotency-key"].len(), 32);
     assert_eq!(
-        (first.get(grpc::ATTEMPTS), second[grpc::ATTEMPTS].as_bytes()),
+        (
+            first.get(grpc::PREVIOUS_ATTEMPTS),
+            second[grpc::PREVIOUS_ATTEMPTS].as_bytes()
+        ),
         (None, &b"1"[..])
     );
     assert!(
@@ -169,8 +172,8 @@
 #[test]
 fn clock_jumps_then_calls_end_by_their_own_time_at_the_latest() {
     let mut gateway = ScriptedGateway::new();
-    let jumps = Arc::new(Jumps::default());
-    let clock = Clock::jumping(jumps.clone());
+    let jumps = Arc::new(ClockJumps::default());
+    let clock = Clock::with_jumps(jumps.clone());
     let client = Client::start_with_clock(Settings::default(), vec![gateway.address], clock)
         .expect("a client");
     let exceeded = Outcome::DeadlineExceeded { may_have_run: true };
--- a/crates/client/tests/common/mod.rs
+++ b/crates/client/tests/common/mod.rs
@@ -108,7 +108,7 @@
     /// Answers an attempt.
     pub fn answer(&mut self, attempt: usize) {
         let stream = self.received[attempt].stream;
-        self.engine.respond(stream, grpc::head(), false);
+        self.engine.respond(stream, grpc::response_head(), false);
         self.engine.send(stream, grpc::frame(b"fine"));
         self.engine
             .finish(stream, Some(grpc::trailers(Code::Ok, "")));
@@ -117,7 +117,7 @@
     /// Rejects an attempt.
     pub fn reject(&mut self, attempt: usize, pushback: &'static str) {
         let mut trailers = grpc::trailers(Code::ResourceExhausted, "over the quota");
-        trailers.insert(grpc::PUSHBACK, HeaderValue::from_static(pushback));
+        trailers.insert(grpc::RETRY_PUSHBACK, HeaderValue::from_static(pushback));
         self.respond_with_trailers(attempt, trailers);
     }
 
--- a/crates/client/tests/streams.rs
+++ b/crates/client/tests/streams.rs
@@ -24,7 +24,9 @@
     let (stream, events) = open_stream(&client);
     gateway.wait_for_attempts(1);
     let server_stream = gateway.received[0].stream;
-    gateway.engine.respond(server_stream, grpc::head(), false);
+    gateway
+        .engine
+        .respond(server_stream, grpc::response_head(), false);
     for _ in 0..3 {
         stream
             .send(Bytes::from_static(b"ping"))
--- a/crates/client/tests/tower.rs
+++ b/crates/client/tests/tower.rs
@@ -119,7 +119,7 @@
 }
 
 fn answer(engine: &mut Engine, stream: StreamId, message: &[u8]) {
-    engine.respond(stream, grpc::head(), false);
+    engine.respond(stream, grpc::response_head(), false);
     engine.send(stream, grpc::frame(message));
     engine.finish(stream, Some(grpc::trailers(Code::Ok, "")));
 }
@@ -186,7 +186,7 @@
             return engine.reset(stream, h2::Reason::INTERNAL_ERROR);
         }
         let mut trailers = grpc::trailers(Code::ResourceExhausted, "over the quota");
-        trailers.insert(grpc::PUSHBACK, HeaderValue::from_static("60000"));
+        trailers.insert(grpc::RETRY_PUSHBACK, HeaderValue::from_static("60000"));
         engine.respond(stream, grpc::trailers_only(trailers), true);
     }));
     let mut client = tonic::client::Grpc::new(service(&gateway));
@@ -250,7 +250,7 @@
 #[test]
 fn stream_is_echoed_then_all_messages_come_back() {
     let gateway = start_gateway(Box::new(|engine, event| match event {
-        Received::Attempt { stream, .. } => engine.respond(stream, grpc::head(), false),
+        Received::Attempt { stream, .. } => engine.respond(stream, grpc::response_head(), false),
         Received::Data(stream, data) => engine.send(stream, data),
         Received::End(stream) => engine.finish(stream, Some(grpc::trailers(Code::Ok, ""))),
         Received::Reset => {}
--- a/crates/coordinator/src/client.rs
+++ b/crates/coordinator/src/client.rs
@@ -6,7 +6,7 @@
     wire, CommandKind, CommandResponse, ReadRequest, ReadResponse, ResponseCode,
 };
 use crate::server::{connection_limits, MAX_STATE_BYTES, READ_PATH, SUBMIT_PATH};
-use chalkdeck_net::clock::incarnation;
+use chalkdeck_net::clock::new_incarnation;
 use chalkdeck_net::grpc::{self, Code};
 use chalkdeck_net::unary::UnaryMessage;
 use chalkdeck_net::{ConnId, Engine, Event, StreamId};
@@ -87,7 +87,7 @@
     /// The system gives no poll handle.
     pub fn new(replicas: Vec<SocketAddr>) -> Result<CoordinatorClient, ClientError> {
         let engine = Engine::new().map_err(ClientError::Poll)?;
-        let caller = incarnation(engine.now());
+        let caller = new_incarnation(engine.now());
         let replica_index = fastrand::usize(..replicas.len().max(1));
         Ok(CoordinatorClient {
             engine,
@@ -279,8 +279,8 @@
 
 impl UnaryCall<'_> {
     fn open(&mut self, engine: &mut Engine) {
-        let head = grpc::request(&self.address.to_string(), self.path);
-        self.stream = head.and_then(|head| engine.open(self.connection, head, false));
+        let head = grpc::request_head(&self.address.to_string(), self.path);
+        self.stream = head.and_then(|head| engine.open_stream(self.connection, head, false));
         if let Some(stream) = self.stream {
             engine.send(stream, grpc::frame(&self.request));
             engine.finish(stream, None);
@@ -315,7 +315,7 @@
             Event::StreamFailed { stream, .. }
             | Event::Head {
                 stream,
-                ended: true,
+                is_end_stream: true,
                 ..
             } if self.is_own(stream) => CallState::Failed,
             _ => CallState::Open,
--- a/crates/coordinator/src/server/mod.rs
+++ b/crates/coordinator/src/server/mod.rs
@@ -12,7 +12,7 @@
 use crate::log::{OpenedLog, ReplicaLog};
 use crate::replica::{Output, Replica, ReplicaSettings, StartMode};
 use crate::settings::Settings;
-use chalkdeck_net::clock::incarnation;
+use chalkdeck_net::clock::new_incarnation;
 use chalkdeck_net::grpc::{self, Code};
 use chalkdeck_net::signals::Signals;
 use chalkdeck_net::{ConnId, Engine, Event, Limits, ListenerId, StreamId};
@@ -52,10 +52,10 @@
 /// Limits of a replica's connections.
 pub fn connection_limits() -> Limits {
     Limits {
-        streams: 4_096,
+        max_streams: 4_096,
         stream_window: 1 << 20,
         connection_window: 64 << 20,
-        keepalive: KEEPALIVE_INTERVAL.as_micros(),
+        keepalive_interval: KEEPALIVE_INTERVAL.as_micros(),
         ..Limits::default()
     }
 }
@@ -81,7 +81,7 @@
     /// See [`ServerError`].
     pub fn start(settings: &Settings, start_mode: StartMode) -> Result<ReplicaServer, ServerError> {
         let mut engine = Engine::new().map_err(ServerError::Poll)?;
-        let incarnation = incarnation(engine.now());
+        let incarnation = new_incarnation(engine.now());
         let opened = open_log(settings, incarnation)?;
         let replica = Replica::new(
             replica_settings(settings, &opened, incarnation),
@@ -95,7 +95,7 @@
             Some(address) => Some(bind(&mut engine, address, Protocol::Http1)?.1),
             None => None,
         };
-        engine.timer(engine.now(), TICK_TIMER);
+        engine.set_timer(engine.now(), TICK_TIMER);
         Ok(ReplicaServer {
             engine,
             listener,
@@ -127,7 +127,7 @@
     pub fn run(mut self, signals: &Signals) -> Result<(), ServerError> {
         let mut events = Vec::new();
         self.end_turn()?;
-        while !signals.stop() {
+        while !signals.is_stop_requested() {
             self.engine
                 .turn(MAX_TURN_WAIT.as_micros(), &mut events)
                 .map_err(ServerError::Poll)?;
@@ -177,7 +177,7 @@
         if self.incoming.remove(&stream).is_none() {
             return;
         }
-        self.engine.respond(stream, grpc::head(), false);
+        self.engine.respond(stream, grpc::response_head(), false);
         self.engine
             .send(stream, grpc::frame(&message.encode_to_vec()));
         self.engine
@@ -186,7 +186,7 @@
 
     fn send_in_session(&mut self, requester: RequesterId, message: &impl Message) {
         let stream = StreamId(requester.0);
-        if self.engine.queued(stream) > MAX_UNREAD_BYTES {
+        if self.engine.queued_bytes(stream) > MAX_UNREAD_BYTES {
             self.incoming_closed(stream);
             self.engine.reset(stream, h2::Reason::ENHANCE_YOUR_CALM);
             return;
@@ -218,7 +218,7 @@
     fn on_tick(&mut self) {
         self.replica.tick();
         let next = Timestamp::from_micros(self.engine.now()) + self.tick_interval;
-        self.engine.timer(next.as_micros(), TICK_TIMER);
+        self.engine.set_timer(next.as_micros(), TICK_TIMER);
         self.peers.tick(&mut self.engine);
     }
 
@@ -229,7 +229,7 @@
             return self.engine.respond(stream, head, true);
         };
         if method.is_streaming() {
-            self.engine.respond(stream, grpc::head(), false);
+            self.engine.respond(stream, grpc::response_head(), false);
         }
         self.incoming.insert(stream, IncomingStream::new(method));
     }
--- a/crates/coordinator/src/server/peers.rs
+++ b/crates/coordinator/src/server/peers.rs
@@ -78,8 +78,8 @@
     address: SocketAddr,
     path: &str,
 ) -> Option<StreamId> {
-    let head = grpc::request(&address.to_string(), path)?;
-    engine.open(connection, head, false)
+    let head = grpc::request_head(&address.to_string(), path)?;
+    engine.open_stream(connection, head, false)
 }
 
 /// Connections to all other replicas.
@@ -119,7 +119,7 @@
         let Some(stream) = peer.stream(engine, connection) else {
             return;
         };
-        if engine.queued(stream) > MAX_UNREAD_BYTES {
+        if engine.queued_bytes(stream) > MAX_UNREAD_BYTES {
             engine.close(connection);
             peer.lost(Timestamp::from_micros(engine.now()));
             return;
--- a/crates/counter/src/cli.rs
+++ b/crates/counter/src/cli.rs
@@ -44,7 +44,7 @@
                     .with_writer(std::io::stderr)
                     .init();
                 let settings = Settings::load(&config)?;
-                server::run(&settings, &Signals::take()?)?;
+                server::run(&settings, &Signals::install()?)?;
                 Ok(())
             }
             Command::Check { config } => {
--- a/crates/counter/src/server.rs
+++ b/crates/counter/src/server.rs
@@ -77,7 +77,7 @@
     /// Serves until a signal requests the stop, then drains pending increments and writes a snapshot.
     pub fn run(mut self, signals: &Signals) -> Result<(), ServerError> {
         let mut events = Vec::new();
-        while !signals.stop() {
+        while !signals.is_stop_requested() {
             self.turn(MAX_TURN_WAIT_US, &mut events)?;
         }
         self.drain(&mut events)?;
--- a/crates/counter/src/server/streams.rs
+++ b/crates/counter/src/server/streams.rs
@@ -59,7 +59,7 @@
     pub(super) fn on_stream_opened(&mut self, connection: ConnId, stream: StreamId, path: &str) {
         match path {
             ADDS_METHOD => {
-                self.engine.respond(stream, grpc::head(), false);
+                self.engine.respond(stream, grpc::response_head(), false);
                 self.add_stream(connection, stream, Method::Streaming);
             }
             ADD_METHOD => self.add_stream(connection, stream, Method::Single),
@@ -174,7 +174,7 @@
                 .respond(stream, grpc::trailers_only(trailers), true);
             return;
         }
-        self.engine.respond(stream, grpc::head(), false);
+        self.engine.respond(stream, grpc::response_head(), false);
         self.engine
             .send(stream, grpc::frame(&response.encode_to_vec()));
         self.engine.finish(stream, Some(trailers));
@@ -183,7 +183,7 @@
     /// Sends the responses of this turn, all of one stream together.
     pub(super) fn send_responses(&mut self) {
         for (stream, bytes) in self.responses.drain() {
-            if self.engine.queued(stream) > MAX_UNSENT_BYTES {
+            if self.engine.queued_bytes(stream) > MAX_UNSENT_BYTES {
                 self.streams.remove(&stream);
                 self.engine.reset(stream, h2::Reason::ENHANCE_YOUR_CALM);
                 continue;
--- a/crates/counter/tests/kill.rs
+++ b/crates/counter/tests/kill.rs
@@ -79,8 +79,8 @@
 
     fn on_connected(&mut self, engine: &mut Engine, address: SocketAddr) {
         let Some(link) = &mut self.link else { return };
-        let head = grpc::request(&address.to_string(), ADDS_METHOD).expect("a head");
-        link.stream = engine.open(link.connection, head, false);
+        let head = grpc::request_head(&address.to_string(), ADDS_METHOD).expect("a head");
+        link.stream = engine.open_stream(link.connection, head, false);
         self.retries = self.unacknowledged.keys().copied().collect();
         // Also repeats an acknowledged increment, as a duplicate that arrives late would.
         self.retries.extend(self.acknowledged.keys().next_back());
--- a/crates/counter/tests/service.rs
+++ b/crates/counter/tests/service.rs
@@ -48,8 +48,10 @@
             assert!(Instant::now() < deadline, "a connection in time");
             engine.turn(MAX_TURN_WAIT_US, &mut events).expect("a turn");
         }
-        let head = grpc::request(&address.to_string(), ADDS_METHOD).expect("a head");
-        let stream = engine.open(connection, head, false).expect("a stream");
+        let head = grpc::request_head(&address.to_string(), ADDS_METHOD).expect("a head");
+        let stream = engine
+            .open_stream(connection, head, false)
+            .expect("a stream");
         Client {
             engine,
             connection,
--- a/crates/grpc-gateway/src/call_flow/attempts.rs
+++ b/crates/grpc-gateway/src/call_flow/attempts.rs
@@ -95,7 +95,7 @@
             attempt,
             timeout(call, is_streaming_class, now),
         );
-        let Some(stream) = self.engine.open(conn, head, false) else {
+        let Some(stream) = self.engine.open_stream(conn, head, false) else {
             return false;
         };
         let replay = call.request_buffer.replay();
@@ -123,11 +123,11 @@
         let Some(call) = self.calls.get(attempt.call) else {
             return;
         };
-        let Some(mut head) = grpc::request("twin", call.path.as_str()) else {
+        let Some(mut head) = grpc::request_head("twin", call.path.as_str()) else {
             return;
         };
         head.headers_mut().extend(call.headers.clone());
-        if let Some(stream) = self.engine.open(conn, head, false) {
+        if let Some(stream) = self.engine.open_stream(conn, head, false) {
             self.engine.finish(stream, None);
         }
     }
@@ -239,14 +239,14 @@
     let headers = head.headers_mut();
     headers.insert(TE, HeaderValue::from_static("trailers"));
     if let Some(timeout) = timeout {
-        headers.insert(grpc::TIMEOUT, grpc::timeout(timeout));
+        headers.insert(grpc::TIMEOUT, grpc::encode_timeout(timeout));
     }
     let previous_attempts = call
         .previous_client_attempts
         .saturating_add(attempt.number as u32);
     if previous_attempts > 0 {
         headers.insert(
-            HeaderName::from_static(grpc::ATTEMPTS),
+            HeaderName::from_static(grpc::PREVIOUS_ATTEMPTS),
             HeaderValue::from(previous_attempts),
         );
     }
--- a/crates/grpc-gateway/src/call_flow/responses.rs
+++ b/crates/grpc-gateway/src/call_flow/responses.rs
@@ -143,7 +143,7 @@
             return;
         };
         if !is_answer && !call.is_streaming() {
-            return self.end_without_answer(id, outcome, grpc::message_of(&trailers));
+            return self.end_without_answer(id, outcome, grpc::decode_message(&trailers));
         }
         if call.is_complete() {
             return self.end_attempt(id, outcome, true);
--- a/crates/grpc-gateway/src/call_head.rs
+++ b/crates/grpc-gateway/src/call_head.rs
@@ -31,7 +31,7 @@
     let units = parse_units(settings, route, headers)?;
     let class = class_of(settings, route, headers);
     let max_timeout = settings.policy.classes[class].deadline.as_micros();
-    let previous_attempts = text(headers, grpc::ATTEMPTS)
+    let previous_attempts = text(headers, grpc::PREVIOUS_ATTEMPTS)
         .and_then(|value| value.parse().ok())
         .unwrap_or(0);
     let request = IncomingRequest {
@@ -127,7 +127,9 @@
 
 /// The index of the call's class; calls of keyed routes without an idempotency key have a class of their own.
 fn class_of(settings: &Settings, route: &Route, headers: &HeaderMap) -> usize {
-    let has_key = headers.get(grpc::KEY).is_some_and(|key| !key.is_empty());
+    let has_key = headers
+        .get(grpc::IDEMPOTENCY_KEY)
+        .is_some_and(|key| !key.is_empty());
     if has_key {
         route.class
     } else {
@@ -153,7 +155,7 @@
     let mut forwarded = headers.clone();
     let removed_headers = [
         grpc::TIMEOUT,
-        grpc::ATTEMPTS,
+        grpc::PREVIOUS_ATTEMPTS,
         "host",
         "connection",
         "te",
--- a/crates/grpc-gateway/src/coordinator_link/connection.rs
+++ b/crates/grpc-gateway/src/coordinator_link/connection.rs
@@ -25,8 +25,8 @@
     /// The connection is established: the session's stream is opened on it.
     pub(super) fn open_session_stream(&mut self, engine: &mut Engine, conn: ConnId) {
         let authority = self.settings.addresses[self.agent.replica_index()].to_string();
-        let head = grpc::request(&authority, SESSION_PATH);
-        self.stream = head.and_then(|head| engine.open(conn, head, false));
+        let head = grpc::request_head(&authority, SESSION_PATH);
+        self.stream = head.and_then(|head| engine.open_stream(conn, head, false));
         match self.stream {
             Some(_) => self.agent.connected(loop_time(engine)),
             None => self.abandon_connection(engine),
--- a/crates/grpc-gateway/src/counter_client/partition.rs
+++ b/crates/grpc-gateway/src/counter_client/partition.rs
@@ -8,7 +8,7 @@
 use super::state_tracker::{StateChange, StateTracker};
 use bytes::BytesMut;
 use chalkdeck::api::{CounterKey, Outcome};
-use chalkdeck_net::clock::incarnation;
+use chalkdeck_net::clock::new_incarnation;
 use chalkdeck_net::grpc::{self, Code, Deframer};
 use chalkdeck_net::{ConnId, Engine, Limits, StreamId};
 use chalkdeck_proto::chalkdeck::counter::v1::{AddRequest, AddResponse};
@@ -82,7 +82,7 @@
 impl PartitionClient {
     /// A client without a connection.
     pub(crate) fn new(address: SocketAddr, now: u64) -> PartitionClient {
-        let request_head = grpc::request(&address.to_string(), PATH)
+        let request_head = grpc::request_head(&address.to_string(), PATH)
             .expect("an address and a fixed path make a valid request head");
         PartitionClient {
             address,
@@ -92,7 +92,7 @@
             order: ResultOrder::default(),
             deadlines: VecDeque::new(),
             last_call: 0,
-            caller: incarnation(now),
+            caller: new_incarnation(now),
             tracker: StateTracker::default(),
             outgoing: BytesMut::new(),
             state_changes: Vec::new(),
@@ -237,7 +237,7 @@
             }
             _ => return None,
         };
-        let Some(stream) = engine.open(connected, self.request_head.clone(), false) else {
+        let Some(stream) = engine.open_stream(connected, self.request_head.clone(), false) else {
             return Some(self.drop_connection(engine));
         };
         self.last_received = engine.now();
@@ -313,7 +313,7 @@
         self.state_changes.extend(self.tracker.observe(response));
         if Code::from_number(response.status) == Code::Aborted {
             // The partition has forgotten this caller, so a new incarnation begins.
-            self.caller = incarnation(engine.now());
+            self.caller = new_incarnation(engine.now());
         }
         self.end_call(response.number, outcome_of(response), response.total)
     }
--- a/crates/grpc-gateway/src/endpoint_connections.rs
+++ b/crates/grpc-gateway/src/endpoint_connections.rs
@@ -59,8 +59,8 @@
     /// Without connections. `keepalive`: the interval of pings, in microseconds.
     pub(crate) fn new(max_connections: usize, streams: u32, keepalive: u64) -> EndpointConnections {
         let limits = Limits {
-            streams,
-            keepalive,
+            max_streams: streams,
+            keepalive_interval: keepalive,
             ..Limits::default()
         };
         EndpointConnections {
@@ -106,7 +106,7 @@
     /// Closes draining connections without open calls.
     pub(crate) fn close_idle(&mut self, engine: &mut Engine) {
         self.draining.retain(|&conn| {
-            let is_busy = engine.open_streams(conn) > 0;
+            let is_busy = engine.open_stream_count(conn) > 0;
             if !is_busy {
                 engine.close(conn);
             }
@@ -144,7 +144,7 @@
         if let Some(conn) = endpoint.least_loaded(engine) {
             return FoundConnection::Established(conn);
         }
-        if endpoint.wait_for_connection(attempt, self.limits.streams as usize) {
+        if endpoint.wait_for_connection(attempt, self.limits.max_streams as usize) {
             return FoundConnection::Connecting;
         }
         if endpoint.connections.len() >= self.max_connections {
--- a/crates/grpc-gateway/src/gateway_server/event_loop.rs
+++ b/crates/grpc-gateway/src/gateway_server/event_loop.rs
@@ -18,10 +18,10 @@
     pub fn run(&mut self, signals: &Signals) -> io::Result<()> {
         loop {
             self.turn(MAX_WAIT_MICROS)?;
-            if signals.reload() {
+            if signals.take_reload_request() {
                 self.reload();
             }
-            if signals.stop() {
+            if signals.is_stop_requested() {
                 self.shut_down();
             }
             if self.is_shut_down() {
@@ -60,7 +60,7 @@
                 stream,
                 conn,
                 head,
-                ended,
+                is_end_stream: ended,
             } => self.on_call(stream, conn, &head, ended),
             NetEvent::Connected { conn } => self.on_connected(conn),
             NetEvent::Closed { conn, reason, .. } => {
@@ -70,7 +70,7 @@
             NetEvent::Head {
                 stream,
                 head,
-                ended,
+                is_end_stream: ended,
             } => self.on_head(stream, head, ended),
             NetEvent::Data { stream, data } => self.on_data(stream, data),
             NetEvent::End { stream, trailers } => self.on_stream_ended(stream, trailers),
--- a/crates/grpc-gateway/src/gateway_server/shutdown.rs
+++ b/crates/grpc-gateway/src/gateway_server/shutdown.rs
@@ -18,7 +18,7 @@
             return;
         }
         self.shutdown_deadline = Some(self.engine.now() + self.longest_call_deadline());
-        self.engine.unlisten(self.listener);
+        self.engine.close_listener(self.listener);
         self.engine.drain(self.listener);
         self.resp_stop();
         self.resign_leaderships();
@@ -40,7 +40,7 @@
 
     fn has_no_clients(&self) -> bool {
         self.calls.open_count == 0
-            && self.engine.connections_of(self.listener) == 0
+            && self.engine.listener_connection_count(self.listener) == 0
             && self.resp_is_alone()
     }
 
--- a/crates/grpc-gateway/src/relay.rs
+++ b/crates/grpc-gateway/src/relay.rs
@@ -60,7 +60,7 @@
     /// The system call that waits for events failed.
     pub fn run(&mut self, signals: &Signals) -> io::Result<()> {
         let mut events = Vec::new();
-        while !signals.stop() {
+        while !signals.is_stop_requested() {
             self.engine.turn(100_000, &mut events)?;
             for event in events.drain(..) {
                 self.on_event(event);
@@ -74,7 +74,7 @@
             Event::Head {
                 stream,
                 head,
-                ended,
+                is_end_stream: ended,
             } => {
                 let Some(&client_stream) = self.peer_stream.get(&stream) else {
                     return;
@@ -126,13 +126,14 @@
     fn on_call(&mut self, client_stream: StreamId, head: &request::Parts) {
         self.connect();
         self.last_server = (self.last_server + 1) % self.servers.len();
-        let request = grpc::request(&self.servers[self.last_server].to_string(), head.uri.path());
+        let request =
+            grpc::request_head(&self.servers[self.last_server].to_string(), head.uri.path());
         let opened =
             request
                 .zip(self.connections[self.last_server])
                 .and_then(|(mut request, conn)| {
                     request.headers_mut().extend(head.headers.clone());
-                    self.engine.open(conn, request, false)
+                    self.engine.open_stream(conn, request, false)
                 });
         let Some(server_stream) = opened else {
             let trailers = grpc::trailers(Code::Unavailable, "no connection");
--- a/crates/grpc-gateway/src/resp/mod.rs
+++ b/crates/grpc-gateway/src/resp/mod.rs
@@ -56,10 +56,10 @@
 impl Resp {
     pub(crate) fn start(engine: &mut Engine, set: &RespSettings) -> io::Result<Resp> {
         let limits = Limits {
-            connections: set.max_connections,
+            max_connections: set.max_connections,
             ..Limits::default()
         };
-        let (listener, listen) = engine.listen_raw(set.listen, limits)?;
+        let (listener, listen) = engine.listen_plain(set.listen, limits)?;
         let (sessions, asks, tickets) = Default::default();
         Ok(Resp {
             listener,
@@ -115,7 +115,7 @@
 
     pub(crate) fn resp_bytes(&mut self, conn: ConnId, data: &Bytes) {
         let now = self.engine.now();
-        self.engine.handled(conn);
+        self.engine.mark_handled(conn);
         let Some(session) = self.resp_session(conn) else {
             return;
         };
@@ -131,7 +131,7 @@
     /// Takes commands as long as there is room for their answers.
     fn resp_read(&mut self, conn: ConnId) {
         loop {
-            let unread = self.engine.unsent(conn);
+            let unread = self.engine.unsent_bytes(conn);
             let Some(session) = self.resp_session(conn) else {
                 return;
             };
@@ -418,10 +418,10 @@
             self.engine.write(conn, &bytes);
         }
         if over {
-            return self.engine.end(conn);
+            return self.engine.close_after_flush(conn);
         }
-        self.engine.pause(conn, paused);
-        let unread = self.engine.unsent(conn);
+        self.engine.set_read_paused(conn, paused);
+        let unread = self.engine.unsent_bytes(conn);
         let Some(session) = self.resp_session(conn).filter(|s| s.paused) else {
             return;
         };
@@ -453,7 +453,7 @@
 
     /// A connection that stood still for long is closed; one that went on is looked at again when it stands still.
     pub(crate) fn resp_stalled(&mut self, conn: ConnId) {
-        let (now, unread) = (self.engine.now(), self.engine.unsent(conn));
+        let (now, unread) = (self.engine.now(), self.engine.unsent_bytes(conn));
         let Some(session) = self.resp_session(conn) else {
             return;
         };
@@ -517,7 +517,7 @@
     pub(crate) fn resp_stop(&mut self) {
         let Some(resp) = &mut self.resp else { return };
         resp.stopping = true;
-        self.engine.unlisten(resp.listener);
+        self.engine.close_listener(resp.listener);
     }
 
     /// Ends the connections that are between two requests and hold no ticket, once a turn's events were dealt with: what was
@@ -533,7 +533,7 @@
         let mut idle: Vec<ConnId> = idle.map(|(conn, _)| *conn).collect();
         idle.sort_unstable();
         for conn in idle {
-            self.engine.close_if_quiet(conn);
+            self.engine.close_if_idle(conn);
         }
     }
 
@@ -541,6 +541,6 @@
     pub(crate) fn resp_is_alone(&self) -> bool {
         self.resp
             .as_ref()
-            .is_none_or(|r| self.engine.connections_of(r.listener) == 0)
+            .is_none_or(|r| self.engine.listener_connection_count(r.listener) == 0)
     }
 }
--- a/crates/grpc-gateway/src/settings.rs
+++ b/crates/grpc-gateway/src/settings.rs
@@ -546,10 +546,10 @@
 fn client_limits(wire: &wire::Gateway) -> Limits {
     let limits = wire.limits.unwrap_or_default();
     Limits {
-        connections: or_default(limits.connections, 16_384) as usize,
-        streams: or_default(limits.streams_per_connection, 1_024),
-        header_bytes: or_default(limits.header_bytes, 16_384),
-        resets: or_default(limits.resets_per_second, 1_000),
+        max_connections: or_default(limits.connections, 16_384) as usize,
+        max_streams: or_default(limits.streams_per_connection, 1_024),
+        max_header_bytes: or_default(limits.header_bytes, 16_384),
+        max_resets_per_second: or_default(limits.resets_per_second, 1_000),
         ..Limits::default()
     }
 }
--- a/crates/grpc-gateway/tests/calls.rs
+++ b/crates/grpc-gateway/tests/calls.rs
@@ -55,7 +55,7 @@
         harness.servers.answer_with_status(stream, code, false);
         assert_eq!(harness.wait_for_status(call), code);
         assert_eq!(
-            grpc::message_of(
+            grpc::decode_message(
                 harness.client.streams[&call]
                     .trailers
                     .as_ref()
@@ -80,7 +80,10 @@
     );
     let call = harness.call(WATCH, &[]);
     let stream = harness.wait_for_server_call(1);
-    harness.servers.engine.respond(stream, grpc::head(), false);
+    harness
+        .servers
+        .engine
+        .respond(stream, grpc::response_head(), false);
     for sent in 1..=3 {
         harness.servers.engine.send(stream, grpc::frame(b"tick"));
         harness.turn_until("a message", |r| {
@@ -105,7 +108,10 @@
     let mut harness = Harness::new(1);
     let call = harness.call(WATCH, &[("grpc-timeout", "300m")]);
     let stream = harness.wait_for_server_call(1);
-    harness.servers.engine.respond(stream, grpc::head(), false);
+    harness
+        .servers
+        .engine
+        .respond(stream, grpc::response_head(), false);
     harness.servers.engine.send(stream, grpc::frame(b"tick"));
     assert_eq!(harness.wait_for_status(call), Code::DeadlineExceeded);
     harness.turn_until("the reset at the server", |r| {
@@ -118,7 +124,10 @@
     let mut harness = Harness::new(1);
     let call = harness.open_call("/farm.v1.Farm/WatchBoth", &[]);
     let stream = harness.wait_for_server_call(1);
-    harness.servers.engine.respond(stream, grpc::head(), false);
+    harness
+        .servers
+        .engine
+        .respond(stream, grpc::response_head(), false);
     for round in 1..=5 {
         harness.client.engine.send(call, grpc::frame(b"ping"));
         harness.turn_until("the client's message", |r| {
@@ -180,12 +189,12 @@
         .trailers
         .clone()
         .expect("trailers");
-    let pushback: u64 = trailers[grpc::PUSHBACK]
+    let pushback: u64 = trailers[grpc::RETRY_PUSHBACK]
         .to_str()
         .expect("text")
         .parse()
         .expect("milliseconds");
-    let retry_delay = grpc::retry_info(&trailers).expect("retry info");
+    let retry_delay = grpc::decode_retry_info(&trailers).expect("retry info");
     assert!(
         pushback <= 5_000 && retry_delay.div_ceil(1_000) == pushback,
         "{pushback} ms and {retry_delay} us are equal"
@@ -274,7 +283,10 @@
         let call = harness.call(WATCH, &[]);
         let stream = harness.wait_for_server_call(1);
         if has_response_started {
-            harness.servers.engine.respond(stream, grpc::head(), false);
+            harness
+                .servers
+                .engine
+                .respond(stream, grpc::response_head(), false);
             harness.servers.engine.send(stream, grpc::frame(b"tick"));
             harness.turn_until("the first message", |r| {
                 r.client_stream(call).is_some_and(|s| s.received_bytes > 0)
--- a/crates/grpc-gateway/tests/common/mod.rs
+++ b/crates/grpc-gateway/tests/common/mod.rs
@@ -90,8 +90,8 @@
     /// Starts a connection with limits high enough that the gateway's limits apply first.
     pub fn connect(&mut self, address: SocketAddr) -> ConnId {
         let limits = Limits {
-            streams: 20_000,
-            header_bytes: 1 << 20,
+            max_streams: 20_000,
+            max_header_bytes: 1 << 20,
             ..Limits::default()
         };
         self.engine.connect(address, limits).expect("a socket")
@@ -120,7 +120,7 @@
                 stream,
                 conn,
                 head,
-                ended,
+                is_end_stream: ended,
             } => {
                 self.connection_of.insert(stream, conn);
                 self.incoming_streams.push(stream);
@@ -131,7 +131,7 @@
             Event::Head {
                 stream,
                 head,
-                ended,
+                is_end_stream: ended,
             } => {
                 let record = self.streams.entry(stream).or_default();
                 record.http_status = Some(head.status);
@@ -168,7 +168,7 @@
     }
     /// Answers a unary call with one message and status OK.
     pub fn answer(&mut self, stream: StreamId, message: &[u8]) {
-        self.engine.respond(stream, grpc::head(), false);
+        self.engine.respond(stream, grpc::response_head(), false);
         self.engine.send(stream, grpc::frame(message));
         self.engine
             .finish(stream, Some(grpc::trailers(Code::Ok, "")));
@@ -340,7 +340,9 @@
         };
         if self.answered_streams != self.counter.incoming_streams.len() {
             self.answered_streams = self.counter.incoming_streams.len();
-            self.counter.engine.respond(stream, grpc::head(), false);
+            self.counter
+                .engine
+                .respond(stream, grpc::response_head(), false);
         }
         let messages = std::mem::take(
             &mut self
@@ -382,7 +384,7 @@
     }
     /// Opens a call with a customer and this metadata, without a body yet.
     pub fn open_call(&mut self, path: &str, metadata: &[(&str, &str)]) -> StreamId {
-        let mut head = grpc::request("gateway", path).expect("a head");
+        let mut head = grpc::request_head("gateway", path).expect("a head");
         if !metadata.iter().any(|m| m.0 == "x-customer") {
             head.headers_mut()
                 .insert("x-customer", HeaderValue::from_static("someone"));
@@ -394,7 +396,7 @@
         }
         self.client
             .engine
-            .open(self.connection, head, false)
+            .open_stream(self.connection, head, false)
             .expect("room for a call")
     }
     /// Sends a unary call with a small message.
--- a/crates/grpc-gateway/tests/flow.rs
+++ b/crates/grpc-gateway/tests/flow.rs
@@ -24,7 +24,10 @@
     let call = harness.call(WATCH, &[]);
     let stream = harness.wait_for_server_call(1);
     harness.client.withholds_window = true;
-    harness.servers.engine.respond(stream, grpc::head(), false);
+    harness
+        .servers
+        .engine
+        .respond(stream, grpc::response_head(), false);
     harness
         .servers
         .engine
@@ -37,7 +40,7 @@
         r.client_stream(call).is_some_and(|s| s.received_bytes > 0)
     });
     harness.turn_for(200);
-    let unsent = harness.servers.engine.queued(stream);
+    let unsent = harness.servers.engine.queued_bytes(stream);
     assert!(
         unsent > LARGE_BODY_BYTES - MAX_BUFFERED_BYTES,
         "the gateway buffered {} bytes",
@@ -76,7 +79,7 @@
         r.servers.streams[&stream].received_bytes > 0
     });
     harness.turn_for(200);
-    let unsent = harness.client.engine.queued(call);
+    let unsent = harness.client.engine.queued_bytes(call);
     assert!(
         unsent > LARGE_BODY_BYTES - MAX_BUFFERED_BYTES,
         "the gateway buffered {} bytes",
@@ -160,8 +163,8 @@
     let mut sent = 0;
     while !harness.client.closed_connections.contains(&flooding) && sent < 20_000 {
         for _ in 0..50 {
-            let head = grpc::request("gateway", WATCH).expect("a head");
-            if let Some(stream) = harness.client.engine.open(flooding, head, false) {
+            let head = grpc::request_head("gateway", WATCH).expect("a head");
+            if let Some(stream) = harness.client.engine.open_stream(flooding, head, false) {
                 harness.client.turn();
                 harness.client.engine.reset(stream, h2::Reason::CANCEL);
                 sent += 1;
--- a/crates/grpc-gateway/tests/lifecycle.rs
+++ b/crates/grpc-gateway/tests/lifecycle.rs
@@ -98,7 +98,7 @@
     let call = harness.call(BUY, &[]);
     let stream = harness.wait_for_server_call(1);
     let signals = Signals::default();
-    signals.ask_stop();
+    signals.request_stop();
     let Harness {
         gateway,
         servers,
@@ -139,9 +139,9 @@
             client.turn();
             if client
                 .engine
-                .open(
+                .open_stream(
                     *connection,
-                    chalkdeck_net::grpc::request("g", BUY).expect("a head"),
+                    chalkdeck_net::grpc::request_head("g", BUY).expect("a head"),
                     true,
                 )
                 .is_none()
--- a/crates/grpc-gateway/tests/servers.rs
+++ b/crates/grpc-gateway/tests/servers.rs
@@ -72,7 +72,7 @@
         .clone()
         .expect("trailers");
     assert!(
-        !trailers.contains_key(grpc::PUSHBACK),
+        !trailers.contains_key(grpc::RETRY_PUSHBACK),
         "a failure promises nothing"
     );
 }
@@ -236,7 +236,10 @@
     let mut harness = Harness::new(3);
     let call = harness.call(WATCH, &[]);
     let stream = harness.wait_for_server_call(1);
-    harness.servers.engine.respond(stream, grpc::head(), false);
+    harness
+        .servers
+        .engine
+        .respond(stream, grpc::response_head(), false);
     harness.servers.engine.send(stream, grpc::frame(b"tick"));
     harness.turn_until("the first message", |r| {
         r.client_stream(call).is_some_and(|s| s.received_bytes > 0)
@@ -255,7 +258,10 @@
     let mut harness = Harness::new(3);
     let call = harness.call(VIEW, &[]);
     let first = harness.wait_for_server_call(1);
-    harness.servers.engine.respond(first, grpc::head(), false);
+    harness
+        .servers
+        .engine
+        .respond(first, grpc::response_head(), false);
     harness
         .servers
         .engine
--- a/crates/grpc-gateway/tests/shutdown.rs
+++ b/crates/grpc-gateway/tests/shutdown.rs
@@ -17,10 +17,15 @@
         let (mut calls, mut served, shutdown_step) = (Vec::new(), 0, rng.usize(0..12));
         for step in 0..2_000 {
             if rng.bool() {
-                let mut head = grpc::request("gateway", VIEW).expect("a head");
+                let mut head = grpc::request_head("gateway", VIEW).expect("a head");
                 head.headers_mut()
                     .insert("x-customer", "someone".parse().expect("a value"));
-                if let Some(call) = harness.client.engine.open(harness.connection, head, false) {
+                if let Some(call) =
+                    harness
+                        .client
+                        .engine
+                        .open_stream(harness.connection, head, false)
+                {
                     harness.client.engine.send(call, grpc::frame(b"ask"));
                     harness.client.engine.finish(call, None);
                     calls.push(call);
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -9,19 +9,19 @@
 /// The low bits of an incarnation, which are random.
 const INCARNATION_RANDOM_BITS: u32 = 12;
 
-fn read(id: ClockId) -> u64 {
+fn read_clock(id: ClockId) -> u64 {
     let time = clock_gettime(id);
     time.tv_sec as u64 * MICROS_PER_SECOND + time.tv_nsec as u64 / NANOS_PER_MICRO
 }
 
 /// The machine's monotonic time: it never steps and is the same in all processes of this machine.
-pub fn monotonic() -> u64 {
-    read(ClockId::Monotonic)
+pub fn monotonic_micros() -> u64 {
+    read_clock(ClockId::Monotonic)
 }
 
 /// The number of an incarnation of a process that started at `now`: above that of any earlier incarnation, and distinct from those
 /// that started in the same microsecond.
-pub fn incarnation(now: u64) -> u64 {
+pub fn new_incarnation(now: u64) -> u64 {
     (now << INCARNATION_RANDOM_BITS) | fastrand::u64(..1 << INCARNATION_RANDOM_BITS)
 }
 
@@ -30,13 +30,13 @@
 pub struct Clock {
     /// The Unix time at the start of the monotonic clock.
     offset: u64,
-    jumps: Option<Arc<Jumps>>,
+    jumps: Option<Arc<ClockJumps>>,
 }
 
 /// Makes a clock jump, for tests of what depends on it. Like the clock itself, its time does not go back: after a jump back of the
 /// source it goes on from where it was.
 #[derive(Debug, Default)]
-pub struct Jumps {
+pub struct ClockJumps {
     /// The sum of all jumps.
     total: AtomicI64,
     /// What was added so that time does not go back.
@@ -45,23 +45,25 @@
     latest: AtomicU64,
 }
 
-impl Jumps {
+impl ClockJumps {
     /// Moves the source of time by so many microseconds, back if negative.
     pub fn jump(&self, by: i64) {
         self.total.fetch_add(by, Ordering::SeqCst);
     }
 
     /// The time for this reading of the source.
-    fn steady(&self, source: u64) -> u64 {
-        let moved = source as i64
+    fn adjusted_time(&self, source: u64) -> u64 {
+        let shifted = source as i64
             + self.total.load(Ordering::SeqCst)
             + self.correction.load(Ordering::SeqCst);
-        let latest = self.latest.fetch_max(moved.max(0) as u64, Ordering::SeqCst);
-        let back = latest as i64 - moved;
-        if back > 0 {
-            self.correction.fetch_add(back, Ordering::SeqCst);
+        let latest = self
+            .latest
+            .fetch_max(shifted.max(0) as u64, Ordering::SeqCst);
+        let step_back = latest as i64 - shifted;
+        if step_back > 0 {
+            self.correction.fetch_add(step_back, Ordering::SeqCst);
         }
-        latest.max(moved.max(0) as u64)
+        latest.max(shifted.max(0) as u64)
     }
 }
 
@@ -69,12 +71,12 @@
     /// Reads the machine's date once.
     pub fn start() -> Clock {
         Clock {
-            offset: read(ClockId::Realtime).saturating_sub(monotonic()),
+            offset: read_clock(ClockId::Realtime).saturating_sub(monotonic_micros()),
             jumps: None,
         }
     }
-    /// The same, moved by `jumps`.
-    pub fn jumping(jumps: Arc<Jumps>) -> Clock {
+    /// The same, shifted by `jumps`.
+    pub fn with_jumps(jumps: Arc<ClockJumps>) -> Clock {
         Clock {
             jumps: Some(jumps),
             ..Clock::start()
@@ -82,9 +84,9 @@
     }
     /// Microseconds since the Unix epoch.
     pub fn now(&self) -> u64 {
-        let source = monotonic() + self.offset;
+        let source = monotonic_micros() + self.offset;
         self.jumps
             .as_ref()
-            .map_or(source, |jumps| jumps.steady(source))
+            .map_or(source, |jumps| jumps.adjusted_time(source))
     }
 }
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -76,7 +76,7 @@
     /// Streams that are open on it.
     pub(crate) open_streams: usize,
     /// It was established.
-    pub(crate) is_reached: bool,
+    pub(crate) was_established: bool,
     pub(crate) reset_counter: ResetCounter,
     ping: Option<h2::PingPong>,
     /// A ping was sent and not answered yet.
@@ -128,7 +128,7 @@
         Connection {
             listener: Some(listener),
             peer_ip: Some(peer_ip),
-            is_reached: true,
+            was_established: true,
             ..Connection::new(transport, limits, waker)
         }
     }
@@ -150,7 +150,7 @@
             listener: None,
             peer_ip: None,
             open_streams: 0,
-            is_reached: false,
+            was_established: false,
             reset_counter: ResetCounter::default(),
             ping: None,
             awaits_pong: false,
@@ -165,14 +165,14 @@
         };
         let max_streams = sender
             .current_max_send_streams()
-            .min(self.limits.streams as usize);
+            .min(self.limits.max_streams as usize);
         max_streams.saturating_sub(self.open_streams)
     }
 
     /// Bytes queued on a plain connection that were not written.
-    pub(crate) fn unsent(&self) -> usize {
+    pub(crate) fn unsent_bytes(&self) -> usize {
         match &self.transport {
-            Transport::Plain(plain) => plain.unsent(),
+            Transport::Plain(plain) => plain.unsent_bytes(),
             _ => 0,
         }
     }
@@ -222,13 +222,13 @@
             Transport::ClientHandshake(_) => self.poll_client_handshake(context),
             Transport::Client(_, client) => match Pin::new(client.as_mut()).poll(context) {
                 Poll::Pending => Some(Progress::Wait),
-                Poll::Ready(end) => Some(Progress::Closed(h2_end(end.err()))),
+                Poll::Ready(end) => Some(Progress::Closed(h2_close_reason(end.err()))),
             },
             Transport::ServerHandshake(_) => self.poll_server_handshake(context),
             Transport::Server(server) => Some(match server.poll_accept(context) {
                 Poll::Pending => Progress::Wait,
-                Poll::Ready(None) => Progress::Closed(h2_end(None)),
-                Poll::Ready(Some(Err(error))) => Progress::Closed(h2_end(Some(error))),
+                Poll::Ready(None) => Progress::Closed(h2_close_reason(None)),
+                Poll::Ready(Some(Err(error))) => Progress::Closed(h2_close_reason(Some(error))),
                 Poll::Ready(Some(Ok((request, respond)))) => {
                     Progress::Opened(Box::new(request), respond)
                 }
@@ -259,10 +259,10 @@
         };
         let stream = match poll_established(slot) {
             Poll::Pending => return Some(Progress::Wait),
-            Poll::Ready(Err(error)) => return Some(failed(&error)),
+            Poll::Ready(Err(error)) => return Some(closed_by_error(&error)),
             Poll::Ready(Ok(stream)) => stream,
         };
-        self.is_reached = true;
+        self.was_established = true;
         if *protocol == Protocol::Plain {
             self.transport = Transport::Plain(PlainConnection::new(stream));
             return Some(Progress::Connected);
@@ -278,7 +278,7 @@
         };
         match handshake.as_mut().poll(context) {
             Poll::Pending => Some(Progress::Wait),
-            Poll::Ready(Err(error)) => Some(failed(&error)),
+            Poll::Ready(Err(error)) => Some(closed_by_error(&error)),
             Poll::Ready(Ok((sender, mut client))) => {
                 self.ping = client.ping_pong();
                 self.transport = Transport::Client(sender, Box::new(client));
@@ -294,7 +294,7 @@
         };
         match Pin::new(handshake.as_mut()).poll(context) {
             Poll::Pending => Some(Progress::Wait),
-            Poll::Ready(Err(error)) => Some(failed(&error)),
+            Poll::Ready(Err(error)) => Some(closed_by_error(&error)),
             Poll::Ready(Ok(mut server)) => {
                 if self.is_draining {
                     server.graceful_shutdown();
@@ -306,11 +306,11 @@
     }
 }
 
-fn failed(error: &impl std::fmt::Display) -> Progress {
+fn closed_by_error(error: &impl std::fmt::Display) -> Progress {
     Progress::Closed(CloseReason::Failed(error.to_string()))
 }
 
-fn h2_end(error: Option<h2::Error>) -> CloseReason {
+fn h2_close_reason(error: Option<h2::Error>) -> CloseReason {
     match error {
         Some(error) => CloseReason::Failed(error.to_string()),
         None => CloseReason::PeerEnded,
@@ -338,10 +338,10 @@
 fn server_builder(limits: &Limits) -> h2::server::Builder {
     let mut builder = h2::server::Builder::new();
     builder
-        .max_concurrent_streams(limits.streams)
+        .max_concurrent_streams(limits.max_streams)
         .initial_window_size(limits.stream_window)
         .initial_connection_window_size(limits.connection_window)
-        .max_header_list_size(limits.header_bytes)
+        .max_header_list_size(limits.max_header_bytes)
         .max_send_buffer_size(limits.stream_window as usize)
         .max_concurrent_reset_streams(MAX_REMEMBERED_RESETS)
         .max_pending_accept_reset_streams(MAX_REMEMBERED_RESETS);
@@ -352,10 +352,10 @@
     let mut builder = h2::client::Builder::new();
     builder
         .enable_push(false)
-        .initial_max_send_streams(limits.streams as usize)
+        .initial_max_send_streams(limits.max_streams as usize)
         .initial_window_size(limits.stream_window)
         .initial_connection_window_size(limits.connection_window)
-        .max_header_list_size(limits.header_bytes)
+        .max_header_list_size(limits.max_header_bytes)
         .max_send_buffer_size(limits.stream_window as usize);
     builder
 }
--- a/crates/net/src/engine.rs
+++ b/crates/net/src/engine.rs
@@ -57,7 +57,7 @@
     /// Streams that clients opened in this turn.
     opened_in_turn: usize,
     /// Listeners that have more connections to accept.
-    accepting: Vec<u64>,
+    accepting_listeners: Vec<u64>,
     /// Plain connections of which the last turn handed over bytes that its caller has not handled yet.
     unhandled: FxHashSet<u64>,
     /// Plain connections that gave their piece in this turn and may have more to read.
@@ -93,7 +93,7 @@
             pings: BinaryHeap::new(),
             events: VecDeque::new(),
             opened_in_turn: 0,
-            accepting: Vec::new(),
+            accepting_listeners: Vec::new(),
             unhandled: FxHashSet::default(),
             unread: Vec::new(),
             unflushed: Vec::new(),
@@ -119,7 +119,7 @@
     }
 
     /// Sets a timer: `Event::Timer(token)` at that time. Timers are not cancelled; the caller ignores those that are obsolete.
-    pub fn timer(&mut self, at: u64, token: u64) {
+    pub fn set_timer(&mut self, at: u64, token: u64) {
         self.timers.push(Reverse((at, token)));
     }
 
@@ -143,7 +143,8 @@
     }
 
     fn wait(&mut self, max_wait: u64) -> io::Result<()> {
-        let is_idle = self.ready.is_empty() && self.events.is_empty() && self.accepting.is_empty();
+        let is_idle =
+            self.ready.is_empty() && self.events.is_empty() && self.accepting_listeners.is_empty();
         let next = [self.timers.peek(), self.pings.peek()]
             .into_iter()
             .flatten()
@@ -160,7 +161,7 @@
 
     /// Accepts connections and wakes those whose sockets are ready.
     fn wake_ready(&mut self) {
-        let mut keys = std::mem::take(&mut self.accepting);
+        let mut keys = std::mem::take(&mut self.accepting_listeners);
         for event in &self.readiness {
             let key = event.token().0 as u64;
             keys.push(key);
--- a/crates/net/src/engine/connections.rs
+++ b/crates/net/src/engine/connections.rs
@@ -30,7 +30,7 @@
     ///
     /// # Errors
     /// As `connect`.
-    pub fn connect_raw(&mut self, address: SocketAddr) -> io::Result<ConnId> {
+    pub fn connect_plain(&mut self, address: SocketAddr) -> io::Result<ConnId> {
         self.dial(address, Limits::default(), Protocol::Plain)
     }
 
@@ -54,7 +54,7 @@
     }
 
     /// The number of open connections of a listener, also of one that does not listen any more.
-    pub fn connections_of(&self, listener: ListenerId) -> usize {
+    pub fn listener_connection_count(&self, listener: ListenerId) -> usize {
         self.connections
             .values()
             .filter(|connection| connection.listener == Some(listener.0))
@@ -130,7 +130,7 @@
                 continue;
             }
             connection.send_ping();
-            let next = now + connection.limits.keepalive;
+            let next = now + connection.limits.keepalive_interval;
             self.pings.push(Reverse((next, key)));
         }
     }
@@ -154,12 +154,12 @@
                 Progress::Opened(request, respond) => {
                     connection.open_streams += 1;
                     opened += 1;
-                    let is_others_turn = opened >= OPENS_PER_CONNECTION;
-                    if is_others_turn {
+                    let has_used_turn = opened >= OPENS_PER_CONNECTION;
+                    if has_used_turn {
                         connection.waker.wake_by_ref();
                     }
                     self.on_stream_opened(key, *request, respond);
-                    if is_others_turn {
+                    if has_used_turn {
                         return;
                     }
                 }
@@ -171,12 +171,13 @@
     fn on_connected(&mut self, key: u64) {
         let conn = ConnId(key);
         self.events.push_back(Event::Connected { conn });
-        let keepalive = self
+        let keepalive_interval = self
             .connections
             .get(&key)
-            .map_or(0, |connection| connection.limits.keepalive);
-        if keepalive > 0 {
-            self.pings.push(Reverse((self.now() + keepalive, key)));
+            .map_or(0, |connection| connection.limits.keepalive_interval);
+        if keepalive_interval > 0 {
+            self.pings
+                .push(Reverse((self.now() + keepalive_interval, key)));
         }
     }
 
@@ -198,18 +199,18 @@
             return;
         };
         if let Some(listener_key) = connection.listener {
-            self.on_accepted_closed(listener_key);
+            self.on_accepted_connection_closed(listener_key);
         }
         self.events.push_back(Event::Closed {
             conn: ConnId(key),
-            reached: connection.is_reached,
-            unsent: connection.unsent(),
+            was_established: connection.was_established,
+            unsent_bytes: connection.unsent_bytes(),
             reason,
         });
     }
 
     /// A connection of a listener has ended: one that waits can be accepted.
-    fn on_accepted_closed(&mut self, listener_key: u64) {
+    fn on_accepted_connection_closed(&mut self, listener_key: u64) {
         let Some(listener) = self.listeners.get_mut(&listener_key) else {
             return;
         };
--- a/crates/net/src/engine/listeners.rs
+++ b/crates/net/src/engine/listeners.rs
@@ -25,15 +25,15 @@
         &mut self,
         address: SocketAddr,
         limits: Limits,
-        shared: bool,
-        http1: bool,
+        is_port_shared: bool,
+        is_http1: bool,
     ) -> io::Result<(ListenerId, SocketAddr)> {
-        let sharing = if shared {
+        let sharing = if is_port_shared {
             PortSharing::Shared
         } else {
             PortSharing::Exclusive
         };
-        let protocol = if http1 {
+        let protocol = if is_http1 {
             Protocol::Http1
         } else {
             Protocol::Http2
@@ -45,7 +45,7 @@
     ///
     /// # Errors
     /// The address cannot be bound.
-    pub fn listen_raw(
+    pub fn listen_plain(
         &mut self,
         address: SocketAddr,
         limits: Limits,
@@ -68,7 +68,7 @@
 
     /// Stops to listen; open connections stay. What waits is accepted first, up to the listener's limit: the system has completed
     /// these connections, so their clients may have sent on them already.
-    pub fn unlisten(&mut self, listener: ListenerId) {
+    pub fn close_listener(&mut self, listener: ListenerId) {
         self.accept(listener.0, usize::MAX);
         self.listeners.remove(&listener.0);
     }
@@ -76,16 +76,16 @@
     /// Stops to listen once there is room and nothing waits; returns whether it does not listen any more. A listener that holds as
     /// many connections as it may goes on until those that the system has completed were accepted: an end would reset them with
     /// what their clients sent.
-    pub fn unlisten_if_empty(&mut self, listener: ListenerId) -> bool {
+    pub fn close_listener_if_backlog_empty(&mut self, listener: ListenerId) -> bool {
         self.accept(listener.0, usize::MAX);
-        let may_have_waiting = self
+        let may_have_backlog = self
             .listeners
             .get(&listener.0)
-            .is_some_and(Listener::may_have_waiting);
-        if !may_have_waiting {
+            .is_some_and(Listener::may_have_backlog);
+        if !may_have_backlog {
             self.listeners.remove(&listener.0);
         }
-        !may_have_waiting
+        !may_have_backlog
     }
 
     /// Retries to accept where that failed: a listener may have no connection whose end would wake it.
@@ -118,7 +118,7 @@
                 Accepted::NoneWaiting | Accepted::Full => return,
             }
         }
-        self.accepting.push(key);
+        self.accepting_listeners.push(key);
     }
 
     fn add_accepted(&mut self, listener_key: u64, mut stream: TcpStream, peer_ip: IpAddr) {
--- a/crates/net/src/engine/plain.rs
+++ b/crates/net/src/engine/plain.rs
@@ -28,8 +28,9 @@
     }
 
     /// Bytes queued on a plain connection that were not written.
-    pub fn unsent(&mut self, conn: ConnId) -> usize {
-        self.plain(conn).map_or(0, |(plain, _)| plain.unsent())
+    pub fn unsent_bytes(&mut self, conn: ConnId) -> usize {
+        self.plain(conn)
+            .map_or(0, |(plain, _)| plain.unsent_bytes())
     }
 
     /// Bytes of a plain connection that were written in all.
@@ -38,24 +39,24 @@
     }
 
     /// Pauses or resumes reading from a plain connection.
-    pub fn pause(&mut self, conn: ConnId, paused: bool) {
+    pub fn set_read_paused(&mut self, conn: ConnId, is_paused: bool) {
         let changed = self
             .plain(conn)
-            .filter(|(plain, _)| plain.is_paused != paused);
+            .filter(|(plain, _)| plain.is_read_paused != is_paused);
         if let Some((plain, waker)) = changed {
-            plain.is_paused = paused;
+            plain.is_read_paused = is_paused;
             waker.wake_by_ref();
         }
     }
 
     /// Closes a plain connection once its queued bytes are written.
-    pub fn end(&mut self, conn: ConnId) {
+    pub fn close_after_flush(&mut self, conn: ConnId) {
         self.set_ending(conn, Ending::Close);
     }
 
     /// Ends our direction of a plain connection once its queued bytes are written, then discards what is received until the peer ends
     /// it or `close` is called: a close over unread bytes would take the last reply from the peer.
-    pub fn linger(&mut self, conn: ConnId) {
+    pub fn start_lingering_close(&mut self, conn: ConnId) {
         self.set_ending(conn, Ending::Linger);
     }
 
@@ -67,27 +68,27 @@
     }
 
     /// The caller handles the bytes of a plain connection that the last turn handed over.
-    pub fn handled(&mut self, conn: ConnId) {
+    pub fn mark_handled(&mut self, conn: ConnId) {
         self.unhandled.remove(&conn.0);
     }
 
     /// Whether a plain connection is open with nothing to read: no end, no error and no bytes, neither in the socket nor among the
     /// events of the last turn that were not `handled` yet.
-    pub fn is_quiet(&mut self, conn: ConnId) -> bool {
+    pub fn is_idle(&mut self, conn: ConnId) -> bool {
         !self.unhandled.contains(&conn.0)
-            && self.plain(conn).is_some_and(|(plain, _)| plain.is_quiet())
+            && self.plain(conn).is_some_and(|(plain, _)| plain.is_idle())
     }
 
     /// Closes a plain connection on which nothing waits, neither to be written nor to be read; returns whether it did.
-    pub fn close_if_quiet(&mut self, conn: ConnId) -> bool {
-        let is_quiet = self.is_quiet(conn)
+    pub fn close_if_idle(&mut self, conn: ConnId) -> bool {
+        let is_idle = self.is_idle(conn)
             && self
                 .plain(conn)
-                .is_some_and(|(plain, _)| plain.flush().is_ok() && plain.unsent() == 0);
-        if is_quiet {
+                .is_some_and(|(plain, _)| plain.flush().is_ok() && plain.unsent_bytes() == 0);
+        if is_idle {
             self.close(conn);
         }
-        is_quiet
+        is_idle
     }
 
     /// Writes what was queued on plain connections in this turn.
--- a/crates/net/src/engine/streams.rs
+++ b/crates/net/src/engine/streams.rs
@@ -21,7 +21,7 @@
     }
 
     /// The number of open streams of a connection.
-    pub fn open_streams(&self, conn: ConnId) -> usize {
+    pub fn open_stream_count(&self, conn: ConnId) -> usize {
         self.connections
             .get(&conn.0)
             .map_or(0, |connection| connection.open_streams)
@@ -33,7 +33,12 @@
     }
 
     /// Opens a stream. `ended`: it has no body. None when the connection is not established or takes no further stream.
-    pub fn open(&mut self, conn: ConnId, head: Request<()>, ended: bool) -> Option<StreamId> {
+    pub fn open_stream(
+        &mut self,
+        conn: ConnId,
+        head: Request<()>,
+        is_end_stream: bool,
+    ) -> Option<StreamId> {
         let key = self.last_key + 1;
         let waker = self.ready.waker(key, Priority::High);
         let connection = self
@@ -43,24 +48,24 @@
         let Transport::Client(sender, _) = &mut connection.transport else {
             return None;
         };
-        let (response, body) = sender.send_request(head, ended).ok()?;
+        let (response, body) = sender.send_request(head, is_end_stream).ok()?;
         self.last_key = key;
         connection.open_streams += 1;
-        let outgoing = if ended {
+        let outgoing = if is_end_stream {
             Outgoing::Done
         } else {
             Outgoing::Body(body)
         };
         waker.wake_by_ref();
-        let stream = Stream::sent(StreamId(key), conn, waker, response, outgoing);
+        let stream = Stream::client_side(StreamId(key), conn, waker, response, outgoing);
         self.streams.insert(key, Box::new(stream));
         Some(StreamId(key))
     }
 
     /// Sends the head of a response. `end`: it is the whole response.
-    pub fn respond(&mut self, stream: StreamId, head: Response<()>, end: bool) {
+    pub fn respond(&mut self, stream: StreamId, head: Response<()>, is_end_stream: bool) {
         if let Some(stream) = self.streams.get_mut(&stream.0) {
-            stream.respond(head, end);
+            stream.respond(head, is_end_stream);
         }
     }
 
@@ -94,7 +99,7 @@
     }
 
     /// Bytes queued on a stream that the peer's window does not take yet.
-    pub fn queued(&self, stream: StreamId) -> usize {
+    pub fn queued_bytes(&self, stream: StreamId) -> usize {
         self.streams
             .get(&stream.0)
             .map_or(0, |stream| stream.queued_bytes())
@@ -113,7 +118,7 @@
         stream.poll(&mut self.events);
         let conn = stream.conn;
         let was_reset = stream.was_reset();
-        if stream.is_over() {
+        if stream.is_finished() {
             self.remove_stream(key);
         }
         if was_reset {
@@ -128,7 +133,7 @@
             return;
         };
         let resets = connection.reset_counter.count(second);
-        if resets > connection.limits.resets && connection.listener.is_some() {
+        if resets > connection.limits.max_resets_per_second && connection.listener.is_some() {
             tracing::warn!(
                 resets,
                 "closing the connection of a client that resets too many streams"
@@ -155,7 +160,7 @@
     ) {
         let key = self.next_key();
         let (head, body) = request.into_parts();
-        let ended = body.is_end_stream();
+        let is_end_stream = body.is_end_stream();
         let waker = self.ready.waker(key, Priority::High);
         waker.wake_by_ref();
         let (id, conn) = (StreamId(key), ConnId(conn_key));
@@ -163,10 +168,10 @@
             stream: id,
             conn,
             head: Box::new(head),
-            ended,
+            is_end_stream,
         });
         self.opened_in_turn += 1;
-        let stream = Stream::opened(id, conn, waker, body, respond);
+        let stream = Stream::server_side(id, conn, waker, body, respond);
         self.streams.insert(key, Box::new(stream));
     }
 }
--- a/crates/net/src/event.rs
+++ b/crates/net/src/event.rs
@@ -38,9 +38,9 @@
         /// The connection.
         conn: ConnId,
         /// It was established before.
-        reached: bool,
+        was_established: bool,
         /// Bytes queued on a plain connection that were never written.
-        unsent: usize,
+        unsent_bytes: usize,
         /// Why it ended.
         reason: CloseReason,
     },
@@ -53,7 +53,7 @@
         /// The head of its request.
         head: Box<request::Parts>,
         /// The request has no body.
-        ended: bool,
+        is_end_stream: bool,
     },
     /// The head of a response was received.
     Head {
@@ -62,7 +62,7 @@
         /// The head.
         head: Box<response::Parts>,
         /// The response has no body.
-        ended: bool,
+        is_end_stream: bool,
     },
     /// Bytes of a body were received; `Engine::consume` lets the peer send more.
     Data {
--- a/crates/net/src/grpc.rs
+++ b/crates/net/src/grpc.rs
@@ -77,11 +77,11 @@
 /// `google.rpc.Status` in base64.
 pub const DETAILS: &str = "grpc-status-details-bin";
 /// Milliseconds until a client may retry; negative: it must not.
-pub const PUSHBACK: &str = "grpc-retry-pushback-ms";
+pub const RETRY_PUSHBACK: &str = "grpc-retry-pushback-ms";
 /// How many attempts of this call a client made before.
-pub const ATTEMPTS: &str = "grpc-previous-rpc-attempts";
+pub const PREVIOUS_ATTEMPTS: &str = "grpc-previous-rpc-attempts";
 /// The idempotency key of a call.
-pub const KEY: &str = "x-idempotency-key";
+pub const IDEMPOTENCY_KEY: &str = "x-idempotency-key";
 /// The trailer by which a server states, with "1", that it did not process a call.
 pub const UNPROCESSED: &str = "x-chalkdeck-unprocessed";
 /// The time that is left until a call's deadline.
@@ -93,8 +93,8 @@
 const MAX_TIMEOUT_DIGITS: usize = 8;
 /// The name of the message in status details that tells when to retry.
 const RETRY_INFO: &str = "google.rpc.RetryInfo";
-const GRPC: HeaderValue = HeaderValue::from_static("application/grpc");
-const ESCAPED: &AsciiSet = &CONTROLS.add(b'%');
+const GRPC_CONTENT_TYPE: HeaderValue = HeaderValue::from_static("application/grpc");
+const ESCAPED_BYTES: &AsciiSet = &CONTROLS.add(b'%');
 
 impl Code {
     /// The code of a number; numbers that the specification does not know are UNKNOWN.
@@ -142,7 +142,7 @@
 }
 
 /// A span in microseconds as `grpc-timeout`, in the finest unit that eight digits hold.
-pub fn timeout(micros: u64) -> HeaderValue {
+pub fn encode_timeout(micros: u64) -> HeaderValue {
     let units = [
         ("u", 1),
         ("m", 1_000),
@@ -159,12 +159,12 @@
 
 /// The message of a status as metadata.
 pub fn encode_message(text: &str) -> HeaderValue {
-    HeaderValue::from_str(&utf8_percent_encode(text, ESCAPED).to_string())
+    HeaderValue::from_str(&utf8_percent_encode(text, ESCAPED_BYTES).to_string())
         .unwrap_or(HeaderValue::from_static("-"))
 }
 
 /// The message of a status in trailers.
-pub fn message_of(trailers: &HeaderMap) -> String {
+pub fn decode_message(trailers: &HeaderMap) -> String {
     let text = trailers
         .get(MESSAGE)
         .and_then(|v| v.to_str().ok())
@@ -185,23 +185,25 @@
 /// A response that consists of a status only.
 pub fn trailers_only(mut trailers: HeaderMap) -> Response<()> {
     let mut response = Response::new(());
-    trailers.insert(CONTENT_TYPE, GRPC);
+    trailers.insert(CONTENT_TYPE, GRPC_CONTENT_TYPE);
     *response.headers_mut() = trailers;
     response
 }
 
 /// The head of a response whose messages follow.
-pub fn head() -> Response<()> {
+pub fn response_head() -> Response<()> {
     let mut response = Response::new(());
-    response.headers_mut().insert(CONTENT_TYPE, GRPC);
+    response
+        .headers_mut()
+        .insert(CONTENT_TYPE, GRPC_CONTENT_TYPE);
     response
 }
 
 /// The head of a call; none where the authority and path form no URI.
-pub fn request(authority: &str, path: &str) -> Option<Request<()>> {
+pub fn request_head(authority: &str, path: &str) -> Option<Request<()>> {
     let uri = format!("http://{authority}{path}");
     let request = Request::post(uri)
-        .header(CONTENT_TYPE, GRPC)
+        .header(CONTENT_TYPE, GRPC_CONTENT_TYPE)
         .header("te", "trailers");
     request.body(()).ok()
 }
@@ -209,10 +211,10 @@
 /// Adds to the trailers of a rejected call when its client may retry, in microseconds; none: it must not.
 pub fn add_retry_info(map: &mut HeaderMap, code: Code, message: &str, retry_after: Option<u64>) {
     let Some(micros) = retry_after else {
-        map.insert(PUSHBACK, HeaderValue::from_static("-1"));
+        map.insert(RETRY_PUSHBACK, HeaderValue::from_static("-1"));
         return;
     };
-    map.insert(PUSHBACK, HeaderValue::from(micros.div_ceil(1_000)));
+    map.insert(RETRY_PUSHBACK, HeaderValue::from(micros.div_ceil(1_000)));
     let delay = prost_types::Duration {
         seconds: (micros / 1_000_000) as i64,
         nanos: (micros % 1_000_000 * 1_000) as i32,
@@ -235,7 +237,7 @@
 }
 
 /// The time after which a client may retry by the status details, in microseconds.
-pub fn retry_info(trailers: &HeaderMap) -> Option<u64> {
+pub fn decode_retry_info(trailers: &HeaderMap) -> Option<u64> {
     let lenient =
         GeneralPurposeConfig::new().with_decode_padding_mode(DecodePaddingMode::Indifferent);
     let base64 = GeneralPurpose::new(&alphabet::STANDARD, lenient);
--- a/crates/net/src/http1.rs
+++ b/crates/net/src/http1.rs
@@ -8,14 +8,14 @@
 /// The most headers of a request.
 const MAX_HEADERS: usize = 64;
 /// Bytes that one read takes at the most.
-const READ_BYTES: usize = 2_048;
+const MAX_READ_BYTES: usize = 2_048;
 
 pub(crate) struct Http1 {
     stream: TcpStream,
     head: Vec<u8>,
-    out: Vec<u8>,
+    response: Vec<u8>,
     /// The request was received whole.
-    is_received: bool,
+    is_request_received: bool,
 }
 
 /// What polling the connection led to.
@@ -30,16 +30,16 @@
         Http1 {
             stream,
             head: Vec::new(),
-            out: Vec::new(),
-            is_received: false,
+            response: Vec::new(),
+            is_request_received: false,
         }
     }
 
     pub(crate) fn poll(&mut self) -> Http1Progress {
-        if self.is_received {
+        if self.is_request_received {
             return self.flush();
         }
-        let mut buffer = [0; READ_BYTES];
+        let mut buffer = [0; MAX_READ_BYTES];
         loop {
             match self.stream.read(&mut buffer) {
                 Ok(0) => return Http1Progress::Closed,
@@ -54,7 +54,7 @@
             let mut request = httparse::Request::new(&mut headers);
             match request.parse(&self.head) {
                 Ok(httparse::Status::Complete(_)) => {
-                    self.is_received = true;
+                    self.is_request_received = true;
                     let path = request.path.unwrap_or("/").to_string();
                     if request.method == Some("GET") {
                         return Http1Progress::Get(path);
@@ -68,21 +68,21 @@
     }
 
     pub(crate) fn reply(&mut self, status: u16, body: &str) -> Http1Progress {
-        self.is_received = true;
+        self.is_request_received = true;
         let head = format!(
             "HTTP/1.1 {status} {}\r\ncontent-type: text/plain; charset=utf-8\r\ncontent-length: {}\r\nconnection: close\r\n\r\n",
             http::StatusCode::from_u16(status).ok().and_then(|s| s.canonical_reason()).unwrap_or("-"),
             body.len()
         );
-        self.out = head.into_bytes();
-        self.out.extend_from_slice(body.as_bytes());
+        self.response = head.into_bytes();
+        self.response.extend_from_slice(body.as_bytes());
         self.flush()
     }
 
     fn flush(&mut self) -> Http1Progress {
-        while !self.out.is_empty() {
-            match self.stream.write(&self.out) {
-                Ok(length) => drop(self.out.drain(..length)),
+        while !self.response.is_empty() {
+            match self.stream.write(&self.response) {
+                Ok(length) => drop(self.response.drain(..length)),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     return Http1Progress::Wait
                 }
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -77,7 +77,7 @@
     }
 
     fn try_accept(&mut self) -> Accepted {
-        if self.open_connections >= self.limits.connections {
+        if self.open_connections >= self.limits.max_connections {
             return Accepted::Full;
         }
         loop {
@@ -93,7 +93,7 @@
     }
 
     /// Whether connections may be waiting that could not be accepted.
-    pub(crate) fn may_have_waiting(&self) -> bool {
+    pub(crate) fn may_have_backlog(&self) -> bool {
         self.is_full || self.retry_at.is_some()
     }
 
--- a/crates/net/src/plain_connection.rs
+++ b/crates/net/src/plain_connection.rs
@@ -7,9 +7,9 @@
 use std::net::Shutdown;
 
 /// Bytes that one read takes at the most.
-const READ_BYTES: usize = 16 << 10;
+const MAX_READ_BYTES: usize = 16 << 10;
 /// Reads of bytes that are discarded, before others have their turn.
-const MAX_DISCARDING_READS: usize = 16;
+const MAX_DISCARD_READS_PER_POLL: usize = 16;
 
 /// How our direction ends, once the queued bytes are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,13 +24,13 @@
 
 pub(crate) struct PlainConnection {
     stream: TcpStream,
-    out: BytesMut,
+    write_buffer: BytesMut,
     /// Bytes that were written in all.
     pub(crate) written_bytes: u64,
-    pub(crate) is_paused: bool,
+    pub(crate) is_read_paused: bool,
     pub(crate) ending: Ending,
     /// Our direction was ended.
-    is_write_shut: bool,
+    is_write_shut_down: bool,
     /// Bytes are queued, and no write was tried since.
     pub(crate) has_unflushed: bool,
     /// The end of the peer, or an error, was reported: a short read is not the last one.
@@ -52,11 +52,11 @@
     pub(crate) fn new(stream: TcpStream) -> PlainConnection {
         PlainConnection {
             stream,
-            out: BytesMut::new(),
+            write_buffer: BytesMut::new(),
             written_bytes: 0,
-            is_paused: false,
+            is_read_paused: false,
             ending: Ending::Open,
-            is_write_shut: false,
+            is_write_shut_down: false,
             has_unflushed: false,
             has_peer_ended: false,
         }
@@ -64,16 +64,16 @@
 
     /// Queues bytes; returns whether a flush has to be scheduled for them.
     pub(crate) fn write(&mut self, bytes: &[u8]) -> bool {
-        self.out.extend_from_slice(bytes);
+        self.write_buffer.extend_from_slice(bytes);
         !std::mem::replace(&mut self.has_unflushed, true)
     }
 
-    pub(crate) fn unsent(&self) -> usize {
-        self.out.len()
+    pub(crate) fn unsent_bytes(&self) -> usize {
+        self.write_buffer.len()
     }
 
     /// Whether nothing waits in the socket: no byte, no end, no error.
-    pub(crate) fn is_quiet(&self) -> bool {
+    pub(crate) fn is_idle(&self) -> bool {
         matches!(self.stream.peek(&mut [0]), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
@@ -82,19 +82,19 @@
             return PlainProgress::Closed(error.into());
         }
         match self.ending {
-            Ending::Open if self.is_paused && self.has_peer_ended => {
-                PlainProgress::Closed(self.end_reason())
+            Ending::Open if self.is_read_paused && self.has_peer_ended => {
+                PlainProgress::Closed(self.peer_end_reason())
             }
-            Ending::Open if self.is_paused => PlainProgress::Wait,
+            Ending::Open if self.is_read_paused => PlainProgress::Wait,
             Ending::Open => self.read(),
-            _ if !self.out.is_empty() => PlainProgress::Wait,
+            _ if !self.write_buffer.is_empty() => PlainProgress::Wait,
             Ending::Close => PlainProgress::Closed(CloseReason::Local),
             Ending::Linger => self.discard_input(),
         }
     }
 
     /// Why the end of the peer was reported while reading is paused: it stands behind bytes that stay unread.
-    fn end_reason(&self) -> CloseReason {
+    fn peer_end_reason(&self) -> CloseReason {
         match self.stream.take_error() {
             Ok(Some(error)) | Err(error) => error.into(),
             Ok(None) => CloseReason::PeerEnded,
@@ -102,7 +102,7 @@
     }
 
     fn read(&mut self) -> PlainProgress {
-        let mut buffer = [0; READ_BYTES];
+        let mut buffer = [0; MAX_READ_BYTES];
         loop {
             match self.stream.read(&mut buffer) {
                 Ok(0) => return PlainProgress::Closed(CloseReason::PeerEnded),
@@ -110,7 +110,7 @@
                 Ok(length) => {
                     return PlainProgress::Bytes {
                         data: Bytes::copy_from_slice(&buffer[..length]),
-                        may_have_more: length == READ_BYTES || self.has_peer_ended,
+                        may_have_more: length == MAX_READ_BYTES || self.has_peer_ended,
                     }
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
@@ -123,16 +123,16 @@
     }
 
     /// Ends our direction once; returns whether the connection is still open.
-    fn shut_write(&mut self) -> bool {
-        let was_shut = std::mem::replace(&mut self.is_write_shut, true);
-        was_shut || self.stream.shutdown(Shutdown::Write).is_ok()
+    fn shut_down_write(&mut self) -> bool {
+        let was_shut_down = std::mem::replace(&mut self.is_write_shut_down, true);
+        was_shut_down || self.stream.shutdown(Shutdown::Write).is_ok()
     }
 
     fn discard_input(&mut self) -> PlainProgress {
-        if !self.shut_write() {
+        if !self.shut_down_write() {
             return PlainProgress::Closed(CloseReason::PeerEnded);
         }
-        for _ in 0..MAX_DISCARDING_READS {
+        for _ in 0..MAX_DISCARD_READS_PER_POLL {
             match self.read() {
                 PlainProgress::Bytes { .. } => {}
                 progress => return progress,
@@ -146,11 +146,11 @@
 
     /// Writes queued bytes as far as the socket takes them.
     pub(crate) fn flush(&mut self) -> io::Result<()> {
-        while !self.out.is_empty() {
-            match self.stream.write(&self.out) {
+        while !self.write_buffer.is_empty() {
+            match self.stream.write(&self.write_buffer) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(length) => {
-                    self.out.advance(length);
+                    self.write_buffer.advance(length);
                     self.written_bytes += length as u64;
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
--- a/crates/net/src/signals.rs
+++ b/crates/net/src/signals.rs
@@ -7,8 +7,8 @@
 /// What the process was asked by signal.
 #[derive(Clone, Debug, Default)]
 pub struct Signals {
-    stop: Arc<AtomicBool>,
-    reload: Arc<AtomicBool>,
+    is_stop_requested: Arc<AtomicBool>,
+    is_reload_requested: Arc<AtomicBool>,
 }
 
 impl Signals {
@@ -16,24 +16,24 @@
     ///
     /// # Errors
     /// The system refuses a handler.
-    pub fn take() -> std::io::Result<Signals> {
+    pub fn install() -> std::io::Result<Signals> {
         let signals = Signals::default();
         for signal in [SIGTERM, SIGINT] {
-            signal_hook::flag::register(signal, signals.stop.clone())?;
+            signal_hook::flag::register(signal, signals.is_stop_requested.clone())?;
         }
-        signal_hook::flag::register(SIGHUP, signals.reload.clone())?;
+        signal_hook::flag::register(SIGHUP, signals.is_reload_requested.clone())?;
         Ok(signals)
     }
     /// Requests a stop as a signal would.
-    pub fn ask_stop(&self) {
-        self.stop.store(true, Ordering::Relaxed);
+    pub fn request_stop(&self) {
+        self.is_stop_requested.store(true, Ordering::Relaxed);
     }
     /// Whether a stop was requested.
-    pub fn stop(&self) -> bool {
-        self.stop.load(Ordering::Relaxed)
+    pub fn is_stop_requested(&self) -> bool {
+        self.is_stop_requested.load(Ordering::Relaxed)
     }
     /// Whether a reload was requested since the last call.
-    pub fn reload(&self) -> bool {
-        self.reload.swap(false, Ordering::Relaxed)
+    pub fn take_reload_request(&self) -> bool {
+        self.is_reload_requested.swap(false, Ordering::Relaxed)
     }
 }
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -32,7 +32,7 @@
 }
 
 /// How our direction ends, once the queued bytes are sent.
-enum End {
+enum OutgoingEnd {
     /// It does not end yet.
     Open,
     WithoutTrailers,
@@ -49,7 +49,7 @@
     flow: Option<h2::FlowControl>,
     queue: VecDeque<Bytes>,
     queued_bytes: usize,
-    end: End,
+    end: OutgoingEnd,
     has_failed: bool,
     is_cancelled: bool,
 }
@@ -67,7 +67,7 @@
 }
 
 impl Stream {
-    pub(crate) fn opened(
+    pub(crate) fn server_side(
         id: StreamId,
         conn: ConnId,
         waker: Waker,
@@ -84,7 +84,7 @@
             flow,
         )
     }
-    pub(crate) fn sent(
+    pub(crate) fn client_side(
         id: StreamId,
         conn: ConnId,
         waker: Waker,
@@ -113,14 +113,14 @@
             flow,
             queue,
             queued_bytes: 0,
-            end: End::Open,
+            end: OutgoingEnd::Open,
             has_failed: false,
             is_cancelled: false,
         }
     }
 
     /// Whether it can make no more progress.
-    pub(crate) fn is_over(&self) -> bool {
+    pub(crate) fn is_finished(&self) -> bool {
         let sent = matches!(self.outgoing, Outgoing::Done);
         let received = matches!(self.incoming, Incoming::Done);
         self.has_failed || if self.is_server_side { sent } else { received }
@@ -132,10 +132,10 @@
     }
 
     /// Sends the head of the response. Nothing happens when it was sent before.
-    pub(crate) fn respond(&mut self, head: Response<()>, end: bool) {
+    pub(crate) fn respond(&mut self, head: Response<()>, is_end_stream: bool) {
         if let Outgoing::Head(out) = &mut self.outgoing {
-            self.outgoing = match out.send_response(head, end) {
-                Ok(_) if end => Outgoing::Done,
+            self.outgoing = match out.send_response(head, is_end_stream) {
+                Ok(_) if is_end_stream => Outgoing::Done,
                 Ok(body) => Outgoing::Body(body),
                 Err(_) => Outgoing::Done,
             };
@@ -150,7 +150,7 @@
         }
     }
     pub(crate) fn finish(&mut self, trailers: Option<HeaderMap>) {
-        self.end = trailers.map_or(End::WithoutTrailers, End::Trailers);
+        self.end = trailers.map_or(OutgoingEnd::WithoutTrailers, OutgoingEnd::Trailers);
         self.waker.wake_by_ref();
     }
     pub(crate) fn reset(&mut self, reason: h2::Reason) {
@@ -170,29 +170,29 @@
     }
 
     /// Makes progress in both directions as far as possible.
-    pub(crate) fn poll(&mut self, out: &mut VecDeque<Event>) {
+    pub(crate) fn poll(&mut self, events: &mut VecDeque<Event>) {
         if self.has_failed {
             return;
         }
         let waker = self.waker.clone();
         let mut context = Context::from_waker(&waker);
         let result = self
-            .poll_in(&mut context, out)
-            .and_then(|()| self.poll_out(&mut context, out));
+            .poll_incoming(&mut context, events)
+            .and_then(|()| self.poll_outgoing(&mut context, events));
         if let Err(error) = result {
             self.has_failed = true;
             self.is_cancelled = matches!(error, StreamError::Reset(_));
-            out.push_back(Event::StreamFailed {
+            events.push_back(Event::StreamFailed {
                 stream: self.id,
                 error,
             });
         }
     }
 
-    fn poll_in(
+    fn poll_incoming(
         &mut self,
         context: &mut Context<'_>,
-        out: &mut VecDeque<Event>,
+        events: &mut VecDeque<Event>,
     ) -> Result<(), StreamError> {
         if let Incoming::Head(head) = &mut self.incoming {
             let Poll::Ready(head) = Pin::new(head).poll(context) else {
@@ -200,13 +200,13 @@
             };
             let (head, mut body) = head.map_err(|error| stream_error(&error))?.into_parts();
             self.flow = Some(body.flow_control().clone());
-            let ended = body.is_end_stream();
-            out.push_back(Event::Head {
+            let is_end_stream = body.is_end_stream();
+            events.push_back(Event::Head {
                 stream: self.id,
                 head: Box::new(head),
-                ended,
+                is_end_stream,
             });
-            self.incoming = if ended {
+            self.incoming = if is_end_stream {
                 Incoming::Done
             } else {
                 Incoming::Body(body)
@@ -220,7 +220,7 @@
                 Poll::Pending => return Ok(()),
                 Poll::Ready(Some(Ok(data))) => {
                     if !data.is_empty() {
-                        out.push_back(Event::Data {
+                        events.push_back(Event::Data {
                             stream: self.id,
                             data,
                         });
@@ -232,7 +232,7 @@
                         return Ok(());
                     };
                     let trailers = trailers.map_err(|error| stream_error(&error))?;
-                    out.push_back(Event::End {
+                    events.push_back(Event::End {
                         stream: self.id,
                         trailers,
                     });
@@ -242,10 +242,10 @@
         }
     }
 
-    fn poll_out(
+    fn poll_outgoing(
         &mut self,
         context: &mut Context<'_>,
-        out: &mut VecDeque<Event>,
+        events: &mut VecDeque<Event>,
     ) -> Result<(), StreamError> {
         if self.is_server_side {
             let reset = match &mut self.outgoing {
@@ -262,7 +262,7 @@
         let before = self.queued_bytes;
         let result = self.flush(context);
         if before > self.queued_bytes {
-            out.push_back(Event::Sent {
+            events.push_back(Event::Sent {
                 stream: self.id,
                 bytes: before - self.queued_bytes,
             });
@@ -282,7 +282,7 @@
                     Poll::Ready(Some(Ok(_))) if body.capacity() > 0 => {}
                     Poll::Ready(Some(Ok(_))) => continue,
                     Poll::Ready(Some(Err(error))) => return Err(stream_error(&error)),
-                    Poll::Ready(None) => return self.out_closed(),
+                    Poll::Ready(None) => return self.on_outgoing_closed(),
                 }
             }
             let part = chunk.split_to(body.capacity().min(chunk.len()));
@@ -290,19 +290,19 @@
             if chunk.is_empty() {
                 self.queue.pop_front();
             }
-            let last = self.queue.is_empty() && matches!(self.end, End::WithoutTrailers);
-            if body.send_data(part, last).is_err() {
-                return self.out_closed();
+            let is_last = self.queue.is_empty() && matches!(self.end, OutgoingEnd::WithoutTrailers);
+            if body.send_data(part, is_last).is_err() {
+                return self.on_outgoing_closed();
             }
-            if last {
+            if is_last {
                 self.outgoing = Outgoing::Done;
                 return Ok(());
             }
         }
-        let sent = match std::mem::replace(&mut self.end, End::Open) {
-            End::Open => return Ok(()),
-            End::WithoutTrailers => body.send_data(Bytes::new(), true),
-            End::Trailers(trailers) => body.send_trailers(trailers),
+        let sent = match std::mem::replace(&mut self.end, OutgoingEnd::Open) {
+            OutgoingEnd::Open => return Ok(()),
+            OutgoingEnd::WithoutTrailers => body.send_data(Bytes::new(), true),
+            OutgoingEnd::Trailers(trailers) => body.send_trailers(trailers),
         };
         self.outgoing = Outgoing::Done;
         // A peer that takes no more of our direction is reported by the other direction.
@@ -310,7 +310,7 @@
     }
 
     /// The peer takes no more of our direction. A client still receives the response; a server has lost its client.
-    fn out_closed(&mut self) -> Result<(), StreamError> {
+    fn on_outgoing_closed(&mut self) -> Result<(), StreamError> {
         self.queue.clear();
         self.queued_bytes = 0;
         self.outgoing = Outgoing::Done;
--- a/crates/net/tests/descriptors.rs
+++ b/crates/net/tests/descriptors.rs
@@ -11,7 +11,7 @@
     let mut engine = Engine::new().expect("a poll handle");
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let (_, address) = engine
-        .listen_raw(any, Limits::default())
+        .listen_plain(any, Limits::default())
         .expect("a free port");
     let client =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
--- a/crates/net/tests/flood.rs
+++ b/crates/net/tests/flood.rs
@@ -12,7 +12,7 @@
     let mut engine = Engine::new().expect("a poll handle");
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let (_, address) = engine
-        .listen_raw(any, Limits::default())
+        .listen_plain(any, Limits::default())
         .expect("a free port");
     let mut flood = TcpStream::connect(address).expect("a connection");
     flood.set_nonblocking(true).expect("a socket");
--- a/crates/net/tests/listener.rs
+++ b/crates/net/tests/listener.rs
@@ -28,15 +28,18 @@
 fn full_listener_then_listens_until_waiting_connections_are_accepted() {
     let mut engine = Engine::new().expect("a poll handle");
     let limits = Limits {
-        connections: 1,
+        max_connections: 1,
         ..Limits::default()
     };
-    let (listener, address) = engine.listen_raw(any(), limits).expect("a free port");
+    let (listener, address) = engine.listen_plain(any(), limits).expect("a free port");
     let _first = TcpStream::connect(address).expect("a connection");
     let held = accepted(&turns(&mut engine));
     let mut second = TcpStream::connect(address).expect("the system completes it");
     second.write_all(b"request").expect("it is sent");
-    assert!(!engine.unlisten_if_empty(listener), "one waits there");
+    assert!(
+        !engine.close_listener_if_backlog_empty(listener),
+        "one waits there"
+    );
     engine.close(held[0]);
     let events = turns(&mut engine);
     let taken = accepted(&events);
@@ -50,7 +53,7 @@
     engine.close(taken[0]);
     turns(&mut engine);
     assert!(
-        engine.unlisten_if_empty(listener),
+        engine.close_listener_if_backlog_empty(listener),
         "there is room and nothing waits"
     );
     assert!(TcpStream::connect(address).is_err(), "nobody listens");
@@ -64,7 +67,7 @@
         assert!(TcpStream::connect(address).is_err(), "nobody listens");
         let mut engine = Engine::new().expect("a poll handle");
         let (_, bound) = engine
-            .listen_raw(address, Limits::default())
+            .listen_plain(address, Limits::default())
             .expect("its owner listens");
         assert_eq!(bound, address);
         TcpStream::connect(address).expect("a connection");
--- a/crates/resp-gateway/src/counter_client.rs
+++ b/crates/resp-gateway/src/counter_client.rs
@@ -131,7 +131,7 @@
         }
         let mut start = CallStart::Queued;
         if connection.conn.is_none() {
-            let Ok(conn) = engine.connect_raw(self.address) else {
+            let Ok(conn) = engine.connect_plain(self.address) else {
                 let result = CounterResult::without_total(key, Outcome::ConnectFailed);
                 return CallStart::Ended(result);
             };
--- a/crates/resp-gateway/src/counter_client/connection.rs
+++ b/crates/resp-gateway/src/counter_client/connection.rs
@@ -191,7 +191,7 @@
         let Some(conn) = self.conn else {
             return Vec::new();
         };
-        let unsent = engine.unsent(conn);
+        let unsent = engine.unsent_bytes(conn);
         engine.close(conn);
         self.end(unsent)
     }
--- a/crates/resp-gateway/src/discovery.rs
+++ b/crates/resp-gateway/src/discovery.rs
@@ -66,7 +66,7 @@
     /// Connects to the agent. An existing connection is closed first.
     pub(crate) fn connect(&mut self, engine: &mut Engine) -> DiscoveryAction {
         self.close(engine);
-        match engine.connect_raw(self.address) {
+        match engine.connect_plain(self.address) {
             Ok(conn) => {
                 self.conn = Some(conn);
                 self.check_call_after(self.timing.timeout)
--- a/crates/resp-gateway/src/discovery/tests.rs
+++ b/crates/resp-gateway/src/discovery/tests.rs
@@ -2,7 +2,7 @@
 //! publishing a change of the list to applying it, in microseconds.
 
 use super::*;
-use chalkdeck_net::clock::{Clock, Jumps};
+use chalkdeck_net::clock::{Clock, ClockJumps};
 use chalkdeck_net::{Event, Limits, ListenerId};
 use std::net::TcpStream;
 use std::sync::Arc;
@@ -43,7 +43,7 @@
 /// The discovery client and its fake agent, on one event loop.
 struct Setup {
     engine: Engine,
-    jumps: Arc<Jumps>,
+    jumps: Arc<ClockJumps>,
     discovery: Discovery,
     listener: ListenerId,
     address: SocketAddr,
@@ -73,11 +73,12 @@
 
 impl Setup {
     fn new(mode: AgentMode, response_format: fn(&str) -> String) -> Setup {
-        let jumps = Arc::<Jumps>::default();
-        let mut engine = Engine::with_clock(Clock::jumping(jumps.clone())).expect("a poll handle");
+        let jumps = Arc::<ClockJumps>::default();
+        let mut engine =
+            Engine::with_clock(Clock::with_jumps(jumps.clone())).expect("a poll handle");
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let (listener, address) = engine
-            .listen_raw(any, Limits::default())
+            .listen_plain(any, Limits::default())
             .expect("a free port");
         let discovery = Discovery::new(address, timing());
         let mut setup = Setup {
@@ -242,12 +243,12 @@
         if self.mode == AgentMode::Refuses {
             let (listener, _) = self
                 .engine
-                .listen_raw(self.address, Limits::default())
+                .listen_plain(self.address, Limits::default())
                 .expect("the agent's port is free again");
             self.listener = listener;
         }
         if mode == AgentMode::Refuses {
-            self.engine.unlisten(self.listener);
+            self.engine.close_listener(self.listener);
             for conn in std::mem::take(&mut self.agent_conns) {
                 self.engine.close(conn);
             }
@@ -427,7 +428,7 @@
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let (listener, address) = setup
         .engine
-        .listen_raw(any, Limits::default())
+        .listen_plain(any, Limits::default())
         .expect("a free port");
     setup.listener = listener;
     setup.address = address;
--- a/crates/resp-gateway/src/endpoint_connections.rs
+++ b/crates/resp-gateway/src/endpoint_connections.rs
@@ -180,7 +180,7 @@
         if self.pool.len() >= self.max_connections && !self.close_longest_idle(engine) {
             return Err(Outcome::NeverSent);
         }
-        match engine.connect_raw(address) {
+        match engine.connect_plain(address) {
             Ok(conn) => Ok((conn, address)),
             Err(_) => Err(Outcome::ConnectFailed),
         }
@@ -195,7 +195,7 @@
             let connection = self.pool.get(conn);
             let is_expired =
                 connection.is_none_or(|connection| connection.is_idle_for(now, keep_alive));
-            if !is_expired && engine.is_quiet(conn) {
+            if !is_expired && engine.is_idle(conn) {
                 return Some(conn);
             }
             self.close(engine, conn);
@@ -285,7 +285,7 @@
         // A connection with an invalid reply, with bytes after the reply or with an unwritten part of the command must not be reused.
         let is_reusable = reply != EndpointReply::Invalid
             && connection.partial_reply.is_empty()
-            && engine.unsent(conn) == 0;
+            && engine.unsent_bytes(conn) == 0;
         // The bytes are no longer counted, so the buffer of a large reply is released.
         connection.partial_reply = BytesMut::new();
         if let Some(idle_time) = connection.idle_time_before_attempt() {
@@ -361,7 +361,7 @@
         reason: AbortReason,
     ) -> Option<AttemptEnd> {
         let conn = self.pool.find_attempt(attempt)?;
-        let unsent = engine.unsent(conn);
+        let unsent = engine.unsent_bytes(conn);
         let mut end = self.remove_and_end_attempt(clock::now(engine), conn, unsent)?;
         engine.close(conn);
         end.outcome = match (end.outcome, reason) {
--- a/crates/resp-gateway/src/server/event_loop.rs
+++ b/crates/resp-gateway/src/server/event_loop.rs
@@ -46,7 +46,7 @@
             NetEvent::Bytes { conn, data } => self.on_bytes(conn, &data),
             NetEvent::Closed {
                 conn,
-                unsent,
+                unsent_bytes: unsent,
                 reason,
                 ..
             } => self.on_closed(conn, unsent, &reason),
@@ -70,7 +70,7 @@
     }
 
     fn on_bytes(&mut self, conn: ConnId, data: &[u8]) {
-        self.engine.handled(conn);
+        self.engine.mark_handled(conn);
         if self.sessions.owns(conn) {
             self.sessions.on_bytes(&mut self.engine, conn, data);
             self.handle_commands(conn);
--- a/crates/resp-gateway/src/server/lifecycle.rs
+++ b/crates/resp-gateway/src/server/lifecycle.rs
@@ -29,10 +29,10 @@
     pub fn run(&mut self, signals: &Signals) -> io::Result<()> {
         loop {
             self.turn(MAX_EVENT_WAIT.as_micros())?;
-            if signals.reload() {
+            if signals.take_reload_request() {
                 self.reload();
             }
-            if signals.stop() {
+            if signals.is_stop_requested() {
                 self.shut_down();
             }
             if self.is_shut_down() {
@@ -62,7 +62,7 @@
         };
         let has_no_clients = self.sessions.is_shutting_down()
             && !self.is_listening
-            && self.engine.connections_of(self.listener) == 0;
+            && self.engine.listener_connection_count(self.listener) == 0;
         has_no_clients || clock::now(&self.engine) >= since + KILL_DELAY + self.longest_deadline()
     }
 
@@ -84,7 +84,7 @@
     /// Continues a shutdown once no more connections are expected: closes the listener when its backlog is empty, and lets the sessions
     /// close idle connections.
     pub(super) fn continue_shutdown(&mut self) {
-        self.is_listening &= !self.engine.unlisten_if_empty(self.listener);
+        self.is_listening &= !self.engine.close_listener_if_backlog_empty(self.listener);
         self.sessions.shut_down(clock::now(&self.engine));
         self.set_timer(SHUTDOWN_INTERVAL, TimerPurpose::Shutdown);
     }
--- a/crates/resp-gateway/src/server/start.rs
+++ b/crates/resp-gateway/src/server/start.rs
@@ -110,12 +110,12 @@
         let mut engine = Engine::with_clock(clock).map_err(StartError::Poll)?;
         let limits = ConnectionLimits::new(config.limits.sockets);
         let listen_limits = Limits {
-            connections: limits.clients + EXTRA_CLIENT_CONNECTIONS,
+            max_connections: limits.clients + EXTRA_CLIENT_CONNECTIONS,
             ..Limits::default()
         };
         let address = config.listen;
         let (listener, local_address) = engine
-            .listen_raw(address, listen_limits)
+            .listen_plain(address, listen_limits)
             .map_err(|source| StartError::Listen { address, source })?;
         let decision_engine = DecisionEngine::new(config.seed, config.settings().clone())?;
         let memory_bytes = config.limits.memory_mb * BYTES_PER_MB;
--- a/crates/resp-gateway/src/sessions.rs
+++ b/crates/resp-gateway/src/sessions.rs
@@ -95,7 +95,7 @@
         conn: ConnId,
     ) -> Option<ReceivedCommand> {
         let is_full = self.is_full();
-        let unsent = engine.unsent(conn);
+        let unsent = engine.unsent_bytes(conn);
         let session = self.by_conn.get_mut(&conn).filter(|s| !s.is_read_closed)?;
         let is_limited = flow_control::exceeds_limits(session, unsent);
         if is_limited || is_full && !session.bytes.is_empty() {
--- a/crates/resp-gateway/src/sessions/closing.rs
+++ b/crates/resp-gateway/src/sessions/closing.rs
@@ -27,7 +27,7 @@
         candidates
             .into_iter()
             .map(|(_, conn)| conn)
-            .find(|conn| engine.is_quiet(*conn))
+            .find(|conn| engine.is_idle(*conn))
     }
 
     /// Shuts down our direction of a connection that is not read any more, once all its replies are queued.
@@ -38,7 +38,7 @@
         let is_answered = session.replies.pending() == 0;
         if is_answered && session.is_read_closed && session.lingering_since.is_none() {
             session.lingering_since = Some(clock::now(engine));
-            engine.linger(conn);
+            engine.start_lingering_close(conn);
         }
     }
 
@@ -48,9 +48,13 @@
         let mut timed_out = Vec::new();
         let mut paused = Vec::new();
         for (conn, session) in &mut self.by_conn {
-            session.record_write_progress(engine.written_bytes(*conn), engine.unsent(*conn), now);
+            session.record_write_progress(
+                engine.written_bytes(*conn),
+                engine.unsent_bytes(*conn),
+                now,
+            );
             if session.is_write_timed_out(now)
-                || session.is_read_timed_out(now) && engine.is_quiet(*conn)
+                || session.is_read_timed_out(now) && engine.is_idle(*conn)
             {
                 timed_out.push(*conn);
             } else if session.is_paused {
@@ -97,7 +101,7 @@
             .collect();
         idle.sort_unstable();
         for conn in idle {
-            if engine.close_if_quiet(conn) {
+            if engine.close_if_idle(conn) {
                 self.by_conn.remove(&conn);
             }
         }
--- a/crates/resp-gateway/src/sessions/flow_control.rs
+++ b/crates/resp-gateway/src/sessions/flow_control.rs
@@ -29,7 +29,7 @@
             return;
         }
         let has_room = session.replies.pending() < RESUME_PENDING_COMMANDS
-            && engine.unsent(conn) <= MAX_UNSENT_BYTES;
+            && engine.unsent_bytes(conn) <= MAX_UNSENT_BYTES;
         if has_room && !is_full {
             session.is_queued_to_resume = true;
             self.resume_queue.push(conn);
@@ -62,14 +62,14 @@
 pub(super) fn pause(engine: &mut Engine, conn: ConnId, session: &mut Session) {
     session.is_paused = true;
     session.unread_since.get_or_insert(clock::now(engine));
-    engine.pause(conn, true);
+    engine.set_read_paused(conn, true);
 }
 
 /// Resumes reading from a paused connection.
 pub(super) fn unpause(engine: &mut Engine, conn: ConnId, session: &mut Session) {
     if session.is_paused {
         session.is_paused = false;
-        engine.pause(conn, false);
+        engine.set_read_paused(conn, false);
         clear_unread_since_if_quiet(engine, conn, session);
     }
 }
@@ -80,7 +80,7 @@
     conn: ConnId,
     session: &mut Session,
 ) {
-    if session.unread_since.is_some() && engine.is_quiet(conn) {
+    if session.unread_since.is_some() && engine.is_idle(conn) {
         session.unread_since = None;
     }
 }
--- a/crates/resp-gateway/src/sessions/test_support.rs
+++ b/crates/resp-gateway/src/sessions/test_support.rs
@@ -1,6 +1,6 @@
 //! Test support shared by the tests of client sessions: an event loop with a controlled clock, and connections to it.
 
-use chalkdeck_net::clock::{Clock, Jumps};
+use chalkdeck_net::clock::{Clock, ClockJumps};
 use chalkdeck_net::{ConnId, Engine, Event, Limits};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -9,17 +9,18 @@
 pub(super) struct TestLoop {
     pub(super) engine: Engine,
     /// Advances the loop's clock.
-    pub(super) jumps: Arc<Jumps>,
+    pub(super) jumps: Arc<ClockJumps>,
     address: SocketAddr,
 }
 
 impl TestLoop {
     pub(super) fn new() -> TestLoop {
-        let jumps = Arc::<Jumps>::default();
-        let mut engine = Engine::with_clock(Clock::jumping(jumps.clone())).expect("a poll handle");
+        let jumps = Arc::<ClockJumps>::default();
+        let mut engine =
+            Engine::with_clock(Clock::with_jumps(jumps.clone())).expect("a poll handle");
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let (_, address) = engine
-            .listen_raw(any, Limits::default())
+            .listen_plain(any, Limits::default())
             .expect("a free port");
         TestLoop {
             engine,
--- a/crates/resp-gateway/src/sessions/tests.rs
+++ b/crates/resp-gateway/src/sessions/tests.rs
@@ -139,7 +139,7 @@
 fn bytes_wait_unread_while_the_loop_is_stalled_then_client_not_timed_out() {
     let mut fixture = Fixture::new();
     fixture.client.write_all(PING).expect("the command is sent");
-    while fixture.test_loop.engine.is_quiet(fixture.conn) {}
+    while fixture.test_loop.engine.is_idle(fixture.conn) {}
     assert!(
         !fixture.is_closed_by_sweep_after(3 * SECOND),
         "closed with an unread command in the socket"
--- a/crates/resp-gateway/tests/clients.rs
+++ b/crates/resp-gateway/tests/clients.rs
@@ -284,7 +284,7 @@
 fn client_does_not_read_then_only_its_own_requests_are_paused() {
     let mut harness = Harness::new(4, LARGE_LIMITS);
     let (slow, other) = (harness.connect_client(), harness.connect_client());
-    harness.engine.pause(slow, true);
+    harness.engine.set_read_paused(slow, true);
     for i in 0..200 {
         harness.send_request(slow, &format!("s{i}"), &VIEW.replace("d=2000", "d=3000"));
     }
--- a/crates/resp-gateway/tests/common/mod.rs
+++ b/crates/resp-gateway/tests/common/mod.rs
@@ -6,7 +6,7 @@
 )]
 
 use bytes::{Bytes, BytesMut};
-use chalkdeck_net::clock::{Clock, Jumps};
+use chalkdeck_net::clock::{Clock, ClockJumps};
 use chalkdeck_net::{ConnId, Engine, Event, Limits, ListenerId};
 use chalkdeck_resp::{encode_command, take_command, MessageLimits, ParsedCommand};
 use chalkdeck_resp_gateway::{Config, GatewayServer};
@@ -45,7 +45,7 @@
     pub gateway: GatewayServer,
     pub file: PathBuf,
     /// Advances the gateway's clock.
-    pub jumps: Arc<Jumps>,
+    pub jumps: Arc<ClockJumps>,
     /// The bytes received on each connection that the test has not consumed yet.
     pub received: HashMap<ConnId, BytesMut>,
     /// The listener that accepted each connection.
@@ -72,7 +72,7 @@
 fn listen(engine: &mut Engine) -> (ListenerId, SocketAddr) {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     engine
-        .listen_raw(any, Limits::default())
+        .listen_plain(any, Limits::default())
         .expect("a free port")
 }
 
@@ -115,9 +115,9 @@
         let file = std::env::temp_dir().join(name);
         let text = edit(config("127.0.0.1:0", discovery.1, counter.1, limits));
         std::fs::write(&file, text).expect("a temporary file");
-        let jumps = Arc::<Jumps>::default();
+        let jumps = Arc::<ClockJumps>::default();
         let config = Config::load(&file).expect("a valid configuration");
-        let gateway = GatewayServer::start_with_clock(config, Clock::jumping(jumps.clone()))
+        let gateway = GatewayServer::start_with_clock(config, Clock::with_jumps(jumps.clone()))
             .expect("a free port");
         let list = endpoints.iter().enumerate();
         let list = list
@@ -313,7 +313,7 @@
     pub fn connect_client(&mut self) -> ConnId {
         let conn = self
             .engine
-            .connect_raw(self.gateway.local_address())
+            .connect_plain(self.gateway.local_address())
             .expect("a socket");
         self.wait_for("a client connects", |h| {
             h.connected.contains(&conn).then_some(())
--- a/crates/resp-gateway/tests/event_races.rs
+++ b/crates/resp-gateway/tests/event_races.rs
@@ -90,7 +90,7 @@
     harness.send_request(clients[0], "c1", VIEW);
     let new = harness
         .engine
-        .connect_raw(harness.gateway.local_address())
+        .connect_plain(harness.gateway.local_address())
         .expect("a socket");
     harness.run_peers_only();
     let (endpoint, _) = harness.next_attempt();
@@ -260,7 +260,7 @@
     // The operating system establishes this connection, but the gateway is at its limit and cannot accept it before the shutdown.
     let waiting = harness
         .engine
-        .connect_raw(harness.gateway.local_address())
+        .connect_plain(harness.gateway.local_address())
         .expect("a socket");
     harness.settle();
     harness.send_request(waiting, "g99", VIEW);
--- a/crates/resp-gateway/tests/peers.rs
+++ b/crates/resp-gateway/tests/peers.rs
@@ -178,7 +178,7 @@
     harness.expect_received(client, "-ERR failed\r\n");
     // The endpoint refuses connections, so the request never ran and may be rejected although it is not idempotent.
     let listener = harness.endpoints[0].0;
-    harness.engine.unlisten(listener);
+    harness.engine.close_listener(listener);
     harness.jumps.jump(2 * SECOND);
     harness.send_request(client, "e2", SALE);
     harness.expect_received(client, "-BUSY");
@@ -394,11 +394,11 @@
     let any = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
     let counter = harness
         .engine
-        .listen_raw(any, chalkdeck_net::Limits::default())
+        .listen_plain(any, chalkdeck_net::Limits::default())
         .expect("a free port");
     let discovery = harness
         .engine
-        .listen_raw(any, chalkdeck_net::Limits::default())
+        .listen_plain(any, chalkdeck_net::Limits::default())
         .expect("a free port");
     std::fs::write(
         &harness.file,
@@ -492,8 +492,8 @@
 fn no_discovery_and_no_counter_then_initial_list_and_local_share_serve() {
     let mut harness = Harness::new(1, LARGE_LIMITS);
     let (discovery, counter) = (harness.discovery.0, harness.counter.0);
-    harness.engine.unlisten(discovery);
-    harness.engine.unlisten(counter);
+    harness.engine.close_listener(discovery);
+    harness.engine.close_listener(counter);
     let initial_list = format!(
         r#""known":{{"index":4,"snapshot":true,"endpoints":[{{"name":"s-0","address":"{}","status":"ready"}}]}},"settings""#,
         harness.endpoints[0].1
--- a/crates/resp-gateway/tests/simulation/mod.rs
+++ b/crates/resp-gateway/tests/simulation/mod.rs
@@ -3,7 +3,7 @@
 mod peers;
 
 use crate::common::{config, LARGE_LIMITS};
-use chalkdeck_net::clock::{Clock, Jumps};
+use chalkdeck_net::clock::{Clock, ClockJumps};
 use chalkdeck_resp_gateway::{Config, GatewayServer};
 use fastrand::Rng;
 use peers::{Attempt, Client, Counter, Discovery, Endpoint};
@@ -46,7 +46,7 @@
 pub struct Simulation {
     pub gateway: GatewayServer,
     file: PathBuf,
-    jumps: Arc<Jumps>,
+    jumps: Arc<ClockJumps>,
     clock: Clock,
     turn_count: u64,
     endpoints: Vec<Endpoint>,
@@ -88,8 +88,8 @@
             ),
         )
         .expect("a temporary file");
-        let jumps = Arc::<Jumps>::default();
-        let clock = Clock::jumping(jumps.clone());
+        let jumps = Arc::<ClockJumps>::default();
+        let clock = Clock::with_jumps(jumps.clone());
         let config = Config::load(&file).expect("a valid configuration");
         let gateway = GatewayServer::start_with_clock(config, clock.clone()).expect("a free port");
         let mut simulation = Simulation {
--- a/crates/testbed/src/load/calls.rs
+++ b/crates/testbed/src/load/calls.rs
@@ -4,7 +4,7 @@
 use crate::parts::control;
 use crate::parts::log::{End, Line, Log};
 use crate::parts::report::Figures;
-use chalkdeck_net::clock::monotonic;
+use chalkdeck_net::clock::monotonic_micros;
 use chalkdeck_net::grpc::{self, Code};
 use chalkdeck_net::signals::Signals;
 use chalkdeck_net::{ConnId, Engine, Event, Limits, StreamId};
@@ -158,7 +158,7 @@
         self.next_at = begin;
         self.due_at(begin, Due::Next);
         self.due_at(begin + 1_000_000, Due::Second);
-        while !signals.stop() && self.engine.now() < until {
+        while !signals.is_stop_requested() && self.engine.now() < until {
             self.turn(&mut events)?;
         }
         self.figures.seconds = (self.engine.now() - begin) as f64 / 1e6;
@@ -184,7 +184,7 @@
     pub fn idle(&mut self, signals: &Signals) -> std::io::Result<()> {
         let mut events = Vec::new();
         let until = self.engine.now() + (self.plan.seconds * 1e6) as u64;
-        while !signals.stop() && self.engine.now() < until {
+        while !signals.is_stop_requested() && self.engine.now() < until {
             self.turn(&mut events)?;
         }
         Ok(())
@@ -201,12 +201,12 @@
     fn due_at(&mut self, at: u64, due: Due) {
         self.next += 1;
         self.due.insert(self.next, due);
-        self.engine.timer(at, self.next);
+        self.engine.set_timer(at, self.next);
     }
 
     fn connect(&mut self, gateway: usize) {
         let limits = Limits {
-            streams: 10_000,
+            max_streams: 10_000,
             ..Limits::default()
         };
         match self.engine.connect(self.plan.gateways[gateway], limits) {
@@ -237,7 +237,7 @@
             Event::Head {
                 stream,
                 head,
-                ended,
+                is_end_stream: ended,
             } => {
                 if let Some(open) = self.open.get_mut(&stream) {
                     open.heard = true;
@@ -349,7 +349,8 @@
         };
         let shape: &Mix = &self.plan.shape.mix[mix];
         let gateway = self.conns[&conn].gateway;
-        let Some(mut head) = grpc::request(&self.plan.gateways[gateway].to_string(), &shape.path)
+        let Some(mut head) =
+            grpc::request_head(&self.plan.gateways[gateway].to_string(), &shape.path)
         else {
             return false;
         };
@@ -360,7 +361,7 @@
         for (name, value) in [
             ("x-call-id", &id),
             ("x-customer", &self.customers[customer].name),
-            (grpc::KEY, &key),
+            (grpc::IDEMPOTENCY_KEY, &key),
         ] {
             if let Ok(value) = HeaderValue::from_str(value) {
                 if !value.is_empty() {
@@ -369,20 +370,20 @@
             }
         }
         if tries > 0 {
-            headers.insert(grpc::ATTEMPTS, HeaderValue::from(tries));
+            headers.insert(grpc::PREVIOUS_ATTEMPTS, HeaderValue::from(tries));
         }
         if deadline > 0 {
-            headers.insert(grpc::TIMEOUT, grpc::timeout(deadline));
+            headers.insert(grpc::TIMEOUT, grpc::encode_timeout(deadline));
         }
         let path = shape.path.clone();
-        let Some(stream) = self.engine.open(conn, head, false) else {
+        let Some(stream) = self.engine.open_stream(conn, head, false) else {
             self.figures.unsent += 1;
             return false;
         };
         let body = vec![b'c'; self.plan.shape.body_bytes as usize];
         self.engine.send(stream, grpc::frame(&body));
         self.engine.finish(stream, None);
-        let t = monotonic();
+        let t = monotonic_micros();
         let until = if deadline == 0 {
             u64::MAX
         } else {
@@ -442,7 +443,7 @@
     fn on_end(&mut self, stream: StreamId, trailers: &HeaderMap) {
         let code = Code::from_trailers(trailers);
         let pushback = trailers
-            .get(grpc::PUSHBACK)
+            .get(grpc::RETRY_PUSHBACK)
             .and_then(|v| v.to_str().ok())
             .and_then(|v| v.parse::<i64>().ok());
         let end = match code {
@@ -458,7 +459,7 @@
         let Some(open) = self.open.remove(&stream) else {
             return;
         };
-        let t = monotonic();
+        let t = monotonic_micros();
         self.log.line(&Line::Answer {
             t,
             id: open.id.clone(),
--- a/crates/testbed/src/load/command.rs
+++ b/crates/testbed/src/load/command.rs
@@ -63,7 +63,7 @@
 /// Runs it until its time is over.
 pub fn command(args: LoadArgs) -> anyhow::Result<()> {
     begin(args.with_parent);
-    let signals = Signals::take()?;
+    let signals = Signals::install()?;
     let day = script::read(&args.day)?;
     let mut shape = day.load.context("expected a load in the day")?;
     if let Some(rate) = args.rate {
--- a/crates/testbed/src/load/library.rs
+++ b/crates/testbed/src/load/library.rs
@@ -6,7 +6,7 @@
 use anyhow::Context;
 use bytes::Bytes;
 use chalkdeck_client::{Call, Client, Idempotency, Outcome, Reply, Settings, TimeDelta};
-use chalkdeck_net::clock::monotonic;
+use chalkdeck_net::clock::monotonic_micros;
 use chalkdeck_net::signals::Signals;
 use chalkdeck_proto::chalkdeck::config::v1::{class, Class};
 use chalkdeck_proto::chalkdeck::lab::v1::{Load as Shape, Mix};
@@ -94,11 +94,11 @@
 
 impl Load<'_> {
     fn send_all(&mut self, signals: &Signals) {
-        let begin = monotonic();
+        let begin = monotonic_micros();
         let until = begin + (self.plan.seconds * 1e6) as u64;
         let mut due = begin;
-        while due < until && !signals.stop() {
-            let now = monotonic();
+        while due < until && !signals.is_stop_requested() {
+            let now = monotonic_micros();
             if due > now {
                 self.hear(Duration::from_micros((due - now).min(20_000)));
                 continue;
@@ -106,19 +106,19 @@
             self.send(due);
             due += (-self.rng.f64().max(1e-12).ln() / self.plan.shape.rate * 1e6) as u64;
         }
-        self.figures.seconds = (monotonic() - begin) as f64 / 1e6;
+        self.figures.seconds = (monotonic_micros() - begin) as f64 / 1e6;
     }
 
     fn keep_out(&mut self, most: u64, signals: &Signals) {
-        let begin = monotonic();
+        let begin = monotonic_micros();
         let until = begin + (self.plan.seconds * 1e6) as u64;
-        while monotonic() < until && !signals.stop() {
+        while monotonic_micros() < until && !signals.is_stop_requested() {
             while self.open < most {
-                self.send(monotonic());
+                self.send(monotonic_micros());
             }
             self.hear(Duration::from_millis(20));
         }
-        self.figures.seconds = (monotonic() - begin) as f64 / 1e6;
+        self.figures.seconds = (monotonic_micros() - begin) as f64 / 1e6;
     }
 
     fn wait(&mut self) {
@@ -130,8 +130,8 @@
             .map(|m| u64::from(m.timeout_ms))
             .max()
             .unwrap_or(0);
-        let give_up = monotonic() + (longest + 1_000) * 1_000;
-        while self.open > 0 && monotonic() < give_up {
+        let give_up = monotonic_micros() + (longest + 1_000) * 1_000;
+        while self.open > 0 && monotonic_micros() < give_up {
             self.hear(Duration::from_millis(20));
         }
         self.log.flush();
@@ -156,7 +156,7 @@
             self.customers[i].name.clone(),
             self.customers[i].plan.clone(),
         );
-        let t = monotonic();
+        let t = monotonic_micros();
         let deadline = t + u64::from(mix.timeout_ms) * 1_000;
         self.log.line(&Line::Call {
             t,
@@ -182,7 +182,7 @@
         let ended = self.ended.clone();
         let client = i % self.clients.len();
         self.clients[client].start_call(call, move |reply| {
-            let at = monotonic();
+            let at = monotonic_micros();
             drop(ended.send(Ended {
                 id,
                 plan,
--- a/crates/testbed/src/measure/adds.rs
+++ b/crates/testbed/src/measure/adds.rs
@@ -129,11 +129,13 @@
     fn on_event(&mut self, event: Event) -> anyhow::Result<()> {
         match event {
             Event::Connected { conn } => {
-                let head = grpc::request(
+                let head = grpc::request_head(
                     &self.address.to_string(),
                     "/chalkdeck.counter.v1.Counter/Adds",
                 );
-                let stream = self.engine.open(conn, head.context("a head")?, false);
+                let stream = self
+                    .engine
+                    .open_stream(conn, head.context("a head")?, false);
                 self.lanes
                     .iter_mut()
                     .filter(|l| l.conn == conn)
--- a/crates/testbed/src/measure/reconnect.rs
+++ b/crates/testbed/src/measure/reconnect.rs
@@ -130,7 +130,7 @@
     fn wake_at(&mut self, at: u64, i: usize) {
         self.next += 1;
         self.due.insert(self.next, i);
-        self.engine.timer(at, self.next);
+        self.engine.set_timer(at, self.next);
     }
 
     fn connect(&mut self, i: usize) {
@@ -176,7 +176,11 @@
                         );
                     }
                 }
-                NetEvent::Closed { conn, reached, .. } => {
+                NetEvent::Closed {
+                    conn,
+                    was_established: reached,
+                    ..
+                } => {
                     let Some(i) = self.conns.remove(&conn) else {
                         continue;
                     };
@@ -195,7 +199,7 @@
                 NetEvent::Head {
                     stream,
                     head,
-                    ended: true,
+                    is_end_stream: true,
                 } => self.answered(stream, &head.headers),
                 NetEvent::End { stream, trailers } => {
                     self.answered(stream, &trailers.unwrap_or_default())
@@ -217,13 +221,13 @@
             return Ok(());
         };
         calls.due = now + CALLS;
-        let mut head =
-            grpc::request(&self.address.to_string(), "/farm.v1.Farm/View").context("a head")?;
+        let mut head = grpc::request_head(&self.address.to_string(), "/farm.v1.Farm/View")
+            .context("a head")?;
         head.headers_mut()
             .insert("x-customer", http::HeaderValue::from_str(&customer)?);
         head.headers_mut()
-            .insert(grpc::TIMEOUT, grpc::timeout(2_000_000));
-        let Some(stream) = self.engine.open(*conn, head, false) else {
+            .insert(grpc::TIMEOUT, grpc::encode_timeout(2_000_000));
+        let Some(stream) = self.engine.open_stream(*conn, head, false) else {
             return Ok(());
         };
         self.engine.send(stream, grpc::frame(b"a field"));
--- a/crates/testbed/src/rig/counting.rs
+++ b/crates/testbed/src/rig/counting.rs
@@ -98,6 +98,6 @@
 pub fn command(args: &OwnCounterArgs) -> anyhow::Result<()> {
     begin(args.with_parent);
     let settings = chalkdeck_counter::settings::Settings::load(&args.config)?;
-    chalkdeck_counter::server::run(&settings, &Signals::take()?)?;
+    chalkdeck_counter::server::run(&settings, &Signals::install()?)?;
     Ok(())
 }
--- a/crates/testbed/src/rig/day.rs
+++ b/crates/testbed/src/rig/day.rs
@@ -7,7 +7,7 @@
 use crate::rig::fleet::{any, Fleet};
 use crate::rig::watch::Watch;
 use anyhow::{bail, Context};
-use chalkdeck_net::clock::monotonic;
+use chalkdeck_net::clock::monotonic_micros;
 use chalkdeck_net::signals::Signals;
 use chalkdeck_proto::chalkdeck::lab::v1::Day;
 use clap::Args;
@@ -64,7 +64,7 @@
 /// Plays a day and leaves its logs in `dir`. Returns what the load saw.
 pub fn run(program: Program, day: Day, dir: &Path, ways: &Ways) -> anyhow::Result<Summary> {
     let acts = within(script(&day)?, day.seconds.saturating_mul(1_000));
-    let signals = Signals::take()?;
+    let signals = Signals::install()?;
     let seconds = f64::from(day.seconds);
     let mut fleet = Fleet::start(program, day, dir, any(), ways.fault.clone())?;
     let (log, out) = (dir.join("client.jsonl"), dir.join("summary.json"));
@@ -93,10 +93,10 @@
     // The library's load takes no commands; days that need them say so when they come to it.
     let control = load.address("control").ok();
     load.echo();
-    let begin = monotonic();
+    let begin = monotonic_micros();
     for timed in acts {
-        while monotonic() < begin + u64::from(timed.at) * 1_000 {
-            if signals.stop() {
+        while monotonic_micros() < begin + u64::from(timed.at) * 1_000 {
+            if signals.is_stop_requested() {
                 bail!("stopped by a signal");
             }
             std::thread::sleep(Duration::from_millis(2));
--- a/crates/testbed/src/rig/demo.rs
+++ b/crates/testbed/src/rig/demo.rs
@@ -33,7 +33,7 @@
 
 /// Starts all, prints where to call, and a line of figures each second until the time is up or it is stopped.
 pub fn run(program: Program, port: u16, seconds: Option<u64>, no_load: bool) -> anyhow::Result<()> {
-    let signals = Signals::take()?;
+    let signals = Signals::install()?;
     let dir = std::env::temp_dir().join(format!("chalkdeck-demo-{}", std::process::id()));
     let listen = SocketAddr::from(([127, 0, 0, 1], port));
     let ran = play(program, &dir, listen, seconds, no_load, &signals);
@@ -71,7 +71,7 @@
     load.iter_mut().for_each(|l| l.echo());
     let end = Instant::now() + Duration::from_secs(span);
     let mut second = Instant::now() + Duration::from_secs(1);
-    while !signals.stop() && Instant::now() < end {
+    while !signals.is_stop_requested() && Instant::now() < end {
         std::thread::sleep(Duration::from_millis(50));
         if no_load && Instant::now() >= second {
             second += Duration::from_secs(1);
--- a/crates/testbed/src/rig/fleet.rs
+++ b/crates/testbed/src/rig/fleet.rs
@@ -7,7 +7,7 @@
 use crate::rig::counting::CounterPart;
 use crate::rig::keeping::KeeperPart;
 use anyhow::Context;
-use chalkdeck_net::clock::{monotonic, Clock};
+use chalkdeck_net::clock::{monotonic_micros, Clock};
 use chalkdeck_net::ReservedPort;
 use chalkdeck_proto::chalkdeck::config::v1 as config;
 use chalkdeck_proto::chalkdeck::lab::v1::Day;
@@ -376,7 +376,7 @@
     /// Writes down what the run itself did.
     pub fn note(&mut self, what: &str, target: impl ToString) {
         self.notes.line(&Line::Note {
-            t: monotonic(),
+            t: monotonic_micros(),
             what: what.to_string(),
             target: target.to_string(),
         });
--- a/crates/testbed/src/rig/keeping.rs
+++ b/crates/testbed/src/rig/keeping.rs
@@ -46,7 +46,7 @@
 /// Runs the keeper itself until it is stopped.
 pub fn command(args: &OwnKeeperArgs) -> anyhow::Result<()> {
     begin(args.with_parent);
-    let (settings, signals) = (Settings::load(&args.config)?, Signals::take()?);
+    let (settings, signals) = (Settings::load(&args.config)?, Signals::install()?);
     let server = ReplicaServer::start(&settings, StartMode::Bootstrap)?;
     println!("ready grpc={}", server.listen());
     Ok(server.run(&signals)?)
--- a/crates/testbed/src/rig/links/command.rs
+++ b/crates/testbed/src/rig/links/command.rs
@@ -54,7 +54,7 @@
 /// Runs a relay until it is stopped.
 pub fn command(args: &LinksArgs) -> anyhow::Result<()> {
     begin(args.with_parent);
-    let signals = Signals::take()?;
+    let signals = Signals::install()?;
     let links = args
         .links
         .iter()
@@ -76,7 +76,7 @@
 
 fn run(relay: &mut Relay, words: &Receiver<Asked>, signals: &Signals) -> anyhow::Result<()> {
     let mut events = mio::Events::with_capacity(1_024);
-    while !signals.stop() {
+    while !signals.is_stop_requested() {
         relay.turn(&mut events, Duration::from_millis(100))?;
         for (word, answer) in words.try_iter() {
             // Who asked may have gone away.
--- a/crates/testbed/src/rig/links/relay.rs
+++ b/crates/testbed/src/rig/links/relay.rs
@@ -3,7 +3,7 @@
 use crate::rig::links::faults::{Faults, Word};
 use crate::rig::links::tcp::{Fate, Pair};
 use crate::rig::links::udp::Datagrams;
-use chalkdeck_net::clock::monotonic;
+use chalkdeck_net::clock::monotonic_micros;
 use chalkdeck_net::ReservedPort;
 use mio::net::{TcpListener, UdpSocket};
 use mio::{Events, Interest, Poll, Token, Waker};
@@ -169,7 +169,7 @@
 
     /// Waits for what happens, at most so long, and deals with it.
     pub fn turn(&mut self, events: &mut Events, most: Duration) -> io::Result<()> {
-        let now = monotonic();
+        let now = monotonic_micros();
         let next = self
             .due
             .peek()
@@ -195,7 +195,7 @@
                 },
             }
         }
-        let now = monotonic();
+        let now = monotonic_micros();
         while let Some(Reverse((_, what))) = self.due.peek().filter(|d| d.0 .0 <= now).copied() {
             self.due.pop();
             match what {
@@ -256,7 +256,7 @@
                 return self.drop_pair(slot, true);
             }
         }
-        match pair.pump(monotonic(), &link.faults, &mut self.rng) {
+        match pair.pump(monotonic_micros(), &link.faults, &mut self.rng) {
             Fate::Lives(again) => self
                 .due
                 .extend(again.map(|at| Reverse((at, PAIR_BASE + slot)))),
@@ -291,7 +291,7 @@
         };
         if let Some(mut listener) = listener.take() {
             let _ = self.poll.registry().deregister(&mut listener);
-            self.due.push(Reverse((monotonic() + TRY, link)));
+            self.due.push(Reverse((monotonic_micros() + TRY, link)));
         }
     }
 
@@ -306,7 +306,7 @@
         };
         // A connect on loopback is answered at once, either way.
         if std::net::TcpStream::connect_timeout(&target, Duration::from_millis(20)).is_err() {
-            self.due.push(Reverse((monotonic() + TRY, link)));
+            self.due.push(Reverse((monotonic_micros() + TRY, link)));
             return Ok(());
         }
         let mut new = listener(kept.address())?;
@@ -326,7 +326,7 @@
         else {
             return;
         };
-        let now = monotonic();
+        let now = monotonic_micros();
         for place in datagrams.read(now, faults, &mut self.rng) {
             let _ = self.poll.registry().register(
                 &mut datagrams.behind[place].1,
--- a/crates/testbed/src/rig/serve.rs
+++ b/crates/testbed/src/rig/serve.rs
@@ -36,7 +36,7 @@
     if args.with_parent {
         end_with_parent();
     }
-    let signals = Signals::take()?;
+    let signals = Signals::install()?;
     let mut shell = GatewayServer::start(set, Some(args.config.clone()), fastrand::u64(..), false)?;
     if let Some(fault) = &args.fault {
         shell.inject_fault(fault.parse().map_err(anyhow::Error::msg)?);
@@ -54,7 +54,7 @@
 /// Runs the bare relay until it is stopped.
 pub fn relay(args: RelayArgs) -> anyhow::Result<()> {
     begin(args.with_parent);
-    let signals = Signals::take()?;
+    let signals = Signals::install()?;
     let mut relay = Relay::start(args.listen, args.servers)?;
     println!("ready grpc={}", relay.listen_address());
     Ok(relay.run(&signals)?)
--- a/crates/testbed/src/rig/watch.rs
+++ b/crates/testbed/src/rig/watch.rs
@@ -2,7 +2,7 @@
 
 use crate::parts::control;
 use crate::parts::log::{Line, Log};
-use chalkdeck_net::clock::monotonic;
+use chalkdeck_net::clock::monotonic_micros;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -30,7 +30,7 @@
                 while !stop.load(Ordering::Relaxed) {
                     if let Ok(text) = control::get(admin, "/sites") {
                         let note = Line::Note {
-                            t: monotonic(),
+                            t: monotonic_micros(),
                             what: "sites".into(),
                             target: format!("{gateway} {text}"),
                         };
--- a/crates/testbed/src/soak/play.rs
+++ b/crates/testbed/src/soak/play.rs
@@ -9,7 +9,7 @@
 use crate::parts::script::{Act, MESSAGE};
 use crate::rig::fleet::{any, Fleet};
 use anyhow::{bail, Context};
-use chalkdeck_net::clock::monotonic;
+use chalkdeck_net::clock::monotonic_micros;
 use chalkdeck_proto::chalkdeck::lab::v1::Day;
 use chalkdeck_proto::text;
 use rustix::process::Signal;
@@ -166,9 +166,9 @@
         let seconds = f64::from(self.plan.day.seconds);
         let mut load = self.fleet.load(seconds, &["--log", &log, "--out", &out])?;
         let control = load.address("control").ok();
-        let begin = monotonic();
+        let begin = monotonic_micros();
         for step in steps_of(self.plan) {
-            while monotonic() < begin + u64::from(step.at_ms) * 1_000 {
+            while monotonic_micros() < begin + u64::from(step.at_ms) * 1_000 {
                 self.note_exits();
                 std::thread::sleep(POLL);
             }
@@ -263,8 +263,8 @@
         gateways
             .clone()
             .for_each(|gateway| self.signal(gateway, Signal::TERM));
-        let deadline = monotonic() + u64::from(EXIT_BOUND_MS) * 1_000;
-        while !self.ending.is_empty() && monotonic() < deadline {
+        let deadline = monotonic_micros() + u64::from(EXIT_BOUND_MS) * 1_000;
+        while !self.ending.is_empty() && monotonic_micros() < deadline {
             self.note_exits();
             std::thread::sleep(POLL);
         }
--- a/crates/testbed/src/stand_ins/counter.rs
+++ b/crates/testbed/src/stand_ins/counter.rs
@@ -52,7 +52,7 @@
     pub fn start(listen: SocketAddr, control: SocketAddr) -> std::io::Result<Counter> {
         let mut engine = Engine::new()?;
         let limits = Limits {
-            streams: 20_000,
+            max_streams: 20_000,
             ..Limits::default()
         };
         let listen = engine.listen(listen, limits, false, false)?.1;
@@ -84,7 +84,7 @@
     /// Answers until it is asked to stop.
     pub fn run(&mut self, signals: &Signals) -> std::io::Result<()> {
         let mut events = Vec::new();
-        while !signals.stop() {
+        while !signals.is_stop_requested() {
             self.engine.turn(50_000, &mut events)?;
             for event in events.drain(..) {
                 self.on_event(event);
@@ -96,7 +96,7 @@
     fn on_event(&mut self, event: Event) {
         match event {
             Event::Opened { stream, head, .. } if head.uri.path().ends_with("/Adds") => {
-                self.engine.respond(stream, grpc::head(), false);
+                self.engine.respond(stream, grpc::response_head(), false);
                 self.streams.insert(stream, Deframer::default());
             }
             Event::Opened { stream, .. } => {
@@ -199,7 +199,7 @@
         self.next += 1;
         self.late.insert(self.next, (stream, answer));
         self.engine
-            .timer(self.engine.now() + self.slow_us, self.next);
+            .set_timer(self.engine.now() + self.slow_us, self.next);
     }
 
     fn on_adds(&mut self, stream: StreamId, data: &[u8]) {
@@ -274,7 +274,7 @@
         if self.streams.contains_key(&stream) {
             return self.engine.send(stream, frame);
         }
-        self.engine.respond(stream, grpc::head(), false);
+        self.engine.respond(stream, grpc::response_head(), false);
         self.engine.send(stream, frame);
         self.engine
             .finish(stream, Some(grpc::trailers(Code::Ok, "")));
@@ -288,7 +288,7 @@
 /// Runs it until it is stopped.
 pub fn command(args: &CounterArgs) -> anyhow::Result<()> {
     begin(args.with_parent);
-    let signals = Signals::take()?;
+    let signals = Signals::install()?;
     let mut counter = Counter::start(args.listen, args.control)?;
     println!(
         "ready grpc={} control={}",
--- a/crates/testbed/src/stand_ins/farm.rs
+++ b/crates/testbed/src/stand_ins/farm.rs
@@ -6,7 +6,7 @@
 use crate::parts::script;
 use crate::stand_ins::model::{Admit, Build, Model};
 use bytes::Bytes;
-use chalkdeck_net::clock::monotonic;
+use chalkdeck_net::clock::monotonic_micros;
 use chalkdeck_net::grpc::{self, Code};
 use chalkdeck_net::signals::Signals;
 use chalkdeck_net::{ConnId, Engine, Event, Limits, ListenerId, ReservedPort, StreamId};
@@ -124,12 +124,12 @@
     ) -> std::io::Result<Cell> {
         let mut engine = Engine::new()?;
         let limits = Limits {
-            connections: farm.connections,
+            max_connections: farm.connections,
             ..Limits::default()
         };
         let control = engine.listen(control, Limits::default(), false, true)?.1;
         let (mut servers, mut ports, mut listener_of) = (Vec::new(), Vec::new(), HashMap::new());
-        let now = monotonic();
+        let now = monotonic_micros();
         for address in listen {
             let port = ReservedPort::reserve(*address)?;
             let (listener, bound) = engine.listen(port.address(), limits, false, false)?;
@@ -170,7 +170,7 @@
     /// Serves until it is asked to stop.
     pub fn run(&mut self, signals: &Signals) -> std::io::Result<()> {
         let mut events = Vec::new();
-        while !signals.stop() {
+        while !signals.is_stop_requested() {
             self.engine.turn(50_000, &mut events)?;
             for event in events.drain(..) {
                 self.on_event(event);
@@ -211,7 +211,7 @@
     fn due_in(&mut self, after: u64, due: Due) {
         self.next += 1;
         self.due.insert(self.next, due);
-        self.engine.timer(self.engine.now() + after, self.next);
+        self.engine.set_timer(self.engine.now() + after, self.next);
     }
 
     fn on_call(&mut self, stream: StreamId, conn: ConnId, head: &request::Parts) {
@@ -221,12 +221,12 @@
         let path = head.uri.path().to_string();
         let (id, key) = (
             text(&head.headers, "x-call-id"),
-            text(&head.headers, grpc::KEY),
+            text(&head.headers, grpc::IDEMPOTENCY_KEY),
         );
         let customer = text(&head.headers, "x-customer");
         let units = text(&head.headers, "x-units").parse().unwrap_or(1.0);
         let name = self.servers[server].name.clone();
-        let t = monotonic();
+        let t = monotonic_micros();
         self.log.line(&Line::Arrive {
             t,
             server: name,
@@ -294,7 +294,7 @@
         s.mood.silent = true;
         if !std::mem::replace(&mut s.fallen, true) {
             self.log.line(&Line::Fell {
-                t: monotonic(),
+                t: monotonic_micros(),
                 server: s.name.clone(),
             });
         }
@@ -308,7 +308,7 @@
         let (id, key) = (call.id.clone(), call.key.clone());
         let server = self.servers[call.server].name.clone();
         self.log.line(&Line::Start {
-            t: monotonic(),
+            t: monotonic_micros(),
             server,
             id,
             key,
@@ -321,7 +321,7 @@
         if let Some((next, lasts)) =
             self.servers[server]
                 .model
-                .leave(monotonic(), number, called_off)
+                .leave(monotonic_micros(), number, called_off)
         {
             if let Some(&stream) = self.by_number.get(&next) {
                 self.begin(stream, lasts);
@@ -330,7 +330,7 @@
     }
 
     fn on_done(&mut self, stream: StreamId) {
-        let t = monotonic();
+        let t = monotonic_micros();
         let Some(call) = self.calls.get(&stream) else {
             return;
         };
@@ -368,7 +368,7 @@
             let call = &self.calls[&stream];
             (call.work.answer_bytes as usize, call.messages_left)
         };
-        self.engine.respond(stream, grpc::head(), false);
+        self.engine.respond(stream, grpc::response_head(), false);
         self.engine.send(stream, grpc::frame(&vec![b'f'; bytes]));
         if messages > 0 {
             return self.due_in(STREAM_STEP, Due::Message(stream));
@@ -393,7 +393,7 @@
         }
         call.messages_left -= 1;
         let frame: Bytes = grpc::frame(&vec![b'f'; call.work.answer_bytes as usize]);
-        if self.engine.queued(stream) == 0 {
+        if self.engine.queued_bytes(stream) == 0 {
             self.engine.send(stream, frame);
         }
         self.due_in(STREAM_STEP, Due::Message(stream));
@@ -406,7 +406,7 @@
         let (server, number, id, running) =
             (call.server, call.number, call.id.clone(), call.running);
         self.log.line(&Line::Cancel {
-            t: monotonic(),
+            t: monotonic_micros(),
             server: self.servers[server].name.clone(),
             id,
         });
@@ -435,7 +435,7 @@
     fn log_reply(&mut self, server: usize, id: &str, status: i32, unprocessed: bool) {
         let server = self.servers[server].name.clone();
         self.log.line(&Line::Reply {
-            t: monotonic(),
+            t: monotonic_micros(),
             server,
             id: id.to_string(),
             status,
@@ -451,13 +451,13 @@
             .find(|l| *l.1 == server)
             .map(|l| *l.0);
         if let Some(listener) = listener.filter(|_| down) {
-            self.engine.unlisten(listener);
+            self.engine.close_listener(listener);
             self.listener_of.remove(&listener);
             self.close_all(server..server + 1);
         }
         if listener.is_none() && !down {
             let limits = Limits {
-                connections: self.farm.connections,
+                max_connections: self.farm.connections,
                 ..Limits::default()
             };
             let address = self.ports[server].address();
@@ -465,7 +465,7 @@
             let (listener, _) = again.map_err(|e| format!("{address}: {e}\n"))?;
             self.listener_of.insert(listener, server);
             let s = &mut self.servers[server];
-            s.model = Model::new(self.farm.build.clone(), monotonic());
+            s.model = Model::new(self.farm.build.clone(), monotonic_micros());
             (s.mood, s.fallen) = (Mood::default(), false);
         }
         Ok(())
@@ -514,7 +514,7 @@
                     "errors" => s.mood.errors = number(value)?,
                     "errors_path" => s.mood.errors_path = value.clone(),
                     "slow" => s.model.slow = number(value)?.max(0.01),
-                    "cold" => s.model = Model::new(self.farm.build.clone(), monotonic()),
+                    "cold" => s.model = Model::new(self.farm.build.clone(), monotonic_micros()),
                     "reset" => {}
                     _ => return Err(format!("{name}: not known here\n")),
                 }
@@ -568,7 +568,7 @@
 /// Runs a cell until it is stopped.
 pub fn command(args: &FarmArgs) -> anyhow::Result<()> {
     begin(args.with_parent);
-    let signals = Signals::take()?;
+    let signals = Signals::install()?;
     let day = script::read(&args.day)?;
     let log = Log::create(args.log.as_deref())?;
     let mut cell = Cell::start(farm_of(&day, args.warm), &args.listen, args.control, log)?;
