--- a/crates/capacity-planner/src/input/parse.rs
+++ b/crates/capacity-planner/src/input/parse.rs
@@ -19,7 +19,7 @@
     pub fn parse(file: &str, text: &str) -> Result<PlanningInput, InputError> {
         let source = Source { file, text };
         let message: wire::SiteLoss = text::parse(MESSAGE, text)
-            .map_err(|e| source.error_at_line(e.line, InputProblem::Syntax(e.what)))?;
+            .map_err(|e| source.error_at_line(e.line, InputProblem::Syntax(e.message)))?;
         check_names(&source, &message)?;
         check_counts(&source, &message)?;
         let crossing_cost = crossing_cost(&source, message.crossing_cost)?;
--- a/crates/cli/src/proposal.rs
+++ b/crates/cli/src/proposal.rs
@@ -28,7 +28,7 @@
     text::parse(message, &source).map_err(|error| ProposalError::Form {
         file,
         line: error.line,
-        what: error.what,
+        what: error.message,
     })
 }
 
--- a/crates/client/src/driver.rs
+++ b/crates/client/src/driver.rs
@@ -193,6 +193,6 @@
 fn outcome_of(error: StreamError) -> AttemptOutcome {
     match error {
         StreamError::Refused | StreamError::GoneAway => AttemptOutcome::NotProcessed,
-        StreamError::Reset(_) | StreamError::Lost => AttemptOutcome::MayHaveRun,
+        StreamError::Reset(_) | StreamError::ConnectionLost => AttemptOutcome::MayHaveRun,
     }
 }
--- a/crates/client/src/settings/tests.rs
+++ b/crates/client/src/settings/tests.rs
@@ -24,6 +24,6 @@
     let error = Settings::parse("tries: 2\ntires: 3").expect_err("no such field");
     assert_eq!(error.line, 2);
     let error = Settings::parse("backoff_first_ms: 9000").expect_err("above the longest");
-    assert!(error.what.contains("backoff_first"));
+    assert!(error.message.contains("backoff_first"));
     assert!(Settings::parse("spread: -1").is_err() && Settings::parse("budget: nan").is_err());
 }
--- a/crates/client/src/settings/text.rs
+++ b/crates/client/src/settings/text.rs
@@ -18,7 +18,7 @@
         let settings = from_wire(&wire);
         settings.check().map_err(|error| TextError {
             line: 1,
-            what: error.to_string(),
+            message: error.to_string(),
         })?;
         Ok(settings)
     }
--- a/crates/coordinator/src/settings.rs
+++ b/crates/coordinator/src/settings.rs
@@ -122,7 +122,7 @@
             text::parse(MESSAGE, source).map_err(|error| SettingsError::Form {
                 file: file.into(),
                 line: error.line,
-                what: error.what,
+                what: error.message,
             })?;
         let checker = Checker { file, wire: &wire };
         let replicas = checker.replicas()?;
--- a/crates/grpc-gateway/src/attempt_outcome.rs
+++ b/crates/grpc-gateway/src/attempt_outcome.rs
@@ -31,7 +31,7 @@
 pub(crate) fn from_stream_error(error: StreamError) -> Outcome {
     match error {
         StreamError::Refused | StreamError::GoneAway => Outcome::Rejected,
-        StreamError::Reset(_) | StreamError::Lost => Outcome::Reset,
+        StreamError::Reset(_) | StreamError::ConnectionLost => Outcome::Reset,
     }
 }
 
--- a/crates/grpc-gateway/src/attempt_outcome/tests.rs
+++ b/crates/grpc-gateway/src/attempt_outcome/tests.rs
@@ -11,7 +11,7 @@
     assert!(from_trailers(&trailers).outcome.never_ran());
     assert!(!from_trailers(&HeaderMap::new()).outcome.never_ran());
     assert!(
-        !from_stream_error(StreamError::Lost).never_ran()
+        !from_stream_error(StreamError::ConnectionLost).never_ran()
             && !from_stream_error(StreamError::Reset(h2::Reason::CANCEL)).never_ran()
     );
     assert!(
--- a/crates/grpc-gateway/src/settings.rs
+++ b/crates/grpc-gateway/src/settings.rs
@@ -195,7 +195,7 @@
         let wire: wire::Gateway = text::parse(MESSAGE, text).map_err(|e| SettingsError {
             file: file.to_string(),
             line: e.line,
-            what: e.what,
+            what: e.message,
         })?;
         build(&source, &wire)
     }
--- a/crates/grpc-gateway/src/site_overrides.rs
+++ b/crates/grpc-gateway/src/site_overrides.rs
@@ -94,7 +94,7 @@
         text::parse(MESSAGE, &content).map_err(|error| SiteOverridesError::Malformed {
             file: path.into(),
             line: error.line,
-            what: error.what,
+            what: error.message,
         })?;
     Ok(message.sites.into_iter().collect())
 }
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -1,4 +1,4 @@
-//! Clocks. All of them count microseconds.
+//! Clocks. All times are in microseconds.
 
 use rustix::time::{clock_gettime, ClockId};
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
@@ -6,7 +6,7 @@
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 const NANOS_PER_MICRO: u64 = 1_000;
-/// The low bits of an incarnation, which are random.
+/// The number of random low bits of an incarnation.
 const INCARNATION_RANDOM_BITS: u32 = 12;
 
 fn read_clock(id: ClockId) -> u64 {
@@ -14,44 +14,44 @@
     time.tv_sec as u64 * MICROS_PER_SECOND + time.tv_nsec as u64 / NANOS_PER_MICRO
 }
 
-/// The machine's monotonic time: it never steps and is the same in all processes of this machine.
+/// The machine's monotonic time in microseconds. It never steps, and all processes of the machine see the same time.
 pub fn monotonic_micros() -> u64 {
     read_clock(ClockId::Monotonic)
 }
 
-/// The number of an incarnation of a process that started at `now`: above that of any earlier incarnation, and distinct from those
-/// that started in the same microsecond.
+/// The incarnation number of a process that started at `now`. It is higher than that of any earlier incarnation; random low bits
+/// distinguish processes that started in the same microsecond.
 pub fn new_incarnation(now: u64) -> u64 {
     (now << INCARNATION_RANDOM_BITS) | fastrand::u64(..1 << INCARNATION_RANDOM_BITS)
 }
 
-/// Time since the Unix epoch as it was at the start, advanced by the monotonic clock, so that it never steps.
+/// A wall clock that never steps: the Unix time is read once, at the start, and advanced by the monotonic clock.
 #[derive(Clone, Debug)]
 pub struct Clock {
-    /// The Unix time at the start of the monotonic clock.
+    /// The Unix time at the zero of the monotonic clock.
     offset: u64,
     jumps: Option<Arc<ClockJumps>>,
 }
 
-/// Makes a clock jump, for tests of what depends on it. Like the clock itself, its time does not go back: after a jump back of the
-/// source it goes on from where it was.
+/// Simulates jumps of the time source in tests. The resulting time never goes back, like that of the clock itself: after a jump back
+/// of the source, it continues from its latest value.
 #[derive(Debug, Default)]
 pub struct ClockJumps {
     /// The sum of all jumps.
     total: AtomicI64,
-    /// What was added so that time does not go back.
+    /// The sum of all corrections that keep the time from going back.
     correction: AtomicI64,
-    /// The latest time that was read.
+    /// The latest time that was returned.
     latest: AtomicU64,
 }
 
 impl ClockJumps {
-    /// Moves the source of time by so many microseconds, back if negative.
+    /// Shifts the time source by `by` microseconds; negative values shift it back.
     pub fn jump(&self, by: i64) {
         self.total.fetch_add(by, Ordering::SeqCst);
     }
 
-    /// The time for this reading of the source.
+    /// The time for this reading of the source, with all jumps and corrections.
     fn adjusted_time(&self, source: u64) -> u64 {
         let shifted = source as i64
             + self.total.load(Ordering::SeqCst)
@@ -68,14 +68,14 @@
 }
 
 impl Clock {
-    /// Reads the machine's date once.
+    /// A clock that starts from the machine's current time.
     pub fn start() -> Clock {
         Clock {
             offset: read_clock(ClockId::Realtime).saturating_sub(monotonic_micros()),
             jumps: None,
         }
     }
-    /// The same, shifted by `jumps`.
+    /// A clock that is shifted by `jumps`.
     pub fn with_jumps(jumps: Arc<ClockJumps>) -> Clock {
         Clock {
             jumps: Some(jumps),
--- a/crates/net/src/close_reason.rs
+++ b/crates/net/src/close_reason.rs
@@ -2,16 +2,16 @@
 
 use std::io;
 
-/// How a connection ended. Only an orderly end means that all that the peer wrote was received.
+/// Why a connection ended. Only `PeerEnded` implies that everything the peer sent was received.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CloseReason {
-    /// The peer ended its direction in order, after its last byte.
+    /// The peer shut down its side in an orderly way, after its last byte.
     #[error("closed by the peer")]
     PeerEnded,
-    /// It was closed from here.
-    #[error("closed here")]
-    Local,
-    /// It was reset, could not be made, or failed otherwise.
+    /// This process closed it.
+    #[error("closed locally")]
+    ClosedLocally,
+    /// It was reset, could not be established, or failed in another way.
     #[error("{0}")]
     Failed(String),
 }
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of either side, from its socket to the `h2` state that runs over it.
+//! One client or server connection: its socket and the protocol state on top of it.
 
 use crate::close_reason::CloseReason;
 use crate::h2_socket::H2Socket;
@@ -13,17 +13,17 @@
 use std::pin::Pin;
 use std::task::{Context, Poll, Waker};
 
-/// Streams that a client has reset and that `h2` still remembers.
+/// The number of reset streams that `h2` keeps track of.
 const MAX_REMEMBERED_RESETS: usize = 64;
 
-/// Both halves of the client side of HTTP/2.
+/// The two handles that an `h2` client handshake returns.
 type ClientHalves = (
     h2::client::SendRequest<Bytes>,
     h2::client::Connection<H2Socket, Bytes>,
 );
 type ClientHandshake = Pin<Box<dyn Future<Output = Result<ClientHalves, h2::Error>> + Send>>;
 
-/// What runs over a socket.
+/// The protocol state of a connection, with its socket.
 pub(crate) enum Transport {
     /// The socket is being connected.
     Connecting(Option<TcpStream>, Protocol),
@@ -39,7 +39,7 @@
     Closed,
 }
 
-/// What a connection carries.
+/// The protocol of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Protocol {
     Http2,
@@ -47,7 +47,7 @@
     Plain,
 }
 
-/// The streams that a client reset within one second.
+/// Counts the streams that a client resets within one second.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct ResetCounter {
     second: u64,
@@ -55,7 +55,7 @@
 }
 
 impl ResetCounter {
-    /// Counts a reset in this second; returns the number in it.
+    /// Counts a reset; returns the number of resets in this second.
     pub(crate) fn count(&mut self, second: u64) -> u32 {
         if self.second != second {
             *self = ResetCounter { second, resets: 0 };
@@ -65,46 +65,47 @@
     }
 }
 
+/// A connection with its limits and its state.
 pub(crate) struct Connection {
     pub(crate) transport: Transport,
     pub(crate) waker: Waker,
     pub(crate) limits: Limits,
     /// The key of the listener that accepted it.
     pub(crate) listener: Option<u64>,
-    /// The address of the client, where it was accepted.
+    /// The IP address of the client, if it was accepted.
     pub(crate) peer_ip: Option<IpAddr>,
-    /// Streams that are open on it.
+    /// The number of its open streams.
     pub(crate) open_streams: usize,
-    /// It was established.
+    /// Whether the connection was ever established.
     pub(crate) was_established: bool,
     pub(crate) reset_counter: ResetCounter,
     ping: Option<h2::PingPong>,
-    /// A ping was sent and not answered yet.
+    /// A ping was sent and its answer has not arrived yet.
     pub(crate) awaits_pong: bool,
-    /// Its client is asked to open nothing new as soon as that can be sent.
+    /// GOAWAY is sent, or will be as soon as the handshake is over.
     is_draining: bool,
 }
 
-/// What polling a connection led to.
+/// The result of polling a connection.
 pub(crate) enum Progress {
-    /// Nothing more for now.
+    /// No progress is possible now.
     Wait,
-    /// A connection that was made from here is established.
+    /// A connection that this process opened is established.
     Connected,
     /// A client opened a stream.
     Opened(
         Box<http::Request<h2::RecvStream>>,
         h2::server::SendResponse<Bytes>,
     ),
-    /// A GET on an HTTP/1.1 port.
+    /// A GET request over HTTP/1.1 for this path.
     Get(String),
-    /// Bytes on a plain connection.
+    /// Bytes received on a plain connection.
     Bytes {
         data: Bytes,
-        /// There may be more to read at once.
+        /// Whether there may be more to read without waiting.
         may_have_more: bool,
     },
-    /// It has ended.
+    /// The connection is closed.
     Closed(CloseReason),
 }
 
@@ -158,7 +159,7 @@
         }
     }
 
-    /// How many further streams may be opened now, by our limit and by that of the peer.
+    /// The number of further streams that can be opened now, by the local limit and that of the peer.
     pub(crate) fn available_streams(&self) -> usize {
         let Transport::Client(sender, _) = &self.transport else {
             return 0;
@@ -169,7 +170,7 @@
         max_streams.saturating_sub(self.open_streams)
     }
 
-    /// Bytes queued on a plain connection that were not written.
+    /// The number of bytes queued on a plain connection that are not written yet.
     pub(crate) fn unsent_bytes(&self) -> usize {
         match &self.transport {
             Transport::Plain(plain) => plain.unsent_bytes(),
@@ -177,7 +178,7 @@
         }
     }
 
-    /// Asks the client to open nothing new; during the handshake, as soon as that is over.
+    /// Sends GOAWAY, so that the client opens no new streams. During the handshake, it is sent as soon as that is over.
     pub(crate) fn drain(&mut self) {
         self.is_draining = true;
         if let Transport::Server(server) = &mut self.transport {
@@ -194,7 +195,7 @@
         }
     }
 
-    /// Makes progress as far as one result.
+    /// Makes progress until there is one result.
     pub(crate) fn poll(&mut self) -> Progress {
         let waker = self.waker.clone();
         let mut context = Context::from_waker(&waker);
@@ -215,7 +216,7 @@
         }
     }
 
-    /// Polls the transport; none: there is another transport now, which is to be polled.
+    /// Polls the transport. `None` means that it was replaced, and that the new transport has to be polled.
     fn advance(&mut self, context: &mut Context<'_>) -> Option<Progress> {
         match &mut self.transport {
             Transport::Connecting(..) => self.poll_connecting(),
@@ -317,7 +318,7 @@
     }
 }
 
-/// Takes the socket out of its slot once it is connected.
+/// Takes the socket out of its slot once the connection is established.
 fn poll_established(slot: &mut Option<TcpStream>) -> Poll<io::Result<TcpStream>> {
     let Some(stream) = slot else {
         return Poll::Pending;
--- a/crates/net/src/engine.rs
+++ b/crates/net/src/engine.rs
@@ -1,7 +1,8 @@
-//! The event loop: listeners, connections, streams and timers by id, and what happens to them as events.
+//! The event loop. It holds listeners, connections, streams and timers by id, and reports what happens to them as events.
 //!
-//! Limits: a listener holds `Limits::connections`, a connection `Limits::streams`. Of the bytes that are received on a stream, at most
-//! one window is held until `consume` gives it back; what a caller queues to be sent it has to pace by `Event::Sent`.
+//! A listener holds at most `Limits::max_connections` connections, and a connection at most `Limits::max_streams` streams. A peer can
+//! send one flow-control window on a stream until `consume` releases capacity. Bytes queued to be sent are not bounded here: the
+//! caller limits them with the help of `Event::Sent`.
 
 mod connections;
 mod listeners;
@@ -23,62 +24,64 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Streams that clients may open in one turn. Against floods: each step of the open calls waits for a turn.
+/// Streams that clients may open in one turn of the loop. Without a limit, a flood of new streams would delay the streams that are
+/// already open, as each of their steps waits for the next turn.
 const OPENS_PER_TURN: usize = 64;
-/// Connections and streams that are polled in one turn, so that a busy peer does not delay timers.
+/// Connections and streams that are polled in one turn of the loop, so that a busy peer does not delay timers.
 const POLLS_PER_TURN: usize = 8_192;
-/// Events of sockets that one wait may report.
+/// The most readiness events that one `mio` poll returns.
 const READINESS_CAPACITY: usize = 1_024;
-/// The token of `LoopWaker`.
+/// The mio token of the `LoopWaker`.
 const WAKER_TOKEN: Token = Token(usize::MAX);
 
-/// Wakes a loop from another thread.
+/// Wakes an event loop from another thread.
 pub type LoopWaker = mio::Waker;
 
-/// A moment in microseconds and what is due then: the token of a timer, or the key of a connection.
+/// A time in microseconds and what is due then: the token of a timer, or the key of a connection. Reversed, so that a heap yields
+/// the earliest one first.
 type Scheduled = Reverse<(u64, u64)>;
 
-/// The loop's state. It belongs to one thread and holds no locks between calls.
+/// The event loop. One thread owns it; no lock is held between its calls.
 pub struct Engine {
     poll: Poll,
     readiness: mio::Events,
     ready: Arc<ReadyQueue>,
     clock: Clock,
-    /// The key that was given last. Listeners, connections and streams share the numbers.
+    /// The last assigned key. Listeners, connections and streams share one sequence of keys.
     last_key: u64,
     listeners: FxHashMap<u64, Listener>,
     connections: FxHashMap<u64, Connection>,
     streams: FxHashMap<u64, Box<Stream>>,
     timers: BinaryHeap<Scheduled>,
-    /// When connections are to be pinged.
+    /// The times of the next keepalive pings, by connection.
     pings: BinaryHeap<Scheduled>,
-    /// Events that were not handed over yet.
+    /// Events that `turn` has not returned yet.
     events: VecDeque<Event>,
-    /// Streams that clients opened in this turn.
+    /// The number of streams that clients opened in this turn.
     opened_in_turn: usize,
-    /// Listeners that have more connections to accept.
+    /// Listeners that may have further connections to accept.
     accepting_listeners: Vec<u64>,
-    /// Plain connections of which the last turn handed over bytes that its caller has not handled yet.
+    /// Plain connections whose bytes from the last turn the caller has not handled yet.
     unhandled: FxHashSet<u64>,
-    /// Plain connections that gave their piece in this turn and may have more to read.
+    /// Plain connections that were read in this turn and may have more to read.
     unread: Vec<u64>,
-    /// Plain connections with bytes queued in this turn; they are written before the next wait.
+    /// Plain connections with bytes that were queued in this turn. They are flushed before the next wait.
     unflushed: Vec<u64>,
 }
 
 impl Engine {
-    /// A loop that holds nothing.
+    /// An event loop without listeners, connections or timers.
     ///
     /// # Errors
-    /// The system gives no poll handle.
+    /// The operating system cannot create a poll handle.
     pub fn new() -> io::Result<Engine> {
         Engine::with_clock(Clock::start())
     }
 
-    /// The same with a clock of the caller's.
+    /// An event loop with the given clock.
     ///
     /// # Errors
-    /// As `new`.
+    /// See `new`.
     pub fn with_clock(clock: Clock) -> io::Result<Engine> {
         Ok(Engine {
             poll: Poll::new()?,
@@ -100,7 +103,7 @@
         })
     }
 
-    /// Microseconds since the Unix epoch; never steps.
+    /// Microseconds since the Unix epoch, from a clock that never steps.
     pub fn now(&self) -> u64 {
         self.clock.now()
     }
@@ -110,23 +113,23 @@
         self.last_key
     }
 
-    /// Wakes the loop from another thread. One loop has one of them.
+    /// Creates the handle that wakes this loop from another thread. A loop supports only one.
     ///
     /// # Errors
-    /// The system gives no handle.
+    /// The operating system cannot create the handle.
     pub fn waker(&self) -> io::Result<LoopWaker> {
         mio::Waker::new(self.poll.registry(), WAKER_TOKEN)
     }
 
-    /// Sets a timer: `Event::Timer(token)` at that time. Timers are not cancelled; the caller ignores those that are obsolete.
+    /// Sets a timer that causes `Event::Timer(token)` at the time `at`. Timers cannot be cancelled; the caller ignores obsolete ones.
     pub fn set_timer(&mut self, at: u64, token: u64) {
         self.timers.push(Reverse((at, token)));
     }
 
-    /// Waits until something happens, at most so many microseconds, and hands over what did.
+    /// Runs one turn of the loop: waits for an event, for at most `max_wait` microseconds, and appends what happened to `events`.
     ///
     /// # Errors
-    /// The system fails to poll the sockets.
+    /// The operating system fails to poll the sockets.
     pub fn turn(&mut self, max_wait: u64, events: &mut Vec<Event>) -> io::Result<()> {
         self.flush_plain();
         self.unhandled.clear();
@@ -135,8 +138,8 @@
         self.wake_ready();
         self.poll_ready();
         self.wake_unread();
-        // After what was read: a reply that was received in time must not be met by its own time-out, nor a connection with a request
-        // on it by its idle time-out.
+        // Timers fire after the reads: a reply that arrived in time must not be reported after its own timeout, and a connection that
+        // has received a request must not be closed by its idle timeout.
         self.fire_timers();
         events.extend(self.events.drain(..));
         Ok(())
@@ -159,7 +162,7 @@
         }
     }
 
-    /// Accepts connections and wakes those whose sockets are ready.
+    /// Accepts new connections, and wakes the connections whose sockets are ready.
     fn wake_ready(&mut self) {
         let mut keys = std::mem::take(&mut self.accepting_listeners);
         for event in &self.readiness {
@@ -185,7 +188,7 @@
         }
     }
 
-    /// Polls what is ready, within the limits of a turn.
+    /// Polls the connections and streams that are ready, within the limits of a turn.
     fn poll_ready(&mut self) {
         self.opened_in_turn = 0;
         for _ in 0..POLLS_PER_TURN {
@@ -201,6 +204,7 @@
         }
     }
 
+    /// Wakes the connections that may have more to read, for the next turn.
     fn wake_unread(&mut self) {
         for key in std::mem::take(&mut self.unread) {
             if let Some(connection) = self.connections.get(&key) {
--- a/crates/net/src/engine/connections.rs
+++ b/crates/net/src/engine/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of all protocols: made, polled, pinged and closed.
+//! Opens, polls, pings and closes connections of all protocols.
 
 use super::Engine;
 use crate::close_reason::CloseReason;
@@ -14,22 +14,22 @@
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 
-/// Streams that one connection may open before others have their turn.
+/// Streams that the peer of one connection may open before other connections are polled.
 const OPENS_PER_CONNECTION: usize = 8;
 
 impl Engine {
-    /// Begins an HTTP/2 connection; `Connected` or `Closed` follows.
+    /// Starts to connect for HTTP/2. `Event::Connected` or `Event::Closed` follows.
     ///
     /// # Errors
-    /// No socket is left, or the connection is refused at once.
+    /// No socket can be created, or the connection is refused at once.
     pub fn connect(&mut self, address: SocketAddr, limits: Limits) -> io::Result<ConnId> {
         self.dial(address, limits, Protocol::Http2)
     }
 
-    /// Begins a plain connection, on which nothing may be queued before `Connected`.
+    /// Starts to connect for a plain connection. Nothing may be queued on it before `Event::Connected`.
     ///
     /// # Errors
-    /// As `connect`.
+    /// See `connect`.
     pub fn connect_plain(&mut self, address: SocketAddr) -> io::Result<ConnId> {
         self.dial(address, Limits::default(), Protocol::Plain)
     }
@@ -53,7 +53,7 @@
         Ok(ConnId(key))
     }
 
-    /// The number of open connections of a listener, also of one that does not listen any more.
+    /// The number of open connections that a listener accepted. The listener may be closed by now.
     pub fn listener_connection_count(&self, listener: ListenerId) -> usize {
         self.connections
             .values()
@@ -66,12 +66,12 @@
         self.connections.len()
     }
 
-    /// The address of the client of a connection; none: it is not open, or was made from here.
+    /// The IP address of the client of an accepted connection. `None` if the connection is closed, or was opened by this process.
     pub fn peer_ip(&self, conn: ConnId) -> Option<IpAddr> {
         self.connections.get(&conn.0)?.peer_ip
     }
 
-    /// Asks all clients of a listener's connections to open nothing new (GOAWAY); open streams go on.
+    /// Sends GOAWAY on all connections of a listener, so that their clients open no new streams. Open streams continue.
     pub fn drain(&mut self, listener: ListenerId) {
         let connections = self.connections.values_mut();
         for connection in connections.filter(|connection| connection.listener == Some(listener.0)) {
@@ -94,11 +94,11 @@
         }
         connection.waker.wake_by_ref();
         if matches!(connection.transport, Transport::Closed) {
-            self.remove_connection(conn.0, CloseReason::Local);
+            self.remove_connection(conn.0, CloseReason::ClosedLocally);
         }
     }
 
-    /// Answers a GET and closes its connection.
+    /// Answers a GET request and closes its connection.
     pub fn reply(&mut self, conn: ConnId, status: u16, body: &str) {
         let Some(Connection {
             transport: Transport::Http1(http1),
@@ -109,12 +109,13 @@
             return;
         };
         match http1.reply(status, body) {
-            Http1Progress::Closed => self.remove_connection(conn.0, CloseReason::Local),
+            Http1Progress::Closed => self.remove_connection(conn.0, CloseReason::ClosedLocally),
             Http1Progress::Wait | Http1Progress::Get(_) => waker.wake_by_ref(),
         }
     }
 
-    /// Pings connections at their intervals. Without it the calls on a connection that is half open would wait for their time-outs.
+    /// Pings the connections that are due and closes those that did not answer the last ping. Without pings, calls on a half-open
+    /// connection would wait for their timeouts.
     pub(super) fn send_pings(&mut self, now: u64) {
         while let Some(Reverse((at, key))) = self.pings.peek().copied() {
             if at > now {
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Polls a connection until it waits, or others have their turn.
+    /// Polls a connection until it can make no more progress, or has used its share of this turn.
     pub(super) fn poll_connection(&mut self, key: u64) {
         let mut opened = 0;
         while let Some(connection) = self.connections.get_mut(&key) {
@@ -181,8 +182,8 @@
         }
     }
 
-    /// One piece of bytes a turn, so that no connection delays the others or fills the memory: the rest stays in the socket until the
-    /// next turn.
+    /// Reports the bytes of one read. A connection is read once per turn, so that none delays the others or exhausts the memory; the
+    /// rest stays in the socket until the next turn.
     fn on_plain_bytes(&mut self, key: u64, data: bytes::Bytes, may_have_more: bool) {
         if may_have_more {
             self.unread.push(key);
@@ -209,7 +210,7 @@
         });
     }
 
-    /// A connection of a listener has ended: one that waits can be accepted.
+    /// Accepts waiting connections when an accepted one has closed and its listener was full.
     fn on_accepted_connection_closed(&mut self, listener_key: u64) {
         let Some(listener) = self.listeners.get_mut(&listener_key) else {
             return;
--- a/crates/net/src/engine/listeners.rs
+++ b/crates/net/src/engine/listeners.rs
@@ -1,4 +1,4 @@
-//! Listeners and the connections that they accept.
+//! Opens and closes listeners, and accepts their connections.
 
 use super::Engine;
 use crate::connection::{Connection, Protocol};
@@ -12,12 +12,12 @@
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 
-/// Connections that a listener accepts in one turn. Open connections are not delayed while thousands of clients reconnect.
+/// Connections that a listener accepts in one turn, so that open connections are not delayed while thousands of clients reconnect.
 pub(super) const ACCEPTS_PER_TURN: usize = 32;
 
 impl Engine {
-    /// Listens at `address` for HTTP/2 or, with `http1`, for GETs over HTTP/1.1; port 0 takes a free one. `shared`: other threads
-    /// listen there, too.
+    /// Listens at `address` for HTTP/2, or for HTTP/1.1 GET requests if `is_http1`. Port 0 selects a free port. With `is_port_shared`,
+    /// other threads can listen at the same address.
     ///
     /// # Errors
     /// The address cannot be bound.
@@ -41,7 +41,7 @@
         self.add_listener(Listener::bind(address, limits, sharing, protocol)?)
     }
 
-    /// Listens at `address` for plain connections.
+    /// Listens at `address` for plain connections. Port 0 selects a free port.
     ///
     /// # Errors
     /// The address cannot be bound.
@@ -66,16 +66,15 @@
         Ok((ListenerId(key), local_address))
     }
 
-    /// Stops to listen; open connections stay. What waits is accepted first, up to the listener's limit: the system has completed
-    /// these connections, so their clients may have sent on them already.
+    /// Stops listening; open connections stay. Connections in the kernel's backlog are accepted first, up to the listener's limit:
+    /// they are established, so their clients may have sent requests already.
     pub fn close_listener(&mut self, listener: ListenerId) {
         self.accept(listener.0, usize::MAX);
         self.listeners.remove(&listener.0);
     }
 
-    /// Stops to listen once there is room and nothing waits; returns whether it does not listen any more. A listener that holds as
-    /// many connections as it may goes on until those that the system has completed were accepted: an end would reset them with
-    /// what their clients sent.
+    /// Stops listening if the kernel's backlog is empty, and returns whether the listener is closed. A full listener stays open until
+    /// the established connections in its backlog are accepted: closing it would reset them and lose what their clients sent.
     pub fn close_listener_if_backlog_empty(&mut self, listener: ListenerId) -> bool {
         self.accept(listener.0, usize::MAX);
         let may_have_backlog = self
@@ -88,7 +87,7 @@
         !may_have_backlog
     }
 
-    /// Retries to accept where that failed: a listener may have no connection whose end would wake it.
+    /// Accepts again on listeners where that failed, since a listener without open connections has no other event that would wake it.
     pub(super) fn retry_accepts(&mut self) {
         let now = self.now();
         let keys: Vec<u64> = self
@@ -102,7 +101,7 @@
         }
     }
 
-    /// Accepts at most so many of the connections that wait.
+    /// Accepts at most `max` waiting connections.
     pub(super) fn accept(&mut self, key: u64, max: usize) {
         for _ in 0..max {
             let now = self.now();
--- a/crates/net/src/engine/plain.rs
+++ b/crates/net/src/engine/plain.rs
@@ -1,4 +1,4 @@
-//! Plain connections: queued bytes, ends, and what waits on an idle one.
+//! Writing, pausing and closing plain connections.
 
 use super::Engine;
 use crate::connection::{Connection, Transport};
@@ -27,13 +27,13 @@
         }
     }
 
-    /// Bytes queued on a plain connection that were not written.
+    /// The number of bytes that are queued on a plain connection and not written to its socket yet.
     pub fn unsent_bytes(&mut self, conn: ConnId) -> usize {
         self.plain(conn)
             .map_or(0, |(plain, _)| plain.unsent_bytes())
     }
 
-    /// Bytes of a plain connection that were written in all.
+    /// The total number of bytes written to the socket of a plain connection.
     pub fn written_bytes(&mut self, conn: ConnId) -> u64 {
         self.plain(conn).map_or(0, |(plain, _)| plain.written_bytes)
     }
@@ -54,8 +54,8 @@
         self.set_ending(conn, Ending::Close);
     }
 
-    /// Ends our direction of a plain connection once its queued bytes are written, then discards what is received until the peer ends
-    /// it or `close` is called: a close over unread bytes would take the last reply from the peer.
+    /// Shuts down the write side of a plain connection once its queued bytes are written, then discards input until the peer closes it or
+    /// `close` is called. Closing with unread input would reset the connection, and the peer could lose the last reply.
     pub fn start_lingering_close(&mut self, conn: ConnId) {
         self.set_ending(conn, Ending::Linger);
     }
@@ -67,19 +67,19 @@
         }
     }
 
-    /// The caller handles the bytes of a plain connection that the last turn handed over.
+    /// Marks the bytes that the last turn reported for a plain connection as handled.
     pub fn mark_handled(&mut self, conn: ConnId) {
         self.unhandled.remove(&conn.0);
     }
 
-    /// Whether a plain connection is open with nothing to read: no end, no error and no bytes, neither in the socket nor among the
-    /// events of the last turn that were not `handled` yet.
+    /// Whether a plain connection is open and has nothing to read: no end of input, no error and no bytes, neither in the socket nor
+    /// among the events of the last turn that are not marked as handled.
     pub fn is_idle(&mut self, conn: ConnId) -> bool {
         !self.unhandled.contains(&conn.0)
             && self.plain(conn).is_some_and(|(plain, _)| plain.is_idle())
     }
 
-    /// Closes a plain connection on which nothing waits, neither to be written nor to be read; returns whether it did.
+    /// Closes a plain connection that has nothing to read or to write; returns whether it did.
     pub fn close_if_idle(&mut self, conn: ConnId) -> bool {
         let is_idle = self.is_idle(conn)
             && self
@@ -98,7 +98,7 @@
                 continue;
             };
             plain.has_unflushed = false;
-            // An error occurs again, and is reported, when the connection is polled.
+            // Polling the connection runs into the same error and reports it.
             if plain.flush().is_err() {
                 waker.wake_by_ref();
             }
--- a/crates/net/src/engine/streams.rs
+++ b/crates/net/src/engine/streams.rs
@@ -1,4 +1,4 @@
-//! HTTP/2 streams: opened, written, polled and reset.
+//! Opens, writes, polls and resets HTTP/2 streams.
 
 use super::Engine;
 use crate::connection::{Connection, Transport};
@@ -9,11 +9,10 @@
 use bytes::Bytes;
 use http::{HeaderMap, Request, Response};
 
-/// Microseconds in a second.
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
 impl Engine {
-    /// How many further streams may be opened on a connection now.
+    /// The number of further streams that can be opened on a connection now.
     pub fn available_streams(&self, conn: ConnId) -> usize {
         self.connections
             .get(&conn.0)
@@ -27,12 +26,13 @@
             .map_or(0, |connection| connection.open_streams)
     }
 
-    /// The number of open streams.
+    /// The number of open streams of all connections.
     pub fn stream_count(&self) -> usize {
         self.streams.len()
     }
 
-    /// Opens a stream. `ended`: it has no body. None when the connection is not established or takes no further stream.
+    /// Opens a stream with the head of its request. With `is_end_stream`, the request has no body. `None` if the connection is not
+    /// established or cannot open another stream.
     pub fn open_stream(
         &mut self,
         conn: ConnId,
@@ -62,28 +62,28 @@
         Some(StreamId(key))
     }
 
-    /// Sends the head of a response. `end`: it is the whole response.
+    /// Sends the head of a response. With `is_end_stream`, the response has no body.
     pub fn respond(&mut self, stream: StreamId, head: Response<()>, is_end_stream: bool) {
         if let Some(stream) = self.streams.get_mut(&stream.0) {
             stream.respond(head, is_end_stream);
         }
     }
 
-    /// Queues bytes.
+    /// Queues bytes to be sent.
     pub fn send(&mut self, stream: StreamId, data: Bytes) {
         if let Some(stream) = self.streams.get_mut(&stream.0) {
             stream.send(data);
         }
     }
 
-    /// Ends our direction after what is queued.
+    /// Ends this side of the stream after the queued bytes, with trailers if there are any.
     pub fn finish(&mut self, stream: StreamId, trailers: Option<HeaderMap>) {
         if let Some(stream) = self.streams.get_mut(&stream.0) {
             stream.finish(trailers);
         }
     }
 
-    /// Resets a stream; no further event names it.
+    /// Resets a stream. No further event is reported for it.
     pub fn reset(&mut self, stream: StreamId, reason: h2::Reason) {
         if let Some(stream) = self.streams.get_mut(&stream.0) {
             stream.reset(reason);
@@ -91,26 +91,26 @@
         self.remove_stream(stream.0);
     }
 
-    /// Lets the peer send so many bytes more.
+    /// Releases flow-control capacity, so that the peer can send `bytes` more.
     pub fn consume(&mut self, stream: StreamId, bytes: usize) {
         if let Some(stream) = self.streams.get_mut(&stream.0) {
             stream.consume(bytes);
         }
     }
 
-    /// Bytes queued on a stream that the peer's window does not take yet.
+    /// The number of bytes queued on a stream that the peer's flow-control window does not admit yet.
     pub fn queued_bytes(&self, stream: StreamId) -> usize {
         self.streams
             .get(&stream.0)
             .map_or(0, |stream| stream.queued_bytes())
     }
 
-    /// Whether the stream can still make progress.
+    /// Whether the stream is still open.
     pub fn is_open(&self, stream: StreamId) -> bool {
         self.streams.contains_key(&stream.0)
     }
 
-    /// Polls a stream.
+    /// Polls a stream, and removes it once it is finished.
     pub(super) fn poll_stream(&mut self, key: u64) {
         let Some(stream) = self.streams.get_mut(&key) else {
             return;
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Closes the connection of a client that opens and resets streams without end: each of them costs work for nobody.
+    /// Closes the connection of a client that resets streams too often: each stream costs work whose result no one receives.
     fn count_reset(&mut self, conn: ConnId) {
         let second = self.now() / MICROS_PER_SECOND;
         let Some(connection) = self.connections.get_mut(&conn.0) else {
@@ -151,7 +151,7 @@
         }
     }
 
-    /// A client opened a stream.
+    /// Registers a stream that a client opened.
     pub(super) fn on_stream_opened(
         &mut self,
         conn_key: u64,
--- a/crates/net/src/event.rs
+++ b/crates/net/src/event.rs
@@ -1,4 +1,4 @@
-//! What a loop reports to its caller.
+//! Events that the loop reports to its caller.
 
 use crate::close_reason::CloseReason;
 use crate::ids::{ConnId, ListenerId, StreamId};
@@ -8,17 +8,17 @@
 /// Why a stream failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamError {
-    /// The peer refused it before it processed it.
+    /// The peer refused the stream before processing it.
     Refused,
-    /// The peer is going away and states that it did not process it.
+    /// The peer sent GOAWAY, which states that it did not process the stream.
     GoneAway,
-    /// The peer reset it.
+    /// The peer reset the stream.
     Reset(h2::Reason),
-    /// The connection is lost.
-    Lost,
+    /// The connection was lost.
+    ConnectionLost,
 }
 
-/// What happened.
+/// Something that happened in the loop.
 #[derive(Debug)]
 pub enum Event {
     /// A connection was accepted.
@@ -28,20 +28,20 @@
         /// The connection.
         conn: ConnId,
     },
-    /// A connection that was made from here is established.
+    /// A connection that this process opened is established.
     Connected {
         /// The connection.
         conn: ConnId,
     },
-    /// A connection has ended.
+    /// A connection is closed.
     Closed {
         /// The connection.
         conn: ConnId,
-        /// It was established before.
+        /// Whether it was ever established.
         was_established: bool,
-        /// Bytes queued on a plain connection that were never written.
+        /// The number of bytes queued on a plain connection that were never written.
         unsent_bytes: usize,
-        /// Why it ended.
+        /// Why it is closed.
         reason: CloseReason,
     },
     /// A client opened a stream.
@@ -52,7 +52,7 @@
         conn: ConnId,
         /// The head of its request.
         head: Box<request::Parts>,
-        /// The request has no body.
+        /// Whether the request has no body.
         is_end_stream: bool,
     },
     /// The head of a response was received.
@@ -61,47 +61,47 @@
         stream: StreamId,
         /// The head.
         head: Box<response::Parts>,
-        /// The response has no body.
+        /// Whether the response has no body.
         is_end_stream: bool,
     },
-    /// Bytes of a body were received; `Engine::consume` lets the peer send more.
+    /// Bytes of a body were received. `Engine::consume` lets the peer send more.
     Data {
         /// The stream.
         stream: StreamId,
         /// The bytes.
         data: Bytes,
     },
-    /// The peer's direction of a stream has ended.
+    /// The peer ended its side of a stream.
     End {
         /// The stream.
         stream: StreamId,
-        /// Its trailers.
+        /// Its trailers, if it sent any.
         trailers: Option<HeaderMap>,
     },
     /// Queued bytes were handed to the connection.
     Sent {
         /// The stream.
         stream: StreamId,
-        /// How many.
+        /// The number of bytes.
         bytes: usize,
     },
-    /// A stream failed; no further event names it.
+    /// A stream failed. No further event is reported for it.
     StreamFailed {
         /// The stream.
         stream: StreamId,
-        /// Why.
+        /// Why it failed.
         error: StreamError,
     },
-    /// A timer has fired; its token.
+    /// The timer with this token has fired.
     Timer(u64),
-    /// A GET on an HTTP/1.1 port.
+    /// A GET request arrived over HTTP/1.1.
     Get {
         /// The connection.
         conn: ConnId,
-        /// Its path.
+        /// The path of the request.
         path: String,
     },
-    /// Bytes on a plain connection were received.
+    /// Bytes were received on a plain connection.
     Bytes {
         /// The connection.
         conn: ConnId,
--- a/crates/net/src/file_watch.rs
+++ b/crates/net/src/file_watch.rs
@@ -1,24 +1,24 @@
-//! A file that is read again when it was replaced or written.
+//! Polls a file for changes and reads it again after each one.
 
 use std::io;
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 use std::time::SystemTime;
 
-/// The longest file that is read.
+/// The largest file that is read.
 const MAX_BYTES: u64 = 32 << 20;
 
-/// Why a watched file was not read.
+/// A watched file cannot be read.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum FileWatchError {
-    /// It does not exist, or the system does not give it.
+    /// It does not exist, or the operating system denies access.
     #[error("cannot be read: {0}")]
     #[diagnostic(
         code(chalkdeck::net::watch_read),
         help("put the file back, readable by this process; what was last read stays in force until then")
     )]
     Read(#[from] io::Error),
-    /// It is too long.
+    /// It is too large.
     #[error("expected at most {MAX_BYTES} bytes, found {0}")]
     #[diagnostic(
         code(chalkdeck::net::watch_too_long),
@@ -27,6 +27,7 @@
     TooLong(u64),
 }
 
+/// The metadata that shows whether a file was written or replaced.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct FileVersion {
     modified: Option<SystemTime>,
@@ -34,18 +35,18 @@
     inode: u64,
 }
 
-/// Checks a file whenever it is polled, and reads it when it may have changed.
+/// Checks a file when it is polled, and reads it if its metadata has changed.
 #[derive(Debug)]
 pub struct FileWatch {
     path: PathBuf,
-    /// The version that was read last.
+    /// The last version that was read.
     last_read: Option<FileVersion>,
-    /// The last poll failed, and its error was returned.
+    /// The last poll failed, so its error is already reported.
     has_failed: bool,
 }
 
 impl FileWatch {
-    /// Watches a file; nothing is read yet.
+    /// Watches a file. Nothing is read before the first poll.
     pub fn new(path: PathBuf) -> FileWatch {
         FileWatch {
             path,
@@ -53,11 +54,12 @@
             has_failed: false,
         }
     }
-    /// The file.
+    /// The path of the watched file.
     pub fn path(&self) -> &Path {
         &self.path
     }
-    /// Returns the bytes of the file if it has changed since the last poll. An error is returned once until the file is readable again.
+    /// Returns the content of the file if it has changed since the last poll. While the file cannot be checked, only the first poll
+    /// returns the error.
     pub fn poll(&mut self) -> Option<Result<Vec<u8>, FileWatchError>> {
         let version = match file_version(&self.path) {
             Ok(version) => version,
--- a/crates/net/src/grpc.rs
+++ b/crates/net/src/grpc.rs
@@ -1,4 +1,4 @@
-//! gRPC over HTTP/2 as its public specification states it: framing, time-outs, status and its details.
+//! gRPC over HTTP/2 by its public specification: framing, timeouts, statuses and their details.
 
 use base64::engine::{
     general_purpose::STANDARD_NO_PAD, DecodePaddingMode, GeneralPurpose, GeneralPurposeConfig,
@@ -10,7 +10,7 @@
 use percent_encoding::{percent_decode_str, utf8_percent_encode, AsciiSet, CONTROLS};
 use prost::Message;
 
-/// Status codes of gRPC.
+/// gRPC status codes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[repr(i32)]
 pub enum Code {
@@ -24,19 +24,19 @@
     InvalidArgument = 3,
     /// The deadline passed before the call ended.
     DeadlineExceeded = 4,
-    /// What was requested does not exist.
+    /// The requested entity does not exist.
     NotFound = 5,
-    /// What was to be created exists already.
+    /// The entity to create exists already.
     AlreadyExists = 6,
-    /// The caller is not permitted to do this.
+    /// The caller lacks permission for this operation.
     PermissionDenied = 7,
-    /// A quota or a resource is used up.
+    /// A quota or a resource is exhausted.
     ResourceExhausted = 8,
     /// The state of the system does not allow the call.
     FailedPrecondition = 9,
-    /// The call was aborted, mostly by a conflict.
+    /// The call was aborted, usually because of a conflict.
     Aborted = 10,
-    /// The request is beyond a valid range.
+    /// The request is outside the valid range.
     OutOfRange = 11,
     /// The method is not implemented.
     Unimplemented = 12,
@@ -70,48 +70,48 @@
     Code::Unauthenticated,
 ];
 
-/// The name of the status in trailers.
+/// The trailer with the status code.
 pub const STATUS: &str = "grpc-status";
-/// The message of a status, percent-encoded.
+/// The trailer with the status message, percent-encoded.
 pub const MESSAGE: &str = "grpc-message";
-/// `google.rpc.Status` in base64.
+/// The trailer with the status details: `google.rpc.Status` in base64.
 pub const DETAILS: &str = "grpc-status-details-bin";
-/// Milliseconds until a client may retry; negative: it must not.
+/// The trailer with the milliseconds until a client may retry. A negative number forbids retries.
 pub const RETRY_PUSHBACK: &str = "grpc-retry-pushback-ms";
-/// How many attempts of this call a client made before.
+/// The header with the number of earlier attempts of this call.
 pub const PREVIOUS_ATTEMPTS: &str = "grpc-previous-rpc-attempts";
-/// The idempotency key of a call.
+/// The header with the idempotency key of a call.
 pub const IDEMPOTENCY_KEY: &str = "x-idempotency-key";
 /// The trailer by which a server states, with "1", that it did not process a call.
 pub const UNPROCESSED: &str = "x-chalkdeck-unprocessed";
-/// The time that is left until a call's deadline.
+/// The header with the time left until a call's deadline.
 pub const TIMEOUT: &str = "grpc-timeout";
 
-/// The bytes before a message: whether it is compressed, and its length.
+/// The size of the header of a frame: a compression flag and the length of the message.
 const FRAME_HEADER_BYTES: usize = 5;
-/// The digits of the longest time-out.
+/// The most digits of a timeout.
 const MAX_TIMEOUT_DIGITS: usize = 8;
-/// The name of the message in status details that tells when to retry.
+/// The message type in the status details that states when to retry.
 const RETRY_INFO: &str = "google.rpc.RetryInfo";
 const GRPC_CONTENT_TYPE: HeaderValue = HeaderValue::from_static("application/grpc");
 const ESCAPED_BYTES: &AsciiSet = &CONTROLS.add(b'%');
 
 impl Code {
-    /// The code of a number; numbers that the specification does not know are UNKNOWN.
+    /// The code with this number. Numbers that the specification does not define become `Unknown`.
     pub fn from_number(number: i32) -> Code {
         usize::try_from(number)
             .ok()
             .and_then(|i| CODES.get(i).copied())
             .unwrap_or(Code::Unknown)
     }
-    /// The status in trailers, or in the head of a trailers-only response, where there is one.
+    /// The status in trailers, or in the head of a trailers-only response, if there is one.
     pub fn from_trailers(trailers: &HeaderMap) -> Option<Code> {
         let text = trailers.get(STATUS)?.to_str().ok()?;
         Some(text.parse().map_or(Code::Unknown, Code::from_number))
     }
 }
 
-/// Whether the content type is one of gRPC (`application/grpc`, also with a `+` or `;` part).
+/// Whether the content type is gRPC: `application/grpc`, optionally followed by `+` or `;` and more text.
 pub fn is_grpc(headers: &HeaderMap) -> bool {
     let Some(Ok(kind)) = headers.get(CONTENT_TYPE).map(HeaderValue::to_str) else {
         return false;
@@ -120,7 +120,7 @@
         .is_some_and(|rest| rest.is_empty() || rest.starts_with(['+', ';']))
 }
 
-/// A `grpc-timeout` in microseconds, rounded up. At most eight digits and a unit, else nothing.
+/// Parses a `grpc-timeout` into microseconds, rounded up. `None` unless it is one to eight digits and a unit.
 pub fn parse_timeout(text: &str) -> Option<u64> {
     let (digits, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     if digits.is_empty()
@@ -141,7 +141,7 @@
     })
 }
 
-/// A span in microseconds as `grpc-timeout`, in the finest unit that eight digits hold.
+/// Encodes a duration in microseconds as a `grpc-timeout`, in the finest unit that fits in eight digits.
 pub fn encode_timeout(micros: u64) -> HeaderValue {
     let units = [
         ("u", 1),
@@ -157,13 +157,13 @@
     HeaderValue::from_str(&text).unwrap_or(HeaderValue::from_static("1H"))
 }
 
-/// The message of a status as metadata.
+/// Percent-encodes a status message.
 pub fn encode_message(text: &str) -> HeaderValue {
     HeaderValue::from_str(&utf8_percent_encode(text, ESCAPED_BYTES).to_string())
         .unwrap_or(HeaderValue::from_static("-"))
 }
 
-/// The message of a status in trailers.
+/// Decodes the status message in trailers; empty if there is none.
 pub fn decode_message(trailers: &HeaderMap) -> String {
     let text = trailers
         .get(MESSAGE)
@@ -182,7 +182,7 @@
     map
 }
 
-/// A response that consists of a status only.
+/// The head of a trailers-only response.
 pub fn trailers_only(mut trailers: HeaderMap) -> Response<()> {
     let mut response = Response::new(());
     trailers.insert(CONTENT_TYPE, GRPC_CONTENT_TYPE);
@@ -190,7 +190,7 @@
     response
 }
 
-/// The head of a response whose messages follow.
+/// The head of a response that has messages.
 pub fn response_head() -> Response<()> {
     let mut response = Response::new(());
     response
@@ -199,7 +199,7 @@
     response
 }
 
-/// The head of a call; none where the authority and path form no URI.
+/// The head of a request. `None` if the authority and the path do not form a valid URI.
 pub fn request_head(authority: &str, path: &str) -> Option<Request<()>> {
     let uri = format!("http://{authority}{path}");
     let request = Request::post(uri)
@@ -208,7 +208,7 @@
     request.body(()).ok()
 }
 
-/// Adds to the trailers of a rejected call when its client may retry, in microseconds; none: it must not.
+/// Adds the retry time, in microseconds, to the trailers of a rejected call. `None` forbids retries.
 pub fn add_retry_info(map: &mut HeaderMap, code: Code, message: &str, retry_after: Option<u64>) {
     let Some(micros) = retry_after else {
         map.insert(RETRY_PUSHBACK, HeaderValue::from_static("-1"));
@@ -236,7 +236,7 @@
     }
 }
 
-/// The time after which a client may retry by the status details, in microseconds.
+/// Decodes the retry time in the status details, in microseconds.
 pub fn decode_retry_info(trailers: &HeaderMap) -> Option<u64> {
     let lenient =
         GeneralPurposeConfig::new().with_decode_padding_mode(DecodePaddingMode::Indifferent);
@@ -260,7 +260,7 @@
 pub fn push_frame(out: &mut BytesMut, message: &impl Message) {
     out.put_u8(0);
     out.put_u32(message.encoded_len() as u32);
-    message.encode(out).expect("a buffer that grows");
+    message.encode(out).expect("a growable buffer");
 }
 
 /// One message with its frame header, uncompressed.
@@ -272,32 +272,32 @@
     out.freeze()
 }
 
-/// Why received bytes are not messages.
+/// The received bytes are not valid frames.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
     /// The message is longer than allowed.
     #[error("message of {0} bytes, expected at most {1}")]
     TooLong(usize, usize),
-    /// The message is compressed, which was not agreed.
+    /// The message is compressed, although no compression was negotiated.
     #[error("a compressed message, expected none")]
     Compressed,
 }
 
-/// Takes bytes as they are received and returns messages.
+/// Extracts messages from the bytes of a stream.
 #[derive(Debug, Default)]
 pub struct Deframer {
     bytes: BytesMut,
 }
 
 impl Deframer {
-    /// Takes received bytes.
+    /// Appends received bytes.
     pub fn push(&mut self, data: &[u8]) {
         self.bytes.extend_from_slice(data);
     }
-    /// The next complete message.
+    /// Takes the next message, if it is complete.
     ///
     /// # Errors
-    /// It is longer than `max_bytes`, or compressed.
+    /// The message is longer than `max_bytes`, or compressed.
     pub fn next(&mut self, max_bytes: usize) -> Result<Option<Bytes>, FrameError> {
         if self.bytes.len() < FRAME_HEADER_BYTES {
             return Ok(None);
--- a/crates/net/src/h2_socket.rs
+++ b/crates/net/src/h2_socket.rs
@@ -1,5 +1,5 @@
-//! A mio socket under the I/O traits that `h2` uses. The loop polls the connection again when the socket is ready, so no waker is
-//! registered here.
+//! Implements the I/O traits that `h2` needs for a mio socket. The event loop polls the connection again when the socket is ready,
+//! so no waker is registered here.
 
 use mio::net::TcpStream;
 use std::io::{self, Read, Write};
@@ -7,6 +7,7 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
+/// A mio socket with tokio's I/O traits.
 pub(crate) struct H2Socket(pub(crate) TcpStream);
 
 fn pending_if_blocked<T>(result: io::Result<T>) -> Poll<io::Result<T>> {
--- a/crates/net/src/http1.rs
+++ b/crates/net/src/http1.rs
@@ -1,24 +1,25 @@
-//! HTTP/1.1 for health and metrics: one GET a connection, answered and closed.
+//! An HTTP/1.1 server for health checks and metrics: it answers one GET request per connection.
 
 use mio::net::TcpStream;
 use std::io::{self, Read, Write};
 
-/// The longest request head that is read.
+/// The longest request head that is accepted.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// The most headers of a request.
+/// The most headers of a request that are accepted.
 const MAX_HEADERS: usize = 64;
-/// Bytes that one read takes at the most.
+/// The most bytes of one read.
 const MAX_READ_BYTES: usize = 2_048;
 
+/// An HTTP/1.1 server connection.
 pub(crate) struct Http1 {
     stream: TcpStream,
     head: Vec<u8>,
     response: Vec<u8>,
-    /// The request was received whole.
+    /// The request head is complete.
     is_request_received: bool,
 }
 
-/// What polling the connection led to.
+/// The result of polling a connection.
 pub(crate) enum Http1Progress {
     Wait,
     Get(String),
--- a/crates/net/src/ids.rs
+++ b/crates/net/src/ids.rs
@@ -1,13 +1,13 @@
-//! Ids of what a loop holds. Within one loop no id is used twice.
+//! Ids of listeners, connections and streams. An event loop never reuses an id.
 
-/// A listener.
+/// The id of a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ListenerId(pub u64);
 
-/// A connection that was accepted or made.
+/// The id of a connection that was accepted or opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(pub u64);
 
-/// An HTTP/2 stream that a peer or this process opened.
+/// The id of an HTTP/2 stream that a peer or this process opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StreamId(pub u64);
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,6 +1,7 @@
-//! The event loop over mio: HTTP/2 through `h2`, plain connections, HTTP/1.1 for health and metrics, and the framing of gRPC.
+//! A single-threaded event loop on mio. It supports HTTP/2 with `h2`, plain TCP connections, HTTP/1.1 for health checks and
+//! metrics, and gRPC framing.
 //!
-//! It moves bytes and keeps time. What is sent, answered or aborted is decided by its caller.
+//! The event loop does I/O and fires timers. Its caller decides what to send, answer or abort.
 #![forbid(unsafe_code)]
 
 pub mod clock;
--- a/crates/net/src/limits.rs
+++ b/crates/net/src/limits.rs
@@ -1,22 +1,22 @@
-//! Limits of connections.
+//! Limits of listeners and connections.
 
 /// Limits of a listener and of each connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Connections that a listener holds; further ones wait in the kernel's queue.
+    /// The most open connections of a listener. Further ones wait in the kernel's backlog.
     pub max_connections: usize,
-    /// Streams open at once on one connection.
+    /// The most streams that are open at once on one connection.
     pub max_streams: u32,
-    /// Bytes of one stream that may be received before they are consumed.
+    /// The initial flow-control window of a stream, in bytes.
     pub stream_window: u32,
-    /// The same for all streams of a connection together.
+    /// The initial flow-control window of a connection, in bytes.
     pub connection_window: u32,
-    /// The longest head or trailers, in bytes.
+    /// The largest list of headers or trailers, in bytes.
     pub max_header_bytes: u32,
-    /// Streams that a client may reset on one connection within a second; beyond that it is closed.
+    /// The most streams that a client may reset within a second. A connection that exceeds it is closed.
     pub max_resets_per_second: u32,
-    /// A connection that was made from here is pinged this often, in microseconds; one that has not answered by the next ping is
-    /// closed. 0: never.
+    /// The interval of keepalive pings on connections that this process opened, in microseconds. A connection that does not answer
+    /// before the next ping is closed. 0 disables pings.
     pub keepalive_interval: u64,
 }
 
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -6,27 +6,28 @@
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 
-/// After a failure to accept, which mostly means that no descriptor is left, a listener retries after this, in microseconds.
-const ACCEPT_RETRY_DELAY: u64 = 50_000;
-/// The longest queue of connections that the kernel has completed and that are not accepted yet.
+/// The delay before a listener retries a failed accept, in microseconds. Most failures mean that no file descriptor is left.
+const ACCEPT_RETRY_DELAY_MICROS: u64 = 50_000;
+/// The most established connections that wait in the kernel to be accepted.
 const BACKLOG: i32 = 1_024;
 
-/// Whether other threads listen at the same address.
+/// Whether other threads can listen at the same address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PortSharing {
     Exclusive,
     Shared,
 }
 
+/// A listening socket with its limits and its state.
 pub(crate) struct Listener {
     pub(crate) socket: TcpListener,
     pub(crate) limits: Limits,
     pub(crate) protocol: Protocol,
-    /// Connections that are open now.
+    /// The number of its connections that are open now.
     pub(crate) open_connections: usize,
-    /// It holds as many as it may; the next one is accepted when one of them ends.
+    /// It has as many open connections as its limit. The next one is accepted when one of them closes.
     pub(crate) is_full: bool,
-    /// When accepting is retried after a failure.
+    /// When a failed accept is retried.
     retry_at: Option<u64>,
 }
 
@@ -35,14 +36,14 @@
     Connection(TcpStream, IpAddr),
     /// No connection is waiting.
     NoneWaiting,
-    /// The listener holds as many connections as it may.
+    /// The listener has reached its limit of connections.
     Full,
-    /// The system refuses, mostly as no descriptor is left.
+    /// The operating system failed to accept, mostly because no file descriptor is left.
     Failed(io::Error),
 }
 
 impl Listener {
-    /// Binds a socket; port 0 takes a free one.
+    /// Binds a listening socket. Port 0 selects a free port.
     pub(crate) fn bind(
         address: SocketAddr,
         limits: Limits,
@@ -68,11 +69,12 @@
         })
     }
 
-    /// Accepts the next connection, and notes why there is none.
+    /// Accepts the next connection, and records why there is none.
     pub(crate) fn accept(&mut self, now: u64) -> Accepted {
         let accepted = self.try_accept();
         self.is_full = matches!(accepted, Accepted::Full);
-        self.retry_at = matches!(accepted, Accepted::Failed(_)).then_some(now + ACCEPT_RETRY_DELAY);
+        self.retry_at =
+            matches!(accepted, Accepted::Failed(_)).then_some(now + ACCEPT_RETRY_DELAY_MICROS);
         accepted
     }
 
@@ -92,12 +94,12 @@
         }
     }
 
-    /// Whether connections may be waiting that could not be accepted.
+    /// Whether connections may wait in the kernel's backlog because they could not be accepted.
     pub(crate) fn may_have_backlog(&self) -> bool {
         self.is_full || self.retry_at.is_some()
     }
 
-    /// Whether accepting is to be retried by now.
+    /// Whether a failed accept is due for a retry.
     pub(crate) fn is_retry_due(&self, now: u64) -> bool {
         self.retry_at.is_some_and(|at| at <= now)
     }
--- a/crates/net/src/plain_connection.rs
+++ b/crates/net/src/plain_connection.rs
@@ -1,4 +1,4 @@
-//! Plain bytes both ways, for protocols other than HTTP.
+//! Plain TCP connections, for protocols other than HTTP.
 
 use crate::close_reason::CloseReason;
 use bytes::{Buf, Bytes, BytesMut};
@@ -6,43 +6,45 @@
 use std::io::{self, Read, Write};
 use std::net::Shutdown;
 
-/// Bytes that one read takes at the most.
+/// The most bytes of one read.
 const MAX_READ_BYTES: usize = 16 << 10;
-/// Reads of bytes that are discarded, before others have their turn.
+/// Reads of discarded input in one poll, so that other connections are not delayed.
 const MAX_DISCARD_READS_PER_POLL: usize = 16;
 
-/// How our direction ends, once the queued bytes are written.
+/// What happens once the queued bytes are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Ending {
-    /// It does not.
+    /// The connection stays open.
     Open,
-    /// With the connection.
+    /// The connection is closed.
     Close,
-    /// Alone: what is received is discarded until the peer ends its direction, too.
+    /// The write side is shut down, and input is discarded until the peer shuts down its side.
     Linger,
 }
 
+/// A plain connection with its queued bytes.
 pub(crate) struct PlainConnection {
     stream: TcpStream,
     write_buffer: BytesMut,
-    /// Bytes that were written in all.
+    /// The total number of bytes written to the socket.
     pub(crate) written_bytes: u64,
     pub(crate) is_read_paused: bool,
     pub(crate) ending: Ending,
-    /// Our direction was ended.
+    /// The write side was shut down.
     is_write_shut_down: bool,
-    /// Bytes are queued, and no write was tried since.
+    /// Bytes were queued since the last flush.
     pub(crate) has_unflushed: bool,
-    /// The end of the peer, or an error, was reported: a short read is not the last one.
+    /// The poll reported that the peer closed its side, or an error. No further readiness event follows, so a short read does not mean
+    /// that the socket is empty.
     pub(crate) has_peer_ended: bool,
 }
 
-/// What polling a plain connection led to.
+/// The result of polling a plain connection.
 pub(crate) enum PlainProgress {
     Wait,
     Bytes {
         data: Bytes,
-        /// There may be more to read at once.
+        /// Whether there may be more to read without waiting.
         may_have_more: bool,
     },
     Closed(CloseReason),
@@ -72,7 +74,7 @@
         self.write_buffer.len()
     }
 
-    /// Whether nothing waits in the socket: no byte, no end, no error.
+    /// Whether the socket has nothing to read: no bytes, no end of input and no error.
     pub(crate) fn is_idle(&self) -> bool {
         matches!(self.stream.peek(&mut [0]), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
@@ -88,12 +90,13 @@
             Ending::Open if self.is_read_paused => PlainProgress::Wait,
             Ending::Open => self.read(),
             _ if !self.write_buffer.is_empty() => PlainProgress::Wait,
-            Ending::Close => PlainProgress::Closed(CloseReason::Local),
+            Ending::Close => PlainProgress::Closed(CloseReason::ClosedLocally),
             Ending::Linger => self.discard_input(),
         }
     }
 
-    /// Why the end of the peer was reported while reading is paused: it stands behind bytes that stay unread.
+    /// Why the connection closes when the peer ended it while reading is paused. Unread bytes may precede the end of input, so this
+    /// checks the socket for an error instead of reading it.
     fn peer_end_reason(&self) -> CloseReason {
         match self.stream.take_error() {
             Ok(Some(error)) | Err(error) => error.into(),
@@ -106,7 +109,7 @@
         loop {
             match self.stream.read(&mut buffer) {
                 Ok(0) => return PlainProgress::Closed(CloseReason::PeerEnded),
-                // Readiness is reported once: a short read has emptied the socket, and later bytes are reported anew.
+                // Readiness is edge-triggered: after a short read the socket is empty, and further bytes cause a new event.
                 Ok(length) => {
                     return PlainProgress::Bytes {
                         data: Bytes::copy_from_slice(&buffer[..length]),
@@ -122,12 +125,13 @@
         }
     }
 
-    /// Ends our direction once; returns whether the connection is still open.
+    /// Shuts down the write side if it is open; returns whether the connection is still usable.
     fn shut_down_write(&mut self) -> bool {
         let was_shut_down = std::mem::replace(&mut self.is_write_shut_down, true);
         was_shut_down || self.stream.shutdown(Shutdown::Write).is_ok()
     }
 
+    /// Reads and discards input after the write side is shut down. Empty `Bytes` ask for another poll.
     fn discard_input(&mut self) -> PlainProgress {
         if !self.shut_down_write() {
             return PlainProgress::Closed(CloseReason::PeerEnded);
@@ -144,7 +148,7 @@
         }
     }
 
-    /// Writes queued bytes as far as the socket takes them.
+    /// Writes as many queued bytes as the socket accepts.
     pub(crate) fn flush(&mut self) -> io::Result<()> {
         while !self.write_buffer.is_empty() {
             match self.stream.write(&self.write_buffer) {
--- a/crates/net/src/ready_queue.rs
+++ b/crates/net/src/ready_queue.rs
@@ -1,14 +1,14 @@
-//! Wakers that put the key of a connection or stream on a queue.
+//! A queue of connections and streams that are ready to be polled, filled by their wakers.
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::task::{Wake, Waker};
 
-/// Which keys are polled first. What is open goes before what is new, so that a flood of new connections does not delay responses.
+/// The order of polling. Streams come before accepted connections, so that a flood of new requests does not delay responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Priority {
-    /// Streams, and connections that were made from here.
+    /// Streams, and connections that this process opened.
     High,
     /// Connections that were accepted.
     Low,
@@ -20,12 +20,13 @@
     low: VecDeque<Arc<ReadyKey>>,
 }
 
-/// Keys whose connection or stream can make progress, each at most once.
+/// The keys of connections and streams that can make progress. Each is queued at most once.
 #[derive(Default)]
 pub(crate) struct ReadyQueue {
     queues: Mutex<Queues>,
 }
 
+/// The state behind a waker.
 struct ReadyKey {
     key: u64,
     priority: Priority,
@@ -66,7 +67,7 @@
         }))
     }
 
-    /// Takes the next key.
+    /// Removes and returns the next key.
     pub(crate) fn pop(&self) -> Option<u64> {
         let mut queues = self.lock();
         let next = queues.high.pop_front().or_else(|| queues.low.pop_front())?;
--- a/crates/net/src/reserved_port.rs
+++ b/crates/net/src/reserved_port.rs
@@ -1,26 +1,26 @@
-//! A port that is kept while nobody listens on it.
+//! Reserves a TCP port without listening on it.
 
 use socket2::{Domain, Socket, Type};
 use std::io;
 use std::net::SocketAddr;
 
-/// A port that belongs to its owner until the value is dropped, whether or not somebody listens there.
+/// A port that stays reserved until the value is dropped, whether or not a process listens there.
 ///
-/// A process that is ended and started again at its old address needs one: a port that is free for a moment is given to whoever asks
-/// the system for any port. The socket behind it is bound and never listens, so connections are refused until a listener is bound
-/// to the address. The listener has to set `SO_REUSEADDR`, as those of [`Engine`](crate::Engine) do.
+/// A test that restarts a process at its old address needs one, because the operating system may assign a free port to any process
+/// that binds port 0. The reserving socket is bound and never listens, so connections are refused until a listener is bound to the
+/// address. The listener has to set `SO_REUSEADDR`, as those of [`Engine`](crate::Engine) do.
 #[derive(Debug)]
 pub struct ReservedPort {
-    /// Holds the port.
+    /// Keeps the port bound.
     _socket: Socket,
     address: SocketAddr,
 }
 
 impl ReservedPort {
-    /// Reserves an address; port 0 takes a free one.
+    /// Reserves an address. Port 0 selects a free port.
     ///
     /// # Errors
-    /// The system refuses a socket, or somebody else has the port.
+    /// No socket can be created, or another process uses the port.
     pub fn reserve(address: SocketAddr) -> io::Result<ReservedPort> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
@@ -33,7 +33,7 @@
         })
     }
 
-    /// The address with its port.
+    /// The reserved address, with its port.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
--- a/crates/net/src/signals.rs
+++ b/crates/net/src/signals.rs
@@ -1,10 +1,10 @@
-//! Signals as flags that a loop checks.
+//! Signal handlers that set flags for an event loop to check.
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// What the process was asked by signal.
+/// The requests that the process received by signal.
 #[derive(Clone, Debug, Default)]
 pub struct Signals {
     is_stop_requested: Arc<AtomicBool>,
@@ -12,10 +12,10 @@
 }
 
 impl Signals {
-    /// Handles SIGTERM and SIGINT (stop) and SIGHUP (reload) from here on.
+    /// Installs handlers for SIGTERM and SIGINT, which request a stop, and for SIGHUP, which requests a reload.
     ///
     /// # Errors
-    /// The system refuses a handler.
+    /// A handler cannot be installed.
     pub fn install() -> std::io::Result<Signals> {
         let signals = Signals::default();
         for signal in [SIGTERM, SIGINT] {
@@ -24,7 +24,7 @@
         signal_hook::flag::register(SIGHUP, signals.is_reload_requested.clone())?;
         Ok(signals)
     }
-    /// Requests a stop as a signal would.
+    /// Requests a stop, like a signal.
     pub fn request_stop(&self) {
         self.is_stop_requested.store(true, Ordering::Relaxed);
     }
@@ -32,7 +32,7 @@
     pub fn is_stop_requested(&self) -> bool {
         self.is_stop_requested.load(Ordering::Relaxed)
     }
-    /// Whether a reload was requested since the last call.
+    /// Returns whether a reload was requested, and clears the request.
     pub fn take_reload_request(&self) -> bool {
         self.is_reload_requested.swap(false, Ordering::Relaxed)
     }
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -1,4 +1,5 @@
-//! One HTTP/2 stream of either side: what is received is handed on, what is sent waits here for the peer's window.
+//! One client-side or server-side HTTP/2 stream. It reports received data as events, and queues data to be sent until the peer's
+//! flow-control window admits it.
 
 use crate::event::{Event, StreamError};
 use crate::ids::{ConnId, StreamId};
@@ -12,10 +13,10 @@
 use std::pin::Pin;
 use std::task::{Context, Poll, Waker};
 
-/// The most window that is asked for at once.
+/// The most send capacity that is reserved at once.
 const MAX_RESERVED_BYTES: usize = 1 << 20;
 
-/// The direction from the peer.
+/// The state of the receiving side.
 enum Incoming {
     /// The head of the response is not received yet.
     Head(ResponseFuture),
@@ -23,7 +24,7 @@
     Done,
 }
 
-/// The direction to the peer.
+/// The state of the sending side.
 pub(crate) enum Outgoing {
     /// The head of the response is not sent yet.
     Head(SendResponse<Bytes>),
@@ -31,14 +32,15 @@
     Done,
 }
 
-/// How our direction ends, once the queued bytes are sent.
+/// How the sending side ends once the queued bytes are sent.
 enum OutgoingEnd {
-    /// It does not end yet.
+    /// It stays open.
     Open,
     WithoutTrailers,
     Trailers(HeaderMap),
 }
 
+/// A stream with its queue.
 pub(crate) struct Stream {
     id: StreamId,
     pub(crate) conn: ConnId,
@@ -54,6 +56,7 @@
     is_cancelled: bool,
 }
 
+/// Classifies an error by whether the peer may have processed the stream.
 fn stream_error(error: &h2::Error) -> StreamError {
     let remote_goaway = error.is_go_away() && error.is_remote();
     match error.reason() {
@@ -62,11 +65,12 @@
         }
         _ if remote_goaway => StreamError::GoneAway,
         Some(reason) if error.is_reset() => StreamError::Reset(reason),
-        _ => StreamError::Lost,
+        _ => StreamError::ConnectionLost,
     }
 }
 
 impl Stream {
+    /// A stream that a client opened.
     pub(crate) fn server_side(
         id: StreamId,
         conn: ConnId,
@@ -84,6 +88,7 @@
             flow,
         )
     }
+    /// A stream that this process opened.
     pub(crate) fn client_side(
         id: StreamId,
         conn: ConnId,
@@ -119,19 +124,19 @@
         }
     }
 
-    /// Whether it can make no more progress.
+    /// Whether it has failed or its response is complete.
     pub(crate) fn is_finished(&self) -> bool {
         let sent = matches!(self.outgoing, Outgoing::Done);
         let received = matches!(self.incoming, Incoming::Done);
         self.has_failed || if self.is_server_side { sent } else { received }
     }
 
-    /// Whether its client has reset it.
+    /// Whether the client reset it.
     pub(crate) fn was_reset(&self) -> bool {
         self.is_server_side && self.is_cancelled
     }
 
-    /// Sends the head of the response. Nothing happens when it was sent before.
+    /// Sends the head of the response. Does nothing if it was sent before.
     pub(crate) fn respond(&mut self, head: Response<()>, is_end_stream: bool) {
         if let Outgoing::Head(out) = &mut self.outgoing {
             self.outgoing = match out.send_response(head, is_end_stream) {
@@ -162,14 +167,14 @@
         self.has_failed = true;
     }
     pub(crate) fn consume(&mut self, bytes: usize) {
-        // Fails only when more is given back than was received, or the stream is over.
+        // Fails only if more is released than was received, or the stream is closed.
         let _ = self.flow.as_mut().map(|flow| flow.release_capacity(bytes));
     }
     pub(crate) fn queued_bytes(&self) -> usize {
         self.queued_bytes
     }
 
-    /// Makes progress in both directions as far as possible.
+    /// Makes as much progress as possible in both directions.
     pub(crate) fn poll(&mut self, events: &mut VecDeque<Event>) {
         if self.has_failed {
             return;
@@ -305,17 +310,18 @@
             OutgoingEnd::Trailers(trailers) => body.send_trailers(trailers),
         };
         self.outgoing = Outgoing::Done;
-        // A peer that takes no more of our direction is reported by the other direction.
+        // If the peer accepts no more data, the receiving side reports why.
         sent.or(Ok(()))
     }
 
-    /// The peer takes no more of our direction. A client still receives the response; a server has lost its client.
+    /// Handles that the peer accepts no more data. The client side can still receive the response; on the server side the client is
+    /// lost.
     fn on_outgoing_closed(&mut self) -> Result<(), StreamError> {
         self.queue.clear();
         self.queued_bytes = 0;
         self.outgoing = Outgoing::Done;
         if self.is_server_side {
-            return Err(StreamError::Lost);
+            return Err(StreamError::ConnectionLost);
         }
         Ok(())
     }
--- a/crates/net/src/timer_queue.rs
+++ b/crates/net/src/timer_queue.rs
@@ -1,9 +1,9 @@
-//! Timers of a loop by their payloads.
+//! Timers of an event loop that carry payloads.
 
 use crate::engine::Engine;
 use slab::Slab;
 
-/// The purposes of the timers that are set. Each timer fires once, and its place is free again then.
+/// The payloads of the timers that are set. Each timer fires once; its token can be reused afterwards.
 #[derive(Debug)]
 pub struct TimerQueue<T> {
     payloads: Slab<T>,
@@ -18,13 +18,13 @@
 }
 
 impl<T> TimerQueue<T> {
-    /// Sets a timer that fires after so many microseconds.
+    /// Sets a timer that fires after `after` microseconds.
     pub fn set(&mut self, engine: &mut Engine, after: u64, payload: T) {
         let token = self.payloads.insert(payload) as u64;
         engine.set_timer(engine.now().saturating_add(after), token);
     }
 
-    /// Takes the purpose of the timer that has fired with this token.
+    /// Removes and returns the payload of the timer that fired with this token.
     pub fn take(&mut self, token: u64) -> Option<T> {
         self.payloads.try_remove(token as usize)
     }
--- a/crates/net/src/unary.rs
+++ b/crates/net/src/unary.rs
@@ -1,9 +1,9 @@
-//! The single message of one direction of a unary call.
+//! Receives the single message of a unary request or response.
 
 use crate::grpc::{Deframer, FrameError};
 use bytes::Bytes;
 
-/// The message of a unary request or response, as it is received.
+/// The message of a unary request or response while it is received.
 #[derive(Debug, Default)]
 pub struct UnaryMessage {
     deframer: Deframer,
@@ -11,7 +11,7 @@
 }
 
 impl UnaryMessage {
-    /// Takes received bytes. Further messages than the first one are ignored.
+    /// Appends received bytes. Messages after the first one are ignored.
     ///
     /// # Errors
     /// A message is longer than `max_bytes`, or compressed.
--- a/crates/net/tests/descriptors.rs
+++ b/crates/net/tests/descriptors.rs
@@ -1,4 +1,5 @@
-//! Out of descriptors: the only test of its process, as the limit is that of the process.
+//! Behaviour without free file descriptors. This is the only test of its process, because the descriptor limit applies to the whole
+//! process.
 
 use chalkdeck_net::{Engine, Event, Limits};
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
@@ -7,11 +8,11 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn no_descriptor_left_then_connection_accepted_once_there_is_one() {
+fn connection_is_accepted_once_a_descriptor_is_free_again() {
     let mut engine = Engine::new().expect("a poll handle");
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
+    let free_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let (_, address) = engine
-        .listen_plain(any, Limits::default())
+        .listen_plain(free_port, Limits::default())
         .expect("a free port");
     let client =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
@@ -30,22 +31,22 @@
     }
     client
         .connect(&address.into())
-        .expect("the system completes it");
+        .expect("the kernel completes the handshake");
     let mut events = Vec::new();
     for _ in 0..5 {
         engine.turn(1_000, &mut events).expect("a turn");
     }
     assert!(
         events.is_empty(),
-        "there is no descriptor for it: {events:?}"
+        "accepted without a descriptor: {events:?}"
     );
-    // No connection of this listener ends, and nothing new comes: only time passes.
+    // No other event follows: the listener has no open connection, and no client connects. Only its retry delay passes.
     drop(files);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     while !events.iter().any(|e| matches!(e, Event::Accepted { .. })) {
         assert!(
-            begun.elapsed() < Duration::from_secs(5),
-            "it is never accepted"
+            started_at.elapsed() < Duration::from_secs(5),
+            "the connection is never accepted"
         );
         engine.turn(10_000, &mut events).expect("a turn");
     }
--- a/crates/net/tests/flood.rs
+++ b/crates/net/tests/flood.rs
@@ -1,18 +1,18 @@
-//! A peer that sends at full speed gets its share of a turn and no more.
+//! A peer that sends at full speed gets only its share of each turn of the event loop.
 
 use chalkdeck_net::{Engine, Event, Limits};
 use std::io::{ErrorKind, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// Bytes of one connection that one turn hands over at the most.
-const PIECE: usize = 16 << 10;
+/// The most bytes of one connection that one turn reports.
+const MAX_BYTES_PER_TURN: usize = 16 << 10;
 
 #[test]
-fn flood_on_one_connection_then_one_piece_a_turn() {
+fn flooding_connection_is_read_once_per_turn() {
     let mut engine = Engine::new().expect("a poll handle");
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
+    let free_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let (_, address) = engine
-        .listen_plain(any, Limits::default())
+        .listen_plain(free_port, Limits::default())
         .expect("a free port");
     let mut flood = TcpStream::connect(address).expect("a connection");
     flood.set_nonblocking(true).expect("a socket");
@@ -21,10 +21,10 @@
         match flood.write(&[b'x'; 4_096]) {
             Ok(length) => sent += length,
             Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-            Err(e) => panic!("it cannot send: {e}"),
+            Err(e) => panic!("cannot send: {e}"),
         }
     }
-    assert!(sent > 4 * PIECE, "{sent} bytes wait");
+    assert!(sent > 4 * MAX_BYTES_PER_TURN, "only {sent} bytes sent");
     let mut read = 0;
     while read < sent {
         let mut events = Vec::new();
@@ -33,11 +33,11 @@
             Event::Bytes { data, .. } => Some(data.len()),
             _ => None,
         });
-        let turn: usize = lengths.sum();
+        let read_in_turn: usize = lengths.sum();
         assert!(
-            turn <= PIECE,
-            "{turn} bytes in one turn, after {read} of {sent}"
+            read_in_turn <= MAX_BYTES_PER_TURN,
+            "{read_in_turn} bytes in one turn, after {read} of {sent}"
         );
-        read += turn;
+        read += read_in_turn;
     }
 }
--- a/crates/proto/build.rs
+++ b/crates/proto/build.rs
@@ -1,7 +1,8 @@
-//! Compiles the schemas without an outside compiler and keeps their descriptors for the text form.
+//! Generates Rust types from the .proto files with protox, so that no `protoc` is needed, and writes the descriptors that the
+//! protobuf text format needs.
 use prost::Message;
 
-const FILES: [&str; 13] = [
+const PROTO_FILES: [&str; 13] = [
     "chalkdeck/client/v1/settings.proto",
     "chalkdeck/keeper/v1/keeper.proto",
     "chalkdeck/keeper/v1/settings.proto",
@@ -19,11 +20,11 @@
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=proto");
-    let set = protox::compile(FILES, ["proto"])?;
-    let out = std::path::PathBuf::from(std::env::var("OUT_DIR")?);
-    std::fs::write(out.join("descriptors.bin"), set.encode_to_vec())?;
+    let descriptors = protox::compile(PROTO_FILES, ["proto"])?;
+    let out_dir = std::path::PathBuf::from(std::env::var("OUT_DIR")?);
+    std::fs::write(out_dir.join("descriptors.bin"), descriptors.encode_to_vec())?;
     prost_build::Config::new()
         .include_file("all.rs")
-        .compile_fds(set)?;
+        .compile_fds(descriptors)?;
     Ok(())
 }
--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -1,5 +1,5 @@
-//! Messages of chalkdeck's programs, and the parts of public ones that they speak, with a text form that names the
-//! line of an error.
+//! Generated protobuf types: chalkdeck's own messages and the parts of the public Envoy and Google APIs that it uses. The
+//! `text` module reads and writes the protobuf text format, with line numbers in parse errors.
 #![forbid(unsafe_code)]
 
 #[allow(
@@ -12,7 +12,7 @@
 }
 pub use generated::*;
 
-/// The encoded `FileDescriptorSet` of all these messages and services.
+/// The encoded `FileDescriptorSet` of all generated messages and services.
 pub const DESCRIPTORS: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/descriptors.bin"));
 
 pub mod text;
--- a/crates/proto/src/text.rs
+++ b/crates/proto/src/text.rs
@@ -1,41 +1,49 @@
-//! Protobuf text form of the project's messages.
+//! Reads and writes messages in the protobuf text format.
 
 use miette::Diagnostic;
 use prost::Message;
 use prost_reflect::{DescriptorPool, DynamicMessage};
 use std::sync::OnceLock;
 
-/// Why a text is no such message.
+/// The text is not a valid message of the expected type.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("line {line}: {what}")]
+#[error("line {line}: {message}")]
 pub struct TextError {
-    /// Line of the text, from 1.
+    /// Line in the text, counted from 1.
     pub line: usize,
-    /// What was found and what was expected.
-    pub what: String,
+    /// What is wrong there.
+    pub message: String,
 }
 
 fn pool() -> &'static DescriptorPool {
     static POOL: OnceLock<DescriptorPool> = OnceLock::new();
     POOL.get_or_init(|| {
-        DescriptorPool::decode(crate::DESCRIPTORS).expect("descriptors made by the build are sound")
+        DescriptorPool::decode(crate::DESCRIPTORS)
+            .expect("the build script writes valid descriptors")
     })
 }
 
-/// Reads a message given in text form. `full_name` is the message's name with its package.
+/// Parses a message in text format. `full_name` is the name of the message type with its package.
 ///
-/// Errors: a text that does not parse, or has a field or value that the message has not.
+/// # Errors
+///
+/// The text has a syntax error, or a field or value that the message type does not have.
 pub fn parse<M: Message + Default>(full_name: &str, text: &str) -> Result<M, TextError> {
-    let at_start = |what: String| TextError { line: 1, what };
-    let descriptor = pool()
-        .get_message_by_name(full_name)
-        .ok_or_else(|| at_start(format!("'{full_name}' is no message of this program")))?;
+    let error_at_start = |message: String| TextError { line: 1, message };
+    let descriptor = pool().get_message_by_name(full_name).ok_or_else(|| {
+        error_at_start(format!(
+            "'{full_name}' is not a message type of this program"
+        ))
+    })?;
     let dynamic =
-        DynamicMessage::parse_text_format(descriptor, text).map_err(|e| locate(text, &e))?;
-    dynamic.transcode_to().map_err(|e| at_start(e.to_string()))
+        DynamicMessage::parse_text_format(descriptor, text).map_err(|e| with_line(text, &e))?;
+    dynamic
+        .transcode_to()
+        .map_err(|e| error_at_start(e.to_string()))
 }
 
-/// Writes a message in text form, one field a line.
+/// Formats a message in text format, one field per line. `None` if `full_name` is not a known message type or does not match
+/// the message.
 pub fn print<M: Message>(full_name: &str, message: &M) -> Option<String> {
     let descriptor = pool().get_message_by_name(full_name)?;
     let mut dynamic = DynamicMessage::new(descriptor);
@@ -44,8 +52,8 @@
     Some(dynamic.to_text_format_with_options(&options))
 }
 
-/// The parser names places as spans of bytes; people look for lines.
-fn locate(text: &str, error: &prost_reflect::text_format::ParseError) -> TextError {
+/// Converts the byte offset that the parser reports into a line number.
+fn with_line(text: &str, error: &prost_reflect::text_format::ParseError) -> TextError {
     let offset = error
         .labels()
         .and_then(|mut labels| labels.next())
@@ -53,7 +61,7 @@
     let line = text.bytes().take(offset).filter(|b| *b == b'\n').count() + 1;
     TextError {
         line,
-        what: error.to_string(),
+        message: error.to_string(),
     }
 }
 
--- a/crates/testbed/src/parts/script.rs
+++ b/crates/testbed/src/parts/script.rs
@@ -60,7 +60,7 @@
 pub fn read(path: &Path) -> anyhow::Result<Day> {
     let source = std::fs::read_to_string(path).with_context(|| path.display().to_string())?;
     let day: Day = text::parse(MESSAGE, &source)
-        .map_err(|e| anyhow::anyhow!("{}:{}: {}", path.display(), e.line, e.what))?;
+        .map_err(|e| anyhow::anyhow!("{}:{}: {}", path.display(), e.line, e.message))?;
     if day.gateway.is_none() || day.load.is_none() || day.farm.is_none() || day.zones.is_empty() {
         bail!(
             "{}:1: expected gateway, load, farm and at least one of zones",
