--- a/crates/client/examples/views.rs
+++ b/crates/client/examples/views.rs
@@ -1,4 +1,4 @@
-//! Calls the gateways of the demo: `cargo run -p chalkdeck-client --example views -- 127.0.0.1:PORT`.
+//! Sends calls to the gateways of the demo: `cargo run -p chalkdeck-client --example views -- 127.0.0.1:PORT`.
 use bytes::Bytes;
 use chalkdeck_client::{Call, Client, Idempotency, Settings};
 use std::time::Duration;
--- a/crates/client/src/attempt_headers.rs
+++ b/crates/client/src/attempt_headers.rs
@@ -1,4 +1,4 @@
-//! The head of an attempt on the wire, and what its trailers mean.
+//! Builds the request head of an attempt, and interprets the trailers of its response.
 
 use crate::call::Call;
 use crate::core::AttemptOutcome;
@@ -7,10 +7,10 @@
 use http::{HeaderMap, HeaderName, HeaderValue, Request};
 use std::net::SocketAddr;
 
-/// Value of the trailer by which a server states that it did not process a call.
-const NOT_PROCESSED: &str = "1";
+/// The value of the [`grpc::UNPROCESSED`] trailer. With it, a server states that it did not process a call.
+const NOT_PROCESSED_VALUE: &str = "1";
 
-/// The head of an attempt; `None` if the path or the metadata cannot be sent.
+/// The request head of an attempt. `None` if the path or the metadata is not valid in HTTP.
 pub(crate) fn request_head(
     call: &Call,
     address: SocketAddr,
@@ -33,12 +33,13 @@
     Some(request)
 }
 
-/// What the trailers of an attempt mean. A rejection is marked by its pushback; one that cannot be read gives no time.
+/// The outcome of an attempt by its trailers. `RESOURCE_EXHAUSTED` is a rejection only with a pushback; a pushback that cannot be
+/// parsed gives no retry time.
 pub(crate) fn attempt_outcome(trailers: &HeaderMap) -> AttemptOutcome {
     let pushback = trailers.get(grpc::RETRY_PUSHBACK);
     let is_not_processed = trailers
         .get(grpc::UNPROCESSED)
-        .is_some_and(|value| value == NOT_PROCESSED);
+        .is_some_and(|value| value == NOT_PROCESSED_VALUE);
     match Code::from_trailers(trailers) {
         Some(Code::ResourceExhausted) if pushback.is_some() => AttemptOutcome::Rejected {
             retry_after: pushback.and_then(parse_pushback),
--- a/crates/client/src/call.rs
+++ b/crates/client/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls, their handles and their replies.
+//! Calls, call handles and replies.
 
 use crate::command::{Command, CommandSender};
 use crate::core::{CallId, Idempotency, Outcome};
@@ -7,40 +7,40 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A unary call, or the beginning of a stream.
+/// A unary call, or the first message of a stream.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// `/package.Service/Method`.
+    /// The path of the method: `/package.Service/Method`.
     pub path: String,
-    /// The message, without its frame.
+    /// The encoded message, without a frame header.
     pub message: Bytes,
-    /// Names and values of further metadata, such as the customer.
+    /// Names and values of additional metadata, such as the customer.
     pub metadata: Vec<(String, String)>,
     /// Whether it may be retried.
     pub idempotency: Idempotency,
-    /// The idempotency key of a keyed call; without one the library draws one of 128 bits.
+    /// The idempotency key of a keyed call. If there is none, the library generates a random key of 128 bits.
     pub key: Option<String>,
-    /// Time for all attempts together.
+    /// The time limit for all attempts together.
     pub timeout: Duration,
 }
 
-/// How a call ended.
+/// The reply to a call.
 #[derive(Clone, Debug)]
 pub struct Reply {
     /// How it ended.
     pub outcome: Outcome,
-    /// Status of the last attempt that had one.
+    /// The status of the last attempt that received one.
     pub status: Option<Code>,
-    /// Message of that status.
+    /// The message of that status.
     pub status_message: String,
-    /// The message of an answer.
+    /// The response message, if the call was answered.
     pub message: Option<Bytes>,
-    /// Attempts that were sent.
+    /// The number of attempts that were sent.
     pub attempts: u32,
 }
 
 impl Reply {
-    /// The reply to a call of which nothing was sent.
+    /// The reply to a call without any attempt.
     pub(crate) fn without_attempt(
         outcome: Outcome,
         status: Option<Code>,
@@ -56,12 +56,12 @@
     }
 }
 
-/// Too many calls are open.
+/// The limit of open calls is reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("too many calls are open; let some end first")]
 pub struct TooManyCalls;
 
-/// A call under way. Dropping the handle does not cancel the call.
+/// A handle of an open call. Dropping it does not cancel the call.
 #[derive(Clone)]
 pub struct CallHandle {
     pub(crate) commands: Arc<CommandSender>,
@@ -69,7 +69,7 @@
 }
 
 impl CallHandle {
-    /// Cancels the call: its callback gets [`Outcome::Cancelled`], unless the call has ended.
+    /// Cancels the call. Its callback receives [`Outcome::Cancelled`], unless the call has already ended.
     pub fn cancel(&self) {
         self.commands.send(Command::Cancel { call: self.call });
     }
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -1,4 +1,4 @@
-//! The client as a program holds it.
+//! The public handle of a client.
 
 use crate::call::{Call, CallHandle, Reply, TooManyCalls};
 use crate::command::{Command, CommandSender};
@@ -17,25 +17,25 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 
-/// Status message of calls that end because the client's thread has ended.
+/// The status message of calls that end because the client's thread has ended.
 pub(crate) const CLIENT_ENDED: &str = "the client ended";
 
-/// Why a client could not start.
+/// A client cannot be started.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The settings are inconsistent.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The event loop or its thread could not be created.
-    #[error("the client's loop: {0}")]
+    #[error("cannot start the client's event loop: {0}")]
     Io(#[from] std::io::Error),
 }
 
-/// A client of a fleet of gateways. All calls share its thread, which ends when the client is dropped.
+/// A client of a fleet of gateways. One thread handles all calls; it ends when the client is dropped.
 pub struct Client {
     commands: Arc<CommandSender>,
     next_call: AtomicU64,
-    /// Calls that have not ended; bounded, so that the channel to the thread is.
+    /// The number of open calls. Its limit also bounds the channel to the client's thread.
     open_calls: Arc<AtomicUsize>,
     max_open_calls: usize,
     metrics: Arc<Metrics>,
@@ -47,12 +47,16 @@
     ///
     /// # Errors
     ///
-    /// The settings are inconsistent, or the system gives no event loop or thread.
+    /// The settings are inconsistent, or the operating system cannot create the event loop or the thread.
     pub fn start(settings: Settings, gateways: Vec<SocketAddr>) -> Result<Client, StartError> {
         Client::start_with_clock(settings, gateways, Clock::start())
     }
 
     /// Starts a client with the given clock.
+    ///
+    /// # Errors
+    ///
+    /// See [`Client::start`].
     pub fn start_with_clock(
         settings: Settings,
         gateways: Vec<SocketAddr>,
@@ -64,14 +68,14 @@
         let core = ClientCore::new(settings)?;
         let engine = Engine::with_clock(clock)?;
         let waker = engine.waker()?;
-        let (commands, inbox) = channel();
-        let mut driver = Driver::new(core, engine, inbox);
+        let (command_sender, commands) = channel();
+        let mut driver = Driver::new(core, engine, commands);
         let metrics = driver.metrics();
         let thread = std::thread::Builder::new()
             .name("chalkdeck-client".into())
             .spawn(move || driver.run())?;
         let client = Client {
-            commands: Arc::new(CommandSender::new(commands, waker)),
+            commands: Arc::new(CommandSender::new(command_sender, waker)),
             next_call: AtomicU64::new(1),
             open_calls: Arc::default(),
             max_open_calls,
@@ -82,8 +86,13 @@
         Ok(client)
     }
 
-    /// Starts a client with the gateways of a file, which is read again when it changes: one `ip:port` a line, `#` begins a
-    /// comment. While the file cannot be read or has a wrong line, which is logged, the last good list stays in force.
+    /// Starts a client with the gateways listed in a file, which is read again when it changes. It has one `ip:port` per line, and
+    /// `#` starts a comment. If the file cannot be read or has an invalid line, the error is logged and the last valid list stays in
+    /// use.
+    ///
+    /// # Errors
+    ///
+    /// See [`Client::start`].
     pub fn start_with_gateway_file(
         settings: Settings,
         file: PathBuf,
@@ -99,18 +108,18 @@
         self.commands.send(Command::SetGateways { addresses });
     }
 
-    /// What the client has done so far.
+    /// Statistics since the start of the client.
     pub fn stats(&self) -> Stats {
         self.metrics.stats()
     }
 
-    /// Adds the client's metrics, with the prefix `chalkdeck_client`, to a registry that the program exports.
+    /// Registers the client's metrics in the program's registry, with the prefix `chalkdeck_client`.
     pub fn register_metrics(&self, registry: &mut prometheus_client::registry::Registry) {
         self.metrics.register(registry);
     }
 
-    /// Starts a call. `on_reply` runs once, on the client's thread, and must not block. If too many calls are open it gets
-    /// [`Outcome::TooManyCalls`] at once, on this thread.
+    /// Starts a call. `on_reply` runs once, on the client's thread, and must not block. If too many calls are open, it runs at once, on
+    /// the caller's thread, with [`Outcome::TooManyCalls`].
     pub fn start_call(
         &self,
         call: Call,
@@ -123,13 +132,13 @@
                 None,
                 status_message,
             ));
-            // No call has this id, so that the handle does nothing.
+            // No call has this id, so the handle has no effect.
             return self.handle_of(CallId(0));
         }
         self.start_call_unchecked(call, on_reply)
     }
 
-    /// Starts a call like [`Client::start_call`], but without running `on_reply` if too many calls are open.
+    /// Starts a call like [`Client::start_call`], but returns an error instead of running `on_reply` if too many calls are open.
     ///
     /// # Errors
     ///
@@ -145,8 +154,8 @@
         Ok(self.start_call_unchecked(call, on_reply))
     }
 
-    /// Opens a stream with its first message. `on_event` runs on the client's thread and must not block. The timeout of the
-    /// call is that of the whole stream.
+    /// Opens a stream and sends its first message. `on_event` runs on the client's thread and must not block. The timeout of the call
+    /// applies to the whole stream.
     ///
     /// # Errors
     ///
@@ -177,11 +186,11 @@
         })
     }
 
-    /// Calls and waits for the reply, for the call's timeout at the longest.
+    /// Makes a call and blocks until its reply, at most for the call's timeout.
     pub fn call(&self, call: Call) -> Reply {
         let (reply_sender, reply) = sync_channel(1);
         self.start_call(call, move |reply| {
-            // The receiver waits below.
+            // The receiver is alive: it waits below.
             let _ = reply_sender.send(reply);
         });
         reply
@@ -193,6 +202,7 @@
         self.open_calls.load(Ordering::Relaxed) >= self.max_open_calls
     }
 
+    /// Counts a new open call, and returns the counter to decrement when it ends.
     fn count_open_call(&self) -> Arc<AtomicUsize> {
         self.open_calls.fetch_add(1, Ordering::Relaxed);
         self.open_calls.clone()
--- a/crates/client/src/command.rs
+++ b/crates/client/src/command.rs
@@ -1,4 +1,4 @@
-//! Commands from the program's threads to the client's thread.
+//! Commands that the program's threads send to the client's thread.
 
 use crate::call::{Call, Reply};
 use crate::core::CallId;
@@ -9,10 +9,10 @@
 use std::net::SocketAddr;
 use std::sync::mpsc::Sender;
 
-/// Runs once, with the reply to a call.
+/// A callback that receives the reply to a call.
 pub(crate) type ReplyCallback = Box<dyn FnOnce(Reply) + Send>;
 
-/// What the client's thread is asked to do.
+/// A command for the client's thread.
 pub(crate) enum Command {
     /// Start a unary call.
     StartCall {
@@ -26,17 +26,17 @@
         call: Call,
         stream: StreamState,
     },
-    /// Send a further message of a stream.
+    /// Send another message on a stream.
     SendMessage { call: CallId, message: Bytes },
-    /// End the messages of a stream.
+    /// Close the sending side of a stream.
     FinishStream { call: CallId },
     /// Cancel a call or stream.
     Cancel { call: CallId },
     /// Replace the list of gateways.
     SetGateways { addresses: Vec<SocketAddr> },
-    /// Read the list of gateways from a file.
+    /// Read the list of gateways from a file, and again when the file changes.
     WatchGatewayFile { watch: FileWatch },
-    /// End the thread.
+    /// Stop the thread.
     Stop,
 }
 
@@ -52,7 +52,7 @@
     }
 
     pub(crate) fn send(&self, command: Command) {
-        // A thread that has ended has completed all its calls.
+        // If the thread has ended, all its calls are complete and the command has no effect.
         if self.commands.send(command).is_ok() {
             let _ = self.waker.wake();
         }
--- a/crates/client/src/core.rs
+++ b/crates/client/src/core.rs
@@ -1,6 +1,6 @@
-//! All decisions of a client, without I/O: events and the time go in, actions come out.
+//! The decision logic of a client, without I/O. It receives events with the current time, and returns actions.
 //!
-//! Points in time are of any clock that does not go back; one that does is taken to stand still.
+//! Any clock can be used. If its time goes back, the core continues with the latest time that it has seen.
 
 mod call_state;
 mod gateways;
@@ -16,17 +16,17 @@
 use retry_budget::RetryBudget;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-/// The next backoff is at most this multiple of the last one.
+/// The next backoff is at most this multiple of the previous one.
 const BACKOFF_GROWTH: u64 = 3;
 
-/// When something is to be done for a call; ordered by time.
+/// A deadline of a call or the end of its backoff. Ordered by time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Wake {
     at: Timestamp,
     call: CallId,
 }
 
-/// The core of one client. The same events give the same actions.
+/// The core of one client. It is deterministic: the same settings and events give the same actions.
 pub struct ClientCore {
     settings: Settings,
     rng: fastrand::Rng,
@@ -34,15 +34,15 @@
     calls: HashMap<CallId, CallState>,
     gateways: Gateways,
     retry_budget: RetryBudget,
-    /// Calls whose next attempt can be sent.
+    /// Calls whose next attempt is due and waits for a gateway.
     pending: VecDeque<CallId>,
-    /// Deadlines and ends of backoffs.
+    /// Deadlines and ends of backoffs, as [`ClientCore::next_wake`] reports them.
     wakes: BTreeSet<Wake>,
     actions: Vec<Action>,
 }
 
 impl ClientCore {
-    /// A core that knows no gateway.
+    /// A core with an empty list of gateways.
     ///
     /// # Errors
     ///
@@ -62,7 +62,7 @@
         })
     }
 
-    /// Handles one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.apply(event);
@@ -74,19 +74,19 @@
         actions.append(&mut self.actions);
     }
 
-    /// The settings that it was created with.
+    /// The settings that the core was created with.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// When [`Event::Tick`] is wanted though nothing else happens.
+    /// When the core needs [`Event::Tick`], unless another event arrives first.
     pub fn next_wake(&self) -> Option<Timestamp> {
         let first_wake = self.wakes.first().map(|wake| wake.at);
         let next_connect = self.gateways.next_connect_at();
         first_wake.into_iter().chain(next_connect).min()
     }
 
-    /// Tokens of the retry budget.
+    /// The tokens that the retry budget has left.
     pub fn retry_budget(&self) -> f64 {
         self.retry_budget.tokens()
     }
@@ -134,7 +134,7 @@
         self.pending.push_back(id);
     }
 
-    /// Ends calls whose deadlines have passed, and lets those go on whose backoffs are over.
+    /// Completes calls whose deadlines have passed, and makes those pending whose backoffs are over.
     fn run_wakes(&mut self) {
         while let Some(&wake) = self.wakes.first().filter(|wake| wake.at <= self.now) {
             self.wakes.remove(&wake);
@@ -150,19 +150,19 @@
         }
     }
 
-    /// Sends attempts of pending calls as long as a gateway can take them.
+    /// Sends attempts of pending calls as long as a gateway can accept them.
     fn send_pending(&mut self) {
         while let Some(&id) = self.pending.front() {
             let Some(call) = self.calls.get(&id) else {
                 self.pending.pop_front();
                 continue;
             };
-            let is_harmless = call.is_harmless_at(self.now);
+            let is_safe_to_send = call.is_safe_to_send_at(self.now);
             let is_in_time = call.deadline >= self.now + self.settings.min_time_left;
-            if !is_harmless || !is_in_time {
-                // A call without enough time is ended by its deadline.
+            if !is_safe_to_send || !is_in_time {
+                // A call with too little time left is completed by its deadline.
                 self.pending.pop_front();
-                if call.attempts > 0 && !is_harmless {
+                if call.attempts > 0 && !is_safe_to_send {
                     self.complete(id, Outcome::Failed);
                 }
                 continue;
@@ -210,12 +210,12 @@
         let Some(gateway) = call.in_flight_at.take() else {
             return;
         };
-        // What arrives after the deadline is never handed over as an answer.
+        // A response that arrives after the deadline is never reported as an answer.
         let is_late = self.now >= call.deadline;
         call.record(outcome);
         let last_outcome = call.last_outcome;
         let may_have_run = call.may_have_run_since.is_some();
-        self.record_at_gateway(gateway, outcome);
+        self.record_gateway_health(gateway, outcome);
         if is_late {
             let may_have_run = may_have_run || outcome == AttemptOutcome::Answered;
             return self.complete(id, Outcome::DeadlineExceeded { may_have_run });
@@ -227,8 +227,8 @@
         self.retry_or_complete(id, outcome);
     }
 
-    /// Counts the outcome of an attempt for the health of its gateway.
-    fn record_at_gateway(&mut self, gateway: GatewayId, outcome: AttemptOutcome) {
+    /// Records the outcome of an attempt for the outlier detection of its gateway.
+    fn record_gateway_health(&mut self, gateway: GatewayId, outcome: AttemptOutcome) {
         match outcome {
             AttemptOutcome::Answered | AttemptOutcome::Rejected { .. } => {
                 self.gateways.attempt_succeeded(gateway);
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Schedules a retry, or completes the call at once if there can be none.
+    /// Schedules a retry, or completes the call at once if no retry is possible.
     fn retry_or_complete(&mut self, id: CallId, outcome: AttemptOutcome) {
         let backoff = self.next_backoff(id);
         let delay = match outcome {
@@ -256,7 +256,7 @@
         call.backoff = backoff;
         let can_retry = call.attempts < self.settings.max_attempts
             && retry_at + self.settings.min_time_left < call.deadline
-            && call.is_harmless_at(retry_at)
+            && call.is_safe_to_send_at(retry_at)
             && self.retry_budget.try_spend();
         if !can_retry {
             let last_outcome = call.last_outcome;
@@ -269,7 +269,7 @@
         });
     }
 
-    /// Decorrelated backoff: drawn between the first one and a multiple of the last one.
+    /// Decorrelated jitter: a random backoff between the initial one and a multiple of the previous one.
     fn next_backoff(&mut self, id: CallId) -> TimeDelta {
         let initial = self.settings.initial_backoff;
         let last = self.calls.get(&id).map_or(initial, |call| call.backoff);
@@ -278,7 +278,7 @@
         TimeDelta::from_micros(drawn).min(self.settings.max_backoff)
     }
 
-    /// A retry time, made longer at random so that rejected calls do not return together.
+    /// Extends a retry time at random, so that rejected calls do not return together.
     fn with_jitter(&mut self, retry_after: TimeDelta) -> TimeDelta {
         let micros = retry_after.as_micros() as f64;
         let jitter = micros * self.settings.retry_jitter * self.rng.f64();
@@ -307,7 +307,7 @@
             self.actions
                 .push(Action::CancelAttempt { call: id, attempt });
         }
-        let outcome = call.truthful(outcome);
+        let outcome = call.reported_outcome(outcome);
         self.actions
             .push(Action::CompleteCall { call: id, outcome });
     }
--- a/crates/client/src/core/call_state.rs
+++ b/crates/client/src/core/call_state.rs
@@ -1,26 +1,26 @@
-//! State of one call.
+//! The state of one call.
 
 use super::messages::{AttemptOutcome, GatewayId, Idempotency, Outcome};
 use chalkdeck_time::{TimeDelta, Timestamp};
 
-/// A call that has no outcome yet.
+/// The state of a call that has no outcome yet.
 #[derive(Debug)]
 pub(super) struct CallState {
     pub(super) idempotency: Idempotency,
     pub(super) deadline: Timestamp,
-    /// Attempts that were sent.
+    /// The number of attempts that were sent.
     pub(super) attempts: u32,
-    /// Where the attempt in flight went, if there is one.
+    /// The gateway of the attempt in flight, if there is one.
     pub(super) in_flight_at: Option<GatewayId>,
-    /// When the first attempt was sent that may have run.
+    /// When the first attempt that may have run was sent.
     pub(super) may_have_run_since: Option<Timestamp>,
     /// When the last attempt was sent.
     pub(super) sent_at: Timestamp,
-    /// The last backoff.
+    /// The previous backoff.
     pub(super) backoff: TimeDelta,
-    /// When its next attempt may be sent, if it waits for that.
+    /// The end of its backoff, if it waits for one.
     pub(super) retry_at: Option<Timestamp>,
-    /// The outcome if there is no further attempt.
+    /// The outcome of the call if there is no further attempt.
     pub(super) last_outcome: Outcome,
 }
 
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Whether an attempt that is sent at a time can do no harm.
-    pub(super) fn is_harmless_at(&self, time: Timestamp) -> bool {
+    /// Whether it is safe to send an attempt at `time`: running the call twice is impossible, deduplicated or harmless.
+    pub(super) fn is_safe_to_send_at(&self, time: Timestamp) -> bool {
         let Some(first) = self.may_have_run_since else {
             return true;
         };
@@ -70,7 +70,7 @@
         };
     }
 
-    /// The last attempt may have run.
+    /// Records that the last attempt may have run.
     pub(super) fn mark_may_have_run(&mut self) {
         self.may_have_run_since.get_or_insert(self.sent_at);
     }
@@ -80,7 +80,7 @@
         self.in_flight_at.is_some() || self.may_have_run_since.is_some()
     }
 
-    /// The outcome when the deadline passes.
+    /// The outcome if the deadline passes now.
     pub(super) fn outcome_at_deadline(&self) -> Outcome {
         let may_have_run = self.may_have_run();
         match self.last_outcome {
@@ -89,12 +89,13 @@
         }
     }
 
-    /// The outcome as the caller may read it: one that invites another call is not given if an earlier attempt may have run.
-    pub(super) fn truthful(&self, outcome: Outcome) -> Outcome {
+    /// The outcome to report to the caller. One that invites a new call is replaced if an earlier attempt may have run and the call
+    /// is not idempotent.
+    pub(super) fn reported_outcome(&self, outcome: Outcome) -> Outcome {
         let invites_retry = matches!(outcome, Outcome::Rejected { .. } | Outcome::NotSent);
-        let is_harmful =
+        let is_retry_unsafe =
             self.may_have_run_since.is_some() && self.idempotency != Idempotency::Idempotent;
-        if invites_retry && is_harmful {
+        if invites_retry && is_retry_unsafe {
             return Outcome::Failed;
         }
         outcome
--- a/crates/client/src/core/gateways.rs
+++ b/crates/client/src/core/gateways.rs
@@ -1,4 +1,4 @@
-//! The gateways of a client: which are connected, when a lost connection is made again, and which one gets the next attempt.
+//! The gateways of a client: their connection states, reconnect times and health, and the choice of one for the next attempt.
 
 use super::messages::GatewayId;
 use crate::settings::Settings;
@@ -6,10 +6,11 @@
 use fastrand::Rng;
 
 /// Consecutive failures after which a gateway is ejected.
-const EJECTION_FAILURES: u32 = 3;
-/// The reconnect window doubles this often at most.
-const MAX_DOUBLINGS: u32 = 20;
+const CONSECUTIVE_FAILURES_TO_EJECT: u32 = 3;
+/// The reconnect window doubles at most this many times.
+const MAX_WINDOW_DOUBLINGS: u32 = 20;
 
+/// The state of the connection to a gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Connection {
     Disconnected { reconnect_at: Timestamp },
@@ -17,13 +18,14 @@
     Connected,
 }
 
+/// The state of one gateway.
 #[derive(Debug, Clone)]
 struct Gateway {
     connection: Connection,
-    /// Consecutive connections that were lost or could not be established.
+    /// The number of consecutive connections that were lost or could not be established.
     disconnects: u32,
     in_flight: usize,
-    /// Consecutive attempts that failed.
+    /// The number of consecutive attempts that failed.
     failures: u32,
     ejected_until: Timestamp,
     is_listed: bool,
@@ -41,7 +43,7 @@
         }
     }
 
-    /// When it is to be connected, if it is.
+    /// When to connect, if the gateway is listed and disconnected.
     fn reconnect_at(&self) -> Option<Timestamp> {
         match self.connection {
             Connection::Disconnected { reconnect_at } if self.is_listed => Some(reconnect_at),
@@ -49,19 +51,20 @@
         }
     }
 
-    fn can_take_attempt(&self, settings: &Settings) -> bool {
+    /// Whether an attempt can be sent to it now.
+    fn can_accept_attempt(&self, settings: &Settings) -> bool {
         self.connection == Connection::Connected
             && self.is_listed
             && self.in_flight < settings.max_in_flight_per_gateway
     }
 }
 
-/// All gateways, by their places in the list.
+/// All gateways, by their positions in the list.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Gateways(Vec<Gateway>);
 
 impl Gateways {
-    /// Sets the length of the list; new gateways are connected at once.
+    /// Sets the length of the list. New gateways are due to be connected at once.
     pub(crate) fn set_count(&mut self, count: usize, now: Timestamp) {
         for (index, gateway) in self.0.iter_mut().enumerate() {
             gateway.is_listed = index < count;
@@ -71,7 +74,7 @@
         }
     }
 
-    /// Gateways that are to be connected now; they count as connecting from here on.
+    /// Marks the gateways whose reconnect is due as connecting, and returns them.
     pub(crate) fn start_connecting(&mut self, now: Timestamp) -> Vec<GatewayId> {
         let mut started = Vec::new();
         for (index, gateway) in self.0.iter_mut().enumerate() {
@@ -83,19 +86,20 @@
         started
     }
 
-    /// When the next gateway is to be connected.
+    /// When the next reconnect is due.
     pub(crate) fn next_connect_at(&self) -> Option<Timestamp> {
         self.0.iter().filter_map(Gateway::reconnect_at).min()
     }
 
+    /// Records that a connection was established.
     pub(crate) fn connected(&mut self, id: GatewayId) {
         if let Some(gateway) = self.0.get_mut(id.0) {
             gateway.connection = Connection::Connected;
         }
     }
 
-    /// A connection was lost or could not be established. It is made again at a random time in a window that doubles with each
-    /// loss.
+    /// Records that a connection was lost or could not be established. The reconnect happens at a random time in a window that
+    /// doubles with each consecutive loss.
     pub(crate) fn disconnected(
         &mut self,
         id: GatewayId,
@@ -106,7 +110,7 @@
         let Some(gateway) = self.0.get_mut(id.0) else {
             return;
         };
-        let factor = 1 << gateway.disconnects.min(MAX_DOUBLINGS);
+        let factor = 1 << gateway.disconnects.min(MAX_WINDOW_DOUBLINGS);
         let window =
             (settings.initial_reconnect_window * factor).min(settings.max_reconnect_window);
         let delay = TimeDelta::from_micros(rng.u64(0..=window.as_micros()));
@@ -117,14 +121,14 @@
         };
     }
 
-    /// An attempt was sent.
+    /// Records that an attempt was sent.
     pub(crate) fn attempt_sent(&mut self, id: GatewayId) {
         if let Some(gateway) = self.0.get_mut(id.0) {
             gateway.in_flight += 1;
         }
     }
 
-    /// An attempt was answered, rejected or cancelled by its caller.
+    /// Records that an attempt was answered, rejected or cancelled by its caller.
     pub(crate) fn attempt_succeeded(&mut self, id: GatewayId) {
         if let Some(gateway) = self.0.get_mut(id.0) {
             gateway.in_flight = gateway.in_flight.saturating_sub(1);
@@ -133,21 +137,21 @@
         }
     }
 
-    /// An attempt failed; a gateway that fails again and again is ejected for a while.
+    /// Records that an attempt failed. A gateway with too many consecutive failures is ejected for a while.
     pub(crate) fn attempt_failed(&mut self, id: GatewayId, now: Timestamp, settings: &Settings) {
         let Some(gateway) = self.0.get_mut(id.0) else {
             return;
         };
         gateway.in_flight = gateway.in_flight.saturating_sub(1);
         gateway.failures += 1;
-        if gateway.failures >= EJECTION_FAILURES {
+        if gateway.failures >= CONSECUTIVE_FAILURES_TO_EJECT {
             gateway.failures = 0;
             gateway.ejected_until = now + settings.ejection_time;
         }
     }
 
-    /// The gateway with fewer attempts in flight of two random ones that can take an attempt. An ejected one is used only if
-    /// there is no other.
+    /// Chooses by the power of two random choices: of two random gateways that can accept an attempt, the one with fewer attempts in
+    /// flight. Ejected gateways are used only if there is no other.
     pub(crate) fn choose(
         &self,
         now: Timestamp,
@@ -155,7 +159,7 @@
         rng: &mut Rng,
     ) -> Option<GatewayId> {
         let available: Vec<usize> = (0..self.0.len())
-            .filter(|&index| self.0[index].can_take_attempt(settings))
+            .filter(|&index| self.0[index].can_accept_attempt(settings))
             .collect();
         let healthy: Vec<usize> = available
             .iter()
@@ -169,7 +173,11 @@
         };
         let first = *rng.choice(candidates)?;
         let second = *rng.choice(candidates)?;
-        let is_second_better = self.0[second].in_flight < self.0[first].in_flight;
-        Some(GatewayId(if is_second_better { second } else { first }))
+        let is_second_less_loaded = self.0[second].in_flight < self.0[first].in_flight;
+        Some(GatewayId(if is_second_less_loaded {
+            second
+        } else {
+            first
+        }))
     }
 }
--- a/crates/client/src/core/messages.rs
+++ b/crates/client/src/core/messages.rs
@@ -1,38 +1,38 @@
-//! What the core is told, and what it wants done.
+//! Events that the core handles, actions that it requests, and the types in them.
 
 use chalkdeck_time::{TimeDelta, Timestamp};
 
-/// Id of a call; chosen by the caller, never used twice.
+/// The id of a call. The caller chooses it and never reuses it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// Place of a gateway in the list.
+/// The position of a gateway in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GatewayId(pub usize);
 
 /// Whether a call may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Always.
+    /// It may always be retried.
     Idempotent,
-    /// Only where every server that a retry can reach deduplicates by the key of the first attempt, as a client does not
-    /// choose the cell.
+    /// It may be retried while the servers deduplicate by its key. All servers that a retry can reach must do so, because a client
+    /// does not choose the cell.
     Keyed {
-        /// How long the servers remember a key, counted from the first attempt that may have run.
+        /// How long the servers remember a key, from the first attempt that may have run.
         key_window: TimeDelta,
     },
-    /// Only if every earlier attempt is known not to have run.
+    /// It may be retried only if every earlier attempt is known not to have run.
     NonIdempotent,
 }
 
 /// How one attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// A server answered, whatever the status.
+    /// A server answered, possibly with an error status.
     Answered,
-    /// It was rejected; a retry is harmless.
+    /// It was rejected before it ran, so a retry is safe.
     Rejected {
-        /// When a retry may succeed, if the gateway said so.
+        /// The delay after which a retry may succeed, if the gateway stated one.
         retry_after: Option<TimeDelta>,
     },
     /// It is known not to have run.
@@ -44,29 +44,29 @@
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// By the answer of its last attempt.
+    /// Its last attempt was answered.
     Answered,
     /// It was rejected.
     Rejected {
-        /// When it may be called again, if the gateway said so.
+        /// The delay after which a new call may succeed, if the gateway stated one.
         retry_after: Option<TimeDelta>,
     },
-    /// It never ran, and may be called again.
+    /// It never ran, so a new call is safe.
     NotSent,
-    /// It may have run.
+    /// It failed and may have run.
     Failed,
     /// Its deadline passed.
     DeadlineExceeded {
-        /// Whether an attempt was sent that is not known to have not run.
+        /// Whether an attempt may have run: one was sent that is not known to be unprocessed.
         may_have_run: bool,
     },
-    /// Too many calls are pending.
+    /// The limit of open or pending calls is reached.
     TooManyCalls,
     /// The caller cancelled it.
     Cancelled,
 }
 
-/// What the core is told.
+/// An event that the core handles.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
     /// The list of gateways has changed.
@@ -80,7 +80,7 @@
         call: CallId,
         /// Whether it may be retried.
         idempotency: Idempotency,
-        /// By when it must be answered.
+        /// When it must be answered at the latest.
         deadline: Timestamp,
     },
     /// The caller cancelled a call.
@@ -98,7 +98,7 @@
         /// Its gateway.
         gateway: GatewayId,
     },
-    /// A call cannot be retried any more: its answer has begun to reach the caller, or what it sent cannot be sent again.
+    /// A call cannot be retried any more: part of its response has reached the caller, or it sent messages that are not kept.
     RetryRuledOut {
         /// Its id.
         call: CallId,
@@ -116,7 +116,7 @@
     Tick,
 }
 
-/// What the core wants done.
+/// An action that the core requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
     /// Connect to a gateway.
@@ -130,9 +130,9 @@
         call: CallId,
         /// Its number, from 0.
         attempt: u32,
-        /// Where it goes.
+        /// The gateway to send it to.
         gateway: GatewayId,
-        /// Time left until the call's deadline.
+        /// The time left until the call's deadline.
         time_left: TimeDelta,
     },
     /// Cancel an attempt.
@@ -142,7 +142,7 @@
         /// Its number, from 0.
         attempt: u32,
     },
-    /// Tell the caller the outcome. Each call has one.
+    /// Report the outcome to the caller. Every call is completed exactly once.
     CompleteCall {
         /// The call.
         call: CallId,
--- a/crates/client/src/core/retry_budget.rs
+++ b/crates/client/src/core/retry_budget.rs
@@ -1,9 +1,10 @@
-//! Retry budget: answers earn what pays for retries, over all calls of a client.
+//! The retry budget of a client: a token bucket that answered calls refill and retries drain. It limits how much retries add to
+//! the load of failing servers.
 
-/// Cost of one retry.
+/// The tokens that one retry costs.
 const RETRY_COST: f64 = 1.0;
 
-/// Tokens that pay for retries; never below zero.
+/// Tokens for retries; never below zero.
 #[derive(Debug, Clone)]
 pub(crate) struct RetryBudget {
     tokens: f64,
@@ -12,7 +13,7 @@
 }
 
 impl RetryBudget {
-    /// A full budget; each answer earns `refill`.
+    /// A full budget, to which each answered call adds `refill` tokens.
     pub(crate) fn new(max_tokens: f64, refill: f64) -> RetryBudget {
         RetryBudget {
             tokens: max_tokens,
@@ -21,18 +22,18 @@
         }
     }
 
-    /// A call was answered.
+    /// Adds the tokens for an answered call.
     pub(crate) fn earn(&mut self) {
         self.tokens = (self.tokens + self.refill).min(self.max_tokens);
     }
 
-    /// Pays for a retry, if there are enough tokens.
+    /// Spends the tokens for one retry, if there are enough; returns whether it did.
     pub(crate) fn try_spend(&mut self) -> bool {
-        let is_enough = self.tokens >= RETRY_COST;
-        if is_enough {
+        let can_spend = self.tokens >= RETRY_COST;
+        if can_spend {
             self.tokens -= RETRY_COST;
         }
-        is_enough
+        can_spend
     }
 
     pub(crate) fn tokens(&self) -> f64 {
--- a/crates/client/src/driver.rs
+++ b/crates/client/src/driver.rs
@@ -1,4 +1,4 @@
-//! Carries out the core's actions over sockets, on one thread with an event loop.
+//! Executes the core's actions over sockets, on one thread with an event loop.
 
 mod attempts;
 mod calls;
@@ -18,29 +18,29 @@
 use std::sync::mpsc::Receiver;
 use std::sync::Arc;
 
-/// The longest answer that is read, in bytes.
-const MAX_ANSWER_LEN: usize = 4 << 20;
-/// The event loop checks the time at least this often.
+/// The longest response message that is accepted, in bytes.
+const MAX_RESPONSE_MESSAGE_BYTES: usize = 4 << 20;
+/// The longest wait of one turn of the event loop.
 const MAX_WAIT: TimeDelta = TimeDelta::from_secs(1);
-/// Timer of the check of the gateway file; all other tokens are those of connects.
+/// The timer token for polling the gateway file. All other tokens are those of connect timeouts.
 const GATEWAY_FILE_TIMER: u64 = u64::MAX;
 
-/// The client's thread.
+/// The state of the client's thread.
 pub(crate) struct Driver {
     core: ClientCore,
     engine: Engine,
-    inbox: Receiver<Command>,
+    commands: Receiver<Command>,
     connect_timeout: TimeDelta,
     keepalive_interval: TimeDelta,
-    /// Draws idempotency keys.
+    /// Generates idempotency keys.
     rng: fastrand::Rng,
     gateways: Vec<GatewayConnection>,
     calls: HashMap<CallId, OpenCall>,
     attempts: HashMap<StreamId, AttemptId>,
-    /// Connects under way, by the tokens of their timers.
-    connects: HashMap<u64, ConnId>,
-    last_connect: u64,
-    /// Events that the core has not handled yet.
+    /// Connections that are being established, by the tokens of their timeouts.
+    connects_by_token: HashMap<u64, ConnId>,
+    last_connect_token: u64,
+    /// Events that the core has yet to handle.
     core_events: Vec<Event>,
     gateway_file: Option<FileWatch>,
     metrics: Arc<Metrics>,
@@ -48,7 +48,7 @@
 }
 
 impl Driver {
-    pub(crate) fn new(core: ClientCore, engine: Engine, inbox: Receiver<Command>) -> Driver {
+    pub(crate) fn new(core: ClientCore, engine: Engine, commands: Receiver<Command>) -> Driver {
         let settings = core.settings();
         let connect_timeout = settings.connect_timeout;
         let keepalive_interval = settings.keepalive_interval;
@@ -56,15 +56,15 @@
         Driver {
             core,
             engine,
-            inbox,
+            commands,
             connect_timeout,
             keepalive_interval,
             rng: fastrand::Rng::with_seed(key_seed),
             gateways: Vec::new(),
             calls: HashMap::new(),
             attempts: HashMap::new(),
-            connects: HashMap::new(),
-            last_connect: 0,
+            connects_by_token: HashMap::new(),
+            last_connect_token: 0,
             core_events: Vec::new(),
             gateway_file: None,
             metrics: Arc::default(),
@@ -76,7 +76,7 @@
         self.metrics.clone()
     }
 
-    /// Runs until it is told to stop, and cancels the calls that are open then.
+    /// Runs until it receives `Command::Stop`, and then cancels the open calls.
     pub(crate) fn run(&mut self) {
         let mut events = Vec::new();
         while !self.is_stopped {
@@ -84,7 +84,7 @@
                 tracing::error!(%error, "client event loop stopped");
                 break;
             }
-            while let Ok(command) = self.inbox.try_recv() {
+            while let Ok(command) = self.commands.try_recv() {
                 self.on_command(command);
             }
             for event in events.drain(..) {
@@ -112,7 +112,7 @@
         (wake - self.now()).min(MAX_WAIT)
     }
 
-    /// Hands events to the core and carries out its actions, until nothing follows.
+    /// Passes events to the core and executes its actions, until no new events result.
     fn run_core(&mut self) {
         while !self.core_events.is_empty() {
             let mut actions = Vec::new();
@@ -121,12 +121,12 @@
                 self.core.handle(now, event, &mut actions);
             }
             for action in actions {
-                self.carry_out(&action);
+                self.execute(&action);
             }
         }
     }
 
-    fn carry_out(&mut self, action: &Action) {
+    fn execute(&mut self, action: &Action) {
         match *action {
             Action::Connect { gateway } => self.connect(gateway),
             Action::SendAttempt {
@@ -143,10 +143,10 @@
     fn on_command(&mut self, command: Command) {
         match command {
             Command::StartCall { id, call, on_reply } => {
-                self.start(id, call, Responder::Unary(on_reply));
+                self.start_call(id, call, Responder::Unary(on_reply));
             }
             Command::OpenStream { id, call, stream } => {
-                self.start(id, call, Responder::Stream(stream));
+                self.start_call(id, call, Responder::Stream(stream));
             }
             Command::SendMessage { call, message } => self.send_message(call, message),
             Command::FinishStream { call } => self.finish_stream(call),
@@ -154,7 +154,7 @@
             Command::SetGateways { addresses } => self.set_gateways(&addresses),
             Command::WatchGatewayFile { watch } => {
                 self.gateway_file = Some(watch);
-                self.check_gateway_file();
+                self.poll_gateway_file();
             }
             Command::Stop => self.is_stopped = true,
         }
@@ -165,7 +165,7 @@
         match event {
             NetEvent::Connected { conn } => self.on_connected(conn),
             NetEvent::Closed { conn, .. } => self.on_closed(conn),
-            NetEvent::Timer(GATEWAY_FILE_TIMER) => self.check_gateway_file(),
+            NetEvent::Timer(GATEWAY_FILE_TIMER) => self.poll_gateway_file(),
             NetEvent::Timer(token) => self.on_connect_timeout(token),
             NetEvent::Head {
                 stream,
@@ -180,17 +180,20 @@
             NetEvent::End { stream, trailers } => {
                 self.on_response_ended(stream, &trailers.unwrap_or_default());
             }
-            NetEvent::StreamFailed { stream, error } => self.end_attempt(stream, outcome_of(error)),
+            NetEvent::StreamFailed { stream, error } => {
+                self.end_attempt(stream, stream_error_outcome(error))
+            }
             _ => {}
         }
     }
 
-    fn disconnected(&mut self, gateway: GatewayId) {
+    /// Tells the core that a gateway has no usable connection.
+    fn report_disconnected(&mut self, gateway: GatewayId) {
         self.core_events.push(Event::Disconnected { gateway });
     }
 }
 
-fn outcome_of(error: StreamError) -> AttemptOutcome {
+fn stream_error_outcome(error: StreamError) -> AttemptOutcome {
     match error {
         StreamError::Refused | StreamError::GoneAway => AttemptOutcome::NotProcessed,
         StreamError::Reset(_) | StreamError::ConnectionLost => AttemptOutcome::MayHaveRun,
--- a/crates/client/src/driver/attempts.rs
+++ b/crates/client/src/driver/attempts.rs
@@ -1,7 +1,7 @@
-//! Attempts in flight: requests out, answers in.
+//! Attempts in flight: sends their requests and handles their responses.
 
 use super::calls::Responder;
-use super::{Driver, MAX_ANSWER_LEN};
+use super::{Driver, MAX_RESPONSE_MESSAGE_BYTES};
 use crate::attempt_headers::{attempt_outcome, request_head};
 use crate::core::{AttemptOutcome, CallId, Event, GatewayId};
 use chalkdeck_net::grpc::{self, Code};
@@ -22,7 +22,7 @@
         let Some(open_call) = self.calls.get_mut(&id.call) else {
             return;
         };
-        open_call.clear_answer();
+        open_call.clear_response();
         let target = &self.gateways[gateway.0];
         let head = target
             .address
@@ -49,7 +49,7 @@
         self.send_unsent_messages(id.call, stream);
     }
 
-    /// The attempt did not leave: the gateway closes the connection or accepts no more streams.
+    /// Handles an attempt that could not be sent, because the gateway drains the connection or accepts no more streams on it.
     fn on_attempt_not_sent(&mut self, id: AttemptId, gateway: GatewayId) {
         self.core_events.push(Event::AttemptEnded {
             call: id.call,
@@ -58,7 +58,7 @@
         });
         if let Some(connection) = self.gateways[gateway.0].connection.take() {
             tracing::debug!(conn = ?connection, "gateway is draining its connection");
-            self.disconnected(gateway);
+            self.report_disconnected(gateway);
         }
     }
 
@@ -77,14 +77,16 @@
         let Some(open_call) = self.calls.get_mut(&call) else {
             return;
         };
-        let read = match &mut open_call.responder {
-            Responder::Unary(_) => open_call.answer.push(data, MAX_ANSWER_LEN),
+        let result = match &mut open_call.responder {
+            Responder::Unary(_) => open_call
+                .response_message
+                .push(data, MAX_RESPONSE_MESSAGE_BYTES),
             Responder::Stream(state) => {
                 self.core_events.push(Event::RetryRuledOut { call });
-                state.on_data(data, MAX_ANSWER_LEN)
+                state.on_data(data, MAX_RESPONSE_MESSAGE_BYTES)
             }
         };
-        if let Err(error) = read {
+        if let Err(error) = result {
             open_call.status_message = error.to_string();
             self.engine.reset(stream, h2::Reason::CANCEL);
             self.end_attempt(stream, AttemptOutcome::MayHaveRun);
--- a/crates/client/src/driver/calls.rs
+++ b/crates/client/src/driver/calls.rs
@@ -1,4 +1,4 @@
-//! Calls that have not ended.
+//! Starts and completes calls.
 
 use super::Driver;
 use crate::call::{Call, Reply};
@@ -10,38 +10,38 @@
 use chalkdeck_net::StreamId;
 use chalkdeck_time::{TimeDelta, Timestamp};
 
-/// Who gets the answer of a call.
+/// The callback that receives the response to a call.
 pub(super) enum Responder {
     Unary(ReplyCallback),
     Stream(StreamState),
 }
 
-/// A call that has not ended.
+/// A call that is not complete yet.
 pub(super) struct OpenCall {
     pub(super) call: Call,
     pub(super) responder: Responder,
-    /// The stream of the attempt in flight.
+    /// The HTTP/2 stream of the attempt in flight.
     pub(super) stream: Option<StreamId>,
-    /// Status of the last attempt that had one.
+    /// The status of the last attempt that received one.
     pub(super) status: Option<Code>,
     pub(super) status_message: String,
-    /// The message of a unary answer.
-    pub(super) answer: UnaryMessage,
-    /// Attempts that were sent.
+    /// The response message of a unary call.
+    pub(super) response_message: UnaryMessage,
+    /// The number of attempts that were sent.
     pub(super) attempts: u32,
     started_at: Timestamp,
     pub(super) span: tracing::Span,
 }
 
 impl OpenCall {
-    /// Forgets what an earlier attempt was answered.
-    pub(super) fn clear_answer(&mut self) {
+    /// Discards the response of an earlier attempt.
+    pub(super) fn clear_response(&mut self) {
         self.status = None;
         self.status_message.clear();
-        self.answer = UnaryMessage::default();
+        self.response_message = UnaryMessage::default();
     }
 
-    /// The stream's state, if the call is a stream.
+    /// The state of the stream, if the call is not unary.
     pub(super) fn stream_state(&mut self) -> Option<&mut StreamState> {
         match &mut self.responder {
             Responder::Unary(_) => None,
@@ -51,16 +51,17 @@
 }
 
 impl Driver {
-    pub(super) fn start(&mut self, id: CallId, mut call: Call, responder: Responder) {
+    /// Registers a call, and tells the core that it was started.
+    pub(super) fn start_call(&mut self, id: CallId, mut call: Call, responder: Responder) {
         if matches!(call.idempotency, Idempotency::Keyed { .. }) && call.key.is_none() {
             call.key = Some(format!("{:032x}", self.rng.u128(..)));
         }
         let started_at = self.now();
-        let timeout = u64::try_from(call.timeout.as_micros()).unwrap_or(u64::MAX);
+        let timeout_micros = u64::try_from(call.timeout.as_micros()).unwrap_or(u64::MAX);
         self.core_events.push(Event::CallStarted {
             call: id,
             idempotency: call.idempotency,
-            deadline: started_at + TimeDelta::from_micros(timeout),
+            deadline: started_at + TimeDelta::from_micros(timeout_micros),
         });
         let span = tracing::debug_span!(
             "call",
@@ -74,7 +75,7 @@
             stream: None,
             status: None,
             status_message: String::new(),
-            answer: UnaryMessage::default(),
+            response_message: UnaryMessage::default(),
             attempts: 0,
             started_at,
             span,
@@ -83,7 +84,7 @@
         self.metrics.set_open_calls(self.calls.len());
     }
 
-    /// Tells the caller the outcome of a call.
+    /// Reports the outcome of a call to its caller.
     pub(super) fn complete(&mut self, id: CallId, outcome: Outcome) {
         let Some(open_call) = self.calls.remove(&id) else {
             return;
@@ -94,7 +95,7 @@
         let span = &open_call.span;
         span.record("outcome", tracing::field::debug(outcome));
         tracing::debug!(parent: span, attempts = open_call.attempts, "call completed");
-        let message = open_call.answer.message().cloned();
+        let message = open_call.response_message.message().cloned();
         let reply = Reply {
             outcome,
             status: open_call.status,
--- a/crates/client/src/driver/connections.rs
+++ b/crates/client/src/driver/connections.rs
@@ -7,9 +7,9 @@
 use chalkdeck_time::TimeDelta;
 use std::net::SocketAddr;
 
-/// How often the gateway file is checked for changes.
-const GATEWAY_FILE_INTERVAL: TimeDelta = TimeDelta::from_millis(200);
-/// Streams that may be open at once on one connection.
+/// The interval between polls of the gateway file.
+const GATEWAY_FILE_POLL_INTERVAL: TimeDelta = TimeDelta::from_millis(200);
+/// The most streams that are open at once on one connection.
 const STREAMS_PER_CONNECTION: u32 = 10_000;
 
 /// A gateway and the connection to it.
@@ -21,7 +21,7 @@
 }
 
 impl Driver {
-    /// Replaces the list. A gateway whose address has changed gets a new connection.
+    /// Replaces the list of gateways. A gateway whose address has changed gets a new connection.
     pub(super) fn set_gateways(&mut self, addresses: &[SocketAddr]) {
         let count = self.gateways.len().max(addresses.len());
         self.gateways.resize_with(count, GatewayConnection::default);
@@ -41,7 +41,7 @@
         gateway.address = address;
         if let Some(connection) = gateway.connection.take() {
             self.engine.close(connection);
-            self.disconnected(id);
+            self.report_disconnected(id);
         }
     }
 
@@ -55,21 +55,23 @@
             ..Limits::default()
         };
         let Ok(connection) = self.engine.connect(address, limits) else {
-            return self.disconnected(id);
+            return self.report_disconnected(id);
         };
         self.gateways[id.0].connection = Some(connection);
-        self.last_connect += 1;
-        self.connects.insert(self.last_connect, connection);
+        self.last_connect_token += 1;
+        self.connects_by_token
+            .insert(self.last_connect_token, connection);
         let timeout_at = self.now() + self.connect_timeout;
         self.engine
-            .set_timer(timeout_at.as_micros(), self.last_connect);
+            .set_timer(timeout_at.as_micros(), self.last_connect_token);
     }
 
     pub(super) fn on_connected(&mut self, connection: ConnId) {
         let Some(gateway) = self.gateway_of(connection) else {
             return;
         };
-        self.connects.retain(|_, other| *other != connection);
+        self.connects_by_token
+            .retain(|_, other| *other != connection);
         self.metrics.record_connect();
         self.core_events.push(Event::Connected { gateway });
     }
@@ -79,12 +81,12 @@
             return;
         };
         self.gateways[gateway.0].connection = None;
-        self.disconnected(gateway);
+        self.report_disconnected(gateway);
     }
 
     /// Closes a connection that was not established in time.
     pub(super) fn on_connect_timeout(&mut self, token: u64) {
-        if let Some(connection) = self.connects.remove(&token) {
+        if let Some(connection) = self.connects_by_token.remove(&token) {
             self.engine.close(connection);
         }
     }
@@ -95,14 +97,14 @@
         Some(GatewayId(index))
     }
 
-    /// Reads the gateway file if it has changed, and checks again later.
-    pub(super) fn check_gateway_file(&mut self) {
-        let next_check = self.now() + GATEWAY_FILE_INTERVAL;
+    /// Reads the gateway file if it has changed, and schedules the next poll.
+    pub(super) fn poll_gateway_file(&mut self) {
+        let next_poll_at = self.now() + GATEWAY_FILE_POLL_INTERVAL;
         let Some(watch) = &mut self.gateway_file else {
             return;
         };
         self.engine
-            .set_timer(next_check.as_micros(), GATEWAY_FILE_TIMER);
+            .set_timer(next_poll_at.as_micros(), GATEWAY_FILE_TIMER);
         let Some(read) = watch.poll() else {
             return;
         };
--- a/crates/client/src/driver/streams.rs
+++ b/crates/client/src/driver/streams.rs
@@ -1,4 +1,4 @@
-//! Messages that the callers of streams send.
+//! Sends the messages of streams.
 
 use super::Driver;
 use crate::core::{CallId, Event};
@@ -7,7 +7,7 @@
 use chalkdeck_net::StreamId;
 
 impl Driver {
-    /// Sends a further message of a stream. It is not kept, so from here on the stream cannot be retried.
+    /// Sends another message on a stream. The message is not kept, so the stream cannot be retried afterwards.
     pub(super) fn send_message(&mut self, call: CallId, message: Bytes) {
         let Some(open_call) = self.calls.get_mut(&call) else {
             return;
@@ -17,27 +17,27 @@
             return;
         };
         let Some(stream) = stream else {
-            state.unsent.push(message);
+            state.unsent_messages.push(message);
             return;
         };
         self.engine.send(stream, grpc::frame(&message));
         self.core_events.push(Event::RetryRuledOut { call });
     }
 
-    /// Sends what the caller sent before there was an attempt, and the end of the messages if it is known.
+    /// Sends the messages that were queued before the attempt, and ends the request if there are no further messages.
     pub(super) fn send_unsent_messages(&mut self, call: CallId, stream: StreamId) {
         let Some(open_call) = self.calls.get_mut(&call) else {
             return;
         };
         let Some(state) = open_call.stream_state() else {
-            // A unary call has one message.
+            // The message of a unary call is already sent.
             self.engine.finish(stream, None);
             return;
         };
-        if !state.unsent.is_empty() {
+        if !state.unsent_messages.is_empty() {
             self.core_events.push(Event::RetryRuledOut { call });
         }
-        for message in state.unsent.drain(..) {
+        for message in state.unsent_messages.drain(..) {
             self.engine.send(stream, grpc::frame(&message));
         }
         if state.is_finished {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Bytes of a stream were handed to the connection.
+    /// Handles that bytes of a stream were passed to the connection.
     pub(super) fn on_sent(&mut self, stream: StreamId, bytes: usize) {
         let call = self.attempts.get(&stream).map(|id| id.call);
         let open_call = call.and_then(|call| self.calls.get_mut(&call));
--- a/crates/client/src/gateway_file.rs
+++ b/crates/client/src/gateway_file.rs
@@ -1,29 +1,29 @@
-//! Files that list gateways: one `ip:port` a line, `#` begins a comment.
+//! Parses files that list gateways: one `ip:port` per line, and `#` starts a comment.
 
 use chalkdeck_net::file_watch::FileWatchError;
 use std::net::SocketAddr;
 use std::str::Utf8Error;
 
-/// Why a list of gateways is not used; the last good one stays in force.
+/// A gateway file cannot be used. The last valid list stays in use.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum GatewayFileError {
     /// The file cannot be read.
     #[error(transparent)]
     Read(#[from] FileWatchError),
-    /// The file is not text.
+    /// The file is not UTF-8 text.
     #[error("expected UTF-8 text")]
     Text(#[from] Utf8Error),
     /// A line is not an address.
     #[error("line {line}: expected ip:port, found '{found}'")]
     Address {
-        /// Number of the line, from 1.
+        /// The number of the line, from 1.
         line: usize,
-        /// Its text without the comment.
+        /// The text of the line without its comment.
         found: String,
     },
 }
 
-/// The addresses in a file's bytes.
+/// Parses the content of a gateway file.
 pub(crate) fn parse(bytes: &[u8]) -> Result<Vec<SocketAddr>, GatewayFileError> {
     let text = std::str::from_utf8(bytes)?;
     let mut addresses = Vec::new();
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,8 +1,8 @@
-//! A client of a fleet of gateways. It keeps deadlines, retries a call only where that is harmless, honours the retry times of
-//! rejections, and spreads its reconnects.
+//! A client library for a fleet of gateways. It enforces deadlines, retries a call only if that is safe, honours the retry times
+//! of rejections, and spreads its reconnects over time.
 //!
-//! [`core::ClientCore`] decides all of it and does no I/O; [`Client`] carries out its actions over sockets on a thread of its
-//! own.
+//! [`core::ClientCore`] makes all decisions and does no I/O. [`Client`] executes the resulting actions over sockets, on a thread of
+//! its own.
 #![forbid(unsafe_code)]
 
 mod attempt_headers;
--- a/crates/client/src/metrics.rs
+++ b/crates/client/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Figures of a client: a copy for its own program, and metrics in the Prometheus form.
+//! Statistics of a client for its own program, and as Prometheus metrics.
 
 use crate::core::Outcome;
 use chalkdeck_time::TimeDelta;
@@ -8,20 +8,20 @@
 use prometheus_client::registry::{Registry, Unit};
 use std::sync::atomic::AtomicU64;
 
-/// What a client has done since its start. The calls that ended are the sum of `answered`, `rejected`, `failed` and `dropped`.
+/// Counts since the start of a client. The number of completed calls is the sum of `answered`, `rejected`, `failed` and `dropped`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
     /// Attempts that were sent.
     pub attempts: u64,
     /// Connections that were established.
     pub connects: u64,
-    /// Calls that ended with an answer.
+    /// Calls that were answered.
     pub answered: u64,
-    /// Calls that were rejected or never sent, and may be called again.
+    /// Calls that were rejected or never ran, for which a new call is safe.
     pub rejected: u64,
     /// Calls that failed or exceeded their deadlines.
     pub failed: u64,
-    /// Calls that were cancelled, or were too many.
+    /// Calls that were cancelled, or exceeded the limit of open calls.
     pub dropped: u64,
 }
 
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Registers the metrics under the names that dashboards use.
+    /// Registers the metrics. Dashboards depend on these names.
     pub(crate) fn register(&self, registry: &mut Registry) {
         let client = registry.sub_registry_with_prefix("chalkdeck_client");
         for (name, help, counter) in [
--- a/crates/client/src/settings.rs
+++ b/crates/client/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a client.
+//! The settings of a client.
 
 mod text;
 
@@ -6,41 +6,41 @@
 
 use chalkdeck_time::TimeDelta;
 
-/// The largest jitter that makes sense.
+/// The largest valid value of `retry_jitter`.
 const MAX_RETRY_JITTER: f64 = 10.0;
 
-/// Limits and times of a client.
+/// The limits and times of a client.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Attempts of one call, the first included.
+    /// The most attempts of one call, including the first.
     pub max_attempts: u32,
-    /// The first wait between attempts of one call.
+    /// The initial backoff between attempts of one call.
     pub initial_backoff: TimeDelta,
-    /// The longest wait between attempts of one call.
+    /// The longest backoff between attempts of one call.
     pub max_backoff: TimeDelta,
-    /// Fraction of a retry time that is added at random at most, so that rejected calls do not return together.
+    /// The largest fraction of a retry time that is added to it at random, so that rejected calls do not return together.
     pub retry_jitter: f64,
-    /// Retries that can be saved up.
+    /// The most retries that the retry budget can hold.
     pub retry_budget: f64,
-    /// Retries that each answer earns.
+    /// The retries that each answered call adds to the retry budget.
     pub retry_budget_refill: f64,
-    /// The window over which lost connections are made again at first.
+    /// The initial window over which reconnects are spread at random.
     pub initial_reconnect_window: TimeDelta,
-    /// The longest such window.
+    /// The longest window over which reconnects are spread.
     pub max_reconnect_window: TimeDelta,
-    /// A connect that takes longer has failed.
+    /// The time limit for establishing a connection.
     pub connect_timeout: TimeDelta,
-    /// How often connections are pinged; one that does not answer by the next ping is lost. Zero: never.
+    /// The interval of keepalive pings. A connection that does not answer before the next ping is closed. Zero disables pings.
     pub keepalive_interval: TimeDelta,
-    /// How long a gateway that fails again and again is ejected.
+    /// How long a gateway is ejected after consecutive failures.
     pub ejection_time: TimeDelta,
-    /// Attempts in flight at one gateway.
+    /// The most attempts in flight at one gateway.
     pub max_in_flight_per_gateway: usize,
-    /// Calls that may wait for a gateway.
+    /// The most calls that wait for a gateway.
     pub max_pending: usize,
-    /// An attempt with less time left than this is not sent.
+    /// An attempt is not sent if less time than this is left until the deadline.
     pub min_time_left: TimeDelta,
-    /// Seed of everything random.
+    /// The seed of all random decisions.
     pub seed: u64,
 }
 
@@ -66,13 +66,13 @@
     }
 }
 
-/// Settings that are out of range. The messages name the fields of the text form.
+/// A setting is out of range. The messages name the fields of the text format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// No attempt is permitted.
     #[error("tries: expected at least 1")]
     MaxAttempts,
-    /// The backoff is zero, or its first value exceeds the longest.
+    /// The initial backoff is zero, or exceeds the longest.
     #[error("backoff_first: expected above 0 and at most backoff_most")]
     Backoff,
     /// The jitter is not a number in its range.
@@ -81,7 +81,7 @@
     /// The retry budget or its refill is not a number of 0 or more.
     #[error("budget, earn: expected numbers of 0 or more")]
     RetryBudget,
-    /// The first reconnect window exceeds the longest.
+    /// The initial reconnect window exceeds the longest.
     #[error("reconnect_most: expected at least reconnect_first")]
     ReconnectWindow,
     /// No attempt may be in flight.
@@ -91,6 +91,10 @@
 
 impl Settings {
     /// Checks the ranges of all values.
+    ///
+    /// # Errors
+    ///
+    /// A value is out of range.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.max_attempts == 0 {
             return Err(SettingsError::MaxAttempts);
--- a/crates/client/src/settings/text.rs
+++ b/crates/client/src/settings/text.rs
@@ -1,18 +1,18 @@
-//! Settings from protobuf text.
+//! Parses settings in the protobuf text format.
 
 use super::{Settings, TextError};
 use chalkdeck_proto::chalkdeck::client::v1 as wire;
 use chalkdeck_time::TimeDelta;
 
-/// Full name of the settings' message.
+/// The full name of the message type of the settings.
 const MESSAGE: &str = "chalkdeck.client.v1.Settings";
 
 impl Settings {
-    /// Parses `chalkdeck.client.v1.Settings` in text form; what is absent or zero keeps its default.
+    /// Parses `chalkdeck.client.v1.Settings` in text format. Fields that are absent or zero keep their defaults.
     ///
     /// # Errors
     ///
-    /// The error names the line, or the field if a value is out of range.
+    /// The text is invalid, in which case the error has the line, or a value is out of range, in which case the error names the field.
     pub fn parse(text: &str) -> Result<Settings, TextError> {
         let wire: wire::Settings = chalkdeck_proto::text::parse(MESSAGE, text)?;
         let settings = from_wire(&wire);
--- a/crates/client/src/stream.rs
+++ b/crates/client/src/stream.rs
@@ -8,28 +8,28 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// Bytes of a stream that may wait to be sent.
+/// The most bytes of a stream that wait to be sent.
 pub(crate) const MAX_QUEUED_BYTES: usize = 1 << 20;
-/// Length of a message's header on the wire.
-const FRAME_HEADER_LEN: usize = 5;
+/// The size of a gRPC frame header.
+const FRAME_HEADER_BYTES: usize = 5;
 
 /// Too many bytes of a stream wait to be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("too many bytes of the stream wait to be sent")]
 pub struct StreamFull;
 
-/// What the caller of a stream is told, on the client's thread.
+/// An event of a stream, which its callback receives on the client's thread.
 #[derive(Debug, Clone)]
 pub enum StreamEvent {
-    /// A message of the server.
+    /// A message from the server.
     Message(Bytes),
-    /// A message can be sent again, after [`Stream::send`] reported that too many wait.
+    /// Messages can be sent again, after [`Stream::send`] returned [`StreamFull`].
     Writable,
-    /// The stream ended; nothing follows.
+    /// The stream has ended. No further event follows.
     Ended(Reply),
 }
 
-/// A stream under way. Dropping it leaves the stream open; [`Stream::finish`] and [`Stream::cancel`] end it.
+/// A handle of an open stream. Dropping it leaves the stream open; [`Stream::finish`] and [`Stream::cancel`] end it.
 pub struct Stream {
     pub(crate) commands: Arc<CommandSender>,
     pub(crate) call: CallId,
@@ -37,17 +37,17 @@
 }
 
 impl Stream {
-    /// Sends a further message. A stream that has sent a second message is not retried.
+    /// Sends another message. A stream that has sent a second message is not retried.
     ///
     /// # Errors
     ///
-    /// A MiB waits already; [`StreamEvent::Writable`] follows when the server has taken some of it.
+    /// 1 MiB already waits to be sent. [`StreamEvent::Writable`] follows when the queue is shorter again.
     pub fn send(&self, message: Bytes) -> Result<(), StreamFull> {
         if self.queued_bytes() >= MAX_QUEUED_BYTES {
             return Err(StreamFull);
         }
         self.queued_bytes
-            .fetch_add(message.len() + FRAME_HEADER_LEN, Ordering::Relaxed);
+            .fetch_add(message.len() + FRAME_HEADER_BYTES, Ordering::Relaxed);
         self.commands.send(Command::SendMessage {
             call: self.call,
             message,
@@ -55,7 +55,7 @@
         Ok(())
     }
 
-    /// Ends the messages of this side; the server may go on.
+    /// Closes the sending side of the stream. The server can still send messages.
     pub fn finish(&self) {
         self.commands
             .send(Command::FinishStream { call: self.call });
@@ -66,20 +66,20 @@
         self.commands.send(Command::Cancel { call: self.call });
     }
 
-    /// Bytes that wait to be sent.
+    /// The number of bytes that wait to be sent.
     pub fn queued_bytes(&self) -> usize {
         self.queued_bytes.load(Ordering::Relaxed)
     }
 }
 
-/// A stream on the client's thread.
+/// The state of a stream on the client's thread.
 pub(crate) struct StreamState {
     pub(crate) on_event: Box<dyn FnMut(StreamEvent) + Send>,
     queued_bytes: Arc<AtomicUsize>,
     deframer: Deframer,
-    /// Messages that were sent while no attempt was in flight; bounded by `queued_bytes`.
-    pub(crate) unsent: Vec<Bytes>,
-    /// Whether the caller sends no more.
+    /// Messages from the caller while no attempt is in flight. Their size is bounded by `MAX_QUEUED_BYTES`.
+    pub(crate) unsent_messages: Vec<Bytes>,
+    /// Whether the caller has closed its sending side.
     pub(crate) is_finished: bool,
 }
 
@@ -92,21 +92,22 @@
             on_event,
             queued_bytes,
             deframer: Deframer::default(),
-            unsent: Vec::new(),
+            unsent_messages: Vec::new(),
             is_finished: false,
         }
     }
 
-    /// Hands the whole messages in the server's bytes to the caller.
-    pub(crate) fn on_data(&mut self, data: &[u8], max_len: usize) -> Result<(), FrameError> {
+    /// Reports the complete messages in the received bytes to the caller.
+    pub(crate) fn on_data(&mut self, data: &[u8], max_bytes: usize) -> Result<(), FrameError> {
         self.deframer.push(data);
-        while let Some(message) = self.deframer.next(max_len)? {
+        while let Some(message) = self.deframer.next(max_bytes)? {
             (self.on_event)(StreamEvent::Message(message));
         }
         Ok(())
     }
 
-    /// Bytes were handed to the connection. The first message was not counted as queued, so the sum may fall below zero.
+    /// Handles that bytes were passed to the connection. The first message is not counted as queued, so the subtraction saturates at
+    /// zero.
     pub(crate) fn on_sent(&mut self, bytes: usize) {
         let subtract = |queued: usize| Some(queued.saturating_sub(bytes));
         let before = self
--- a/crates/client/src/tower.rs
+++ b/crates/client/src/tower.rs
@@ -1,8 +1,8 @@
-//! The client as a `tower` service, for programs that use `tonic`: give [`FleetService`] to a generated client in place of its
-//! channel. The same core decides and the same thread does the I/O; no async runtime is needed.
+//! A `tower` service over a [`Client`], for programs that use `tonic`: pass [`FleetService`] to a generated client in place of its
+//! channel. The client's own thread does the I/O, so no async runtime is needed.
 //!
-//! A call is unary, non-idempotent and has ten seconds unless [`CallOptions`] say otherwise: in the request's extensions for
-//! one call, or by the path through [`CallOptionsLayer`].
+//! By default, a call is unary and non-idempotent, and has a timeout of ten seconds. [`CallOptions`] change that: in the request's
+//! extensions for one call, or by path with a [`CallOptionsLayer`].
 
 mod body;
 mod future;
@@ -26,9 +26,9 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// The longest message that is sent, in bytes.
-const MAX_MESSAGE_LEN: usize = 4 << 20;
-/// Headers that are not passed on as metadata: they are made anew for each attempt.
+/// The longest request message that is accepted, in bytes.
+const MAX_REQUEST_MESSAGE_BYTES: usize = 4 << 20;
+/// Headers that are not forwarded as metadata, because they are set for each attempt.
 const TRANSPORT_HEADERS: [&str; 6] = [
     "te",
     "content-type",
@@ -38,7 +38,7 @@
     "user-agent",
 ];
 
-/// The fleet of gateways as one service. It is always ready: with too many calls open a call ends at once, with
+/// The fleet of gateways as one service. It is always ready. If too many calls are open, a call ends at once with
 /// `RESOURCE_EXHAUSTED`.
 #[derive(Clone)]
 pub struct FleetService {
@@ -46,7 +46,7 @@
 }
 
 impl FleetService {
-    /// A service over a client, which the program may also use itself.
+    /// Creates a service over a client, which the program can also use directly.
     pub fn new(client: Arc<Client>) -> FleetService {
         FleetService { client }
     }
@@ -84,19 +84,19 @@
     }
 }
 
-/// The shorter one of the request's own timeout and that of its options.
-fn timeout(headers: &HeaderMap, longest: Duration) -> Duration {
+/// The shorter of the request's `grpc-timeout` and the timeout of its options.
+fn timeout(headers: &HeaderMap, max_timeout: Duration) -> Duration {
     let requested = headers
         .get(grpc::TIMEOUT)
         .and_then(|value| value.to_str().ok())
         .and_then(grpc::parse_timeout);
     match requested {
-        Some(micros) => longest.min(Duration::from_micros(micros)),
-        None => longest,
+        Some(micros) => max_timeout.min(Duration::from_micros(micros)),
+        None => max_timeout,
     }
 }
 
-/// The headers that the caller has set itself, as far as they are text.
+/// The metadata among the headers of a request. Binary values are skipped.
 fn metadata(headers: &HeaderMap) -> Vec<(String, String)> {
     let mut metadata = Vec::new();
     for (name, value) in headers {
--- a/crates/client/src/tower/body.rs
+++ b/crates/client/src/tower/body.rs
@@ -1,7 +1,7 @@
-//! Bodies of responses.
+//! Response bodies.
 
-use super::request::not_sent;
-use super::{response, MAX_MESSAGE_LEN};
+use super::request::reply_without_attempt;
+use super::{response, MAX_REQUEST_MESSAGE_BYTES};
 use crate::client::CLIENT_ENDED;
 use crate::stream::{Stream, StreamEvent};
 use bytes::Bytes;
@@ -16,17 +16,18 @@
 use std::sync::Arc;
 use std::task::{Context, Poll};
 
-/// Bytes of a stream's answers that may wait to be read; a stream with more is cancelled.
+/// The most received bytes of a stream that wait to be read. A stream that exceeds it is cancelled.
 const MAX_UNREAD_BYTES: usize = 4 << 20;
 
-/// The body of a response: one message and its status, or those of a stream. Dropping the body of a stream cancels it.
+/// The body of a response: one message and the status of a unary call, or the messages and the status of a stream. Dropping the
+/// body cancels the stream.
 pub struct ResponseBody<B> {
     frames: VecDeque<Frame<Bytes>>,
     exchange: Option<Box<StreamExchange<B>>>,
 }
 
 impl<B> ResponseBody<B> {
-    /// A body whose frames are known.
+    /// A body with all its frames.
     pub(super) fn complete(frames: Vec<Frame<Bytes>>) -> ResponseBody<B> {
         ResponseBody {
             frames: frames.into(),
@@ -65,12 +66,12 @@
         let Some(exchange) = &mut self.exchange else {
             return Poll::Ready(None);
         };
-        let Poll::Ready(answer) = exchange.poll_answer(context) else {
+        let Poll::Ready(response) = exchange.poll_response(context) else {
             return Poll::Pending;
         };
-        let frame = match answer {
-            StreamAnswer::Message(message) => Frame::data(grpc::frame(&message)),
-            StreamAnswer::Ended(trailers) => {
+        let frame = match response {
+            StreamResponse::Message(message) => Frame::data(grpc::frame(&message)),
+            StreamResponse::Ended(trailers) => {
                 self.exchange = None;
                 Frame::trailers(trailers)
             }
@@ -79,22 +80,22 @@
     }
 }
 
-/// What a stream is answered.
-enum StreamAnswer {
+/// A message or the end of a stream's response.
+enum StreamResponse {
     Message(Bytes),
     Ended(http::HeaderMap),
 }
 
-/// A stream with the messages of both sides.
+/// A stream with the request body that it sends and the events that it receives.
 pub(super) struct StreamExchange<B> {
     stream: Stream,
     events: UnboundedReceiver<StreamEvent>,
     unread_bytes: Arc<AtomicUsize>,
-    /// The body that the caller sends; `None` once it has ended.
+    /// The caller's request body. `None` once it has ended.
     request_body: Option<B>,
     deframer: Deframer,
-    /// A message that the stream had no room for.
-    unsent: Option<Bytes>,
+    /// A message that waits because the stream's queue is full.
+    unsent_message: Option<Bytes>,
 }
 
 impl<B> StreamExchange<B> {
@@ -111,7 +112,7 @@
             unread_bytes,
             request_body: Some(request_body),
             deframer,
-            unsent: None,
+            unsent_message: None,
         }
     }
 
@@ -120,17 +121,18 @@
         self.stream.cancel();
     }
 
+    /// The next message to send, if it is complete.
     fn next_message(&mut self) -> Result<Option<Bytes>, FrameError> {
-        match self.unsent.take() {
+        match self.unsent_message.take() {
             Some(message) => Ok(Some(message)),
-            None => self.deframer.next(MAX_MESSAGE_LEN),
+            None => self.deframer.next(MAX_REQUEST_MESSAGE_BYTES),
         }
     }
 }
 
 impl<B: Body<Data = Bytes> + Unpin> StreamExchange<B> {
-    /// Sends what the caller has ready and returns the next answer.
-    fn poll_answer(&mut self, context: &mut Context<'_>) -> Poll<StreamAnswer> {
+    /// Sends the messages that are ready, and returns the next part of the response.
+    fn poll_response(&mut self, context: &mut Context<'_>) -> Poll<StreamResponse> {
         if self.unread_bytes.load(Ordering::Relaxed) > MAX_UNREAD_BYTES {
             self.cancel();
         }
@@ -144,26 +146,26 @@
                 Some(StreamEvent::Message(message)) => {
                     self.unread_bytes
                         .fetch_sub(message.len(), Ordering::Relaxed);
-                    return Poll::Ready(StreamAnswer::Message(message));
+                    return Poll::Ready(StreamResponse::Message(message));
                 }
                 Some(StreamEvent::Ended(reply)) => {
-                    return Poll::Ready(StreamAnswer::Ended(response::trailers(&reply)));
+                    return Poll::Ready(StreamResponse::Ended(response::trailers(&reply)));
                 }
                 None => {
-                    let reply = not_sent(Code::Cancelled, CLIENT_ENDED);
-                    return Poll::Ready(StreamAnswer::Ended(response::trailers(&reply)));
+                    let reply = reply_without_attempt(Code::Cancelled, CLIENT_ENDED);
+                    return Poll::Ready(StreamResponse::Ended(response::trailers(&reply)));
                 }
             }
         }
     }
 
-    /// Sends the messages that the caller has ready, as far as there is room. [`StreamEvent::Writable`] follows otherwise.
+    /// Sends the caller's messages that are ready. If the stream's queue is full, [`StreamEvent::Writable`] follows.
     fn send_ready(&mut self, context: &mut Context<'_>) {
         while self.request_body.is_some() {
             match self.next_message() {
                 Ok(Some(message)) => {
                     if self.stream.send(message.clone()).is_err() {
-                        self.unsent = Some(message);
+                        self.unsent_message = Some(message);
                         return;
                     }
                 }
@@ -177,7 +179,7 @@
         }
     }
 
-    /// Takes the next frame of the caller's body, if it is ready.
+    /// Reads the next frame of the caller's request body, if it is ready.
     fn poll_request_body(&mut self, context: &mut Context<'_>) -> Poll<()> {
         let Some(body) = &mut self.request_body else {
             return Poll::Ready(());
--- a/crates/client/src/tower/future.rs
+++ b/crates/client/src/tower/future.rs
@@ -1,8 +1,8 @@
-//! The response of a call, as a future.
+//! The future of a response.
 
 use super::body::{ResponseBody, StreamExchange};
 use super::options::CallKind;
-use super::request::{not_sent, PendingRequest};
+use super::request::{reply_without_attempt, PendingRequest};
 use super::response;
 use crate::call::{CallHandle, Reply, TooManyCalls};
 use crate::client::CLIENT_ENDED;
@@ -19,25 +19,26 @@
 use std::sync::Arc;
 use std::task::{ready, Context, Poll};
 
-/// A call under way. Dropping it cancels the call.
+/// The response to a call. Dropping the future cancels the call.
 pub struct ResponseFuture<B> {
     kind: CallKind,
     state: State<B>,
 }
 
+/// The state of a call.
 enum State<B> {
-    /// The first message is awaited.
+    /// The request's first message has not arrived yet.
     Pending(Box<PendingRequest<B>>),
-    /// The reply to a unary call is awaited.
+    /// A unary call was started, and its reply has not arrived yet.
     InFlight {
         reply: oneshot::Receiver<Reply>,
         cancel: CancelOnDrop,
     },
-    /// The response was given.
+    /// The response was returned.
     Done,
 }
 
-/// Cancels a call that nobody waits for any more.
+/// Cancels a call when its future is dropped.
 struct CancelOnDrop(Option<CallHandle>);
 
 impl Drop for CancelOnDrop {
@@ -83,7 +84,8 @@
                 State::InFlight { reply, cancel } => {
                     let reply = ready!(Pin::new(reply).poll(context));
                     cancel.0 = None;
-                    let reply = reply.unwrap_or_else(|_| not_sent(Code::Cancelled, CLIENT_ENDED));
+                    let reply = reply
+                        .unwrap_or_else(|_| reply_without_attempt(Code::Cancelled, CLIENT_ENDED));
                     return Poll::Ready(Ok(response::unary(&reply)));
                 }
                 State::Done => return Poll::Pending,
@@ -118,7 +120,7 @@
         let _ = event_sender.unbounded_send(event);
     };
     let Ok(stream) = request.client.open_stream(request.call, on_event) else {
-        let reply = not_sent(Code::ResourceExhausted, TooManyCalls.to_string());
+        let reply = reply_without_attempt(Code::ResourceExhausted, TooManyCalls.to_string());
         return response::unary(&reply);
     };
     let exchange =
--- a/crates/client/src/tower/options.rs
+++ b/crates/client/src/tower/options.rs
@@ -1,4 +1,4 @@
-//! What the library must know of a call that its request does not say.
+//! Options of a call that its HTTP request does not contain.
 
 use crate::core::Idempotency;
 use http::Request;
@@ -6,7 +6,7 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Time for a call, unless set.
+/// The default timeout of a call.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How messages are exchanged.
@@ -15,18 +15,18 @@
     /// One message in each direction.
     #[default]
     Unary,
-    /// Messages in both directions as they come. A call that has sent a second message or got an answer is not retried.
+    /// Any number of messages in both directions. A call that has sent a second message or received any message is not retried.
     Streaming,
 }
 
-/// Options of a call.
+/// The options of a call.
 #[derive(Clone, Debug)]
 pub struct CallOptions {
     /// Whether it may be retried.
     pub idempotency: Idempotency,
-    /// The idempotency key of a keyed call; without one the library draws one.
+    /// The idempotency key of a keyed call. If there is none, the library generates one.
     pub key: Option<String>,
-    /// Time for all attempts, or for the whole stream. A shorter `grpc-timeout` of the request takes precedence.
+    /// The time limit for all attempts, or for the whole stream. A shorter `grpc-timeout` of the request takes precedence.
     pub timeout: Duration,
     /// How messages are exchanged.
     pub kind: CallKind,
@@ -43,17 +43,17 @@
     }
 }
 
-/// The options of the calls of a path.
+/// Returns the options of the calls of a path.
 type OptionsByPath = dyn Fn(&str) -> CallOptions + Send + Sync;
 
-/// Gives requests that have no [`CallOptions`] those of their path.
+/// A layer that sets [`CallOptions`] by path on requests that have none.
 #[derive(Clone)]
 pub struct CallOptionsLayer {
     options_by_path: Arc<OptionsByPath>,
 }
 
 impl CallOptionsLayer {
-    /// `options_by_path` is called with `/package.Service/Method`.
+    /// Creates a layer. `options_by_path` is called with `/package.Service/Method`.
     pub fn new(
         options_by_path: impl Fn(&str) -> CallOptions + Send + Sync + 'static,
     ) -> CallOptionsLayer {
--- a/crates/client/src/tower/request.rs
+++ b/crates/client/src/tower/request.rs
@@ -1,6 +1,6 @@
-//! Requests whose first message has not arrived yet.
+//! Requests that wait for their first message.
 
-use super::MAX_MESSAGE_LEN;
+use super::MAX_REQUEST_MESSAGE_BYTES;
 use crate::call::{Call, Reply};
 use crate::client::Client;
 use crate::core::Outcome;
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::task::{ready, Context, Poll};
 
-/// A request whose first message is awaited.
+/// A request whose first message has not arrived yet.
 pub(super) struct PendingRequest<B> {
     pub(super) client: Arc<Client>,
     pub(super) call: Call,
@@ -31,23 +31,24 @@
 }
 
 impl<B: Body<Data = Bytes> + Unpin> PendingRequest<B> {
-    /// The first message, or the reply to a request without a valid one.
+    /// Returns the first message, or an error reply if the request has no valid message.
     pub(super) fn poll_first_message(
         &mut self,
         context: &mut Context<'_>,
     ) -> Poll<Result<Bytes, Reply>> {
         loop {
-            match self.deframer.next(MAX_MESSAGE_LEN) {
+            match self.deframer.next(MAX_REQUEST_MESSAGE_BYTES) {
                 Ok(Some(message)) => return Poll::Ready(Ok(message)),
                 Ok(None) => {}
                 Err(error) => {
-                    let reply = not_sent(Code::InvalidArgument, error.to_string());
+                    let reply = reply_without_attempt(Code::InvalidArgument, error.to_string());
                     return Poll::Ready(Err(reply));
                 }
             }
             let frame = ready!(Pin::new(&mut self.body).poll_frame(context));
             let Some(Ok(frame)) = frame else {
-                let reply = not_sent(Code::Cancelled, "the request ended before its message");
+                let reply =
+                    reply_without_attempt(Code::Cancelled, "the request ended before its message");
                 return Poll::Ready(Err(reply));
             };
             if let Ok(data) = frame.into_data() {
@@ -57,7 +58,7 @@
     }
 }
 
-/// The reply to a call of which nothing was sent.
-pub(super) fn not_sent(status: Code, status_message: impl Into<String>) -> Reply {
+/// The reply to a call that ended before any attempt was sent.
+pub(super) fn reply_without_attempt(status: Code, status_message: impl Into<String>) -> Reply {
     Reply::without_attempt(Outcome::NotSent, Some(status), status_message)
 }
--- a/crates/client/src/tower/response.rs
+++ b/crates/client/src/tower/response.rs
@@ -1,4 +1,4 @@
-//! Replies in the form of the responses that a channel gives.
+//! Converts replies to HTTP responses as a gRPC channel returns them.
 
 use super::body::ResponseBody;
 use crate::call::Reply;
@@ -7,7 +7,6 @@
 use http::{HeaderMap, HeaderValue, Response};
 use http_body::Frame;
 
-/// Microseconds in a millisecond.
 const MICROS_PER_MILLI: u64 = 1_000;
 
 /// The response to a unary call.
@@ -19,14 +18,14 @@
     with_body(ResponseBody::complete(frames))
 }
 
-/// A response with the head of gRPC.
+/// A response with gRPC headers.
 pub(super) fn with_body<B>(body: ResponseBody<B>) -> Response<ResponseBody<B>> {
     let mut response = Response::new(body);
     *response.headers_mut() = grpc::response_head().headers().clone();
     response
 }
 
-/// The trailers that tell an outcome.
+/// The trailers for the outcome of a call.
 pub(super) fn trailers(reply: &Reply) -> HeaderMap {
     let mut trailers = grpc::trailers(status(reply), &reply.status_message);
     if let Outcome::Rejected {
@@ -42,6 +41,7 @@
     trailers
 }
 
+/// The gRPC status for the outcome of a call.
 fn status(reply: &Reply) -> Code {
     match reply.outcome {
         Outcome::Answered => reply.status.unwrap_or(Code::Unknown),
--- a/crates/client/tests/calls.rs
+++ b/crates/client/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Unary calls over sockets: retries, rejections, deadlines, limits, metrics.
+//! Unary calls over sockets: retries, rejections, deadlines, limits and metrics.
 
 mod common;
 
@@ -13,9 +13,9 @@
 use std::time::{Duration, Instant};
 
 /// An hour in microseconds.
-const HOUR: i64 = 3_600_000_000;
+const HOUR_MICROS: i64 = 3_600_000_000;
 
-fn timeout_in(headers: &HeaderMap) -> u64 {
+fn timeout_micros(headers: &HeaderMap) -> u64 {
     let text = headers[grpc::TIMEOUT].to_str().expect("text");
     grpc::parse_timeout(text).expect("a timeout")
 }
@@ -40,8 +40,8 @@
         (None, &b"1"[..])
     );
     assert!(
-        timeout_in(second) < timeout_in(first),
-        "one deadline over all attempts"
+        timeout_micros(second) < timeout_micros(first),
+        "all attempts share one deadline"
     );
     gateway.answer(1);
     let reply = gateway.wait_for(&replies);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn pushback_is_long_or_unreadable_then_the_rejection_is_told() {
+fn pushback_is_long_or_unreadable_then_the_rejection_is_reported() {
     let year = TimeDelta::from_secs(365 * 86_400);
     for (pushback, retry_after) in [("31536000000", Some(year)), ("99999999999999999999", None)] {
         let mut gateway = ScriptedGateway::new();
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn pushback_gives_no_time_then_the_call_is_retried_after_a_backoff() {
+fn pushback_has_no_retry_time_then_the_call_is_retried_after_a_backoff() {
     for pushback in ["0", "-1", "soon"] {
         let mut gateway = ScriptedGateway::new();
         let client = start_client(&gateway);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn gateway_is_unavailable_without_proof_then_a_non_idempotent_call_fails() {
+fn gateway_is_unavailable_without_unprocessed_trailer_then_a_non_idempotent_call_fails() {
     let mut gateway = ScriptedGateway::new();
     let client = start_client(&gateway);
     let replies = start_call(&client, call(Idempotency::NonIdempotent, 5_000));
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn gateway_states_that_it_did_not_process_then_a_non_idempotent_call_is_retried() {
+fn gateway_states_that_it_did_not_process_the_call_then_a_non_idempotent_call_is_retried() {
     let mut gateway = ScriptedGateway::new();
     let client = start_client(&gateway);
     let replies = start_call(&client, call(Idempotency::NonIdempotent, 5_000));
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn nobody_answers_then_a_blocking_call_ends_by_its_deadline() {
+fn gateway_does_not_answer_then_a_blocking_call_ends_at_its_deadline() {
     let gateway = ScriptedGateway::new();
     let client = start_client(&gateway);
     let started_at = Instant::now();
@@ -158,9 +158,11 @@
     let accepted = (0..10).filter(|_| try_start().is_ok()).count();
     assert_eq!(accepted, 4);
     for _ in 0..accepted {
-        replies.recv_timeout(TIMEOUT).expect("each of them ends");
+        replies
+            .recv_timeout(TIMEOUT)
+            .expect("every accepted call ends");
     }
-    assert!(try_start().is_ok(), "there is room again");
+    assert!(try_start().is_ok(), "calls are accepted again");
     let stats = client.stats();
     assert_eq!(
         stats.failed + stats.dropped + stats.rejected,
@@ -170,7 +172,7 @@
 }
 
 #[test]
-fn clock_jumps_then_calls_end_by_their_own_time_at_the_latest() {
+fn clock_jumps_then_calls_still_end_by_their_deadlines() {
     let mut gateway = ScriptedGateway::new();
     let jumps = Arc::new(ClockJumps::default());
     let clock = Clock::with_jumps(jumps.clone());
@@ -180,23 +182,23 @@
 
     let replies = start_call(&client, call(Idempotency::NonIdempotent, 300));
     gateway.wait_for_attempts(1);
-    jumps.jump(-HOUR);
+    jumps.jump(-HOUR_MICROS);
     let jumped_at = Instant::now();
     assert_eq!(gateway.wait_for(&replies).outcome, exceeded);
     assert!(
         jumped_at.elapsed() < Duration::from_secs(10),
-        "an hour back does not delay a deadline"
+        "a jump back by an hour does not delay a deadline"
     );
 
     let replies = start_call(&client, call(KEYED, 60_000));
     gateway.wait_for_attempts(2);
-    jumps.jump(HOUR);
+    jumps.jump(HOUR_MICROS);
     gateway.reset(1);
     assert_eq!(gateway.wait_for(&replies).outcome, exceeded);
     assert_eq!(
         gateway.received.len(),
         2,
-        "an hour later the key's window is over"
+        "the key window is over after a jump of an hour"
     );
 
     let replies = start_call(&client, call(Idempotency::Idempotent, 60_000));
@@ -224,7 +226,7 @@
     ] {
         assert!(
             text.lines().any(|other| other == line),
-            "{line} is not in\n{text}"
+            "{line} is missing in\n{text}"
         );
     }
     assert_eq!(client.stats().answered, 1);
--- a/crates/client/tests/common/mod.rs
+++ b/crates/client/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway that a test plays in its own thread.
+//! A fake gateway that a test runs on its own thread, and helpers to start clients and calls.
 #![allow(dead_code, reason = "each test uses a part of it")]
 
 use bytes::Bytes;
@@ -10,36 +10,36 @@
 use std::sync::mpsc::Receiver;
 use std::time::{Duration, Instant};
 
-/// How long a test waits for something.
+/// The longest time that a test waits for an event.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
-/// Longest wait of a turn in microseconds.
-const TURN_WAIT: u64 = 500;
+/// The longest wait of one turn of the event loop, in microseconds.
+const MAX_TURN_WAIT_MICROS: u64 = 500;
 
-/// A keyed call whose key outlasts a test's calls.
+/// A keyed call whose key window is longer than the calls of a test.
 pub const KEYED: Idempotency = Idempotency::Keyed {
     key_window: TimeDelta::from_secs(5),
 };
 
-/// An attempt that a gateway received.
-pub struct Received {
+/// An attempt that the gateway received.
+pub struct ReceivedAttempt {
     pub stream: StreamId,
     pub headers: HeaderMap,
 }
 
-/// Whether a gateway consumes what it receives.
+/// Whether the gateway consumes received data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reading {
     Consuming,
-    /// It gives no flow-control window back.
+    /// It releases no flow-control capacity.
     Stalled,
 }
 
-/// A gateway that the test plays.
+/// A fake gateway whose responses the test decides.
 pub struct ScriptedGateway {
     pub engine: Engine,
     pub listener: ListenerId,
     pub address: SocketAddr,
-    pub received: Vec<Received>,
+    pub received: Vec<ReceivedAttempt>,
     pub reading: Reading,
 }
 
@@ -64,12 +64,14 @@
 
     pub fn turn(&mut self) {
         let mut events = Vec::new();
-        self.engine.turn(TURN_WAIT, &mut events).expect("a turn");
+        self.engine
+            .turn(MAX_TURN_WAIT_MICROS, &mut events)
+            .expect("a turn");
         for event in events {
             match event {
                 Event::Opened { stream, head, .. } => {
                     let headers = head.headers.clone();
-                    self.received.push(Received { stream, headers });
+                    self.received.push(ReceivedAttempt { stream, headers });
                 }
                 Event::Data { stream, data } if self.reading == Reading::Consuming => {
                     self.engine.consume(stream, data.len());
@@ -79,21 +81,21 @@
         }
     }
 
-    /// Runs until so many attempts were received.
+    /// Runs until `count` attempts were received.
     pub fn wait_for_attempts(&mut self, count: usize) {
         let deadline = Instant::now() + TIMEOUT;
         while self.received.len() < count {
             assert!(
                 Instant::now() < deadline,
-                "not in time: {count} attempts, {} received",
+                "timed out waiting for {count} attempts, {} received",
                 self.received.len()
             );
             self.turn();
         }
-        assert_eq!(self.received.len(), count, "no more than these");
+        assert_eq!(self.received.len(), count, "more attempts than expected");
     }
 
-    /// Runs until a channel has something.
+    /// Runs until the channel has an item, and returns it.
     pub fn wait_for<T>(&mut self, receiver: &Receiver<T>) -> T {
         let deadline = Instant::now() + TIMEOUT;
         loop {
@@ -101,11 +103,11 @@
             if let Ok(item) = receiver.try_recv() {
                 return item;
             }
-            assert!(Instant::now() < deadline, "nothing arrived in time");
+            assert!(Instant::now() < deadline, "timed out waiting for an item");
         }
     }
 
-    /// Answers an attempt.
+    /// Answers an attempt with a message.
     pub fn answer(&mut self, attempt: usize) {
         let stream = self.received[attempt].stream;
         self.engine.respond(stream, grpc::response_head(), false);
@@ -114,27 +116,27 @@
             .finish(stream, Some(grpc::trailers(Code::Ok, "")));
     }
 
-    /// Rejects an attempt.
+    /// Rejects an attempt with a pushback.
     pub fn reject(&mut self, attempt: usize, pushback: &'static str) {
         let mut trailers = grpc::trailers(Code::ResourceExhausted, "over the quota");
         trailers.insert(grpc::RETRY_PUSHBACK, HeaderValue::from_static(pushback));
         self.respond_with_trailers(attempt, trailers);
     }
 
-    /// Answers an attempt with trailers only.
+    /// Answers an attempt with a trailers-only response.
     pub fn respond_with_trailers(&mut self, attempt: usize, trailers: HeaderMap) {
         let stream = self.received[attempt].stream;
         self.engine
             .respond(stream, grpc::trailers_only(trailers), true);
     }
 
-    /// Resets an attempt, which may have run then.
+    /// Resets an attempt, so that it may have run.
     pub fn reset(&mut self, attempt: usize) {
         let stream = self.received[attempt].stream;
         self.engine.reset(stream, h2::Reason::INTERNAL_ERROR);
     }
 
-    /// Closes the listener's connections once their streams have ended.
+    /// Drains the listener's connections: they close once their streams have ended.
     pub fn drain(&mut self) {
         self.engine.drain(self.listener);
     }
@@ -159,7 +161,7 @@
     Client::start(settings, vec![gateway.address]).expect("a client")
 }
 
-/// Starts a call whose reply arrives at the receiver.
+/// Starts a call and returns the receiver of its reply.
 pub fn start_call(client: &Client, call: Call) -> Receiver<Reply> {
     let (sender, replies) = std::sync::mpsc::channel();
     client.start_call(call, move |reply| {
--- a/crates/client/tests/connections.rs
+++ b/crates/client/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Connections over sockets: gateways that die, drain or fall silent, and lists of gateways.
+//! Connections over sockets: gateways that crash, drain or stop responding, and changes of the gateway list.
 
 mod common;
 
@@ -11,7 +11,8 @@
 
 const CALLS: usize = 500;
 
-fn keys(gateway: &ScriptedGateway) -> Vec<Vec<u8>> {
+/// The idempotency keys of the attempts that a gateway received.
+fn received_keys(gateway: &ScriptedGateway) -> Vec<Vec<u8>> {
     let received = gateway.received.iter();
     received
         .filter_map(|attempt| attempt.headers.get("x-idempotency-key"))
@@ -25,8 +26,8 @@
     reply: Reply,
 }
 
-/// Starts calls, of which those with even numbers are keyed.
-fn start_many(client: &Client) -> Receiver<NumberedReply> {
+/// Starts `CALLS` calls. Those with even numbers are keyed, the others are non-idempotent.
+fn start_calls(client: &Client) -> Receiver<NumberedReply> {
     let (sender, replies) = channel();
     for number in 0..CALLS {
         let sender = sender.clone();
@@ -43,13 +44,13 @@
 }
 
 #[test]
-fn gateway_dies_with_many_calls_open_then_each_of_them_ends_once() {
+fn gateway_crashes_with_many_calls_open_then_each_of_them_ends_once() {
     let mut gateway = ScriptedGateway::new();
     let client = start_client(&gateway);
-    let replies = start_many(&client);
+    let replies = start_calls(&client);
     gateway.wait_for_attempts(CALLS);
-    let first_keys: HashSet<Vec<u8>> = keys(&gateway).into_iter().collect();
-    // All connections end; the gateway comes back at the same address.
+    let first_keys: HashSet<Vec<u8>> = received_keys(&gateway).into_iter().collect();
+    // All connections are lost, and the gateway restarts at the same address.
     let address = gateway.address;
     drop(gateway);
     let mut gateway = ScriptedGateway::listen(address);
@@ -66,18 +67,20 @@
             assert!(ended.insert(number), "call {number} ended twice");
             assert!(
                 number.is_multiple_of(2) || reply.outcome == Outcome::Failed,
-                "a non-idempotent call is not retried"
+                "a non-idempotent call was retried"
             );
         }
     }
     assert_eq!(ended.len(), CALLS);
     assert!(
         gateway.received.len() <= CALLS / 2 && !gateway.received.is_empty(),
-        "the budget bounds the retries"
+        "the retry budget does not bound the retries"
     );
     assert!(
-        keys(&gateway).iter().all(|key| first_keys.contains(key))
-            && keys(&gateway).len() == gateway.received.len()
+        received_keys(&gateway)
+            .iter()
+            .all(|key| first_keys.contains(key))
+            && received_keys(&gateway).len() == gateway.received.len()
     );
 }
 
@@ -127,9 +130,9 @@
 }
 
 #[test]
-fn gateway_is_silent_then_pings_find_the_connection_lost() {
-    let silent = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = silent.local_addr().expect("its address");
+fn gateway_does_not_respond_then_keepalive_pings_detect_it() {
+    let unresponsive = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = unresponsive.local_addr().expect("a local address");
     let settings = Settings {
         keepalive_interval: TimeDelta::from_millis(100),
         max_attempts: 1,
@@ -141,11 +144,11 @@
     assert_eq!(reply.outcome, Outcome::Failed, "it may have run");
     assert!(
         started_at.elapsed() < Duration::from_secs(20),
-        "long before the deadline"
+        "detected only at the deadline"
     );
 }
 
-/// A file of gateways in a folder of its own, which is removed at the end.
+/// A gateway file in a temporary folder, which is removed when the value is dropped.
 struct GatewayFile {
     folder: PathBuf,
 }
@@ -162,11 +165,11 @@
         self.folder.join("gateways")
     }
 
-    /// Replaces the file at once.
+    /// Replaces the file atomically.
     fn write(&self, text: &str) {
-        let new: &Path = &self.folder.join("new");
-        std::fs::write(new, text).expect("a file");
-        std::fs::rename(new, self.path()).expect("a rename");
+        let temporary: &Path = &self.folder.join("new");
+        std::fs::write(temporary, text).expect("a file");
+        std::fs::rename(temporary, self.path()).expect("a rename");
     }
 }
 
@@ -177,7 +180,7 @@
 }
 
 #[test]
-fn gateway_file_changes_then_it_is_read_again_unless_it_is_broken() {
+fn gateway_file_changes_then_it_is_read_again_unless_it_is_invalid() {
     let mut first = ScriptedGateway::new();
     let mut second = ScriptedGateway::new();
     let file = GatewayFile::new();
@@ -203,13 +206,13 @@
     assert_eq!(
         first.wait_for(&replies).outcome,
         Outcome::Answered,
-        "by the last good list"
+        "the last valid list is not used"
     );
 
     file.write(&format!("{}\n", second.address));
     let deadline = Instant::now() + TIMEOUT;
     while second.received.is_empty() {
-        assert!(Instant::now() < deadline, "calls go to the new gateway");
+        assert!(Instant::now() < deadline, "no call reached the new gateway");
         start();
         for _ in 0..50 {
             second.turn();
--- a/crates/client/tests/core.rs
+++ b/crates/client/tests/core.rs
@@ -1,4 +1,4 @@
-//! The core in simulated time.
+//! The core with simulated time.
 
 use chalkdeck_client::core::{Action, AttemptOutcome, CallId, ClientCore, Event, GatewayId};
 use chalkdeck_client::{Idempotency, Outcome, Settings, TimeDelta, Timestamp};
@@ -13,29 +13,29 @@
     TimeDelta::from_millis(millis)
 }
 
-fn rejected_for(retry_after: TimeDelta) -> AttemptOutcome {
+fn rejected_with(retry_after: TimeDelta) -> AttemptOutcome {
     AttemptOutcome::Rejected {
         retry_after: Some(retry_after),
     }
 }
 
-/// An action and when it was wanted.
-struct Recorded {
+/// An action and when the core requested it.
+struct RecordedAction {
     at: Timestamp,
     action: Action,
 }
 
-/// A core whose gateways are connected.
+/// A core with connected gateways, and a record of its actions.
 struct Harness {
     core: ClientCore,
     now: Timestamp,
-    recorded: Vec<Recorded>,
+    recorded: Vec<RecordedAction>,
 }
 
 impl Harness {
     fn new(settings: Settings) -> Harness {
         let mut harness = Harness {
-            core: ClientCore::new(settings).expect("sound settings"),
+            core: ClientCore::new(settings).expect("valid settings"),
             now: START,
             recorded: Vec::new(),
         };
@@ -52,7 +52,7 @@
         self.core.handle(self.now, event, &mut actions);
         let at = self.now;
         self.recorded
-            .extend(actions.iter().map(|&action| Recorded { at, action }));
+            .extend(actions.iter().map(|&action| RecordedAction { at, action }));
         actions
     }
 
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Lets time pass, with all wakes in it.
+    /// Advances the time, with a tick at every wake time.
     fn advance(&mut self, span: TimeDelta) -> Vec<Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn attempt_ends_without_an_answer_then_idempotency_decides_on_a_retry() {
+fn attempt_ends_without_an_answer_then_idempotency_decides_whether_it_is_retried() {
     let keyed = Idempotency::Keyed {
         key_window: SECOND * 3,
     };
@@ -138,7 +138,7 @@
             AttemptOutcome::NotProcessed,
             true,
         ),
-        (Idempotency::NonIdempotent, rejected_for(millis(10)), true),
+        (Idempotency::NonIdempotent, rejected_with(millis(10)), true),
         (keyed, AttemptOutcome::MayHaveRun, true),
     ];
     for (idempotency, outcome, is_retried) in cases {
@@ -169,9 +169,9 @@
     assert_eq!(
         outcome_in(&actions),
         Some(Outcome::Failed),
-        "the backoff would outlast the window"
+        "the backoff ends after the key window"
     );
-    // No gateway is connected while the window passes between two attempts.
+    // The key window ends while no gateway is connected between two attempts.
     let mut harness = Harness::new(Settings::default());
     harness.start_call(2, keyed(millis(200)), SECOND * 5);
     harness.end_attempt(2, 0, AttemptOutcome::MayHaveRun);
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn calls_are_rejected_with_a_retry_time_then_retries_come_after_it_and_spread() {
+fn calls_are_rejected_with_a_retry_time_then_retries_are_spread_after_it() {
     let mut delays = Vec::new();
     for seed in 0..200 {
         let mut harness = Harness::new(Settings {
@@ -194,16 +194,16 @@
             ..Settings::default()
         });
         harness.start_call(1, Idempotency::Idempotent, SECOND * 5);
-        harness.end_attempt(1, 0, rejected_for(SECOND));
+        harness.end_attempt(1, 0, rejected_with(SECOND));
         let rejected_at = harness.now;
         let just_before = SECOND - TimeDelta::from_micros(1);
         assert_eq!(
             count_sends(&harness.advance(just_before)),
             0,
-            "not before its time"
+            "a retry before the retry time"
         );
         assert_eq!(count_sends(&harness.advance(SECOND)), 1);
-        let sent_at = harness.last_sent_at().expect("it was sent");
+        let sent_at = harness.last_sent_at().expect("a sent attempt");
         delays.push(sent_at - rejected_at);
     }
     delays.sort_unstable();
@@ -216,12 +216,12 @@
 }
 
 #[test]
-fn retry_time_is_after_the_deadline_then_the_rejection_is_told_at_once() {
+fn retry_time_is_after_the_deadline_then_the_rejection_is_reported_at_once() {
     let retry_times = [SECOND * 2, SECOND * (365 * 86_400), TimeDelta::MAX];
     for retry_after in retry_times {
         let mut harness = Harness::new(Settings::default());
         harness.start_call(1, Idempotency::NonIdempotent, SECOND);
-        let actions = harness.end_attempt(1, 0, rejected_for(retry_after));
+        let actions = harness.end_attempt(1, 0, rejected_with(retry_after));
         let retry_after = Some(retry_after);
         assert_eq!(
             outcome_in(&actions),
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn earlier_attempt_may_have_run_then_the_call_is_not_told_as_rejected() {
+fn earlier_attempt_may_have_run_then_the_call_is_not_reported_as_rejected() {
     let mut harness = Harness::new(Settings {
         max_attempts: 2,
         ..Settings::default()
@@ -240,7 +240,7 @@
     harness.start_call(1, Idempotency::Keyed { key_window }, SECOND * 5);
     harness.end_attempt(1, 0, AttemptOutcome::MayHaveRun);
     harness.advance(SECOND);
-    let actions = harness.end_attempt(1, 1, rejected_for(millis(1)));
+    let actions = harness.end_attempt(1, 1, rejected_with(millis(1)));
     assert_eq!(outcome_in(&actions), Some(Outcome::Failed));
 }
 
@@ -253,7 +253,7 @@
     ] {
         let mut harness = Harness::new(Settings::default());
         harness.start_call(1, Idempotency::NonIdempotent, millis(100));
-        // The answer and the deadline in one turn of the event loop: the core is told the answer first, but late.
+        // The response and the deadline fall into one turn of the event loop: the core handles the response first, but too late.
         harness.now = harness.now + millis(100);
         let actions = harness.end_attempt(1, 0, outcome);
         assert!(
@@ -273,13 +273,13 @@
     assert_eq!(outcome_in(&actions), Some(Outcome::Cancelled));
     assert!(actions.contains(&Action::CancelAttempt { call, attempt: 0 }));
     assert!(harness
-        .end_attempt(1, 0, rejected_for(millis(1)))
+        .end_attempt(1, 0, rejected_with(millis(1)))
         .is_empty());
     assert!(harness.advance(SECOND * 2).is_empty());
 }
 
 #[test]
-fn no_gateway_is_connected_then_pending_calls_are_bounded_and_end_by_their_deadlines() {
+fn no_gateway_is_connected_then_pending_calls_are_bounded_and_end_at_their_deadlines() {
     let mut harness = Harness::new(Settings {
         max_pending: 5,
         ..Settings::default()
@@ -291,7 +291,7 @@
         too_many += usize::from(outcome_in(&actions) == Some(Outcome::TooManyCalls));
     }
     assert_eq!(too_many, 3);
-    // A clock that steps back does no harm.
+    // A clock that steps back has no effect.
     harness.now = harness.now - millis(500);
     harness.handle(Event::Tick);
     harness.now = harness.now + SECOND * 3;
@@ -305,7 +305,7 @@
     assert_eq!(ended.count(), 5);
 }
 
-/// An attempt that is in flight; ordered by its end.
+/// An attempt in flight. Ordered by the time of its end.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct InFlight {
     ends_at: Timestamp,
@@ -313,7 +313,7 @@
     attempt: u32,
 }
 
-/// Calls of one client through an outage.
+/// Simulates clients during an outage of the servers.
 #[derive(Default)]
 struct Outage {
     attempts: u64,
@@ -350,7 +350,7 @@
         }
     }
 
-    /// The next attempt that has ended by now, and how.
+    /// The next attempt that has ended by `now`, and its outcome.
     fn next_end(&mut self, now: Timestamp) -> Option<(InFlight, AttemptOutcome)> {
         let Reverse(next) = self.in_flight.peek().copied()?;
         if next.ends_at > now {
@@ -385,7 +385,7 @@
 }
 
 #[test]
-fn servers_fail_for_ten_seconds_then_retries_are_few_and_calls_succeed_soon_after() {
+fn servers_fail_for_ten_seconds_then_retries_are_few_and_calls_succeed_soon_afterwards() {
     let mut outage = Outage::default();
     for seed in 0..50 {
         outage.run_client(seed);
@@ -422,32 +422,34 @@
             }
         }
     }
-    let even = 30_000 / SLOTS as u64;
+    let even_share = 30_000 / SLOTS as u64;
     assert_eq!(connects_by_slot.iter().sum::<u64>(), 30_000);
     assert!(
-        connects_by_slot.iter().all(|count| *count < even * 5 / 4),
+        connects_by_slot
+            .iter()
+            .all(|count| *count < even_share * 5 / 4),
         "{connects_by_slot:?}"
     );
 }
 
-/// An attempt that may have run.
+/// Marks that an attempt may have run.
 #[derive(Clone, Copy)]
 struct MayHaveRun {
-    /// Attempts that were sent until then.
-    sent: u32,
+    /// The number of attempts that were sent until then.
+    sent_attempts: u32,
 }
 
-/// Steps of the exhaustive test: five outcomes of attempts, then these.
+/// Step kinds of the exhaustive test. Those below `STEP_DISCONNECT` are the outcomes of attempts.
 const STEP_DISCONNECT: u32 = 5;
 const STEP_CANCEL: u32 = 7;
 const STEP_KINDS: u32 = 8;
 const STEPS: u32 = 5;
 
-/// Plays a history whose steps are the digits of a code.
-fn play_history(code: u32, idempotency: Idempotency) {
+/// Runs the sequence of steps that the base-8 digits of `code` select.
+fn run_step_sequence(code: u32, idempotency: Idempotency) {
     let outcomes = [
         AttemptOutcome::Answered,
-        rejected_for(millis(20)),
+        rejected_with(millis(20)),
         AttemptOutcome::Rejected { retry_after: None },
         AttemptOutcome::NotProcessed,
         AttemptOutcome::MayHaveRun,
@@ -466,10 +468,12 @@
         match remaining % STEP_KINDS {
             kind @ 0..STEP_DISCONNECT if sent > 0 => {
                 let outcome = outcomes[kind as usize];
-                // An attempt ends once; what the core is told of it later must change nothing.
+                // An attempt ends once. Later events for it must have no effect.
                 let is_first = ended.insert(sent);
                 if is_first && outcome == AttemptOutcome::MayHaveRun {
-                    may_have_run.get_or_insert(MayHaveRun { sent });
+                    may_have_run.get_or_insert(MayHaveRun {
+                        sent_attempts: sent,
+                    });
                 }
                 harness.end_attempt(1, sent - 1, outcome);
             }
@@ -489,10 +493,10 @@
         assert!(harness.core.retry_budget() >= 0.0);
     }
     harness.advance(SECOND);
-    check_history(&harness, idempotency, deadline, may_have_run);
+    check_guarantees(&harness, idempotency, deadline, may_have_run);
 }
 
-fn check_history(
+fn check_guarantees(
     harness: &Harness,
     idempotency: Idempotency,
     deadline: Timestamp,
@@ -500,7 +504,7 @@
 ) {
     let mut sent: BTreeMap<u32, Timestamp> = BTreeMap::new();
     let mut completed: HashMap<CallId, Outcome> = HashMap::new();
-    for Recorded { at, action } in &harness.recorded {
+    for RecordedAction { at, action } in &harness.recorded {
         match action {
             Action::SendAttempt {
                 attempt, time_left, ..
@@ -508,38 +512,43 @@
                 assert!(*at < deadline && *time_left == deadline - *at && completed.is_empty());
                 assert!(
                     sent.insert(*attempt, *at).is_none(),
-                    "an attempt is sent once"
+                    "an attempt was sent twice"
                 );
-                if let Some(earlier) = may_have_run.filter(|earlier| *attempt >= earlier.sent) {
+                if let Some(earlier) =
+                    may_have_run.filter(|earlier| *attempt >= earlier.sent_attempts)
+                {
                     assert_ne!(
                         idempotency,
                         Idempotency::NonIdempotent,
-                        "sent again after attempt {} may have run",
-                        earlier.sent
+                        "a non-idempotent call was sent again after attempt {} may have run",
+                        earlier.sent_attempts
                     );
                 }
             }
             Action::CompleteCall { call, outcome } => {
-                assert!(completed.insert(*call, *outcome).is_none(), "one outcome");
+                assert!(
+                    completed.insert(*call, *outcome).is_none(),
+                    "a call was completed twice"
+                );
             }
             _ => {}
         }
     }
-    assert_eq!(completed.len(), 1, "every call ends");
+    assert_eq!(completed.len(), 1, "the call was not completed");
     let invites_retry = matches!(
         completed.values().next(),
         Some(Outcome::Rejected { .. } | Outcome::NotSent)
     );
     assert!(
         !(invites_retry && may_have_run.is_some() && idempotency != Idempotency::Idempotent),
-        "told as harmless, but it may have run"
+        "the outcome invites a new call, but an attempt may have run"
     );
 }
 
-/// All orders of events for short calls: one attempt at a time, nothing sent after the deadline, one outcome for each call,
-/// and a retry budget that is never below zero.
+/// Runs every sequence of `STEPS` steps and checks the guarantees of the core: each attempt is sent once, nothing is sent after the
+/// deadline, each call has one outcome, and the retry budget is never below zero.
 #[test]
-fn every_short_history_is_played_then_all_promises_hold() {
+fn every_short_step_sequence_is_run_then_all_guarantees_hold() {
     let idempotencies = [
         Idempotency::Idempotent,
         Idempotency::Keyed {
@@ -549,7 +558,7 @@
     ];
     for code in 0..STEP_KINDS.pow(STEPS) {
         for idempotency in idempotencies {
-            play_history(code, idempotency);
+            run_step_sequence(code, idempotency);
         }
     }
 }
--- a/crates/client/tests/recorded_actions.rs
+++ b/crates/client/tests/recorded_actions.rs
@@ -1,29 +1,29 @@
-//! Actions of the core are the same as those recorded before the package's names and modules were changed, byte for byte.
+//! Compares the actions of the core with a recording, so that a refactoring cannot change its decisions.
 //!
-//! Each seed draws settings and plays a closed loop of callers, the core and gateways. The text of every action goes into a digest.
-//! The recorded line also has counts, so that a difference can be read.
+//! Each seed generates settings and simulates callers, the core and gateways in a closed loop. A digest covers the text of every
+//! action. The recorded line of a seed also has counts, which help to interpret a difference.
 
 mod recording;
 
-use recording::{play, EVENTS_PER_SEED};
+use recording::{simulate, EVENTS_PER_SEED};
 
 const RECORDED: &str = include_str!("recorded_actions.txt");
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=24;
 
 #[test]
-fn events_are_replayed_then_actions_are_the_recorded_ones() {
-    let played: Vec<String> = SEEDS.map(|seed| play(seed).to_string()).collect();
+fn simulation_is_replayed_then_its_actions_match_the_recording() {
+    let actual: Vec<String> = SEEDS.map(|seed| simulate(seed).to_string()).collect();
     let recorded: Vec<&str> = RECORDED.lines().collect();
     assert_eq!(
-        played,
+        actual,
         recorded,
-        "the actions differ; played:\n{}\n",
-        played.join("\n")
+        "the actions differ; actual:\n{}\n",
+        actual.join("\n")
     );
 }
 
 #[test]
-fn recorded_events_are_many_and_give_every_kind_of_action() {
+fn recording_has_enough_events_and_every_kind_of_action() {
     let events = SEEDS.count() as u64 * EVENTS_PER_SEED;
     assert!(events >= 50_000, "{events} events");
     assert_eq!(RECORDED.lines().count(), SEEDS.count());
@@ -45,6 +45,6 @@
             .lines()
             .filter(|line| !line.contains(&format!(" {kind}=0 ")))
             .count();
-        assert!(seeds >= 3, "{kind} is used by {seeds} seeds only");
+        assert!(seeds >= 3, "only {seeds} seeds have {kind}");
     }
 }
--- a/crates/client/tests/recording/mod.rs
+++ b/crates/client/tests/recording/mod.rs
@@ -1,4 +1,4 @@
-//! A core in a closed loop with simulated callers and gateways; its actions are digested.
+//! Simulates a core with callers and gateways in a closed loop, and computes a digest of its actions.
 
 use chalkdeck_client::core::{Action, AttemptOutcome, CallId, ClientCore, Event, GatewayId};
 use chalkdeck_client::{Idempotency, Outcome, Settings, TimeDelta, Timestamp};
@@ -6,12 +6,15 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::fmt::{self, Display};
 
-/// Events that one seed plays at least.
+/// The least number of events that are simulated per seed.
 pub const EVENTS_PER_SEED: u64 = 20_000;
+/// A millisecond in microseconds.
 const MILLISECOND: u64 = 1_000;
+/// A second in microseconds.
 const SECOND: u64 = 1_000_000;
 
-const KINDS: [&str; 13] = [
+/// The names of the counts in the recorded file.
+const COUNT_NAMES: [&str; 13] = [
     "events",
     "connect",
     "send",
@@ -27,7 +30,7 @@
     "cancelled",
 ];
 
-/// What one seed came to, as one line of the recorded file.
+/// The result of one seed: one line of the recorded file.
 pub struct Summary {
     seed: u64,
     counts: BTreeMap<&'static str, u64>,
@@ -37,17 +40,17 @@
 impl Display for Summary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "seed={}", self.seed)?;
-        for kind in KINDS {
+        for kind in COUNT_NAMES {
             write!(f, " {kind}={}", self.counts.get(kind).copied().unwrap_or(0))?;
         }
         write!(f, " digest={:016x}", self.digest)
     }
 }
 
-/// Plays a seed and returns what it came to.
-pub fn play(seed: u64) -> Summary {
+/// Simulates one seed.
+pub fn simulate(seed: u64) -> Summary {
     let mut simulation = Simulation::new(seed);
-    simulation.push(Event::GatewaysListed {
+    simulation.handle(Event::GatewaysListed {
         count: simulation.gateways,
     });
     while simulation.count("events") < EVENTS_PER_SEED {
@@ -60,7 +63,7 @@
     }
 }
 
-/// FNV-1a over the texts of all actions.
+/// An FNV-1a hash over the texts of all actions.
 struct Digest(u64);
 
 impl Digest {
@@ -74,16 +77,16 @@
     }
 }
 
-/// What happens at a time of its own.
+/// A scheduled event of the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Pending {
+enum ScheduledEvent {
     ConnectEnds { gateway: usize },
     AttemptEnds { call: u64, attempt: u32 },
     ResponseStarts { call: u64 },
     CallerCancels { call: u64 },
 }
 
-/// How gateways behave; changes now and then.
+/// How all gateways behave. It changes at random times.
 #[derive(Clone, Copy)]
 enum Health {
     Good,
@@ -91,9 +94,9 @@
     Rejecting,
     /// Most attempts fail.
     Failing,
-    /// Connections are lost and not made.
+    /// Connections are lost, and no new ones can be established.
     Unreachable,
-    /// Answers take long.
+    /// Responses take long.
     Slow,
 }
 
@@ -104,12 +107,12 @@
     now: u64,
     next_call: u64,
     gateways: usize,
-    pending: BinaryHeap<Reverse<(u64, Pending)>>,
+    scheduled: BinaryHeap<Reverse<(u64, ScheduledEvent)>>,
     counts: BTreeMap<&'static str, u64>,
     digest: Digest,
 }
 
-fn draw_settings(rng: &mut fastrand::Rng) -> Settings {
+fn random_settings(rng: &mut fastrand::Rng) -> Settings {
     let initial_backoff = TimeDelta::from_micros(rng.u64(MILLISECOND..60 * MILLISECOND));
     let initial_reconnect_window = TimeDelta::from_micros(rng.u64(50 * MILLISECOND..SECOND));
     Settings {
@@ -134,16 +137,16 @@
 impl Simulation {
     fn new(seed: u64) -> Simulation {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let settings = draw_settings(&mut rng);
+        let settings = random_settings(&mut rng);
         let gateways = rng.usize(1..6);
         Simulation {
-            core: ClientCore::new(settings).expect("sound settings"),
+            core: ClientCore::new(settings).expect("valid settings"),
             rng,
             health: Health::Good,
             now: SECOND,
             next_call: 1,
             gateways,
-            pending: BinaryHeap::new(),
+            scheduled: BinaryHeap::new(),
             counts: BTreeMap::new(),
             digest: Digest(Digest::OFFSET_BASIS),
         }
@@ -153,27 +156,27 @@
         self.counts.get(kind).copied().unwrap_or(0)
     }
 
-    fn add(&mut self, kind: &'static str) {
+    fn increment(&mut self, kind: &'static str) {
         *self.counts.entry(kind).or_default() += 1;
     }
 
-    /// The next thing that is due: something pending, the core's wake, or a call.
+    /// Runs the next step that is due: a scheduled event, the core's wake time, or a new call.
     fn step(&mut self) {
         let call_at = self.now + self.rng.u64(100..6 * MILLISECOND);
-        let pending_at = self.pending.peek().map(|Reverse((at, _))| *at);
+        let scheduled_at = self.scheduled.peek().map(|Reverse((at, _))| *at);
         let wake_at = self.next_wake();
-        let at = [pending_at, wake_at, Some(call_at)]
+        let at = [scheduled_at, wake_at, Some(call_at)]
             .into_iter()
             .flatten()
             .min()
             .unwrap_or(call_at);
         self.now = self.now.max(at);
-        if pending_at == Some(at) {
-            self.run_pending();
+        if scheduled_at == Some(at) {
+            self.run_scheduled_event();
         } else if wake_at == Some(at) {
-            self.push(Event::Tick);
+            self.handle(Event::Tick);
         } else {
-            self.begin_call();
+            self.start_call();
         }
         if self.rng.u16(..300) == 0 {
             self.change_health();
@@ -181,7 +184,7 @@
         if self.rng.u16(..800) == 0 {
             self.gateways = self.rng.usize(1..6);
             let count = self.gateways;
-            self.push(Event::GatewaysListed { count });
+            self.handle(Event::GatewaysListed { count });
         }
         if self.rng.u16(..500) == 0 {
             self.step_clock_back();
@@ -198,22 +201,22 @@
         };
         if let Health::Unreachable = self.health {
             for gateway in 0..self.gateways {
-                self.push(Event::Disconnected {
+                self.handle(Event::Disconnected {
                     gateway: GatewayId(gateway),
                 });
             }
         }
     }
 
-    /// One event with an earlier time, which the core takes for the present.
+    /// Gives the core one event with an earlier time, for which it has to use the latest time that it has seen.
     fn step_clock_back(&mut self) {
         let now = self.now;
         self.now -= self.rng.u64(..SECOND / 2);
-        self.push(Event::Tick);
+        self.handle(Event::Tick);
         self.now = now;
     }
 
-    fn begin_call(&mut self) {
+    fn start_call(&mut self) {
         let call = self.next_call;
         self.next_call += 1;
         let idempotency = match self.rng.u8(..4) {
@@ -226,56 +229,56 @@
         let timeout = self.rng.u64(MILLISECOND..2 * SECOND);
         if self.rng.u8(..12) == 0 {
             let at = self.now + self.rng.u64(..SECOND / 10);
-            self.schedule(at, Pending::CallerCancels { call });
+            self.schedule(at, ScheduledEvent::CallerCancels { call });
         }
-        self.push(Event::CallStarted {
+        self.handle(Event::CallStarted {
             call: CallId(call),
             idempotency,
             deadline: Timestamp::from_micros(self.now + timeout),
         });
     }
 
-    fn schedule(&mut self, at: u64, pending: Pending) {
-        self.pending.push(Reverse((at, pending)));
+    fn schedule(&mut self, at: u64, event: ScheduledEvent) {
+        self.scheduled.push(Reverse((at, event)));
     }
 
-    fn run_pending(&mut self) {
-        let Some(Reverse((_, pending))) = self.pending.pop() else {
+    fn run_scheduled_event(&mut self) {
+        let Some(Reverse((_, event))) = self.scheduled.pop() else {
             return;
         };
-        match pending {
-            Pending::ConnectEnds { gateway } => {
+        match event {
+            ScheduledEvent::ConnectEnds { gateway } => {
                 let gateway = GatewayId(gateway);
                 if matches!(self.health, Health::Unreachable) || self.rng.u8(..10) == 0 {
-                    self.push(Event::Disconnected { gateway });
+                    self.handle(Event::Disconnected { gateway });
                 } else {
-                    self.push(Event::Connected { gateway });
+                    self.handle(Event::Connected { gateway });
                 }
             }
-            Pending::AttemptEnds { call, attempt } => {
-                let outcome = self.draw_outcome();
-                self.push(Event::AttemptEnded {
+            ScheduledEvent::AttemptEnds { call, attempt } => {
+                let outcome = self.random_outcome();
+                self.handle(Event::AttemptEnded {
                     call: CallId(call),
                     attempt,
                     outcome,
                 });
             }
-            Pending::ResponseStarts { call } => {
-                self.push(Event::RetryRuledOut { call: CallId(call) });
+            ScheduledEvent::ResponseStarts { call } => {
+                self.handle(Event::RetryRuledOut { call: CallId(call) });
             }
-            Pending::CallerCancels { call } => {
-                self.push(Event::CallCancelled { call: CallId(call) });
+            ScheduledEvent::CallerCancels { call } => {
+                self.handle(Event::CallCancelled { call: CallId(call) });
             }
         }
     }
 
-    fn draw_outcome(&mut self) -> AttemptOutcome {
-        let good = match self.health {
+    fn random_outcome(&mut self) -> AttemptOutcome {
+        let answered_percent = match self.health {
             Health::Good | Health::Slow => 95,
             Health::Rejecting | Health::Failing => 20,
             Health::Unreachable => 0,
         };
-        if self.rng.u8(..100) < good {
+        if self.rng.u8(..100) < answered_percent {
             return AttemptOutcome::Answered;
         }
         let kind = match self.health {
@@ -293,14 +296,14 @@
         }
     }
 
-    /// Gives the core an event and carries out what it answers.
-    fn push(&mut self, event: Event) {
+    /// Gives the core an event and executes the resulting actions.
+    fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         let now = Timestamp::from_micros(self.now);
         self.core.handle(now, event, &mut actions);
-        self.add("events");
+        self.increment("events");
         for action in actions {
-            self.carry_out(&action);
+            self.execute(&action);
         }
         let wake = self.next_wake();
         let budget = self.core.retry_budget().to_bits();
@@ -311,15 +314,15 @@
         self.core.next_wake().map(Timestamp::as_micros)
     }
 
-    fn carry_out(&mut self, action: &Action) {
+    fn execute(&mut self, action: &Action) {
         match *action {
             Action::Connect {
                 gateway: GatewayId(gateway),
             } => {
-                self.add("connect");
+                self.increment("connect");
                 self.digest.add(&format!("connect {gateway};"));
                 let at = self.now + self.rng.u64(..50 * MILLISECOND);
-                self.schedule(at, Pending::ConnectEnds { gateway });
+                self.schedule(at, ScheduledEvent::ConnectEnds { gateway });
             }
             Action::SendAttempt {
                 call,
@@ -327,22 +330,24 @@
                 gateway: GatewayId(gateway),
                 time_left,
             } => {
-                let left = time_left.as_micros();
-                self.add("send");
+                let time_left_micros = time_left.as_micros();
+                self.increment("send");
                 if attempt > 0 {
-                    self.add("retry");
+                    self.increment("retry");
                 }
-                self.digest
-                    .add(&format!("send {} {attempt} {gateway} {left};", call.0));
+                self.digest.add(&format!(
+                    "send {} {attempt} {gateway} {time_left_micros};",
+                    call.0
+                ));
                 self.schedule_attempt(call.0, attempt);
             }
             Action::CancelAttempt { call, attempt } => {
-                self.add("cancel_attempt");
+                self.increment("cancel_attempt");
                 self.digest.add(&format!("cancel {} {attempt};", call.0));
             }
             Action::CompleteCall { call, outcome } => {
-                let kind = kind_of(outcome);
-                self.add(kind);
+                let kind = outcome_name(outcome);
+                self.increment(kind);
                 let retry_after = match outcome {
                     Outcome::Rejected { retry_after } => retry_after.map(TimeDelta::as_micros),
                     _ => None,
@@ -361,13 +366,13 @@
         let ends_at = self.now + self.rng.u64(MILLISECOND..longest);
         if self.rng.u8(..10) == 0 {
             let starts_at = self.now + self.rng.u64(..ends_at - self.now);
-            self.schedule(starts_at, Pending::ResponseStarts { call });
+            self.schedule(starts_at, ScheduledEvent::ResponseStarts { call });
         }
-        self.schedule(ends_at, Pending::AttemptEnds { call, attempt });
+        self.schedule(ends_at, ScheduledEvent::AttemptEnds { call, attempt });
     }
 }
 
-fn kind_of(outcome: Outcome) -> &'static str {
+fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Answered => "answered",
         Outcome::Rejected { .. } => "rejected",
--- a/crates/client/tests/streams.rs
+++ b/crates/client/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Streams over sockets.
+//! Streams over sockets: messages, resets and flow control.
 
 mod common;
 
@@ -14,7 +14,7 @@
     let stream = client.open_stream(call(Idempotency::Idempotent, 20_000), move |event| {
         let _ = sender.send(event);
     });
-    (stream.expect("room for a stream"), events)
+    (stream.expect("fewer open calls than the limit"), events)
 }
 
 #[test]
@@ -30,7 +30,7 @@
     for _ in 0..3 {
         stream
             .send(Bytes::from_static(b"ping"))
-            .expect("room for a message");
+            .expect("a queue that is not full");
         gateway.engine.send(server_stream, grpc::frame(b"pong"));
         let event = gateway.wait_for(&events);
         assert!(matches!(event, StreamEvent::Message(message) if &message[..] == b"pong"));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn nobody_reads_a_stream_then_its_unsent_messages_are_bounded() {
+fn gateway_does_not_read_a_stream_then_its_unsent_messages_are_bounded() {
     let mut gateway = ScriptedGateway::new();
     gateway.reading = Reading::Stalled;
     let client = start_client(&gateway);
@@ -57,7 +57,7 @@
         .count();
     assert!(
         (10..100).contains(&accepted),
-        "{accepted} messages of 100 kB"
+        "{accepted} messages of 100 kB accepted"
     );
     stream.cancel();
     let deadline = Instant::now() + TIMEOUT;
@@ -66,6 +66,9 @@
             assert_eq!(reply.outcome, Outcome::Cancelled);
             break;
         }
-        assert!(Instant::now() < deadline, "its end");
+        assert!(
+            Instant::now() < deadline,
+            "timed out waiting for the end of the stream"
+        );
     }
 }
--- a/crates/client/tests/tower.rs
+++ b/crates/client/tests/tower.rs
@@ -1,4 +1,4 @@
-//! The tower service under tonic's own client, against a gateway that is scripted in a thread.
+//! The tower service with tonic's client, against a fake gateway that runs a script on its own thread.
 use bytes::{Buf, BufMut, Bytes};
 use chalkdeck_client::tower::{CallKind, CallOptions, CallOptionsLayer, FleetService};
 use chalkdeck_client::{Client, Idempotency, Settings, TimeDelta};
@@ -15,7 +15,7 @@
 use tonic::codec::{Codec, DecodeBuf, Decoder, EncodeBuf, Encoder};
 use tower_layer::Layer;
 
-/// Messages as bytes, without an encoding.
+/// A codec that passes messages on as bytes.
 #[derive(Clone, Default)]
 struct Raw;
 impl Codec for Raw {
@@ -46,9 +46,10 @@
     }
 }
 
+/// Handles each event of a gateway.
 type Script = Box<dyn FnMut(&mut Engine, Received) + Send>;
 
-/// What a gateway receives.
+/// An event of a gateway.
 enum Received {
     /// An attempt, with its number from 1.
     Attempt {
@@ -61,7 +62,7 @@
     Reset,
 }
 
-/// A gateway on a thread of its own.
+/// A fake gateway on its own thread.
 struct ScriptedGateway {
     address: SocketAddr,
     is_stopped: Arc<AtomicBool>,
@@ -78,10 +79,10 @@
 
 fn start_gateway(mut script: Script) -> ScriptedGateway {
     let mut engine = Engine::new().expect("a poll handle");
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
+    let free_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let (_, address) = engine
-        .listen(any, Limits::default(), false, false)
-        .expect("a port");
+        .listen(free_port, Limits::default(), false, false)
+        .expect("a free port");
     let is_stopped = Arc::new(AtomicBool::new(false));
     let stop_flag = is_stopped.clone();
     let thread = std::thread::spawn(move || {
@@ -170,7 +171,7 @@
     request
         .metadata_mut()
         .insert("x-customer", "someone".parse().expect("a value"));
-    let reply = block_on(client.unary(request, path(), Raw)).expect("served");
+    let reply = block_on(client.unary(request, path(), Raw)).expect("an answer");
     assert_eq!(reply.into_inner(), "sold");
     let keys = keys.lock().expect("keys");
     assert_eq!((keys.len(), &keys[0]), (2, &keys[1]));
@@ -191,21 +192,22 @@
     }));
     let mut client = tonic::client::Grpc::new(service(&gateway));
     let request = || tonic::Request::new(Bytes::from_static(b"one pumpkin"));
-    let failed = block_on(client.unary(request(), path(), Raw)).expect_err("may have run");
+    let failed =
+        block_on(client.unary(request(), path(), Raw)).expect_err("a call that may have run");
     assert_eq!(failed.code(), tonic::Code::Unavailable);
-    let rejected = block_on(client.unary(request(), path(), Raw)).expect_err("rejected");
+    let rejected = block_on(client.unary(request(), path(), Raw)).expect_err("a rejection");
     assert_eq!(rejected.code(), tonic::Code::ResourceExhausted);
     assert_eq!(
         rejected
             .metadata()
             .get("grpc-retry-pushback-ms")
-            .expect("a time"),
+            .expect("a pushback"),
         "60000"
     );
 }
 
 #[test]
-fn call_is_late_or_dropped_then_its_attempt_is_reset() {
+fn call_times_out_or_is_dropped_then_its_attempt_is_reset() {
     let attempts = Arc::new(AtomicUsize::new(0));
     let resets = Arc::new(AtomicUsize::new(0));
     let attempt_counter = attempts.clone();
@@ -215,40 +217,40 @@
         Received::Reset => drop(reset_counter.fetch_add(1, Ordering::SeqCst)),
         _ => {}
     }));
-    let until = |what: &str, holds: &mut dyn FnMut() -> bool| {
-        let end = Instant::now() + Duration::from_secs(20);
-        while !holds() {
-            assert!(Instant::now() < end, "not in time: {what}");
+    let wait_until = |what: &str, is_true: &mut dyn FnMut() -> bool| {
+        let deadline = Instant::now() + Duration::from_secs(20);
+        while !is_true() {
+            assert!(Instant::now() < deadline, "timed out waiting for {what}");
             std::thread::yield_now();
         }
     };
     let mut client = tonic::client::Grpc::new(service(&gateway));
     let mut request = tonic::Request::new(Bytes::from_static(b"one pumpkin"));
     request.set_timeout(Duration::from_millis(100));
-    let late = block_on(client.unary(request, path(), Raw)).expect_err("late");
-    assert_eq!(late.code(), tonic::Code::DeadlineExceeded);
-    until("the late call's reset", &mut || {
+    let timed_out = block_on(client.unary(request, path(), Raw)).expect_err("a timeout");
+    assert_eq!(timed_out.code(), tonic::Code::DeadlineExceeded);
+    wait_until("the reset of the call that timed out", &mut || {
         resets.load(Ordering::SeqCst) == 1
     });
 
     let mut call =
         Box::pin(client.unary(tonic::Request::new(Bytes::from_static(b"two")), path(), Raw));
-    until("a second call", &mut || {
+    wait_until("a second call", &mut || {
         let pending = block_on(std::future::poll_fn(|cx| {
             Poll::Ready(call.as_mut().poll(cx).is_pending())
         }));
-        assert!(pending, "nobody answers");
+        assert!(pending, "the call ended without an answer");
         attempts.load(Ordering::SeqCst) == 2
     });
     assert_eq!(resets.load(Ordering::SeqCst), 1);
     drop(call);
-    until("the dropped call's reset", &mut || {
+    wait_until("the reset of the dropped call", &mut || {
         resets.load(Ordering::SeqCst) == 2
     });
 }
 
 #[test]
-fn stream_is_echoed_then_all_messages_come_back() {
+fn gateway_echoes_a_stream_then_all_messages_are_received() {
     let gateway = start_gateway(Box::new(|engine, event| match event {
         Received::Attempt { stream, .. } => engine.respond(stream, grpc::response_head(), false),
         Received::Data(stream, data) => engine.send(stream, data),
@@ -271,14 +273,14 @@
             .expect("a stream")
             .into_inner();
         let mut received = Vec::new();
-        while let Some(message) = answers.message().await.expect("whole") {
+        while let Some(message) = answers.message().await.expect("a complete message") {
             received.push(message);
         }
         received
     });
     assert!(
         received == messages,
-        "{} of {} messages came back",
+        "received {} of {} messages",
         received.len(),
         messages.len()
     );
