--- a/crates/cli/tests/fleet/mod.rs
+++ b/crates/cli/tests/fleet/mod.rs
@@ -357,7 +357,7 @@
         let mut events = Vec::new();
         while engine.turn(1_000_000, &mut events).is_ok() {
             for event in events.drain(..) {
-                let Event::Opened { stream, head, .. } = event else {
+                let Event::StreamOpened { stream, head, .. } = event else {
                     continue;
                 };
                 engine.respond(stream, grpc::response_head(), false);
@@ -399,7 +399,7 @@
         self.engine.turn(5_000, &mut self.events).expect("it turns");
         for event in self.events.drain(..) {
             match event {
-                Event::Head {
+                Event::ResponseHead {
                     stream,
                     head,
                     is_end_stream: true,
@@ -412,9 +412,9 @@
                         ),
                     );
                 }
-                Event::Head { stream, .. } => self.heads.push(stream),
+                Event::ResponseHead { stream, .. } => self.heads.push(stream),
                 Event::Data { stream, data } => self.engine.consume(stream, data.len()),
-                Event::End { stream, trailers } => {
+                Event::StreamEnded { stream, trailers } => {
                     let trailers = trailers.unwrap_or_default();
                     self.ended.insert(
                         stream,
--- a/crates/client/src/driver.rs
+++ b/crates/client/src/driver.rs
@@ -167,7 +167,7 @@
             NetEvent::Closed { conn, .. } => self.on_closed(conn),
             NetEvent::Timer(GATEWAY_FILE_TIMER) => self.poll_gateway_file(),
             NetEvent::Timer(token) => self.on_connect_timeout(token),
-            NetEvent::Head {
+            NetEvent::ResponseHead {
                 stream,
                 head,
                 is_end_stream: true,
@@ -177,7 +177,7 @@
                 self.on_data(stream, &data);
             }
             NetEvent::Sent { stream, bytes } => self.on_sent(stream, bytes),
-            NetEvent::End { stream, trailers } => {
+            NetEvent::StreamEnded { stream, trailers } => {
                 self.on_response_ended(stream, &trailers.unwrap_or_default());
             }
             NetEvent::StreamFailed { stream, error } => {
--- a/crates/client/tests/calls.rs
+++ b/crates/client/tests/calls.rs
@@ -175,7 +175,7 @@
 fn clock_jumps_then_calls_still_end_by_their_deadlines() {
     let mut gateway = ScriptedGateway::new();
     let jumps = Arc::new(ClockJumps::default());
-    let clock = Clock::with_jumps(jumps.clone());
+    let clock = Clock::shifted(jumps.clone());
     let client = Client::start_with_clock(Settings::default(), vec![gateway.address], clock)
         .expect("a client");
     let exceeded = Outcome::DeadlineExceeded { may_have_run: true };
--- a/crates/client/tests/common/mod.rs
+++ b/crates/client/tests/common/mod.rs
@@ -69,7 +69,7 @@
             .expect("a turn");
         for event in events {
             match event {
-                Event::Opened { stream, head, .. } => {
+                Event::StreamOpened { stream, head, .. } => {
                     let headers = head.headers.clone();
                     self.received.push(ReceivedAttempt { stream, headers });
                 }
--- a/crates/client/tests/tower.rs
+++ b/crates/client/tests/tower.rs
@@ -92,7 +92,7 @@
             engine.turn(5_000, &mut events).expect("a turn");
             for event in events.drain(..) {
                 match event {
-                    Event::Opened { stream, head, .. } => {
+                    Event::StreamOpened { stream, head, .. } => {
                         attempts += 1;
                         let attempt = Received::Attempt {
                             stream,
@@ -105,7 +105,7 @@
                         engine.consume(stream, data.len());
                         script(&mut engine, Received::Data(stream, data));
                     }
-                    Event::End { stream, .. } => script(&mut engine, Received::End(stream)),
+                    Event::StreamEnded { stream, .. } => script(&mut engine, Received::End(stream)),
                     Event::StreamFailed { .. } => script(&mut engine, Received::Reset),
                     _ => {}
                 }
--- a/crates/coordinator/src/client.rs
+++ b/crates/coordinator/src/client.rs
@@ -6,7 +6,7 @@
     wire, CommandKind, CommandResponse, ReadRequest, ReadResponse, ResponseCode,
 };
 use crate::server::{connection_limits, MAX_STATE_BYTES, READ_PATH, SUBMIT_PATH};
-use chalkdeck_net::clock::new_incarnation;
+use chalkdeck_net::clock::generate_incarnation;
 use chalkdeck_net::grpc::{self, Code};
 use chalkdeck_net::unary::UnaryMessage;
 use chalkdeck_net::{ConnId, Engine, Event, StreamId};
@@ -87,7 +87,7 @@
     /// The system gives no poll handle.
     pub fn new(replicas: Vec<SocketAddr>) -> Result<CoordinatorClient, ClientError> {
         let engine = Engine::new().map_err(ClientError::Poll)?;
-        let caller = new_incarnation(engine.now());
+        let caller = generate_incarnation(engine.now());
         let replica_index = fastrand::usize(..replicas.len().max(1));
         Ok(CoordinatorClient {
             engine,
@@ -305,7 +305,7 @@
                     Err(_) => CallState::Failed,
                 }
             }
-            Event::End { stream, trailers } if self.is_own(stream) => {
+            Event::StreamEnded { stream, trailers } if self.is_own(stream) => {
                 let status = trailers.as_ref().and_then(Code::from_trailers);
                 match self.response.message() {
                     Some(body) if status == Some(Code::Ok) => CallState::Answered(body.to_vec()),
@@ -313,7 +313,7 @@
                 }
             }
             Event::StreamFailed { stream, .. }
-            | Event::Head {
+            | Event::ResponseHead {
                 stream,
                 is_end_stream: true,
                 ..
--- a/crates/coordinator/src/server/mod.rs
+++ b/crates/coordinator/src/server/mod.rs
@@ -12,7 +12,7 @@
 use crate::log::{OpenedLog, ReplicaLog};
 use crate::replica::{Output, Replica, ReplicaSettings, StartMode};
 use crate::settings::Settings;
-use chalkdeck_net::clock::new_incarnation;
+use chalkdeck_net::clock::generate_incarnation;
 use chalkdeck_net::grpc::{self, Code};
 use chalkdeck_net::signals::Signals;
 use chalkdeck_net::{ConnId, Engine, Event, Limits, ListenerId, StreamId};
@@ -81,7 +81,7 @@
     /// See [`ServerError`].
     pub fn start(settings: &Settings, start_mode: StartMode) -> Result<ReplicaServer, ServerError> {
         let mut engine = Engine::new().map_err(ServerError::Poll)?;
-        let incarnation = new_incarnation(engine.now());
+        let incarnation = generate_incarnation(engine.now());
         let opened = open_log(settings, incarnation)?;
         let replica = Replica::new(
             replica_settings(settings, &opened, incarnation),
@@ -198,12 +198,12 @@
     fn on_event(&mut self, event: Event) {
         match event {
             Event::Timer(TICK_TIMER) => self.on_tick(),
-            Event::Opened { stream, head, .. } => self.on_opened(stream, head.uri.path()),
+            Event::StreamOpened { stream, head, .. } => self.on_opened(stream, head.uri.path()),
             Event::Data { stream, data } => {
                 self.engine.consume(stream, data.len());
                 self.on_data(stream, &data);
             }
-            Event::End { stream, .. } => self.on_end(stream),
+            Event::StreamEnded { stream, .. } => self.on_end(stream),
             Event::StreamFailed { stream, .. } => {
                 self.incoming_closed(stream);
                 self.peers.stream_closed(stream);
--- a/crates/counter/src/server.rs
+++ b/crates/counter/src/server.rs
@@ -115,14 +115,14 @@
 
     fn on_event(&mut self, event: Event) {
         match event {
-            Event::Opened {
+            Event::StreamOpened {
                 conn, stream, head, ..
             } => self.on_stream_opened(conn, stream, head.uri.path()),
             Event::Data { stream, data } => {
                 self.engine.consume(stream, data.len());
                 self.on_data(stream, &data);
             }
-            Event::End { stream, .. } => self.on_stream_ended(stream),
+            Event::StreamEnded { stream, .. } => self.on_stream_ended(stream),
             Event::StreamFailed { stream, .. } => {
                 self.streams.remove(&stream);
             }
--- a/crates/counter/src/server/startup.rs
+++ b/crates/counter/src/server/startup.rs
@@ -8,7 +8,7 @@
 use crate::settings::{PartitionSettings, Settings};
 use crate::state::CounterState;
 use crate::writer::Writer;
-use chalkdeck_net::clock::new_incarnation;
+use chalkdeck_net::clock::generate_incarnation;
 use chalkdeck_net::{Engine, Limits};
 use chalkdeck_wal::disk::Folder;
 use chalkdeck_wal::log::OpenedLog;
@@ -77,7 +77,7 @@
     Recovered {
         state: CounterState::new(settings.limits),
         identity: Identity {
-            incarnation: new_incarnation(engine.now()),
+            incarnation: generate_incarnation(engine.now()),
             epoch: 1,
         },
         storage: None,
@@ -93,7 +93,7 @@
         path: path.to_owned(),
         error,
     })?;
-    let new_incarnation = new_incarnation(engine.now());
+    let new_incarnation = generate_incarnation(engine.now());
     let opened = recovery::open(folder.clone(), settings.limits, new_incarnation);
     let OpenedLog { log, state, report } = opened.map_err(|error| ServerError::Log {
         path: path.to_owned(),
--- a/crates/counter/tests/service.rs
+++ b/crates/counter/tests/service.rs
@@ -98,7 +98,7 @@
                     self.responses.push(response);
                 }
             }
-            Event::End { .. } | Event::StreamFailed { .. } => self.is_stream_closed = true,
+            Event::StreamEnded { .. } | Event::StreamFailed { .. } => self.is_stream_closed = true,
             Event::Closed { conn, .. } if conn == self.connection => self.is_stream_closed = true,
             _ => {}
         }
--- a/crates/grpc-gateway/src/coordinator_link/mod.rs
+++ b/crates/grpc-gateway/src/coordinator_link/mod.rs
@@ -18,7 +18,7 @@
 use chalkdeck_access::RegionTable;
 use chalkdeck_coordinator::agent::{AgentSettings, GatewayAgent};
 use chalkdeck_coordinator::cache_file::CacheFile;
-use chalkdeck_net::clock::new_incarnation;
+use chalkdeck_net::clock::generate_incarnation;
 use chalkdeck_net::grpc::Deframer;
 use chalkdeck_net::{ConnId, StreamId};
 use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
@@ -108,7 +108,7 @@
     let open = wire::OpenSession {
         gateway: settings.name.clone(),
         site: zone_name.to_string(),
-        incarnation: new_incarnation(now.as_micros()),
+        incarnation: generate_incarnation(now.as_micros()),
         candidate: settings.is_candidate,
     };
     AgentSettings {
--- a/crates/grpc-gateway/src/counter_client/partition.rs
+++ b/crates/grpc-gateway/src/counter_client/partition.rs
@@ -8,7 +8,7 @@
 use super::state_tracker::{StateChange, StateTracker};
 use bytes::BytesMut;
 use chalkdeck::api::{CounterKey, Outcome};
-use chalkdeck_net::clock::new_incarnation;
+use chalkdeck_net::clock::generate_incarnation;
 use chalkdeck_net::grpc::{self, Code, Deframer};
 use chalkdeck_net::{ConnId, Engine, Limits, StreamId};
 use chalkdeck_proto::chalkdeck::counter::v1::{AddRequest, AddResponse};
@@ -92,7 +92,7 @@
             order: ResultOrder::default(),
             deadlines: VecDeque::new(),
             last_call: 0,
-            caller: new_incarnation(now),
+            caller: generate_incarnation(now),
             tracker: StateTracker::default(),
             outgoing: BytesMut::new(),
             state_changes: Vec::new(),
@@ -313,7 +313,7 @@
         self.state_changes.extend(self.tracker.observe(response));
         if Code::from_number(response.status) == Code::Aborted {
             // The partition has forgotten this caller, so a new incarnation begins.
-            self.caller = new_incarnation(engine.now());
+            self.caller = generate_incarnation(engine.now());
         }
         self.end_call(response.number, outcome_of(response), response.total)
     }
--- a/crates/grpc-gateway/src/gateway_server/event_loop.rs
+++ b/crates/grpc-gateway/src/gateway_server/event_loop.rs
@@ -56,7 +56,7 @@
         match event {
             NetEvent::Accepted { listener, conn } => self.resp_accepted(listener, conn),
             NetEvent::Bytes { conn, data } => self.resp_bytes(conn, &data),
-            NetEvent::Opened {
+            NetEvent::StreamOpened {
                 stream,
                 conn,
                 head,
@@ -67,13 +67,13 @@
                 self.resp_closed(conn);
                 self.on_closed(conn, &reason.to_string());
             }
-            NetEvent::Head {
+            NetEvent::ResponseHead {
                 stream,
                 head,
                 is_end_stream: ended,
             } => self.on_head(stream, head, ended),
             NetEvent::Data { stream, data } => self.on_data(stream, data),
-            NetEvent::End { stream, trailers } => self.on_stream_ended(stream, trailers),
+            NetEvent::StreamEnded { stream, trailers } => self.on_stream_ended(stream, trailers),
             NetEvent::Sent { stream, bytes } => self.on_bytes_sent(stream, bytes),
             NetEvent::StreamFailed { stream, error } => self.on_stream_failed(stream, error),
             NetEvent::Timer(token) => self.on_timer(token),
--- a/crates/grpc-gateway/src/relay.rs
+++ b/crates/grpc-gateway/src/relay.rs
@@ -70,8 +70,8 @@
     }
     fn on_event(&mut self, event: Event) {
         match event {
-            Event::Opened { stream, head, .. } => self.on_call(stream, &head),
-            Event::Head {
+            Event::StreamOpened { stream, head, .. } => self.on_call(stream, &head),
+            Event::ResponseHead {
                 stream,
                 head,
                 is_end_stream: ended,
@@ -86,7 +86,7 @@
                 }
             }
             Event::Data { stream, data } => self.on_data(stream, data),
-            Event::End { stream, trailers } => {
+            Event::StreamEnded { stream, trailers } => {
                 let Some(&other) = self.peer_stream.get(&stream) else {
                     return;
                 };
--- a/crates/grpc-gateway/tests/common/mod.rs
+++ b/crates/grpc-gateway/tests/common/mod.rs
@@ -116,7 +116,7 @@
             }
             Event::Connected { conn } => drop(self.established_connections.insert(conn)),
             Event::Closed { conn, .. } => self.closed_connections.push(conn),
-            Event::Opened {
+            Event::StreamOpened {
                 stream,
                 conn,
                 head,
@@ -128,7 +128,7 @@
                 (record.path, record.headers, record.is_ended) =
                     (head.uri.path().to_string(), head.headers, ended);
             }
-            Event::Head {
+            Event::ResponseHead {
                 stream,
                 head,
                 is_end_stream: ended,
@@ -155,7 +155,7 @@
                     self.engine.consume(stream, data.len());
                 }
             }
-            Event::End { stream, trailers } => {
+            Event::StreamEnded { stream, trailers } => {
                 let record = self.streams.entry(stream).or_default();
                 assert!(!record.is_ended || trailers.is_none(), "a stream ends once");
                 (record.trailers, record.is_ended) = (trailers, true);
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -21,7 +21,7 @@
 
 /// The incarnation number of a process that started at `now`. It is higher than that of any earlier incarnation; random low bits
 /// distinguish processes that started in the same microsecond.
-pub fn new_incarnation(now: u64) -> u64 {
+pub fn generate_incarnation(now: u64) -> u64 {
     (now << INCARNATION_RANDOM_BITS) | fastrand::u64(..1 << INCARNATION_RANDOM_BITS)
 }
 
@@ -53,17 +53,17 @@
 
     /// The time for this reading of the source, with all jumps and corrections.
     fn adjusted_time(&self, source: u64) -> u64 {
-        let shifted = source as i64
+        let shifted_source = source as i64
             + self.total.load(Ordering::SeqCst)
             + self.correction.load(Ordering::SeqCst);
         let latest = self
             .latest
-            .fetch_max(shifted.max(0) as u64, Ordering::SeqCst);
-        let step_back = latest as i64 - shifted;
+            .fetch_max(shifted_source.max(0) as u64, Ordering::SeqCst);
+        let step_back = latest as i64 - shifted_source;
         if step_back > 0 {
             self.correction.fetch_add(step_back, Ordering::SeqCst);
         }
-        latest.max(shifted.max(0) as u64)
+        latest.max(shifted_source.max(0) as u64)
     }
 }
 
@@ -76,7 +76,7 @@
         }
     }
     /// A clock that is shifted by `jumps`.
-    pub fn with_jumps(jumps: Arc<ClockJumps>) -> Clock {
+    pub fn shifted(jumps: Arc<ClockJumps>) -> Clock {
         Clock {
             jumps: Some(jumps),
             ..Clock::start()
--- a/crates/net/src/engine/streams.rs
+++ b/crates/net/src/engine/streams.rs
@@ -164,7 +164,7 @@
         let waker = self.ready.waker(key, Priority::High);
         waker.wake_by_ref();
         let (id, conn) = (StreamId(key), ConnId(conn_key));
-        self.events.push_back(Event::Opened {
+        self.events.push_back(Event::StreamOpened {
             stream: id,
             conn,
             head: Box::new(head),
--- a/crates/net/src/event.rs
+++ b/crates/net/src/event.rs
@@ -45,7 +45,7 @@
         reason: CloseReason,
     },
     /// A client opened a stream.
-    Opened {
+    StreamOpened {
         /// The stream.
         stream: StreamId,
         /// Its connection.
@@ -56,7 +56,7 @@
         is_end_stream: bool,
     },
     /// The head of a response was received.
-    Head {
+    ResponseHead {
         /// The stream.
         stream: StreamId,
         /// The head.
@@ -72,7 +72,7 @@
         data: Bytes,
     },
     /// The peer ended its side of a stream.
-    End {
+    StreamEnded {
         /// The stream.
         stream: StreamId,
         /// Its trailers, if it sent any.
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -206,7 +206,7 @@
             let (head, mut body) = head.map_err(|error| stream_error(&error))?.into_parts();
             self.flow = Some(body.flow_control().clone());
             let is_end_stream = body.is_end_stream();
-            events.push_back(Event::Head {
+            events.push_back(Event::ResponseHead {
                 stream: self.id,
                 head: Box::new(head),
                 is_end_stream,
@@ -237,7 +237,7 @@
                         return Ok(());
                     };
                     let trailers = trailers.map_err(|error| stream_error(&error))?;
-                    events.push_back(Event::End {
+                    events.push_back(Event::StreamEnded {
                         stream: self.id,
                         trailers,
                     });
--- a/crates/resp-gateway/src/discovery/tests.rs
+++ b/crates/resp-gateway/src/discovery/tests.rs
@@ -74,8 +74,7 @@
 impl Setup {
     fn new(mode: AgentMode, response_format: fn(&str) -> String) -> Setup {
         let jumps = Arc::<ClockJumps>::default();
-        let mut engine =
-            Engine::with_clock(Clock::with_jumps(jumps.clone())).expect("a poll handle");
+        let mut engine = Engine::with_clock(Clock::shifted(jumps.clone())).expect("a poll handle");
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let (listener, address) = engine
             .listen_plain(any, Limits::default())
--- a/crates/resp-gateway/src/sessions/test_support.rs
+++ b/crates/resp-gateway/src/sessions/test_support.rs
@@ -16,8 +16,7 @@
 impl TestLoop {
     pub(super) fn new() -> TestLoop {
         let jumps = Arc::<ClockJumps>::default();
-        let mut engine =
-            Engine::with_clock(Clock::with_jumps(jumps.clone())).expect("a poll handle");
+        let mut engine = Engine::with_clock(Clock::shifted(jumps.clone())).expect("a poll handle");
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let (_, address) = engine
             .listen_plain(any, Limits::default())
--- a/crates/resp-gateway/tests/common/mod.rs
+++ b/crates/resp-gateway/tests/common/mod.rs
@@ -117,7 +117,7 @@
         std::fs::write(&file, text).expect("a temporary file");
         let jumps = Arc::<ClockJumps>::default();
         let config = Config::load(&file).expect("a valid configuration");
-        let gateway = GatewayServer::start_with_clock(config, Clock::with_jumps(jumps.clone()))
+        let gateway = GatewayServer::start_with_clock(config, Clock::shifted(jumps.clone()))
             .expect("a free port");
         let list = endpoints.iter().enumerate();
         let list = list
--- a/crates/resp-gateway/tests/simulation/mod.rs
+++ b/crates/resp-gateway/tests/simulation/mod.rs
@@ -89,7 +89,7 @@
         )
         .expect("a temporary file");
         let jumps = Arc::<ClockJumps>::default();
-        let clock = Clock::with_jumps(jumps.clone());
+        let clock = Clock::shifted(jumps.clone());
         let config = Config::load(&file).expect("a valid configuration");
         let gateway = GatewayServer::start_with_clock(config, clock.clone()).expect("a free port");
         let mut simulation = Simulation {
--- a/crates/testbed/src/load/calls.rs
+++ b/crates/testbed/src/load/calls.rs
@@ -234,7 +234,7 @@
                 self.by_gateway[link.gateway].retain(|c| *c != conn);
                 self.due_at(self.engine.now() + RECONNECT, Due::Connect(link.gateway));
             }
-            Event::Head {
+            Event::ResponseHead {
                 stream,
                 head,
                 is_end_stream: ended,
@@ -250,7 +250,9 @@
                 self.engine.consume(stream, data.len());
                 self.figures.bytes += data.len() as u64;
             }
-            Event::End { stream, trailers } => self.on_end(stream, &trailers.unwrap_or_default()),
+            Event::StreamEnded { stream, trailers } => {
+                self.on_end(stream, &trailers.unwrap_or_default())
+            }
             Event::StreamFailed { stream, .. } => self.ended(stream, End::Lost, -1, None),
             Event::Timer(token) => {
                 if let Some(due) = self.due.remove(&token) {
--- a/crates/testbed/src/measure/reconnect.rs
+++ b/crates/testbed/src/measure/reconnect.rs
@@ -196,12 +196,12 @@
                     None => {}
                 },
                 NetEvent::Data { stream, data } => self.engine.consume(stream, data.len()),
-                NetEvent::Head {
+                NetEvent::ResponseHead {
                     stream,
                     head,
                     is_end_stream: true,
                 } => self.answered(stream, &head.headers),
-                NetEvent::End { stream, trailers } => {
+                NetEvent::StreamEnded { stream, trailers } => {
                     self.answered(stream, &trailers.unwrap_or_default())
                 }
                 _ => {}
--- a/crates/testbed/src/stand_ins/counter.rs
+++ b/crates/testbed/src/stand_ins/counter.rs
@@ -95,11 +95,11 @@
 
     fn on_event(&mut self, event: Event) {
         match event {
-            Event::Opened { stream, head, .. } if head.uri.path().ends_with("/Adds") => {
+            Event::StreamOpened { stream, head, .. } if head.uri.path().ends_with("/Adds") => {
                 self.engine.respond(stream, grpc::response_head(), false);
                 self.streams.insert(stream, Deframer::default());
             }
-            Event::Opened { stream, .. } => {
+            Event::StreamOpened { stream, .. } => {
                 drop(self.asking.insert(stream, UnaryMessage::default()))
             }
             Event::Data { stream, data } => {
@@ -115,11 +115,11 @@
                     self.status(stream, Code::InvalidArgument);
                 }
             }
-            Event::End { stream, .. } if self.streams.remove(&stream).is_some() => {
+            Event::StreamEnded { stream, .. } if self.streams.remove(&stream).is_some() => {
                 self.engine
                     .finish(stream, Some(grpc::trailers(Code::Ok, "")));
             }
-            Event::End { stream, .. } => self.on_asked(stream),
+            Event::StreamEnded { stream, .. } => self.on_asked(stream),
             Event::StreamFailed { stream, .. } => {
                 self.asking.remove(&stream);
                 self.streams.remove(&stream);
--- a/crates/testbed/src/stand_ins/farm.rs
+++ b/crates/testbed/src/stand_ins/farm.rs
@@ -189,7 +189,7 @@
                 }
             }
             Event::Closed { conn, .. } => drop(self.conns.remove(&conn)),
-            Event::Opened {
+            Event::StreamOpened {
                 stream, conn, head, ..
             } => self.on_call(stream, conn, &head),
             Event::Data { stream, data } => self.engine.consume(stream, data.len()),
