--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -133,7 +133,7 @@
                 status_message,
             ));
             // No call has this id, so the handle has no effect.
-            return self.handle_of(CallId(0));
+            return self.call_handle(CallId(0));
         }
         self.start_call_unchecked(call, on_reply)
     }
@@ -212,7 +212,7 @@
         CallId(self.next_call.fetch_add(1, Ordering::Relaxed))
     }
 
-    fn handle_of(&self, call: CallId) -> CallHandle {
+    fn call_handle(&self, call: CallId) -> CallHandle {
         CallHandle {
             commands: self.commands.clone(),
             call,
@@ -232,7 +232,7 @@
         let id = self.next_call_id();
         self.commands
             .send(Command::StartCall { id, call, on_reply });
-        self.handle_of(id)
+        self.call_handle(id)
     }
 }
 
--- a/crates/client/tests/recording/mod.rs
+++ b/crates/client/tests/recording/mod.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// An FNV-1a hash over the texts of all actions.
+/// An FNV-1a hash over the texts of all actions, wake times and retry budgets.
 struct Digest(u64);
 
 impl Digest {
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -75,7 +75,7 @@
     /// The IP address of the client, if it was accepted.
     pub(crate) peer_ip: Option<IpAddr>,
     /// The number of its open streams.
-    pub(crate) open_streams: usize,
+    pub(crate) open_stream_count: usize,
     /// Whether the connection was ever established.
     pub(crate) was_established: bool,
     pub(crate) reset_counter: ResetCounter,
@@ -150,7 +150,7 @@
             limits,
             listener: None,
             peer_ip: None,
-            open_streams: 0,
+            open_stream_count: 0,
             was_established: false,
             reset_counter: ResetCounter::default(),
             ping: None,
@@ -167,7 +167,7 @@
         let max_streams = sender
             .current_max_send_streams()
             .min(self.limits.max_streams as usize);
-        max_streams.saturating_sub(self.open_streams)
+        max_streams.saturating_sub(self.open_stream_count)
     }
 
     /// The number of bytes queued on a plain connection that are not written yet.
--- a/crates/net/src/engine/connections.rs
+++ b/crates/net/src/engine/connections.rs
@@ -153,7 +153,7 @@
                     may_have_more,
                 } => return self.on_plain_bytes(key, data, may_have_more),
                 Progress::Opened(request, respond) => {
-                    connection.open_streams += 1;
+                    connection.open_stream_count += 1;
                     opened += 1;
                     let has_used_turn = opened >= OPENS_PER_CONNECTION;
                     if has_used_turn {
@@ -215,7 +215,7 @@
         let Some(listener) = self.listeners.get_mut(&listener_key) else {
             return;
         };
-        listener.open_connections -= 1;
+        listener.open_connection_count -= 1;
         if std::mem::take(&mut listener.is_full) {
             self.accept(listener_key, super::listeners::ACCEPTS_PER_TURN);
         }
--- a/crates/net/src/engine/listeners.rs
+++ b/crates/net/src/engine/listeners.rs
@@ -5,7 +5,7 @@
 use crate::event::Event;
 use crate::ids::{ConnId, ListenerId};
 use crate::limits::Limits;
-use crate::listener::{Accepted, Listener, PortSharing};
+use crate::listener::{AcceptResult, Listener, PortSharing};
 use crate::ready_queue::Priority;
 use mio::net::TcpStream;
 use mio::{Interest, Token};
@@ -109,12 +109,14 @@
                 return;
             };
             match listener.accept(now) {
-                Accepted::Connection(stream, peer_ip) => self.add_accepted(key, stream, peer_ip),
-                Accepted::Failed(error) => {
+                AcceptResult::Connection(stream, peer_ip) => {
+                    self.add_accepted(key, stream, peer_ip)
+                }
+                AcceptResult::Failed(error) => {
                     tracing::warn!(%error, "accept failed: retrying");
                     return;
                 }
-                Accepted::NoneWaiting | Accepted::Full => return,
+                AcceptResult::NoneWaiting | AcceptResult::Full => return,
             }
         }
         self.accepting_listeners.push(key);
@@ -134,7 +136,7 @@
         let Some(listener) = self.listeners.get_mut(&listener_key) else {
             return;
         };
-        listener.open_connections += 1;
+        listener.open_connection_count += 1;
         let waker = self.ready.waker(key, Priority::Low);
         waker.wake_by_ref();
         let connection = Connection::accepted(
--- a/crates/net/src/engine/plain.rs
+++ b/crates/net/src/engine/plain.rs
@@ -97,7 +97,7 @@
             let Some((plain, waker)) = self.plain(ConnId(key)) else {
                 continue;
             };
-            plain.has_unflushed = false;
+            plain.has_unflushed_bytes = false;
             // Polling the connection runs into the same error and reports it.
             if plain.flush().is_err() {
                 waker.wake_by_ref();
--- a/crates/net/src/engine/streams.rs
+++ b/crates/net/src/engine/streams.rs
@@ -23,7 +23,7 @@
     pub fn open_stream_count(&self, conn: ConnId) -> usize {
         self.connections
             .get(&conn.0)
-            .map_or(0, |connection| connection.open_streams)
+            .map_or(0, |connection| connection.open_stream_count)
     }
 
     /// The number of open streams of all connections.
@@ -50,7 +50,7 @@
         };
         let (response, body) = sender.send_request(head, is_end_stream).ok()?;
         self.last_key = key;
-        connection.open_streams += 1;
+        connection.open_stream_count += 1;
         let outgoing = if is_end_stream {
             Outgoing::Done
         } else {
@@ -147,7 +147,7 @@
             return;
         };
         if let Some(connection) = self.connections.get_mut(&stream.conn.0) {
-            connection.open_streams -= 1;
+            connection.open_stream_count -= 1;
         }
     }
 
--- a/crates/net/src/event.rs
+++ b/crates/net/src/event.rs
@@ -78,7 +78,7 @@
         /// Its trailers, if it sent any.
         trailers: Option<HeaderMap>,
     },
-    /// Queued bytes were handed to the connection.
+    /// Bytes that were queued on a stream were passed to its connection.
     Sent {
         /// The stream.
         stream: StreamId,
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -24,7 +24,7 @@
     pub(crate) limits: Limits,
     pub(crate) protocol: Protocol,
     /// The number of its connections that are open now.
-    pub(crate) open_connections: usize,
+    pub(crate) open_connection_count: usize,
     /// It has as many open connections as its limit. The next one is accepted when one of them closes.
     pub(crate) is_full: bool,
     /// When a failed accept is retried.
@@ -32,7 +32,7 @@
 }
 
 /// The result of an attempt to accept a connection.
-pub(crate) enum Accepted {
+pub(crate) enum AcceptResult {
     Connection(TcpStream, IpAddr),
     /// No connection is waiting.
     NoneWaiting,
@@ -63,32 +63,32 @@
             socket: TcpListener::from_std(socket.into()),
             limits,
             protocol,
-            open_connections: 0,
+            open_connection_count: 0,
             is_full: false,
             retry_at: None,
         })
     }
 
     /// Accepts the next connection, and records why there is none.
-    pub(crate) fn accept(&mut self, now: u64) -> Accepted {
+    pub(crate) fn accept(&mut self, now: u64) -> AcceptResult {
         let accepted = self.try_accept();
-        self.is_full = matches!(accepted, Accepted::Full);
+        self.is_full = matches!(accepted, AcceptResult::Full);
         self.retry_at =
-            matches!(accepted, Accepted::Failed(_)).then_some(now + ACCEPT_RETRY_DELAY_MICROS);
+            matches!(accepted, AcceptResult::Failed(_)).then_some(now + ACCEPT_RETRY_DELAY_MICROS);
         accepted
     }
 
-    fn try_accept(&mut self) -> Accepted {
-        if self.open_connections >= self.limits.max_connections {
-            return Accepted::Full;
+    fn try_accept(&mut self) -> AcceptResult {
+        if self.open_connection_count >= self.limits.max_connections {
+            return AcceptResult::Full;
         }
         loop {
             match self.socket.accept() {
-                Ok((stream, peer)) => return Accepted::Connection(stream, peer.ip()),
+                Ok((stream, peer)) => return AcceptResult::Connection(stream, peer.ip()),
                 Err(error) => match error.kind() {
                     io::ErrorKind::Interrupted | io::ErrorKind::ConnectionAborted => {}
-                    io::ErrorKind::WouldBlock => return Accepted::NoneWaiting,
-                    _ => return Accepted::Failed(error),
+                    io::ErrorKind::WouldBlock => return AcceptResult::NoneWaiting,
+                    _ => return AcceptResult::Failed(error),
                 },
             }
         }
--- a/crates/net/src/plain_connection.rs
+++ b/crates/net/src/plain_connection.rs
@@ -8,7 +8,7 @@
 
 /// The most bytes of one read.
 const MAX_READ_BYTES: usize = 16 << 10;
-/// Reads of discarded input in one poll, so that other connections are not delayed.
+/// The most reads of discarded input in one poll, so that other connections are not delayed.
 const MAX_DISCARD_READS_PER_POLL: usize = 16;
 
 /// What happens once the queued bytes are written.
@@ -33,7 +33,7 @@
     /// The write side was shut down.
     is_write_shut_down: bool,
     /// Bytes were queued since the last flush.
-    pub(crate) has_unflushed: bool,
+    pub(crate) has_unflushed_bytes: bool,
     /// The poll reported that the peer closed its side, or an error. No further readiness event follows, so a short read does not mean
     /// that the socket is empty.
     pub(crate) has_peer_ended: bool,
@@ -59,7 +59,7 @@
             is_read_paused: false,
             ending: Ending::Open,
             is_write_shut_down: false,
-            has_unflushed: false,
+            has_unflushed_bytes: false,
             has_peer_ended: false,
         }
     }
@@ -67,7 +67,7 @@
     /// Queues bytes; returns whether a flush has to be scheduled for them.
     pub(crate) fn write(&mut self, bytes: &[u8]) -> bool {
         self.write_buffer.extend_from_slice(bytes);
-        !std::mem::replace(&mut self.has_unflushed, true)
+        !std::mem::replace(&mut self.has_unflushed_bytes, true)
     }
 
     pub(crate) fn unsent_bytes(&self) -> usize {
