--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -86,9 +86,9 @@
         Ok(client)
     }
 
-    /// Starts a client with the gateways listed in a file, which is read again when it changes. It has one `ip:port` per line, and
-    /// `#` starts a comment. If the file cannot be read or has an invalid line, the error is logged and the last valid list stays in
-    /// use.
+    /// Starts a client with the gateways listed in a file, which is read again when it changes. It has one `ip:port` per line,
+    /// and `#` starts a comment. If the file cannot be read or has an invalid line, the error is logged and the last valid list
+    /// stays in use.
     ///
     /// # Errors
     ///
@@ -118,8 +118,8 @@
         self.metrics.register(registry);
     }
 
-    /// Starts a call. `on_reply` runs once, on the client's thread, and must not block. If too many calls are open, it runs at once, on
-    /// the caller's thread, with [`Outcome::TooManyCalls`].
+    /// Starts a call. `on_reply` runs once, on the client's thread, and must not block. If too many calls are open, it runs at
+    /// once, on the caller's thread, with [`Outcome::TooManyCalls`].
     pub fn start_call(
         &self,
         call: Call,
@@ -154,8 +154,8 @@
         Ok(self.start_call_unchecked(call, on_reply))
     }
 
-    /// Opens a stream and sends its first message. `on_event` runs on the client's thread and must not block. The timeout of the call
-    /// applies to the whole stream.
+    /// Opens a stream and sends its first message. `on_event` runs on the client's thread and must not block. The timeout of
+    /// the call applies to the whole stream.
     ///
     /// # Errors
     ///
--- a/crates/client/src/core/gateways.rs
+++ b/crates/client/src/core/gateways.rs
@@ -150,8 +150,8 @@
         }
     }
 
-    /// Chooses by the power of two random choices: of two random gateways that can accept an attempt, the one with fewer attempts in
-    /// flight. Ejected gateways are used only if there is no other.
+    /// Chooses by the power of two random choices: of two random gateways that can accept an attempt, the one with fewer
+    /// attempts in flight. Ejected gateways are used only if there is no other.
     pub(crate) fn choose(
         &self,
         now: Timestamp,
--- a/crates/client/src/settings/text.rs
+++ b/crates/client/src/settings/text.rs
@@ -12,7 +12,8 @@
     ///
     /// # Errors
     ///
-    /// The text is invalid, in which case the error has the line, or a value is out of range, in which case the error names the field.
+    /// The text is invalid, in which case the error has the line, or a value is out of range, in which case the error names the
+    /// field.
     pub fn parse(text: &str) -> Result<Settings, TextError> {
         let wire: wire::Settings = chalkdeck_proto::text::parse(MESSAGE, text)?;
         let settings = from_wire(&wire);
--- a/crates/client/src/stream.rs
+++ b/crates/client/src/stream.rs
@@ -106,8 +106,8 @@
         Ok(())
     }
 
-    /// Handles that bytes were passed to the connection. The first message is not counted as queued, so the subtraction saturates at
-    /// zero.
+    /// Handles that bytes were passed to the connection. The first message is not counted as queued, so the subtraction
+    /// saturates at zero.
     pub(crate) fn on_sent(&mut self, bytes: usize) {
         let subtract = |queued: usize| Some(queued.saturating_sub(bytes));
         let before = self
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -33,8 +33,8 @@
     jumps: Option<Arc<ClockJumps>>,
 }
 
-/// Simulates jumps of the time source in tests. The resulting time never goes back, like that of the clock itself: after a jump back
-/// of the source, it continues from its latest value.
+/// Simulates jumps of the time source in tests. The resulting time never goes back, like that of the clock itself: after a jump
+/// back of the source, it continues from its latest value.
 #[derive(Debug, Default)]
 pub struct ClockJumps {
     /// The sum of all jumps.
--- a/crates/net/src/engine.rs
+++ b/crates/net/src/engine.rs
@@ -1,8 +1,8 @@
 //! The event loop. It holds listeners, connections, streams and timers by id, and reports what happens to them as events.
 //!
-//! A listener holds at most `Limits::max_connections` connections, and a connection at most `Limits::max_streams` streams. A peer can
-//! send one flow-control window on a stream until `consume` releases capacity. Bytes queued to be sent are not bounded here: the
-//! caller limits them with the help of `Event::Sent`.
+//! A listener holds at most `Limits::max_connections` connections, and a connection at most `Limits::max_streams` streams. A
+//! peer can send one flow-control window on a stream until `consume` releases capacity. Bytes queued to be sent are not bounded
+//! here: the caller limits them with the help of `Event::Sent`.
 
 mod connections;
 mod listeners;
@@ -121,7 +121,8 @@
         mio::Waker::new(self.poll.registry(), WAKER_TOKEN)
     }
 
-    /// Sets a timer that causes `Event::Timer(token)` at the time `at`. Timers cannot be cancelled; the caller ignores obsolete ones.
+    /// Sets a timer that causes `Event::Timer(token)` at the time `at`. Timers cannot be cancelled; the caller ignores obsolete
+    /// ones.
     pub fn set_timer(&mut self, at: u64, token: u64) {
         self.timers.push(Reverse((at, token)));
     }
@@ -138,8 +139,8 @@
         self.wake_ready();
         self.poll_ready();
         self.wake_unread();
-        // Timers fire after the reads: a reply that arrived in time must not be reported after its own timeout, and a connection that
-        // has received a request must not be closed by its idle timeout.
+        // Timers fire after the reads: a reply that arrived in time must not be reported after its own timeout, and a
+        // connection that has received a request must not be closed by its idle timeout.
         self.fire_timers();
         events.extend(self.events.drain(..));
         Ok(())
--- a/crates/net/src/engine/connections.rs
+++ b/crates/net/src/engine/connections.rs
@@ -182,8 +182,8 @@
         }
     }
 
-    /// Reports the bytes of one read. A connection is read once per turn, so that none delays the others or exhausts the memory; the
-    /// rest stays in the socket until the next turn.
+    /// Reports the bytes of one read. A connection is read once per turn, so that none delays the others or exhausts the
+    /// memory; the rest stays in the socket until the next turn.
     fn on_plain_bytes(&mut self, key: u64, data: bytes::Bytes, may_have_more: bool) {
         if may_have_more {
             self.unread.push(key);
--- a/crates/net/src/engine/listeners.rs
+++ b/crates/net/src/engine/listeners.rs
@@ -16,8 +16,8 @@
 pub(super) const ACCEPTS_PER_TURN: usize = 32;
 
 impl Engine {
-    /// Listens at `address` for HTTP/2, or for HTTP/1.1 GET requests if `is_http1`. Port 0 selects a free port. With `is_port_shared`,
-    /// other threads can listen at the same address.
+    /// Listens at `address` for HTTP/2, or for HTTP/1.1 GET requests if `is_http1`. Port 0 selects a free port. With
+    /// `is_port_shared`, other threads can listen at the same address.
     ///
     /// # Errors
     /// The address cannot be bound.
@@ -73,8 +73,9 @@
         self.listeners.remove(&listener.0);
     }
 
-    /// Stops listening if the kernel's backlog is empty, and returns whether the listener is closed. A full listener stays open until
-    /// the established connections in its backlog are accepted: closing it would reset them and lose what their clients sent.
+    /// Stops listening if the kernel's backlog is empty, and returns whether the listener is closed. A full listener stays open
+    /// until the established connections in its backlog are accepted: closing it would reset them and lose what their clients
+    /// sent.
     pub fn close_listener_if_backlog_empty(&mut self, listener: ListenerId) -> bool {
         self.accept(listener.0, usize::MAX);
         let may_have_backlog = self
@@ -87,7 +88,8 @@
         !may_have_backlog
     }
 
-    /// Accepts again on listeners where that failed, since a listener without open connections has no other event that would wake it.
+    /// Accepts again on listeners where that failed, since a listener without open connections has no other event that would
+    /// wake it.
     pub(super) fn retry_accepts(&mut self) {
         let now = self.now();
         let keys: Vec<u64> = self
--- a/crates/net/src/engine/plain.rs
+++ b/crates/net/src/engine/plain.rs
@@ -54,8 +54,9 @@
         self.set_ending(conn, Ending::Close);
     }
 
-    /// Shuts down the write side of a plain connection once its queued bytes are written, then discards input until the peer closes it or
-    /// `close` is called. Closing with unread input would reset the connection, and the peer could lose the last reply.
+    /// Shuts down the write side of a plain connection once its queued bytes are written, then discards input until the peer
+    /// closes it or `close` is called. Closing with unread input would reset the connection, and the peer could lose the last
+    /// reply.
     pub fn start_lingering_close(&mut self, conn: ConnId) {
         self.set_ending(conn, Ending::Linger);
     }
@@ -72,8 +73,8 @@
         self.unhandled.remove(&conn.0);
     }
 
-    /// Whether a plain connection is open and has nothing to read: no end of input, no error and no bytes, neither in the socket nor
-    /// among the events of the last turn that are not marked as handled.
+    /// Whether a plain connection is open and has nothing to read: no end of input, no error and no bytes, neither in the
+    /// socket nor among the events of the last turn that are not marked as handled.
     pub fn is_idle(&mut self, conn: ConnId) -> bool {
         !self.unhandled.contains(&conn.0)
             && self.plain(conn).is_some_and(|(plain, _)| plain.is_idle())
--- a/crates/net/src/plain_connection.rs
+++ b/crates/net/src/plain_connection.rs
@@ -34,8 +34,8 @@
     is_write_shut_down: bool,
     /// Bytes were queued since the last flush.
     pub(crate) has_unflushed_bytes: bool,
-    /// The poll reported that the peer closed its side, or an error. No further readiness event follows, so a short read does not mean
-    /// that the socket is empty.
+    /// The poll reported that the peer closed its side, or an error. No further readiness event follows, so a short read does
+    /// not mean that the socket is empty.
     pub(crate) has_peer_ended: bool,
 }
 
--- a/crates/net/src/reserved_port.rs
+++ b/crates/net/src/reserved_port.rs
@@ -6,7 +6,7 @@
 
 /// A port that stays reserved until the value is dropped, whether or not a process listens there.
 ///
-/// A test that restarts a process at its old address needs one, because the operating system may assign a free port to any process
+/// A process that is restarted at its old address needs one, because the operating system may assign a free port to any process
 /// that binds port 0. The reserving socket is bound and never listens, so connections are refused until a listener is bound to the
 /// address. The listener has to set `SO_REUSEADDR`, as those of [`Engine`](crate::Engine) do.
 #[derive(Debug)]
--- a/crates/net/tests/listener.rs
+++ b/crates/net/tests/listener.rs
@@ -1,5 +1,5 @@
-//! Listeners at their connection limit, and reserved ports. A connection that the kernel has established must be accepted before its
-//! listener closes, or its client is reset.
+//! Listeners at their connection limit, and reserved ports. A connection that the kernel has established must be accepted
+//! before its listener closes, or its client is reset.
 
 use chalkdeck_net::{ConnId, Engine, Event, Limits, ReservedPort};
 use std::io::{Read, Write};
