--- a/crates/net/src/grpc.rs
+++ b/crates/net/src/grpc.rs
@@ -113,10 +113,11 @@
 
 /// Whether the content type is gRPC: `application/grpc`, optionally followed by `+` or `;` and more text.
 pub fn is_grpc(headers: &HeaderMap) -> bool {
-    let Some(Ok(kind)) = headers.get(CONTENT_TYPE).map(HeaderValue::to_str) else {
+    let Some(Ok(content_type)) = headers.get(CONTENT_TYPE).map(HeaderValue::to_str) else {
         return false;
     };
-    kind.strip_prefix("application/grpc")
+    content_type
+        .strip_prefix("application/grpc")
         .is_some_and(|rest| rest.is_empty() || rest.starts_with(['+', ';']))
 }
 
@@ -150,8 +151,8 @@
         ("M", 60_000_000),
         ("H", 3_600_000_000),
     ];
-    let fits = units.iter().find(|(_, size)| micros / size <= 99_999_999);
-    let text = fits.map_or("99999999H".to_string(), |(unit, size)| {
+    let finest_unit = units.iter().find(|(_, size)| micros / size <= 99_999_999);
+    let text = finest_unit.map_or("99999999H".to_string(), |(unit, size)| {
         format!("{}{unit}", micros / size)
     });
     HeaderValue::from_str(&text).unwrap_or(HeaderValue::from_static("1H"))
@@ -243,11 +244,13 @@
     let base64 = GeneralPurpose::new(&alphabet::STANDARD, lenient);
     let bytes = base64.decode(trailers.get(DETAILS)?.as_bytes()).ok()?;
     let status = rpc::Status::decode(&bytes[..]).ok()?;
-    let any = status
+    let detail = status
         .details
         .iter()
-        .find(|any| any.type_url.ends_with(RETRY_INFO))?;
-    let delay = rpc::RetryInfo::decode(&any.value[..]).ok()?.retry_delay?;
+        .find(|detail| detail.type_url.ends_with(RETRY_INFO))?;
+    let delay = rpc::RetryInfo::decode(&detail.value[..])
+        .ok()?
+        .retry_delay?;
     let seconds = u64::try_from(delay.seconds).ok()?;
     Some(
         seconds
