--- a/crates/grpc-gateway/src/call_flow/responses.rs
+++ b/crates/grpc-gateway/src/call_flow/responses.rs
@@ -31,7 +31,7 @@
 impl GatewayServer {
     /// Answers a call that the decisions reject. `retry_after`: the time in microseconds after which the client may retry.
     pub(crate) fn reject_call(&mut self, id: RequestId, retry_after: Option<u64>) {
-        if self.resp_refused(id, retry_after) {
+        if self.reject_resp_request(id, retry_after) {
             return;
         }
         if self.fault == Some(Fault::Ceiling) && self.send_rejected(id) {
--- a/crates/grpc-gateway/src/coordinator_link/access.rs
+++ b/crates/grpc-gateway/src/coordinator_link/access.rs
@@ -1,4 +1,4 @@
-//! What the customers' access rules decide about calls, RESP commands and streams that are under way.
+//! Applies the customers' access rules to calls, RESP commands and open streams.
 
 use super::connection::loop_time;
 use crate::base::call_head::{CallHead, InvalidCall};
@@ -10,17 +10,18 @@
 use chalkdeck_net::{ConnId, Engine};
 use http::request;
 
-/// What a gateway answers that has no copy of the shared state yet, and so no rules.
-const NO_RULES: &str = "this gateway has not heard yet which calls its customers' rules deny";
-/// The kinds of rejections, as metrics name them.
+/// The message of a call that arrives before the gateway has a copy of the shared state, and thus before it knows the rules.
+const RULES_UNKNOWN_MESSAGE: &str =
+    "this gateway has not heard yet which calls its customers' rules deny";
+/// Values of the label `kind` of the metric that counts rejected input.
 const KIND_DENIED: &str = "denied";
 const KIND_RULES_UNKNOWN: &str = "rules_unknown";
 
 impl GatewayServer {
-    /// Decides a call by its customer's rules. Returns who calls if a later change of the rules may end the call.
+    /// Checks a call against its customer's rules. Returns the caller of a stream, since a later change of the rules may end it.
     ///
     /// # Errors
-    /// The call is denied, or the rules are not known.
+    /// The call is denied, or the rules are not known yet.
     pub(crate) fn admit_call(
         &mut self,
         call_head: &mut CallHead,
@@ -37,7 +38,7 @@
             return Ok(None);
         };
         if !link.agent.has_state() {
-            return Err(rules_unknown());
+            return Err(rules_unknown_error());
         }
         let metadata =
             |name: &http::HeaderName| head.headers.get(name).and_then(|value| value.to_str().ok());
@@ -62,7 +63,7 @@
         let verdict = link
             .agent
             .admit_call(loop_time(engine), customer, &call, version);
-        if let Some(reason) = denial(&verdict) {
+        if let Some(reason) = denial_reason(&verdict) {
             return Err(InvalidCall {
                 code: Some(Code::PermissionDenied),
                 reason,
@@ -78,12 +79,13 @@
         })))
     }
 
-    /// Decides a RESP command by its customer's rules. Returns the text of an error if it is not admitted.
+    /// Checks a RESP command against its customer's rules, in which its `path` stands for the command. Returns the text of the error
+    /// reply if it is not admitted.
     pub(crate) fn admit_command(
         &mut self,
         conn: ConnId,
         customer: &str,
-        command: &str,
+        path: &str,
     ) -> Option<String> {
         let GatewayServer {
             coordinator: Some(link),
@@ -96,33 +98,33 @@
             return None;
         };
         if !link.agent.has_state() {
-            let rejected = rules_unknown();
-            metrics.input_rejected(rejected.kind);
-            return Some(format!("UNAVAILABLE {}", rejected.reason));
+            let error = rules_unknown_error();
+            metrics.input_rejected(error.kind);
+            return Some(format!("UNAVAILABLE {}", error.reason));
         }
         let class = settings.resp.as_ref().map_or(0, |resp| resp.class);
         let call = Call {
             caller_region: region_of(&link.regions, engine, conn).unwrap_or(""),
             gateway_region: &link.settings.region,
-            path: command,
+            path,
             class: &settings.class_names[class],
         };
         let verdict = link
             .agent
             .admit_call(loop_time(engine), customer, &call, None);
-        let denied = denial(&verdict)?;
+        let reason = denial_reason(&verdict)?;
         metrics.input_rejected(KIND_DENIED);
-        Some(format!("DENIED {denied}"))
+        Some(format!("DENIED {reason}"))
     }
 
-    /// Ends the streams that the rules no longer admit: of these customers, or of all.
+    /// Aborts the streams of these customers, or of all customers, that the rules no longer admit.
     pub(super) fn end_denied_streams(&mut self, customers: Option<&[String]>) {
         for (id, reason) in self.denied_streams(customers) {
             self.abort_call(id, Code::PermissionDenied, &reason);
         }
     }
 
-    /// Streams that the rules no longer admit, each with the reason.
+    /// The streams that the rules no longer admit, each with the reason.
     fn denied_streams(&self, customers: Option<&[String]>) -> Vec<(RequestId, String)> {
         let Some(link) = &self.coordinator else {
             return Vec::new();
@@ -136,14 +138,14 @@
             if customers.is_some_and(|customers| !customers.contains(&caller.customer)) {
                 continue;
             }
-            let rules_call = Call {
+            let access_call = Call {
                 caller_region: &caller.region,
                 gateway_region: &link.settings.region,
                 path: call.path.path(),
                 class: &self.settings.class_names[call.request.class.0],
             };
-            let verdict = link.agent.may_continue(now, &caller.customer, &rules_call);
-            if let Some(reason) = denial(&verdict) {
+            let verdict = link.agent.may_continue(now, &caller.customer, &access_call);
+            if let Some(reason) = denial_reason(&verdict) {
                 denied.push((call.request.id, reason));
             }
         }
@@ -151,14 +153,14 @@
     }
 }
 
-/// The region of the address that a connection came from.
+/// The region of the peer address of a connection.
 fn region_of<'a>(regions: &'a RegionTable, engine: &Engine, conn: ConnId) -> Option<&'a str> {
     let address = engine.peer_ip(conn)?;
     regions.region_of(address)
 }
 
-/// Why a call is denied, as its client reads it; `None` if it is admitted.
-fn denial(verdict: &Verdict) -> Option<String> {
+/// The reason why a call is denied, as its client receives it; `None`: it is admitted.
+fn denial_reason(verdict: &Verdict) -> Option<String> {
     match verdict {
         Verdict::Admitted => None,
         Verdict::Denied {
@@ -174,11 +176,11 @@
     }
 }
 
-/// Without any copy of the shared state it is not known what is denied, so nothing is admitted.
-fn rules_unknown() -> InvalidCall {
+/// The error of all calls until the gateway has a copy of the shared state: the rules are unknown, so no call is admitted.
+fn rules_unknown_error() -> InvalidCall {
     InvalidCall {
         code: Some(Code::Unavailable),
-        reason: NO_RULES.to_string(),
+        reason: RULES_UNKNOWN_MESSAGE.to_string(),
         kind: KIND_RULES_UNKNOWN,
     }
 }
--- a/crates/grpc-gateway/src/gateway_server/event_loop.rs
+++ b/crates/grpc-gateway/src/gateway_server/event_loop.rs
@@ -45,7 +45,7 @@
         self.events = events;
         self.admit_queued_requests();
         self.run_decisions();
-        self.resp_let_go();
+        self.close_idle_resp_connections();
         if let Some(counter) = &mut self.counter {
             counter.flush(&mut self.engine);
         }
@@ -54,8 +54,8 @@
 
     fn on_event(&mut self, event: NetEvent) {
         match event {
-            NetEvent::Accepted { listener, conn } => self.resp_accepted(listener, conn),
-            NetEvent::Bytes { conn, data } => self.resp_bytes(conn, &data),
+            NetEvent::Accepted { listener, conn } => self.on_resp_accepted(listener, conn),
+            NetEvent::Bytes { conn, data } => self.on_resp_bytes(conn, &data),
             NetEvent::Opened {
                 stream,
                 conn,
@@ -64,7 +64,7 @@
             } => self.on_call(stream, conn, &head, ended),
             NetEvent::Connected { conn } => self.on_connected(conn),
             NetEvent::Closed { conn, reason, .. } => {
-                self.resp_closed(conn);
+                self.on_resp_closed(conn);
                 self.on_closed(conn, &reason.to_string());
             }
             NetEvent::Head {
@@ -99,7 +99,7 @@
                 request,
                 retry_after,
             } => self.reject_call(request, retry_after.map(|after| after.as_micros())),
-            Action::Grant(request) => self.granted(request),
+            Action::Grant(request) => self.grant_resp_request(request),
             Action::Fail(request) => self.fail_call(request),
             Action::CancelAttempt {
                 request: call,
--- a/crates/grpc-gateway/src/gateway_server/mod.rs
+++ b/crates/grpc-gateway/src/gateway_server/mod.rs
@@ -21,7 +21,7 @@
 use crate::fault::{Fault, Leaked};
 use crate::metrics::Metrics;
 use crate::request_queue::RequestQueue;
-use crate::resp::Resp;
+use crate::resp::RespPort;
 use crate::sites::SiteMonitor;
 use chalkdeck::api::EndpointId;
 use chalkdeck::Decisions;
@@ -43,7 +43,7 @@
     admin_address: Option<SocketAddr>,
     pub(crate) calls: Calls,
     pub(crate) counter: Option<CounterClient>,
-    pub(crate) resp: Option<Resp>,
+    pub(crate) resp: Option<RespPort>,
     pub(crate) request_queue: Option<RequestQueue>,
     pub(crate) sites: Option<SiteMonitor>,
     pub(crate) coordinator: Option<CoordinatorLink>,
--- a/crates/grpc-gateway/src/gateway_server/shutdown.rs
+++ b/crates/grpc-gateway/src/gateway_server/shutdown.rs
@@ -20,7 +20,7 @@
         self.shutdown_deadline = Some(self.engine.now() + self.longest_call_deadline());
         self.engine.unlisten(self.listener);
         self.engine.drain(self.listener);
-        self.resp_stop();
+        self.shut_down_resp();
         self.resign_leaderships();
         tracing::info!(
             open = self.calls.open_count,
@@ -41,7 +41,7 @@
     fn has_no_clients(&self) -> bool {
         self.calls.open_count == 0
             && self.engine.connections_of(self.listener) == 0
-            && self.resp_is_alone()
+            && self.has_no_resp_clients()
     }
 
     /// The longest deadline of a class, in microseconds.
--- a/crates/grpc-gateway/src/gateway_server/startup.rs
+++ b/crates/grpc-gateway/src/gateway_server/startup.rs
@@ -9,7 +9,7 @@
 use crate::endpoint_connections::EndpointConnections;
 use crate::metrics::Metrics;
 use crate::request_queue::RequestQueue;
-use crate::resp::Resp;
+use crate::resp::RespPort;
 use crate::sites::SiteMonitor;
 use chalkdeck::api::Timestamp;
 use chalkdeck::{DecisionEngine, Decisions};
@@ -94,11 +94,11 @@
     }
 }
 
-fn start_resp(engine: &mut Engine, settings: &Settings) -> Result<Option<Resp>, StartError> {
+fn start_resp(engine: &mut Engine, settings: &Settings) -> Result<Option<RespPort>, StartError> {
     let Some(resp) = &settings.resp else {
         return Ok(None);
     };
-    let started = Resp::start(engine, resp).map_err(|source| StartError::Listen {
+    let started = RespPort::start(engine, resp).map_err(|source| StartError::Listen {
         address: resp.listen,
         source,
     })?;
--- a/crates/grpc-gateway/src/gateway_server/timers.rs
+++ b/crates/grpc-gateway/src/gateway_server/timers.rs
@@ -44,9 +44,9 @@
         };
         match purpose {
             TimerPurpose::Decision(timer) => self.decisions.push(Event::Timer(timer)),
-            TimerPurpose::RespLease(id) => self.lease_over(id),
-            TimerPurpose::RespStallCheck(conn) => self.resp_stalled(conn),
-            TimerPurpose::RespResume(conn) => self.resp_resume(conn),
+            TimerPurpose::RespLease(id) => self.expire_ticket(id),
+            TimerPurpose::RespStallCheck(conn) => self.check_resp_stall(conn),
+            TimerPurpose::RespResume(conn) => self.resume_resp_connection(conn),
             TimerPurpose::AttemptTimeout(attempt) => self.time_out_attempt(attempt),
             TimerPurpose::ClientDeadline(id) => self.on_client_deadline(id),
             TimerPurpose::CounterTimeout => self.on_counter_timeout(),
--- a/crates/grpc-gateway/src/resp/command.rs
+++ b/crates/grpc-gateway/src/resp/command.rs
@@ -1,38 +1,42 @@
-//! Commands that ask for limits, and those that clients send as they connect.
+//! Parses RESP commands: requests for admission, and the commands that clients send when they connect.
 
-use super::wire::Reply;
+use super::reply::Reply;
 use bytes::Bytes;
 
-/// A command with its words read.
+/// A parsed command.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Command {
-    /// A plain ask: units are spent if there is room.
+    /// `CL.THROTTLE`: spends units if the quota allows it, and holds nothing afterwards.
     Throttle {
         customer: String,
         units: f64,
     },
-    /// Reserves units, and a place where the plan caps attempts out.
+    /// `CHALK.TAKE`: reserves units, and a concurrency slot if the plan limits concurrency, until the ticket is returned.
     Take {
         customer: String,
         units: f64,
+        /// In microseconds; `None`: the lease of the settings.
         lease: Option<u64>,
     },
-    /// Gives a place back, and settles the true units.
+    /// `CHALK.GIVE`: returns a ticket, and settles the units that were really used.
     Give {
         ticket: String,
+        /// `None`: the reserved units.
         units: Option<f64>,
     },
-    /// Looks and changes nothing.
+    /// `CHALK.PEEK`: reads the state of a quota and spends nothing.
     Peek {
         customer: String,
     },
     Hello {
-        resp3: Option<bool>,
+        /// `None`: the protocol version stays as it is.
+        uses_resp3: Option<bool>,
         password: Option<Bytes>,
     },
+    /// `AUTH` with its password; the user name is ignored.
     Auth(Bytes),
-    /// What is answered without a look at anything.
-    Plain(Reply),
+    /// A command whose reply depends on nothing but its words.
+    FixedReply(Reply),
     Quit,
 }
 
@@ -40,81 +44,92 @@
     Err(text.into())
 }
 
-fn text(word: &Bytes, what: &str) -> Result<String, String> {
+fn parse_text(word: &Bytes, argument: &str) -> Result<String, String> {
     match std::str::from_utf8(word) {
         Ok(text) if !text.is_empty() => Ok(text.to_string()),
-        _ => error(format!("ERR {what}: expected text")),
+        _ => error(format!("ERR {argument}: expected text")),
     }
 }
 
-fn number(word: &Bytes, what: &str) -> Result<f64, String> {
-    let value = std::str::from_utf8(word)
+fn parse_number(word: &Bytes, argument: &str) -> Result<f64, String> {
+    let number = std::str::from_utf8(word)
         .ok()
-        .and_then(|t| t.parse::<f64>().ok());
-    match value.filter(|v| v.is_finite()) {
-        Some(value) => Ok(value),
+        .and_then(|text| text.parse::<f64>().ok());
+    match number.filter(|number| number.is_finite()) {
+        Some(number) => Ok(number),
         None => error(format!(
-            "ERR {what}: expected a number, found '{}'",
+            "ERR {argument}: expected a number, found '{}'",
             word.escape_ascii()
         )),
     }
 }
 
-fn arity<T>(name: &str) -> Result<T, String> {
+fn wrong_argument_count<T>(name: &str) -> Result<T, String> {
     error(format!(
         "ERR wrong number of arguments for '{}' command",
         name.to_ascii_lowercase()
     ))
 }
 
-/// Reads a command's words. Errors are answers in RESP's form, without their mark.
-pub(crate) fn read(words: &[Bytes]) -> Result<Command, String> {
+/// Parses the words of a command.
+///
+/// # Errors
+/// The text of the error reply, without its leading `-`.
+pub(crate) fn parse(words: &[Bytes]) -> Result<Command, String> {
     let Some((first, rest)) = words.split_first() else {
         return error("ERR empty command");
     };
     let name = String::from_utf8_lossy(first).to_ascii_uppercase();
-    let plain = |reply| Ok(Command::Plain(reply));
+    let fixed_reply = |reply| Ok(Command::FixedReply(reply));
     match (name.as_str(), rest) {
         ("CL.THROTTLE", [customer, burst, count, period, units @ ..]) if units.len() <= 1 => {
-            // The limits that the caller names are read and not used: the plan has them.
-            for (word, what) in [(burst, "max_burst"), (count, "count"), (period, "period")] {
-                number(word, what)?;
+            // The limits that the caller sends must be numbers but are otherwise ignored: the customer's plan sets the limits.
+            for (word, argument) in [(burst, "max_burst"), (count, "count"), (period, "period")] {
+                parse_number(word, argument)?;
             }
-            let units = units.first().map_or(Ok(1.0), |w| number(w, "quantity"))?;
+            let units = units
+                .first()
+                .map_or(Ok(1.0), |word| parse_number(word, "quantity"))?;
             Ok(Command::Throttle {
-                customer: text(customer, "key")?,
+                customer: parse_text(customer, "key")?,
                 units,
             })
         }
-        ("CHALK.TAKE", [customer, options @ ..]) => take(text(customer, "customer")?, options),
+        ("CHALK.TAKE", [customer, options @ ..]) => {
+            parse_take(parse_text(customer, "customer")?, options)
+        }
         ("CHALK.GIVE", [ticket, options @ ..]) => {
             let units = match options {
                 [] => None,
                 [word, units] if word.eq_ignore_ascii_case(b"UNITS") => {
-                    Some(number(units, "UNITS")?)
+                    Some(parse_number(units, "UNITS")?)
                 }
                 _ => return error("ERR syntax error: expected UNITS n"),
             };
             Ok(Command::Give {
-                ticket: text(ticket, "ticket")?,
+                ticket: parse_text(ticket, "ticket")?,
                 units,
             })
         }
         ("CHALK.PEEK", [customer]) => Ok(Command::Peek {
-            customer: text(customer, "customer")?,
+            customer: parse_text(customer, "customer")?,
         }),
-        ("CL.THROTTLE" | "CHALK.TAKE" | "CHALK.GIVE" | "CHALK.PEEK", _) => arity(&name),
-        ("HELLO", options) => hello(options),
+        ("CL.THROTTLE" | "CHALK.TAKE" | "CHALK.GIVE" | "CHALK.PEEK", _) => {
+            wrong_argument_count(&name)
+        }
+        ("HELLO", options) => parse_hello(options),
         ("AUTH", [password] | [_, password]) => Ok(Command::Auth(password.clone())),
-        ("AUTH", _) => arity(&name),
-        ("PING", []) => plain(Reply::Pong),
-        ("PING" | "ECHO", [word]) => plain(Reply::Bulk(word.clone())),
+        ("AUTH", _) => wrong_argument_count(&name),
+        ("PING", []) => fixed_reply(Reply::Pong),
+        ("PING" | "ECHO", [word]) => fixed_reply(Reply::Bulk(word.clone())),
         ("QUIT", _) => Ok(Command::Quit),
-        ("SELECT", [db]) if db.as_ref() == b"0" => plain(Reply::Ok),
+        ("SELECT", [database]) if database.as_ref() == b"0" => fixed_reply(Reply::Ok),
         ("SELECT", _) => error("ERR DB index is out of range"),
-        ("CLIENT", [sub, ..]) => client(&String::from_utf8_lossy(sub).to_ascii_uppercase()),
-        ("COMMAND", _) => plain(Reply::Array(Vec::new())),
-        ("RESET", []) => plain(Reply::Bulk(Bytes::from_static(b"RESET"))),
+        ("CLIENT", [subcommand, ..]) => {
+            parse_client(&String::from_utf8_lossy(subcommand).to_ascii_uppercase())
+        }
+        ("COMMAND", _) => fixed_reply(Reply::Array(Vec::new())),
+        ("RESET", []) => fixed_reply(Reply::Bulk(Bytes::from_static(b"RESET"))),
         _ => error(format!(
             "ERR unknown command '{}'",
             first.slice(..first.len().min(64)).escape_ascii()
@@ -122,17 +137,19 @@
     }
 }
 
-fn take(customer: String, options: &[Bytes]) -> Result<Command, String> {
+fn parse_take(customer: String, options: &[Bytes]) -> Result<Command, String> {
     let (mut units, mut lease) = (1.0, None);
-    for pair in options.chunks(2) {
-        match pair {
-            [word, value] if word.eq_ignore_ascii_case(b"UNITS") => units = number(value, "UNITS")?,
+    for option in options.chunks(2) {
+        match option {
+            [word, value] if word.eq_ignore_ascii_case(b"UNITS") => {
+                units = parse_number(value, "UNITS")?
+            }
             [word, value] if word.eq_ignore_ascii_case(b"LEASE") => {
-                let ms = number(value, "LEASE")?;
-                if !(1.0..=86_400_000.0).contains(&ms) {
+                let millis = parse_number(value, "LEASE")?;
+                if !(1.0..=86_400_000.0).contains(&millis) {
                     return error("ERR LEASE: expected 1 to 86400000 milliseconds");
                 }
-                lease = Some((ms * 1_000.0) as u64);
+                lease = Some((millis * 1_000.0) as u64);
             }
             _ => return error("ERR syntax error: expected UNITS n, LEASE ms"),
         }
@@ -144,8 +161,8 @@
     })
 }
 
-fn hello(options: &[Bytes]) -> Result<Command, String> {
-    let (resp3, mut rest) = match options.split_first() {
+fn parse_hello(options: &[Bytes]) -> Result<Command, String> {
+    let (uses_resp3, mut rest) = match options.split_first() {
         None => (None, options),
         Some((version, rest)) => match version.as_ref() {
             b"2" => (Some(false), rest),
@@ -154,32 +171,35 @@
         },
     };
     let mut password = None;
-    while let Some((word, values)) = rest.split_first() {
+    while let Some((option, values)) = rest.split_first() {
         rest = match values {
-            [_, secret, after @ ..] if word.eq_ignore_ascii_case(b"AUTH") => {
-                password = Some(secret.clone());
+            [_, value, after @ ..] if option.eq_ignore_ascii_case(b"AUTH") => {
+                password = Some(value.clone());
                 after
             }
-            [_, after @ ..] if word.eq_ignore_ascii_case(b"SETNAME") => after,
+            [_, after @ ..] if option.eq_ignore_ascii_case(b"SETNAME") => after,
             _ => return error("ERR syntax error in HELLO"),
         };
     }
-    Ok(Command::Hello { resp3, password })
+    Ok(Command::Hello {
+        uses_resp3,
+        password,
+    })
 }
 
-fn client(sub: &str) -> Result<Command, String> {
-    let reply = match sub {
+fn parse_client(subcommand: &str) -> Result<Command, String> {
+    let reply = match subcommand {
         "SETNAME" | "SETINFO" | "NO-EVICT" | "NO-TOUCH" | "TRACKING" => Reply::Ok,
         "GETNAME" => Reply::Null,
         "ID" => Reply::Integer(1),
         _ => {
             return error(format!(
                 "ERR unknown subcommand '{}'",
-                sub.chars().take(64).collect::<String>()
+                subcommand.chars().take(64).collect::<String>()
             ))
         }
     };
-    Ok(Command::Plain(reply))
+    Ok(Command::FixedReply(reply))
 }
 
 #[cfg(test)]
--- a/crates/grpc-gateway/src/resp/command/tests.rs
+++ b/crates/grpc-gateway/src/resp/command/tests.rs
@@ -2,42 +2,42 @@
 
 use super::*;
 
-fn of(line: &str) -> Result<Command, String> {
+fn parse_line(line: &str) -> Result<Command, String> {
     let words: Vec<Bytes> = line
         .split(' ')
-        .map(|w| Bytes::from(w.to_string()))
+        .map(|word| Bytes::from(word.to_string()))
         .collect();
-    read(&words)
+    parse(&words)
 }
 
 #[test]
-fn words_are_read_and_errors_name_what_was_expected() {
+fn commands_are_parsed_and_errors_name_what_was_expected() {
     let throttle = Command::Throttle {
         customer: "a".into(),
         units: 2.0,
     };
-    assert_eq!(of("cl.throttle a 15 30 60 2"), Ok(throttle));
+    assert_eq!(parse_line("cl.throttle a 15 30 60 2"), Ok(throttle));
     let take = Command::Take {
         customer: "a".into(),
         units: 3.0,
         lease: Some(500_000),
     };
-    assert_eq!(of("CHALK.TAKE a units 3 LEASE 500"), Ok(take));
+    assert_eq!(parse_line("CHALK.TAKE a units 3 LEASE 500"), Ok(take));
     assert_eq!(
-        of("CHALK.GIVE t UNITS 1.5"),
+        parse_line("CHALK.GIVE t UNITS 1.5"),
         Ok(Command::Give {
             ticket: "t".into(),
             units: Some(1.5)
         })
     );
     assert_eq!(
-        of("HELLO 3 AUTH default secret SETNAME me"),
+        parse_line("HELLO 3 AUTH default secret SETNAME me"),
         Ok(Command::Hello {
-            resp3: Some(true),
+            uses_resp3: Some(true),
             password: Some(Bytes::from_static(b"secret"))
         })
     );
-    for (line, why) in [
+    for (line, expected) in [
         (
             "CL.THROTTLE a 15 30",
             "wrong number of arguments for 'cl.throttle'",
@@ -54,8 +54,8 @@
         ("FLUSHALL", "unknown command 'FLUSHALL'"),
         ("CLIENT KILL", "unknown subcommand"),
     ] {
-        let error = of(line).expect_err(line);
-        assert!(error.contains(why), "{line}: {error}");
+        let error = parse_line(line).expect_err(line);
+        assert!(error.contains(expected), "{line}: {error}");
     }
 }
 
@@ -67,8 +67,8 @@
     })]
 
     #[test]
-    fn any_words_end_well(words in proptest::collection::vec(proptest::prelude::any::<Vec<u8>>(), 1..6)) {
+    fn arbitrary_words_never_panic(words in proptest::collection::vec(proptest::prelude::any::<Vec<u8>>(), 1..6)) {
         let words: Vec<Bytes> = words.into_iter().map(Bytes::from).collect();
-        let _ = read(&words);
+        let _ = parse(&words);
     }
 }
--- a/crates/grpc-gateway/src/resp/mod.rs
+++ b/crates/grpc-gateway/src/resp/mod.rs
@@ -1,9 +1,9 @@
-//! The second front: programs that are no gRPC clients ask for limits over RESP. The decisions are asked as for a call; what
-//! is granted, the caller does itself. One customer has one quota over both fronts.
+//! The RESP port: programs that are not gRPC clients request admission over the Redis protocol. The decisions admit or reject such
+//! a request like a call, but the caller does the admitted work itself. A customer has one quota for RESP and gRPC together.
 
 mod command;
+mod reply;
 mod session;
-mod wire;
 
 pub use crate::base::settings::RespSettings;
 use crate::gateway_server::{GatewayServer, TimerPurpose};
@@ -12,82 +12,86 @@
 use chalkdeck_net::{ConnId, Engine, Limits, ListenerId};
 use chalkdeck_resp::{take_command, ParsedCommand, ReplySlot};
 use command::Command;
+use reply::{Reply, COMMAND_LIMITS};
 use rustc_hash::FxHashMap;
 use session::Session;
 use std::io;
 use std::net::SocketAddr;
-use wire::{Reply, LIMITS};
-
-/// Commands of one connection whose answers are still to come; beyond, nothing is read from it.
-const MOST_PENDING: usize = 1_024;
-/// Bytes that a client may leave unread; beyond, nothing is read from it.
-const UNREAD: usize = 256 << 10;
-/// How long half a command, or an answer nobody reads, is waited for.
-const STALLED: u64 = 30_000_000;
-/// Tickets held at once by one connection.
-const MOST_TICKETS: usize = 10_000;
-
-/// A request of this front that waits for its decision.
-struct Ask {
+
+/// Commands of one connection whose replies are pending; at this number reading is paused.
+const MAX_PENDING_COMMANDS: usize = 1_024;
+/// Reply bytes that a client may leave unread; beyond this reading is paused.
+const MAX_UNSENT_BYTES: usize = 256 << 10;
+/// A client that sends nothing for so long within a command, or while it leaves too many replies unread, is closed.
+const STALL_TIMEOUT_MICROS: u64 = 30_000_000;
+/// The most tickets that one connection may hold.
+const MAX_TICKETS_PER_CONNECTION: usize = 10_000;
+
+/// A request that was passed to the decisions and is not decided yet.
+struct PendingRequest {
     conn: ConnId,
     slot: ReplySlot,
     customer: CustomerId,
     plan: PlanId,
-    /// A plain ask, or one that gets a ticket for so long.
+    /// For how long it gets a ticket if it is admitted, in microseconds; `None`: it gets no ticket.
     lease: Option<u64>,
 }
 
-/// A granted request that its caller still works on.
+/// The right of a caller to an admitted request, until it is returned or its lease expires.
 struct Ticket {
     conn: ConnId,
+    /// A random part of the ticket's text, against guessed tickets.
     secret: u32,
 }
 
-/// All of the front.
-pub(crate) struct Resp {
+/// The listener of the RESP port, with its sessions, pending requests and tickets.
+pub(crate) struct RespPort {
     listener: ListenerId,
-    listen: SocketAddr,
+    address: SocketAddr,
     sessions: FxHashMap<ConnId, Session>,
-    asks: FxHashMap<RequestId, Ask>,
+    pending_requests: FxHashMap<RequestId, PendingRequest>,
     tickets: FxHashMap<RequestId, Ticket>,
-    stopping: bool,
+    is_shutting_down: bool,
 }
 
-impl Resp {
-    pub(crate) fn start(engine: &mut Engine, set: &RespSettings) -> io::Result<Resp> {
+impl RespPort {
+    /// Starts to listen for RESP connections.
+    pub(crate) fn start(engine: &mut Engine, settings: &RespSettings) -> io::Result<RespPort> {
         let limits = Limits {
-            connections: set.max_connections,
+            connections: settings.max_connections,
             ..Limits::default()
         };
-        let (listener, listen) = engine.listen_raw(set.listen, limits)?;
-        let (sessions, asks, tickets) = Default::default();
-        Ok(Resp {
+        let (listener, address) = engine.listen_raw(settings.listen, limits)?;
+        let (sessions, pending_requests, tickets) = Default::default();
+        Ok(RespPort {
             listener,
-            listen,
+            address,
             sessions,
-            asks,
+            pending_requests,
             tickets,
-            stopping: false,
+            is_shutting_down: false,
         })
     }
 
-    fn drop_ticket(&mut self, id: RequestId) -> bool {
+    /// Removes a ticket; returns whether there was one.
+    fn remove_ticket(&mut self, id: RequestId) -> bool {
         let Some(ticket) = self.tickets.remove(&id) else {
             return false;
         };
         self.sessions
             .get_mut(&ticket.conn)
             .into_iter()
-            .for_each(|s| s.tickets -= 1);
+            .for_each(|session| session.ticket_count -= 1);
         true
     }
 }
 
-fn ticket_text(id: RequestId, secret: u32) -> String {
+/// The text by which a caller returns a ticket.
+fn format_ticket(id: RequestId, secret: u32) -> String {
     format!("{:x}-{secret:08x}", id.0)
 }
 
-fn ticket_of(text: &str) -> Option<(RequestId, u32)> {
+fn parse_ticket(text: &str) -> Option<(RequestId, u32)> {
     let (id, secret) = text.split_once('-')?;
     Some((
         RequestId(u64::from_str_radix(id, 16).ok()?),
@@ -95,85 +99,86 @@
     ))
 }
 
-/// Seconds, whole ones, as Redis clients expect them.
-fn seconds(micros: u64) -> i64 {
+/// Rounds up to whole seconds, the unit in replies to `CL.THROTTLE` and `CHALK.PEEK`.
+fn whole_seconds(micros: u64) -> i64 {
     micros.div_ceil(1_000_000) as i64
 }
 
 impl GatewayServer {
-    /// Where RESP comes in.
-    pub fn resp_listen(&self) -> Option<SocketAddr> {
-        self.resp.as_ref().map(|r| r.listen)
+    /// The address of the RESP port; `None`: there is none.
+    pub fn resp_address(&self) -> Option<SocketAddr> {
+        self.resp.as_ref().map(|resp| resp.address)
     }
 
-    /// A connection came in; if at this front, it has a session from here on.
-    pub(crate) fn resp_accepted(&mut self, listener: ListenerId, conn: ConnId) {
-        if let Some(resp) = self.resp.as_mut().filter(|r| r.listener == listener) {
+    /// A connection was accepted. One of the RESP port gets a session.
+    pub(crate) fn on_resp_accepted(&mut self, listener: ListenerId, conn: ConnId) {
+        if let Some(resp) = self.resp.as_mut().filter(|resp| resp.listener == listener) {
             resp.sessions.insert(conn, Session::default());
         }
     }
 
-    pub(crate) fn resp_bytes(&mut self, conn: ConnId, data: &Bytes) {
+    /// Bytes of a RESP connection were received.
+    pub(crate) fn on_resp_bytes(&mut self, conn: ConnId, data: &Bytes) {
         let now = self.engine.now();
         self.engine.handled(conn);
         let Some(session) = self.resp_session(conn) else {
             return;
         };
         session.bytes.extend_from_slice(data);
-        session.heard = now;
-        self.resp_read(conn);
+        session.last_received = now;
+        self.process_resp_commands(conn);
     }
 
     fn resp_session(&mut self, conn: ConnId) -> Option<&mut Session> {
         self.resp.as_mut()?.sessions.get_mut(&conn)
     }
 
-    /// Takes commands as long as there is room for their answers.
-    fn resp_read(&mut self, conn: ConnId) {
+    /// Parses and executes commands while there is room for their replies, and sends the replies that are ready.
+    fn process_resp_commands(&mut self, conn: ConnId) {
         loop {
-            let unread = self.engine.unsent(conn);
+            let unsent = self.engine.unsent(conn);
             let Some(session) = self.resp_session(conn) else {
                 return;
             };
-            if session.over {
+            if session.is_read_closed {
                 return;
             }
-            if session.pending() >= MOST_PENDING || unread > UNREAD {
-                session.paused = true;
+            if session.pending_replies() >= MAX_PENDING_COMMANDS || unsent > MAX_UNSENT_BYTES {
+                session.is_paused = true;
                 break;
             }
-            match take_command(&mut session.bytes, &LIMITS) {
+            match take_command(&mut session.bytes, &COMMAND_LIMITS) {
                 ParsedCommand::Incomplete => {
                     if !session.bytes.is_empty() {
-                        self.resp_watch(conn);
+                        self.schedule_resp_stall_check(conn);
                     }
                     break;
                 }
-                ParsedCommand::Invalid(why) => {
-                    self.resp_end(conn, Reply::Error(format!("ERR {why}")));
+                ParsedCommand::Invalid(error) => {
+                    self.end_resp_session(conn, Reply::Error(format!("ERR {error}")));
                     break;
                 }
-                ParsedCommand::Complete(words) => self.resp_command(conn, &words),
+                ParsedCommand::Complete(words) => self.execute_resp_command(conn, &words),
             }
         }
-        self.resp_flush(conn);
+        self.send_resp_replies(conn);
     }
 
-    fn resp_say(&mut self, conn: ConnId, reply: Reply) {
+    fn push_resp_reply(&mut self, conn: ConnId, reply: Reply) {
         if let Some(session) = self.resp_session(conn) {
-            session.ready(reply);
+            session.push_reply(reply);
         }
     }
 
-    /// The last answer of a connection.
-    fn resp_end(&mut self, conn: ConnId, reply: Reply) {
+    /// Queues the last reply of a connection and stops reading from it.
+    fn end_resp_session(&mut self, conn: ConnId, reply: Reply) {
         if let Some(session) = self.resp_session(conn) {
-            session.ready(reply);
-            session.over = true;
+            session.push_reply(reply);
+            session.is_read_closed = true;
         }
     }
 
-    fn resp_command(&mut self, conn: ConnId, words: &[Bytes]) {
+    fn execute_resp_command(&mut self, conn: ConnId, words: &[Bytes]) {
         let GatewayServer {
             settings,
             resp: Some(resp),
@@ -185,70 +190,75 @@
         let Some(session) = resp.sessions.get_mut(&conn) else {
             return;
         };
-        let password = settings.resp.as_ref().map_or("", |r| r.password.as_str());
-        let command = match command::read(words) {
+        let password = settings
+            .resp
+            .as_ref()
+            .map_or("", |resp| resp.password.as_str());
+        let command = match command::parse(words) {
             Ok(command) => command,
-            Err(why) => return session.ready(Reply::Error(why)),
+            Err(error) => return session.push_reply(Reply::Error(error)),
         };
-        if let Some(reply) = session.greet(&command, password.as_bytes()) {
-            return session.ready(reply);
+        if let Some(reply) = session.handle_connection_command(&command, password.as_bytes()) {
+            return session.push_reply(reply);
         }
         match command {
-            Command::Quit => self.resp_end(conn, Reply::Ok),
+            Command::Quit => self.end_resp_session(conn, Reply::Ok),
             Command::Throttle { customer, units } => {
-                self.resp_ask(conn, (&customer, "/CL.THROTTLE"), units, None)
+                self.submit_resp_request(conn, (&customer, "/CL.THROTTLE"), units, None)
             }
             Command::Take {
                 customer,
                 units,
                 lease,
             } => {
-                let lease = lease.or(self.settings.resp.as_ref().map(|r| r.default_lease));
-                self.resp_ask(conn, (&customer, "/CHALK.TAKE"), units, lease);
+                let lease = lease.or(self.settings.resp.as_ref().map(|resp| resp.default_lease));
+                self.submit_resp_request(conn, (&customer, "/CHALK.TAKE"), units, lease);
             }
             Command::Give { ticket, units } => {
-                let given = self.resp_give(&ticket, units);
-                self.resp_say(conn, Reply::Integer(i64::from(given)));
+                let was_returned = self.return_ticket(&ticket, units);
+                self.push_resp_reply(conn, Reply::Integer(i64::from(was_returned)));
             }
             Command::Peek { customer } => {
-                let reply = self.resp_peek(&customer);
-                self.resp_say(conn, reply);
+                let reply = self.quota_reply(&customer);
+                self.push_resp_reply(conn, reply);
             }
-            Command::Hello { .. } | Command::Auth(_) | Command::Plain(_) => {}
+            Command::Hello { .. } | Command::Auth(_) | Command::FixedReply(_) => {}
         }
     }
 
-    fn resp_ask(
+    /// Passes a request for admission to the queue and the decisions, or replies with an error at once. A `lease`, in microseconds,
+    /// requests a ticket. Access rules apply to the command by its `path`.
+    fn submit_resp_request(
         &mut self,
         conn: ConnId,
-        (customer, command): (&str, &str),
+        (customer, path): (&str, &str),
         units: f64,
         lease: Option<u64>,
     ) {
-        let (most, plan) = (
+        let (max_units, plan) = (
             self.settings.policy.max_request_units,
             self.settings.plan_for(customer),
         );
-        let class = self.settings.resp.as_ref().map_or(0, |r| r.class);
+        let class = self.settings.resp.as_ref().map_or(0, |resp| resp.class);
         let Some(resp) = &mut self.resp else { return };
         let Some(session) = resp.sessions.get_mut(&conn) else {
             return;
         };
         let Some(plan) = plan else {
-            return session.ready(Reply::Error("NOPLAN this customer has no plan".into()));
+            return session.push_reply(Reply::Error("NOPLAN this customer has no plan".into()));
         };
-        if !(units > 0.0 && units <= most) {
-            return session.ready(Reply::Error(format!(
-                "ERR units: expected above 0, at most {most}, found {units}"
+        if !(units > 0.0 && units <= max_units) {
+            return session.push_reply(Reply::Error(format!(
+                "ERR units: expected above 0, at most {max_units}, found {units}"
             )));
         }
-        if lease.is_some() && session.tickets >= MOST_TICKETS {
-            return session.ready(Reply::Error(
+        if lease.is_some() && session.ticket_count >= MAX_TICKETS_PER_CONNECTION {
+            return session.push_reply(Reply::Error(
                 "ERR too many tickets on this connection".into(),
             ));
         }
-        if let Some(why) = self.admit_command(conn, customer, command) {
-            return self.resp_say(conn, Reply::Error(why));
+        if let Some(error) = self.admit_command(conn, customer, path) {
+            return self.push_resp_reply(conn, Reply::Error(error));
         }
         let (id, now) = (self.calls.next_id(), self.engine.now());
         let GatewayServer {
@@ -261,11 +271,11 @@
             return;
         };
         let customer = CustomerId(crate::base::listed_endpoint::hash_name(customer));
-        resp.asks.insert(
+        resp.pending_requests.insert(
             id,
-            Ask {
+            PendingRequest {
                 conn,
-                slot: session.wait(),
+                slot: session.reserve_reply(),
                 customer,
                 plan,
                 lease,
@@ -286,102 +296,117 @@
         });
     }
 
-    /// Leave is given.
-    pub(crate) fn granted(&mut self, id: RequestId) {
+    /// Answers a request that the decisions admit.
+    pub(crate) fn grant_resp_request(&mut self, id: RequestId) {
         let now = Timestamp::from_micros(self.engine.now());
         self.release_from_queue(id);
-        let Some(ask) = self.resp.as_mut().and_then(|r| r.asks.remove(&id)) else {
+        let Some(request) = self
+            .resp
+            .as_mut()
+            .and_then(|resp| resp.pending_requests.remove(&id))
+        else {
             return;
         };
-        let standing = self
+        let quota = self
             .decisions
             .engine
-            .quota_status(now, ask.customer, ask.plan);
-        let (limit, remaining) = (standing.limit as i64, standing.remaining as i64);
-        let Some(lease) = ask.lease else {
-            // A plain ask holds no place: what it was granted for is over for us.
+            .quota_status(now, request.customer, request.plan);
+        let (limit, remaining) = (quota.limit as i64, quota.remaining as i64);
+        let Some(lease) = request.lease else {
+            // A request without a ticket holds nothing, so it ends at once.
             self.decisions.push(Event::ClientDisconnected(id));
             let numbers = [
                 0,
                 limit,
                 remaining,
                 -1,
-                seconds(standing.resets_in.as_micros()),
+                whole_seconds(quota.resets_in.as_micros()),
             ];
-            return self.resp_answer(&ask, Reply::Array(numbers.map(Reply::Integer).into()));
+            return self
+                .fill_resp_reply(&request, Reply::Array(numbers.map(Reply::Integer).into()));
         };
         let secret = fastrand::u32(..);
         let Some(resp) = &mut self.resp else { return };
-        let Some(session) = resp.sessions.get_mut(&ask.conn) else {
+        let Some(session) = resp.sessions.get_mut(&request.conn) else {
             return self.decisions.push(Event::ClientDisconnected(id));
         };
-        session.tickets += 1;
+        session.ticket_count += 1;
         resp.tickets.insert(
             id,
             Ticket {
-                conn: ask.conn,
+                conn: request.conn,
                 secret,
             },
         );
         self.set_timer(lease, TimerPurpose::RespLease(id));
-        let ticket = Reply::Bulk(ticket_text(id, secret).into());
+        let ticket = Reply::Bulk(format_ticket(id, secret).into());
         let reply = vec![Reply::Integer(1), ticket, Reply::Integer(remaining)];
-        self.resp_answer(&ask, Reply::Array(reply));
+        self.fill_resp_reply(&request, Reply::Array(reply));
     }
 
-    /// Whether it was a request of this front; it is refused, to come back after that time.
-    pub(crate) fn resp_refused(&mut self, id: RequestId, back_in: Option<u64>) -> bool {
+    /// Answers a request that the decisions reject; returns whether it came over RESP. `retry_after` is in microseconds; `None`: the
+    /// time until the quota is fully available again.
+    pub(crate) fn reject_resp_request(&mut self, id: RequestId, retry_after: Option<u64>) -> bool {
         let now = Timestamp::from_micros(self.engine.now());
-        let Some(ask) = self.resp.as_mut().and_then(|r| r.asks.remove(&id)) else {
+        let Some(request) = self
+            .resp
+            .as_mut()
+            .and_then(|resp| resp.pending_requests.remove(&id))
+        else {
             return false;
         };
         self.release_from_queue(id);
-        let standing = self
+        let quota = self
             .decisions
             .engine
-            .quota_status(now, ask.customer, ask.plan);
-        let back = back_in.unwrap_or(standing.resets_in.as_micros());
-        let reply = match ask.lease {
+            .quota_status(now, request.customer, request.plan);
+        let retry_after = retry_after.unwrap_or(quota.resets_in.as_micros());
+        let reply = match request.lease {
             Some(_) => vec![
                 Reply::Integer(0),
                 Reply::Null,
-                Reply::Integer(back.div_ceil(1_000) as i64),
+                Reply::Integer(retry_after.div_ceil(1_000) as i64),
             ],
             None => {
-                let (limit, remaining) = (standing.limit as i64, standing.remaining as i64);
+                let (limit, remaining) = (quota.limit as i64, quota.remaining as i64);
                 [
                     1,
                     limit,
                     remaining,
-                    seconds(back),
-                    seconds(standing.resets_in.as_micros()),
+                    whole_seconds(retry_after),
+                    whole_seconds(quota.resets_in.as_micros()),
                 ]
                 .map(Reply::Integer)
                 .into()
             }
         };
-        self.resp_answer(&ask, Reply::Array(reply));
+        self.fill_resp_reply(&request, Reply::Array(reply));
         true
     }
 
-    fn resp_answer(&mut self, ask: &Ask, reply: Reply) {
-        if let Some(session) = self.resp_session(ask.conn) {
-            session.answer(ask.slot, reply);
+    fn fill_resp_reply(&mut self, request: &PendingRequest, reply: Reply) {
+        if let Some(session) = self.resp_session(request.conn) {
+            session.fill_reply(request.slot, reply);
         }
-        self.resp_flush(ask.conn);
+        self.send_resp_replies(request.conn);
     }
 
-    fn resp_give(&mut self, ticket: &str, units: Option<f64>) -> bool {
-        let Some((id, secret)) = ticket_of(ticket) else {
+    /// Ends an admitted request by its ticket; returns whether the ticket was valid.
+    fn return_ticket(&mut self, ticket: &str, units: Option<f64>) -> bool {
+        let Some((id, secret)) = parse_ticket(ticket) else {
             return false;
         };
         let Some(resp) = &mut self.resp else {
             return false;
         };
-        if resp.tickets.get(&id).is_none_or(|t| t.secret != secret) {
+        if resp
+            .tickets
+            .get(&id)
+            .is_none_or(|ticket| ticket.secret != secret)
+        {
             return false;
         }
-        resp.drop_ticket(id);
+        resp.remove_ticket(id);
         units.into_iter().for_each(|units| {
             self.decisions
                 .push(Event::UnitsSettled { request: id, units })
@@ -390,77 +415,84 @@
         true
     }
 
-    fn resp_peek(&self, customer: &str) -> Reply {
+    /// The reply to `CHALK.PEEK`.
+    fn quota_reply(&self, customer: &str) -> Reply {
         let Some(plan) = self.settings.plan_for(customer) else {
             return Reply::Error("NOPLAN this customer has no plan".into());
         };
         let now = Timestamp::from_micros(self.engine.now());
-        let standing = self.decisions.engine.quota_status(
+        let quota = self.decisions.engine.quota_status(
             now,
             CustomerId(crate::base::listed_endpoint::hash_name(customer)),
             plan,
         );
         let numbers = [
-            standing.limit as i64,
-            standing.remaining as i64,
-            seconds(standing.resets_in.as_micros()),
+            quota.limit as i64,
+            quota.remaining as i64,
+            whole_seconds(quota.resets_in.as_micros()),
         ];
         Reply::Array(numbers.map(Reply::Integer).into())
     }
 
-    /// Sends the answers that are ready, in the order of their commands.
-    fn resp_flush(&mut self, conn: ConnId) {
+    /// Sends the replies that are ready, in the order of their commands, and closes, pauses or resumes the connection.
+    fn send_resp_replies(&mut self, conn: ConnId) {
         let Some(session) = self.resp_session(conn) else {
             return;
         };
-        let (bytes, over, paused) = (session.take_ready(), session.ended(), session.paused);
+        let (bytes, is_finished, is_paused) = (
+            session.take_ready_replies(),
+            session.is_finished(),
+            session.is_paused,
+        );
         if !bytes.is_empty() {
             self.engine.write(conn, &bytes);
         }
-        if over {
+        if is_finished {
             return self.engine.end(conn);
         }
-        self.engine.pause(conn, paused);
-        let unread = self.engine.unsent(conn);
-        let Some(session) = self.resp_session(conn).filter(|s| s.paused) else {
+        self.engine.pause(conn, is_paused);
+        let unsent = self.engine.unsent(conn);
+        let Some(session) = self.resp_session(conn).filter(|session| session.is_paused) else {
             return;
         };
-        if unread > UNREAD {
-            self.resp_watch(conn);
-        } else if session.pending() < MOST_PENDING / 2
-            && !std::mem::replace(&mut session.resumes, true)
+        if unsent > MAX_UNSENT_BYTES {
+            self.schedule_resp_stall_check(conn);
+        } else if session.pending_replies() < MAX_PENDING_COMMANDS / 2
+            && !std::mem::replace(&mut session.is_resume_scheduled, true)
         {
-            // In the loop's next turn, so that a long pipeline does not keep the others waiting.
+            // Reading resumes in the next turn of the event loop, so that a long pipeline does not delay other clients.
             self.set_timer(0, TimerPurpose::RespResume(conn));
         }
     }
 
-    fn resp_watch(&mut self, conn: ConnId) {
+    fn schedule_resp_stall_check(&mut self, conn: ConnId) {
         if self
             .resp_session(conn)
-            .is_some_and(|s| !std::mem::replace(&mut s.watched, true))
+            .is_some_and(|session| !std::mem::replace(&mut session.is_stall_check_scheduled, true))
         {
-            self.set_timer(STALLED, TimerPurpose::RespStallCheck(conn));
+            self.set_timer(STALL_TIMEOUT_MICROS, TimerPurpose::RespStallCheck(conn));
         }
     }
 
-    pub(crate) fn resp_resume(&mut self, conn: ConnId) {
+    /// Resumes reading from a paused connection.
+    pub(crate) fn resume_resp_connection(&mut self, conn: ConnId) {
         if let Some(session) = self.resp_session(conn) {
-            (session.paused, session.resumes) = (false, false);
-            self.resp_read(conn);
+            (session.is_paused, session.is_resume_scheduled) = (false, false);
+            self.process_resp_commands(conn);
         }
     }
 
-    /// A connection that stood still for long is closed; one that went on is looked at again when it stands still.
-    pub(crate) fn resp_stalled(&mut self, conn: ConnId) {
+    /// Closes a connection whose client has stalled for the time-out; one that still makes progress is resumed or checked again.
+    pub(crate) fn check_resp_stall(&mut self, conn: ConnId) {
         let (now, unread) = (self.engine.now(), self.engine.unsent(conn));
         let Some(session) = self.resp_session(conn) else {
             return;
         };
-        session.watched = false;
-        let half = !session.bytes.is_empty() && !session.paused;
-        let still = session.heard + STALLED <= now;
-        if still && (half || unread > UNREAD) {
+        session.is_stall_check_scheduled = false;
+        // Names of log fields. `half`: a command was received in part; `unread`: bytes of replies that the client has not read.
+        let half = !session.bytes.is_empty() && !session.is_paused;
+        let has_timed_out = session.last_received + STALL_TIMEOUT_MICROS <= now;
+        if has_timed_out && (half || unread > MAX_UNSENT_BYTES) {
             tracing::info!(
                 ?conn,
                 half,
@@ -468,43 +500,48 @@
                 "closing a RESP client that makes no progress"
             );
             self.engine.close(conn);
-        } else if session.paused {
-            self.resp_resume(conn);
+        } else if session.is_paused {
+            self.resume_resp_connection(conn);
         } else if half {
-            self.resp_watch(conn);
+            self.schedule_resp_stall_check(conn);
         }
     }
 
-    /// What a caller that vanished still held comes back.
-    pub(crate) fn resp_closed(&mut self, conn: ConnId) {
+    /// A connection is closed: its pending requests and tickets end, which frees their concurrency slots.
+    pub(crate) fn on_resp_closed(&mut self, conn: ConnId) {
         let Some(resp) = &mut self.resp else { return };
         if resp.sessions.remove(&conn).is_none() {
             return;
         }
-        let asks = resp
-            .asks
+        let pending_requests = resp
+            .pending_requests
             .iter()
-            .filter(|(_, a)| a.conn == conn)
+            .filter(|(_, request)| request.conn == conn)
             .map(|(id, _)| *id);
         let tickets = resp
             .tickets
             .iter()
-            .filter(|(_, t)| t.conn == conn)
+            .filter(|(_, ticket)| ticket.conn == conn)
             .map(|(id, _)| *id);
-        let mut gone: Vec<RequestId> = asks.chain(tickets).collect();
-        gone.sort_unstable();
-        for id in gone {
+        let mut ended: Vec<RequestId> = pending_requests.chain(tickets).collect();
+        ended.sort_unstable();
+        for id in ended {
             if let Some(resp) = &mut self.resp {
-                resp.asks.remove(&id);
-                resp.drop_ticket(id);
+                resp.pending_requests.remove(&id);
+                resp.remove_ticket(id);
             }
             self.release_from_queue(id);
             self.decisions.push(Event::ClientDisconnected(id));
         }
     }
 
-    pub(crate) fn lease_over(&mut self, id: RequestId) {
-        if self.resp.as_mut().is_some_and(|r| r.drop_ticket(id)) {
+    /// Ends an admitted request whose ticket was not returned within its lease.
+    pub(crate) fn expire_ticket(&mut self, id: RequestId) {
+        if self
+            .resp
+            .as_mut()
+            .is_some_and(|resp| resp.remove_ticket(id))
+        {
             tracing::info!(
                 request = id.0,
                 "ticket lease expired: its concurrency slot is free again"
@@ -513,23 +550,23 @@
         }
     }
 
-    /// From here on the front's connections are let go.
-    pub(crate) fn resp_stop(&mut self) {
+    /// Starts the shutdown of the RESP port: no new connections, and idle ones are closed from now on.
+    pub(crate) fn shut_down_resp(&mut self) {
         let Some(resp) = &mut self.resp else { return };
-        resp.stopping = true;
+        resp.is_shutting_down = true;
         self.engine.unlisten(resp.listener);
     }
 
-    /// Ends the connections that are between two requests and hold no ticket, once a turn's events were dealt with: what was
-    /// read, or waits unread, is answered first.
-    pub(crate) fn resp_let_go(&mut self) {
-        let Some(resp) = self.resp.as_ref().filter(|r| r.stopping) else {
+    /// During a shutdown, closes the connections that are between two requests and hold no ticket. Runs at the end of a turn, so that
+    /// commands that were read, or wait in the socket, are answered first.
+    pub(crate) fn close_idle_resp_connections(&mut self) {
+        let Some(resp) = self.resp.as_ref().filter(|resp| resp.is_shutting_down) else {
             return;
         };
         let idle = resp
             .sessions
             .iter()
-            .filter(|(_, s)| s.is_idle() && s.tickets == 0);
+            .filter(|(_, session)| session.is_between_requests() && session.ticket_count == 0);
         let mut idle: Vec<ConnId> = idle.map(|(conn, _)| *conn).collect();
         idle.sort_unstable();
         for conn in idle {
@@ -537,10 +574,10 @@
         }
     }
 
-    /// Whether no connection of the front is left.
-    pub(crate) fn resp_is_alone(&self) -> bool {
+    /// Whether the RESP port has no open connection.
+    pub(crate) fn has_no_resp_clients(&self) -> bool {
         self.resp
             .as_ref()
-            .is_none_or(|r| self.engine.connections_of(r.listener) == 0)
+            .is_none_or(|resp| self.engine.connections_of(resp.listener) == 0)
     }
 }
--- a/crates/grpc-gateway/src/resp/session.rs
+++ b/crates/grpc-gateway/src/resp/session.rs
@@ -1,65 +1,74 @@
-//! One connection: its protocol, whether it may ask, and answers in the order of their commands.
+//! One client connection of the RESP port: its protocol version, its authentication, and its replies in the order of their
+//! commands.
 
 use super::command::Command;
-use super::wire::{encode, Reply};
+use super::reply::{encode, Reply};
 use bytes::BytesMut;
 use chalkdeck_resp::{ReplyQueue, ReplySlot};
 
-/// A connection's state.
+/// The state of one client connection.
 #[derive(Default)]
 pub(crate) struct Session {
+    /// Bytes received and not parsed yet.
     pub(crate) bytes: BytesMut,
-    pub(crate) paused: bool,
-    /// It goes on in the loop's next turn.
-    pub(crate) resumes: bool,
-    /// A look at whether it stands still is due.
-    pub(crate) watched: bool,
-    pub(crate) heard: u64,
-    /// It gets no further answers than those that are due.
-    pub(crate) over: bool,
-    /// Tickets that it holds.
-    pub(crate) tickets: usize,
-    resp3: bool,
-    known: bool,
-    answers: ReplyQueue<Reply>,
+    /// Reading is paused; `bytes` may still hold whole commands.
+    pub(crate) is_paused: bool,
+    /// A timer is set that resumes it in the loop's next turn.
+    pub(crate) is_resume_scheduled: bool,
+    /// A timer is set that checks whether the client has stalled.
+    pub(crate) is_stall_check_scheduled: bool,
+    /// When bytes were last received, by the loop's clock in microseconds.
+    pub(crate) last_received: u64,
+    /// No further command is read: a protocol error was reported, or the client sent `QUIT`.
+    pub(crate) is_read_closed: bool,
+    /// The number of tickets that it holds.
+    pub(crate) ticket_count: usize,
+    uses_resp3: bool,
+    is_authenticated: bool,
+    replies: ReplyQueue<Reply>,
 }
 
 impl Session {
-    /// Answers that are still to come or to be sent.
-    pub(crate) fn pending(&self) -> usize {
-        self.answers.pending()
+    /// The number of replies that are not known yet or were not sent yet.
+    pub(crate) fn pending_replies(&self) -> usize {
+        self.replies.pending()
     }
-    /// An answer at once.
-    pub(crate) fn ready(&mut self, reply: Reply) {
-        self.answers.push(reply);
+    /// Appends a reply that is known at once.
+    pub(crate) fn push_reply(&mut self, reply: Reply) {
+        self.replies.push(reply);
     }
-    /// An answer to come; returns its slot.
-    pub(crate) fn wait(&mut self) -> ReplySlot {
-        self.answers.reserve()
+    /// Reserves the place of a reply that is known later.
+    pub(crate) fn reserve_reply(&mut self) -> ReplySlot {
+        self.replies.reserve()
     }
-    pub(crate) fn answer(&mut self, slot: ReplySlot, reply: Reply) {
-        self.answers.fill(slot, reply);
+    pub(crate) fn fill_reply(&mut self, slot: ReplySlot, reply: Reply) {
+        self.replies.fill(slot, reply);
     }
-    /// The answers that can be sent.
-    pub(crate) fn take_ready(&mut self) -> BytesMut {
+    /// Takes and encodes the replies that can be sent: those before the first one that is not known yet.
+    pub(crate) fn take_ready_replies(&mut self) -> BytesMut {
         let mut out = BytesMut::new();
-        while let Some(reply) = self.answers.pop_ready() {
-            encode(&mut out, reply, self.resp3);
+        while let Some(reply) = self.replies.pop_ready() {
+            encode(&mut out, reply, self.uses_resp3);
         }
         out
     }
-    /// Nothing is asked and nothing is owed.
-    pub(crate) fn is_idle(&self) -> bool {
-        self.pending() == 0 && self.bytes.is_empty()
+    /// Whether no reply is pending and the client has not begun a command.
+    pub(crate) fn is_between_requests(&self) -> bool {
+        self.pending_replies() == 0 && self.bytes.is_empty()
     }
-    /// All is answered and nothing more is read.
-    pub(crate) fn ended(&self) -> bool {
-        self.over && self.pending() == 0
+    /// Whether no further command is read and all replies were sent.
+    pub(crate) fn is_finished(&self) -> bool {
+        self.is_read_closed && self.pending_replies() == 0
     }
 
-    /// Commands that are answered from the connection's own state; none: the command goes on.
-    pub(crate) fn greet(&mut self, command: &Command, password: &[u8]) -> Option<Reply> {
-        let wrong = || {
+    /// Handles commands that concern only the connection, and rejects all others until the client has authenticated. Returns the
+    /// reply; `None`: the command remains to be executed.
+    pub(crate) fn handle_connection_command(
+        &mut self,
+        command: &Command,
+        password: &[u8],
+    ) -> Option<Reply> {
+        let wrong_password = || {
             Some(Reply::Error(
                 "WRONGPASS invalid username-password pair or user is disabled.".into(),
             ))
@@ -75,23 +84,23 @@
                     return Some(Reply::Error(text.into()));
                 }
                 if given.as_ref() != password {
-                    return wrong();
+                    return wrong_password();
                 }
-                self.known = true;
+                self.is_authenticated = true;
             }
             Command::Quit => return None,
             _ => {}
         }
-        if !password.is_empty() && !self.known {
+        if !password.is_empty() && !self.is_authenticated {
             return Some(Reply::Error("NOAUTH Authentication required.".into()));
         }
         match command {
-            Command::Hello { resp3, .. } => {
-                self.resp3 = resp3.unwrap_or(self.resp3);
+            Command::Hello { uses_resp3, .. } => {
+                self.uses_resp3 = uses_resp3.unwrap_or(self.uses_resp3);
                 Some(Reply::Hello)
             }
             Command::Auth(_) => Some(Reply::Ok),
-            Command::Plain(reply) => Some(reply.clone()),
+            Command::FixedReply(reply) => Some(reply.clone()),
             _ => None,
         }
     }
--- a/crates/grpc-gateway/src/resp/session/tests.rs
+++ b/crates/grpc-gateway/src/resp/session/tests.rs
@@ -3,45 +3,48 @@
 use super::*;
 
 #[test]
-fn answers_keep_the_order_of_their_commands() {
+fn replies_are_sent_in_the_order_of_their_commands() {
     let mut session = Session::default();
-    let (a, b) = (session.wait(), session.wait());
-    session.ready(Reply::Pong);
-    session.answer(b, Reply::Integer(2));
+    let (first, second) = (session.reserve_reply(), session.reserve_reply());
+    session.push_reply(Reply::Pong);
+    session.fill_reply(second, Reply::Integer(2));
     assert!(
-        session.take_ready().is_empty(),
-        "the first is still to come"
+        session.take_ready_replies().is_empty(),
+        "the first reply is not known yet"
     );
-    session.answer(a, Reply::Integer(1));
-    assert_eq!(&session.take_ready()[..], b":1\r\n:2\r\n+PONG\r\n");
-    session.answer(a, Reply::Integer(9));
-    assert_eq!(session.pending(), 0);
+    session.fill_reply(first, Reply::Integer(1));
+    assert_eq!(&session.take_ready_replies()[..], b":1\r\n:2\r\n+PONG\r\n");
+    session.fill_reply(first, Reply::Integer(9));
+    assert_eq!(session.pending_replies(), 0);
 }
 
 #[test]
-fn nothing_is_asked_before_the_password() {
+fn commands_are_rejected_until_the_client_has_authenticated() {
     let mut session = Session::default();
-    let ask = Command::Peek {
+    let peek = Command::Peek {
         customer: "a".into(),
     };
-    let error = |reply: Option<Reply>, mark: &str| {
+    let assert_error = |reply: Option<Reply>, code: &str| {
         assert!(
-            matches!(&reply, Some(Reply::Error(e)) if e.starts_with(mark)),
+            matches!(&reply, Some(Reply::Error(text)) if text.starts_with(code)),
             "{reply:?}"
         );
     };
-    error(session.greet(&ask, b"secret"), "NOAUTH");
-    error(
-        session.greet(&Command::Auth("wrong".into()), b"secret"),
+    assert_error(
+        session.handle_connection_command(&peek, b"secret"),
+        "NOAUTH",
+    );
+    assert_error(
+        session.handle_connection_command(&Command::Auth("wrong".into()), b"secret"),
         "WRONGPASS",
     );
     assert_eq!(
-        session.greet(&Command::Auth("secret".into()), b"secret"),
+        session.handle_connection_command(&Command::Auth("secret".into()), b"secret"),
         Some(Reply::Ok)
     );
-    assert_eq!(session.greet(&ask, b"secret"), None);
-    error(
-        Session::default().greet(&Command::Auth("x".into()), b""),
+    assert_eq!(session.handle_connection_command(&peek, b"secret"), None);
+    assert_error(
+        Session::default().handle_connection_command(&Command::Auth("x".into()), b""),
         "ERR Client sent AUTH",
     );
 }
--- a/crates/grpc-gateway/tests/resp.rs
+++ b/crates/grpc-gateway/tests/resp.rs
@@ -37,7 +37,7 @@
         let (ends, (tell, hear)) = (over.clone(), channel());
         let thread = std::thread::spawn(move || {
             let mut harness = Harness::with_settings(1, CounterBehavior::Answers, &edits(front));
-            tell.send(harness.gateway.resp_listen().expect("a RESP port"))
+            tell.send(harness.gateway.resp_address().expect("a RESP port"))
                 .expect("a test that listens");
             while !ends.load(Ordering::Relaxed) {
                 harness.turn();
@@ -213,7 +213,7 @@
 fn one_quota_over_both_fronts() {
     let mut harness = Harness::with_settings(1, CounterBehavior::Answers, &edits(FRONT));
     let mut stream =
-        TcpStream::connect(harness.gateway.resp_listen().expect("a port")).expect("a connection");
+        TcpStream::connect(harness.gateway.resp_address().expect("a port")).expect("a connection");
     stream.set_nonblocking(true).expect("a mode");
     stream
         .write_all(&b"CL.THROTTLE slow 1 1 1 4\r\n".repeat(3))
--- a/crates/grpc-gateway/tests/shutdown.rs
+++ b/crates/grpc-gateway/tests/shutdown.rs
@@ -118,7 +118,7 @@
     for seed in 0..150 {
         let mut rng = Rng::with_seed(seed);
         let mut harness = Harness::with_settings(1, CounterBehavior::Answers, &edits);
-        let address = harness.gateway.resp_listen().expect("a RESP port");
+        let address = harness.gateway.resp_address().expect("a RESP port");
         let connect = |_| {
             let stream = TcpStream::connect(address).expect("a connection");
             stream
--- a/crates/testbed/src/rig/serve.rs
+++ b/crates/testbed/src/rig/serve.rs
@@ -45,7 +45,7 @@
         .admin_address()
         .map_or("-".to_string(), |a| a.to_string());
     let resp = shell
-        .resp_listen()
+        .resp_address()
         .map_or(String::new(), |a| format!(" resp={a}"));
     println!("ready grpc={} admin={admin}{resp}", shell.listen_address());
     Ok(shell.run(&signals)?)
