--- a/crates/cli/src/site.rs
+++ b/crates/cli/src/site.rs
@@ -85,15 +85,15 @@
     let mut text = format!(
         "{admin}  in {}  lets in {:.0}% of the work offered\n",
         status.own_site,
-        100.0 * status.admission
+        100.0 * status.admission_level
     );
     for site in &status.sites {
         let capacity = match site.capacity {
             None => "no bound met".to_string(),
             Some(capacity) => format!("room {capacity:.1} units/s"),
         };
-        let ramp = if site.ramp < 1.0 {
-            format!(", pace {:.0}%", 100.0 * site.ramp)
+        let ramp = if site.ramp_fraction < 1.0 {
+            format!(", pace {:.0}%", 100.0 * site.ramp_fraction)
         } else {
             String::new()
         };
--- a/crates/grpc-gateway/src/coordinator_link/connection.rs
+++ b/crates/grpc-gateway/src/coordinator_link/connection.rs
@@ -1,4 +1,4 @@
-//! The connection to one replica and the session's stream on it.
+//! The connection to one replica of the coordinator, and the session's stream on it.
 
 use super::CoordinatorLink;
 use chalkdeck_coordinator::server::{connection_limits, SESSION_PATH};
@@ -8,11 +8,11 @@
 use chalkdeck_time::Timestamp;
 use prost::Message;
 
-/// The longest message of a replica: the whole state of 200,000 rules fits.
+/// The longest message that is accepted from a replica: a whole state with 200,000 rules fits.
 const MAX_MESSAGE_BYTES: usize = 256 << 20;
 
 impl CoordinatorLink {
-    /// Connects to a replica, by its place in the settings' addresses. A connection to another one is closed.
+    /// Connects to a replica, given its index in the settings' addresses. An earlier connection is closed.
     pub(super) fn connect(&mut self, engine: &mut Engine, replica_index: usize) {
         self.close_connection(engine);
         let address = self.settings.addresses[replica_index];
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The connection is established: the session's stream is opened on it.
+    /// Opens the session's stream on the connection, which is established now.
     pub(super) fn open_session_stream(&mut self, engine: &mut Engine, conn: ConnId) {
         let authority = self.settings.addresses[self.agent.replica_index()].to_string();
         let head = grpc::request(&authority, SESSION_PATH);
@@ -33,16 +33,16 @@
         }
     }
 
-    /// Closes the connection and lets the agent choose what follows.
+    /// Closes the connection and reports its loss to the agent, which decides when and where to reconnect.
     pub(super) fn abandon_connection(&mut self, engine: &mut Engine) {
         self.close_connection(engine);
         self.agent.connection_lost(loop_time(engine));
     }
 
-    /// Passes the messages in these bytes to the agent. A malformed one ends the connection.
+    /// Decodes received bytes and passes their messages to the agent. A malformed message ends the connection.
     pub(super) fn receive(&mut self, engine: &mut Engine, data: &[u8]) {
         self.deframer.push(data);
-        // The agent may leave the replica because of a message.
+        // Ends when no whole message is left, or when a malformed one has closed the connection.
         while self.stream.is_some() {
             match self.next_message() {
                 Ok(Some(message)) => self.agent.receive(loop_time(engine), message),
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Sends a message to the replica, if the session's stream is open.
+    /// Sends a message to the replica if the session's stream is open.
     pub(super) fn send(&self, engine: &mut Engine, message: &wire::ClientMessage) {
         if let Some(stream) = self.stream {
             engine.send(stream, grpc::frame(&message.encode_to_vec()));
@@ -78,10 +78,10 @@
     }
 }
 
-/// A replica sent bytes that are no message.
+/// A replica sent bytes that are not a valid message.
 struct MalformedMessage;
 
-/// The loop's clock, as deciding code takes it.
+/// The time of the event loop's clock, in the type that the agent uses.
 pub(super) fn loop_time(engine: &Engine) -> Timestamp {
     Timestamp::from_micros(engine.now())
 }
--- a/crates/grpc-gateway/src/coordinator_link/contracts.rs
+++ b/crates/grpc-gateway/src/coordinator_link/contracts.rs
@@ -1,4 +1,4 @@
-//! Endpoints whose contract version was not admitted get no new requests.
+//! Holds back endpoints whose contract version was not admitted: they get no new requests.
 
 use super::CoordinatorLink;
 use crate::base::listed_endpoint::ListedEndpoint;
@@ -6,20 +6,21 @@
 use chalkdeck_contract::{hold_back, ServerContract};
 
 impl CoordinatorLink {
-    /// Remembers the list and marks endpoints whose contract version was not admitted as draining.
-    pub(super) fn hold_back(&mut self, servers: &mut [ListedEndpoint]) {
-        self.listed = servers.to_vec();
+    /// Marks the endpoints of a list whose contract version was not admitted as draining. Keeps the list as it was read, since a later
+    /// change of the admitted versions applies to it again.
+    pub(super) fn hold_back(&mut self, endpoints: &mut [ListedEndpoint]) {
+        self.listed_endpoints = endpoints.to_vec();
         let state = self.agent.session().state();
-        let contracts = servers.iter().map(|server| ServerContract {
-            is_in_service: server.entry.state == EndpointState::InService,
-            contract: server.contract.as_deref(),
+        let contracts = endpoints.iter().map(|endpoint| ServerContract {
+            is_in_service: endpoint.entry.state == EndpointState::InService,
+            contract: endpoint.contract.as_deref(),
         });
         let result = hold_back(contracts, |service, version| state.admits(service, version));
-        self.held_back.clear();
-        for (server, &is_held_back) in servers.iter_mut().zip(&result.is_held_back) {
+        self.held_back_addresses.clear();
+        for (endpoint, &is_held_back) in endpoints.iter_mut().zip(&result.is_held_back) {
             if is_held_back {
-                server.entry.state = EndpointState::Draining;
-                self.held_back.push(server.address.to_string());
+                endpoint.entry.state = EndpointState::Draining;
+                self.held_back_addresses.push(endpoint.address.to_string());
             }
         }
         let was_last_resort = self.is_last_resort;
--- a/crates/grpc-gateway/src/coordinator_link/events.rs
+++ b/crates/grpc-gateway/src/coordinator_link/events.rs
@@ -1,4 +1,4 @@
-//! Events of the loop that concern the coordinator, and the agent's actions carried out.
+//! Handles the events of the event loop that concern the coordinator, and executes the agent's actions.
 
 use super::connection::loop_time;
 use super::CoordinatorStatus;
@@ -7,22 +7,22 @@
 use chalkdeck_coordinator::agent::AgentAction;
 use chalkdeck_net::{ConnId, StreamId};
 
-/// How often the agent's clock is advanced, in microseconds.
-const TICK_INTERVAL: u64 = 20_000;
+/// The interval at which the agent's clock is advanced.
+const TICK_INTERVAL_MICROS: u64 = 20_000;
 
-/// Whether more can follow on a stream.
+/// Whether the peer can send more on a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StreamProgress {
-    /// More can follow.
+    /// It can send more.
     Open,
-    /// The other side has ended the stream, or it was reset.
+    /// The peer has ended the stream, or the stream was reset.
     Ended,
 }
 
 impl StreamProgress {
-    /// By the flag that comes with the head of a response.
-    pub(crate) fn from_ended(ended: bool) -> StreamProgress {
-        if ended {
+    /// The progress by whether the head of a response has ended the stream.
+    pub(crate) fn from_ended(is_ended: bool) -> StreamProgress {
+        if is_ended {
             StreamProgress::Ended
         } else {
             StreamProgress::Open
@@ -31,7 +31,7 @@
 }
 
 impl GatewayServer {
-    /// Advances the agent's clock and retries a failed write of the state.
+    /// Advances the agent's clock, and retries a failed write of the cache file if it is due.
     pub(crate) fn tick_coordinator(&mut self) {
         let now = self.now();
         let Some(link) = &mut self.coordinator else {
@@ -39,11 +39,11 @@
         };
         link.retry_persist(now);
         link.agent.tick(now);
-        self.set_timer(TICK_INTERVAL, TimerPurpose::CoordinatorTick);
+        self.set_timer(TICK_INTERVAL_MICROS, TimerPurpose::CoordinatorTick);
         self.run_coordinator_actions();
     }
 
-    /// Carries out the agent's actions until none follows.
+    /// Executes the agent's actions until there are no more.
     fn run_coordinator_actions(&mut self) {
         while let Some(link) = &mut self.coordinator {
             let actions = link.agent.take_actions();
@@ -74,26 +74,26 @@
         }
     }
 
-    /// Takes over the last list once more, as contract versions were admitted or withdrawn.
+    /// Applies the last endpoint list again, since other contract versions are admitted now.
     fn reapply_endpoint_list(&mut self) {
         let Some(link) = &mut self.coordinator else {
             return;
         };
-        // It is remembered again as it is taken over.
-        let listed = std::mem::take(&mut link.listed);
-        if !listed.is_empty() {
-            self.apply_endpoint_list(listed);
+        // Applying the list stores it in the link again.
+        let endpoints = std::mem::take(&mut link.listed_endpoints);
+        if !endpoints.is_empty() {
+            self.apply_endpoint_list(endpoints);
         }
     }
 
-    /// Marks endpoints that must not get new requests as draining; see `contracts`.
-    pub(crate) fn hold_back_endpoints(&mut self, servers: &mut [ListedEndpoint]) {
+    /// Marks endpoints whose contract version was not admitted as draining.
+    pub(crate) fn hold_back_endpoints(&mut self, endpoints: &mut [ListedEndpoint]) {
         if let Some(link) = &mut self.coordinator {
-            link.hold_back(servers);
+            link.hold_back(endpoints);
         }
     }
 
-    /// A connection is established. Returns whether it is the one to a replica.
+    /// A connection is established. Returns whether it is the one to the coordinator.
     pub(crate) fn on_coordinator_connected(&mut self, conn: ConnId) -> bool {
         let Some(link) = &mut self.coordinator else {
             return false;
@@ -106,7 +106,7 @@
         true
     }
 
-    /// A connection is closed. Returns whether it is the one to a replica.
+    /// A connection is closed. Returns whether it is the one to the coordinator.
     pub(crate) fn on_coordinator_closed(&mut self, conn: ConnId) -> bool {
         let Some(link) = &mut self.coordinator else {
             return false;
@@ -119,7 +119,7 @@
         true
     }
 
-    /// The head of a response has arrived. Returns whether it is that of the session's stream.
+    /// The head of a response was received. Returns whether it belongs to the session's stream.
     pub(crate) fn on_coordinator_head(
         &mut self,
         stream: StreamId,
@@ -139,7 +139,7 @@
         true
     }
 
-    /// Bytes of a stream have arrived. Returns whether it is the session's stream.
+    /// Bytes of a stream were received. Returns whether it is the session's stream.
     pub(crate) fn on_coordinator_data(
         &mut self,
         stream: StreamId,
@@ -161,7 +161,8 @@
         true
     }
 
-    /// A shutdown begins: other gateways may lead at once; the session stays as long as calls may need it.
+    /// Resigns all leaderships when a shutdown begins, so that other gateways can lead at once. The session stays open, since open
+    /// calls may still need it.
     pub(crate) fn resign_leaderships(&mut self) {
         if let Some(link) = &mut self.coordinator {
             link.agent.resign();
@@ -169,7 +170,7 @@
         self.run_coordinator_actions();
     }
 
-    /// The gateway ends.
+    /// Closes the session when the shutdown is complete.
     pub(crate) fn close_coordinator_session(&mut self) {
         if let Some(link) = &mut self.coordinator {
             link.agent.close();
@@ -177,14 +178,14 @@
         self.run_coordinator_actions();
     }
 
-    /// Whether calls can be admitted as far as the shared state is concerned.
+    /// Whether the gateway has the shared state, without which it admits no call. Always true if there is no coordinator.
     pub(crate) fn has_shared_state(&self) -> bool {
         self.coordinator
             .as_ref()
             .is_none_or(|link| link.agent.has_state())
     }
 
-    /// The status for `/keepers`; `None`: the settings name no coordinator.
+    /// The status that the admin port serves under `/keepers`; `None`: the settings name no coordinator.
     pub(crate) fn coordinator_status(&self) -> Option<CoordinatorStatus> {
         let link = self.coordinator.as_ref()?;
         Some(link.status(self.now()))
--- a/crates/grpc-gateway/src/coordinator_link/mod.rs
+++ b/crates/grpc-gateway/src/coordinator_link/mod.rs
@@ -1,5 +1,5 @@
-//! A gateway's link to the coordinator: the session with a replica over gRPC, the state that is cached on disk, and what calls,
-//! streams, the endpoint list and sites are told of it. The decisions are made in `chalkdeck_coordinator::agent` and
+//! A gateway's link to the coordinator: the session with a replica over gRPC, the cache file of the shared state, and the effects of
+//! that state on calls, streams, the endpoint list and sites. The decisions are made in `chalkdeck_coordinator::agent` and
 //! `chalkdeck_access`.
 
 mod access;
@@ -25,32 +25,33 @@
 use chalkdeck_time::{TimeDelta, Timestamp};
 use std::path::Path;
 
-/// The gateway's part in the fleet, with the connection and the files that carry it.
+/// The agent of this gateway in the fleet, with its connection and its files.
 pub(crate) struct CoordinatorLink {
     agent: GatewayAgent,
     settings: CoordinatorSettings,
     regions: RegionTable,
-    /// Where the state is cached; `None`: nowhere.
+    /// The cache file of the shared state; `None`: there is none.
     cache_file: Option<CacheFile>,
-    /// When a failed write to the cache file is tried again.
+    /// When a failed write to the cache file is retried; `None`: the last write succeeded.
     persist_retry_at: Option<Timestamp>,
     conn: Option<ConnId>,
     /// The session's stream.
     stream: Option<StreamId>,
     deframer: Deframer,
-    /// The endpoint list as it was read.
-    listed: Vec<ListedEndpoint>,
+    /// The endpoint list as it was read, before endpoints were held back.
+    listed_endpoints: Vec<ListedEndpoint>,
     /// Addresses of endpoints whose contract version was not admitted.
-    held_back: Vec<String>,
+    held_back_addresses: Vec<String>,
     /// No endpoint in service has an admitted contract version, so all are used.
     is_last_resort: bool,
 }
 
 impl CoordinatorLink {
-    /// Reads the files and begins without a connection. `None`: the settings name no coordinator.
+    /// Reads the files and creates a link without a connection. `None`: the settings name no coordinator.
     ///
     /// # Errors
-    /// A file is there but can't be read or parsed. A start that forgot access rules would be worse than no start.
+    /// A file exists but can't be read or parsed. The gateway must not start then, as it might admit calls that the access rules
+    /// deny.
     pub(crate) fn from_settings(
         settings: &Settings,
         now: Timestamp,
@@ -93,8 +94,8 @@
             conn: None,
             stream: None,
             deframer: Deframer::default(),
-            listed: Vec::new(),
-            held_back: Vec::new(),
+            listed_endpoints: Vec::new(),
+            held_back_addresses: Vec::new(),
             is_last_resort: false,
         })
     }
--- a/crates/grpc-gateway/src/coordinator_link/persistence.rs
+++ b/crates/grpc-gateway/src/coordinator_link/persistence.rs
@@ -1,14 +1,14 @@
-//! The state's copy on disk, with which a gateway starts again when no replica can be reached.
+//! Persists the shared state in the cache file, from which a gateway restarts when it can reach no replica.
 
 use super::CoordinatorLink;
 use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
 use chalkdeck_time::{TimeDelta, Timestamp};
 
-/// After a failed write the whole state is written again.
+/// The delay after a failed write until the whole state is written again.
 const RETRY_DELAY: TimeDelta = TimeDelta::from_secs(1);
 
 impl CoordinatorLink {
-    /// Writes a change of the state to the cache file; the agent is told once it is there.
+    /// Writes a change of the state to the cache file, and reports the persisted version to the agent.
     pub(super) fn persist(&mut self, now: Timestamp, change: &wire::WatchEvent) {
         let Some(cache_file) = &mut self.cache_file else {
             return;
--- a/crates/grpc-gateway/src/coordinator_link/status.rs
+++ b/crates/grpc-gateway/src/coordinator_link/status.rs
@@ -1,36 +1,36 @@
-//! What the admin port shows under `/keepers`.
+//! The status of the coordinator link, which the admin port serves as JSON under `/keepers`.
 //!
-//! The JSON names are read by operators' tools, so they stay whatever the fields are called.
+//! Operators' tools read the JSON names, so a renamed field keeps its JSON name by an attribute.
 
 use super::CoordinatorLink;
 use chalkdeck_time::Timestamp;
 use serde::{Deserialize, Serialize};
 
-/// The most rule sets that are listed.
-const MAX_RULE_SETS: usize = 1_000;
+/// The most rule sets that a status lists.
+const MAX_LISTED_RULE_SETS: usize = 1_000;
 
-/// What `/keepers` shows.
+/// The status of a gateway's link to the coordinator.
 #[derive(Debug, Default, Clone, Serialize, Deserialize)]
 pub struct CoordinatorStatus {
     /// This gateway's name in the fleet.
     pub name: String,
-    /// The replica that it is connected to, or tries next.
+    /// The address of the replica that it is connected to, or connects to next.
     #[serde(rename = "keeper")]
     pub replica: String,
-    /// The id of its session; 0: none.
+    /// The id of its session; 0: it has none.
     pub session: u64,
-    /// Whether the session is valid by this gateway's own clock.
+    /// Whether the session's lease is valid by this gateway's own clock.
     #[serde(rename = "stands")]
     pub is_session_valid: bool,
-    /// Whether it has a copy of the shared state; without one no call is admitted.
+    /// Whether it has a copy of the shared state; without one it admits no call.
     #[serde(rename = "knows")]
     pub has_state: bool,
     /// The version of that copy.
     pub version: u64,
-    /// Elections that it leads now.
+    /// The elections that it leads now.
     #[serde(rename = "duties")]
     pub leaderships: Vec<LeadershipStatus>,
-    /// Customers with a rule set.
+    /// The customers' rule sets, sorted by customer and cut after a maximum.
     #[serde(rename = "sets")]
     pub rule_sets: Vec<RuleSetStatus>,
     /// The number of rules in all sets.
@@ -38,15 +38,15 @@
     pub rule_count: usize,
     /// Addresses of endpoints whose contract version was not admitted.
     pub held_back: Vec<String>,
-    /// No endpoint in service has an admitted contract version, so all are used.
+    /// Whether no endpoint in service has an admitted contract version, so that all are used.
     #[serde(rename = "last_resort")]
     pub is_last_resort: bool,
-    /// The copy could not be written to the disk; no newer version is reported as applied.
+    /// Whether the last write of the cache file failed; until a retry succeeds, no newer version is reported as applied.
     #[serde(rename = "disk_fails")]
     pub is_persist_failing: bool,
 }
 
-/// An election that a gateway leads; in JSON a pair.
+/// An election that a gateway leads; in JSON a pair of the election and the token.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, u64)", into = "(String, u64)")]
 pub struct LeadershipStatus {
@@ -56,7 +56,7 @@
     pub token: u64,
 }
 
-/// A customer's rule set; in JSON a pair.
+/// A customer's rule set; in JSON a pair of the customer and the version.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "(String, u64)", into = "(String, u64)")]
 pub struct RuleSetStatus {
@@ -67,7 +67,7 @@
 }
 
 impl CoordinatorLink {
-    /// The state of the link as of `now`.
+    /// The status of the link as of `now`.
     pub(super) fn status(&self, now: Timestamp) -> CoordinatorStatus {
         let session = self.agent.session();
         CoordinatorStatus {
@@ -80,7 +80,7 @@
             leaderships: self.leaderships(now),
             rule_sets: self.rule_sets(),
             rule_count: self.agent.access().rule_count(),
-            held_back: self.held_back.clone(),
+            held_back: self.held_back_addresses.clone(),
             is_last_resort: self.is_last_resort,
             is_persist_failing: self.persist_retry_at.is_some(),
         }
@@ -112,7 +112,7 @@
             })
             .collect();
         rule_sets.sort_unstable();
-        rule_sets.truncate(MAX_RULE_SETS);
+        rule_sets.truncate(MAX_LISTED_RULE_SETS);
         rule_sets
     }
 }
--- a/crates/grpc-gateway/src/counter_client/mod.rs
+++ b/crates/grpc-gateway/src/counter_client/mod.rs
@@ -1,5 +1,5 @@
-//! The client of the shared counter. The counter is partitioned by key, each partition with a connection of its own, so that the
-//! loss of one leaves the others.
+//! The client of the shared counter. The counter is partitioned by key, and each partition has its own connection, so that the loss
+//! of one partition does not affect the others.
 
 mod partition;
 mod result_order;
@@ -14,13 +14,13 @@
 use partition::PartitionClient;
 use std::net::SocketAddr;
 
-/// The client of all partitions. Times are microseconds of the loop's clock.
+/// The clients of all partitions. Times are microseconds of the event loop's clock.
 pub(crate) struct CounterClient {
     partitions: Vec<PartitionClient>,
 }
 
 impl CounterClient {
-    /// `None` without addresses: there is no counter.
+    /// A client of the partitions at these addresses; `None`: there are no addresses, and thus no counter.
     pub(crate) fn new(addresses: &[SocketAddr], now: u64) -> Option<CounterClient> {
         if addresses.is_empty() {
             return None;
@@ -32,12 +32,12 @@
         Some(CounterClient { partitions })
     }
 
-    /// Sends an increment to its key's partition. Returns what is known at once.
+    /// Sends an increment to the partition of its key. Returns the results of calls that end at once.
     pub(crate) fn add(&mut self, engine: &mut Engine, increment: &Increment) -> Vec<CounterResult> {
         self.partition_of(increment.key).add(engine, increment)
     }
 
-    /// When the earliest open call times out.
+    /// The deadline of the open call that times out first.
     pub(crate) fn next_timeout(&mut self) -> Option<u64> {
         self.partitions
             .iter_mut()
@@ -45,7 +45,7 @@
             .min()
     }
 
-    /// Ends the calls whose time-out has passed.
+    /// Ends the calls whose deadline has passed.
     pub(crate) fn time_out_calls(&mut self, engine: &mut Engine) -> Vec<CounterResult> {
         self.partitions
             .iter_mut()
@@ -53,7 +53,7 @@
             .collect()
     }
 
-    /// A connection is established; `None`: it is not one of the counter's.
+    /// A connection is established. Returns the results of calls that end; `None`: it is not a connection to the counter.
     pub(crate) fn connected(
         &mut self,
         engine: &mut Engine,
@@ -64,7 +64,7 @@
             .find_map(|partition| partition.connected(engine, conn))
     }
 
-    /// A connection is closed; `None`: it is not one of the counter's.
+    /// A connection is closed. Returns the results of calls that end; `None`: it is not a connection to the counter.
     pub(crate) fn closed(&mut self, conn: ConnId) -> Option<Vec<CounterResult>> {
         self.partitions
             .iter_mut()
@@ -75,17 +75,17 @@
     pub(crate) fn partition_of_stream(&mut self, stream: StreamId) -> Option<&mut PartitionClient> {
         self.partitions
             .iter_mut()
-            .find(|partition| partition.owns(stream))
+            .find(|partition| partition.owns_stream(stream))
     }
 
-    /// Sends the increments of this turn.
+    /// Sends the increments that were added in this turn of the event loop.
     pub(crate) fn flush(&mut self, engine: &mut Engine) {
         for partition in &mut self.partitions {
             partition.flush(engine);
         }
     }
 
-    /// Changes of the partitions' states since the last call.
+    /// Takes the changes of the partitions' states that responses have revealed.
     pub(crate) fn take_state_changes(&mut self) -> Vec<StateChange> {
         self.partitions
             .iter_mut()
--- a/crates/grpc-gateway/src/counter_client/partition.rs
+++ b/crates/grpc-gateway/src/counter_client/partition.rs
@@ -1,8 +1,8 @@
-//! The client of one partition of the counter: increments are pipelined on one stream. It decides nothing: a call ends by its
-//! response, its time-out or the stream's end.
+//! The client of one partition of the counter, which pipelines increments on one stream. It makes no decisions and retries nothing: a
+//! call ends by its response, its time-out or the end of the stream.
 //!
-//! A connection on which nothing was received since a call that timed out was sent may be dead without a sign; the next call
-//! opens a new one.
+//! A connection may be lost without an error. If a call times out and nothing was received since it was sent, the connection is
+//! therefore closed, and the next call opens a new one.
 
 use super::result_order::{CallNumber, CounterResult, ResultOrder};
 use super::state_tracker::{StateChange, StateTracker};
@@ -17,11 +17,12 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Calls that may be open at once; further ones end as never sent.
+/// The most calls that may be open at once; further ones end as never sent.
 const MAX_OPEN_CALLS: usize = 10_000;
-/// The longest response that is read, in bytes.
+/// The longest response that is accepted.
 const MAX_RESPONSE_BYTES: usize = 1_024;
-const PATH: &str = "/chalkdeck.counter.v1.Counter/Adds";
+/// The path of the streaming method that adds increments.
+const ADDS_PATH: &str = "/chalkdeck.counter.v1.Counter/Adds";
 
 /// An increment of one key.
 pub(crate) struct Increment {
@@ -29,7 +30,7 @@
     pub(crate) amount: f64,
     /// In microseconds.
     pub(crate) time_to_live: u64,
-    /// When the call times out, by the loop's clock in microseconds.
+    /// When the call times out, by the event loop's clock in microseconds.
     pub(crate) deadline: u64,
 }
 
@@ -37,7 +38,7 @@
     Closed,
     Connecting {
         conn: ConnId,
-        /// Increments that are sent once the connection is established.
+        /// The increments to send once the connection is established.
         pending: Vec<AddRequest>,
     },
     Open {
@@ -47,10 +48,11 @@
     },
 }
 
-/// A call that was sent or waits for the connection.
+/// A call without a result: its request was sent, or waits for the connection.
 struct OpenCall {
     key: CounterKey,
-    sent_at: u64,
+    /// When it was made, by the event loop's clock in microseconds.
+    started_at: u64,
 }
 
 struct CallDeadline {
@@ -62,19 +64,19 @@
 pub(crate) struct PartitionClient {
     address: SocketAddr,
     connection: Connection,
-    /// When something was last received on the connection.
+    /// When the connection was established or last received bytes, by the event loop's clock in microseconds.
     last_received: u64,
     open_calls: FxHashMap<CallNumber, OpenCall>,
     order: ResultOrder,
-    /// Deadlines in the order of the calls; those of ended calls are dropped when they come first.
+    /// Deadlines in the order of the calls. Those of ended calls are removed when they come first.
     deadlines: VecDeque<CallDeadline>,
     last_call: CallNumber,
-    /// This gateway's incarnation, by which an increment that arrives twice counts once.
+    /// The incarnation of this client. With the number of the call it lets the counter recognise an increment that arrives twice.
     caller: u64,
-    tracker: StateTracker,
-    /// Increments of this turn, which are sent together. Bounded by the open calls.
+    state_tracker: StateTracker,
+    /// The encoded increments of this turn, which are sent together. Bounded by the number of open calls.
     outgoing: BytesMut,
-    /// Bounded: taken out after each response.
+    /// Bounded, since they are taken after each batch of responses.
     state_changes: Vec<StateChange>,
     request_head: http::Request<()>,
 }
@@ -82,7 +84,7 @@
 impl PartitionClient {
     /// A client without a connection.
     pub(crate) fn new(address: SocketAddr, now: u64) -> PartitionClient {
-        let request_head = grpc::request(&address.to_string(), PATH)
+        let request_head = grpc::request(&address.to_string(), ADDS_PATH)
             .expect("an address and a fixed path make a valid request head");
         PartitionClient {
             address,
@@ -93,14 +95,14 @@
             deadlines: VecDeque::new(),
             last_call: 0,
             caller: incarnation(now),
-            tracker: StateTracker::default(),
+            state_tracker: StateTracker::default(),
             outgoing: BytesMut::new(),
             state_changes: Vec::new(),
             request_head,
         }
     }
 
-    /// Sends an increment, or keeps it until the connection is established. Returns what is known at once.
+    /// Sends an increment, or keeps it until the connection is established. Returns the results of calls that end at once.
     pub(crate) fn add(&mut self, engine: &mut Engine, increment: &Increment) -> Vec<CounterResult> {
         let is_full = self.open_calls.len() >= MAX_OPEN_CALLS;
         let call = self.start_call(increment.key, engine.now());
@@ -136,11 +138,17 @@
         self.last_call += 1;
         let call = self.last_call;
         self.order.call_started(key, call);
-        self.open_calls.insert(call, OpenCall { key, sent_at: now });
+        self.open_calls.insert(
+            call,
+            OpenCall {
+                key,
+                started_at: now,
+            },
+        );
         call
     }
 
-    /// Sends the increments of this turn.
+    /// Sends the increments that were added in this turn of the event loop.
     pub(crate) fn flush(&mut self, engine: &mut Engine) {
         if self.outgoing.is_empty() {
             return;
@@ -150,11 +158,12 @@
         }
     }
 
-    /// Changes of the partition's state since the last call.
+    /// Takes the changes of the partition's state that responses have revealed.
     pub(crate) fn take_state_changes(&mut self) -> Vec<StateChange> {
         std::mem::take(&mut self.state_changes)
     }
 
+    /// Ends a call. Returns the results that are due: those of a key are returned in the order of its calls.
     fn end_call(&mut self, call: CallNumber, outcome: Outcome, total: f64) -> Vec<CounterResult> {
         let Some(open_call) = self.open_calls.remove(&call) else {
             return Vec::new();
@@ -167,7 +176,7 @@
         self.order.call_ended(call, result)
     }
 
-    /// When the earliest open call times out.
+    /// The deadline of the open call that times out first.
     pub(crate) fn next_timeout(&mut self) -> Option<u64> {
         while let Some(deadline) = self.deadlines.front() {
             if self.open_calls.contains_key(&deadline.call) {
@@ -178,7 +187,7 @@
         None
     }
 
-    /// Ends the calls whose time-out has passed. Those that waited for a connection were certainly never sent.
+    /// Ends the calls whose deadline has passed. Those that waited for a connection are known not to have been sent.
     pub(crate) fn time_out_calls(&mut self, engine: &mut Engine) -> Vec<CounterResult> {
         let now = engine.now();
         let mut results = Vec::new();
@@ -187,19 +196,20 @@
                 break;
             };
             let open_call = self.open_calls.get(&call);
-            let sent_at = open_call.map_or(now, |open_call| open_call.sent_at);
+            let started_at = open_call.map_or(now, |open_call| open_call.started_at);
             let outcome = match self.connection {
                 Connection::Open { .. } => Outcome::Timeout,
                 Connection::Closed | Connection::Connecting { .. } => Outcome::ConnectFailed,
             };
             results.extend(self.end_call(call, outcome, 0.0));
-            if self.last_received < sent_at {
+            if self.last_received < started_at {
                 results.extend(self.drop_connection(engine));
             }
         }
         results
     }
 
+    /// Closes the connection and ends all open calls.
     fn drop_connection(&mut self, engine: &mut Engine) -> Vec<CounterResult> {
         let (conn, outcome) = match &self.connection {
             Connection::Closed => (None, Outcome::Reset),
@@ -215,7 +225,7 @@
         self.end_all_calls(outcome)
     }
 
-    /// Ends all calls in their order.
+    /// Ends all open calls, in the order in which they were made.
     fn end_all_calls(&mut self, outcome: Outcome) -> Vec<CounterResult> {
         let mut calls: Vec<CallNumber> = self.open_calls.keys().copied().collect();
         calls.sort_unstable();
@@ -225,7 +235,7 @@
             .collect()
     }
 
-    /// A connection is established; `None`: it is not this partition's.
+    /// A connection is established. Returns the results of calls that end; `None`: it is not this partition's connection.
     pub(crate) fn connected(
         &mut self,
         engine: &mut Engine,
@@ -247,7 +257,7 @@
             deframer: Deframer::default(),
         };
         for request in pending {
-            // Calls that have timed out since are not sent.
+            // Calls that have timed out in the meantime are not sent.
             if self.open_calls.contains_key(&request.number) {
                 grpc::push_frame(&mut self.outgoing, &request);
             }
@@ -255,7 +265,7 @@
         Some(Vec::new())
     }
 
-    /// A connection is closed; `None`: it is not this partition's.
+    /// A connection is closed. Returns the results of calls that end; `None`: it is not this partition's connection.
     pub(crate) fn closed(&mut self, closed: ConnId) -> Option<Vec<CounterResult>> {
         let outcome = match &self.connection {
             Connection::Connecting { conn, .. } if *conn == closed => Outcome::ConnectFailed,
@@ -267,12 +277,12 @@
         Some(self.end_all_calls(outcome))
     }
 
-    /// Whether it is the stream of this partition.
-    pub(crate) fn owns(&self, candidate: StreamId) -> bool {
+    /// Whether a stream is the one of this partition.
+    pub(crate) fn owns_stream(&self, candidate: StreamId) -> bool {
         matches!(&self.connection, Connection::Open { stream, .. } if *stream == candidate)
     }
 
-    /// Bytes have arrived on the partition's stream. A malformed response ends the connection.
+    /// Handles bytes received on the partition's stream. A malformed response ends the connection.
     pub(crate) fn on_data(
         &mut self,
         engine: &mut Engine,
@@ -310,21 +320,22 @@
     }
 
     fn on_response(&mut self, engine: &Engine, response: &AddResponse) -> Vec<CounterResult> {
-        self.state_changes.extend(self.tracker.observe(response));
+        self.state_changes
+            .extend(self.state_tracker.observe(response));
         if Code::from_number(response.status) == Code::Aborted {
-            // The partition has forgotten this caller, so a new incarnation begins.
+            // The partition no longer knows this caller and the increments that it counted, so later calls have a new incarnation.
             self.caller = incarnation(engine.now());
         }
         self.end_call(response.number, outcome_of(response), response.total)
     }
 
-    /// The stream has ended, by its head, its trailers or a reset; the connection is closed with it.
+    /// The stream has ended by its head, its trailers or a reset. The connection is closed, too.
     pub(crate) fn on_stream_ended(&mut self, engine: &mut Engine) -> Vec<CounterResult> {
         self.drop_connection(engine)
     }
 }
 
-/// A partition sent bytes that are no response.
+/// A partition sent bytes that are not a valid response.
 struct MalformedResponse;
 
 fn outcome_of(response: &AddResponse) -> Outcome {
--- a/crates/grpc-gateway/src/counter_client/result_order.rs
+++ b/crates/grpc-gateway/src/counter_client/result_order.rs
@@ -1,10 +1,10 @@
-//! Results of counter calls in the order in which the calls of each key were made.
+//! Orders the results of counter calls: those of one key are returned in the order in which its calls were made.
 
 use chalkdeck::api::{CounterKey, Outcome};
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 
-/// The number of a call, from 1 in the order of the calls.
+/// The number of a call, counted from 1 in the order in which calls are made.
 pub(super) type CallNumber = u64;
 
 /// How a call to the counter has ended.
@@ -16,6 +16,7 @@
     pub(crate) total: f64,
 }
 
+/// The place of a call's result in the order of its key.
 #[derive(Debug)]
 struct Slot {
     call: CallNumber,
@@ -23,20 +24,20 @@
     result: Option<CounterResult>,
 }
 
-/// Orders the results of each key by its calls, whatever the order in which they arrive.
+/// The open calls of each key in their order, with the results that wait for an earlier call.
 #[derive(Debug, Default)]
 pub(super) struct ResultOrder {
     slots: FxHashMap<CounterKey, VecDeque<Slot>>,
 }
 
 impl ResultOrder {
-    /// A call is made.
+    /// Adds a call that is made now.
     pub(super) fn call_started(&mut self, key: CounterKey, call: CallNumber) {
         let slot = Slot { call, result: None };
         self.slots.entry(key).or_default().push_back(slot);
     }
 
-    /// A call has ended. Returns the results that no earlier open call holds up; a second end of a call is ignored.
+    /// Records the result of a call. Returns the results of its key that wait for no earlier call. A second result of a call is ignored.
     pub(super) fn call_ended(
         &mut self,
         call: CallNumber,
--- a/crates/grpc-gateway/src/counter_client/result_order/tests.rs
+++ b/crates/grpc-gateway/src/counter_client/result_order/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn results_arrive_out_of_order_then_each_key_gets_them_in_call_order() {
+fn results_of_each_key_are_returned_in_call_order() {
     let mut order = ResultOrder::default();
     for call in 1..=4 {
         order.call_started(CounterKey(call % 2), call);
@@ -23,7 +23,7 @@
     assert_eq!(
         order.call_ended(2, result(0, 20.0)).len(),
         1,
-        "other keys do not wait"
+        "calls of other keys do not wait"
     );
     let totals: Vec<f64> = order
         .call_ended(1, result(1, 10.0))
@@ -33,7 +33,7 @@
     assert_eq!(totals, [10.0, 30.0]);
     assert!(
         order.call_ended(1, result(1, 11.0)).is_empty(),
-        "reported once"
+        "a call has one result"
     );
     assert_eq!(order.call_ended(4, result(0, 40.0)).len(), 1);
     assert!(order.slots.is_empty());
--- a/crates/grpc-gateway/src/counter_client/state_tracker.rs
+++ b/crates/grpc-gateway/src/counter_client/state_tracker.rs
@@ -1,19 +1,19 @@
-//! What a partition's responses tell about its state: whether it has restarted, and whether increments were lost.
+//! Detects from a partition's responses whether it has restarted and whether it has lost increments.
 
 use chalkdeck_proto::chalkdeck::counter::v1::AddResponse;
 
-/// What has happened to a partition's totals between two responses.
+/// A change of a partition's state between two responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StateChange {
-    /// It was restarted and has recovered its totals.
+    /// It has restarted and recovered its totals.
     Recovered,
-    /// It has other totals than before: earlier increments are lost.
-    Emptied,
-    /// It has its totals as they were earlier.
-    WentBack,
+    /// It has a new incarnation without its earlier totals: earlier increments are lost.
+    LostTotals,
+    /// It has its totals of an earlier time: later increments are lost.
+    RolledBack,
 }
 
-/// Follows the responses of one partition.
+/// The state that the last response of one partition identified.
 #[derive(Debug, Default)]
 pub(crate) struct StateTracker {
     incarnation: u64,
@@ -22,7 +22,8 @@
 }
 
 impl StateTracker {
-    /// Compares a response with the one before. A partition without a log does not identify its state, so nothing follows.
+    /// Compares a response with the one before, and returns the change. A partition without a log sends no incarnation, so that no
+    /// change can be detected.
     pub(crate) fn observe(&mut self, response: &AddResponse) -> Option<StateChange> {
         if response.incarnation == 0 {
             return None;
@@ -36,9 +37,9 @@
         if before.incarnation == 0 {
             None
         } else if before.incarnation != response.incarnation {
-            Some(StateChange::Emptied)
+            Some(StateChange::LostTotals)
         } else if response.position < before.position || response.epoch < before.epoch {
-            Some(StateChange::WentBack)
+            Some(StateChange::RolledBack)
         } else {
             (response.epoch > before.epoch).then_some(StateChange::Recovered)
         }
--- a/crates/grpc-gateway/src/counter_client/state_tracker/tests.rs
+++ b/crates/grpc-gateway/src/counter_client/state_tracker/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn answer(incarnation: u64, epoch: u64, position: u64) -> AddResponse {
+fn response(incarnation: u64, epoch: u64, position: u64) -> AddResponse {
     AddResponse {
         incarnation,
         epoch,
@@ -12,18 +12,18 @@
 }
 
 #[test]
-fn counter_restarts_then_recovered_emptied_and_restored_states_differ() {
+fn recovered_lost_and_rolled_back_totals_are_told_apart() {
     let mut tracker = StateTracker::default();
-    for (answer, change) in [
-        (answer(0, 0, 0), None),
-        (answer(7, 1, 10), None),
-        (answer(7, 1, 12), None),
-        (answer(7, 2, 12), Some(StateChange::Recovered)),
-        (answer(7, 3, 4), Some(StateChange::WentBack)),
-        (answer(9, 1, 1), Some(StateChange::Emptied)),
-        (answer(0, 0, 0), None),
-        (answer(9, 1, 2), None),
+    for (response, change) in [
+        (response(0, 0, 0), None),
+        (response(7, 1, 10), None),
+        (response(7, 1, 12), None),
+        (response(7, 2, 12), Some(StateChange::Recovered)),
+        (response(7, 3, 4), Some(StateChange::RolledBack)),
+        (response(9, 1, 1), Some(StateChange::LostTotals)),
+        (response(0, 0, 0), None),
+        (response(9, 1, 2), None),
     ] {
-        assert_eq!(tracker.observe(&answer), change, "{answer:?}");
+        assert_eq!(tracker.observe(&response), change, "{response:?}");
     }
 }
--- a/crates/grpc-gateway/src/gateway_server/counter_calls.rs
+++ b/crates/grpc-gateway/src/gateway_server/counter_calls.rs
@@ -67,8 +67,8 @@
             self.metrics.counter_state_changed(change);
             match change {
                 StateChange::Recovered => tracing::info!("counter restarted with its counts"),
-                StateChange::Emptied => tracing::warn!("counter lost its counts"),
-                StateChange::WentBack => tracing::warn!("counter went back to an earlier state"),
+                StateChange::LostTotals => tracing::warn!("counter lost its counts"),
+                StateChange::RolledBack => tracing::warn!("counter went back to an earlier state"),
             }
         }
     }
--- a/crates/grpc-gateway/src/metrics.rs
+++ b/crates/grpc-gateway/src/metrics.rs
@@ -1,6 +1,6 @@
-//! The metrics of one gateway in the Prometheus text form.
+//! The metrics of one gateway, in the text format of Prometheus.
 //!
-//! Names and label values are read by dashboards and alerts, so they stay whatever fields and variants are called.
+//! Dashboards and alerts read the names of metrics and the values of labels, so these stay when a field or variant is renamed.
 
 use crate::counter_client::StateChange;
 use chalkdeck::api::Outcome;
@@ -11,12 +11,12 @@
 use prometheus_client::metrics::histogram::{exponential_buckets, Histogram};
 use prometheus_client::registry::Registry;
 
-/// The upper bound of the shortest bucket of call durations, in seconds.
+/// The upper bound of the first bucket of call durations; each further bound is a multiple of the one before.
 const FIRST_BUCKET_SECONDS: f64 = 0.000_25;
 const BUCKET_FACTOR: f64 = 2.0;
 const BUCKET_COUNT: u16 = 16;
 
-/// The labels of completed calls. Field names are label names.
+/// The labels of completed calls. The field names are the label names.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct CallLabels {
     class: String,
@@ -30,13 +30,13 @@
     kind: String,
 }
 
-/// How a call has ended for its client.
+/// How a call ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum CallEnd {
     Served,
     Rejected,
     Failed,
-    /// The client has left.
+    /// The client cancelled it or disconnected.
     Cancelled,
 }
 
@@ -59,13 +59,13 @@
     }
 }
 
-/// A counter of one way in which a call ends.
+/// The counter of the calls of a class and a plan that end in one way.
 struct EndCounter {
     end: CallEnd,
     counter: Counter,
 }
 
-/// A counter of one outcome.
+/// The counter of one outcome.
 struct OutcomeCounter {
     outcome: Outcome,
     counter: Counter,
@@ -78,22 +78,22 @@
     pub(crate) resp_requests: Counter,
     pub(crate) queue_rejections: Counter,
     pub(crate) queued_requests: Gauge,
-    /// By class, then by plan; counters are found without a look-up of labels.
+    /// By class, then by plan, so that a counter is found by indices and not by its labels.
     completed_calls: Vec<Vec<Vec<EndCounter>>>,
     attempts: Vec<OutcomeCounter>,
     counter_calls: Vec<OutcomeCounter>,
     counter_state_changes: Family<KindLabel, Counter>,
-    invalid_input: Family<KindLabel, Counter>,
+    rejected_input: Family<KindLabel, Counter>,
     pub(crate) open_calls: Gauge,
     pub(crate) connections: Gauge,
     pub(crate) endpoints: Gauge,
     pub(crate) endpoint_list_failures: Counter,
-    /// In seconds.
+    /// The time from a call's head to its final answer, in seconds.
     pub(crate) call_duration: Histogram,
 }
 
 impl Metrics {
-    /// Registers all metrics; every class with every plan begins at zero.
+    /// Registers all metrics. The counters of every class with every plan exist from the start, at zero.
     pub(crate) fn new(classes: &[String], plans: &[String]) -> Metrics {
         let completed_calls = Family::default();
         let attempts = Family::default();
@@ -109,20 +109,20 @@
             attempts: counters_by_outcome(&attempts),
             counter_calls: counters_by_outcome(&counter_calls),
             counter_state_changes: Family::default(),
-            invalid_input: Family::default(),
+            rejected_input: Family::default(),
             open_calls: Gauge::default(),
             connections: Gauge::default(),
             endpoints: Gauge::default(),
             endpoint_list_failures: Counter::default(),
             call_duration: Histogram::new(buckets),
         };
-        metrics.register_arrivals();
-        metrics.register_outcomes(completed_calls, attempts, counter_calls);
-        metrics.register_levels();
+        metrics.register_arrival_metrics();
+        metrics.register_outcome_metrics(completed_calls, attempts, counter_calls);
+        metrics.register_gateway_metrics();
         metrics
     }
 
-    fn register_arrivals(&mut self) {
+    fn register_arrival_metrics(&mut self) {
         let registry = &mut self.registry;
         registry.register("calls_taken", "Calls taken", self.accepted_calls.clone());
         registry.register(
@@ -142,7 +142,7 @@
         );
     }
 
-    fn register_outcomes(
+    fn register_outcome_metrics(
         &mut self,
         completed_calls: Family<CallLabels, Counter>,
         attempts: Family<KindLabel, Counter>,
@@ -168,11 +168,11 @@
         registry.register(
             "calls_rejected",
             "Input that is no call, by what was wrong",
-            self.invalid_input.clone(),
+            self.rejected_input.clone(),
         );
     }
 
-    fn register_levels(&mut self) {
+    fn register_gateway_metrics(&mut self) {
         let registry = &mut self.registry;
         registry.register(
             "calls_open",
@@ -197,11 +197,11 @@
         );
     }
 
-    /// Counts a completed call of a class and a plan, by their indexes.
+    /// Counts a completed call; `class` and `plan` are indices.
     pub(crate) fn call_completed(&self, class: usize, plan: usize, end: CallEnd) {
         let counters = &self.completed_calls[class][plan];
-        if let Some(found) = counters.iter().find(|counter| counter.end == end) {
-            found.counter.inc();
+        if let Some(matching) = counters.iter().find(|counter| counter.end == end) {
+            matching.counter.inc();
         }
     }
 
@@ -223,13 +223,13 @@
             .inc();
     }
 
-    /// Counts input that is not accepted as a call; `kind` says what is wrong with it.
+    /// Counts input that is not accepted as a call; `kind` is the value of the label and names the reason.
     pub(crate) fn input_rejected(&self, kind: &str) {
         let kind = kind.to_string();
-        self.invalid_input.get_or_create(&KindLabel { kind }).inc();
+        self.rejected_input.get_or_create(&KindLabel { kind }).inc();
     }
 
-    /// All metrics as text.
+    /// All metrics in the text format.
     pub(crate) fn text(&self) -> String {
         let mut output = String::new();
         match text::encode(&mut output, &self.registry) {
@@ -290,7 +290,7 @@
     Outcome::NeverSent,
 ];
 
-/// The value of the label `kind` of an outcome.
+/// The value of the label `kind` for an outcome.
 fn outcome_label(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "ok",
@@ -304,17 +304,17 @@
     }
 }
 
-/// The value of the label `kind` of a state change.
+/// The value of the label `kind` for a state change.
 fn state_change_label(change: StateChange) -> &'static str {
     match change {
         StateChange::Recovered => "recovered",
-        StateChange::Emptied => "emptied",
-        StateChange::WentBack => "wentback",
+        StateChange::LostTotals => "emptied",
+        StateChange::RolledBack => "wentback",
     }
 }
 
 fn count_outcome(counters: &[OutcomeCounter], outcome: Outcome) {
-    if let Some(found) = counters.iter().find(|counter| counter.outcome == outcome) {
-        found.counter.inc();
+    if let Some(matching) = counters.iter().find(|counter| counter.outcome == outcome) {
+        matching.counter.inc();
     }
 }
--- a/crates/grpc-gateway/src/site_overrides.rs
+++ b/crates/grpc-gateway/src/site_overrides.rs
@@ -1,4 +1,4 @@
-//! Operators' overrides of sites, persisted over restarts: a gateway that starts in the middle of a drain must know of it.
+//! Persists operators' overrides of sites, so that a gateway that restarts during a drain does not send requests to the drained site.
 
 use crate::base::errors::SiteOverridesError;
 use chalkdeck_proto::chalkdeck::config::v1::HeldSites;
@@ -7,25 +7,25 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The name of the file's message.
-const MESSAGE: &str = "chalkdeck.config.v1.HeldSites";
-/// Sites that may be out of service by override at once.
-const MAX_SITES: usize = 256;
-/// The extension of the file that replaces the old one by rename.
+/// The name of the message type in the file.
+const MESSAGE_NAME: &str = "chalkdeck.config.v1.HeldSites";
+/// The most sites that may be out of service by override.
+const MAX_OUT_OF_SERVICE_SITES: usize = 256;
+/// The extension of the new file before it is renamed to the final one.
 const NEW_FILE_EXTENSION: &str = "new";
 
-/// What an override asks for, as far as it outlasts the process.
+/// The effect of an override that persists over a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum SitePlacement {
-    /// The site gets no new requests until it is restored.
+pub(crate) enum SiteServiceState {
+    /// The site gets no new requests until an operator restores it.
     OutOfService,
     /// The site is used again.
     InService,
 }
 
-/// Names of the sites that operators have taken out of service.
+/// The names of the sites that operators have taken out of service.
 pub(crate) struct SiteOverrides {
-    /// Where they are persisted; `None`: nowhere.
+    /// The file that persists them; `None`: they last until the gateway ends.
     file: Option<PathBuf>,
     out_of_service: BTreeSet<String>,
 }
@@ -34,7 +34,8 @@
     /// Reads the persisted overrides.
     ///
     /// # Errors
-    /// The file is there but can't be read or parsed; the line is named. A start that forgot a drain would be worse than no start.
+    /// The file exists but can't be read or parsed; the error names the line. The gateway must not start then, as it might send requests
+    /// to a drained site.
     pub(crate) fn load(file: Option<&Path>) -> Result<SiteOverrides, SiteOverridesError> {
         let out_of_service = match file {
             Some(path) => read_sites(path)?,
@@ -46,27 +47,27 @@
         })
     }
 
-    /// The sites that are out of service, by name.
+    /// The names of the sites that are out of service.
     pub(crate) fn out_of_service(&self) -> impl Iterator<Item = &str> {
         self.out_of_service.iter().map(String::as_str)
     }
 
-    /// Persists an override of a site.
+    /// Records and persists an override of a site.
     ///
     /// # Errors
-    /// It could not be written, or there are too many; then nothing is changed.
+    /// The file could not be written, or too many sites would be out of service. Nothing is changed then.
     pub(crate) fn persist(
         &mut self,
         site: &str,
-        placement: SitePlacement,
+        service_state: SiteServiceState,
     ) -> Result<(), SiteOverridesError> {
         let mut sites = self.out_of_service.clone();
-        match placement {
-            SitePlacement::OutOfService => sites.insert(site.to_string()),
-            SitePlacement::InService => sites.remove(site),
+        match service_state {
+            SiteServiceState::OutOfService => sites.insert(site.to_string()),
+            SiteServiceState::InService => sites.remove(site),
         };
-        if sites.len() > MAX_SITES {
-            return Err(SiteOverridesError::TooMany(MAX_SITES));
+        if sites.len() > MAX_OUT_OF_SERVICE_SITES {
+            return Err(SiteOverridesError::TooMany(MAX_OUT_OF_SERVICE_SITES));
         }
         if let Some(file) = &self.file {
             replace_file(file, &sites).map_err(|source| SiteOverridesError::File {
@@ -91,7 +92,7 @@
         }
     };
     let message: HeldSites =
-        text::parse(MESSAGE, &content).map_err(|error| SiteOverridesError::Malformed {
+        text::parse(MESSAGE_NAME, &content).map_err(|error| SiteOverridesError::Malformed {
             file: path.into(),
             line: error.line,
             what: error.what,
@@ -99,12 +100,12 @@
     Ok(message.sites.into_iter().collect())
 }
 
-/// Writes the new file beside the old one and renames it, so that readers never see a part.
+/// Replaces the file atomically: writes a new file beside it and renames that one, so that no reader sees a partial file.
 fn replace_file(file: &Path, sites: &BTreeSet<String>) -> io::Result<()> {
     let message = HeldSites {
         sites: sites.iter().cloned().collect(),
     };
-    let content = text::print(MESSAGE, &message).unwrap_or_default();
+    let content = text::print(MESSAGE_NAME, &message).unwrap_or_default();
     let new_file = file.with_extension(NEW_FILE_EXTENSION);
     std::fs::write(&new_file, content)?;
     std::fs::rename(&new_file, file)
--- a/crates/grpc-gateway/src/sites/admin.rs
+++ b/crates/grpc-gateway/src/sites/admin.rs
@@ -1,11 +1,11 @@
-//! Operators' overrides of sites, given on the admin port of one gateway or to all of them through the coordinator.
+//! Operators' overrides of sites, which arrive on the admin port of one gateway, or at all gateways through the coordinator.
 
 use super::monitor::site_of;
 use super::SiteMonitor;
 use crate::base::errors::SiteRequestError;
 use crate::base::listed_endpoint::zone_id_of;
 use crate::gateway_server::GatewayServer;
-use crate::site_overrides::SitePlacement;
+use crate::site_overrides::SiteServiceState;
 use chalkdeck_site_failover::{Event, SiteOverride};
 use chalkdeck_time::Timestamp;
 
@@ -13,15 +13,15 @@
 const OVERRIDE_PREFIX: &str = "/sites/";
 
 impl GatewayServer {
-    /// Applies an override that came from the coordinator. It counts from the first list that names its site on, and is
-    /// persisted like one that was given here.
+    /// Applies and persists an override received from the coordinator. If its site is still unknown, it takes effect with the
+    /// first endpoint list that names it.
     pub(crate) fn apply_site_override(&mut self, site_name: &str, action: &str) {
         let now = self.now();
         let Some(sites) = &mut self.sites else { return };
         let site_override = parse_override(action).unwrap_or(SiteOverride::Restore);
         let persisted = sites
             .overrides
-            .persist(site_name, placement_of(site_override));
+            .persist(site_name, service_state_of(site_override));
         if let Err(error) = persisted {
             tracing::error!(
                 site = site_name,
@@ -39,10 +39,10 @@
         self.apply_site_plan();
     }
 
-    /// Answers `/sites`, `/sites/drain/NAME`, `/sites/hold/NAME` and `/sites/let-back/NAME` with the status as JSON.
+    /// Handles a request to `/sites`, `/sites/drain/NAME`, `/sites/hold/NAME` or `/sites/let-back/NAME`. Returns the status as JSON.
     ///
     /// # Errors
-    /// Sites are not watched, the path is no request, or the override could not be persisted.
+    /// Site failover is not enabled, the path or the site is unknown, or the override could not be persisted.
     pub(crate) fn answer_site_request(&mut self, path: &str) -> Result<String, SiteRequestError> {
         let now = self.now();
         let sites = self.sites.as_mut().ok_or(SiteRequestError::NotEnabled)?;
@@ -56,7 +56,7 @@
         }
         let status = sites.status(now, &self.settings);
         self.apply_site_plan();
-        // Plain numbers and texts always have their JSON form.
+        // Numbers and texts can always be encoded as JSON.
         Ok(serde_json::to_string(&status).unwrap_or_default())
     }
 }
@@ -72,7 +72,7 @@
             .ok_or_else(|| SiteRequestError::UnknownOverride(action.to_string()))?;
         self.require_known_site(site_name)?;
         self.overrides
-            .persist(site_name, placement_of(site_override))?;
+            .persist(site_name, service_state_of(site_override))?;
         tracing::warn!(
             site = site_name,
             site_override = action,
@@ -83,11 +83,11 @@
     }
 
     fn require_known_site(&self, site_name: &str) -> Result<(), SiteRequestError> {
-        let known_name = self.names.get(&site_of(zone_id_of(site_name)));
+        let known_name = self.site_names.get(&site_of(zone_id_of(site_name)));
         if known_name.is_some_and(|known_name| known_name == site_name) {
             return Ok(());
         }
-        let known: Vec<&str> = self.names.values().map(String::as_str).collect();
+        let known: Vec<&str> = self.site_names.values().map(String::as_str).collect();
         Err(SiteRequestError::UnknownSite {
             known: known.join(", "),
             found: site_name.to_string(),
@@ -103,7 +103,7 @@
     }
 }
 
-/// The override by its name on the admin port and in the shared state.
+/// The override of this name on the admin port and in the shared state.
 fn parse_override(action: &str) -> Option<SiteOverride> {
     match action {
         "drain" => Some(SiteOverride::Drain),
@@ -113,9 +113,9 @@
     }
 }
 
-fn placement_of(site_override: SiteOverride) -> SitePlacement {
+fn service_state_of(site_override: SiteOverride) -> SiteServiceState {
     match site_override {
-        SiteOverride::Drain | SiteOverride::HoldOut => SitePlacement::OutOfService,
-        SiteOverride::Restore => SitePlacement::InService,
+        SiteOverride::Drain | SiteOverride::HoldOut => SiteServiceState::OutOfService,
+        SiteOverride::Restore => SiteServiceState::InService,
     }
 }
--- a/crates/grpc-gateway/src/sites/events.rs
+++ b/crates/grpc-gateway/src/sites/events.rs
@@ -1,4 +1,4 @@
-//! Events of the failover core, raised from the endpoint list, calls, attempts and counter calls.
+//! Reports endpoint lists, requests, attempts and counter calls to the failover core as its events.
 
 use crate::base::listed_endpoint::ListedEndpoint;
 use crate::counter_client::CounterResult;
@@ -10,7 +10,7 @@
 };
 use chalkdeck_time::TimeDelta;
 
-/// An attempt that has ended, as the gateway saw it.
+/// An attempt that has ended.
 pub(crate) struct AttemptReport {
     pub(crate) endpoint: EndpointId,
     pub(crate) outcome: Outcome,
@@ -21,16 +21,16 @@
 }
 
 impl GatewayServer {
-    /// A new endpoint list is in force.
-    pub(crate) fn report_endpoint_list(&mut self, servers: &[ListedEndpoint]) {
+    /// Reports a new endpoint list.
+    pub(crate) fn report_endpoint_list(&mut self, endpoints: &[ListedEndpoint]) {
         let now = self.now();
         if let Some(sites) = &mut self.sites {
-            sites.update_endpoints(now, servers);
+            sites.update_endpoints(now, endpoints);
         }
         self.apply_site_plan();
     }
 
-    /// A request has arrived. Requests whose callers do the work themselves take no capacity here.
+    /// Reports a request that has arrived. Admission-only requests use no capacity of the sites, since their callers do the work.
     pub(crate) fn report_request_offered(&mut self, request: &IncomingRequest) {
         let policy = &self.settings.policy;
         let class = &policy.classes[request.class.0];
@@ -45,12 +45,12 @@
         });
     }
 
-    /// An attempt was sent to an endpoint.
+    /// Reports an attempt that was sent to an endpoint.
     pub(crate) fn report_attempt_sent(&mut self, endpoint: EndpointId) {
         self.report_to_sites(Event::AttemptSent(failover::EndpointId(endpoint.0)));
     }
 
-    /// An attempt has ended.
+    /// Reports an attempt that has ended.
     pub(crate) fn report_attempt_ended(&mut self, report: &AttemptReport) {
         let ended = EndedAttempt {
             endpoint: failover::EndpointId(report.endpoint.0),
@@ -62,7 +62,7 @@
         self.report_to_sites(Event::AttemptEnded(ended));
     }
 
-    /// A request of a class had its final answer after `latency`; one that its client left says nothing about sites.
+    /// Reports a request that got its final answer after `latency`. One that its client has cancelled says nothing about sites.
     pub(crate) fn report_request_completed(
         &mut self,
         class: usize,
@@ -82,7 +82,7 @@
         self.report_to_sites(Event::RequestCompleted(completed));
     }
 
-    /// Calls to the counter have ended; the last one tells whether it can be reached.
+    /// Reports calls to the counter that have ended: the last one shows whether the counter is reachable.
     pub(crate) fn report_counter_results(&mut self, results: &[CounterResult]) {
         let Some(last) = results.last() else { return };
         let event = match last.outcome {
--- a/crates/grpc-gateway/src/sites/mod.rs
+++ b/crates/grpc-gateway/src/sites/mod.rs
@@ -1,5 +1,5 @@
-//! Sites as a gateway watches them: the failover core is told what happens on the sockets, its plan goes to the decisions, and
-//! operators see and override it.
+//! Site failover in a gateway: events of the sockets are reported to the failover core, its plan is passed to the decisions, and
+//! operators read the state of sites and override it.
 
 mod admin;
 mod events;
--- a/crates/grpc-gateway/src/sites/monitor.rs
+++ b/crates/grpc-gateway/src/sites/monitor.rs
@@ -1,4 +1,4 @@
-//! The failover core together with the names of its sites and the operators' overrides.
+//! The failover core, with the names of its sites and the operators' overrides.
 
 use crate::base::errors::SiteOverridesError;
 use crate::base::listed_endpoint::{zone_id_of, ListedEndpoint};
@@ -12,17 +12,17 @@
 use chalkdeck_time::Timestamp;
 use std::collections::BTreeMap;
 
-/// The failover core of one gateway, with the names of its sites.
+/// The failover core of one gateway, with the names of its sites and the operators' overrides.
 pub(crate) struct SiteMonitor {
     core: FailoverCore,
-    pub(super) names: BTreeMap<SiteId, String>,
-    /// The plan that the decisions have last been given.
+    pub(super) site_names: BTreeMap<SiteId, String>,
+    /// The plan that was last passed to the decisions; `None`: none was.
     pub(super) applied_plan: Option<FailoverPlan>,
     pub(super) overrides: SiteOverrides,
 }
 
 impl SiteMonitor {
-    /// Begins with the gateway's own site and the persisted overrides.
+    /// A monitor that knows the gateway's own site and the persisted overrides.
     ///
     /// # Errors
     /// The file of overrides can't be read or parsed.
@@ -39,21 +39,21 @@
         let overrides = SiteOverrides::load(settings.site_overrides_file.as_deref())?;
         Ok(SiteMonitor {
             core,
-            names: BTreeMap::from([(own_site, settings.zone_name.clone())]),
+            site_names: BTreeMap::from([(own_site, settings.zone_name.clone())]),
             applied_plan: None,
             overrides,
         })
     }
 
-    /// Takes over a new endpoint list.
-    pub(super) fn update_endpoints(&mut self, now: Timestamp, servers: &[ListedEndpoint]) {
-        for server in servers {
-            let site = site_of(server.entry.zone);
-            self.names.insert(site, server.zone_name.clone());
+    /// Reports a new endpoint list to the core, and applies the persisted overrides to its sites.
+    pub(super) fn update_endpoints(&mut self, now: Timestamp, endpoints: &[ListedEndpoint]) {
+        for endpoint in endpoints {
+            let site = site_of(endpoint.entry.zone);
+            self.site_names.insert(site, endpoint.zone_name.clone());
         }
-        let entries: Vec<EndpointEntry> = servers.iter().map(endpoint_entry).collect();
+        let entries: Vec<EndpointEntry> = endpoints.iter().map(endpoint_entry).collect();
         self.handle(now, Event::EndpointListUpdated(&entries));
-        // An override of an earlier process counts from the first list that names its site on.
+        // An override that was persisted before a restart takes effect with the first list that names its site.
         for name in self.overrides.out_of_service() {
             let event = Event::OverrideSet {
                 site: site_of(zone_id_of(name)),
@@ -68,28 +68,28 @@
         self.core.handle(now, event);
     }
 
-    /// The plan as of `now`.
+    /// Computes the plan as of `now`.
     pub(super) fn plan(&mut self, now: Timestamp) -> FailoverPlan {
         self.core.plan(now)
     }
 
-    /// The name of a site; empty if no list has named it.
+    /// The name of a site; empty if it is unknown.
     pub(super) fn site_name(&self, site: SiteId) -> &str {
-        self.names.get(&site).map_or("", |name| name)
+        self.site_names.get(&site).map_or("", |name| name)
     }
 }
 
-/// Zones are the sites of the failover core.
+/// The site of a zone: each zone is one site of the failover core.
 pub(super) fn site_of(zone: ZoneId) -> SiteId {
     SiteId(zone.0)
 }
 
-fn endpoint_entry(server: &ListedEndpoint) -> EndpointEntry {
+fn endpoint_entry(endpoint: &ListedEndpoint) -> EndpointEntry {
     EndpointEntry {
-        endpoint: EndpointId(server.entry.endpoint.0),
-        site: site_of(server.entry.zone),
-        in_service: server.entry.state == EndpointState::InService,
-        weight: server.entry.weight,
-        started_at: server.entry.started_at,
+        endpoint: EndpointId(endpoint.entry.endpoint.0),
+        site: site_of(endpoint.entry.zone),
+        in_service: endpoint.entry.state == EndpointState::InService,
+        weight: endpoint.entry.weight,
+        started_at: endpoint.entry.started_at,
     }
 }
--- a/crates/grpc-gateway/src/sites/plan.rs
+++ b/crates/grpc-gateway/src/sites/plan.rs
@@ -1,4 +1,4 @@
-//! The failover plan on its way to the decisions: when it is computed, and what of it is passed on.
+//! Computes the failover plan at an interval and passes it to the decisions if it has changed.
 
 use super::SiteMonitor;
 use crate::gateway_server::{GatewayServer, TimerPurpose};
@@ -7,34 +7,34 @@
     EndpointConcurrency, EndpointId, Event, FailoverPlan, SheddingThreshold, SitePlan, SiteState,
 };
 
-/// How often the plan is computed again, in microseconds.
-const PLAN_INTERVAL: u64 = 25_000;
-/// Figures that changed by a smaller part than this are not passed on.
+/// The interval at which the plan is computed.
+const PLAN_INTERVAL_MICROS: u64 = 25_000;
+/// A smaller relative change of a share or fraction does not count as a change.
 const MIN_RELATIVE_CHANGE: f64 = 0.005;
-/// Changes are relative to at least this, so that tiny figures don't count as changed.
-const MIN_REFERENCE: f64 = 0.05;
+/// The least value that a change is relative to, so that small changes of tiny values do not count.
+const MIN_CHANGE_REFERENCE: f64 = 0.05;
 
 impl GatewayServer {
-    /// Reports the endpoints' concurrency and computes the plan again.
+    /// Reports the endpoints' concurrency to the failover core, and computes and applies the plan. Runs at an interval.
     pub(crate) fn refresh_site_plan(&mut self) {
-        self.set_timer(PLAN_INTERVAL, TimerPurpose::SitePlanRefresh);
+        self.set_timer(PLAN_INTERVAL_MICROS, TimerPurpose::SitePlanRefresh);
         let now = self.now();
         let Some(sites) = &mut self.sites else { return };
-        let reported: Vec<EndpointConcurrency> = self
+        let concurrency: Vec<EndpointConcurrency> = self
             .decisions
             .engine
             .endpoint_concurrency()
-            .map(|reported| EndpointConcurrency {
-                endpoint: EndpointId(reported.endpoint.0),
-                in_flight: reported.in_flight,
-                limit: reported.limit,
+            .map(|endpoint| EndpointConcurrency {
+                endpoint: EndpointId(endpoint.endpoint.0),
+                in_flight: endpoint.in_flight,
+                limit: endpoint.limit,
             })
             .collect();
-        sites.handle(now, Event::ConcurrencyReported(&reported));
+        sites.handle(now, Event::ConcurrencyReported(&concurrency));
         self.apply_site_plan();
     }
 
-    /// Passes the plan to the decisions if it has changed.
+    /// Computes the plan and passes it to the decisions if it has changed.
     pub(super) fn apply_site_plan(&mut self) {
         let now = self.now();
         let Some(sites) = &mut self.sites else { return };
@@ -47,7 +47,7 @@
             return;
         }
         sites.log_state_changes(&plan);
-        let event = shares_event(&plan);
+        let event = zone_shares_changed(&plan);
         sites.replace_applied_plan(plan);
         self.decisions.push(event);
     }
@@ -55,16 +55,16 @@
 
 impl SiteMonitor {
     fn log_state_changes(&self, plan: &FailoverPlan) {
-        let applied = self
+        let applied_sites = self
             .applied_plan
             .as_ref()
             .map_or(&[][..], |applied| &applied.sites);
         for site_plan in &plan.sites {
-            let before = applied
+            let old_state = applied_sites
                 .iter()
                 .find(|applied| applied.site == site_plan.site)
                 .map(|applied| applied.state);
-            if before != Some(site_plan.state) {
+            if old_state != Some(site_plan.state) {
                 tracing::info!(
                     site = self.site_name(site_plan.site),
                     state = site_plan.state.name(),
@@ -75,15 +75,16 @@
         }
     }
 
-    /// Also forgets the names of sites that the plan no longer has.
+    /// Stores the plan as applied, and removes the names of sites that it no longer contains.
     fn replace_applied_plan(&mut self, plan: FailoverPlan) {
-        self.names
+        self.site_names
             .retain(|id, _| plan.sites.iter().any(|site_plan| site_plan.site == *id));
         self.applied_plan = Some(plan);
     }
 }
 
-fn shares_event(plan: &FailoverPlan) -> api::Event {
+/// The event by which the decisions receive a plan.
+fn zone_shares_changed(plan: &FailoverPlan) -> api::Event {
     let zone_share = |site_plan: &SitePlan| ZoneShare {
         zone: ZoneId(site_plan.site.0),
         share: site_plan.share,
@@ -99,7 +100,7 @@
     }
 }
 
-/// Whether the decisions need not be given the new plan.
+/// Whether the plans differ too little for the new one to be passed to the decisions.
 fn is_unchanged(old: &FailoverPlan, new: &FailoverPlan) -> bool {
     old.sites.len() == new.sites.len()
         && old
@@ -111,16 +112,16 @@
 }
 
 fn is_site_unchanged(old: &SitePlan, new: &SitePlan) -> bool {
-    old.site == new.site && old.state == new.state && is_near(old.share, new.share)
+    old.site == new.site && old.state == new.state && is_nearly_equal(old.share, new.share)
 }
 
 fn is_threshold_unchanged(old: &SheddingThreshold, new: &SheddingThreshold) -> bool {
     old.admit_above == new.admit_above
         && old.reject_below == new.reject_below
-        && is_near(old.admit_fraction, new.admit_fraction)
+        && is_nearly_equal(old.admit_fraction, new.admit_fraction)
 }
 
-fn is_near(old: f64, new: f64) -> bool {
-    let reference = old.abs().max(new.abs()).max(MIN_REFERENCE);
+fn is_nearly_equal(old: f64, new: f64) -> bool {
+    let reference = old.abs().max(new.abs()).max(MIN_CHANGE_REFERENCE);
     (old - new).abs() <= MIN_RELATIVE_CHANGE * reference
 }
--- a/crates/grpc-gateway/src/sites/status.rs
+++ b/crates/grpc-gateway/src/sites/status.rs
@@ -1,6 +1,6 @@
-//! What the admin port shows under `/sites`.
+//! The status of the sites, which the admin port serves as JSON under `/sites`.
 //!
-//! The JSON names are read by operators' tools, so they stay whatever the fields are called.
+//! Operators' tools read the JSON names, so a renamed field keeps its JSON name by an attribute.
 
 use super::SiteMonitor;
 use crate::base::settings::Settings;
@@ -8,10 +8,10 @@
 use chalkdeck_time::Timestamp;
 use serde::{Deserialize, Serialize};
 
-/// One site as the admin port shows it.
+/// The status of one site.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SiteStatus {
-    /// The zone's name.
+    /// The name of the site, which is that of its zone.
     pub site: String,
     /// The name of its state.
     pub state: String,
@@ -20,46 +20,46 @@
     pub state_seconds: f64,
     /// Why it is in that state.
     pub evidence: String,
-    /// Part of the load that it should bear.
+    /// The fraction of the load that it should get.
     pub share: f64,
-    /// Learned capacity in units a second that this gateway may use; `None`: no limit was met.
+    /// The learned capacity in units per second that this gateway may use; `None`: no limit was reached.
     #[serde(rename = "room")]
     pub capacity: Option<f64>,
-    /// Part of its capacity that it is given while it recovers.
+    /// The fraction of its capacity that it is given while it recovers; 1 otherwise.
     #[serde(rename = "pace")]
-    pub ramp: f64,
-    /// Attempts in flight.
+    pub ramp_fraction: f64,
+    /// The attempts in flight to it.
     #[serde(rename = "out")]
     pub in_flight: f64,
-    /// The most attempts that may be in flight.
+    /// The most attempts that may be in flight to it.
     #[serde(rename = "places")]
     pub concurrency_limit: f64,
 }
 
-/// What the admin port shows under `/sites`.
+/// The status of all sites as one gateway sees them.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SitesStatus {
-    /// The gateway's own site.
+    /// The name of the gateway's own site.
     #[serde(rename = "own")]
     pub own_site: String,
-    /// Part of the offered work that the sites can bear.
+    /// The fraction of the offered units that is admitted.
     #[serde(rename = "level")]
-    pub admission: f64,
-    /// Requests with less value for each unit are rejected.
+    pub admission_level: f64,
+    /// Requests with a lower value per unit are rejected.
     #[serde(rename = "floor")]
     pub reject_below: f64,
-    /// All sites.
+    /// The status of each site.
     pub sites: Vec<SiteStatus>,
 }
 
 impl SiteMonitor {
-    /// The state of all sites by the plan of `now`.
+    /// The status of all sites, by the plan as of `now`.
     pub(super) fn status(&mut self, now: Timestamp, settings: &Settings) -> SitesStatus {
         let plan = self.plan(now);
         let site_status = |site_plan: &SitePlan| self.site_status(now, site_plan);
         SitesStatus {
             own_site: settings.zone_name.clone(),
-            admission: plan.admission_level,
+            admission_level: plan.admission_level,
             reject_below: plan.threshold.reject_below,
             sites: plan.sites.iter().map(site_status).collect(),
         }
@@ -73,7 +73,7 @@
             evidence: plan.evidence.to_string(),
             share: plan.share,
             capacity: plan.capacity,
-            ramp: plan.ramp_fraction,
+            ramp_fraction: plan.ramp_fraction,
             in_flight: plan.concurrency.in_flight,
             concurrency_limit: plan.concurrency.limit,
         }
--- a/crates/testbed/tests/sites.rs
+++ b/crates/testbed/tests/sites.rs
@@ -168,7 +168,7 @@
         p.said
             .0
             .iter()
-            .any(|(_, _, s)| s.admission < 1.0 && s.reject_below > 0.0),
+            .any(|(_, _, s)| s.admission_level < 1.0 && s.reject_below > 0.0),
         "and refuses by worth"
     );
 }
