--- a/crates/grpc-gateway/src/coordinator_link/access.rs
+++ b/crates/grpc-gateway/src/coordinator_link/access.rs
@@ -79,8 +79,8 @@
         })))
     }
 
-    /// Checks a RESP command against its customer's rules, in which its `path` stands for the command. Returns the text of the error
-    /// reply if it is not admitted.
+    /// Checks a RESP command against its customer's rules, which match it by `path`. Returns the text of the error reply if it
+    /// is not admitted.
     pub(crate) fn admit_command(
         &mut self,
         conn: ConnId,
--- a/crates/grpc-gateway/src/coordinator_link/contracts.rs
+++ b/crates/grpc-gateway/src/coordinator_link/contracts.rs
@@ -6,8 +6,8 @@
 use chalkdeck_contract::{hold_back, ServerContract};
 
 impl CoordinatorLink {
-    /// Marks the endpoints of a list whose contract version was not admitted as draining. Keeps the list as it was read, since a later
-    /// change of the admitted versions applies to it again.
+    /// Marks the endpoints of a list whose contract version was not admitted as draining. Keeps the list as it was read,
+    /// to apply it again when other versions are admitted.
     pub(super) fn hold_back(&mut self, endpoints: &mut [ListedEndpoint]) {
         self.listed_endpoints = endpoints.to_vec();
         let state = self.agent.session().state();
--- a/crates/grpc-gateway/src/coordinator_link/mod.rs
+++ b/crates/grpc-gateway/src/coordinator_link/mod.rs
@@ -1,5 +1,5 @@
-//! A gateway's link to the coordinator: the session with a replica over gRPC, the cache file of the shared state, and the effects of
-//! that state on calls, streams, the endpoint list and sites. The decisions are made in `chalkdeck_coordinator::agent` and
+//! A gateway's link to the coordinator: the session with a replica over gRPC, the cache file of the shared state, and the effects
+//! of that state on calls, streams, the endpoint list and sites. The decisions are made in `chalkdeck_coordinator::agent` and
 //! `chalkdeck_access`.
 
 mod access;
--- a/crates/grpc-gateway/src/counter_client/partition.rs
+++ b/crates/grpc-gateway/src/counter_client/partition.rs
@@ -1,5 +1,5 @@
-//! The client of one partition of the counter, which pipelines increments on one stream. It makes no decisions and retries nothing: a
-//! call ends by its response, its time-out or the end of the stream.
+//! The client of one partition of the counter, which pipelines increments on one stream. It makes no decisions and retries nothing:
+//! a call ends by its response, its time-out or the end of the stream.
 //!
 //! A connection may be lost without an error. If a call times out and nothing was received since it was sent, the connection is
 //! therefore closed, and the next call opens a new one.
--- a/crates/grpc-gateway/src/counter_client/result_order.rs
+++ b/crates/grpc-gateway/src/counter_client/result_order.rs
@@ -37,7 +37,8 @@
         self.slots.entry(key).or_default().push_back(slot);
     }
 
-    /// Records the result of a call. Returns the results of its key that wait for no earlier call. A second result of a call is ignored.
+    /// Records the result of a call. Returns the results of its key that wait for no earlier call. A second result of a call
+    /// is ignored.
     pub(super) fn call_ended(
         &mut self,
         call: CallNumber,
--- a/crates/grpc-gateway/src/resp/mod.rs
+++ b/crates/grpc-gateway/src/resp/mod.rs
@@ -344,8 +344,8 @@
         self.fill_resp_reply(&request, Reply::Array(reply));
     }
 
-    /// Answers a request that the decisions reject; returns whether it came over RESP. `retry_after` is in microseconds; `None`: the
-    /// time until the quota is fully available again.
+    /// Answers a request that the decisions reject; returns whether it came over RESP. `retry_after` is in microseconds; `None`:
+    /// the time until the quota is fully available again.
     pub(crate) fn reject_resp_request(&mut self, id: RequestId, retry_after: Option<u64>) -> bool {
         let now = Timestamp::from_micros(self.engine.now());
         let Some(request) = self
@@ -557,8 +557,8 @@
         self.engine.unlisten(resp.listener);
     }
 
-    /// During a shutdown, closes the connections that are between two requests and hold no ticket. Runs at the end of a turn, so that
-    /// commands that were read, or wait in the socket, are answered first.
+    /// During a shutdown, closes the connections that are between two requests and hold no ticket. Runs at the end of a turn, so
+    /// that commands that were read, or wait in the socket, are answered first.
     pub(crate) fn close_idle_resp_connections(&mut self) {
         let Some(resp) = self.resp.as_ref().filter(|resp| resp.is_shutting_down) else {
             return;
--- a/crates/grpc-gateway/src/site_overrides.rs
+++ b/crates/grpc-gateway/src/site_overrides.rs
@@ -1,4 +1,4 @@
-//! Persists operators' overrides of sites, so that a gateway that restarts during a drain does not send requests to the drained site.
+//! Persists operators' overrides of sites, so that a gateway that restarts during a drain sends no requests to the drained site.
 
 use crate::base::errors::SiteOverridesError;
 use chalkdeck_proto::chalkdeck::config::v1::HeldSites;
@@ -34,8 +34,8 @@
     /// Reads the persisted overrides.
     ///
     /// # Errors
-    /// The file exists but can't be read or parsed; the error names the line. The gateway must not start then, as it might send requests
-    /// to a drained site.
+    /// The file exists but can't be read or parsed; the error names the line. The gateway must not start then, as it might
+    /// send requests to a drained site.
     pub(crate) fn load(file: Option<&Path>) -> Result<SiteOverrides, SiteOverridesError> {
         let out_of_service = match file {
             Some(path) => read_sites(path)?,
--- a/crates/grpc-gateway/src/sites/admin.rs
+++ b/crates/grpc-gateway/src/sites/admin.rs
@@ -13,8 +13,8 @@
 const OVERRIDE_PREFIX: &str = "/sites/";
 
 impl GatewayServer {
-    /// Applies and persists an override received from the coordinator. If its site is still unknown, it takes effect with the
-    /// first endpoint list that names it.
+    /// Applies and persists an override received from the coordinator. If its site is still unknown, it takes effect with
+    /// the first endpoint list that names it.
     pub(crate) fn apply_site_override(&mut self, site_name: &str, action: &str) {
         let now = self.now();
         let Some(sites) = &mut self.sites else { return };
--- a/crates/grpc-gateway/tests/servers.rs
+++ b/crates/grpc-gateway/tests/endpoint_failures.rs
@@ -1,4 +1,4 @@
-//! Servers that fail in the ways for which the gateway is there.
+//! Failures of endpoints, connections, endpoint lists and the counter, and how the gateway handles them.
 mod common;
 use chalkdeck_net::grpc::{self, Code};
 use chalkdeck_net::{StreamError, StreamId};
@@ -9,28 +9,30 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Free at the time of asking, so that connections to it are refused.
-fn nobody() -> SocketAddr {
+/// An address at which nothing listens, so that connections to it are refused.
+fn unused_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0")
-        .and_then(|l| l.local_addr())
+        .and_then(|listener| listener.local_addr())
         .expect("a free port")
 }
 
-fn keyed() -> [(&'static str, &'static str); 1] {
+/// Metadata that makes a call idempotent.
+fn idempotency_key() -> [(&'static str, &'static str); 1] {
     [("x-idempotency-key", "k1")]
 }
 
-/// Ends the first attempt in some way and tells where the second went, if there was one.
-fn second_attempt(
+/// Makes a call and ends its first attempt by `end_attempt`. Returns the harness, the call, and the stream of the second attempt if
+/// there is one.
+fn fail_first_attempt(
     path: &str,
     metadata: &[(&str, &str)],
-    end: impl Fn(&mut Harness, StreamId),
+    end_attempt: impl Fn(&mut Harness, StreamId),
 ) -> (Harness, StreamId, Option<StreamId>) {
     let mut harness = Harness::new(3);
     let call = harness.call(path, metadata);
     let first = harness.wait_for_server_call(1);
     harness.turn_until("the request's end", |r| r.servers.streams[&first].is_ended);
-    end(&mut harness, first);
+    end_attempt(&mut harness, first);
     harness.turn_until("a second attempt or an answer", |r| {
         r.servers.incoming_streams.len() > 1 || r.client_stream(call).is_some_and(|s| s.is_ended)
     });
@@ -39,11 +41,11 @@
 }
 
 #[test]
-fn refused_streams_never_ran_so_even_unsafe_calls_go_elsewhere() {
-    let (mut harness, call, second) = second_attempt(BUY, &[], |r, s| {
-        r.servers.engine.reset(s, h2::Reason::REFUSED_STREAM)
+fn refused_stream_is_retried_even_for_non_idempotent_calls() {
+    let (mut harness, call, second) = fail_first_attempt(BUY, &[], |r, stream| {
+        r.servers.engine.reset(stream, h2::Reason::REFUSED_STREAM)
     });
-    let second = second.expect("it goes again");
+    let second = second.expect("a retry");
     harness.turn_until("the request's end", |r| r.servers.streams[&second].is_ended);
     assert_eq!(
         harness.servers.streams[&second].headers["grpc-previous-rpc-attempts"],
@@ -54,18 +56,20 @@
 }
 
 #[test]
-fn unprocessed_calls_go_elsewhere_and_others_do_not() {
-    let (mut harness, call, second) = second_attempt(BUY, &[], |r, s| {
-        r.servers.answer_with_status(s, Code::Unavailable, true)
+fn non_idempotent_call_is_retried_only_if_its_server_did_not_process_it() {
+    let (mut harness, call, second) = fail_first_attempt(BUY, &[], |r, stream| {
+        r.servers
+            .answer_with_status(stream, Code::Unavailable, true)
     });
-    let second = second.expect("it goes again");
+    let second = second.expect("a retry");
     harness.servers.answer(second, b"fine");
     assert_eq!(harness.wait_for_status(call), Code::Ok);
 
-    let (mut harness, call, second) = second_attempt(BUY, &[], |r, s| {
-        r.servers.answer_with_status(s, Code::Unavailable, false)
+    let (mut harness, call, second) = fail_first_attempt(BUY, &[], |r, stream| {
+        r.servers
+            .answer_with_status(stream, Code::Unavailable, false)
     });
-    assert_eq!(second, None, "it may have run");
+    assert_eq!(second, None, "no retry, as it may have run");
     assert_eq!(harness.wait_for_status(call), Code::Unavailable);
     let trailers = harness.client.streams[&call]
         .trailers
@@ -73,50 +77,51 @@
         .expect("trailers");
     assert!(
         !trailers.contains_key(grpc::PUSHBACK),
-        "a failure promises nothing"
+        "a failure has no retry time"
     );
 }
 
 #[test]
-fn a_connection_lost_after_the_request_left_may_have_run() {
-    let lose = |r: &mut Harness, _: StreamId| {
+fn lost_connection_is_retried_only_for_idempotent_calls() {
+    let close_connections = |r: &mut Harness, _: StreamId| {
         r.servers
             .accepted_connections
             .clone()
             .into_iter()
-            .for_each(|c| r.servers.engine.close(c))
+            .for_each(|conn| r.servers.engine.close(conn))
     };
-    let (mut harness, call, second) = second_attempt(BUY, &[], lose);
+    let (mut harness, call, second) = fail_first_attempt(BUY, &[], close_connections);
     assert_eq!(second, None);
     assert_eq!(harness.wait_for_status(call), Code::Unavailable);
 
-    let (mut harness, call, second) = second_attempt(VIEW, &[], lose);
-    let second = second.expect("a safe call goes again");
+    let (mut harness, call, second) = fail_first_attempt(VIEW, &[], close_connections);
+    let second = second.expect("a retry, as the class is idempotent");
     harness.servers.answer(second, b"fine");
     assert_eq!(harness.wait_for_status(call), Code::Ok);
 
-    let (mut harness, call, second) = second_attempt(SELL, &keyed(), lose);
-    let second = second.expect("a keyed call goes again inside its group");
+    let (mut harness, call, second) =
+        fail_first_attempt(SELL, &idempotency_key(), close_connections);
+    let second = second.expect("a retry inside its group, as the call has an idempotency key");
     harness.servers.answer(second, b"fine");
     assert_eq!(harness.wait_for_status(call), Code::Ok);
 
-    let (mut harness, call, second) = second_attempt(SELL, &[], lose);
-    assert_eq!(second, None, "without its key it is unsafe");
+    let (mut harness, call, second) = fail_first_attempt(SELL, &[], close_connections);
+    assert_eq!(second, None, "without a key the call is not idempotent");
     assert_eq!(harness.wait_for_status(call), Code::Unavailable);
 }
 
 #[test]
-fn a_connection_that_is_refused_proves_that_nothing_ran() {
+fn refused_connection_is_retried_even_for_non_idempotent_calls() {
     let mut harness = Harness::new(2);
-    let gone = nobody();
-    let alive = ListEntry {
+    let refusing = unused_address();
+    let reachable = ListEntry {
         address: harness.server_addresses[0],
         health: "HEALTHY",
     };
     harness.replace_endpoint_list(&endpoint_list(&[
-        alive,
+        reachable,
         ListEntry {
-            address: gone,
+            address: refusing,
             health: "HEALTHY",
         },
     ]));
@@ -133,7 +138,7 @@
 }
 
 #[test]
-fn goaway_lets_calls_in_flight_end_and_sends_the_next_elsewhere() {
+fn open_calls_finish_after_goaway_and_new_calls_use_a_new_connection() {
     let mut harness = Harness::new(1);
     let first = harness.call(BUY, &[]);
     let stream = harness.wait_for_server_call(1);
@@ -154,14 +159,14 @@
     assert_eq!(
         harness.servers.accepted_connections.len(),
         2,
-        "the second call took a new connection"
+        "the second call uses a new connection"
     );
 }
 
 #[test]
-fn a_server_that_accepts_and_says_nothing_costs_no_more_than_the_deadline() {
-    let silent = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = silent.local_addr().expect("its address");
+fn call_to_a_silent_server_fails_at_its_deadline() {
+    let silent_listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = silent_listener.local_addr().expect("its address");
     let mut harness = Harness::new(0);
     harness.replace_endpoint_list(&endpoint_list(&[ListEntry {
         address,
@@ -170,29 +175,29 @@
     harness.turn_until("the list", |r| {
         r.gateway.metrics_text().contains("chalkdeck_servers 1")
     });
-    let (begin, call) = (
+    let (start, call) = (
         Instant::now(),
         harness.call(BUY, &[("grpc-timeout", "400m")]),
     );
     assert_eq!(harness.wait_for_status(call), Code::DeadlineExceeded);
     assert!(
-        begin.elapsed() >= Duration::from_millis(350),
-        "it waits as long as it may"
+        start.elapsed() >= Duration::from_millis(350),
+        "the gateway waits until the deadline"
     );
-    let (mut socket, _) = silent.accept().expect("it was connected to");
+    let (mut socket, _) = silent_listener.accept().expect("a connection");
     assert!(
         socket.read(&mut [0; 64]).is_ok_and(|n| n > 0),
-        "the request left"
+        "the request was sent"
     );
 }
 
 #[test]
-fn an_answer_after_the_deadline_reaches_nobody() {
+fn response_after_the_deadline_is_discarded() {
     let mut harness = Harness::new(1);
     let call = harness.call(BUY, &[("grpc-timeout", "200m")]);
     let stream = harness.wait_for_server_call(1);
     assert_eq!(harness.wait_for_status(call), Code::DeadlineExceeded);
-    harness.turn_until("the server hears it", |r| {
+    harness.turn_until("the reset at the server", |r| {
         r.servers.streams[&stream].error.is_some()
     });
     harness.servers.answer(stream, b"late");
@@ -202,18 +207,18 @@
 }
 
 #[test]
-fn at_the_very_deadline_there_is_one_answer() {
+fn response_around_the_deadline_ends_its_call_once() {
     let mut harness = Harness::new(1);
-    for early in 0..24 {
-        let begin = Instant::now();
+    for round in 0..24 {
+        let start = Instant::now();
         let call = harness.call(VIEW, &[("grpc-timeout", "60m")]);
-        let count = early as usize + 1;
-        harness.turn_until("a call at the server or its end", |r| {
+        let count = round as usize + 1;
+        harness.turn_until("a call at the server, or its end", |r| {
             r.servers.incoming_streams.len() >= count
                 || r.client_stream(call).is_some_and(|s| s.is_ended)
         });
-        let at = Duration::from_micros(55_000 + early * 250);
-        while begin.elapsed() < at {
+        let answer_after = Duration::from_micros(55_000 + round * 250);
+        while start.elapsed() < answer_after {
             harness.client.turn();
             harness.gateway.turn(0).expect("a turn");
         }
@@ -223,7 +228,8 @@
         harness.wait_for_status(call);
         harness.turn_for(5);
         let ended = harness.metric_sum("chalkdeck_calls_ended_total", "");
-        assert_eq!(ended, count as f64, "one end a call");
+        assert_eq!(ended, count as f64, "each call ends once");
+        // Makes the record hold one stream per round: without those of retries, and with a placeholder if no server got the call.
         harness.servers.incoming_streams.truncate(count);
         while harness.servers.incoming_streams.len() < count {
             harness.servers.incoming_streams.push(StreamId(0));
@@ -232,7 +238,7 @@
 }
 
 #[test]
-fn a_stream_cut_in_the_middle_fails_and_does_not_go_again() {
+fn reset_of_a_started_stream_fails_its_call_without_a_retry() {
     let mut harness = Harness::new(3);
     let call = harness.call(WATCH, &[]);
     let stream = harness.wait_for_server_call(1);
@@ -251,7 +257,7 @@
 }
 
 #[test]
-fn half_an_answer_that_was_kept_back_is_not_mixed_with_the_next() {
+fn buffered_part_of_a_response_is_discarded_before_a_retry() {
     let mut harness = Harness::new(3);
     let call = harness.call(VIEW, &[]);
     let first = harness.wait_for_server_call(1);
@@ -279,7 +285,7 @@
 }
 
 #[test]
-fn with_no_server_calls_are_refused_until_the_list_is_filled() {
+fn calls_are_rejected_while_the_endpoint_list_is_empty() {
     let mut harness = Harness::new(0);
     let call = harness.call(BUY, &[]);
     assert_eq!(harness.wait_for_status(call), Code::ResourceExhausted);
@@ -298,10 +304,10 @@
 }
 
 #[test]
-fn a_broken_list_leaves_the_last_good_one_and_a_drain_is_kept() {
+fn invalid_endpoint_list_is_ignored_and_draining_endpoint_gets_no_calls() {
     let mut harness = Harness::new(2);
     harness.replace_endpoint_list("cluster_name: 7 endpoints {");
-    harness.turn_until("the list was looked at", |r| {
+    harness.turn_until("the invalid list was read", |r| {
         r.gateway
             .metrics_text()
             .contains("chalkdeck_server_list_failures_total 1")
@@ -323,7 +329,7 @@
         assert_eq!(
             harness.servers.address_of(stream),
             harness.server_addresses[1],
-            "the other one drains"
+            "the other endpoint is draining"
         );
         harness.servers.answer(stream, b"fine");
         assert_eq!(harness.wait_for_status(call), Code::Ok);
@@ -331,31 +337,37 @@
 }
 
 #[test]
-fn a_counter_that_was_never_there_leaves_the_local_share() {
-    let mut harness = Harness::with_counter(1, Peer::new(), nobody(), CounterBehavior::Silent, &[]);
-    let mut ends = Vec::new();
+fn local_share_of_the_quota_applies_if_the_counter_is_unreachable() {
+    let mut harness = Harness::with_counter(
+        1,
+        Peer::new(),
+        unused_address(),
+        CounterBehavior::Silent,
+        &[],
+    );
+    let mut statuses = Vec::new();
     for _ in 0..12 {
         let call = harness.call(VIEW, &[("x-customer", "small")]);
-        let seen = harness.servers.incoming_streams.len();
-        harness.turn_until("a server or an answer", |r| {
-            r.servers.incoming_streams.len() > seen
+        let seen_streams = harness.servers.incoming_streams.len();
+        harness.turn_until("a call at the server, or its end", |r| {
+            r.servers.incoming_streams.len() > seen_streams
                 || r.client_stream(call).is_some_and(|s| s.is_ended)
         });
-        if let Some(&stream) = harness.servers.incoming_streams.get(seen) {
+        if let Some(&stream) = harness.servers.incoming_streams.get(seen_streams) {
             harness.servers.answer(stream, b"fine");
         }
-        ends.push(harness.wait_for_status(call));
+        statuses.push(harness.wait_for_status(call));
     }
-    let served = ends.iter().filter(|c| **c == Code::Ok).count();
+    let served = statuses.iter().filter(|code| **code == Code::Ok).count();
     assert!(
         (1..12).contains(&served),
-        "its share is served and no more: {ends:?}"
+        "only the local share is served: {statuses:?}"
     );
     assert!(harness.metric_sum("chalkdeck_counter_calls_total", "connectfailed") >= 1.0);
 }
 
 #[test]
-fn a_silent_counter_costs_its_time_out_and_then_nothing() {
+fn circuit_breaker_opens_after_time_outs_of_the_counter() {
     let mut harness = Harness::with_settings(1, CounterBehavior::Silent, &[]);
     for i in 0..4 {
         let call = harness.call(VIEW, &[("x-customer", "small"), ("x-units", "1")]);
@@ -366,33 +378,33 @@
     let calls = harness.metric_sum("chalkdeck_counter_calls_total", "timeout");
     assert!(
         (1.0..=3.0).contains(&calls),
-        "the breaker opens: {calls} calls"
+        "the circuit breaker opens: {calls} calls"
     );
 }
 
 #[test]
-fn what_a_server_lost_with_goaway_is_known_not_to_have_run() {
-    // A peer by hand: it takes each connection's first call and says that it saw no stream at all.
+fn streams_above_the_last_one_of_a_goaway_are_known_not_to_have_run() {
+    // A server that answers the first request of each connection with a GOAWAY whose last stream id is 0: it processed no stream.
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address");
-    let stop = Arc::new(AtomicBool::new(false));
-    let stopped = stop.clone();
-    let peer = std::thread::spawn(move || {
-        let mut held = Vec::new();
+    let is_stopping = Arc::new(AtomicBool::new(false));
+    let stop_flag = is_stopping.clone();
+    let server = std::thread::spawn(move || {
+        let mut open_sockets = Vec::new();
         while let Ok((mut socket, _)) = listener.accept() {
-            if stopped.load(Ordering::Relaxed) {
+            if stop_flag.load(Ordering::Relaxed) {
                 return;
             }
-            say_goaway(&mut socket);
-            held.push(socket);
+            send_goaway_after_request(&mut socket);
+            open_sockets.push(socket);
         }
     });
     let mut harness = Harness::new(1);
-    let both = [address, harness.server_addresses[0]].map(|address| ListEntry {
+    let entries = [address, harness.server_addresses[0]].map(|address| ListEntry {
         address,
         health: "HEALTHY",
     });
-    harness.replace_endpoint_list(&endpoint_list(&both));
+    harness.replace_endpoint_list(&endpoint_list(&entries));
     harness.turn_until("the list", |r| {
         r.gateway.metrics_text().contains("chalkdeck_servers 2")
     });
@@ -400,7 +412,7 @@
     let mut answered = 0;
     for _ in 0..50 {
         let call = harness.call(BUY, &[]);
-        harness.turn_until("an end", |r| {
+        harness.turn_until("a call at the other server, or its end", |r| {
             r.servers.incoming_streams.len() > answered
                 || r.client_stream(call).is_some_and(|s| s.is_ended)
         });
@@ -422,19 +434,20 @@
         "{}",
         harness.gateway.metrics_text()
     );
-    stop.store(true, Ordering::Relaxed);
+    is_stopping.store(true, Ordering::Relaxed);
     drop(std::net::TcpStream::connect(address));
-    peer.join().expect("the peer's end");
+    server.join().expect("the server's end");
 }
 
-fn say_goaway(socket: &mut std::net::TcpStream) {
+/// Waits for the headers of a request, and then sends a GOAWAY with 0 as its last stream id.
+fn send_goaway_after_request(socket: &mut std::net::TcpStream) {
     socket
         .write_all(&[0, 0, 0, 4, 0, 0, 0, 0, 0])
         .expect("settings");
-    let (mut seen, mut chunk) = (Vec::new(), [0; 4096]);
-    while !has_headers(&seen) {
+    let (mut received, mut chunk) = (Vec::new(), [0; 4096]);
+    while !has_headers(&received) {
         match socket.read(&mut chunk) {
-            Ok(n) if n > 0 => seen.extend_from_slice(&chunk[..n]),
+            Ok(n) if n > 0 => received.extend_from_slice(&chunk[..n]),
             _ => return,
         }
     }
@@ -442,23 +455,23 @@
     let _ = socket.write_all(&goaway);
 }
 
-/// A HEADERS frame (type 1) after the preface of 24 bytes.
-fn has_headers(seen: &[u8]) -> bool {
-    let mut at = 24;
-    while seen.len() >= at + 9 {
-        let length = usize::from(seen[at]) << 16
-            | usize::from(seen[at + 1]) << 8
-            | usize::from(seen[at + 2]);
-        if seen[at + 3] == 1 {
+/// Whether a HEADERS frame (type 1) follows the connection preface of 24 bytes.
+fn has_headers(received: &[u8]) -> bool {
+    let mut offset = 24;
+    while received.len() >= offset + 9 {
+        let length = usize::from(received[offset]) << 16
+            | usize::from(received[offset + 1]) << 8
+            | usize::from(received[offset + 2]);
+        if received[offset + 3] == 1 {
             return true;
         }
-        at += 9 + length;
+        offset += 9 + length;
     }
     false
 }
 
 #[test]
-fn a_cancelled_attempt_is_reset_at_its_server() {
+fn cancelled_attempt_is_reset_at_its_server() {
     let mut harness = Harness::new(1);
     let call = harness.call(VIEW, &[("grpc-timeout", "150m")]);
     let stream = harness.wait_for_server_call(1);
@@ -469,24 +482,27 @@
     });
 }
 
-/// A server that failed before is asked again on trial, and given up early there; the answer of the next one is the
-/// client's, and the first one's, which comes after it, is nobody's.
+/// A server that failed before gets a trial request, and the attempt there is abandoned early for a retry elsewhere. The client must get
+/// the response of the retry, and not the late response of the abandoned attempt.
 #[test]
-fn a_late_answer_after_the_retry_s_is_nobody_s() {
+fn late_response_of_an_abandoned_attempt_is_discarded() {
     let mut harness = Harness::new(3);
-    let bad = harness.server_addresses[0];
-    let (mut seen, mut failures, mut late) = (0, 0, None);
+    let failing = harness.server_addresses[0];
+    let (mut seen_streams, mut failures, mut abandoned) = (0, 0, None);
     let end = Instant::now() + Duration::from_secs(15);
-    while late.is_none() {
-        assert!(Instant::now() < end, "the bad server is tried again");
+    while abandoned.is_none() {
+        assert!(
+            Instant::now() < end,
+            "the failing server gets a trial request"
+        );
         let call = harness.call(VIEW, &[]);
         while !harness.client_stream(call).is_some_and(|s| s.is_ended) {
             harness.turn();
-            let Some(&stream) = harness.servers.incoming_streams.get(seen) else {
+            let Some(&stream) = harness.servers.incoming_streams.get(seen_streams) else {
                 continue;
             };
-            seen += 1;
-            if harness.servers.address_of(stream) != bad {
+            seen_streams += 1;
+            if harness.servers.address_of(stream) != failing {
                 harness.servers.answer(stream, b"fine");
             } else if failures < 2 {
                 failures += 1;
@@ -494,14 +510,14 @@
                     .servers
                     .answer_with_status(stream, Code::Unavailable, false);
             } else {
-                late = Some(stream);
+                abandoned = Some(stream);
             }
         }
-        if let Some(stream) = late {
+        if let Some(stream) = abandoned {
             assert_eq!(
                 harness.wait_for_status(call),
                 Code::Ok,
-                "another one answered in time"
+                "another server answered in time"
             );
             harness.servers.answer(stream, b"late and longer");
             harness.turn_for(50);
@@ -519,12 +535,12 @@
     assert_eq!(
         ended,
         harness.metric_sum("chalkdeck_calls_taken_total", ""),
-        "one end a call"
+        "each call ends once"
     );
 }
 
 #[test]
-fn a_server_that_left_the_list_keeps_its_call_and_then_loses_its_connection() {
+fn removed_endpoint_finishes_its_call_before_its_connection_is_closed() {
     let mut harness = Harness::new(1);
     let call = harness.call(BUY, &[]);
     let stream = harness.wait_for_server_call(1);
@@ -535,11 +551,11 @@
     harness.turn_for(50);
     assert!(
         harness.servers.closed_connections.is_empty(),
-        "its call goes on"
+        "its call is still open"
     );
     harness.servers.answer(stream, b"fine");
     assert_eq!(harness.wait_for_status(call), Code::Ok);
-    harness.turn_until("the connection's end", |r| {
+    harness.turn_until("the end of the connection", |r| {
         r.servers.closed_connections.len() == 1
     });
 }
