--- a/crates/grpc-gateway/src/call_flow/events.rs
+++ b/crates/grpc-gateway/src/call_flow/events.rs
@@ -19,7 +19,7 @@
             return;
         }
         if let Some(counter) = &mut self.counter {
-            if let Some(results) = counter.connected(&mut self.engine, conn) {
+            if let Some(results) = counter.on_connected(&mut self.engine, conn) {
                 return self.on_counter_results(results);
             }
         }
@@ -42,7 +42,7 @@
         if let Some(results) = self
             .counter
             .as_mut()
-            .and_then(|counter| counter.closed(conn))
+            .and_then(|counter| counter.on_closed(conn))
         {
             tracing::warn!(reason, "counter connection closed");
             return self.on_counter_results(results);
--- a/crates/grpc-gateway/src/coordinator_link/access.rs
+++ b/crates/grpc-gateway/src/coordinator_link/access.rs
@@ -118,7 +118,7 @@
     }
 
     /// Aborts the streams of these customers, or of all customers, that the rules no longer admit.
-    pub(super) fn end_denied_streams(&mut self, customers: Option<&[String]>) {
+    pub(super) fn abort_denied_streams(&mut self, customers: Option<&[String]>) {
         for (id, reason) in self.denied_streams(customers) {
             self.abort_call(id, Code::PermissionDenied, &reason);
         }
--- a/crates/grpc-gateway/src/coordinator_link/events.rs
+++ b/crates/grpc-gateway/src/coordinator_link/events.rs
@@ -20,7 +20,7 @@
 }
 
 impl StreamProgress {
-    /// The progress by whether the head of a response has ended the stream.
+    /// `is_ended`: the head of the response has ended the stream.
     pub(crate) fn from_ended(is_ended: bool) -> StreamProgress {
         if is_ended {
             StreamProgress::Ended
@@ -65,8 +65,8 @@
             AgentAction::Connect(replica_index) => link.connect(engine, replica_index),
             AgentAction::Send(message) => link.send(engine, &message),
             AgentAction::Persist(change) => link.persist(loop_time(engine), &change),
-            AgentAction::RecheckStreams(customers) => self.end_denied_streams(Some(&customers)),
-            AgentAction::RecheckAllStreams => self.end_denied_streams(None),
+            AgentAction::RecheckStreams(customers) => self.abort_denied_streams(Some(&customers)),
+            AgentAction::RecheckAllStreams => self.abort_denied_streams(None),
             AgentAction::ContractsChanged => self.reapply_endpoint_list(),
             AgentAction::ApplySiteOverride(site_override) => {
                 self.apply_site_override(&site_override.site, &site_override.action);
--- a/crates/grpc-gateway/src/coordinator_link/mod.rs
+++ b/crates/grpc-gateway/src/coordinator_link/mod.rs
@@ -32,7 +32,7 @@
     regions: RegionTable,
     /// The cache file of the shared state; `None`: there is none.
     cache_file: Option<CacheFile>,
-    /// When a failed write to the cache file is retried; `None`: the last write succeeded.
+    /// When a failed write to the cache file is retried; `None`: no write has failed since the last success.
     persist_retry_at: Option<Timestamp>,
     conn: Option<ConnId>,
     /// The session's stream.
--- a/crates/grpc-gateway/src/counter_client/mod.rs
+++ b/crates/grpc-gateway/src/counter_client/mod.rs
@@ -38,10 +38,10 @@
     }
 
     /// The deadline of the open call that times out first.
-    pub(crate) fn next_timeout(&mut self) -> Option<u64> {
+    pub(crate) fn next_deadline(&mut self) -> Option<u64> {
         self.partitions
             .iter_mut()
-            .filter_map(PartitionClient::next_timeout)
+            .filter_map(PartitionClient::next_deadline)
             .min()
     }
 
@@ -54,21 +54,21 @@
     }
 
     /// A connection is established. Returns the results of calls that end; `None`: it is not a connection to the counter.
-    pub(crate) fn connected(
+    pub(crate) fn on_connected(
         &mut self,
         engine: &mut Engine,
         conn: ConnId,
     ) -> Option<Vec<CounterResult>> {
         self.partitions
             .iter_mut()
-            .find_map(|partition| partition.connected(engine, conn))
+            .find_map(|partition| partition.on_connected(engine, conn))
     }
 
     /// A connection is closed. Returns the results of calls that end; `None`: it is not a connection to the counter.
-    pub(crate) fn closed(&mut self, conn: ConnId) -> Option<Vec<CounterResult>> {
+    pub(crate) fn on_closed(&mut self, conn: ConnId) -> Option<Vec<CounterResult>> {
         self.partitions
             .iter_mut()
-            .find_map(|partition| partition.closed(conn))
+            .find_map(|partition| partition.on_closed(conn))
     }
 
     /// The partition that a stream belongs to.
--- a/crates/grpc-gateway/src/counter_client/partition.rs
+++ b/crates/grpc-gateway/src/counter_client/partition.rs
@@ -28,7 +28,7 @@
 pub(crate) struct Increment {
     pub(crate) key: CounterKey,
     pub(crate) amount: f64,
-    /// In microseconds.
+    /// How long the counter keeps the total after its first increment, in microseconds.
     pub(crate) time_to_live: u64,
     /// When the call times out, by the event loop's clock in microseconds.
     pub(crate) deadline: u64,
@@ -56,6 +56,7 @@
 }
 
 struct CallDeadline {
+    /// By the event loop's clock in microseconds.
     at: u64,
     call: CallNumber,
 }
@@ -177,7 +178,7 @@
     }
 
     /// The deadline of the open call that times out first.
-    pub(crate) fn next_timeout(&mut self) -> Option<u64> {
+    pub(crate) fn next_deadline(&mut self) -> Option<u64> {
         while let Some(deadline) = self.deadlines.front() {
             if self.open_calls.contains_key(&deadline.call) {
                 return Some(deadline.at);
@@ -191,7 +192,7 @@
     pub(crate) fn time_out_calls(&mut self, engine: &mut Engine) -> Vec<CounterResult> {
         let now = engine.now();
         let mut results = Vec::new();
-        while self.next_timeout().is_some_and(|at| at <= now) {
+        while self.next_deadline().is_some_and(|at| at <= now) {
             let Some(CallDeadline { call, .. }) = self.deadlines.pop_front() else {
                 break;
             };
@@ -236,23 +237,23 @@
     }
 
     /// A connection is established. Returns the results of calls that end; `None`: it is not this partition's connection.
-    pub(crate) fn connected(
+    pub(crate) fn on_connected(
         &mut self,
         engine: &mut Engine,
-        connected: ConnId,
+        established: ConnId,
     ) -> Option<Vec<CounterResult>> {
         let pending = match &mut self.connection {
-            Connection::Connecting { conn, pending } if *conn == connected => {
+            Connection::Connecting { conn, pending } if *conn == established => {
                 std::mem::take(pending)
             }
             _ => return None,
         };
-        let Some(stream) = engine.open(connected, self.request_head.clone(), false) else {
+        let Some(stream) = engine.open(established, self.request_head.clone(), false) else {
             return Some(self.drop_connection(engine));
         };
         self.last_received = engine.now();
         self.connection = Connection::Open {
-            conn: connected,
+            conn: established,
             stream,
             deframer: Deframer::default(),
         };
@@ -266,7 +267,7 @@
     }
 
     /// A connection is closed. Returns the results of calls that end; `None`: it is not this partition's connection.
-    pub(crate) fn closed(&mut self, closed: ConnId) -> Option<Vec<CounterResult>> {
+    pub(crate) fn on_closed(&mut self, closed: ConnId) -> Option<Vec<CounterResult>> {
         let outcome = match &self.connection {
             Connection::Connecting { conn, .. } if *conn == closed => Outcome::ConnectFailed,
             Connection::Open { conn, .. } if *conn == closed => Outcome::Reset,
--- a/crates/grpc-gateway/src/counter_client/result_order.rs
+++ b/crates/grpc-gateway/src/counter_client/result_order.rs
@@ -18,7 +18,7 @@
 
 /// The place of a call's result in the order of its key.
 #[derive(Debug)]
-struct Slot {
+struct ResultSlot {
     call: CallNumber,
     /// `None` while the call is open.
     result: Option<CounterResult>,
@@ -27,13 +27,13 @@
 /// The open calls of each key in their order, with the results that wait for an earlier call.
 #[derive(Debug, Default)]
 pub(super) struct ResultOrder {
-    slots: FxHashMap<CounterKey, VecDeque<Slot>>,
+    slots: FxHashMap<CounterKey, VecDeque<ResultSlot>>,
 }
 
 impl ResultOrder {
     /// Adds a call that is made now.
     pub(super) fn call_started(&mut self, key: CounterKey, call: CallNumber) {
-        let slot = Slot { call, result: None };
+        let slot = ResultSlot { call, result: None };
         self.slots.entry(key).or_default().push_back(slot);
     }
 
--- a/crates/grpc-gateway/src/counter_client/state_tracker.rs
+++ b/crates/grpc-gateway/src/counter_client/state_tracker.rs
@@ -33,15 +33,15 @@
             epoch: response.epoch,
             position: response.position,
         };
-        let before = std::mem::replace(self, current);
-        if before.incarnation == 0 {
+        let previous = std::mem::replace(self, current);
+        if previous.incarnation == 0 {
             None
-        } else if before.incarnation != response.incarnation {
+        } else if previous.incarnation != response.incarnation {
             Some(StateChange::LostTotals)
-        } else if response.position < before.position || response.epoch < before.epoch {
+        } else if response.position < previous.position || response.epoch < previous.epoch {
             Some(StateChange::RolledBack)
         } else {
-            (response.epoch > before.epoch).then_some(StateChange::Recovered)
+            (response.epoch > previous.epoch).then_some(StateChange::Recovered)
         }
     }
 }
--- a/crates/grpc-gateway/src/gateway_server/counter_calls.rs
+++ b/crates/grpc-gateway/src/gateway_server/counter_calls.rs
@@ -23,7 +23,7 @@
 
     /// Sets the timer of the next time-out. All counter calls have the same time-out and expire in order, so one timer serves all.
     fn set_counter_timer(&mut self) {
-        let Some(deadline) = self.counter.as_mut().and_then(CounterClient::next_timeout) else {
+        let Some(deadline) = self.counter.as_mut().and_then(CounterClient::next_deadline) else {
             return;
         };
         if self.is_counter_timer_set {
--- a/crates/grpc-gateway/src/resp/command.rs
+++ b/crates/grpc-gateway/src/resp/command.rs
@@ -35,7 +35,7 @@
     },
     /// `AUTH` with its password; the user name is ignored.
     Auth(Bytes),
-    /// A command whose reply depends on nothing but its words.
+    /// A command with a constant or echoed reply.
     FixedReply(Reply),
     Quit,
 }
--- a/crates/grpc-gateway/src/site_overrides/tests.rs
+++ b/crates/grpc-gateway/src/site_overrides/tests.rs
@@ -4,7 +4,8 @@
 
 #[test]
 fn overrides_survive_a_restart_and_the_error_of_an_invalid_file_names_the_line() {
-    let file = std::env::temp_dir().join(format!("chalkdeck-words-{}.txtpb", std::process::id()));
+    let file =
+        std::env::temp_dir().join(format!("chalkdeck-overrides-{}.txtpb", std::process::id()));
     let _ = std::fs::remove_file(&file);
     let mut overrides = SiteOverrides::load(Some(&file)).expect("no file yet");
     overrides
--- a/crates/grpc-gateway/tests/resp.rs
+++ b/crates/grpc-gateway/tests/resp.rs
@@ -58,7 +58,8 @@
             thread: Some(thread),
         }
     }
-    fn client(&self) -> redis::Connection {
+    /// A connection of the Redis client library.
+    fn connect(&self) -> redis::Connection {
         let client = redis::Client::open(format!("redis://{}", self.address)).expect("a client");
         client
             .get_connection_with_timeout(Duration::from_secs(10))
@@ -106,7 +107,7 @@
 #[test]
 fn requests_of_a_redis_client_are_granted_until_the_quota_is_used_up() {
     let gateway = RunningGateway::start(RESP_AND_PLANS);
-    let mut conn = gateway.client();
+    let mut conn = gateway.connect();
     assert!(conn.check_connection());
     let first = throttle(&mut conn, "slow", 1);
     assert_eq!(
@@ -148,7 +149,7 @@
 #[test]
 fn concurrency_slots_are_freed_by_ticket_return_lost_connection_and_lease_expiry() {
     let gateway = RunningGateway::start(RESP_AND_PLANS);
-    let mut conn = gateway.client();
+    let mut conn = gateway.connect();
     let take = |conn: &mut redis::Connection, lease_ms: u64| -> (i64, Option<String>, i64) {
         redis::cmd("CHALK.TAKE")
             .arg("seats")
@@ -198,7 +199,7 @@
     );
     take_until_granted("the slot of a returned ticket", &mut conn);
 
-    let mut other_conn = gateway.client();
+    let mut other_conn = gateway.connect();
     drop(conn);
     take_until_granted("the slots of a lost connection", &mut other_conn);
     let (granted, _, _) = take(&mut other_conn, 50);
@@ -213,7 +214,7 @@
 #[test]
 fn units_are_reserved_and_the_true_figure_settled() {
     let gateway = RunningGateway::start(RESP_AND_PLANS);
-    let mut conn = gateway.client();
+    let mut conn = gateway.connect();
     let take: (i64, String, i64) = redis::cmd("CHALK.TAKE")
         .arg("slow")
         .arg("UNITS")
@@ -267,7 +268,7 @@
 #[test]
 fn pipeline_of_ten_thousand_commands_is_answered_in_order() {
     let gateway = RunningGateway::start(RESP_AND_PLANS);
-    let mut conn = gateway.client();
+    let mut conn = gateway.connect();
     let mut pipeline = redis::pipe();
     for i in 0..10_000 {
         match i % 4 {
@@ -302,8 +303,8 @@
         .write_all(b"CHALK.PEEK small\r\n")
         .expect("a line");
     let mut chunk = [0; 256];
-    let n = unauthenticated.read(&mut chunk).expect("a reply");
-    assert!(chunk[..n].starts_with(b"-NOAUTH"));
+    let length = unauthenticated.read(&mut chunk).expect("a reply");
+    assert!(chunk[..length].starts_with(b"-NOAUTH"));
     let mut conn = connect(format!(
         "redis://:secret@{}/?protocol=resp3",
         gateway.address
@@ -357,7 +358,7 @@
             }
         }
     }
-    let mut conn = gateway.client();
+    let mut conn = gateway.connect();
     assert_eq!(
         throttle(&mut conn, "small", 1)[0],
         0,
--- a/crates/grpc-gateway/tests/sites.rs
+++ b/crates/grpc-gateway/tests/sites.rs
@@ -95,7 +95,7 @@
     assert_eq!(
         server_of_call(&mut harness),
         harness.server_addresses[0],
-        "the own zone comes first"
+        "the gateway's own zone is preferred"
     );
     assert_eq!(
         state_of(&sites_status(&mut harness, "/sites/drain/a"), "a"),
