--- a/crates/coordinator/src/agent/leader_tasks.rs
+++ b/crates/coordinator/src/agent/leader_tasks.rs
@@ -4,7 +4,7 @@
 use super::GatewayAgent;
 use crate::protocol::{wire, CommandKind, ReadKind, ReadRequest, ReadResponse};
 use crate::registrar;
-use crate::state::{HIT_TOTALS, REGISTRAR, SITE_OVERRIDES};
+use crate::state::{HIT_TOTALS_ELECTION, REGISTRAR_ELECTION, SITE_OVERRIDES_ELECTION};
 use chalkdeck_time::Timestamp;
 
 impl GatewayAgent {
@@ -18,13 +18,13 @@
             return;
         }
         let pending = self.session.pending_work();
-        if pending.proposals {
+        if pending.has_proposals {
             self.read_proposals(now);
         }
-        if pending.unfolded_hits {
+        if pending.has_unfolded_hits {
             self.fold_hits(now);
         }
-        if pending.unpublished_overrides {
+        if pending.has_unpublished_overrides {
             self.publish_site_overrides(now);
         }
     }
@@ -41,7 +41,7 @@
     }
 
     fn read_proposals(&mut self, now: Timestamp) {
-        if self.is_reading_proposals || self.session.leads(REGISTRAR, now).is_none() {
+        if self.is_reading_proposals || self.session.leads(REGISTRAR_ELECTION, now).is_none() {
             return;
         }
         self.is_reading_proposals = true;
@@ -54,7 +54,7 @@
     /// Judges the proposal that was read. The token is the present one: a read that was sent under an earlier one serves as well.
     pub(super) fn judge_proposal(&mut self, now: Timestamp, read: &ReadResponse) {
         self.is_reading_proposals = false;
-        let Some(token) = self.session.leads(REGISTRAR, now) else {
+        let Some(token) = self.session.leads(REGISTRAR_ELECTION, now) else {
             return;
         };
         if let Some(judgement) = registrar::judge(read, token) {
@@ -63,14 +63,14 @@
     }
 
     fn fold_hits(&mut self, now: Timestamp) {
-        if let Some(token) = self.session.leads(HIT_TOTALS, now) {
+        if let Some(token) = self.session.leads(HIT_TOTALS_ELECTION, now) {
             let fold = wire::FoldHits { token: token.0 };
             self.session.submit(CommandKind::FoldHits(fold));
         }
     }
 
     fn publish_site_overrides(&mut self, now: Timestamp) {
-        if let Some(token) = self.session.leads(SITE_OVERRIDES, now) {
+        if let Some(token) = self.session.leads(SITE_OVERRIDES_ELECTION, now) {
             let publish = wire::PublishOverrides {
                 token: token.0,
                 up_to_version: self.session.state().version,
--- a/crates/coordinator/src/consensus.rs
+++ b/crates/coordinator/src/consensus.rs
@@ -1,9 +1,9 @@
-//! Consensus on commands: the core of a library, driven by messages, ticks and a storage.
+//! Consensus on commands, on top of the OmniPaxos library, which is driven by messages, ticks and a storage.
 //!
-//! Each configuration has a log of its own. It ends with a command that names the next configuration, whose log begins with the
-//! state that the last one left: so logs stay short, and a replica that lost its disk comes back as a new member. The library's own
-//! stop signs are not used: of version 0.2.4, one that a new leader has to pass on is counted twice by a follower that has it, and
-//! is never decided.
+//! Each configuration has its own log. The log ends with a command that names the next configuration, whose log begins with the
+//! final state of the previous one. This keeps logs short, and lets a replica that lost its disk rejoin as a new member. The
+//! library's own stop signs are not used: in version 0.2.4, a follower that already has a stop sign counts it twice when a new leader
+//! forwards it, and the stop sign is never decided.
 
 use crate::ids::ReplicaId;
 use crate::protocol::wire;
@@ -12,47 +12,47 @@
 use omnipaxos::util::LogEntry;
 use omnipaxos::{ClusterConfig, OmniPaxos, ServerConfig};
 
-/// Ticks without a sign of the leader after which another is elected.
-const ELECTION_TICKS: u64 = 5;
-/// Ticks after which messages that were not answered are sent again.
-const RESEND_TICKS: u64 = 10;
-/// Messages that the library holds back at the most until they are taken.
-const MESSAGE_BUFFER: usize = 10_000;
+/// Ticks without a heartbeat of the leader after which a new leader is elected.
+const ELECTION_TIMEOUT_TICKS: u64 = 5;
+/// Ticks after which unanswered messages are resent.
+const RESEND_TIMEOUT_TICKS: u64 = 10;
+/// Maximum number of outgoing messages that the library buffers until they are taken.
+const MESSAGE_BUFFER_SIZE: usize = 10_000;
 
 enum Core {
-    /// One replica decides alone.
+    /// A configuration of one replica, which decides without messages.
     Single,
     Replicated(Box<OmniPaxos<Entry, Storage>>),
 }
 
-/// The consensus of one configuration, as one replica takes part in it.
+/// One replica's part in the consensus of one configuration.
 pub struct Consensus {
     core: Core,
     storage: Storage,
-    /// The number of decided entries that were taken.
-    taken: usize,
+    /// The number of decided entries that were returned by [`Consensus::take_decided`].
+    taken_count: usize,
     outgoing: Vec<Message<Entry>>,
 }
 
-/// A message of the consensus to another replica.
+/// A consensus message to another replica.
 pub struct ConsensusMessage {
-    /// The replica that it is for.
+    /// The receiving replica.
     pub to: ReplicaId,
-    /// Its bytes.
+    /// The encoded message.
     pub body: Vec<u8>,
 }
 
-/// Why a configuration does not begin.
+/// Why the consensus of a configuration cannot start.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
 pub enum ConsensusError {
-    /// A number of replicas that cannot agree.
+    /// An unsupported number of replicas.
     #[error("expected one, three or five replicas, found {0}")]
     #[diagnostic(
         code(chalkdeck::keeper::count),
         help("with two the loss of either stops both; more than five cost more than they add")
     )]
     ReplicaCount(usize),
-    /// Rejected by the library.
+    /// The library rejected the configuration.
     #[error("configuration: {0}")]
     #[diagnostic(
         code(chalkdeck::keeper::configuration),
@@ -61,34 +61,34 @@
     Library(String),
 }
 
-/// Whether so many replicas can agree.
+/// Whether a configuration may have this number of replicas.
 pub fn is_valid_replica_count(count: usize) -> bool {
     matches!(count, 1 | 3 | 5)
 }
 
 impl Consensus {
-    /// Takes part in the configuration in the storage.
+    /// Starts the consensus of the stored configuration.
     ///
     /// # Errors
     /// See [`ConsensusError`].
-    pub fn begin(storage: Storage) -> Result<Consensus, ConsensusError> {
+    pub fn start(storage: Storage) -> Result<Consensus, ConsensusError> {
         let member_count = storage.state().configuration.members.len();
         let core = match member_count {
             1 => Core::Single,
             count if is_valid_replica_count(count) => {
-                Core::Replicated(Box::new(begin_replicated(&storage)?))
+                Core::Replicated(Box::new(start_replicated(&storage)?))
             }
             count => return Err(ConsensusError::ReplicaCount(count)),
         };
         Ok(Consensus {
             core,
             storage,
-            taken: 0,
+            taken_count: 0,
             outgoing: Vec::new(),
         })
     }
 
-    /// Proposes a command for the log. It may be lost on its way to the leader.
+    /// Proposes a command for the log. The command may be lost on its way to the leader.
     pub fn propose(&mut self, command: &wire::Command) {
         let entry = Entry::new(command);
         match &mut self.core {
@@ -98,13 +98,13 @@
                 self.storage.change(StorageChange::Decide(decided));
             }
             Core::Replicated(core) => {
-                // Fails only behind a stop sign, and there is none.
+                // Fails only after a stop sign, and none is ever appended.
                 let _ = core.append(entry);
             }
         }
     }
 
-    /// Takes the body of another replica's message in; what cannot be read is dropped.
+    /// Handles the body of another replica's message; a malformed body is dropped.
     pub fn receive(&mut self, body: &[u8]) {
         let Core::Replicated(core) = &mut self.core else {
             return;
@@ -114,21 +114,21 @@
         }
     }
 
-    /// Time passes.
+    /// Advances the library's clock by one tick.
     pub fn tick(&mut self) {
         if let Core::Replicated(core) = &mut self.core {
             core.tick();
         }
     }
 
-    /// A connection to a replica was established again: messages before may be lost.
+    /// Handles a re-established connection to a replica: earlier messages may be lost.
     pub fn reconnected(&mut self, replica: ReplicaId) {
         if let Core::Replicated(core) = &mut self.core {
             core.reconnected(replica.0);
         }
     }
 
-    /// Takes the messages that are to be sent. They may leave once the storage's changes are on the disk.
+    /// Takes the outgoing messages. They may be sent only once the storage's changes are on the disk.
     pub fn take_messages(&mut self) -> Vec<ConsensusMessage> {
         let Core::Replicated(core) = &mut self.core else {
             return Vec::new();
@@ -143,28 +143,30 @@
             .collect()
     }
 
-    /// Takes the commands that were decided since the last call.
+    /// Takes the commands decided since the last call.
     pub fn take_decided(&mut self) -> Vec<wire::Command> {
         match &self.core {
             Core::Single => {
                 let state = self.storage.state();
-                let entries = state.decided_since(self.taken);
-                self.taken = state.decided();
+                let entries = state.decided_since(self.taken_count);
+                self.taken_count = state.decided();
                 entries.iter().map(Entry::command).collect()
             }
             Core::Replicated(core) => {
                 let decided = core.get_decided_idx();
-                if decided <= self.taken {
+                if decided <= self.taken_count {
                     return Vec::new();
                 }
-                let entries = core.read_decided_suffix(self.taken).unwrap_or_default();
-                self.taken = decided;
-                entries.into_iter().filter_map(command_of).collect()
+                let entries = core
+                    .read_decided_suffix(self.taken_count)
+                    .unwrap_or_default();
+                self.taken_count = decided;
+                entries.into_iter().filter_map(decided_command).collect()
             }
         }
     }
 
-    /// The leader, as far as it is known here.
+    /// The leader, if this replica knows it.
     pub fn leader(&self) -> Option<ReplicaId> {
         match &self.core {
             Core::Single => Some(self.storage.state().configuration.own),
@@ -173,7 +175,7 @@
     }
 }
 
-fn begin_replicated(storage: &Storage) -> Result<OmniPaxos<Entry, Storage>, ConsensusError> {
+fn start_replicated(storage: &Storage) -> Result<OmniPaxos<Entry, Storage>, ConsensusError> {
     let (cluster, server) = {
         let state = storage.state();
         let configuration = &state.configuration;
@@ -184,9 +186,9 @@
         };
         let server = ServerConfig {
             pid: configuration.own.0,
-            election_tick_timeout: ELECTION_TICKS,
-            resend_message_tick_timeout: RESEND_TICKS,
-            buffer_size: MESSAGE_BUFFER,
+            election_tick_timeout: ELECTION_TIMEOUT_TICKS,
+            resend_message_tick_timeout: RESEND_TIMEOUT_TICKS,
+            buffer_size: MESSAGE_BUFFER_SIZE,
             ..ServerConfig::default()
         };
         (cluster, server)
@@ -196,8 +198,8 @@
         .map_err(|error| ConsensusError::Library(error.to_string()))
 }
 
-/// The command of a decided entry.
-fn command_of(entry: LogEntry<Entry>) -> Option<wire::Command> {
+/// The command of an entry, if the entry is decided.
+fn decided_command(entry: LogEntry<Entry>) -> Option<wire::Command> {
     match entry {
         LogEntry::Decided(entry) => Some(entry.command()),
         LogEntry::StopSign(..)
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,8 +1,8 @@
-//! The fleet's coordinator: a state that a few replicas agree on, and that gateways watch over sessions.
+//! The fleet's coordinator: a replicated state machine whose state gateways watch over sessions.
 //!
-//! A [`replica`] drives the [`consensus`] and applies what it decides to the replicated [`state`]; [`server`] has it on sockets and
-//! its [`log`] on the disk. A gateway's side is the [`agent`] with its [`session`] and its [`cache_file`]; operators and tools use
-//! the blocking [`client`]. The replica, the state, the agent and the session are free of I/O and clocks.
+//! A [`replica`] drives the [`consensus`] and applies decided commands to the replicated [`state`]; the [`server`] connects it to
+//! sockets and to its [`log`] on the disk. The gateway side is the [`agent`] with its [`session`] and its [`cache_file`]; operators
+//! and tools use the blocking [`client`]. The replica, the state, the agent and the session do no I/O and read no clocks.
 #![forbid(unsafe_code)]
 
 pub mod agent;
--- a/crates/coordinator/src/log.rs
+++ b/crates/coordinator/src/log.rs
@@ -1,4 +1,5 @@
-//! A replica's log on its disk: a record before anything is said, and a snapshot once the log has grown.
+//! A replica's write-ahead log: a record is synced before any message of the same turn is sent, and a snapshot is written once the
+//! log has grown.
 
 use crate::storage::PersistedState;
 use chalkdeck_wal::disk::Disk;
@@ -8,30 +9,30 @@
 use chalkdeck_wal::{retention, snapshot};
 use std::io;
 
-/// Bytes of log after which a snapshot is written, unless [`ReplicaLog::set_snapshot_threshold`] says otherwise.
-const DEFAULT_SNAPSHOT_THRESHOLD: usize = 8 << 20;
+/// Bytes of log after which a snapshot is written, unless [`ReplicaLog::set_snapshot_threshold`] sets another value.
+const DEFAULT_SNAPSHOT_THRESHOLD_BYTES: usize = 8 << 20;
 
 /// The log of one replica.
 pub struct ReplicaLog<D: Disk> {
     disk: D,
     log: Log<D>,
     bytes_since_snapshot: usize,
-    snapshot_threshold: usize,
+    snapshot_threshold_bytes: usize,
 }
 
-/// A log that was opened, and what it held.
+/// An opened log and its contents.
 pub struct OpenedLog<D: Disk> {
-    /// The log, ready for the next record.
+    /// The log, ready to append the next record.
     pub log: ReplicaLog<D>,
-    /// The state that it replayed to.
+    /// The state after replay.
     pub state: PersistedState,
     /// The position of the next record.
     pub position: u64,
-    /// The identity of the disk, and the number of starts on it.
+    /// The identity of the disk and the number of starts on it.
     pub identity: Identity,
 }
 
-/// Why a record is not on the disk. The replica must say nothing of that turn, and must stop.
+/// Why a record is not on the disk. The replica must not send the outputs of that turn, and must stop.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum LogError {
     /// The record was not written.
@@ -51,10 +52,10 @@
 }
 
 impl<D: Disk> ReplicaLog<D> {
-    /// Opens the log in a folder. `incarnation`: the identity of a disk that holds nothing yet.
+    /// Opens the log in a folder. `incarnation` becomes the identity of an empty disk.
     ///
     /// # Errors
-    /// The disk, or damage of what it holds.
+    /// If the disk fails or its contents are damaged.
     pub fn open(disk: D, incarnation: u64) -> Result<OpenedLog<D>, OpenError> {
         let opened: OpenedWal<D, PersistedState> = Log::open(disk.clone(), &(), incarnation)?;
         let state = opened.state;
@@ -64,7 +65,7 @@
             disk,
             log: opened.log,
             bytes_since_snapshot: 0,
-            snapshot_threshold: DEFAULT_SNAPSHOT_THRESHOLD,
+            snapshot_threshold_bytes: DEFAULT_SNAPSHOT_THRESHOLD_BYTES,
         };
         Ok(OpenedLog {
             log,
@@ -74,15 +75,15 @@
         })
     }
 
-    /// Has snapshots written after so many bytes of log.
+    /// Sets the number of log bytes after which a snapshot is written.
     pub fn set_snapshot_threshold(&mut self, bytes: usize) {
-        self.snapshot_threshold = bytes;
+        self.snapshot_threshold_bytes = bytes;
     }
 
-    /// Writes a record; once this returns it outlasts a crash.
+    /// Appends a record and syncs it; the record survives a crash once this returns.
     ///
     /// # Errors
-    /// The disk. Whether the record outlasts a crash is then not known.
+    /// If the disk fails. Whether the record survives a crash is then unknown.
     pub fn write(&mut self, record: &[u8]) -> Result<(), LogError> {
         self.log.append(record)?;
         self.log.sync()?;
@@ -90,15 +91,15 @@
         Ok(())
     }
 
-    /// Whether a snapshot is to be written.
+    /// Whether a snapshot is due.
     pub fn needs_snapshot(&self) -> bool {
-        self.bytes_since_snapshot >= self.snapshot_threshold
+        self.bytes_since_snapshot >= self.snapshot_threshold_bytes
     }
 
-    /// Writes a snapshot of the present state, and removes the records before it.
+    /// Writes a snapshot of the current state and removes the records that it supersedes.
     ///
     /// # Errors
-    /// The disk; what was written before is whole.
+    /// If the disk fails. Earlier records and snapshots stay intact.
     pub fn write_snapshot(&mut self, state: &PersistedState) -> Result<(), LogError> {
         self.log.roll(state.position())?;
         snapshot::write(&self.disk, state, self.log.identity())?;
--- a/crates/coordinator/src/pending_work.rs
+++ b/crates/coordinator/src/pending_work.rs
@@ -1,24 +1,24 @@
-//! Work that waits for the leaders of the built-in elections.
+//! Pending work for the leaders of the built-in elections.
 
 use crate::protocol::WatchEvent;
 
-/// Which work waits; told to gateways with each watch event.
+/// Which kinds of work are pending; sent to gateways with each watch event.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PendingWork {
-    /// Proposals wait for the registrar.
-    pub proposals: bool,
-    /// Hits of gateways that are gone wait to be folded into the totals.
-    pub unfolded_hits: bool,
-    /// Site overrides wait to be published.
-    pub unpublished_overrides: bool,
+    /// Whether proposals wait for the registrar.
+    pub has_proposals: bool,
+    /// Whether rule hits of ended gateway incarnations wait to be folded into the totals.
+    pub has_unfolded_hits: bool,
+    /// Whether site overrides wait to be published.
+    pub has_unpublished_overrides: bool,
 }
 
 impl From<&WatchEvent> for PendingWork {
     fn from(event: &WatchEvent) -> PendingWork {
         PendingWork {
-            proposals: event.has_proposals,
-            unfolded_hits: event.has_unfolded_hits,
-            unpublished_overrides: event.has_unpublished_overrides,
+            has_proposals: event.has_proposals,
+            has_unfolded_hits: event.has_unfolded_hits,
+            has_unpublished_overrides: event.has_unpublished_overrides,
         }
     }
 }
--- a/crates/coordinator/src/proposal_progress.rs
+++ b/crates/coordinator/src/proposal_progress.rs
@@ -1,40 +1,40 @@
-//! How far a proposal has come, from a read of its verdict; free of I/O.
+//! The progress of a proposal, determined from a read of its verdict; does no I/O.
 
 use crate::protocol::ReadResponse;
 
-/// How far a proposal has come.
+/// The progress of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposalProgress {
-    /// It was not judged yet, or the replica that was read lags.
+    /// Not judged yet, or the replica that was read lags behind.
     Pending,
-    /// Not admitted, for these reasons.
+    /// Rejected for these reasons.
     Rejected(Vec<String>),
-    /// Admitted; for a contract that is all.
+    /// Admitted. The final step for a contract.
     Admitted,
-    /// A rule set that these gateways have not acknowledged.
+    /// The rule set is admitted, but not acknowledged by all gateways.
     Unacknowledged {
         /// The set's version.
         version: u64,
-        /// Gateways with a session.
+        /// Gateways with a session that have not acknowledged it.
         gateways: Vec<String>,
     },
-    /// From here on no gateway admits a call by an earlier set.
+    /// The rule set is in force: no gateway decides calls by an earlier set any more.
     InForce {
         /// The set's version.
         version: u64,
-        /// But for these departed gateways, which go on by an earlier set without a session.
+        /// Departed gateways that may still apply an earlier set without a session.
         unknown: Vec<String>,
     },
-    /// Another rule set of the customer was admitted after it.
+    /// A later rule set of the customer was admitted.
     Superseded {
         /// The set's version.
         version: u64,
-        /// The later one.
+        /// The version of the later set.
         by: u64,
     },
 }
 
-/// How far the proposal has come whose verdict was read.
+/// The progress of the proposal whose verdict was read.
 pub fn progress(response: &ReadResponse) -> ProposalProgress {
     let Some(verdict) = &response.verdict else {
         return ProposalProgress::Pending;
@@ -47,7 +47,7 @@
     }
     let version = verdict.set_version;
     let Some(in_force) = &response.in_force else {
-        // A set that allows everything is removed once it is in force.
+        // A set that allows every call is removed once it is in force.
         return ProposalProgress::InForce {
             version,
             unknown: Vec::new(),
--- a/crates/coordinator/src/proposal_progress/tests.rs
+++ b/crates/coordinator/src/proposal_progress/tests.rs
@@ -4,7 +4,7 @@
 use crate::protocol::wire;
 
 #[test]
-fn each_step_of_a_proposal_is_recognized() {
+fn each_stage_of_a_proposal_is_derived_from_its_verdict() {
     let progress_of = |verdict: Option<wire::Verdict>, in_force: Option<wire::InForce>| {
         progress(&ReadResponse {
             verdict,
@@ -19,7 +19,7 @@
             ..wire::Verdict::default()
         })
     };
-    let force = |version, in_force, missing: &[&str], unknown: &[&str]| {
+    let in_force_state = |version, in_force, missing: &[&str], unknown: &[&str]| {
         let names = |list: &[&str]| list.iter().map(|s| s.to_string()).collect();
         Some(wire::InForce {
             version,
@@ -50,19 +50,19 @@
         gateways: vec!["g1".into()],
     };
     assert_eq!(
-        progress_of(admitted(2), force(2, false, &["g1"], &[])),
+        progress_of(admitted(2), in_force_state(2, false, &["g1"], &[])),
         unacknowledged
     );
-    let except_departed = ProposalProgress::InForce {
+    let in_force_except_departed = ProposalProgress::InForce {
         version: 2,
         unknown: vec!["g2".into()],
     };
     assert_eq!(
-        progress_of(admitted(2), force(2, true, &[], &["g2"])),
-        except_departed
+        progress_of(admitted(2), in_force_state(2, true, &[], &["g2"])),
+        in_force_except_departed
     );
     assert_eq!(
-        progress_of(admitted(2), force(3, true, &[], &[])),
+        progress_of(admitted(2), in_force_state(3, true, &[], &[])),
         ProposalProgress::Superseded { version: 2, by: 3 }
     );
 }
--- a/crates/coordinator/src/protocol.rs
+++ b/crates/coordinator/src/protocol.rs
@@ -1,4 +1,4 @@
-//! The messages of `chalkdeck.keeper.v1`, the coordinator's protocol and the stored form of its state.
+//! The messages of `chalkdeck.keeper.v1`: the coordinator's protocol, and the stored format of its state.
 
 pub use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
 
--- a/crates/coordinator/src/replica/commands.rs
+++ b/crates/coordinator/src/replica/commands.rs
@@ -37,7 +37,8 @@
                 "this keeper does not know the command",
             ));
         };
-        if required_version(kind) > self.state.supported_version() && self.is_configured() {
+        if required_version(kind) > self.state.supported_protocol_version() && self.is_configured()
+        {
             return Some((
                 ResponseCode::Unknown,
                 "not every keeper knows this command yet",
--- a/crates/coordinator/src/replica/maintenance.rs
+++ b/crates/coordinator/src/replica/maintenance.rs
@@ -3,7 +3,9 @@
 use super::pending::Requester;
 use super::Replica;
 use crate::protocol::{wire, CommandKind};
-use crate::state::{HIT_TOTALS, PROTOCOL_VERSION, REGISTRAR, SITE_OVERRIDES};
+use crate::state::{
+    HIT_TOTALS_ELECTION, PROTOCOL_VERSION, REGISTRAR_ELECTION, SITE_OVERRIDES_ELECTION,
+};
 use chalkdeck_time::TimeDelta;
 
 /// How often the leader does its maintenance, and moves the agreed time on.
@@ -51,7 +53,12 @@
     }
 
     fn create_missing_elections(&mut self) {
-        let built_in = [REGISTRAR, HIT_TOTALS, SITE_OVERRIDES].map(String::from);
+        let built_in = [
+            REGISTRAR_ELECTION,
+            HIT_TOTALS_ELECTION,
+            SITE_OVERRIDES_ELECTION,
+        ]
+        .map(String::from);
         let wanted = built_in
             .into_iter()
             .chain(self.settings.elections.iter().cloned());
--- a/crates/coordinator/src/replica/membership.rs
+++ b/crates/coordinator/src/replica/membership.rs
@@ -31,7 +31,7 @@
             }
             self.enter(self.first_configuration())?;
         } else {
-            self.consensus = Some(Consensus::begin(self.storage.clone())?);
+            self.consensus = Some(Consensus::start(self.storage.clone())?);
             self.state = initial_state(&stored);
         }
         self.apply_decided();
@@ -61,7 +61,7 @@
         self.storage
             .change(StorageChange::BeginConfiguration(configuration));
         self.peers.clear_links();
-        self.consensus = Some(Consensus::begin(self.storage.clone())?);
+        self.consensus = Some(Consensus::start(self.storage.clone())?);
         self.state = state;
         for session in self.state.sessions() {
             self.failure_detector
--- a/crates/coordinator/src/state/contracts.rs
+++ b/crates/coordinator/src/state/contracts.rs
@@ -1,16 +1,17 @@
-//! Contracts of services that were admitted.
+//! Admitted contracts of services.
 
 use super::{done, rejected, ReplicatedState};
 use crate::protocol::{wire, AdmittedContract, CommandResponse, ResponseCode};
 use crate::session::ServiceVersion;
 
-/// Services with contracts, and services with versions in use.
+/// Maximum number of services with contracts, and of services with versions in use.
 pub(super) const MAX_SERVICES: usize = 500;
-/// Admitted versions of one service.
+/// Maximum number of admitted versions of one service.
 pub(super) const MAX_VERSIONS: usize = 64;
 
 impl ReplicatedState {
-    /// Whether a contract is named, differs from none that was admitted under its name, and has room.
+    /// Checks that a contract has a service and a version, does not differ from one that was admitted under the same names, and does
+    /// not exceed the limits.
     pub(super) fn check_contract(&self, contract: &wire::Contract) -> Result<(), CommandResponse> {
         if contract.service.is_empty() || contract.version.is_empty() {
             return Err(rejected(
@@ -22,7 +23,7 @@
             let reason = format!("descriptors: {} bytes", contract.descriptors.len());
             return Err(rejected(ResponseCode::Full, reason));
         }
-        let admitted = self.contracts.get(&key_of(contract));
+        let admitted = self.contracts.get(&contract_key(contract));
         if admitted.is_some_and(|admitted| admitted.contract.as_ref() != Some(contract)) {
             let reason = format!(
                 "{} {} was admitted with another text",
@@ -30,17 +31,17 @@
             );
             return Err(rejected(ResponseCode::Refused, reason));
         }
-        self.check_room_for_contract(&contract.service)
+        self.check_contract_capacity(&contract.service)
     }
 
-    fn check_room_for_contract(&self, service: &str) -> Result<(), CommandResponse> {
+    fn check_contract_capacity(&self, service: &str) -> Result<(), CommandResponse> {
         let services = || self.contracts.keys().map(|key| &key.service);
         let version_count = services().filter(|known| *known == service).count();
         let mut distinct_services: Vec<&String> = services().collect();
         distinct_services.dedup();
         let is_new_service = version_count == 0;
-        let has_no_service_left = is_new_service && distinct_services.len() >= MAX_SERVICES;
-        if version_count < MAX_VERSIONS && !has_no_service_left {
+        let exceeds_service_limit = is_new_service && distinct_services.len() >= MAX_SERVICES;
+        if version_count < MAX_VERSIONS && !exceeds_service_limit {
             return Ok(());
         }
         let reason =
@@ -48,25 +49,25 @@
         Err(rejected(ResponseCode::Full, reason))
     }
 
-    /// Admits a contract, and returns the state's version with it.
+    /// Admits a contract and returns the version of the state that contains it.
     pub(super) fn admit_contract(
         &mut self,
         contract: &wire::Contract,
     ) -> Result<u64, CommandResponse> {
         self.check_contract(contract)?;
         self.contract_revision += 1;
-        let changed = self.next_version();
+        let changed = self.increment_version();
         let admitted = AdmittedContract {
             contract: Some(contract.clone()),
             changed,
             admitted_ms: self.time_ms,
             retired: false,
         };
-        self.contracts.insert(key_of(contract), admitted);
+        self.contracts.insert(contract_key(contract), admitted);
         Ok(changed)
     }
 
-    /// An operator says that a version counts as unused.
+    /// Marks a version as retired at an operator's request; it then counts as unused.
     pub(super) fn retire_version(&mut self, retire: &wire::RetireVersion) -> CommandResponse {
         let key = ServiceVersion {
             service: retire.service.clone(),
@@ -82,7 +83,7 @@
             .entry(key.service.clone())
             .or_default()
             .retire(&key.version, self.time_ms);
-        let changed = self.next_version();
+        let changed = self.increment_version();
         if let Some(admitted) = self.contracts.get_mut(&key) {
             admitted.retired = true;
             admitted.changed = changed;
@@ -91,8 +92,8 @@
     }
 }
 
-/// The name that a contract is admitted under.
-pub(super) fn key_of(contract: &wire::Contract) -> ServiceVersion {
+/// The service and the version that a contract is stored under.
+pub(super) fn contract_key(contract: &wire::Contract) -> ServiceVersion {
     ServiceVersion {
         service: contract.service.clone(),
         version: contract.version.clone(),
--- a/crates/coordinator/src/state/deduplication.rs
+++ b/crates/coordinator/src/state/deduplication.rs
@@ -1,13 +1,13 @@
-//! Responses by caller and number, so that a repeated command is applied once.
+//! Deduplication of commands: responses are recorded by caller and number, so that a retried command is applied once.
 
 use super::{rejected, CommandNumber, CommandResponse, ResponseCode};
 use crate::protocol::wire;
 use prost::Message;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Callers that are remembered; the one whose last command is the oldest is forgotten first.
+/// Maximum number of recorded callers; the one whose last command is the oldest is evicted first.
 const MAX_CALLERS: usize = 4_096;
-/// Responses that are remembered of each.
+/// Maximum number of recorded responses of one caller.
 const RESPONSES_PER_CALLER: usize = 32;
 
 #[derive(Clone, Debug)]
@@ -16,53 +16,53 @@
     response: CommandResponse,
 }
 
-/// What is remembered of one caller.
+/// The recorded responses of one caller.
 #[derive(Clone, Debug, Default)]
 struct CallerRecord {
-    /// The index in the log of its last command.
+    /// The log index of the caller's last command.
     last_index: u64,
     responses: VecDeque<RecordedResponse>,
-    /// Responses up to this number are forgotten.
+    /// Responses up to this number were evicted.
     forgotten_up_to: CommandNumber,
 }
 
-/// What is remembered of all callers.
+/// The recorded responses of all callers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CallerRecords {
     records: BTreeMap<u64, CallerRecord>,
-    /// Callers by the index of their last command.
+    /// Callers by the log index of their last command.
     by_last_index: BTreeMap<u64, u64>,
-    /// The index of the last command of the last caller that was forgotten.
+    /// The largest log index of the last command of an evicted caller.
     forgotten_at: u64,
 }
 
 impl CallerRecords {
-    /// The response to a command that was applied before, or a rejection if it is not known whether it was. `begun`: the version of
-    /// the state that the caller had seen.
+    /// The recorded response to a command that was already applied, or a rejection if it is no longer known whether the command was
+    /// applied. `begun_version` is the version of the state that the caller had seen.
     pub(super) fn known_response(
         &self,
         caller: u64,
         number: CommandNumber,
-        begun: u64,
+        begun_version: u64,
     ) -> Option<CommandResponse> {
-        let forgotten = || {
+        let forgotten_rejection = || {
             rejected(
                 ResponseCode::Forgotten,
                 "it cannot be told any more whether this command was done",
             )
         };
         let Some(record) = self.records.get(&caller) else {
-            // A caller that was forgotten had begun before its last command.
-            return (begun < self.forgotten_at).then(forgotten);
+            // An evicted caller had begun before its last command.
+            return (begun_version < self.forgotten_at).then(forgotten_rejection);
         };
         let known = record.responses.iter().find(|r| r.number == number);
         if let Some(known) = known {
             return Some(known.response.clone());
         }
-        (number <= record.forgotten_up_to).then(forgotten)
+        (number <= record.forgotten_up_to).then(forgotten_rejection)
     }
 
-    /// Remembers the response to a command at an index of the log.
+    /// Records the response to the command at a log index.
     pub(super) fn record(
         &mut self,
         caller: u64,
@@ -83,10 +83,10 @@
             }
         }
         self.by_last_index.insert(index, caller);
-        self.forget_oldest();
+        self.evict_oldest();
     }
 
-    fn forget_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         while self.records.len() > MAX_CALLERS {
             let Some((last_index, oldest)) = self.by_last_index.pop_first() else {
                 return;
@@ -115,7 +115,7 @@
         self.records.iter().map(to_wire).collect()
     }
 
-    /// Reads records back; `None`: a response cannot be read.
+    /// Restores records from a snapshot; `None` if a response is malformed.
     pub(super) fn from_wire(
         list: &[wire::CallerRecord],
         forgotten_at: u64,
@@ -124,27 +124,27 @@
             forgotten_at,
             ..CallerRecords::default()
         };
-        for answered in list {
+        for stored in list {
             let record = CallerRecord {
-                last_index: answered.last_index,
-                responses: responses_from_wire(answered)?,
-                forgotten_up_to: CommandNumber(answered.forgotten_up_to),
+                last_index: stored.last_index,
+                responses: responses_from_wire(stored)?,
+                forgotten_up_to: CommandNumber(stored.forgotten_up_to),
             };
-            callers.records.insert(answered.caller, record);
+            callers.records.insert(stored.caller, record);
             callers
                 .by_last_index
-                .insert(answered.last_index, answered.caller);
+                .insert(stored.last_index, stored.caller);
         }
         Some(callers)
     }
 }
 
-fn responses_from_wire(answered: &wire::CallerRecord) -> Option<VecDeque<RecordedResponse>> {
+fn responses_from_wire(stored: &wire::CallerRecord) -> Option<VecDeque<RecordedResponse>> {
     let mut responses = Vec::new();
-    for bytes in &answered.responses {
+    for bytes in &stored.responses {
         responses.push(CommandResponse::decode(&bytes[..]).ok()?);
     }
-    let numbers = answered.numbers.iter().copied().map(CommandNumber);
+    let numbers = stored.numbers.iter().copied().map(CommandNumber);
     Some(
         numbers
             .zip(responses)
--- a/crates/coordinator/src/state/elections.rs
+++ b/crates/coordinator/src/state/elections.rs
@@ -1,24 +1,24 @@
-//! Elections: who leads which, under which fencing token.
+//! Elections: the session that leads each election, and its fencing token.
 
 use super::{done, rejected, ReplicatedState};
 use crate::protocol::{wire, CommandResponse, Election, ResponseCode};
 use chalkdeck_leader_election::placement::{choose_leader, rebalance, Candidate, Reassignment};
 use chalkdeck_leader_election::SessionId;
 
-/// The election whose leader judges proposals of contracts and rule sets, one after another.
-pub const REGISTRAR: &str = "registrar";
-/// The election whose leader folds hits of gateways that are gone into the totals.
-pub const HIT_TOTALS: &str = "tally";
+/// The election of the registrar, which judges proposals of contracts and rule sets one after another.
+pub const REGISTRAR_ELECTION: &str = "registrar";
+/// The election whose leader folds the rule hits of ended gateway incarnations into the totals.
+pub const HIT_TOTALS_ELECTION: &str = "tally";
 /// The election whose leader publishes operators' overrides of sites.
-pub const SITE_OVERRIDES: &str = "site-words";
+pub const SITE_OVERRIDES_ELECTION: &str = "site-words";
 
 const MAX_ELECTIONS: usize = 64;
-/// Bytes of an election's name.
+/// Maximum length of an election's name.
 const MAX_NAME_BYTES: usize = 128;
-/// Bytes of the progress that a leader leaves to the next.
+/// Maximum size of the progress that a leader hands over to its successor.
 const MAX_PROGRESS_BYTES: usize = 64 << 10;
-/// Stands for no session where an election's leader, or next leader, is stored.
-const NOBODY: u64 = 0;
+/// The stored value of an election's leader or `move_to` if there is no such session.
+const NO_SESSION_ID: u64 = 0;
 
 impl ReplicatedState {
     /// Creates an election unless it exists.
@@ -38,15 +38,15 @@
         }
         let election = Election {
             name: name.into(),
-            changed: self.next_version(),
+            changed: self.increment_version(),
             ..Election::default()
         };
         self.elections.insert(name.into(), election);
-        self.place_vacant_elections();
+        self.elect_missing_leaders();
         done()
     }
 
-    /// Checks that a token is that of the election's present leader; on an effect of a leader this is the fencing guard.
+    /// Checks that a token is that of the election's current leader. This fences off commands of earlier leaders.
     pub(super) fn check_leader(
         &self,
         name: &str,
@@ -55,7 +55,7 @@
         let Some(election) = self.elections.get(name) else {
             return Err(rejected(ResponseCode::Refused, format!("no duty '{name}'")));
         };
-        if election.leader != NOBODY && election.token == token {
+        if election.leader != NO_SESSION_ID && election.token == token {
             return Ok(election);
         }
         let reason = format!(
@@ -70,8 +70,8 @@
 
     /// The leaders of all elections, in the order of the elections' names.
     fn leaders(&self) -> Vec<Option<SessionId>> {
-        let holders = self.elections.values().map(|election| election.leader);
-        holders.map(session_of).collect()
+        let leaders = self.elections.values().map(|election| election.leader);
+        leaders.map(session_from_wire).collect()
     }
 
     fn candidates(&self) -> Vec<Candidate<'_>> {
@@ -84,12 +84,12 @@
             .collect()
     }
 
-    /// Has elections without a leader led by the gateways that lead least.
-    pub(super) fn place_vacant_elections(&mut self) {
+    /// Elects a leader for each election without one, from the gateways that lead the fewest elections.
+    pub(super) fn elect_missing_leaders(&mut self) {
         let names: Vec<String> = self.elections.keys().cloned().collect();
-        for (place, name) in names.into_iter().enumerate() {
+        for (index, name) in names.into_iter().enumerate() {
             let leaders = self.leaders();
-            if leaders[place].is_some() {
+            if leaders[index].is_some() {
                 continue;
             }
             if let Some(leader) = choose_leader(&leaders, &self.candidates(), None) {
@@ -98,34 +98,34 @@
         }
     }
 
-    /// Makes a session the leader, under the next token.
+    /// Makes a session the leader of an election, under the next token.
     fn elect(&mut self, name: &str, leader: SessionId) {
-        let changed = self.next_version();
+        let changed = self.increment_version();
         if let Some(election) = self.elections.get_mut(name) {
             election.leader = leader.0;
             election.token += 1;
-            election.move_to = NOBODY;
+            election.move_to = NO_SESSION_ID;
             election.changed = changed;
         }
     }
 
-    /// A session is over, or resigned: others lead its elections, and none is moved to it.
+    /// Removes a session that ended or resigned as leader and as `move_to` of all elections, and elects other leaders.
     pub(super) fn vacate_elections(&mut self, session: SessionId) {
-        let changed = self.next_version();
+        let changed = self.increment_version();
         for election in self.elections.values_mut() {
             if election.leader != session.0 && election.move_to != session.0 {
                 continue;
             }
             if election.leader == session.0 {
-                election.leader = NOBODY;
+                election.leader = NO_SESSION_ID;
             }
-            election.move_to = NOBODY;
+            election.move_to = NO_SESSION_ID;
             election.changed = changed;
         }
-        self.place_vacant_elections();
+        self.elect_missing_leaders();
     }
 
-    /// A leader steps down, and leaves its progress to the next.
+    /// Lets a leader step down; its progress is stored for its successor.
     pub(super) fn release_election(&mut self, release: &wire::ReleaseElection) -> CommandResponse {
         if release.progress.len() > MAX_PROGRESS_BYTES {
             let reason = format!("progress: expected at most {MAX_PROGRESS_BYTES} bytes");
@@ -138,12 +138,12 @@
         let next_leader = self.successor(election, SessionId(release.session));
         if let Some(election) = self.elections.get_mut(&release.election) {
             election.progress.clone_from(&release.progress);
-            election.leader = NOBODY;
+            election.leader = NO_SESSION_ID;
         }
         match next_leader {
             Some(leader) => self.elect(&release.election, leader),
             None => {
-                let changed = self.next_version();
+                let changed = self.increment_version();
                 if let Some(election) = self.elections.get_mut(&release.election) {
                     election.changed = changed;
                 }
@@ -152,15 +152,16 @@
         done()
     }
 
-    /// Who leads an election after its leader steps down: the session that it is to be moved to, if that is still a candidate.
+    /// The next leader after `leader` steps down: the session that the election is to be moved to if that is still a candidate,
+    /// else the best-placed other candidate.
     fn successor(&self, election: &Election, leader: SessionId) -> Option<SessionId> {
         let is_candidate = |id: &SessionId| self.sessions.get(id).is_some_and(|s| s.candidate);
-        session_of(election.move_to)
+        session_from_wire(election.move_to)
             .filter(is_candidate)
             .or_else(|| choose_leader(&self.leaders(), &self.candidates(), Some(leader)))
     }
 
-    /// An election is to be moved to balance the load: its leader is asked to step down.
+    /// Asks an election's leader to step down, so that the election moves to another session to balance the load.
     pub(super) fn request_move(&mut self, request: &wire::MoveElection) -> CommandResponse {
         if let Err(stale) = self.check_leader(&request.election, request.token) {
             return stale;
@@ -168,7 +169,7 @@
         if !self.sessions.contains_key(&SessionId(request.to)) {
             return rejected(ResponseCode::NoSession, "no such session");
         }
-        let changed = self.next_version();
+        let changed = self.increment_version();
         if let Some(election) = self.elections.get_mut(&request.election) {
             election.move_to = request.to;
             election.moved_ms = self.time_ms;
@@ -177,10 +178,10 @@
         done()
     }
 
-    /// The next move that balances the load, of an election that was not moved for so long, in milliseconds of the agreed time.
+    /// The next move that balances the load. An election that was moved less than `min_interval_ms` of the agreed time ago stays.
     pub fn next_move(&self, min_interval_ms: u64) -> Option<wire::MoveElection> {
-        // One at a time: none is asked to step down while another has not yet.
-        if self.elections.values().any(|e| e.move_to != NOBODY) {
+        // One at a time: no leader is asked to step down while another move is pending.
+        if self.elections.values().any(|e| e.move_to != NO_SESSION_ID) {
             return None;
         }
         let Reassignment { election, to } = rebalance(&self.leaders(), &self.candidates())?;
@@ -194,13 +195,13 @@
         })
     }
 
-    /// All elections, in the order of their names.
+    /// All elections, ordered by name.
     pub fn elections(&self) -> impl Iterator<Item = &Election> {
         self.elections.values()
     }
 }
 
-/// The session under an id that may stand for nobody.
-fn session_of(id: u64) -> Option<SessionId> {
-    (id != NOBODY).then_some(SessionId(id))
+/// Converts a stored session id; `None` for [`NO_SESSION_ID`].
+fn session_from_wire(id: u64) -> Option<SessionId> {
+    (id != NO_SESSION_ID).then_some(SessionId(id))
 }
--- a/crates/coordinator/src/state/membership.rs
+++ b/crates/coordinator/src/state/membership.rs
@@ -1,4 +1,4 @@
-//! The replicas of the configuration, and the commands that all of them know.
+//! The replicas of the configuration, and the protocol version that all of them support.
 
 use super::{done, ReplicatedState};
 use crate::ids::ReplicaId;
@@ -8,7 +8,7 @@
 const FIRST_PROTOCOL_VERSION: u32 = 1;
 
 impl ReplicatedState {
-    /// Begins a configuration. Called by each replica as it enters it, equally at each.
+    /// Begins a configuration. Every replica calls this with the same arguments as it enters the configuration.
     pub fn begin_configuration(&mut self, number: u32, members: Vec<wire::Member>) {
         self.configuration = number;
         self.members = members
@@ -23,7 +23,7 @@
     }
 
     /// The protocol version that every replica supports.
-    pub fn supported_version(&self) -> u32 {
+    pub fn supported_protocol_version(&self) -> u32 {
         let versions = self.members.values().map(|member| member.protocol_version);
         versions
             .min()
@@ -31,12 +31,12 @@
             .max(FIRST_PROTOCOL_VERSION)
     }
 
-    /// A replica announces which commands it knows, and how often it was started.
+    /// Records the protocol version of a replica, and its epoch: the number of starts on its disk.
     pub(super) fn announce_version(
         &mut self,
         announcement: &wire::AnnounceVersion,
     ) -> CommandResponse {
-        // The fleet's state is named after the first replica that is heard.
+        // The first announcement sets the id of the cluster, to the incarnation of its replica.
         if self.cluster == 0 {
             self.cluster = announcement.cluster;
         }
--- a/crates/coordinator/src/state/mod.rs
+++ b/crates/coordinator/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! The replicated state, free of I/O and clocks: the same commands in the same order give the same state and the same responses.
-//! A command that is repeated under its caller and number is applied once and gets the same response.
+//! The replicated state. It does no I/O and reads no clocks: the same commands in the same order give the same state and responses.
+//! A command that is retried under the same caller and number is applied once and gets the same response.
 
 mod contracts;
 mod deduplication;
@@ -15,7 +15,7 @@
 mod version_use;
 mod watch;
 
-pub use elections::{HIT_TOTALS, REGISTRAR, SITE_OVERRIDES};
+pub use elections::{HIT_TOTALS_ELECTION, REGISTRAR_ELECTION, SITE_OVERRIDES_ELECTION};
 pub use rules::{rule_set_error, rule_set_from_wire};
 pub use snapshot::SnapshotError;
 
@@ -31,42 +31,42 @@
 use deduplication::CallerRecords;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The newest commands that this program knows.
+/// The protocol version of this program: it determines which commands it can apply.
 pub const PROTOCOL_VERSION: u32 = 1;
-/// How long one span of recent calls is, in milliseconds of the agreed time.
+/// Length of a span of recent calls, in milliseconds of the agreed time.
 const RECENT_CALLS_SPAN_MS: u64 = 120_000;
 
 /// The replicated state.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicatedState {
-    /// The number of commands that were applied: the index in the log of the last one.
+    /// The number of applied commands, which is the log index of the last one.
     pub index: u64,
-    /// Grows with each change that sessions watch.
+    /// The version of the watched state: incremented with each change that sessions watch.
     pub version: u64,
-    /// The agreed time, in milliseconds.
+    /// The agreed time in milliseconds: a logical clock that the leader advances with commands.
     pub time_ms: u64,
-    /// Which fleet's state this is.
+    /// The id of the cluster that the state belongs to.
     pub cluster: u64,
     /// The number of the configuration.
     pub configuration: u32,
     members: BTreeMap<ReplicaId, wire::Member>,
     last_session: SessionId,
     sessions: BTreeMap<SessionId, wire::Session>,
-    /// Gateways whose sessions have expired and that are not back.
+    /// Gateways whose sessions have expired and that have not returned.
     departed: BTreeMap<String, DepartedGateway>,
     elections: BTreeMap<String, Election>,
     /// Rule sets by customer.
     rules: BTreeMap<String, wire::CustomerRules>,
-    /// Rules in all sets.
+    /// The number of rules in all sets.
     rule_count: usize,
-    /// The latest removals of rule sets, with the versions of the state that they came with.
+    /// The latest removals of rule sets, with the versions of the state at which they happened.
     removed_rules: VecDeque<wire::RemovedRules>,
-    /// Removals up to this version of the state are no longer remembered.
+    /// Removals up to this version of the state were evicted from `removed_rules`.
     removed_before: u64,
     contracts: BTreeMap<ServiceVersion, AdmittedContract>,
     /// Contract versions in use, by service.
     versions_in_use: BTreeMap<String, VersionsInUse>,
-    /// Grows with everything that a judgement of a proposal rests on.
+    /// Incremented with each change to the data that judgements of contract proposals depend on.
     contract_revision: u64,
     last_proposal: u64,
     proposals: BTreeMap<u64, wire::Proposal>,
@@ -74,15 +74,15 @@
     site_overrides: BTreeMap<String, SiteOverride>,
     /// Hits of rules, by customer.
     hits: BTreeMap<String, HitTotals>,
-    /// Incarnations of gateways that are over and whose hits are not folded yet.
+    /// Incarnations of gateways that have ended and whose hits are not folded yet.
     ended_incarnations: BTreeSet<u64>,
-    /// Recent calls by customer, and the agreed time at which their present span began.
+    /// Recent calls by customer, and the agreed time at which their current span began.
     recent_calls: BTreeMap<String, CallHistory>,
     recent_span_start_ms: u64,
     callers: CallerRecords,
 }
 
-/// The response to a command that was applied and has nothing more to say.
+/// The response to a command that was applied and returns no data.
 fn done() -> CommandResponse {
     CommandResponse::default()
 }
@@ -100,7 +100,7 @@
     /// Applies the next command of the log.
     pub fn apply(&mut self, command: &wire::Command) -> CommandResponse {
         self.index += 1;
-        // 0: a replica's own command, whose response nobody waits for twice.
+        // 0: a replica's own command. It is not deduplicated, as no caller waits for a recorded response.
         if command.caller == 0 {
             return self.apply_once(command);
         }
@@ -137,29 +137,29 @@
             CommandKind::ExpireSession(expiry) => self.expire_session(expiry),
             CommandKind::ReleaseElection(release) => self.release_election(release),
             CommandKind::MoveElection(request) => self.request_move(request),
-            CommandKind::AdvanceTime(tick) => self.advance_time(tick.time_ms),
+            CommandKind::AdvanceTime(advance) => self.advance_time(advance.time_ms),
             CommandKind::EnsureElection(ensure) => self.ensure_election(&ensure.election),
             CommandKind::Propose(propose) => self.add_proposal(propose, caller),
             CommandKind::JudgeProposal(judgement) => self.judge_proposal(judgement),
             CommandKind::RetireVersion(retire) => self.retire_version(retire),
             CommandKind::Subscribe(subscribe) => self.subscribe(subscribe),
-            CommandKind::Report(report) => self.take_report(report),
+            CommandKind::Report(report) => self.apply_report(report),
             CommandKind::OverrideSite(request) => self.override_site(request),
             CommandKind::PublishOverrides(publish) => self.publish_site_overrides(publish),
             CommandKind::FoldHits(fold) => self.fold_hits(fold.token),
-            // The end of a configuration is handled by the replicas before it is applied.
+            // Replicas handle the end of a configuration before they apply it; see `Replica::apply_decided`.
             CommandKind::NextConfiguration(_) => done(),
             CommandKind::AnnounceVersion(announcement) => self.announce_version(announcement),
         }
     }
 
-    /// Takes the next version, for a change that sessions watch.
-    fn next_version(&mut self) -> u64 {
+    /// Increments the version for a change that sessions watch, and returns it.
+    fn increment_version(&mut self) -> u64 {
         self.version += 1;
         self.version
     }
 
-    /// Moves the agreed time on; it never goes back.
+    /// Advances the agreed time; it never goes backwards.
     fn advance_time(&mut self, time_ms: u64) -> CommandResponse {
         self.time_ms = self.time_ms.max(time_ms);
         if self.time_ms >= self.recent_span_start_ms + RECENT_CALLS_SPAN_MS {
@@ -168,7 +168,7 @@
         done()
     }
 
-    /// Forgets calls that are no longer recent, and rule sets that are no longer needed.
+    /// Drops calls that are no longer recent, and rule sets that have become redundant.
     fn begin_recent_span(&mut self) {
         self.recent_span_start_ms = self.time_ms;
         self.recent_calls
@@ -177,7 +177,7 @@
         self.recent_calls.retain(|_, recent| !recent.is_empty());
         let customers: Vec<String> = self.rules.keys().cloned().collect();
         for customer in &customers {
-            self.remove_if_needless(customer);
+            self.remove_if_redundant(customer);
         }
     }
 }
--- a/crates/coordinator/src/state/proposals.rs
+++ b/crates/coordinator/src/state/proposals.rs
@@ -1,14 +1,14 @@
-//! Proposals of contracts and rule sets, and their judgement by the registrar.
+//! Proposals of contracts and rule sets, and the registrar's judgements on them.
 
-use super::{done, rejected, rules, ReplicatedState, REGISTRAR};
+use super::{done, rejected, rules, ReplicatedState, REGISTRAR_ELECTION};
 use crate::protocol::{wire, CommandResponse, ResponseCode};
 use wire::propose::Proposed as ProposedKind;
 
-/// Proposals that wait for the registrar.
+/// Maximum number of proposals that wait for the registrar.
 const MAX_PROPOSALS: usize = 64;
-/// Verdicts that are remembered.
+/// Maximum number of stored verdicts.
 const MAX_VERDICTS: usize = 512;
-/// Reasons in one verdict.
+/// Maximum number of reasons in one verdict.
 const MAX_REASONS: usize = 100;
 
 impl ReplicatedState {
@@ -17,26 +17,26 @@
             let reason = format!("{MAX_PROPOSALS} proposals wait for the registrar");
             return rejected(ResponseCode::Full, reason);
         }
-        let kind = match self.check_proposed(propose.proposed.as_ref()) {
-            Ok(kind) => kind,
+        let proposed = match self.check_proposed(propose.proposed.as_ref()) {
+            Ok(proposed) => proposed,
             Err(rejection) => return rejection,
         };
         self.last_proposal += 1;
         let proposal = wire::Proposal {
             id: self.last_proposal,
-            proposed: Some(kind),
+            proposed: Some(proposed),
             force: propose.force,
             caller,
         };
         self.proposals.insert(proposal.id, proposal);
-        self.next_version();
+        self.increment_version();
         CommandResponse {
             id: self.last_proposal,
             ..done()
         }
     }
 
-    /// Whether a proposal is sound by itself, and has room.
+    /// Checks that a proposal is valid by itself and does not exceed the limits.
     fn check_proposed(
         &self,
         proposed: Option<&ProposedKind>,
@@ -50,7 +50,7 @@
                 if let Some(error) = rules::rule_set_error(set) {
                     return Err(rejected(ResponseCode::Refused, error));
                 }
-                self.check_room_for_rules(set)?;
+                self.check_rule_capacity(set)?;
                 Ok(wire::proposal::Proposed::Rules(set.clone()))
             }
             None => Err(rejected(
@@ -60,10 +60,11 @@
         }
     }
 
-    /// Takes the registrar's judgement. It must lead its election, and what the judgement rests on must not have changed since: of
-    /// two proposals that are sound alone and not together the second is judged again.
+    /// Applies the registrar's judgement. The registrar must still lead its election, and the data that an admission is based on must
+    /// not have changed since: of two proposals that are compatible with the admitted contracts but not with each other, the second
+    /// is judged again.
     pub(super) fn judge_proposal(&mut self, judgement: &wire::JudgeProposal) -> CommandResponse {
-        if let Err(stale) = self.check_leader(REGISTRAR, judgement.token) {
+        if let Err(stale) = self.check_leader(REGISTRAR_ELECTION, judgement.token) {
             return stale;
         }
         if judgement.admit && judgement.contract_revision != self.contract_revision {
@@ -76,7 +77,7 @@
             let reason = format!("no proposal {}", judgement.proposal);
             return rejected(ResponseCode::Refused, reason);
         };
-        let verdict = self.verdict_of(&proposal, judgement);
+        let verdict = self.apply_judgement(&proposal, judgement);
         self.verdicts.insert(proposal.id, verdict);
         if self.verdicts.len() > MAX_VERDICTS {
             self.verdicts.pop_first();
@@ -84,8 +85,8 @@
         done()
     }
 
-    /// Carries a judgement out.
-    fn verdict_of(
+    /// Carries out a judgement, and returns the verdict to store.
+    fn apply_judgement(
         &mut self,
         proposal: &wire::Proposal,
         judgement: &wire::JudgeProposal,
@@ -105,7 +106,7 @@
             }
         }
         if verdict.changed == 0 {
-            verdict.changed = self.next_version();
+            verdict.changed = self.increment_version();
         }
         verdict
     }
@@ -120,7 +121,7 @@
                 verdict.changed = self.admit_contract(contract)?;
             }
             Some(wire::proposal::Proposed::Rules(set)) => {
-                self.check_room_for_rules(set)?;
+                self.check_rule_capacity(set)?;
                 verdict.customer.clone_from(&set.customer);
                 let admitted = self.admit_rules(set);
                 verdict.set_version = admitted.set_version;
--- a/crates/coordinator/src/state/reads.rs
+++ b/crates/coordinator/src/state/reads.rs
@@ -1,4 +1,4 @@
-//! Reads of the state, for operators, tools and the leaders of elections.
+//! Reads of the state by operators, tools and the leaders of elections.
 
 use super::{rules, ReplicatedState};
 use crate::protocol::{wire, ReadKind, ReadRequest, ReadResponse};
@@ -6,7 +6,7 @@
 use chalkdeck_contract::{VersionUse, VersionsInUse};
 
 impl ReplicatedState {
-    /// Answers a read. `unused_after_ms`: a version counts as unused after so long without a call.
+    /// Answers a read. A contract version without a call for `unused_after_ms` counts as unused.
     pub fn read(&self, request: &ReadRequest, unused_after_ms: u64) -> ReadResponse {
         let mut response = ReadResponse {
             version: self.version,
@@ -23,7 +23,10 @@
             ReadKind::Verdict => self.read_verdict(request, &mut response),
             ReadKind::Hits => response.hits = self.hit_lines(&request.customer),
             ReadKind::Try => {
-                response.dry_run = request.rule_set.as_ref().and_then(|s| self.try_rules(s))
+                response.dry_run = request
+                    .rule_set
+                    .as_ref()
+                    .and_then(|s| self.dry_run_rules(s))
             }
             ReadKind::Spoken => {
                 response.versions_in_use = self.read_versions_in_use(&request.service)
@@ -46,7 +49,7 @@
         }
     }
 
-    /// The next proposal for the registrar, with what its judgement rests on.
+    /// The next proposal for the registrar, with the data that its judgement is based on.
     fn read_next_proposal(&self, response: &mut ReadResponse) {
         let Some(next) = self.proposals.values().next() else {
             return;
@@ -54,14 +57,18 @@
         response.proposals = vec![next.clone()];
         match &next.proposed {
             Some(wire::proposal::Proposed::Contract(contract)) => {
-                let of_service = self
+                let contracts_of_service = self
                     .contracts
                     .iter()
                     .filter(|(key, _)| key.service == contract.service);
-                response.contracts = of_service.map(|(_, admitted)| admitted.clone()).collect();
+                response.contracts = contracts_of_service
+                    .map(|(_, admitted)| admitted.clone())
+                    .collect();
                 response.versions_in_use = self.read_versions_in_use(&contract.service);
             }
-            Some(wire::proposal::Proposed::Rules(set)) => response.dry_run = self.try_rules(set),
+            Some(wire::proposal::Proposed::Rules(set)) => {
+                response.dry_run = self.dry_run_rules(set)
+            }
             None => {}
         }
     }
@@ -77,15 +84,15 @@
         response.proposals = proposal.into_iter().collect();
     }
 
-    /// What a rule set would decide about its customer's recent calls; `None`: it cannot be read.
-    fn try_rules(&self, set: &wire::RuleSet) -> Option<wire::DryRun> {
+    /// Evaluates a rule set against its customer's recent calls; `None` if the set is malformed.
+    fn dry_run_rules(&self, set: &wire::RuleSet) -> Option<wire::DryRun> {
         let rule_set = rules::rule_set_from_wire(set)?;
         let recent = self.recent_calls.get(&set.customer);
         let dry_run = recent.map(|recent| recent.dry_run(&rule_set));
         Some(dry_run_to_wire(&dry_run.unwrap_or_default()))
     }
 
-    /// Versions in use; `service` empty: of all services.
+    /// The versions in use of a service, or of all services if `service` is empty.
     fn read_versions_in_use(&self, service: &str) -> Vec<wire::VersionInUse> {
         let matching = self
             .versions_in_use
@@ -96,7 +103,7 @@
             .collect()
     }
 
-    /// Rule sets; `customer` empty: of all customers.
+    /// The rule set of a customer, or those of all customers if `customer` is empty.
     fn read_rules(&self, customer: &str) -> Vec<wire::RuleSet> {
         let sets = self.rules.values().filter_map(|rules| rules.set.as_ref());
         sets.filter(|set| customer.is_empty() || set.customer == customer)
--- a/crates/coordinator/src/state/reports.rs
+++ b/crates/coordinator/src/state/reports.rs
@@ -1,18 +1,19 @@
-//! Reports of gateways: hits of rules, recent calls and versions in use.
+//! Reports of gateways: rule hits, recent calls and contract versions in use.
 
-use super::{done, rejected, ReplicatedState, HIT_TOTALS};
+use super::{done, rejected, ReplicatedState, HIT_TOTALS_ELECTION};
 use crate::protocol::{wire, CommandResponse, ResponseCode};
 use chalkdeck_access::{CallKind, RuleVersion};
 use chalkdeck_leader_election::SessionId;
 
-/// Customers with hits, and customers with recent calls.
+/// Maximum number of customers with hits, and of customers with recent calls.
 const MAX_CUSTOMERS: usize = 20_000;
-/// Lines of folded hits of one customer.
+/// Maximum number of lines of folded hits of one customer.
 const MAX_FOLDED_LINES: usize = 20_002;
 
 impl ReplicatedState {
-    /// Takes a report. Hits are cumulative, so the larger count holds; all else counts once by the report's number.
-    pub(super) fn take_report(&mut self, report: &wire::Report) -> CommandResponse {
+    /// Applies a report. Hits are cumulative counts, of which the larger one is kept; the other counts are increments, which are
+    /// deduplicated by the report's number.
+    pub(super) fn apply_report(&mut self, report: &wire::Report) -> CommandResponse {
         let Some(session) = self.sessions.get_mut(&SessionId(report.session)) else {
             return rejected(ResponseCode::NoSession, "no such session");
         };
@@ -53,9 +54,9 @@
         recent.record(call_kind(calls), calls.count);
     }
 
-    /// The election's leader folds the hits of incarnations that are over into the totals.
+    /// Folds the hits of ended incarnations into the totals, at the request of the election's leader.
     pub(super) fn fold_hits(&mut self, token: u64) -> CommandResponse {
-        if let Err(stale) = self.check_leader(HIT_TOTALS, token) {
+        if let Err(stale) = self.check_leader(HIT_TOTALS_ELECTION, token) {
             return stale;
         }
         for incarnation in std::mem::take(&mut self.ended_incarnations) {
@@ -69,7 +70,7 @@
         done()
     }
 
-    /// Hits of the fleet by customer, version and rule; `customer` empty: of all.
+    /// The fleet's hits by customer, version and rule, for one customer, or for all if `customer` is empty.
     pub fn hit_lines(&self, customer: &str) -> Vec<wire::HitLine> {
         let mut lines = Vec::new();
         for (name, totals) in &self.hits {
@@ -89,7 +90,7 @@
     }
 }
 
-/// What tells one kind of recent calls from another.
+/// The kind of a line of recent calls.
 pub(super) fn call_kind(calls: &wire::CallCount) -> CallKind {
     CallKind {
         caller_region: calls.caller_region.clone(),
--- a/crates/coordinator/src/state/rules.rs
+++ b/crates/coordinator/src/state/rules.rs
@@ -1,4 +1,4 @@
-//! Customers' access rules: admitted by the registrar, and in force once every gateway with a session goes by them.
+//! Customers' access rules. The registrar admits a rule set; it is in force once every gateway with a session applies it.
 
 use super::{rejected, ReplicatedState};
 use crate::protocol::{wire, CommandResponse, ResponseCode};
@@ -6,12 +6,13 @@
 use wire::access_rule::Action as WireAction;
 use wire::rule_set::Stale as WireStale;
 
-/// Versions of a set whose behaviour without a session is remembered.
-const MAX_HISTORY: usize = 16;
-/// Removals that are remembered, so that a gateway that lags behind them needs only what has changed.
-const MAX_REMOVED: usize = 1_024;
+/// Maximum number of versions of a customer's rule set whose behaviour without a session is stored.
+const MAX_SET_VERSIONS: usize = 16;
+/// Maximum number of stored removals. A gateway that lags behind by no more than these is sent changes instead of the whole state.
+const MAX_REMOVED_SETS: usize = 1_024;
 
-/// A rule set as decisions take it; `None`: its default, its behaviour without a session or a rule's action is not given.
+/// Converts a rule set for decisions; `None` if its default action, its behaviour without a session or a rule's action is
+/// unspecified.
 pub fn rule_set_from_wire(set: &wire::RuleSet) -> Option<RuleSet> {
     let stale_policy = match set.stale() {
         WireStale::Keep => StalePolicy::Keep,
@@ -50,7 +51,7 @@
     }
 }
 
-/// What is wrong with a rule set, in one line; `None`: nothing.
+/// Describes the first error of a rule set in one line; `None` if the set is valid.
 pub fn rule_set_error(set: &wire::RuleSet) -> Option<String> {
     let Some(rule_set) = rule_set_from_wire(set) else {
         return Some(
@@ -60,40 +61,40 @@
     rule_set.check().err().map(|error| error.to_string())
 }
 
-/// The versions that a rule set was admitted with.
+/// The versions under which a rule set was admitted.
 pub(super) struct AdmittedRules {
-    /// The set's own version.
+    /// The version of the set.
     pub(super) set_version: u64,
-    /// The state's version.
+    /// The version of the state.
     pub(super) changed: u64,
 }
 
 impl ReplicatedState {
-    /// Whether there is room for a set beside the others.
-    pub(super) fn check_room_for_rules(&self, set: &wire::RuleSet) -> Result<(), CommandResponse> {
+    /// Checks that a set can be stored beside the others within the limits.
+    pub(super) fn check_rule_capacity(&self, set: &wire::RuleSet) -> Result<(), CommandResponse> {
         let known = self.rules.get(&set.customer);
-        let before = known.and_then(|rules| rules.set.as_ref());
-        let replaced = before.map_or(0, |set| set.rules.len());
-        let rule_count = self.rule_count - replaced + set.rules.len();
+        let previous = known.and_then(|rules| rules.set.as_ref());
+        let replaced_rule_count = previous.map_or(0, |set| set.rules.len());
+        let rule_count = self.rule_count - replaced_rule_count + set.rules.len();
         if rule_count > MAX_STORED_RULES {
             let reason =
                 format!("there would be {rule_count} rules, of {MAX_STORED_RULES} at most");
             return Err(rejected(ResponseCode::Full, reason));
         }
-        if before.is_none() && self.rules.len() >= MAX_CUSTOMERS {
+        if previous.is_none() && self.rules.len() >= MAX_CUSTOMERS {
             let reason = format!("{MAX_CUSTOMERS} customers have sets");
             return Err(rejected(ResponseCode::Full, reason));
         }
         Ok(())
     }
 
-    /// Puts a set in its customer's place, under the next version.
+    /// Stores a set as its customer's next version, in place of the previous one.
     pub(super) fn admit_rules(&mut self, set: &wire::RuleSet) -> AdmittedRules {
-        let changed = self.next_version();
+        let changed = self.increment_version();
         let rules = self.rules.entry(set.customer.clone()).or_default();
-        let replaced = rules.set.as_ref().map_or(0, |set| set.rules.len());
+        let replaced_rule_count = rules.set.as_ref().map_or(0, |set| set.rules.len());
         let set_version = rules.history.last().map_or(0, |last| last.version) + 1;
-        self.rule_count = self.rule_count - replaced + set.rules.len();
+        self.rule_count = self.rule_count - replaced_rule_count + set.rules.len();
         rules.set = Some(wire::RuleSet {
             version: set_version,
             ..set.clone()
@@ -104,7 +105,7 @@
             stale: set.stale,
             changed,
         });
-        if rules.history.len() > MAX_HISTORY {
+        if rules.history.len() > MAX_SET_VERSIONS {
             rules.history.remove(0);
         }
         AdmittedRules {
@@ -113,8 +114,8 @@
         }
     }
 
-    /// How far a customer's set is in force. It is once every session goes by it; departed gateways that may go by an earlier set
-    /// are named, as nothing is known of them.
+    /// Whether a customer's set is in force, which it is once every session has acknowledged it. Departed gateways that may still
+    /// apply an earlier set are listed as `unknown`.
     pub fn in_force(&self, customer: &str) -> Option<wire::InForce> {
         let rules = self.rules.get(customer)?;
         let set = rules.set.as_ref()?;
@@ -125,7 +126,7 @@
         let missing: Vec<String> = behind.map(|session| session.gateway.clone()).collect();
         let unknown = self.departed.values().filter(|departed| {
             departed.applied_version < rules.changed
-                && keeps_earlier_set(rules, departed.applied_version)
+                && applies_earlier_set(rules, departed.applied_version)
         });
         Some(wire::InForce {
             in_force: missing.is_empty(),
@@ -135,22 +136,23 @@
         })
     }
 
-    /// Removes a set that allows everything, as no set does. Only once it is in force: until then gateways have to hear of it.
-    pub(super) fn remove_if_needless(&mut self, customer: &str) {
-        let is_needless = self.rules.get(customer).is_some_and(allows_everything);
-        let is_everywhere = self
+    /// Removes a set that allows every call, which is equivalent to having no set. It is removed only once it is in force, as until
+    /// then gateways have to be sent it.
+    pub(super) fn remove_if_redundant(&mut self, customer: &str) {
+        let is_redundant = self.rules.get(customer).is_some_and(allows_everything);
+        let is_in_force_everywhere = self
             .in_force(customer)
             .is_some_and(|state| state.in_force && state.unknown.is_empty());
-        if !is_needless || !is_everywhere {
+        if !is_redundant || !is_in_force_everywhere {
             return;
         }
-        let changed = self.next_version();
+        let changed = self.increment_version();
         self.rules.remove(customer);
         self.removed_rules.push_back(wire::RemovedRules {
             customer: customer.to_string(),
             changed,
         });
-        while self.removed_rules.len() > MAX_REMOVED {
+        while self.removed_rules.len() > MAX_REMOVED_SETS {
             if let Some(oldest) = self.removed_rules.pop_front() {
                 self.removed_before = oldest.changed;
             }
@@ -158,13 +160,13 @@
     }
 }
 
-/// Whether a gateway without a session, which last acknowledged this version of the state, goes on by an earlier set.
-fn keeps_earlier_set(rules: &wire::CustomerRules, acknowledged: u64) -> bool {
+/// Whether a gateway without a session that last acknowledged this version of the state continues to apply an earlier set.
+fn applies_earlier_set(rules: &wire::CustomerRules, acknowledged_version: u64) -> bool {
     let last = rules
         .history
         .iter()
         .rev()
-        .find(|version| version.changed <= acknowledged);
+        .find(|version| version.changed <= acknowledged_version);
     last.is_none_or(|version| version.stale() != WireStale::Deny)
 }
 
--- a/crates/coordinator/src/state/sessions.rs
+++ b/crates/coordinator/src/state/sessions.rs
@@ -1,12 +1,12 @@
-//! Sessions of gateways: opened, renewed, closed and expired.
+//! Sessions of gateways: opening, renewal, closing and expiry.
 
 use super::{done, rejected, ReplicatedState};
 use crate::protocol::{wire, CommandResponse, DepartedGateway, ResponseCode};
 use chalkdeck_leader_election::SessionId;
 
 const MAX_SESSIONS: usize = 1_000;
-/// Departed gateways that are remembered.
-const MAX_DEPARTED: usize = 2_000;
+/// Maximum number of stored departed gateways; the one that departed first is evicted first.
+const MAX_DEPARTED_GATEWAYS: usize = 2_000;
 
 impl ReplicatedState {
     pub(super) fn open_session(&mut self, open: &wire::OpenSession) -> CommandResponse {
@@ -20,7 +20,8 @@
             return known;
         }
         if let Some(later) = self.later_incarnation(open) {
-            // Delayed on its way, or by a gateway whose date was set back: that one may take a larger number.
+            // The request was delayed, or the gateway's system clock was set back. In the latter case the gateway can choose a larger
+            // incarnation than the one returned.
             return CommandResponse {
                 token: later,
                 ..rejected(
@@ -34,14 +35,14 @@
             return rejected(ResponseCode::Full, reason);
         }
         let id = self.add_session(open);
-        self.gateway_returned(open);
-        self.next_version();
-        self.place_vacant_elections();
+        self.remove_departed_gateway(open);
+        self.increment_version();
+        self.elect_missing_leaders();
         CommandResponse { id: id.0, ..done() }
     }
 
-    /// A session that is opened again, over another connection or after a response was lost, is the same one. One that is no
-    /// candidate any more leads no elections.
+    /// Returns the existing session of the same incarnation, if it is opened again over another connection or after a lost response.
+    /// If it is no longer a candidate, other leaders are elected for its elections.
     fn reopen_session(&mut self, open: &wire::OpenSession) -> Option<CommandResponse> {
         let session = self.sessions.values_mut().find(|session| {
             session.gateway == open.gateway && session.incarnation == open.incarnation
@@ -55,17 +56,17 @@
         Some(CommandResponse { id, ..done() })
     }
 
-    /// The largest incarnation that is known under the gateway's name, if it is a later one. Keeps what a later incarnation
-    /// reported from being folded as that of an earlier one.
+    /// The largest known incarnation of the gateway, if it is later than that of the request. Rejecting earlier incarnations keeps
+    /// the hits of the later one from being folded as if it had ended.
     fn later_incarnation(&self, open: &wire::OpenSession) -> Option<u64> {
-        let of_gateway = self
+        let session_incarnations = self
             .sessions
             .values()
             .filter(|session| session.gateway == open.gateway)
             .map(|session| session.incarnation);
-        let departed = self.departed.get(&open.gateway).map(|d| d.incarnation);
-        of_gateway
-            .chain(departed)
+        let departed_incarnation = self.departed.get(&open.gateway).map(|d| d.incarnation);
+        session_incarnations
+            .chain(departed_incarnation)
             .filter(|known| *known > open.incarnation)
             .max()
     }
@@ -85,8 +86,9 @@
         self.last_session
     }
 
-    /// A departed gateway is back. An earlier incarnation of it reports no more; the same one goes on with its counts.
-    fn gateway_returned(&mut self, open: &wire::OpenSession) {
+    /// Removes a gateway that returned from the departed ones. An earlier incarnation of it has ended; the same incarnation continues
+    /// its counts.
+    fn remove_departed_gateway(&mut self, open: &wire::OpenSession) {
         let departed = self.departed.remove(&open.gateway);
         if let Some(departed) = departed.filter(|d| d.incarnation != open.incarnation) {
             self.ended_incarnations.insert(departed.incarnation);
@@ -103,7 +105,7 @@
         done()
     }
 
-    /// A gateway stops: others lead its elections at once.
+    /// Closes the session of a gateway that stops; other leaders are elected for its elections at once.
     pub(super) fn close_session(&mut self, id: SessionId) -> CommandResponse {
         let Some(session) = self.sessions.remove(&id) else {
             return rejected(ResponseCode::NoSession, "no such session");
@@ -113,23 +115,24 @@
         done()
     }
 
-    /// A session was not renewed for longer than its gateway relies on its lease.
+    /// Expires a session that was not renewed for longer than its gateway may rely on its lease.
     pub(super) fn expire_session(&mut self, expiry: &wire::ExpireSession) -> CommandResponse {
         let id = SessionId(expiry.session);
-        let is_due = |session: &wire::Session| session.renewal_index == expiry.renewal_index;
-        if !self.sessions.get(&id).is_some_and(is_due) {
+        let is_not_renewed =
+            |session: &wire::Session| session.renewal_index == expiry.renewal_index;
+        if !self.sessions.get(&id).is_some_and(is_not_renewed) {
             return rejected(ResponseCode::Changed, "renewed since, or gone");
         }
         if let Some(session) = self.sessions.remove(&id) {
-            self.session_expired(session);
+            self.handle_expired_session(session);
         }
         self.vacate_elections(id);
         done()
     }
 
-    /// The gateway may be back already, with another session. An incarnation that is back goes on counting, and is folded only once
-    /// it is surely over: folded before, all that it reported would count again.
-    fn session_expired(&mut self, session: wire::Session) {
+    /// Records the end of an expired session. The gateway may already have opened another one. An incarnation that returned continues
+    /// counting and must not be folded before it has certainly ended: otherwise all hits that it reports again would count twice.
+    fn handle_expired_session(&mut self, session: wire::Session) {
         let same_gateway = self
             .sessions
             .values()
@@ -139,11 +142,11 @@
             Some(_) => {
                 self.ended_incarnations.insert(session.incarnation);
             }
-            None => self.gateway_departed(session),
+            None => self.add_departed_gateway(session),
         }
     }
 
-    fn gateway_departed(&mut self, session: wire::Session) {
+    fn add_departed_gateway(&mut self, session: wire::Session) {
         let departed = DepartedGateway {
             gateway: session.gateway.clone(),
             applied_version: session.applied_version,
@@ -151,25 +154,25 @@
             incarnation: session.incarnation,
         };
         self.departed.insert(session.gateway, departed);
-        while self.departed.len() > MAX_DEPARTED {
-            self.forget_longest_departed();
+        while self.departed.len() > MAX_DEPARTED_GATEWAYS {
+            self.evict_longest_departed();
         }
     }
 
-    fn forget_longest_departed(&mut self) {
-        let longest = self.departed.values().min_by_key(|d| d.ended_ms);
-        let name = longest.map(|departed| departed.gateway.clone());
+    fn evict_longest_departed(&mut self) {
+        let longest_departed = self.departed.values().min_by_key(|d| d.ended_ms);
+        let name = longest_departed.map(|departed| departed.gateway.clone());
         let departed = name.and_then(|name| self.departed.remove(&name));
         self.ended_incarnations
             .extend(departed.map(|d| d.incarnation));
     }
 
-    /// All sessions, in the order of their ids.
+    /// All sessions, ordered by id.
     pub fn sessions(&self) -> impl Iterator<Item = &wire::Session> {
         self.sessions.values()
     }
 
-    /// One session.
+    /// The session with an id.
     pub fn session(&self, id: SessionId) -> Option<&wire::Session> {
         self.sessions.get(&id)
     }
--- a/crates/coordinator/src/state/site_overrides.rs
+++ b/crates/coordinator/src/state/site_overrides.rs
@@ -1,16 +1,16 @@
-//! Operators' overrides of sites: taken at once, and published to the gateways by the leader of an election.
+//! Operators' overrides of sites: stored at once, then published to the gateways by the leader of an election.
 
-use super::{done, rejected, ReplicatedState, SITE_OVERRIDES};
+use super::{done, rejected, ReplicatedState, SITE_OVERRIDES_ELECTION};
 use crate::protocol::{wire, CommandResponse, ResponseCode, SiteOverride};
 
-/// Sites with an override.
+/// Maximum number of sites with an override.
 const MAX_SITES: usize = 64;
-/// What an operator can ask for.
-const ACTIONS: [&str; 3] = ["hold", "drain", "let-back"];
+/// Actions that an operator can request.
+const OVERRIDE_ACTIONS: [&str; 3] = ["hold", "drain", "let-back"];
 
 impl ReplicatedState {
     pub(super) fn override_site(&mut self, request: &wire::OverrideSite) -> CommandResponse {
-        if !ACTIONS.contains(&request.action.as_str()) {
+        if !OVERRIDE_ACTIONS.contains(&request.action.as_str()) {
             let reason = format!(
                 "word: expected hold, drain or let-back, found '{}'",
                 request.action
@@ -27,7 +27,7 @@
         let site_override = SiteOverride {
             site: request.site.clone(),
             action: request.action.clone(),
-            changed: self.next_version(),
+            changed: self.increment_version(),
             published: false,
         };
         self.site_overrides
@@ -35,12 +35,12 @@
         done()
     }
 
-    /// The election's leader publishes overrides up to a version of the state.
+    /// Publishes overrides up to a version of the state, at the request of the election's leader.
     pub(super) fn publish_site_overrides(
         &mut self,
         publish: &wire::PublishOverrides,
     ) -> CommandResponse {
-        if let Err(stale) = self.check_leader(SITE_OVERRIDES, publish.token) {
+        if let Err(stale) = self.check_leader(SITE_OVERRIDES_ELECTION, publish.token) {
             return stale;
         }
         for site_override in self.site_overrides.values_mut() {
--- a/crates/coordinator/src/state/snapshot.rs
+++ b/crates/coordinator/src/state/snapshot.rs
@@ -1,6 +1,6 @@
-//! The state as one message and back. The same state gives the same bytes, at each replica.
+//! Conversion of the state to a snapshot message and back. Equal states give equal bytes at every replica.
 
-use super::contracts::key_of;
+use super::contracts::contract_key;
 use super::reports::{call_kind, rule_version};
 use super::{rules, CallerRecords, ReplicatedState};
 use crate::ids::ReplicaId;
@@ -11,27 +11,27 @@
 use prost::Message;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Stands for folded hits where an incarnation is stored.
-const FOLDED: u64 = 0;
+/// The stored incarnation of folded hits.
+const FOLDED_INCARNATION: u64 = 0;
 
-/// A snapshot that cannot be read back.
+/// Why a snapshot cannot be restored.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
 pub enum SnapshotError {
-    /// Not the message of a state.
+    /// The bytes are not a snapshot message.
     #[error("expected a state: {0}")]
     #[diagnostic(
         code(chalkdeck::keeper::state_form),
         help("the snapshot is of another program or damaged; start this replica with an empty folder, and it joins as a new member")
     )]
     Malformed(#[from] prost::DecodeError),
-    /// A rule set in it cannot be read.
+    /// A rule set is malformed.
     #[error("state: the set of {0}")]
     #[diagnostic(
         code(chalkdeck::keeper::state_set),
         help("the snapshot is of a later program: update this replica")
     )]
     RuleSet(String),
-    /// A caller's responses cannot be read.
+    /// A recorded response of a caller is malformed.
     #[error("state: answers of callers")]
     #[diagnostic(
         code(chalkdeck::keeper::state_answers),
@@ -41,12 +41,12 @@
 }
 
 impl ReplicatedState {
-    /// The state as bytes.
+    /// Encodes the state.
     pub fn to_bytes(&self) -> Vec<u8> {
         self.to_snapshot().encode_to_vec()
     }
 
-    /// Reads a state back.
+    /// Restores a state from its encoding.
     ///
     /// # Errors
     /// See [`SnapshotError`].
@@ -54,7 +54,7 @@
         ReplicatedState::from_snapshot(&StateSnapshot::decode(bytes)?)
     }
 
-    /// The state as a message.
+    /// Converts the state to a message.
     pub fn to_snapshot(&self) -> StateSnapshot {
         StateSnapshot {
             index: self.index,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// The state of a message.
+    /// Restores the state from a message.
     ///
     /// # Errors
     /// See [`SnapshotError`].
@@ -105,11 +105,11 @@
             departed: by_key(&snapshot.departed, |departed| departed.gateway.clone()),
             elections: by_key(&snapshot.elections, |election| election.name.clone()),
             rules: by_key(&snapshot.rules, customer_of),
-            rule_count: snapshot.rules.iter().map(rules_in).sum(),
+            rule_count: snapshot.rules.iter().map(count_rules).sum(),
             removed_rules: snapshot.removed_rules.iter().cloned().collect(),
             removed_before: snapshot.removed_before,
             contracts: by_key(&snapshot.contracts, |admitted| {
-                key_of(&admitted.contract.clone().unwrap_or_default())
+                contract_key(&admitted.contract.clone().unwrap_or_default())
             }),
             contract_revision: snapshot.contract_revision,
             last_proposal: snapshot.last_proposal,
@@ -183,7 +183,7 @@
                 rule: key.rule.clone(),
                 count: *count,
             };
-            let folded = lines.entry(FOLDED).or_default();
+            let folded = lines.entry(FOLDED_INCARNATION).or_default();
             folded.extend(totals.folded.iter().map(line));
             for (incarnation, counts) in &totals.by_incarnation {
                 let reported = lines.entry(*incarnation).or_default();
@@ -216,7 +216,7 @@
 
     fn restore_hit_line(&mut self, incarnation: u64, line: &wire::HitLine) {
         let totals = self.hits.entry(line.customer.clone()).or_default();
-        if incarnation == FOLDED {
+        if incarnation == FOLDED_INCARNATION {
             totals.folded.insert(rule_version(line), line.count);
         } else {
             totals.record(incarnation, rule_version(line), line.count);
@@ -243,11 +243,11 @@
     set.map_or_else(String::new, |set| set.customer.clone())
 }
 
-fn rules_in(rules: &wire::CustomerRules) -> usize {
+fn count_rules(rules: &wire::CustomerRules) -> usize {
     rules.set.as_ref().map_or(0, |set| set.rules.len())
 }
 
-/// The customer is that of the list in which it is stored.
+/// The customer is left empty, as the enclosing message names it.
 fn calls_to_wire((kind, count): (&CallKind, &u64)) -> wire::CallCount {
     wire::CallCount {
         customer: String::new(),
@@ -259,12 +259,12 @@
     }
 }
 
-/// A time that may be none: 0 stands for that, so all others are stored as one more than they are.
+/// Stores an optional time: 0 stands for `None`, other times are stored plus 1.
 fn optional_to_wire(time_ms: Option<u64>) -> u64 {
     time_ms.map_or(0, |time| time + 1)
 }
 
-/// See [`optional_to_wire`].
+/// The inverse of [`optional_to_wire`].
 fn optional_from_wire(time_ms: u64) -> Option<u64> {
     time_ms.checked_sub(1)
 }
--- a/crates/coordinator/src/state/version_use.rs
+++ b/crates/coordinator/src/state/version_use.rs
@@ -1,23 +1,24 @@
-//! Contract versions in use: those that customers subscribe to, and those that gateways saw calls of.
+//! Contract versions in use: those that customers subscribe to, and those that gateways report calls of.
 
 use super::contracts::{MAX_SERVICES, MAX_VERSIONS};
 use super::{done, rejected, ReplicatedState};
 use crate::protocol::{wire, CommandResponse, ResponseCode};
 
-/// Versions in use of one service; more than can be admitted, as some never were.
+/// Maximum number of versions in use of one service. Larger than the number of admitted versions, as calls may name versions that
+/// were never admitted.
 const MAX_VERSIONS_IN_USE: usize = 2 * MAX_VERSIONS;
-/// Bytes of a name.
+/// Maximum length of a name.
 const MAX_NAME_BYTES: usize = 256;
 
 impl ReplicatedState {
-    /// Whether there is no room for another service with versions in use.
-    fn is_full_for_service(&self, service: &str) -> bool {
+    /// Whether a service is new and the maximum number of services with versions in use is reached.
+    fn exceeds_service_limit(&self, service: &str) -> bool {
         self.versions_in_use.len() >= MAX_SERVICES && !self.versions_in_use.contains_key(service)
     }
 
-    /// Gateways saw calls of a version.
+    /// Records calls of a version that a gateway reported.
     pub(super) fn record_version_use(&mut self, calls: &wire::VersionCalls) {
-        if self.is_full_for_service(&calls.service) {
+        if self.exceeds_service_limit(&calls.service) {
             return;
         }
         let in_use = self
@@ -28,11 +29,11 @@
         if in_use.uses.len() >= MAX_VERSIONS_IN_USE && known_uses.is_none() {
             return;
         }
-        let is_known_user = known_uses.is_some_and(|uses| uses.contains_key(&calls.customer));
+        let is_known_customer = known_uses.is_some_and(|uses| uses.contains_key(&calls.customer));
         let is_retired = in_use.retired.contains_key(&calls.version);
         in_use.record_calls(&calls.version, &calls.customer, calls.calls, self.time_ms);
-        // A judgement rests on who uses what.
-        if !is_known_user || is_retired {
+        // Judgements depend on which customers use which versions.
+        if !is_known_customer || is_retired {
             self.contract_revision += 1;
         }
     }
@@ -48,7 +49,7 @@
                 "expected a customer, a service and a version, of 256 bytes at most",
             );
         }
-        if self.is_full_for_service(&subscribe.service) {
+        if self.exceeds_service_limit(&subscribe.service) {
             let reason = format!("{MAX_SERVICES} services are spoken");
             return rejected(ResponseCode::Full, reason);
         }
--- a/crates/coordinator/src/state/watch.rs
+++ b/crates/coordinator/src/state/watch.rs
@@ -1,21 +1,21 @@
-//! Watch events: what has changed since a version of the state.
+//! Watch events: the changes since a version of the state.
 
 use super::ReplicatedState;
 use crate::pending_work::PendingWork;
 use crate::protocol::{wire, AdmittedContract, WatchEvent};
 
 impl ReplicatedState {
-    /// Work that waits for leaders.
+    /// The work that is pending for the leaders of the built-in elections.
     pub fn pending_work(&self) -> PendingWork {
         PendingWork {
-            proposals: !self.proposals.is_empty(),
-            unfolded_hits: !self.ended_incarnations.is_empty(),
-            unpublished_overrides: self.site_overrides.values().any(|o| !o.published),
+            has_proposals: !self.proposals.is_empty(),
+            has_unfolded_hits: !self.ended_incarnations.is_empty(),
+            has_unpublished_overrides: self.site_overrides.values().any(|o| !o.published),
         }
     }
 
-    /// What has changed since a version that a gateway has; the whole state where it has none, or where removals since are no
-    /// longer remembered. A gateway whose version is ahead of this replica misses nothing that is known here.
+    /// The changes since the version that a gateway has. Returns the whole state if the gateway has none, or if removals since
+    /// then are no longer remembered. For a gateway whose version is ahead of this replica, no changes are returned.
     pub fn events_since(&self, version: u64) -> WatchEvent {
         let whole = version == 0 || version < self.removed_before;
         let since = if whole { 0 } else { version };
@@ -37,17 +37,17 @@
                 .filter(|election| election.changed > since)
                 .cloned()
                 .collect(),
-            contracts: admitted.into_iter().map(name_of).collect(),
-            retired_contracts: retired.into_iter().map(retired_name).collect(),
+            contracts: admitted.into_iter().map(without_definition).collect(),
+            retired_contracts: retired.into_iter().map(retired_contract_name).collect(),
             site_overrides: self
                 .site_overrides
                 .values()
                 .filter(|o| o.published && o.changed > since)
                 .cloned()
                 .collect(),
-            has_proposals: pending.proposals,
-            has_unfolded_hits: pending.unfolded_hits,
-            has_unpublished_overrides: pending.unpublished_overrides,
+            has_proposals: pending.has_proposals,
+            has_unfolded_hits: pending.has_unfolded_hits,
+            has_unpublished_overrides: pending.has_unpublished_overrides,
             cluster: self.cluster,
             since,
         }
@@ -66,8 +66,8 @@
     }
 }
 
-/// A contract without its text: gateways need only its name.
-fn name_of(admitted: &AdmittedContract) -> wire::Contract {
+/// A contract without its descriptors and promises: gateways need only its service and version.
+fn without_definition(admitted: &AdmittedContract) -> wire::Contract {
     wire::Contract {
         descriptors: Vec::new(),
         promises: Vec::new(),
@@ -75,8 +75,8 @@
     }
 }
 
-/// The service and the version of a retired contract, with a blank between them.
-fn retired_name(admitted: &AdmittedContract) -> String {
-    let contract = name_of(admitted);
+/// The service and the version of a retired contract, separated by a space.
+fn retired_contract_name(admitted: &AdmittedContract) -> String {
+    let contract = without_definition(admitted);
     format!("{} {}", contract.service, contract.version)
 }
--- a/crates/coordinator/src/storage/mod.rs
+++ b/crates/coordinator/src/storage/mod.rs
@@ -1,7 +1,7 @@
-//! What the consensus core stores: kept in memory for the core, and gathered as changes for the log on disk, which replays to the
-//! same state.
+//! Storage of the consensus library: the state in memory, and the changes to it that are pending for the log on the disk. Replay of the
+//! log restores the same state.
 //!
-//! The types that derive `Serialize` are stored in the form of `postcard`: the order of their fields and variants never changes.
+//! The types that derive `Serialize` are stored with `postcard`: the order of their fields and variants must never change.
 
 mod omnipaxos_storage;
 mod persisted_state;
@@ -16,47 +16,47 @@
 use std::cell::{Ref, RefCell};
 use std::rc::Rc;
 
-/// One entry of the replicated log: the bytes of a command.
+/// One entry of the replicated log: an encoded command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry(pub Vec<u8>);
 
 impl Entry {
-    /// The entry of a command.
+    /// Encodes a command.
     pub fn new(command: &wire::Command) -> Entry {
         Entry(command.encode_to_vec())
     }
 
-    /// The command, as every replica reads it. Bytes that cannot be read are a command that changes nothing.
+    /// Decodes the command, equally at every replica. Malformed bytes decode to a command that changes nothing.
     pub fn command(&self) -> wire::Command {
         wire::Command::decode(&self.0[..]).unwrap_or_default()
     }
 }
 
-/// One change of the stored state.
+/// One change to the stored state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum StorageChange {
-    /// Entries are appended.
+    /// Appends entries.
     Append(Vec<Entry>),
-    /// Entries replace all from an index on.
+    /// Replaces all entries from an index on.
     ReplaceFrom(usize, Vec<Entry>),
-    /// A ballot was promised.
+    /// Sets the promised ballot.
     Promise(Ballot),
-    /// A ballot was accepted.
+    /// Sets the accepted ballot.
     Accept(Ballot),
-    /// So many entries are decided.
+    /// Sets the number of decided entries.
     Decide(usize),
-    /// Another configuration begins with an empty log.
+    /// Starts another configuration with an empty log.
     BeginConfiguration(Configuration),
 }
 
-/// One replica of a configuration.
+/// A replica in a configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationMember {
     /// Its id within the consensus.
     pub id: ReplicaId,
-    /// Its place in the list of addresses.
+    /// Its position in the address list.
     pub slot: Slot,
-    /// Of a replica that joined without a disk: by what the others tell it from an earlier one.
+    /// Distinguishes a replica that joined with an empty disk from earlier replicas in its slot; 0 in the first configuration.
     pub incarnation: u64,
 }
 
@@ -71,7 +71,7 @@
 }
 
 impl ConfigurationMember {
-    /// This member as a message; what else the message holds is taken from `other`.
+    /// Converts the member to a message; the message's other fields are taken from `other`.
     pub fn to_wire(self, other: wire::Member) -> wire::Member {
         wire::Member {
             id: self.id.0,
@@ -82,16 +82,16 @@
     }
 }
 
-/// The replicas that agree with each other, and what their log begins with.
+/// A configuration: the replicas that take part in the consensus, and the state that their log begins with.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Its number, from 1; 0: none.
+    /// The number of the configuration, from 1; 0 if there is none yet.
     pub number: u32,
-    /// The id of this replica in it.
+    /// The id of this replica.
     pub own: ReplicaId,
     /// All replicas.
     pub members: Vec<ConfigurationMember>,
-    /// The snapshot of the replicated state that the log begins with; empty: an empty state.
+    /// The snapshot of the replicated state that the log begins with; no bytes stand for an empty state.
     pub base: Vec<u8>,
 }
 
@@ -109,13 +109,13 @@
     pending_changes: Vec<StorageChange>,
 }
 
-/// The storage, shared by the consensus core and the replica that drives it. What the core says may leave only once the changes are
-/// on the disk.
+/// The storage, shared by the consensus library and the replica that drives it. The library's messages may be sent only once the
+/// changes are on the disk.
 #[derive(Clone, Debug, Default)]
 pub struct Storage(Rc<RefCell<Inner>>);
 
 impl Storage {
-    /// Storage that holds what a log replayed to.
+    /// Storage with the state that a log was replayed to.
     pub fn new(state: PersistedState) -> Storage {
         Storage(Rc::new(RefCell::new(Inner {
             state,
@@ -123,19 +123,19 @@
         })))
     }
 
-    /// What is stored.
+    /// The stored state.
     pub fn state(&self) -> Ref<'_, PersistedState> {
         Ref::map(self.0.borrow(), |inner| &inner.state)
     }
 
-    /// Makes a change, and gathers it for the log.
+    /// Applies a change and adds it to the changes that are pending for the log.
     pub fn change(&self, change: StorageChange) {
         let mut inner = self.0.borrow_mut();
         inner.state.apply(change.clone());
         inner.pending_changes.push(change);
     }
 
-    /// Takes the changes that are not in the log yet.
+    /// Takes the changes that are not yet in the log.
     pub fn take_changes(&self) -> Vec<StorageChange> {
         std::mem::take(&mut self.0.borrow_mut().pending_changes)
     }
--- a/crates/coordinator/src/storage/omnipaxos_storage.rs
+++ b/crates/coordinator/src/storage/omnipaxos_storage.rs
@@ -1,8 +1,8 @@
-//! The storage as the consensus library takes it.
+//! Implementation of the consensus library's storage traits.
 //!
-//! The library's own snapshots and stop signs are not used. Of version 0.2.4, a follower that takes over a delta snapshot has lost
-//! what lies between its own snapshot and what it had decided. A log that has grown ends instead, and the next one begins with the
-//! state.
+//! The library's own snapshots and stop signs are not used: in version 0.2.4, a follower that installs a delta snapshot loses the
+//! entries between its own snapshot and its decided index. Instead, a log that has grown is ended, and the next configuration's log
+//! begins with a snapshot of the state.
 
 use super::{Entry, Storage, StorageChange};
 use omnipaxos::ballot_leader_election::Ballot;
@@ -11,7 +11,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// The snapshot type that the library asks for; it is never made.
+/// The snapshot type that the library requires; never created, as snapshots are disabled.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NoSnapshot;
 
@@ -29,8 +29,8 @@
     type Snapshot = NoSnapshot;
 }
 
-/// The change of an operation of the library; `None`: it is one of snapshots or stop signs.
-fn change_of(operation: StorageOp<Entry>) -> Option<StorageChange> {
+/// Converts a library operation to a change; `None` for operations on snapshots and stop signs, which are not used.
+fn change_from_operation(operation: StorageOp<Entry>) -> Option<StorageChange> {
     match operation {
         StorageOp::AppendEntry(entry) => Some(StorageChange::Append(vec![entry])),
         StorageOp::AppendEntries(entries) => Some(StorageChange::Append(entries)),
@@ -47,7 +47,7 @@
 
 impl LibraryStorage<Entry> for Storage {
     fn write_atomically(&mut self, operations: Vec<StorageOp<Entry>>) -> StorageResult<()> {
-        for change in operations.into_iter().filter_map(change_of) {
+        for change in operations.into_iter().filter_map(change_from_operation) {
             self.change(change);
         }
         Ok(())
--- a/crates/coordinator/src/storage/persisted_state.rs
+++ b/crates/coordinator/src/storage/persisted_state.rs
@@ -1,4 +1,4 @@
-//! What of the storage outlasts a crash, and its form on the disk.
+//! The part of the storage that survives a crash, and its format on the disk.
 
 use super::{Configuration, Entry, StorageChange};
 use chalkdeck_wal::record;
@@ -6,26 +6,26 @@
 use omnipaxos::ballot_leader_election::Ballot;
 use serde::{Deserialize, Serialize};
 
-/// Version of the form of records and snapshots.
+/// Version of the format of records and snapshots.
 pub const FORMAT_VERSION: u32 = 1;
-/// Bytes of a snapshot in one record, as the size of a record is bounded.
+/// Bytes of a snapshot in one record. Snapshots are split, as the size of a record is limited.
 const SNAPSHOT_CHUNK_BYTES: usize = record::MAX_BODY_LEN / 2;
 
-/// What a replica has stored for the consensus core.
+/// The state that a replica stores for the consensus library.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PersistedState {
     entries: Vec<Entry>,
     promised: Option<Ballot>,
     accepted: Option<Ballot>,
     decided: usize,
-    /// The configuration that all this belongs to.
+    /// The configuration that the entries and ballots belong to.
     pub configuration: Configuration,
-    /// Changes so far.
+    /// The number of changes applied since the log was created.
     change_count: u64,
 }
 
 impl PersistedState {
-    /// Makes a change.
+    /// Applies a change.
     pub(super) fn apply(&mut self, change: StorageChange) {
         self.change_count += 1;
         match change {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Entries of a range; none where it is not within the log.
+    /// The entries of a range; empty if the range is not within the log.
     pub(super) fn entries(&self, from: usize, to: usize) -> Vec<Entry> {
         let range = self.entries.get(from..to);
         range.map(<[Entry]>::to_vec).unwrap_or_default()
@@ -61,7 +61,7 @@
         self.accepted
     }
 
-    /// Decided entries from an index on.
+    /// The decided entries from an index on.
     pub fn decided_since(&self, index: usize) -> Vec<Entry> {
         self.entries(index, self.decided)
     }
@@ -82,14 +82,14 @@
     }
 }
 
-/// Changes as one record of the log. `position`: the number of changes before them.
+/// Encodes changes as one record of the log. `position` is the number of changes before them.
 pub fn encode_record(position: u64, changes: &[StorageChange]) -> Vec<u8> {
     let mut bytes = Vec::new();
     record::append_bytes(&mut bytes, &encode(&(position, changes)));
     bytes
 }
 
-/// Encoding of the types of this module cannot fail: they have no maps of unknown length and no custom serializers.
+/// Encodes a value. This cannot fail for the types of this module: they have no maps of unknown length and no custom serializers.
 fn encode(value: &impl Serialize) -> Vec<u8> {
     postcard::to_stdvec(value).unwrap_or_default()
 }
@@ -150,7 +150,7 @@
     }
 }
 
-/// The bodies of all records, one after another.
+/// Concatenates the bodies of all records.
 fn join_records(bytes: &[u8]) -> Result<Vec<u8>, SnapshotDamage> {
     let mut joined = Vec::new();
     let mut offset = 0;
--- a/crates/coordinator/tests/session_state.rs
+++ b/crates/coordinator/tests/session_state.rs
@@ -1,7 +1,7 @@
 //! Incarnations of gateways in the replicated state.
 
 use chalkdeck_coordinator::protocol::{wire, CommandKind, CommandResponse};
-use chalkdeck_coordinator::state::{ReplicatedState, HIT_TOTALS};
+use chalkdeck_coordinator::state::{ReplicatedState, HIT_TOTALS_ELECTION};
 use chalkdeck_leader_election::SessionId;
 
 /// A state with the number of its last command.
@@ -59,7 +59,7 @@
         let token = self
             .state
             .elections()
-            .find(|election| election.name == HIT_TOTALS)
+            .find(|election| election.name == HIT_TOTALS_ELECTION)
             .map_or(0, |d| d.token);
         self.submit(CommandKind::FoldHits(wire::FoldHits { token }));
     }
@@ -72,7 +72,7 @@
 fn hits_of_an_incarnation_that_expired_and_is_back_count_once_whatever_an_earlier_one_sends() {
     let mut state = State::default();
     state.submit(CommandKind::EnsureElection(wire::EnsureElection {
-        election: HIT_TOTALS.into(),
+        election: HIT_TOTALS_ELECTION.into(),
     }));
     let other = wire::OpenSession {
         gateway: "h".into(),
--- a/crates/coordinator/tests/simulation/invariants.rs
+++ b/crates/coordinator/tests/simulation/invariants.rs
@@ -5,7 +5,7 @@
 use super::{Simulation, LAB};
 use chalkdeck_coordinator::agent::GatewayAgent;
 use chalkdeck_coordinator::replica::Replica;
-use chalkdeck_coordinator::state::{HIT_TOTALS, REGISTRAR};
+use chalkdeck_coordinator::state::{HIT_TOTALS_ELECTION, REGISTRAR_ELECTION};
 use chalkdeck_leader_election::FencingToken;
 
 /// Commands by which replicas may lag behind each other once it is quiet.
@@ -145,7 +145,7 @@
     }
 
     fn check_elections_have_leaders(&mut self) {
-        for name in [LAB, REGISTRAR, HIT_TOTALS] {
+        for name in [LAB, REGISTRAR_ELECTION, HIT_TOTALS_ELECTION] {
             let mut gateways = self.gateways.iter();
             if gateways.any(|gateway| self.token_at(gateway, name).is_some()) {
                 continue;
