--- a/crates/coordinator/src/replica/apply.rs
+++ b/crates/coordinator/src/replica/apply.rs
@@ -6,7 +6,7 @@
 use chalkdeck_leader_election::{SessionId, SessionRenewal};
 
 impl Replica {
-    /// Applies what was decided, and enters the configurations that begin with that.
+    /// Applies decided commands, and enters each configuration that one of them begins.
     pub(super) fn apply_decided(&mut self) {
         while let Some(consensus) = &mut self.consensus {
             let decided = consensus.take_decided();
@@ -14,7 +14,7 @@
                 return;
             }
             self.last_decided_at = self.now;
-            let next = self.apply_until_end(&decided);
+            let next = self.apply_until_next_configuration(&decided);
             self.check_own_epoch();
             if let Some(next) = next {
                 self.enter_next_configuration(next);
@@ -22,9 +22,12 @@
         }
     }
 
-    /// Applies commands up to the end of the configuration, and returns the next one. Commands behind the end do not count; those
-    /// whose requesters wait are proposed in the next configuration.
-    fn apply_until_end(&mut self, commands: &[wire::Command]) -> Option<Configuration> {
+    /// Applies commands up to the end of the configuration, and returns the next configuration if there is one. Commands after the
+    /// end are ignored; those that are still pending are proposed again in the next configuration.
+    fn apply_until_next_configuration(
+        &mut self,
+        commands: &[wire::Command],
+    ) -> Option<Configuration> {
         for command in commands {
             let next = self.configuration_after(command);
             if next.is_some() {
@@ -35,7 +38,7 @@
         None
     }
 
-    /// The configuration that begins with a command, if the command ends the present one.
+    /// The next configuration, if the command ends the current one.
     fn configuration_after(&self, command: &wire::Command) -> Option<Configuration> {
         let Some(CommandKind::NextConfiguration(next)) = &command.kind else {
             return None;
@@ -52,7 +55,7 @@
 
     fn apply_command(&mut self, command: &wire::Command) {
         let response = self.state.apply(command);
-        self.observe_sessions(command, &response);
+        self.update_failure_detector(command, &response);
         if command.origin != self.settings.incarnation {
             return;
         }
@@ -61,8 +64,8 @@
         }
     }
 
-    /// Has the failure detector follow the sessions.
-    fn observe_sessions(&mut self, command: &wire::Command, response: &CommandResponse) {
+    /// Updates the failure detector after a command that may have changed sessions.
+    fn update_failure_detector(&mut self, command: &wire::Command, response: &CommandResponse) {
         match &command.kind {
             Some(CommandKind::RenewSessions(renew)) => {
                 for renewed in &renew.sessions {
@@ -93,8 +96,8 @@
         }
     }
 
-    /// Stops taking part if a later start of this replica was decided: its disk is an older copy, and what it has promised since
-    /// is forgotten.
+    /// Stops taking part in the consensus if a larger epoch of this replica was decided: the disk is then an older copy, which lacks
+    /// the promises that the replica made since.
     fn check_own_epoch(&mut self) {
         let known_epoch = self.state.member(self.own_id()).map_or(0, |m| m.epoch);
         if known_epoch > self.settings.epoch && !self.is_outdated {
@@ -108,7 +111,7 @@
     }
 }
 
-/// When a session was last renewed.
+/// The last renewal of a session that was applied.
 pub(super) fn last_renewal(session: &wire::Session) -> SessionRenewal {
     SessionRenewal {
         session: SessionId(session.id),
--- a/crates/coordinator/src/replica/commands.rs
+++ b/crates/coordinator/src/replica/commands.rs
@@ -1,4 +1,4 @@
-//! Intake of commands: which ones are rejected at once, and the proposal of all others.
+//! Submission of commands: validation, proposal and retries.
 
 use super::pending::Requester;
 use super::{Output, Replica};
@@ -6,11 +6,11 @@
 use crate::protocol::{wire, CommandKind, CommandResponse, ResponseCode};
 use prost::Message;
 
-/// Larger commands are rejected.
+/// Maximum size of a command.
 const MAX_COMMAND_BYTES: usize = 2 << 20;
 
 impl Replica {
-    /// Takes a command of an operator or a tool in.
+    /// Submits a command of an operator or a tool: rejects it at once or proposes it.
     pub fn submit(&mut self, requester: RequesterId, command: wire::Command) {
         match self.rejection(&command) {
             Some(rejection) => self
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Why a command is not even proposed.
+    /// The response to a command that is rejected without being proposed; `None` if it may be proposed.
     pub(super) fn rejection(&self, command: &wire::Command) -> Option<CommandResponse> {
         let (code, reason) = self.rejection_reason(command)?;
         Some(CommandResponse {
@@ -71,7 +71,7 @@
         None
     }
 
-    /// Proposes a command of this replica.
+    /// Proposes a command that this replica creates.
     pub(super) fn propose(&mut self, kind: CommandKind, requester: Requester) {
         let command = wire::Command {
             kind: Some(kind),
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Proposes commands again that are not decided yet.
+    /// Proposes pending commands again that are due for a retry.
     pub(super) fn retry_pending(&mut self) {
         let Some(consensus) = &mut self.consensus else {
             return;
@@ -99,7 +99,7 @@
     }
 }
 
-/// The protocol version from which on a command is known.
+/// The protocol version that introduced a command.
 fn required_version(_kind: &CommandKind) -> u32 {
     1
 }
--- a/crates/coordinator/src/replica/maintenance.rs
+++ b/crates/coordinator/src/replica/maintenance.rs
@@ -1,4 +1,5 @@
-//! Timed work: the agreed time, sessions that expire, and elections that are rebalanced. All but the first is the leader's.
+//! Periodic maintenance: every replica announces its protocol version; the leader advances the agreed time, creates missing
+//! elections, expires sessions and rebalances elections.
 
 use super::pending::Requester;
 use super::Replica;
@@ -8,9 +9,9 @@
 };
 use chalkdeck_time::TimeDelta;
 
-/// How often the leader does its maintenance, and moves the agreed time on.
+/// How often the leader does its maintenance and advances the agreed time.
 const MAINTENANCE_INTERVAL: TimeDelta = TimeDelta::from_millis(500);
-/// The most by which the agreed time moves on at once.
+/// Maximum step of the agreed time.
 const MAX_TIME_STEP: TimeDelta = TimeDelta::from_millis(1_000);
 
 impl Replica {
@@ -19,18 +20,18 @@
             return;
         }
         self.announce_version();
-        if !self.is_leader() || self.now < self.maintained_at + MAINTENANCE_INTERVAL {
+        if !self.is_leader() || self.now < self.last_maintenance_at + MAINTENANCE_INTERVAL {
             return;
         }
-        let elapsed = self.now - self.maintained_at;
-        self.maintained_at = self.now;
+        let elapsed = self.now - self.last_maintenance_at;
+        self.last_maintenance_at = self.now;
         self.advance_agreed_time(elapsed);
         self.create_missing_elections();
         self.expire_sessions();
         self.rebalance_elections();
     }
 
-    /// Says once in each configuration which commands this replica knows.
+    /// Announces the protocol version and the epoch of this replica once in each configuration.
     fn announce_version(&mut self) {
         if self.has_announced_version {
             return;
@@ -45,7 +46,8 @@
         self.propose_own(CommandKind::AnnounceVersion(announcement));
     }
 
-    /// `elapsed`: since this replica last did so; a new leader counts from its own last maintenance, so the step is bounded.
+    /// Advances the agreed time by the time since this replica's last maintenance. The step is limited, as that maintenance of a new
+    /// leader may be long ago.
     fn advance_agreed_time(&mut self, elapsed: TimeDelta) {
         let step = elapsed.min(MAX_TIME_STEP);
         let time_ms = self.state.time_ms + step.as_millis();
@@ -59,10 +61,10 @@
             SITE_OVERRIDES_ELECTION,
         ]
         .map(String::from);
-        let wanted = built_in
+        let required = built_in
             .into_iter()
             .chain(self.settings.elections.iter().cloned());
-        let missing: Vec<String> = wanted
+        let missing: Vec<String> = required
             .filter(|name| !self.state.elections().any(|e| e.name == *name))
             .collect();
         for election in missing {
--- a/crates/coordinator/src/replica/membership.rs
+++ b/crates/coordinator/src/replica/membership.rs
@@ -1,4 +1,4 @@
-//! Configurations: how a replica comes to one, how it goes on to the next, and how it replaces one that lost its disk.
+//! Membership: how a replica joins a configuration, moves to the next one, and replaces a member that lost its disk.
 
 use super::{Output, Replica, StartMode};
 use crate::consensus::{Consensus, ConsensusError};
@@ -8,22 +8,22 @@
 use crate::storage::{Configuration, ConfigurationMember, StorageChange};
 use chalkdeck_time::TimeDelta;
 
-/// How often a replica without a configuration asks for one.
-const JOIN_INTERVAL: TimeDelta = TimeDelta::from_millis(1_000);
-/// How often a replica that has missed the end of its configuration asks for the next one.
-const CATCH_UP_INTERVAL: TimeDelta = TimeDelta::from_millis(250);
-/// How often the end of a configuration is proposed.
-const END_INTERVAL: TimeDelta = TimeDelta::from_millis(500);
-/// A replica is replaced only if it was not heard for so long.
-const MIN_SILENCE: TimeDelta = TimeDelta::from_millis(3_000);
-/// Ids of replacements are multiples of this plus the slot; more slots than this do not exist.
+/// How often a replica without a configuration requests one.
+const JOIN_RETRY_INTERVAL: TimeDelta = TimeDelta::from_millis(1_000);
+/// How often a replica that missed the end of its configuration requests the next one.
+const CATCH_UP_RETRY_INTERVAL: TimeDelta = TimeDelta::from_millis(250);
+/// How often the end of the configuration is proposed until it is decided.
+const NEXT_CONFIGURATION_INTERVAL: TimeDelta = TimeDelta::from_millis(500);
+/// A member is replaced only if no message of it was received for this long.
+const MIN_SILENCE_BEFORE_REPLACEMENT: TimeDelta = TimeDelta::from_millis(3_000);
+/// The id of a replacement is a multiple of this plus its slot; slots are always below it.
 const IDS_PER_CONFIGURATION: u64 = 16;
 
 impl Replica {
-    // ---- beginning ----
+    // ---- start ----
 
-    /// Takes part in the stored configuration, or creates the first one if it is told to bootstrap.
-    pub(super) fn begin(&mut self) -> Result<(), ConsensusError> {
+    /// Starts in the stored configuration, or creates the first one in bootstrap mode.
+    pub(super) fn start(&mut self) -> Result<(), ConsensusError> {
         let stored = self.storage.state().configuration.clone();
         if stored.number == 0 {
             if self.start_mode != StartMode::Bootstrap {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Enters a configuration with an empty log and the state that the last one left.
+    /// Enters a configuration with an empty log and the final state of the previous one. Pending commands are proposed again in it.
     fn enter(&mut self, configuration: Configuration) -> Result<(), ConsensusError> {
         let state = initial_state(&configuration);
         self.storage
@@ -71,8 +71,8 @@
         Ok(())
     }
 
-    /// Enters a configuration; pending commands are proposed again in it. A failure is logged: the replica then takes no part.
-    fn enter_or_log(&mut self, configuration: Configuration) {
+    /// Enters a configuration. Logs a failure; the replica then does not take part in the consensus.
+    fn enter_or_log_error(&mut self, configuration: Configuration) {
         let number = configuration.number;
         match self.enter(configuration) {
             Ok(()) => tracing::info!(configuration = number, "configuration entered"),
@@ -84,27 +84,28 @@
 
     // ---- joining and catching up ----
 
-    /// Asks for a configuration if there is none.
-    pub(super) fn join(&mut self) {
-        if self.configuration() > 0 || self.now < self.members_read_at + JOIN_INTERVAL {
+    /// Requests a place in the configuration if this replica has none, at most once per [`JOIN_RETRY_INTERVAL`].
+    pub(super) fn request_membership(&mut self) {
+        if self.configuration() > 0 || self.now < self.members_requested_at + JOIN_RETRY_INTERVAL {
             return;
         }
-        self.read_members(self.settings.slot);
+        self.request_members(self.settings.slot);
     }
 
-    /// Another replica is in a later configuration: this one has missed the end of its own. It goes on there with the same id, as
-    /// its disk is whole.
+    /// Handles a message of a later configuration: this replica missed the end of its own one and requests the later one. It keeps its
+    /// id there, as its disk is intact.
     pub(super) fn catch_up(&mut self, message: &PeerMessage) {
         let is_own = message.to == self.own_id().0;
-        let is_due = self.now >= self.members_read_at + CATCH_UP_INTERVAL;
+        let is_due = self.now >= self.members_requested_at + CATCH_UP_RETRY_INTERVAL;
         if self.configuration() > 0 && is_due && is_own {
-            self.read_members(Slot(0));
+            self.request_members(Slot(0));
         }
     }
 
-    /// Asks all others for their configuration. `requested_slot`: where a place is wanted; 0: none is.
-    fn read_members(&mut self, requested_slot: Slot) {
-        self.members_read_at = self.now;
+    /// Requests the configuration from all other replicas. `requested_slot` is the slot in which this replica asks to become a member;
+    /// 0 if it does not.
+    fn request_members(&mut self, requested_slot: Slot) {
+        self.members_requested_at = self.now;
         let request = ReadRequest {
             kind: ReadKind::Members as i32,
             slot: requested_slot.0,
@@ -119,15 +120,15 @@
             .extend(others.map(|slot| Output::ReadMembers(slot, request.clone())));
     }
 
-    /// Takes in which configuration another replica is in.
+    /// Handles the configuration of another replica, and enters it if it is later than the own one and has this replica as a member.
     pub fn receive_members(&mut self, response: &ReadResponse) {
         if response.configuration <= self.configuration() {
             return;
         }
-        let Some(own) = response.members.iter().find(|m| self.is_own_place(m)) else {
+        let Some(own) = response.members.iter().find(|m| self.is_this_replica(m)) else {
             return;
         };
-        // Members are sent to by their slots.
+        // Messages to members are addressed by slot, so each slot must be in the address list.
         if !self.are_slots_valid(&response.members) {
             tracing::warn!(
                 configuration = response.configuration,
@@ -135,12 +136,12 @@
             );
             return;
         }
-        // A configuration after the first begins with a state.
+        // Each configuration after the first begins with a state.
         if response.configuration > 1 && response.base.is_empty() {
             return;
         }
         let members = response.members.iter();
-        self.enter_or_log(Configuration {
+        self.enter_or_log_error(Configuration {
             number: response.configuration,
             own: ReplicaId(own.id),
             members: members.map(ConfigurationMember::from).collect(),
@@ -154,20 +155,20 @@
         slots.all(|slot| Slot::checked(slot, replica_count).is_some())
     }
 
-    /// Whether a member of a later configuration is this replica.
-    fn is_own_place(&self, member: &wire::Member) -> bool {
-        let is_known = if self.configuration() == 0 {
+    /// Whether a member of a later configuration is this replica: by incarnation if this one has no configuration, else by id.
+    fn is_this_replica(&self, member: &wire::Member) -> bool {
+        let has_own_identity = if self.configuration() == 0 {
             member.incarnation == self.settings.incarnation
         } else {
             member.id == self.own_id().0
         };
-        member.slot == self.settings.slot.0 && is_known
+        member.slot == self.settings.slot.0 && has_own_identity
     }
 
     // ---- the next configuration ----
 
-    /// A replica asks for the place of one in the same slot that lost its disk.
-    pub(super) fn membership_requested(&mut self, slot: Slot, incarnation: u64) {
+    /// Handles the request of a replica with an empty disk to replace the member in its slot.
+    pub(super) fn handle_membership_request(&mut self, slot: Slot, incarnation: u64) {
         let (number, own, mut members) = {
             let stored = self.storage.state();
             let configuration = &stored.configuration;
@@ -180,13 +181,14 @@
         let Some(member) = members.iter_mut().find(|m| m.slot == slot) else {
             return;
         };
-        let is_silent = !self
-            .peers
-            .was_heard_within(member.id, MIN_SILENCE, self.now);
+        let is_silent =
+            !self
+                .peers
+                .was_heard_within(member.id, MIN_SILENCE_BEFORE_REPLACEMENT, self.now);
         if member.incarnation == incarnation || !is_silent || member.id == own {
             return;
         }
-        // Never used before, as it grows with the configurations.
+        // Unique, as it contains the number of the configuration.
         let id = u64::from(number) * IDS_PER_CONFIGURATION + u64::from(slot.0);
         *member = ConfigurationMember {
             id: ReplicaId(id),
@@ -197,15 +199,15 @@
             slot = slot.0,
             "replica without its disk joins as a new member"
         );
-        self.propose_end(number, &members);
+        self.propose_next_configuration(number, &members);
     }
 
-    /// Proposes the end of this configuration, and the next one.
-    fn propose_end(&mut self, next_number: u32, members: &[ConfigurationMember]) {
-        if self.now < self.end_proposed_at + END_INTERVAL {
+    /// Proposes the command that ends this configuration and begins the next one.
+    fn propose_next_configuration(&mut self, next_number: u32, members: &[ConfigurationMember]) {
+        if self.now < self.next_configuration_proposed_at + NEXT_CONFIGURATION_INTERVAL {
             return;
         }
-        self.end_proposed_at = self.now;
+        self.next_configuration_proposed_at = self.now;
         let members = members.iter().map(|m| m.to_wire(wire::Member::default()));
         let next = wire::NextConfiguration {
             configuration: next_number,
@@ -220,16 +222,16 @@
         }
     }
 
-    /// Enters the configuration that the decided end of this one names, with the state of this replica.
+    /// Enters the next configuration that was decided, with the state of this replica.
     pub(super) fn enter_next_configuration(&mut self, next: Configuration) {
         let slot = self.settings.slot;
         let own = self.own_id();
-        let place = next.members.iter().find(|m| m.slot == slot);
-        if place.is_some_and(|member| member.id == own) {
+        let own_member = next.members.iter().find(|m| m.slot == slot);
+        if own_member.is_some_and(|member| member.id == own) {
             let base = self.state.to_bytes();
-            return self.enter_or_log(Configuration { own, base, ..next });
+            return self.enter_or_log_error(Configuration { own, base, ..next });
         }
-        // This replica lost its disk once, and is back with it.
+        // The member was replaced after a replica in this slot started without its disk; now the original disk is back.
         tracing::error!(
             slot = slot.0,
             "this replica's place was given to a new member: empty its folder to join again"
@@ -238,7 +240,7 @@
         self.is_outdated = true;
     }
 
-    /// Ends a configuration whose log has grown, so that another one begins with the state.
+    /// Ends a configuration whose log has exceeded its maximum length; the next one begins with a snapshot of the state.
     pub(super) fn compact_log(&mut self) {
         let is_leader = self.is_leader();
         let (number, own, members) = {
@@ -255,7 +257,7 @@
         };
         if members.len() == 1 {
             let base = self.state.to_bytes();
-            return self.enter_or_log(Configuration {
+            return self.enter_or_log_error(Configuration {
                 number,
                 own,
                 members,
@@ -263,12 +265,12 @@
             });
         }
         if is_leader {
-            self.propose_end(number, &members);
+            self.propose_next_configuration(number, &members);
         }
     }
 }
 
-/// The state that a configuration begins with, with its members.
+/// The state at the beginning of a configuration, with the configuration's members.
 fn initial_state(configuration: &Configuration) -> ReplicatedState {
     let mut state = ReplicatedState::from_bytes(&configuration.base).unwrap_or_default();
     let member = |member: &ConfigurationMember| {
--- a/crates/coordinator/src/replica/mod.rs
+++ b/crates/coordinator/src/replica/mod.rs
@@ -1,7 +1,7 @@
-//! One replica of the replicated state machine, free of I/O: messages, commands and sessions in; messages, responses and watch
-//! events out. What goes out may leave only after the record of the same turn is on the disk.
+//! One replica of the replicated state machine, without I/O. Its inputs are messages, commands and sessions; its outputs are
+//! messages, responses and watch events. Outputs may be sent only after the record of the same turn is on the disk.
 //!
-//! A turn is: [`Replica::advance_clock`], any number of inputs, [`Replica::end_turn`], then [`Replica::take_outputs`].
+//! A turn consists of [`Replica::advance_clock`], any number of inputs, [`Replica::end_turn`] and [`Replica::take_outputs`].
 
 mod apply;
 mod commands;
@@ -30,8 +30,8 @@
 use rustc_hash::FxHashMap;
 use sessions::SessionStream;
 
-/// Without a decision for so long there is no quorum. The leader moves the agreed time on more often than that.
-const MAX_DECISION_GAP: TimeDelta = TimeDelta::from_millis(3_000);
+/// Without a decided command for this long the quorum counts as lost. The leader's advances of the agreed time are more frequent.
+const QUORUM_TIMEOUT: TimeDelta = TimeDelta::from_millis(3_000);
 
 /// One replica.
 pub struct Replica {
@@ -46,14 +46,14 @@
     streams: FxHashMap<RequesterId, SessionStream>,
     peers: Peers,
     outputs: Vec<Output>,
-    /// When something was last decided.
+    /// When a command was last decided.
     last_decided_at: Timestamp,
-    /// When the leader's maintenance was last done here.
-    maintained_at: Timestamp,
-    /// When others were last asked for their configuration.
-    members_read_at: Timestamp,
+    /// When this replica last did the leader's maintenance.
+    last_maintenance_at: Timestamp,
+    /// When the configuration was last requested from the other replicas.
+    members_requested_at: Timestamp,
     /// When the end of the configuration was last proposed.
-    end_proposed_at: Timestamp,
+    next_configuration_proposed_at: Timestamp,
     has_announced_version: bool,
     /// The position of the next record.
     position: u64,
@@ -61,10 +61,10 @@
 }
 
 impl Replica {
-    /// Begins with the state that its log replayed to. `position`: of the next record.
+    /// Creates a replica from the state that its log was replayed to. `position` is that of the next record.
     ///
     /// # Errors
-    /// A number of replicas that cannot agree, or a configuration that the consensus library rejects.
+    /// If the number of replicas is not supported, or the consensus library rejects the configuration.
     pub fn new(
         settings: ReplicaSettings,
         state: PersistedState,
@@ -77,7 +77,7 @@
             return Err(ConsensusError::ReplicaCount(replica_count));
         }
         let mut replica = Replica {
-            failure_detector: FailureDetector::new(settings.terms),
+            failure_detector: FailureDetector::new(settings.lease_terms),
             settings,
             start_mode,
             storage: Storage::new(state),
@@ -89,40 +89,41 @@
             peers: Peers::default(),
             outputs: Vec::new(),
             last_decided_at: now,
-            maintained_at: now,
-            members_read_at: Timestamp::ZERO,
-            end_proposed_at: Timestamp::ZERO,
+            last_maintenance_at: now,
+            members_requested_at: Timestamp::ZERO,
+            next_configuration_proposed_at: Timestamp::ZERO,
             has_announced_version: false,
             position,
             is_outdated: false,
         };
-        replica.begin()?;
+        replica.start()?;
         Ok(replica)
     }
 
     // ---- status ----
 
-    /// The replicated state as far as this replica has applied it.
+    /// The replicated state, up to the last command that this replica has applied.
     pub fn state(&self) -> &ReplicatedState {
         &self.state
     }
 
-    /// The number of the configuration that it is in; 0: none yet.
+    /// The number of the current configuration; 0 if there is none yet.
     pub fn configuration(&self) -> u32 {
         self.storage.state().configuration.number
     }
 
-    /// Whether it takes part in the consensus.
+    /// Whether this replica takes part in the consensus.
     pub fn is_configured(&self) -> bool {
         self.configuration() > 0 && !self.is_outdated
     }
 
-    /// Whether its disk is older than what it took part in; it then takes part no more.
+    /// Whether this replica was excluded, as its disk is an older copy or its member was replaced. It no longer takes part in the
+    /// consensus.
     pub fn is_outdated(&self) -> bool {
         self.is_outdated
     }
 
-    /// The slot of the leader, as far as it is known here.
+    /// The slot of the leader, if this replica knows it.
     pub fn leader(&self) -> Option<Slot> {
         let leader = self.consensus.as_ref()?.leader()?;
         self.storage.state().configuration.slot_of(leader)
@@ -134,28 +135,28 @@
         leader == Some(self.own_id())
     }
 
-    /// Whether something was decided lately, so that a quorum of replicas is up.
+    /// Whether a command was decided recently, which shows that a quorum of replicas is up.
     pub fn has_quorum(&self) -> bool {
-        self.configuration() > 0 && self.now - self.last_decided_at < MAX_DECISION_GAP
+        self.configuration() > 0 && self.now - self.last_decided_at < QUORUM_TIMEOUT
     }
 
     fn own_id(&self) -> ReplicaId {
         self.storage.state().configuration.own
     }
 
-    /// What is stored, for a snapshot of the log.
+    /// A copy of the stored state, for a snapshot of the log.
     pub fn persisted_state(&self) -> PersistedState {
         self.storage.state().clone()
     }
 
     // ---- turns ----
 
-    /// Moves the clock on; everything else of a turn happens at that time.
+    /// Advances the clock. All inputs of a turn are handled at this time.
     pub fn advance_clock(&mut self, now: Timestamp) {
         self.now = self.now.max(now);
     }
 
-    /// Does what is due. To be called at regular intervals, which are the ticks of the consensus.
+    /// Does all work that is due. Must be called at regular intervals, which are the ticks of the consensus.
     pub fn tick(&mut self) {
         if self.is_outdated {
             return;
@@ -163,13 +164,13 @@
         if let Some(consensus) = &mut self.consensus {
             consensus.tick();
         }
-        self.request_overdue_messages();
-        self.join();
+        self.request_overdue_runs();
+        self.request_membership();
         self.retry_pending();
         self.run_maintenance();
     }
 
-    /// Ends a turn: applies what was decided. Returns the record that has to be on the disk before any output leaves.
+    /// Ends a turn: applies decided commands. Returns the record that must be on the disk before any output is sent.
     pub fn end_turn(&mut self) -> Option<Vec<u8>> {
         self.propose_renewals();
         self.apply_decided();
@@ -185,14 +186,14 @@
         Some(record)
     }
 
-    /// Takes the outputs, in order.
+    /// Takes the outputs in order.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// Puts outputs back that were taken and are not to be sent yet.
-    pub fn put_back(&mut self, outputs: Vec<Output>) {
-        let later = std::mem::replace(&mut self.outputs, outputs);
-        self.outputs.extend(later);
+    /// Puts taken outputs that are not to be sent yet back in front of the others.
+    pub fn requeue_outputs(&mut self, outputs: Vec<Output>) {
+        let newer_outputs = std::mem::replace(&mut self.outputs, outputs);
+        self.outputs.extend(newer_outputs);
     }
 }
--- a/crates/coordinator/src/replica/output.rs
+++ b/crates/coordinator/src/replica/output.rs
@@ -1,9 +1,9 @@
-//! What a replica wants sent.
+//! Outputs of a replica.
 
 use crate::ids::{RequesterId, Slot};
 use crate::protocol::{CommandResponse, PeerMessage, ReadRequest, ReadResponse, ServerMessage};
 
-/// What a replica wants sent, once the record of the turn is on the disk.
+/// An output that is sent once the record of the turn is on the disk.
 #[derive(Debug)]
 pub enum Output {
     /// A message to another replica.
@@ -14,6 +14,6 @@
     ReadResponse(RequesterId, Box<ReadResponse>),
     /// A message on a session's stream.
     Session(RequesterId, Box<ServerMessage>),
-    /// A read of another replica's configuration.
+    /// A request for another replica's configuration.
     ReadMembers(Slot, ReadRequest),
 }
--- a/crates/coordinator/src/replica/peer_link.rs
+++ b/crates/coordinator/src/replica/peer_link.rs
@@ -1,45 +1,47 @@
-//! Order of the messages between two replicas: the consensus core rests on each being delivered once, after all before it.
+//! Ordered delivery of the messages between two replicas: the consensus library relies on each message being delivered exactly once
+//! and in order.
 //!
-//! Messages of one *run* are numbered from 1. Over a network that loses, repeats and reorders messages, one that stays missing ends
-//! the run: the receiver asks for another, and both sides tell the core that the connection was established again.
+//! Messages of one *run* are numbered from 1. The network may lose, duplicate and reorder messages. If a message stays missing, the
+//! receiver requests a new run, and both sides report a re-established connection to the library.
 
 use crate::protocol::PeerMessage;
 use chalkdeck_time::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// Messages that are held back until an earlier one is received.
-const MAX_EARLY: usize = 256;
-/// How long an earlier message is waited for.
-const MAX_GAP: TimeDelta = TimeDelta::from_millis(60);
+/// Maximum number of buffered messages that wait for an earlier one.
+const MAX_OUT_OF_ORDER: usize = 256;
+/// How long a message may be missing before a new run is requested.
+const GAP_TIMEOUT: TimeDelta = TimeDelta::from_millis(60);
 
 /// One replica's end of the link to another.
 #[derive(Debug, Default)]
 pub(super) struct PeerLink {
-    /// The run that is sent (0: none yet), and its last number.
+    /// The run of sent messages (0 if none was sent yet), and the number of its last message.
     sent_run: u64,
     sent_number: u64,
-    /// The run that is received, and its next number.
+    /// The run of received messages, and the number of the next message to deliver.
     received_run: u64,
     next_number: u64,
-    early: BTreeMap<u64, PeerMessage>,
-    /// Since when an earlier message is missing.
+    /// Received messages that wait for an earlier one, by number.
+    out_of_order: BTreeMap<u64, PeerMessage>,
+    /// When the delivery became blocked by a missing message, or when a new run was last requested for it.
     gap_since: Option<Timestamp>,
 }
 
-/// The outcome of a message that was received.
+/// The result of receiving a message.
 #[derive(Debug, Default)]
 pub(super) struct Delivery {
-    /// Bodies for the consensus core, in order.
+    /// Bodies for the consensus library, in order.
     pub(super) bodies: Vec<Vec<u8>>,
-    /// Another run began: messages before may be lost.
+    /// Whether a new run began, so that messages of the previous one may be lost.
     pub(super) is_new_run: bool,
-    /// The sender is asked to begin another run in the place of this one.
+    /// The run that the sender is to be asked to replace by a new one.
     pub(super) run_to_reset: Option<u64>,
 }
 
 impl PeerLink {
-    /// Numbers a message that is sent. `first_run`: the first run of this start of the replica.
-    pub(super) fn number(&mut self, first_run: u64, message: &mut PeerMessage) {
+    /// Assigns a run and a number to a message that is sent. `first_run` is the first run after this start of the replica.
+    pub(super) fn assign_number(&mut self, first_run: u64, message: &mut PeerMessage) {
         if self.sent_run == 0 {
             self.sent_run = first_run;
         }
@@ -48,18 +50,18 @@
         message.number = self.sent_number;
     }
 
-    /// The receiver misses a message of a run; returns whether that is the present one, which is then over.
+    /// Handles the receiver's request for a new run in place of `run`. Returns whether that is the current run, which then ends.
     pub(super) fn reset(&mut self, run: u64) -> bool {
-        let is_present = run == self.sent_run && run != 0;
-        if is_present {
-            // Never one that was used: runs of one start grow, and those of two starts are far from each other.
+        let is_current = run == self.sent_run && run != 0;
+        if is_current {
+            // Not used before: run numbers of one start increase, and those of two starts are far apart.
             self.sent_run = self.sent_run.wrapping_add(1).max(1);
             self.sent_number = 0;
         }
-        is_present
+        is_current
     }
 
-    /// Takes a message in.
+    /// Receives a message, and delivers it and its successors if no earlier message is missing.
     pub(super) fn receive(&mut self, message: PeerMessage, now: Timestamp) -> Delivery {
         let mut delivery = Delivery::default();
         if message.run != self.received_run {
@@ -74,14 +76,14 @@
             return delivery;
         }
         if message.number > self.next_number {
-            self.hold_back(message, now);
+            self.buffer_out_of_order(message, now);
             return delivery;
         }
         self.deliver(message, &mut delivery);
-        while let Some(next) = self.early.remove(&self.next_number) {
+        while let Some(next) = self.out_of_order.remove(&self.next_number) {
             self.deliver(next, &mut delivery);
         }
-        self.gap_since = (!self.early.is_empty()).then_some(now);
+        self.gap_since = (!self.out_of_order.is_empty()).then_some(now);
         delivery
     }
 
@@ -89,13 +91,13 @@
         self.received_run = run;
         self.next_number = 1;
         self.gap_since = None;
-        self.early.clear();
+        self.out_of_order.clear();
     }
 
-    fn hold_back(&mut self, message: PeerMessage, now: Timestamp) {
+    fn buffer_out_of_order(&mut self, message: PeerMessage, now: Timestamp) {
         self.gap_since.get_or_insert(now);
-        if self.early.len() < MAX_EARLY {
-            self.early.insert(message.number, message);
+        if self.out_of_order.len() < MAX_OUT_OF_ORDER {
+            self.out_of_order.insert(message.number, message);
         }
     }
 
@@ -104,9 +106,11 @@
         delivery.bodies.push(message.body);
     }
 
-    /// The run that is to be begun anew, as a message has been missing for too long.
+    /// The current run of received messages if a message of it has been missing for too long, so that a new run is to be requested.
     pub(super) fn overdue_run(&mut self, now: Timestamp) -> Option<u64> {
-        let is_overdue = self.gap_since.is_some_and(|since| now >= since + MAX_GAP);
+        let is_overdue = self
+            .gap_since
+            .is_some_and(|since| now >= since + GAP_TIMEOUT);
         if !is_overdue {
             return None;
         }
--- a/crates/coordinator/src/replica/peers.rs
+++ b/crates/coordinator/src/replica/peers.rs
@@ -9,12 +9,12 @@
 use chalkdeck_time::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// Spreads incarnations over all bits, so that the first runs of two starts differ.
-const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Bits of a run's number below the epoch.
-const EPOCH_SHIFT: u32 = 20;
+/// Multiplier that spreads incarnations over all bits, so that the first runs of two incarnations are far apart.
+const INCARNATION_HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Number of low bits of a run that are left for the runs of one epoch.
+const RUN_EPOCH_SHIFT: u32 = 20;
 
-/// Links to the other replicas, and when each was last heard.
+/// Links to the other replicas, and when a message of each was last received.
 #[derive(Debug, Default)]
 pub(super) struct Peers {
     links: BTreeMap<ReplicaId, PeerLink>,
@@ -22,12 +22,12 @@
 }
 
 impl Peers {
-    /// Begins all links anew, as those of another configuration.
+    /// Resets all links, for a new configuration.
     pub(super) fn clear_links(&mut self) {
         self.links.clear();
     }
 
-    fn heard(&mut self, id: ReplicaId, now: Timestamp) {
+    fn record_heard(&mut self, id: ReplicaId, now: Timestamp) {
         self.last_heard.insert(id, now);
     }
 
@@ -39,7 +39,7 @@
         self.links.entry(id).or_default()
     }
 
-    /// Runs in which a message is overdue, with their senders.
+    /// Runs with an overdue message, with their senders.
     fn overdue_runs(&mut self, now: Timestamp) -> Vec<(ReplicaId, u64)> {
         let links = self.links.iter_mut();
         links
@@ -49,10 +49,11 @@
 }
 
 impl Replica {
-    /// Takes another replica's message in.
+    /// Handles another replica's message.
     pub fn receive_from_peer(&mut self, message: &PeerMessage) {
         let from = ReplicaId(message.from);
-        // From a disk that is older than what was decided: its promises are forgotten, so nothing that it says counts.
+        // A smaller epoch than the decided one: the sender runs on an older copy of its disk, which lacks promises that it made, so its
+        // messages are ignored.
         let known_epoch = self.state.member(from).map_or(0, |m| m.epoch);
         if message.epoch < known_epoch {
             return;
@@ -64,7 +65,7 @@
             }
             return;
         }
-        self.peers.heard(from, self.now);
+        self.peers.record_heard(from, self.now);
         if message.reset_run != 0 {
             self.receive_reset(from, message.reset_run);
         } else {
@@ -72,7 +73,7 @@
         }
     }
 
-    /// The other replica misses a message of a run.
+    /// Handles another replica's request for a new run.
     fn receive_reset(&mut self, from: ReplicaId, run: u64) {
         let Some(consensus) = &mut self.consensus else {
             return;
@@ -98,11 +99,11 @@
         }
     }
 
-    /// Asks another replica to begin its run of messages anew.
+    /// Asks another replica to start a new run in place of `run`.
     fn request_reset(&mut self, to: ReplicaId, run: u64) {
         let message = PeerMessage {
             reset_run: run,
-            ..self.message_to(to)
+            ..self.envelope_to(to)
         };
         let slot = self.storage.state().configuration.slot_of(to);
         if let Some(slot) = slot {
@@ -110,14 +111,14 @@
         }
     }
 
-    /// Asks for runs anew in which a message is overdue.
-    pub(super) fn request_overdue_messages(&mut self) {
+    /// Requests a new run for each run with an overdue message.
+    pub(super) fn request_overdue_runs(&mut self) {
         for (id, run) in self.peers.overdue_runs(self.now) {
             self.request_reset(id, run);
         }
     }
 
-    /// Sends the messages of the consensus.
+    /// Sends the outgoing consensus messages.
     pub(super) fn send_consensus_messages(&mut self) {
         let Some(consensus) = &mut self.consensus else {
             return;
@@ -134,16 +135,21 @@
         };
         let mut envelope = PeerMessage {
             body: message.body,
-            ..self.message_to(message.to)
+            ..self.envelope_to(message.to)
         };
-        let first_run = self.settings.incarnation.wrapping_mul(SEED_MULTIPLIER)
-            ^ (self.settings.epoch << EPOCH_SHIFT);
-        self.peers.link(message.to).number(first_run, &mut envelope);
+        let first_run = self
+            .settings
+            .incarnation
+            .wrapping_mul(INCARNATION_HASH_MULTIPLIER)
+            ^ (self.settings.epoch << RUN_EPOCH_SHIFT);
+        self.peers
+            .link(message.to)
+            .assign_number(first_run, &mut envelope);
         self.outputs.push(Output::Peer(slot, Box::new(envelope)));
     }
 
-    /// A message to another replica without a body.
-    fn message_to(&self, to: ReplicaId) -> PeerMessage {
+    /// An envelope to another replica, without a body.
+    fn envelope_to(&self, to: ReplicaId) -> PeerMessage {
         PeerMessage {
             configuration: self.configuration(),
             from: self.own_id().0,
--- a/crates/coordinator/src/replica/pending.rs
+++ b/crates/coordinator/src/replica/pending.rs
@@ -1,4 +1,4 @@
-//! Commands that this replica has proposed and that are not decided yet.
+//! Pending commands: proposed by this replica and not decided yet.
 
 use crate::ids::{CommandNumber, RequesterId};
 use crate::protocol::wire;
@@ -6,13 +6,13 @@
 use chalkdeck_time::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// A command that is not decided by then is proposed again, as it may have been lost on its way to the leader. It is applied
-/// once.
+/// A command that is not decided within this time is proposed again, as it may have been lost on its way to the leader.
+/// Deduplication ensures that it is applied once.
 const RETRY_INTERVAL: TimeDelta = TimeDelta::from_millis(500);
-/// Commands under way at one replica; further ones are rejected.
+/// Maximum number of pending commands at one replica; further ones are rejected.
 const MAX_PENDING: usize = 8_192;
 
-/// A renewal that was proposed with others in one command.
+/// A session renewal that was proposed with others in one command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct BatchedRenewal {
     pub(super) requester: RequesterId,
@@ -30,24 +30,24 @@
         requester: RequesterId,
         number: CommandNumber,
     },
-    /// A gateway whose session is to be opened.
+    /// A gateway that opens a session.
     OpeningSession(RequesterId),
-    /// Gateways whose sessions are to be renewed.
+    /// Gateways that renew their sessions.
     Renewals(Vec<BatchedRenewal>),
-    /// A gateway that sent a report of that number.
+    /// A gateway that sent the report with this number.
     Report { requester: RequesterId, number: u64 },
     /// Nobody: the command is the replica's own.
     Replica,
 }
 
-/// A command that was proposed.
+/// A proposed command.
 pub(super) struct PendingCommand {
     pub(super) requester: Requester,
     pub(super) command: wire::Command,
     proposed_at: Timestamp,
 }
 
-/// Commands under way, by the numbers that this replica gave them.
+/// Pending commands, by the numbers that this replica assigned to them.
 #[derive(Default)]
 pub(super) struct PendingCommands {
     last_number: u64,
@@ -59,7 +59,7 @@
         self.commands.len() >= MAX_PENDING
     }
 
-    /// Adds a command under the next number, and returns it as it is to be proposed. `origin`: this replica's incarnation.
+    /// Adds a command under the next number, and returns it as it is to be proposed. `origin` is this replica's incarnation.
     pub(super) fn add(
         &mut self,
         command: wire::Command,
@@ -77,15 +77,15 @@
             },
             proposed_at: now,
         };
-        let added = self.commands.entry(self.last_number).or_insert(pending);
-        &added.command
+        let added_command = self.commands.entry(self.last_number).or_insert(pending);
+        &added_command.command
     }
 
     pub(super) fn remove(&mut self, number: u64) -> Option<PendingCommand> {
         self.commands.remove(&number)
     }
 
-    /// Commands that are to be proposed again at `now`, in the order of their numbers.
+    /// Commands that are due to be proposed again at `now`, ordered by number.
     pub(super) fn due_for_retry(&mut self, now: Timestamp) -> impl Iterator<Item = &wire::Command> {
         self.commands
             .values_mut()
--- a/crates/coordinator/src/replica/reads.rs
+++ b/crates/coordinator/src/replica/reads.rs
@@ -1,4 +1,4 @@
-//! Reads of this replica's state, which may lag behind that of others.
+//! Reads of this replica's state, which may lag behind the state of others.
 
 use super::{Output, Replica};
 use crate::ids::{RequesterId, Slot};
@@ -15,7 +15,7 @@
     pub(super) fn read_state(&mut self, request: &ReadRequest) -> ReadResponse {
         let is_members_read = request.kind() == ReadKind::Members;
         if is_members_read && request.slot > 0 {
-            self.membership_requested(Slot(request.slot), request.incarnation);
+            self.handle_membership_request(Slot(request.slot), request.incarnation);
         }
         let mut response = self.state.read(request, self.settings.unused_after_ms);
         response.leader = self.leader().map_or_else(String::new, |s| s.0.to_string());
@@ -28,14 +28,14 @@
             .iter()
             .map(|member| member.to_wire(self.known_member(member.id)))
             .collect();
-        // For a replica that missed the end of its own configuration, or has none.
+        // The reader missed the end of its own configuration, or has none.
         if is_members_read && request.configuration < configuration.number {
             response.base.clone_from(&configuration.base);
         }
         response
     }
 
-    /// What the replicated state holds of a member.
+    /// The member as stored in the replicated state.
     fn known_member(&self, id: crate::ids::ReplicaId) -> wire::Member {
         self.state.member(id).copied().unwrap_or_default()
     }
--- a/crates/coordinator/src/replica/sessions.rs
+++ b/crates/coordinator/src/replica/sessions.rs
@@ -1,4 +1,4 @@
-//! Streams of gateways' sessions: what is received on them, and the responses to it.
+//! Streams of gateways' sessions: the received messages and the responses to them.
 
 use super::pending::{BatchedRenewal, Requester};
 use super::{Output, Replica};
@@ -10,12 +10,12 @@
 };
 use chalkdeck_leader_election::{RenewalNumber, SessionId};
 
-/// Streams at one replica.
+/// Maximum number of streams at one replica.
 const MAX_STREAMS: usize = 2_000;
-/// Id of the session of a stream on which none is open yet.
+/// The session id of a stream on which no session is open yet.
 const NO_SESSION: SessionId = SessionId(0);
 
-/// A renewal that waits for the end of the turn.
+/// A received renewal that is proposed at the end of the turn.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReceivedRenewal {
     number: RenewalNumber,
@@ -26,9 +26,9 @@
 #[derive(Debug, Default)]
 pub(super) struct SessionStream {
     pub(super) session: SessionId,
-    /// The version of the state that was sent.
+    /// The version of the state that the gateway was last sent.
     pub(super) sent_version: u64,
-    /// The pending work that was sent.
+    /// The pending work that the gateway was last sent.
     pub(super) sent_work: PendingWork,
     renewal: Option<ReceivedRenewal>,
 }
@@ -40,7 +40,7 @@
 }
 
 impl Replica {
-    /// Takes a gateway's message on its session's stream in.
+    /// Handles a gateway's message on its session's stream.
     pub fn receive_from_gateway(&mut self, requester: RequesterId, message: ClientMessage) {
         match message.kind {
             Some(ClientMessageKind::Hello(hello)) => self.receive_hello(requester, hello),
@@ -62,7 +62,7 @@
         }
     }
 
-    /// A stream is closed. Its session lasts until it expires, as the gateway may come back over another stream.
+    /// Handles a closed stream. Its session lasts until it expires, as the gateway may reconnect on another stream.
     pub fn stream_closed(&mut self, requester: RequesterId) {
         self.streams.remove(&requester);
     }
@@ -74,10 +74,10 @@
         if !self.is_configured() || self.streams.len() >= MAX_STREAMS {
             return self.end_session(requester);
         }
-        // The version of another fleet's state says nothing. A gateway that is ahead of this replica is sent nothing older.
-        let is_same_fleet = hello.cluster == self.state.cluster;
+        // A version of another cluster's state is meaningless here. A gateway that is ahead of this replica is sent nothing older.
+        let is_same_cluster = hello.cluster == self.state.cluster;
         let stream = SessionStream {
-            sent_version: if is_same_fleet {
+            sent_version: if is_same_cluster {
                 hello.state_version
             } else {
                 0
@@ -85,14 +85,14 @@
             ..SessionStream::default()
         };
         self.streams.insert(requester, stream);
-        let known = self
+        let existing_session = self
             .state
             .session(SessionId(hello.session))
             .filter(|session| {
                 session.incarnation == open.incarnation && session.gateway == open.gateway
             });
-        match known.map(|session| SessionId(session.id)) {
-            Some(session) => self.session_opened(requester, session),
+        match existing_session.map(|session| SessionId(session.id)) {
+            Some(session) => self.announce_session(requester, session),
             None => self.propose(
                 CommandKind::OpenSession(open),
                 Requester::OpeningSession(requester),
@@ -106,10 +106,10 @@
         let Some(stream) = stream.filter(|stream| stream.session == session) else {
             return self.end_session(requester);
         };
-        let earlier = stream.renewal.unwrap_or_default();
+        let previous = stream.renewal.unwrap_or_default();
         stream.renewal = Some(ReceivedRenewal {
-            number: earlier.number.max(RenewalNumber(renewal.number)),
-            state_version: earlier.state_version.max(renewal.applied_version),
+            number: previous.number.max(RenewalNumber(renewal.number)),
+            state_version: previous.state_version.max(renewal.applied_version),
         });
     }
 
@@ -121,12 +121,12 @@
         }
     }
 
-    /// Announces an open session, with all that the gateway has missed.
-    fn session_opened(&mut self, requester: RequesterId, session: SessionId) {
+    /// Tells a gateway that its session is open, with the changes since the version of the state that it has.
+    fn announce_session(&mut self, requester: RequesterId, session: SessionId) {
         let Some(stream) = self.streams.get_mut(&requester) else {
             return;
         };
-        // All elections, as a gateway has none in its cache file.
+        // All elections are sent, as a gateway's cache file contains none.
         let event = WatchEvent {
             elections: self.state.elections().cloned().collect(),
             ..self.state.events_since(stream.sent_version)
@@ -134,18 +134,18 @@
         stream.session = session;
         stream.sent_version = stream.sent_version.max(event.version);
         stream.sent_work = PendingWork::from(&event);
-        let terms = self.settings.terms;
+        let lease_terms = self.settings.lease_terms;
         let message = ServerMessage {
             session: session.0,
             event: Some(event),
-            lease_us: terms.lease.as_micros(),
-            drift_ppm: terms.drift_ppm,
+            lease_us: lease_terms.lease.as_micros(),
+            drift_ppm: lease_terms.drift_ppm,
             ..ServerMessage::default()
         };
         self.send_to_gateway(requester, message);
     }
 
-    /// Tells a gateway that its session is over, or is not opened here.
+    /// Tells a gateway that its session has ended, or cannot be opened at this replica.
     fn end_session(&mut self, requester: RequesterId) {
         let message = ServerMessage {
             session_ended: true,
@@ -173,7 +173,7 @@
         self.send_to_gateway(requester, message);
     }
 
-    /// Proposes the renewals of a turn as one command.
+    /// Proposes the renewals received in a turn as one command.
     pub(super) fn propose_renewals(&mut self) {
         if !self.is_configured() {
             return;
@@ -197,7 +197,7 @@
         );
     }
 
-    /// The renewals of a turn, in the order of their streams.
+    /// Takes the renewals received in a turn, ordered by stream.
     fn take_renewals(&mut self) -> Vec<BatchedRenewal> {
         let mut batch = Vec::new();
         for (requester, stream) in &mut self.streams {
@@ -214,7 +214,7 @@
         batch
     }
 
-    /// Responds to whoever waits for a command that was applied.
+    /// Sends the response of an applied command to its requester.
     pub(super) fn respond(&mut self, requester: Requester, response: CommandResponse) {
         match requester {
             Requester::Call(requester) => {
@@ -235,7 +235,7 @@
 
     fn respond_to_open(&mut self, requester: RequesterId, response: CommandResponse) {
         if response.id > 0 {
-            return self.session_opened(requester, SessionId(response.id));
+            return self.announce_session(requester, SessionId(response.id));
         }
         let message = ServerMessage {
             session_ended: true,
--- a/crates/coordinator/src/replica/watchers.rs
+++ b/crates/coordinator/src/replica/watchers.rs
@@ -1,15 +1,15 @@
-//! Watch events: changes of the replicated state that are pushed to sessions.
+//! Pushes watch events, the changes of the replicated state, to sessions.
 
 use super::Replica;
 use crate::ids::RequesterId;
 use crate::protocol::{ServerMessage, WatchEvent};
 
 impl Replica {
-    /// Sends each session what has changed since the version that it was sent.
+    /// Sends each session the changes since the version that it was last sent.
     pub(super) fn notify_watchers(&mut self) {
         let version = self.state.version;
         let work = self.state.pending_work();
-        // The last event that was made, with the version that it begins at: sessions at one version are sent the same event.
+        // The last created event and the version that it starts from. It is reused for sessions at the same version.
         let mut last_event: Option<(u64, WatchEvent)> = None;
         for requester in self.outdated_watchers() {
             let Some(stream) = self.streams.get_mut(&requester) else {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Streams of sessions that were not sent the present state, in order.
+    /// Open session streams that were not sent the current state, ordered by id.
     fn outdated_watchers(&self) -> Vec<RequesterId> {
         let version = self.state.version;
         let work = self.state.pending_work();
--- a/crates/coordinator/src/server/mod.rs
+++ b/crates/coordinator/src/server/mod.rs
@@ -355,7 +355,7 @@
     ReplicaSettings {
         slot: settings.slot,
         replica_count: settings.replicas.len() as u32,
-        terms: settings.terms,
+        lease_terms: settings.terms,
         min_move_interval_ms: settings.min_move_interval_ms,
         unused_after_ms: settings.unused_after_ms,
         max_log_entries: settings.max_log_entries,
--- a/crates/coordinator/src/state/elections.rs
+++ b/crates/coordinator/src/state/elections.rs
@@ -153,7 +153,7 @@
     }
 
     /// The next leader after `leader` steps down: the session that the election is to be moved to if that is still a candidate,
-    /// else the best-placed other candidate.
+    /// else the candidate with the lowest load, other than `leader` if there is any.
     fn successor(&self, election: &Election, leader: SessionId) -> Option<SessionId> {
         let is_candidate = |id: &SessionId| self.sessions.get(id).is_some_and(|s| s.candidate);
         session_from_wire(election.move_to)
--- a/crates/coordinator/tests/members.rs
+++ b/crates/coordinator/tests/members.rs
@@ -17,7 +17,7 @@
     let settings = ReplicaSettings {
         slot: Slot(OWN_SLOT),
         replica_count: 3,
-        terms: LeaseTerms::default(),
+        lease_terms: LeaseTerms::default(),
         min_move_interval_ms: 3_000,
         unused_after_ms: 1_000_000,
         max_log_entries: 300,
--- a/crates/coordinator/tests/simulation/replicas.rs
+++ b/crates/coordinator/tests/simulation/replicas.rs
@@ -64,7 +64,7 @@
         ReplicaSettings {
             slot: Slot(replica as u32 + 1),
             replica_count: self.replica_count as u32,
-            terms: TERMS,
+            lease_terms: TERMS,
             min_move_interval_ms: 3_000,
             unused_after_ms: 1_000_000,
             max_log_entries: MAX_LOG_ENTRIES,
@@ -174,7 +174,7 @@
                     other => others.push(other),
                 }
             }
-            core.put_back(others);
+            core.requeue_outputs(others);
         });
         if let Some(response) = response {
             let from = Node::Replica(replica);
