--- a/crates/coordinator/src/registrar/mod.rs
+++ b/crates/coordinator/src/registrar/mod.rs
@@ -1,4 +1,4 @@
-//! How the registrar judges a proposal, from a read of it and of what the judgement rests on; free of I/O.
+//! The registrar's judgement of a proposal, based on a read of the proposal and of the data that it depends on; does no I/O.
 
 mod contract_version;
 
@@ -12,12 +12,13 @@
 };
 use chalkdeck_leader_election::FencingToken;
 
-/// The version that calls without one count under. Until the service has an admitted version nothing is promised of it.
+/// The version under which calls without a version are counted. Its users rely on the oldest admitted version of the service, or on
+/// none if there is none.
 pub const UNVERSIONED: &str = "unversioned";
-/// Customers that are named in one reason.
+/// Maximum number of customers that are named in one reason.
 const MAX_NAMED_CUSTOMERS: usize = 5;
 
-/// Judges the proposal that was read, if there is one.
+/// Judges the proposal in the response, if there is one.
 pub fn judge(response: &ReadResponse, token: FencingToken) -> Option<wire::JudgeProposal> {
     let proposal = response.proposals.first()?;
     let reasons = match &proposal.proposed {
@@ -36,16 +37,20 @@
     })
 }
 
-/// Why a rule set is not admitted. `tried`: what it would have decided about the customer's recent calls.
-fn rule_set_reasons(set: &wire::RuleSet, force: bool, tried: Option<&wire::DryRun>) -> Vec<String> {
+/// Reasons to reject a rule set. `dry_run` is its evaluation against the customer's recent calls.
+fn rule_set_reasons(
+    set: &wire::RuleSet,
+    force: bool,
+    dry_run: Option<&wire::DryRun>,
+) -> Vec<String> {
     let mut reasons: Vec<String> = rule_set_error(set).into_iter().collect();
-    if let Some(tried) = tried.filter(|tried| tried.locks_out && !force) {
-        reasons.push(format!("all {} calls of the last minutes would be denied: say so explicitly (--force), or see `rules check`", tried.calls));
+    if let Some(dry_run) = dry_run.filter(|dry_run| dry_run.locks_out && !force) {
+        reasons.push(format!("all {} calls of the last minutes would be denied: say so explicitly (--force), or see `rules check`", dry_run.calls));
     }
     reasons
 }
 
-/// Why a contract is not admitted: what it would break of each version in use.
+/// Reasons to reject a contract: its incompatibilities with each version in use.
 fn contract_reasons(contract: &wire::Contract, response: &ReadResponse) -> Vec<String> {
     let proposed = match contract_version(contract) {
         Ok(version) => version,
@@ -66,19 +71,19 @@
         let users = check
             .in_use
             .users(&version, response.time_ms, response.unused_after_ms);
-        reasons.extend(check.reasons_of_version(&version, &users));
+        reasons.extend(check.reasons_against_version(&version, &users));
     }
     reasons
 }
 
-/// Contracts that are not retired, the oldest first.
+/// Contracts that are not retired, oldest first.
 fn admitted_by_age(list: &[AdmittedContract]) -> Vec<&AdmittedContract> {
     let mut admitted: Vec<&AdmittedContract> = list.iter().filter(|a| !a.retired).collect();
     admitted.sort_by_key(|admitted| admitted.admitted_ms);
     admitted
 }
 
-/// A proposed contract, and what it is checked against.
+/// A proposed contract and the data that it is checked against.
 struct ContractCheck<'a> {
     contract: &'a wire::Contract,
     proposed: ServiceVersion,
@@ -88,7 +93,7 @@
 }
 
 impl ContractCheck<'_> {
-    /// The contract that users of a version rely on. Those without a version rely on the first that was admitted.
+    /// The contract that users of a version rely on. Users without a version rely on the one that was admitted first.
     fn contract_in_use(&self, version: &str) -> Option<&wire::Contract> {
         let mut contracts = self.admitted.iter().map(|a| a.contract.as_ref());
         if version == UNVERSIONED {
@@ -97,12 +102,12 @@
         contracts.flatten().find(|c| c.version == version)
     }
 
-    /// What the proposed contract would break for the users of one version.
-    fn reasons_of_version(&self, version: &str, users: &[VersionUser]) -> Vec<String> {
+    /// Incompatibilities of the proposed contract with one version in use.
+    fn reasons_against_version(&self, version: &str, users: &[VersionUser]) -> Vec<String> {
         let names = describe_users(users, self.time_ms);
         let Some(old) = self.contract_in_use(version) else {
             return self
-                .reason_of_unknown(version, &names)
+                .reason_of_unknown_version(version, &names)
                 .into_iter()
                 .collect();
         };
@@ -121,17 +126,18 @@
             longest_retry_ms: longest_retries.max(),
             smallest_burst: None,
         };
-        find_incompatibilities(&old, &self.proposed, self.level(), bounds)
+        find_incompatibilities(&old, &self.proposed, self.compatibility_level(), bounds)
             .into_iter()
-            .map(|broken| {
-                let help = broken.rule.help();
-                format!("{broken}; version {version} is spoken by {names}; {help}")
+            .map(|incompatibility| {
+                let help = incompatibility.rule.help();
+                format!("{incompatibility}; version {version} is spoken by {names}; {help}")
             })
             .collect()
     }
 
-    /// A version that is in use and was never admitted. If none was, nothing is promised to anybody yet.
-    fn reason_of_unknown(&self, version: &str, names: &str) -> Option<String> {
+    /// The reason to reject the contract if the version in use was never admitted. There is none if the service has no admitted
+    /// version, as no user relies on a contract yet.
+    fn reason_of_unknown_version(&self, version: &str, names: &str) -> Option<String> {
         let is_proposed = version == self.contract.version;
         if version == UNVERSIONED || self.admitted.is_empty() || is_proposed {
             return None;
@@ -141,7 +147,7 @@
         ))
     }
 
-    fn level(&self) -> CompatibilityLevel {
+    fn compatibility_level(&self) -> CompatibilityLevel {
         if self.contract.json {
             CompatibilityLevel::WireAndJson
         } else {
@@ -150,7 +156,7 @@
     }
 }
 
-/// Versions in use, as they were read.
+/// The versions in use from the response.
 fn versions_in_use(response: &ReadResponse) -> VersionsInUse {
     let mut in_use = VersionsInUse::default();
     for version in &response.versions_in_use {
@@ -169,14 +175,16 @@
     in_use
 }
 
-/// The users of a version for people.
+/// Lists the users of a version for an error message.
 fn describe_users(users: &[VersionUser], now_ms: u64) -> String {
-    let named = users.iter().take(MAX_NAMED_CUSTOMERS);
-    let names: Vec<String> = named.map(|user| describe_user(user, now_ms)).collect();
+    let named_users = users.iter().take(MAX_NAMED_CUSTOMERS);
+    let names: Vec<String> = named_users
+        .map(|user| describe_user(user, now_ms))
+        .collect();
     let names = names.join(", ");
-    let more = users.len().saturating_sub(MAX_NAMED_CUSTOMERS);
-    if more > 0 {
-        format!("{names} and {more} more")
+    let unnamed_count = users.len().saturating_sub(MAX_NAMED_CUSTOMERS);
+    if unnamed_count > 0 {
+        format!("{names} and {unnamed_count} more")
     } else {
         names
     }
--- a/crates/coordinator/tests/members.rs
+++ b/crates/coordinator/tests/members.rs
@@ -1,4 +1,4 @@
-//! A replica that reads a configuration from another one.
+//! Tests of a replica that joins with the configuration that another replica sends.
 
 use chalkdeck_coordinator::ids::Slot;
 use chalkdeck_coordinator::log::ReplicaLog;
@@ -11,9 +11,9 @@
 const INCARNATION: u64 = 77;
 const OWN_SLOT: u32 = 2;
 
-/// A replica that asks the others for its place.
-fn joining() -> Replica {
-    let opened = ReplicaLog::open(SimulatedDisk::new(1), INCARNATION).expect("an empty log");
+/// A replica with an empty disk that requests membership.
+fn joining_replica() -> Replica {
+    let opened = ReplicaLog::open(SimulatedDisk::new(1), INCARNATION).expect("an empty log opens");
     let settings = ReplicaSettings {
         slot: Slot(OWN_SLOT),
         replica_count: 3,
@@ -33,12 +33,12 @@
         StartMode::Join,
         now,
     )
-    .expect("it starts")
+    .expect("the replica starts")
 }
 
-fn members(slots: [u32; 3]) -> ReadResponse {
-    let member = |(place, slot): (usize, u32)| wire::Member {
-        id: place as u64 + 1,
+fn configuration_response(slots: [u32; 3]) -> ReadResponse {
+    let member = |(index, slot): (usize, u32)| wire::Member {
+        id: index as u64 + 1,
         slot,
         incarnation: if slot == OWN_SLOT { INCARNATION } else { 5 },
         ..wire::Member::default()
@@ -50,25 +50,36 @@
     }
 }
 
-/// What happened: a replica took a configuration over whose member has the slot 0, and what it then sent to that member was looked up before
-/// the first address, which ends a build with overflow checks. Why: slots of other replicas' answers were not checked, as those of settings
-/// are. Shown by: messages to `Slot(0)` among the outputs.
+/// Guards against entering a configuration with a slot outside the address list. A replica that accepted slot 0 from another
+/// replica's response sent messages to `Slot(0)`; the lookup of their address underflowed, which panics with overflow checks. Slots
+/// in responses were not validated as those in settings are.
 #[test]
-fn configuration_with_a_slot_that_is_none_is_ignored() {
+fn configuration_with_an_invalid_slot_is_ignored() {
     for slots in [[1, OWN_SLOT, 0], [1, OWN_SLOT, 4]] {
-        let mut replica = joining();
-        replica.receive_members(&members(slots));
+        let mut replica = joining_replica();
+        replica.receive_members(&configuration_response(slots));
         for millis in (20..3_000).step_by(20) {
             replica.advance_clock(Timestamp::from_millis(millis));
             replica.tick();
         }
         replica.end_turn();
-        let wrong =
+        let is_to_invalid_slot =
             |output: &Output| matches!(output, Output::Peer(slot, _) if !(1..=3).contains(&slot.0));
-        assert!(!replica.take_outputs().iter().any(wrong), "{slots:?}");
-        assert_eq!(replica.configuration(), 0, "{slots:?}: it is ignored");
+        assert!(
+            !replica.take_outputs().iter().any(is_to_invalid_slot),
+            "{slots:?}"
+        );
+        assert_eq!(
+            replica.configuration(),
+            0,
+            "{slots:?}: the configuration is ignored"
+        );
     }
-    let mut replica = joining();
-    replica.receive_members(&members([1, OWN_SLOT, 3]));
-    assert_eq!(replica.configuration(), 1, "a sound one is entered");
+    let mut replica = joining_replica();
+    replica.receive_members(&configuration_response([1, OWN_SLOT, 3]));
+    assert_eq!(
+        replica.configuration(),
+        1,
+        "a valid configuration is entered"
+    );
 }
--- a/crates/coordinator/tests/simulated_faults.rs
+++ b/crates/coordinator/tests/simulated_faults.rs
@@ -1,21 +1,22 @@
-//! Seeds of the simulated fleet: faults of every kind over replicas, gateways and links, then quiet.
+//! Simulated fleets under random faults of replicas, gateways and links, followed by a recovery phase without faults.
 //!
-//! `SEEDS` and `FROM` in the environment choose how many seeds are run and the first of them; with `TELL` the faults are printed.
+//! The environment variables `SEEDS` and `FROM` set the number of seeds and the first seed; if `TELL` is set, the faults are printed.
 
 mod simulation;
 
 use fastrand::Rng;
-use simulation::{Fault, Node, Simulation, S, TERMS};
+use simulation::{Fault, Node, Simulation, LEASE_TERMS, SECOND};
 
-const FAULTS_START: u64 = 4 * S;
-const LAST_FAULT: u64 = 20 * S;
-const FAULTS_END: u64 = 24 * S;
-/// Every election has a leader this long after faults end: an expiry, an election of replicas and the way there.
-const RECOVERY_TIME: u64 = 8 * S;
-/// Time between two changes of a link that flaps, in microseconds.
-const FLAP: std::ops::Range<u64> = 30_000..400_000;
+const EARLIEST_FAULT: u64 = 4 * SECOND;
+const LATEST_FAULT: u64 = 20 * SECOND;
+const FAULTS_END: u64 = 24 * SECOND;
+/// Time after the end of faults by which every election has a leader: a session expiry, an election of a leading replica, and message
+/// delays.
+const RECOVERY_LIMIT: u64 = 8 * SECOND;
+/// Time between two state changes of a flapping link, in microseconds.
+const FLAP_INTERVAL_US: std::ops::Range<u64> = 30_000..400_000;
 
-/// Faults of a seed with their times.
+/// The faults of a seed with their times.
 struct FaultPlan {
     rng: Rng,
     replica_count: usize,
@@ -24,14 +25,14 @@
 }
 
 impl FaultPlan {
-    fn any_node(&mut self) -> Node {
+    fn random_node(&mut self) -> Node {
         match self.rng.u8(..3) {
             0 => Node::Gateway(self.rng.usize(..self.gateway_count)),
             _ => Node::Replica(self.rng.usize(..self.replica_count)),
         }
     }
 
-    /// A fault and its end.
+    /// Adds a fault and its end.
     fn add(&mut self, at: u64, fault: Fault, end: u64, repair: Fault) {
         self.faults.extend([(at, fault), (end, repair)]);
     }
@@ -45,17 +46,17 @@
         self.cut(at, end, other, one);
     }
 
-    fn draw(&mut self) {
+    fn generate(&mut self) {
         for _ in 0..self.rng.usize(2..9) {
-            let at = self.rng.u64(FAULTS_START..LAST_FAULT);
-            let duration = self.rng.u64(S / 5..6 * S);
+            let at = self.rng.u64(EARLIEST_FAULT..LATEST_FAULT);
+            let duration = self.rng.u64(SECOND / 5..6 * SECOND);
             let end = (at + duration).min(FAULTS_END);
             let replica = self.rng.usize(..self.replica_count);
             let gateway = self.rng.usize(..self.gateway_count);
             let kind = self.rng.u8(..15);
-            // Alone: a disk that is lost while another replica is down may take a majority's promises along.
+            // Without other faults: a disk lost while another replica is down may leave no majority that has the promises.
             if kind == 12 {
-                let end = (at + 4 * S).min(FAULTS_END);
+                let end = (at + 4 * SECOND).min(FAULTS_END);
                 self.faults.clear();
                 let start = Fault::StartReplica(replica);
                 self.add(at, Fault::LoseDisk(replica), end, start);
@@ -69,7 +70,7 @@
         let start_replica = Fault::StartReplica(replica);
         let start_gateway = Fault::StartGateway(gateway);
         match kind {
-            0 | 1 => self.cut_any(at, end),
+            0 | 1 => self.cut_random_link(at, end),
             2 => self.isolate_replica(at, end, replica),
             3 => self.isolate_gateway(at, end, gateway),
             4 => self.add(at, Fault::Loss(30), end, Fault::Loss(0)),
@@ -86,21 +87,21 @@
             11 => self.add(at, Fault::StopGateway(gateway), end, start_gateway),
             13 => self.flap_link(at, end, replica),
             14 => self.add(at, Fault::FillDisk(replica), end, start_replica),
-            _ => unreachable!("kinds are drawn below 15"),
+            _ => unreachable!("kinds are generated below 15"),
         }
     }
 
-    /// A link is cut one way or both.
-    fn cut_any(&mut self, at: u64, end: u64) {
-        let one = self.any_node();
-        let other = self.any_node();
+    /// Cuts a random link in one direction or both.
+    fn cut_random_link(&mut self, at: u64, end: u64) {
+        let one = self.random_node();
+        let other = self.random_node();
         self.cut(at, end, one, other);
         if self.rng.bool() {
             self.cut(at, end, other, one);
         }
     }
 
-    /// A replica is cut off from all other nodes.
+    /// Cuts a replica off from all replicas and gateways.
     fn isolate_replica(&mut self, at: u64, end: u64, replica: usize) {
         let replicas = (0..self.replica_count).filter(|other| *other != replica);
         let gateways = (0..self.gateway_count).map(Node::Gateway);
@@ -110,7 +111,7 @@
         }
     }
 
-    /// A gateway is cut off from all replicas, or from the resource alone.
+    /// Cuts a gateway off from all replicas, or only from the resource.
     fn isolate_gateway(&mut self, at: u64, end: u64, gateway: usize) {
         let gateway = Node::Gateway(gateway);
         if !self.rng.bool() {
@@ -121,18 +122,18 @@
         }
     }
 
-    /// A link between two replicas flaps.
+    /// Makes a link between two replicas flap.
     fn flap_link(&mut self, at: u64, end: u64, replica: usize) {
         let one = Node::Replica(replica);
         let other = Node::Replica((replica + 1) % self.replica_count);
         let mut time = at;
         while time < end {
             let cut = time;
-            time += self.rng.u64(FLAP);
+            time += self.rng.u64(FLAP_INTERVAL_US);
             self.faults
                 .extend([(cut, Fault::Cut(one, other)), (cut, Fault::Cut(other, one))]);
             let healed = time;
-            time += self.rng.u64(FLAP);
+            time += self.rng.u64(FLAP_INTERVAL_US);
             self.faults.extend([
                 (healed, Fault::Heal(one, other)),
                 (healed, Fault::Heal(other, one)),
@@ -152,7 +153,7 @@
         gateway_count,
         faults: Vec::new(),
     };
-    plan.draw();
+    plan.generate();
     if std::env::var("TELL").is_ok() {
         println!("seed {seed}: {replica_count} replicas, {gateway_count} gateways");
         for fault in &plan.faults {
@@ -169,31 +170,31 @@
     for gateway in 0..gateway_count {
         simulation.schedule_fault(FAULTS_END, Fault::StartGateway(gateway));
     }
-    simulation.run_until(FAULTS_END + RECOVERY_TIME / 2);
-    simulation.quiet = true;
-    simulation.run_until(FAULTS_END + RECOVERY_TIME);
+    simulation.run_until(FAULTS_END + RECOVERY_LIMIT / 2);
+    simulation.are_calls_stopped = true;
+    simulation.run_until(FAULTS_END + RECOVERY_LIMIT);
     if simulation.violations.is_empty() {
-        simulation.check_quiet();
+        simulation.check_after_recovery();
     }
     simulation
 }
 
-/// A replica whose disk is replaced by an older copy has forgotten what it promised since: what it sends must not count.
-/// It may lag for good.
+/// Replaces a replica's disk by an older copy, which lacks the promises made since: its messages must be ignored. The replica may
+/// lag behind permanently.
 fn run_older_disk(seed: u64) -> Simulation {
     let replica = 0;
     let mut simulation = Simulation::new(seed, 3, 2);
-    simulation.schedule_fault(4 * S, Fault::CopyDisk(replica));
-    // Each start is counted on the disk, and announced to the others.
-    for restart in [5 * S, 8 * S] {
+    simulation.schedule_fault(4 * SECOND, Fault::CopyDisk(replica));
+    // Each start increments the epoch on the disk, which is announced to the others.
+    for restart in [5 * SECOND, 8 * SECOND] {
         simulation.schedule_fault(restart, Fault::CrashReplica(replica));
-        simulation.schedule_fault(restart + S, Fault::StartReplica(replica));
+        simulation.schedule_fault(restart + SECOND, Fault::StartReplica(replica));
     }
-    simulation.schedule_fault(12 * S, Fault::RestoreOldDisk(replica));
-    simulation.schedule_fault(13 * S, Fault::StartReplica(replica));
-    simulation.run_until(20 * S);
-    simulation.quiet = true;
-    simulation.run_until(24 * S);
+    simulation.schedule_fault(12 * SECOND, Fault::RestoreOldDisk(replica));
+    simulation.schedule_fault(13 * SECOND, Fault::StartReplica(replica));
+    simulation.run_until(20 * SECOND);
+    simulation.are_calls_stopped = true;
+    simulation.run_until(24 * SECOND);
     simulation
 }
 
@@ -203,7 +204,7 @@
 }
 
 #[test]
-fn under_faults_of_every_kind_the_invariants_hold() {
+fn invariants_hold_under_all_kinds_of_faults() {
     let first = number_from_env("FROM", 0);
     let seeds = number_from_env("SEEDS", 24);
     let (mut effects, mut rejected, mut commands, mut in_force) = (0, 0, 0, 0);
@@ -221,11 +222,11 @@
     }
     println!("{seeds} seeds: {effects} effects, {rejected} rejected by their token, {commands} commands, {in_force} sets in force");
     assert!(effects > seeds && commands as u64 > seeds && in_force > 0 && rejected > 0);
-    const { assert!(TERMS.lease.as_micros() < RECOVERY_TIME) };
+    const { assert!(LEASE_TERMS.lease.as_micros() < RECOVERY_LIMIT) };
 }
 
 #[test]
-fn a_seed_replays_exactly() {
+fn a_seed_determines_the_run() {
     let outcome = |simulation: Simulation| {
         (
             simulation.effects,
@@ -239,7 +240,7 @@
 }
 
 #[test]
-fn with_a_replica_on_an_older_disk_the_invariants_hold() {
+fn invariants_hold_with_a_replica_on_an_older_disk_copy() {
     for seed in 0..4 {
         let mut simulation = run_older_disk(seed);
         simulation.check_service();
@@ -251,45 +252,46 @@
     }
 }
 
-/// A gateway that is heard and hears nothing, for so long.
-const DEAF_SPAN: u64 = 40 * S;
-/// By then its session is over: an expiry, the leading replica's maintenance interval, and a command under way.
-const DEAF_SESSION_END: u64 = 4 * S;
-/// The longest that an election has no leader meanwhile: an expiry, the maintenance interval, and the next leader's first renewal.
-const LONGEST_VACANCY: u64 = 5 * S;
+/// How long messages from the replicas to a gateway are cut off, while its own messages arrive.
+const PARTITION_DURATION: u64 = 40 * SECOND;
+/// Time by which the gateway's session has ended: the expiry, the leading replica's maintenance interval, and a pending command.
+const SESSION_END_LIMIT: u64 = 4 * SECOND;
+/// Maximum time without a leader of an election meanwhile: the expiry, the maintenance interval, and the next leader's first renewal.
+const MAX_TIME_WITHOUT_LEADER: u64 = 5 * SECOND;
 
-/// What happened: with a gateway's replies cut off while its own messages arrived, `rules apply` waited for that gateway for as long
-/// as the cut lasted, and elections went to it that it could not act for. Why: the gateway turned from one replica to the next and
-/// said Hello on each new connection without having heard anything on it. The first replica no longer knew its session and opened
-/// another one; each further Hello opened that one again, which restarted the clock by which replicas expire sessions. Shown by: the
-/// process test `a_duty_goes_on_whatever_becomes_of_its_holder`, step `back`, "1 gateways have not said that they apply it: g3" after
-/// 30 s, in 3 of 22 runs beside load; and here, where the session is there at nearly every look.
+/// Guards against a one-way partition, in which a gateway's messages arrive and it receives none, keeping its session alive. The
+/// gateway went from replica to replica and sent Hello on each new connection before it had received anything on it. The first
+/// replica opened a new session, and each further Hello reopened it and restarted its expiry. As long as the partition lasted,
+/// `rules apply` waited for the gateway, and it was elected leader without being able to act.
 #[test]
-fn a_gateway_that_hears_nothing_keeps_no_session_and_no_election() {
-    const STEP: u64 = S / 10;
+fn a_gateway_that_receives_no_messages_loses_its_session_and_elections() {
+    const CHECK_INTERVAL: u64 = SECOND / 10;
     for seed in 0..8 {
         let mut simulation = Simulation::new(seed, 3, 3);
-        let deaf = seed as usize % 3;
-        let cut_at = 6 * S;
+        let partitioned = seed as usize % 3;
+        let cut_at = 6 * SECOND;
         for replica in 0..3 {
-            let (replica, gateway) = (Node::Replica(replica), Node::Gateway(deaf));
+            let (replica, gateway) = (Node::Replica(replica), Node::Gateway(partitioned));
             simulation.schedule_fault(cut_at, Fault::Cut(replica, gateway));
         }
         simulation.run_until(cut_at);
-        assert!(simulation.has_session(deaf), "seed {seed}: it had one");
+        assert!(
+            simulation.has_session(partitioned),
+            "seed {seed}: the gateway had a session"
+        );
         let sets_before = simulation.sets_in_force;
         let mut at = cut_at;
-        while at < cut_at + DEAF_SPAN {
-            at += STEP;
+        while at < cut_at + PARTITION_DURATION {
+            at += CHECK_INTERVAL;
             simulation.run_until(at);
-            let vacant = simulation.vacant_for();
+            let time_without_leader = simulation.time_without_leader();
             assert!(
-                vacant < LONGEST_VACANCY,
-                "seed {seed}, {at}: without a leader for {vacant}"
+                time_without_leader < MAX_TIME_WITHOUT_LEADER,
+                "seed {seed}, {at}: without a leader for {time_without_leader}"
             );
             assert!(
-                at < cut_at + DEAF_SESSION_END || !simulation.has_session(deaf),
-                "seed {seed}, {at}: a gateway that hears nothing has a session"
+                at < cut_at + SESSION_END_LIMIT || !simulation.has_session(partitioned),
+                "seed {seed}, {at}: a gateway that receives no messages has a session"
             );
         }
         assert!(
@@ -297,10 +299,13 @@
             "seed {seed}: rule sets come into force without it"
         );
         simulation.schedule_fault(at, Fault::HealAll);
-        simulation.run_until(at + RECOVERY_TIME / 2);
-        simulation.quiet = true;
-        simulation.run_until(at + RECOVERY_TIME);
-        assert!(simulation.has_session(deaf), "seed {seed}: it is back");
+        simulation.run_until(at + RECOVERY_LIMIT / 2);
+        simulation.are_calls_stopped = true;
+        simulation.run_until(at + RECOVERY_LIMIT);
+        assert!(
+            simulation.has_session(partitioned),
+            "seed {seed}: the gateway has a session again"
+        );
         simulation.check_service();
         assert_eq!(simulation.violations, Vec::<String>::new(), "seed {seed}");
     }
--- a/crates/coordinator/tests/simulation/clock.rs
+++ b/crates/coordinator/tests/simulation/clock.rs
@@ -1,14 +1,14 @@
-//! A node's own clock.
+//! The local clock of a node.
 
-use super::S;
+use super::SECOND;
 use chalkdeck_time::Timestamp;
 use fastrand::Rng;
 
-/// A clock with a start and a rate of its own. Steps of the date do not exist, as nobody reads it.
+/// A clock with its own start and rate. Jumps of the wall clock are not simulated, as the tested code does not read it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Clock {
     offset: u64,
-    /// By how many millionths it is fast.
+    /// How fast the clock runs, in parts per million; negative if it is slow.
     drift_ppm: i64,
 }
 
@@ -16,15 +16,15 @@
     /// A clock within the drift of the lease terms.
     pub(super) fn random(rng: &mut Rng) -> Clock {
         Clock {
-            offset: rng.u64(S..1_000 * S),
+            offset: rng.u64(SECOND..1_000 * SECOND),
             drift_ppm: rng.i64(-9_900..=9_900),
         }
     }
 
-    /// What it shows at a true time.
-    pub(super) fn at(&self, real: u64) -> Timestamp {
-        let drift = real as i128 * i128::from(self.drift_ppm) / 1_000_000;
-        let shown = i128::from(self.offset) + i128::from(real) + drift;
-        Timestamp::from_micros(shown as u64)
+    /// The reading of the clock at a simulated time.
+    pub(super) fn at(&self, simulated_time: u64) -> Timestamp {
+        let drift = simulated_time as i128 * i128::from(self.drift_ppm) / 1_000_000;
+        let reading = i128::from(self.offset) + i128::from(simulated_time) + drift;
+        Timestamp::from_micros(reading as u64)
     }
 }
--- a/crates/coordinator/tests/simulation/faults.rs
+++ b/crates/coordinator/tests/simulation/faults.rs
@@ -1,25 +1,25 @@
-//! Faults that the fleet is exposed to.
+//! Fault injection into the simulated fleet.
 
 use super::{Node, Simulation};
 use chalkdeck_coordinator::replica::StartMode;
 use chalkdeck_wal::simulated_disk::SimulatedDisk;
 
-/// One fault. Replicas and gateways are given by their indices.
+/// A fault, or the end of one. Replicas and gateways are identified by their indices.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// Nothing gets from the first to the second.
+    /// Drops all messages from the first node to the second.
     Cut(Node, Node),
     Heal(Node, Node),
     HealAll,
-    /// Per cent of messages that are lost.
+    /// Sets the percentage of messages that are lost.
     Loss(u8),
     CrashReplica(usize),
     StartReplica(usize),
     LoseDisk(usize),
     CopyDisk(usize),
-    /// The disk is replaced by the copy.
+    /// Replaces the disk by the copy.
     RestoreOldDisk(usize),
-    /// A node stalls until a time.
+    /// Stalls a node until a time.
     Stall(Node, u64),
     KillGateway(usize),
     StartGateway(usize),
@@ -76,7 +76,7 @@
             return;
         }
         node.disk = node.disk.after_crash();
-        // One that never took part may not say that it is the first time.
+        // Bootstrap mode is only for the first start of the cluster.
         self.start_replica(replica, StartMode::Join);
     }
 
@@ -105,7 +105,7 @@
     fn kill_gateway(&mut self, gateway: usize) {
         let node = &mut self.gateways[gateway];
         if node.agent.take().is_some() {
-            self.hits_of_killed += node.hits;
+            self.hits_of_killed_gateways += node.hits;
         }
     }
 
@@ -113,7 +113,7 @@
         if let Some(agent) = &mut self.gateways[gateway].agent {
             agent.resign();
             agent.close();
-            self.carry_out(gateway);
+            self.perform_actions(gateway);
             self.kill_gateway(gateway);
         }
     }
--- a/crates/coordinator/tests/simulation/gateways.rs
+++ b/crates/coordinator/tests/simulation/gateways.rs
@@ -1,8 +1,8 @@
-//! Gateways as nodes of the simulation, and the resource that their effects go to.
+//! Gateways as nodes of the simulation, and the resource that the leader's effects are sent to.
 
 use super::clock::Clock;
 use super::network::Message;
-use super::{Event, Node, Simulation, LAB, MS, TERMS};
+use super::{Event, Node, Simulation, EFFECTS_ELECTION, LEASE_TERMS, MILLISECOND};
 use chalkdeck_access::Call;
 use chalkdeck_coordinator::agent::{AgentAction, AgentSettings, GatewayAgent};
 use chalkdeck_coordinator::protocol::{wire, ServerMessage};
@@ -10,25 +10,26 @@
 use chalkdeck_leader_election::FencingToken;
 use chalkdeck_time::TimeDelta;
 
-const REPORT_INTERVAL: TimeDelta = TimeDelta::from_micros(300 * MS);
+const REPORT_INTERVAL: TimeDelta = TimeDelta::from_micros(300 * MILLISECOND);
 const SITES: [&str; 3] = ["north", "south", "west"];
 /// The customer whose calls are counted.
 pub(super) const CUSTOMER: &str = "c0";
-/// Of 256 ticks, how many bring a call, and how many stall the leader between its check and its act.
-const CALL_ODDS: u8 = 40;
-const STALL_ODDS: u8 = 4;
+/// Number of ticks out of 256 on which a gateway receives a call, and on which the leader stalls between its lease check and its
+/// effect.
+const CALL_TICKS_OF_256: u8 = 40;
+const STALL_TICKS_OF_256: u8 = 4;
 
 pub(super) struct GatewayNode {
     pub(super) agent: Option<GatewayAgent>,
     pub(super) clock: Clock,
     pub(super) stalled_until: u64,
-    life: u64,
+    start_count: u64,
     stream: u64,
-    /// The replica that it is connected to.
+    /// The replica that the gateway is connected to.
     replica: usize,
-    /// The state in its cache file.
+    /// The content of the gateway's cache file.
     persisted: CachedState,
-    /// Calls that rules decided in this life.
+    /// Calls that rules decided since the last start.
     pub(super) hits: u64,
 }
 
@@ -38,7 +39,7 @@
             agent: None,
             clock,
             stalled_until: 0,
-            life: 0,
+            start_count: 0,
             stream: 0,
             replica: 0,
             persisted: CachedState::default(),
@@ -51,12 +52,12 @@
     pub(super) fn start_gateway(&mut self, gateway: usize) {
         let replica_count = self.replicas.len();
         let node = &mut self.gateways[gateway];
-        node.life += 1;
+        node.start_count += 1;
         let settings = AgentSettings {
             open: wire::OpenSession {
                 gateway: format!("g{gateway}"),
                 site: SITES[gateway % SITES.len()].into(),
-                incarnation: (gateway as u64 + 1) << 20 | node.life,
+                incarnation: (gateway as u64 + 1) << 20 | node.start_count,
                 candidate: true,
             },
             replica_count,
@@ -78,7 +79,10 @@
             return;
         };
         agent.tick(now);
-        if !self.quiet && self.rng.u8(..) < CALL_ODDS && agent.access().get(CUSTOMER).is_some() {
+        if !self.are_calls_stopped
+            && self.rng.u8(..) < CALL_TICKS_OF_256
+            && agent.access().get(CUSTOMER).is_some()
+        {
             let call = Call {
                 caller_region: "eu",
                 gateway_region: "north",
@@ -89,67 +93,69 @@
             node.hits += 1;
             self.hits += 1;
         }
-        if let Some(token) = agent.session().leads(LAB, now) {
-            let life = node.life;
-            self.schedule_act(gateway, token, life);
+        if let Some(token) = agent.session().leads(EFFECTS_ELECTION, now) {
+            let start_count = node.start_count;
+            self.schedule_effect(gateway, token, start_count);
         }
-        self.carry_out(gateway);
+        self.perform_actions(gateway);
     }
 
-    /// The leader has checked its lease; it may stall before it acts.
-    fn schedule_act(&mut self, gateway: usize, token: FencingToken, life: u64) {
-        let stall = if self.rng.u8(..) < STALL_ODDS {
-            self.rng.u64(0..3 * TERMS.lease.as_micros())
+    /// Schedules the leader's effect after it checked its lease; the leader may stall in between.
+    fn schedule_effect(&mut self, gateway: usize, token: FencingToken, start_count: u64) {
+        let stall = if self.rng.u8(..) < STALL_TICKS_OF_256 {
+            self.rng.u64(0..3 * LEASE_TERMS.lease.as_micros())
         } else {
             0
         };
-        let act = Event::Act {
+        let event = Event::SendEffect {
             gateway,
             token,
-            life,
+            start_count,
         };
-        self.schedule(stall, act);
+        self.schedule(stall, event);
     }
 
-    pub(super) fn act(&mut self, gateway: usize, token: FencingToken, life: u64) {
+    pub(super) fn send_effect(&mut self, gateway: usize, token: FencingToken, start_count: u64) {
         let node = &self.gateways[gateway];
-        if node.life != life || node.agent.is_none() {
+        if node.start_count != start_count || node.agent.is_none() {
             return;
         }
         let effect = Message::Effect { gateway, token };
         self.send(Node::Gateway(gateway), Node::Resource, effect);
     }
 
-    /// An effect arrives at the resource.
-    pub(super) fn effect(&mut self, gateway: usize, token: FencingToken) {
+    /// Handles an effect that arrives at the resource.
+    pub(super) fn receive_effect(&mut self, gateway: usize, token: FencingToken) {
         if self.resource.check(token).is_err() {
             self.rejected_effects += 1;
             return;
         }
         self.effects += 1;
-        let owner = *self.token_owners.entry(token).or_insert(gateway);
-        if owner != gateway {
+        let token_gateway = *self.gateway_by_token.entry(token).or_insert(gateway);
+        if token_gateway != gateway {
             let token = token.0;
-            self.violations
-                .push(format!("token {token} was g{owner}'s and is g{gateway}'s"));
+            self.violations.push(format!(
+                "token {token} was used by g{token_gateway} and by g{gateway}"
+            ));
         }
     }
 
-    /// Carries out what a gateway has to do, until nothing follows.
-    pub(super) fn carry_out(&mut self, gateway: usize) {
+    /// Performs the actions that a gateway agent requests, until it requests no more.
+    pub(super) fn perform_actions(&mut self, gateway: usize) {
         while let Some(agent) = &mut self.gateways[gateway].agent {
             let actions = agent.take_actions();
             if actions.is_empty() {
                 return;
             }
             for action in actions {
-                self.carry_out_action(gateway, action);
+                self.perform_action(gateway, action);
             }
         }
     }
 
-    /// A connection is established as soon as it is asked for; one that is cut carries nothing, so the stream on it is not accepted.
-    fn carry_out_action(&mut self, gateway: usize, action: AgentAction) {
+    /// Performs one action. A requested connection is established at once; if the link is cut, the connection drops all messages, so
+    /// the stream on it is not accepted.
+    fn perform_action(&mut self, gateway: usize, action: AgentAction) {
         let node = &mut self.gateways[gateway];
         let now = node.clock.at(self.now);
         let Some(agent) = &mut node.agent else {
@@ -183,10 +189,10 @@
     pub(super) fn stream_accepted(&mut self, gateway: usize, stream: u64) {
         let node = &mut self.gateways[gateway];
         let now = node.clock.at(self.now);
-        let is_present = stream == node.stream;
-        if let Some(agent) = node.agent.as_mut().filter(|_| is_present) {
+        let is_current = stream == node.stream;
+        if let Some(agent) = node.agent.as_mut().filter(|_| is_current) {
             agent.stream_accepted(now);
-            self.carry_out(gateway);
+            self.perform_actions(gateway);
         }
     }
 
@@ -198,10 +204,10 @@
     ) {
         let node = &mut self.gateways[gateway];
         let now = node.clock.at(self.now);
-        let is_present = stream == node.stream;
-        if let Some(agent) = node.agent.as_mut().filter(|_| is_present) {
+        let is_current = stream == node.stream;
+        if let Some(agent) = node.agent.as_mut().filter(|_| is_current) {
             agent.receive(now, message);
-            self.carry_out(gateway);
+            self.perform_actions(gateway);
         }
     }
 }
--- a/crates/coordinator/tests/simulation/invariants.rs
+++ b/crates/coordinator/tests/simulation/invariants.rs
@@ -1,20 +1,21 @@
-//! What must hold whatever faults there are.
+//! Invariants that must hold under all faults.
 
 use super::gateways::{GatewayNode, CUSTOMER};
 use super::operators::PROPOSER;
-use super::{Simulation, LAB};
+use super::{Simulation, EFFECTS_ELECTION};
 use chalkdeck_coordinator::agent::GatewayAgent;
 use chalkdeck_coordinator::replica::Replica;
 use chalkdeck_coordinator::state::{HIT_TOTALS_ELECTION, REGISTRAR_ELECTION};
 use chalkdeck_leader_election::FencingToken;
 
-/// Commands by which replicas may lag behind each other once it is quiet.
+/// Maximum number of commands by which replicas may lag behind each other after recovery.
 const MAX_LAG: u64 = 40;
-/// Lines of a difference that are printed.
+/// Maximum number of differing lines that are printed.
 const MAX_DIFFERENCES: usize = 8;
 
 impl Simulation {
-    /// After each event. With `SAME` in the environment replicas are compared each time, too, which is slow.
+    /// Checks the invariants after each event. If the environment variable `SAME` is set, also compares the states of replicas, which
+    /// is slow.
     pub(super) fn check_invariants(&mut self) {
         if std::env::var("SAME").is_ok() {
             self.check_equal_states();
@@ -26,7 +27,7 @@
         self.check_rules_in_force();
     }
 
-    fn running(&self) -> Vec<&Replica> {
+    fn running_replicas(&self) -> Vec<&Replica> {
         self.replicas
             .iter()
             .filter_map(|node| node.core())
@@ -40,9 +41,9 @@
     }
 
     fn check_equal_states(&mut self) {
-        let real = self.now;
-        let running = self.running();
-        let Some((one, other)) = differing_replicas(&running) else {
+        let now = self.now;
+        let running = self.running_replicas();
+        let Some((one, other)) = find_differing_replicas(&running) else {
             return;
         };
         let one = format!("{:#?}", one.state().to_snapshot());
@@ -53,28 +54,28 @@
             .filter(|(one, other)| one != other)
             .take(MAX_DIFFERENCES)
             .collect();
-        let violation = format!("{real}: states differ {differences:#?}");
+        let violation = format!("{now}: states differ {differences:#?}");
         self.violations.push(violation);
     }
 
     fn check_single_leader(&mut self) {
-        let real = self.now;
+        let now = self.now;
         let gateways = self.gateways.iter().enumerate();
         let leaders: Vec<(usize, FencingToken)> = gateways
-            .filter_map(|(index, gateway)| Some((index, self.token_at(gateway, LAB)?)))
+            .filter_map(|(index, gateway)| Some((index, self.token_at(gateway, EFFECTS_ELECTION)?)))
             .collect();
         if leaders.len() > 1 {
             self.violations
-                .push(format!("{real}: {leaders:?} lead one election"));
+                .push(format!("{now}: {leaders:?} lead one election"));
         }
         if !leaders.is_empty() {
-            self.last_led = real;
+            self.last_led_at = now;
         }
     }
 
-    /// Without a session the set denies; with one its version must be the one in force at least.
+    /// A gateway with a session must apply at least the version in force of each rule set; without a session the set denies all calls.
     fn check_rules_in_force(&mut self) {
-        let real = self.now;
+        let now = self.now;
         for (customer, version) in &self.in_force {
             for (index, gateway) in self.gateways.iter().enumerate() {
                 let Some(session) = gateway.agent.as_ref().map(GatewayAgent::session) else {
@@ -82,39 +83,39 @@
                 };
                 let cached = session.state().rules.get(customer);
                 let cached = cached.map_or(0, |set| set.version);
-                if session.is_valid(gateway.clock.at(real)) && cached < *version {
+                if session.is_valid(gateway.clock.at(now)) && cached < *version {
                     self.violations.push(format!(
-                        "{real}: g{index} admits {customer} by version {cached}, {version} is in force"
+                        "{now}: g{index} applies version {cached} of the rules of {customer}, {version} is in force"
                     ));
                 }
             }
         }
     }
 
-    /// Whether a replica that has a quorum knows a session of the gateway.
+    /// Whether a replica that has a quorum has a session of the gateway.
     pub fn has_session(&self, gateway: usize) -> bool {
         let name = format!("g{gateway}");
-        let running = self.running();
+        let running = self.running_replicas();
         let mut with_quorum = running.iter().filter(|replica| replica.has_quorum());
         with_quorum.any(|replica| replica.state().sessions().any(|s| s.gateway == name))
     }
 
-    /// How long nobody has led the lab's election; zero while somebody does.
-    pub fn vacant_for(&self) -> u64 {
+    /// How long [`EFFECTS_ELECTION`] has had no leader; zero while it has one.
+    pub fn time_without_leader(&self) -> u64 {
         let mut gateways = self.gateways.iter();
-        if gateways.any(|gateway| self.token_at(gateway, LAB).is_some()) {
+        if gateways.any(|gateway| self.token_at(gateway, EFFECTS_ELECTION).is_some()) {
             return 0;
         }
-        self.now - self.last_led
+        self.now - self.last_led_at
     }
 
-    /// What must hold once faults are over and all is quiet.
-    pub fn check_quiet(&mut self) {
+    /// Checks what must hold after all faults have ended and the fleet has recovered.
+    pub fn check_after_recovery(&mut self) {
         self.check_replicas_agree();
         self.check_service();
     }
 
-    /// What gateways and operators rely on once all is quiet, however far single replicas lag.
+    /// Checks what gateways and operators rely on after recovery, even if single replicas lag behind.
     pub fn check_service(&mut self) {
         self.check_elections_have_leaders();
         self.check_history();
@@ -123,7 +124,7 @@
 
     fn check_replicas_agree(&mut self) {
         let taking_part: Vec<&Replica> = self
-            .running()
+            .running_replicas()
             .into_iter()
             .filter(|replica| !replica.is_outdated())
             .collect();
@@ -133,24 +134,24 @@
             .collect();
         let indices = || positions.iter().map(|position| position.0);
         let lag = indices().max().unwrap_or(0) - indices().min().unwrap_or(0);
-        let differ = differing_replicas(&taking_part).is_some();
+        let differ = find_differing_replicas(&taking_part).is_some();
         if lag > MAX_LAG {
             self.violations
-                .push(format!("replicas are apart: {positions:?}"));
+                .push(format!("replicas lag behind each other: {positions:?}"));
         }
         if differ {
             self.violations
-                .push("two replicas have other states at one index of the log".into());
+                .push("two replicas have different states at the same log index".into());
         }
     }
 
     fn check_elections_have_leaders(&mut self) {
-        for name in [LAB, REGISTRAR_ELECTION, HIT_TOTALS_ELECTION] {
+        for name in [EFFECTS_ELECTION, REGISTRAR_ELECTION, HIT_TOTALS_ELECTION] {
             let mut gateways = self.gateways.iter();
             if gateways.any(|gateway| self.token_at(gateway, name).is_some()) {
                 continue;
             }
-            let running = self.running();
+            let running = self.running_replicas();
             let taking_part = running.iter().filter(|replica| !replica.is_outdated());
             let elections: Vec<String> = taking_part
                 .map(|replica| {
@@ -163,16 +164,16 @@
         }
     }
 
-    /// No hit counts twice, whatever was lost, repeated, expired and folded; only killed gateways lose any.
+    /// No hit is counted twice despite lost and duplicated messages, expired sessions and folding; only killed gateways lose hits.
     fn check_hits(&mut self) {
-        let running = self.running();
+        let running = self.running_replicas();
         let Some(replica) = running.iter().find(|replica| replica.has_quorum()) else {
             return;
         };
         let lines = replica.state().hit_lines(CUSTOMER);
         let reported: u64 = lines.iter().map(|line| line.count).sum();
-        let least = self.hits - self.hits_of_killed;
-        if (least..=self.hits).contains(&reported) {
+        let min_reported = self.hits - self.hits_of_killed_gateways;
+        if (min_reported..=self.hits).contains(&reported) {
             return;
         }
         if std::env::var("TELL").is_ok() {
@@ -180,8 +181,8 @@
             self.print_gateways();
         }
         self.violations.push(format!(
-            "{reported} hits of {}, of which {} at killed ones",
-            self.hits, self.hits_of_killed
+            "{reported} hits reported of {}, of which {} at killed gateways",
+            self.hits, self.hits_of_killed_gateways
         ));
     }
 
@@ -192,10 +193,10 @@
         }
     }
 
-    /// Ids of responses only grow: a command that began after another ended has the larger one.
+    /// Ids in responses increase: a command that started after another one ended has the larger id.
     fn check_history(&mut self) {
-        for (place, first) in self.history.iter().enumerate() {
-            for second in &self.history[place + 1..] {
+        for (index, first) in self.history.iter().enumerate() {
+            for second in &self.history[index + 1..] {
                 if first.operator != second.operator {
                     continue;
                 }
@@ -205,7 +206,7 @@
                         first.id
                     ));
                 }
-                if first.ended <= second.begun && first.id > second.id {
+                if first.ended_at <= second.started_at && first.id > second.id {
                     self.violations
                         .push(format!("out of order: {first:?} {second:?}"));
                 }
@@ -214,11 +215,11 @@
     }
 }
 
-/// Two replicas of one configuration that are as far in its log and have other states.
-fn differing_replicas<'a>(replicas: &[&'a Replica]) -> Option<(&'a Replica, &'a Replica)> {
+/// Two replicas that have applied the same configuration and log index and have different states.
+fn find_differing_replicas<'a>(replicas: &[&'a Replica]) -> Option<(&'a Replica, &'a Replica)> {
     let position = |replica: &Replica| (replica.configuration(), replica.state().index);
-    for (place, one) in replicas.iter().enumerate() {
-        for other in &replicas[place + 1..] {
+    for (index, one) in replicas.iter().enumerate() {
+        for other in &replicas[index + 1..] {
             let is_same_position = position(one) == position(other);
             if is_same_position && one.state().to_bytes() != other.state().to_bytes() {
                 return Some((one, other));
--- a/crates/coordinator/tests/simulation/mod.rs
+++ b/crates/coordinator/tests/simulation/mod.rs
@@ -1,6 +1,6 @@
-//! A fleet in simulated time in one deterministic process: the real replicas, gateway agents and fencing guards; links with delay,
-//! loss, repeats and one-way cuts; stalls, crashes, disks that forget what was not synced, clocks that drift. A seed replays a run
-//! exactly.
+//! Deterministic simulation of a fleet in one process, in simulated time. Replicas, gateway agents and fencing guards are the real
+//! ones. The simulation injects message delay, loss, duplication and one-way partitions, stalls, crashes, loss of unsynced disk
+//! writes, and clock drift. A seed determines a run exactly.
 
 mod clock;
 mod faults;
@@ -24,26 +24,26 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// Microseconds in a millisecond and a second of simulated time.
-pub const MS: u64 = 1_000;
-pub const S: u64 = 1_000_000;
-/// The election whose leader's effects go to the resource outside the fleet.
-pub const LAB: &str = "lab";
-pub const TERMS: LeaseTerms = LeaseTerms {
+/// A millisecond and a second of simulated time, in microseconds.
+pub const MILLISECOND: u64 = 1_000;
+pub const SECOND: u64 = 1_000_000;
+/// The election whose leader sends effects to the external resource.
+pub const EFFECTS_ELECTION: &str = "effects";
+pub const LEASE_TERMS: LeaseTerms = LeaseTerms {
     lease: TimeDelta::from_secs(2),
     drift_ppm: 10_000,
 };
-const OPERATORS: usize = 2;
-const REPLICA_TICK: u64 = 20 * MS;
-const GATEWAY_TICK: u64 = 25 * MS;
-const OPERATOR_TICK: u64 = 100 * MS;
+const OPERATOR_COUNT: usize = 2;
+const REPLICA_TICK_INTERVAL: u64 = 20 * MILLISECOND;
+const GATEWAY_TICK_INTERVAL: u64 = 25 * MILLISECOND;
+const OPERATOR_TICK_INTERVAL: u64 = 100 * MILLISECOND;
 
-/// Who is at an end of a link.
+/// An endpoint of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Node {
     Replica(usize),
     Gateway(usize),
-    /// The resource that the leader's effects go to.
+    /// The external resource that the leader's effects are sent to.
     Resource,
     Operator(usize),
 }
@@ -58,20 +58,21 @@
     Deliver {
         from: Node,
         to: Node,
-        /// The stream that the message is on; 0: none.
+        /// The stream that carries the message; 0 if none does.
         stream: u64,
         message: Message,
     },
-    /// A gateway acts on a check of its lease that it made earlier.
-    Act {
+    /// A leader sends its effect, based on an earlier check of its lease.
+    SendEffect {
         gateway: usize,
         token: FencingToken,
-        life: u64,
+        start_count: u64,
     },
+    /// The fault with this index.
     Fault(usize),
 }
 
-/// An event at its time; of those at one time, the one that was scheduled first is the first.
+/// An event with its time. Events at the same time occur in the order in which they were scheduled.
 struct ScheduledEvent {
     at: u64,
     serial: u64,
@@ -97,7 +98,7 @@
 
 #[derive(Default)]
 pub struct Simulation {
-    /// The true time, in microseconds.
+    /// The simulated time, in microseconds.
     pub now: u64,
     serial: u64,
     events: BinaryHeap<Reverse<ScheduledEvent>>,
@@ -106,25 +107,26 @@
     gateways: Vec<GatewayNode>,
     operators: Vec<OperatorNode>,
     resource: FencingGuard,
-    /// Which gateway acted under a token.
-    token_owners: BTreeMap<FencingToken, usize>,
+    /// The gateway that sent effects under each fencing token.
+    gateway_by_token: BTreeMap<FencingToken, usize>,
     pub effects: u64,
     pub rejected_effects: u64,
     links: Links,
     faults: Vec<Fault>,
     pub history: Vec<CompletedCommand>,
-    /// Versions of rule sets in force that deny without a session, by customer.
+    /// Versions in force of rule sets that deny calls without a session, by customer.
     in_force: BTreeMap<String, u64>,
     /// Invariants that were violated.
     pub violations: Vec<String>,
-    /// When somebody led the lab's election for the last time.
-    last_led: u64,
+    /// When [`EFFECTS_ELECTION`] last had a leader.
+    last_led_at: u64,
     pub sets_in_force: u64,
-    /// Calls that rules decided, of all lives and of those that were killed; none come once it is quiet.
+    /// Calls that rules decided: at all gateways, and at gateways that were killed since.
     hits: u64,
-    hits_of_killed: u64,
-    pub quiet: bool,
-    proposals: u64,
+    hits_of_killed_gateways: u64,
+    /// Whether gateways receive no more calls.
+    pub are_calls_stopped: bool,
+    proposal_count: u64,
 }
 
 impl Simulation {
@@ -139,7 +141,7 @@
         for gateway in 0..gateway_count {
             simulation.add_gateway(gateway);
         }
-        for operator in 0..OPERATORS {
+        for operator in 0..OPERATOR_COUNT {
             simulation.add_operator(operator);
         }
         simulation
@@ -151,20 +153,26 @@
         self.replicas
             .push(ReplicaNode::new(disk_seed, clock, replica_count));
         self.start_replica(replica, StartMode::Bootstrap);
-        self.schedule(replica as u64 * 3 * MS, Event::Tick(Node::Replica(replica)));
+        self.schedule(
+            replica as u64 * 3 * MILLISECOND,
+            Event::Tick(Node::Replica(replica)),
+        );
     }
 
     fn add_gateway(&mut self, gateway: usize) {
         let clock = Clock::random(&mut self.rng);
         self.gateways.push(GatewayNode::new(clock));
         self.start_gateway(gateway);
-        self.schedule(gateway as u64 * 7 * MS, Event::Tick(Node::Gateway(gateway)));
+        self.schedule(
+            gateway as u64 * 7 * MILLISECOND,
+            Event::Tick(Node::Gateway(gateway)),
+        );
     }
 
     fn add_operator(&mut self, operator: usize) {
         let caller = self.rng.u64(1..);
         self.operators.push(OperatorNode::new(caller));
-        let after = S + operator as u64 * 13 * MS;
+        let after = SECOND + operator as u64 * 13 * MILLISECOND;
         self.schedule(after, Event::Tick(Node::Operator(operator)));
     }
 
@@ -177,12 +185,12 @@
         }));
     }
 
-    /// Has a fault happen at its time.
+    /// Schedules a fault.
     pub fn schedule_fault(&mut self, at: u64, fault: Fault) {
         self.faults.push(fault);
-        let place = self.faults.len() - 1;
+        let index = self.faults.len() - 1;
         let after = at.saturating_sub(self.now);
-        self.schedule(after, Event::Fault(place));
+        self.schedule(after, Event::Fault(index));
     }
 
     pub fn run_until(&mut self, until: u64) {
@@ -195,7 +203,7 @@
                 break;
             };
             self.now = next.at;
-            self.on_event(next.event);
+            self.handle_event(next.event);
             self.check_invariants();
         }
         self.now = self.now.max(until);
@@ -209,46 +217,46 @@
         }
     }
 
-    fn on_event(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let node = match &event {
             Event::Tick(node) | Event::Deliver { to: node, .. } => Some(*node),
-            Event::Act { gateway, .. } => Some(Node::Gateway(*gateway)),
+            Event::SendEffect { gateway, .. } => Some(Node::Gateway(*gateway)),
             Event::Fault(_) => None,
         };
-        // A node that is stalled finds everything once it goes on.
+        // Events of a stalled node are postponed to the end of the stall.
         let stalled_until = node.map_or(0, |node| self.stalled_until(node));
         if stalled_until > self.now {
             return self.schedule(stalled_until - self.now, event);
         }
         match event {
-            Event::Tick(node) => self.on_tick(node),
+            Event::Tick(node) => self.handle_tick(node),
             Event::Deliver {
                 from,
                 to,
                 stream,
                 message,
             } => self.deliver(from, to, stream, message),
-            Event::Act {
+            Event::SendEffect {
                 gateway,
                 token,
-                life,
-            } => self.act(gateway, token, life),
-            Event::Fault(place) => self.inject(self.faults[place]),
+                start_count,
+            } => self.send_effect(gateway, token, start_count),
+            Event::Fault(index) => self.inject(self.faults[index]),
         }
     }
 
-    fn on_tick(&mut self, node: Node) {
+    fn handle_tick(&mut self, node: Node) {
         match node {
             Node::Replica(replica) => {
-                self.schedule(REPLICA_TICK, Event::Tick(node));
+                self.schedule(REPLICA_TICK_INTERVAL, Event::Tick(node));
                 self.replica_turn(replica, |core| core.tick());
             }
             Node::Gateway(gateway) => {
-                self.schedule(GATEWAY_TICK, Event::Tick(node));
+                self.schedule(GATEWAY_TICK_INTERVAL, Event::Tick(node));
                 self.gateway_tick(gateway);
             }
             Node::Operator(operator) => {
-                self.schedule(OPERATOR_TICK, Event::Tick(node));
+                self.schedule(OPERATOR_TICK_INTERVAL, Event::Tick(node));
                 self.operator_tick(operator);
             }
             Node::Resource => {}
--- a/crates/coordinator/tests/simulation/network.rs
+++ b/crates/coordinator/tests/simulation/network.rs
@@ -1,6 +1,6 @@
 //! Messages and the links that carry them.
 
-use super::{Event, Node, Simulation, MS};
+use super::{Event, Node, Simulation, MILLISECOND};
 use chalkdeck_coordinator::ids::RequesterId;
 use chalkdeck_coordinator::protocol::{
     wire, ClientMessage, CommandResponse, PeerMessage, ReadRequest, ReadResponse, ServerMessage,
@@ -8,13 +8,13 @@
 use chalkdeck_leader_election::FencingToken;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Delay of a message, in microseconds.
+/// Range of the delay of a message, in microseconds.
 const MIN_DELAY: u64 = 500;
-const MAX_DELAY: u64 = 3 * MS;
-/// The most that is added to it where messages are lost.
-const MAX_EXTRA_DELAY: u64 = 200 * MS;
-/// Per cent of messages that are repeated where messages are lost.
-const REPEATED_PERCENT: u8 = 5;
+const MAX_DELAY: u64 = 3 * MILLISECOND;
+/// Maximum additional delay while messages are lost.
+const MAX_EXTRA_DELAY: u64 = 200 * MILLISECOND;
+/// Percentage of messages that are duplicated while messages are lost.
+const DUPLICATED_PERCENT: u8 = 5;
 
 #[derive(Debug, Clone)]
 #[expect(
@@ -23,16 +23,16 @@
 )]
 pub(super) enum Message {
     Peer(PeerMessage),
-    /// A read of the configuration by the replica of that index.
+    /// A request for the configuration by the replica with this index.
     ReadMembers(usize, ReadRequest),
     Members(ReadResponse),
-    /// A gateway opens a stream, and a replica accepts it.
+    /// A gateway opens a stream; a replica accepts it.
     OpenStream(u64),
     StreamAccepted(u64),
-    /// On a stream of a gateway's session.
+    /// Messages on the stream of a gateway's session.
     FromGateway(u64, ClientMessage),
     ToGateway(u64, ServerMessage),
-    /// Calls of operators, under the numbers that they give them.
+    /// Operators' calls and the responses, with the number that the operator assigned to the call.
     Command(u64, wire::Command),
     CommandResponse(u64, CommandResponse),
     Read(u64, ReadRequest),
@@ -45,7 +45,7 @@
 }
 
 impl Message {
-    /// The stream that it is on. What is on a stream comes in order, or not at all.
+    /// The stream that carries the message, if any. Messages on a stream are delivered in order or not at all.
     fn stream(&self) -> Option<u64> {
         match self {
             Message::OpenStream(stream)
@@ -57,16 +57,16 @@
     }
 }
 
-/// State of all links.
+/// The state of all links.
 #[derive(Default)]
 pub(super) struct Links {
-    /// Links that carry nothing, one way.
+    /// Directed links that drop all messages.
     pub(super) cut: BTreeSet<(Node, Node)>,
-    /// Per cent of messages that are lost.
+    /// Percentage of messages outside streams that are lost.
     pub(super) loss_percent: u8,
-    /// Streams that lost a message.
+    /// Streams that lost a message; they deliver nothing more.
     broken_streams: BTreeSet<u64>,
-    /// When the last message of a stream arrives.
+    /// The arrival time of the last message on a stream.
     last_arrival: BTreeMap<(Node, Node, u64), u64>,
 }
 
@@ -74,7 +74,7 @@
     pub(super) fn send(&mut self, from: Node, to: Node, message: Message) {
         match message.stream() {
             Some(stream) => self.send_on_stream(from, to, stream, message),
-            None => self.send_alone(from, to, &message),
+            None => self.send_datagram(from, to, &message),
         }
     }
 
@@ -96,7 +96,7 @@
         self.schedule(after, event);
     }
 
-    fn send_alone(&mut self, from: Node, to: Node, message: &Message) {
+    fn send_datagram(&mut self, from: Node, to: Node, message: &Message) {
         for _ in 0..self.random_copies() {
             let extra = if self.links.loss_percent > 0 {
                 self.rng.u64(0..MAX_EXTRA_DELAY)
@@ -114,7 +114,7 @@
         }
     }
 
-    /// How often a message arrives.
+    /// Draws how many copies of a message arrive: none if it is lost, two if it is duplicated.
     fn random_copies(&mut self) -> usize {
         let loss_percent = self.links.loss_percent;
         if loss_percent == 0 {
@@ -122,7 +122,7 @@
         }
         match self.rng.u8(0..100) {
             draw if draw < loss_percent => 0,
-            draw if draw < loss_percent + REPEATED_PERCENT => 2,
+            draw if draw < loss_percent + DUPLICATED_PERCENT => 2,
             _ => 1,
         }
     }
@@ -146,14 +146,14 @@
             },
             Node::Operator(operator) => match message {
                 Message::CommandResponse(number, response) => {
-                    self.command_answered(operator, number, &response);
+                    self.handle_command_response(operator, number, &response);
                 }
-                Message::ReadResponse(response) => self.read_answered(operator, response),
+                Message::ReadResponse(response) => self.handle_read_response(operator, response),
                 _ => {}
             },
             Node::Resource => {
                 if let Message::Effect { gateway, token } = message {
-                    self.effect(gateway, token);
+                    self.receive_effect(gateway, token);
                 }
             }
         }
@@ -194,7 +194,7 @@
     }
 }
 
-/// Each operator numbers its calls on its own.
+/// The requester id of a call. Operators number their calls independently, so the id includes the operator.
 fn requester_of_call(from: Node, call: u64) -> RequesterId {
     let Node::Operator(operator) = from else {
         return RequesterId(call);
--- a/crates/coordinator/tests/simulation/operators.rs
+++ b/crates/coordinator/tests/simulation/operators.rs
@@ -1,34 +1,34 @@
-//! Operators: the first proposes rule sets, the second overrides a site, one command after another.
+//! Operators as nodes of the simulation: one proposes rule sets, the other overrides a site, one command after another.
 
 use super::gateways::CUSTOMER;
 use super::network::Message;
-use super::{Node, Simulation, MS};
+use super::{Node, Simulation, MILLISECOND};
 use chalkdeck_coordinator::protocol::{
     wire, CommandKind, CommandResponse, ReadKind, ReadRequest, ReadResponse, ResponseCode,
 };
 
-/// A command without a response for so long is sent again, to any replica.
-const RETRY_INTERVAL: u64 = 700 * MS;
-/// The operator that proposes rule sets. Responses to its commands have ids that only grow.
+/// A command without a response for this long is sent again, to a random replica.
+const RETRY_INTERVAL: u64 = 700 * MILLISECOND;
+/// The operator that proposes rule sets. The ids in the responses to its commands increase.
 pub(super) const PROPOSER: usize = 0;
 
-/// A command that was answered.
+/// A command that was applied and answered.
 #[derive(Clone, Debug)]
 pub struct CompletedCommand {
     pub operator: usize,
-    pub begun: u64,
-    pub ended: u64,
-    /// A number in the response that only grows.
+    pub started_at: u64,
+    pub ended_at: u64,
+    /// A number from the response that increases from command to command.
     pub id: u64,
 }
 
 pub(super) struct OperatorNode {
     caller: u64,
     last_number: u64,
-    begun: u64,
-    sent: u64,
+    started_at: u64,
+    last_sent_at: u64,
     pending: Option<wire::Command>,
-    /// A rule set that was proposed, until it is in force.
+    /// The proposal of a rule set that is not in force yet.
     watched_proposal: Option<u64>,
 }
 
@@ -37,8 +37,8 @@
         OperatorNode {
             caller,
             last_number: 0,
-            begun: 0,
-            sent: 0,
+            started_at: 0,
+            last_sent_at: 0,
             pending: None,
             watched_proposal: None,
         }
@@ -71,8 +71,8 @@
         let now = self.now;
         let node = &mut self.operators[operator];
         if let Some(command) = node.pending.clone() {
-            if now >= node.sent + RETRY_INTERVAL {
-                node.sent = now;
+            if now >= node.last_sent_at + RETRY_INTERVAL {
+                node.last_sent_at = now;
                 self.send(from, replica, Message::Command(command.number, command));
             }
             return;
@@ -93,13 +93,13 @@
             kind: Some(command_of(operator)),
             ..wire::Command::default()
         };
-        node.begun = now;
-        node.sent = now;
+        node.started_at = now;
+        node.last_sent_at = now;
         node.pending = Some(command.clone());
         self.send(from, replica, Message::Command(command.number, command));
     }
 
-    pub(super) fn command_answered(
+    pub(super) fn handle_command_response(
         &mut self,
         operator: usize,
         number: u64,
@@ -109,7 +109,7 @@
         if node.pending.as_ref().is_none_or(|c| c.number != number) {
             return;
         }
-        // Not applied: the same is sent again.
+        // Not applied: the same command is sent again.
         if response.code != ResponseCode::Done as i32 {
             return;
         }
@@ -117,8 +117,8 @@
         let is_proposal = operator == PROPOSER;
         let completed = CompletedCommand {
             operator,
-            begun: node.begun,
-            ended: self.now,
+            started_at: node.started_at,
+            ended_at: self.now,
             id: if is_proposal {
                 response.id
             } else {
@@ -127,12 +127,12 @@
         };
         if is_proposal {
             node.watched_proposal = Some(response.id);
-            self.proposals += 1;
+            self.proposal_count += 1;
         }
         self.history.push(completed);
     }
 
-    pub(super) fn read_answered(&mut self, operator: usize, response: ReadResponse) {
+    pub(super) fn handle_read_response(&mut self, operator: usize, response: ReadResponse) {
         let node = &mut self.operators[operator];
         let watched = node.watched_proposal;
         let verdict = response.verdict.filter(|v| Some(v.proposal) == watched);
--- a/crates/coordinator/tests/simulation/replicas.rs
+++ b/crates/coordinator/tests/simulation/replicas.rs
@@ -2,7 +2,7 @@
 
 use super::clock::Clock;
 use super::network::Message;
-use super::{Node, Simulation, LAB, TERMS};
+use super::{Node, Simulation, EFFECTS_ELECTION, LEASE_TERMS};
 use chalkdeck_coordinator::ids::{RequesterId, Slot};
 use chalkdeck_coordinator::log::{OpenedLog, ReplicaLog};
 use chalkdeck_coordinator::protocol::ReadRequest;
@@ -10,13 +10,13 @@
 use chalkdeck_wal::simulated_disk::SimulatedDisk;
 use std::collections::BTreeMap;
 
-/// Small, so that many are made in a run.
-const SNAPSHOT_BYTES: usize = 200_000;
+/// Log size after which a snapshot is written. Small, so that a run writes many.
+const SNAPSHOT_THRESHOLD_BYTES: usize = 200_000;
 const MAX_LOG_ENTRIES: usize = 300;
-/// Who reads the members for another replica.
+/// The requester id of reads of the configuration by other replicas.
 const MEMBERS_READER: RequesterId = RequesterId(u64::MAX);
 
-/// A replica and its log while it is up.
+/// A running replica and its log.
 pub(super) struct RunningReplica {
     pub(super) core: Replica,
     log: ReplicaLog<SimulatedDisk>,
@@ -29,9 +29,9 @@
     pub(super) stalled_until: u64,
     starts: u64,
     replica_count: usize,
-    /// A copy of the disk from earlier.
+    /// An earlier copy of the disk.
     pub(super) disk_copy: Option<SimulatedDisk>,
-    /// Whose requests are under which id, and the stream or the call that they are on.
+    /// The node of each requester, and its stream or call.
     requesters: BTreeMap<RequesterId, (Node, u64)>,
 }
 
@@ -53,7 +53,7 @@
         self.requesters.insert(id, (node, stream));
     }
 
-    /// The core, if the replica is up.
+    /// The replica, if it is running.
     pub(super) fn core(&self) -> Option<&Replica> {
         self.running.as_ref().map(|running| &running.core)
     }
@@ -64,11 +64,11 @@
         ReplicaSettings {
             slot: Slot(replica as u32 + 1),
             replica_count: self.replica_count as u32,
-            lease_terms: TERMS,
+            lease_terms: LEASE_TERMS,
             min_move_interval_ms: 3_000,
             unused_after_ms: 1_000_000,
             max_log_entries: MAX_LOG_ENTRIES,
-            elections: vec![LAB.into()],
+            elections: vec![EFFECTS_ELECTION.into()],
             incarnation: if has_configuration {
                 identity.incarnation ^ (self.starts << 16)
             } else {
@@ -91,7 +91,7 @@
                 return self.violations.push(violation);
             }
         };
-        opened.log.set_snapshot_threshold(SNAPSHOT_BYTES);
+        opened.log.set_snapshot_threshold(SNAPSHOT_THRESHOLD_BYTES);
         let settings = node.settings(replica, &opened);
         let now = node.clock.at(self.now);
         match Replica::new(settings, opened.state, opened.position, start_mode, now) {
@@ -104,7 +104,7 @@
         self.replica_turn(replica, |_| {});
     }
 
-    /// One turn of a replica: what is received, its record on the disk, then what is sent.
+    /// Runs one turn of a replica: handles input, writes the record to the disk, then sends the outputs.
     pub(super) fn replica_turn(&mut self, replica: usize, receive: impl FnOnce(&mut Replica)) {
         let node = &mut self.replicas[replica];
         let now = node.clock.at(self.now);
@@ -114,7 +114,7 @@
         running.core.advance_clock(now);
         receive(&mut running.core);
         if running.write_record().is_err() {
-            // What it would have sent is not sent.
+            // The outputs of the turn are not sent.
             node.running = None;
             return;
         }
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Another replica reads the configuration. What else the turn has to send stays for its end.
+    /// Handles a read of the configuration by another replica. Other outputs stay queued until the end of the turn.
     pub(super) fn read_members(&mut self, replica: usize, reader: usize, request: &ReadRequest) {
         let mut response = None;
         self.replica_turn(replica, |core| {
