--- a/crates/coordinator/src/ids.rs
+++ b/crates/coordinator/src/ids.rs
@@ -17,7 +17,7 @@
 
 impl Slot {
     /// The slot of that number, if it is within the list of `replica_count` addresses.
-    pub fn checked(number: u32, replica_count: usize) -> Option<Slot> {
+    pub fn from_number(number: u32, replica_count: usize) -> Option<Slot> {
         let is_valid = (1..=replica_count).contains(&(number as usize));
         is_valid.then_some(Slot(number))
     }
--- a/crates/coordinator/src/registrar/mod.rs
+++ b/crates/coordinator/src/registrar/mod.rs
@@ -107,7 +107,7 @@
         let names = describe_users(users, self.time_ms);
         let Some(old) = self.contract_in_use(version) else {
             return self
-                .reason_of_unknown_version(version, &names)
+                .unknown_version_reason(version, &names)
                 .into_iter()
                 .collect();
         };
@@ -137,7 +137,7 @@
 
     /// The reason to reject the contract if the version in use was never admitted. There is none if the service has no admitted
     /// version, as no user relies on a contract yet.
-    fn reason_of_unknown_version(&self, version: &str, names: &str) -> Option<String> {
+    fn unknown_version_reason(&self, version: &str, names: &str) -> Option<String> {
         let is_proposed = version == self.contract.version;
         if version == UNVERSIONED || self.admitted.is_empty() || is_proposed {
             return None;
--- a/crates/coordinator/src/replica/membership.rs
+++ b/crates/coordinator/src/replica/membership.rs
@@ -152,7 +152,7 @@
     fn are_slots_valid(&self, members: &[wire::Member]) -> bool {
         let replica_count = self.settings.replica_count as usize;
         let mut slots = members.iter().map(|member| member.slot);
-        slots.all(|slot| Slot::checked(slot, replica_count).is_some())
+        slots.all(|slot| Slot::from_number(slot, replica_count).is_some())
     }
 
     /// Whether a member of a later configuration is this replica: by incarnation if this one has no configuration, else by id.
--- a/crates/coordinator/src/settings.rs
+++ b/crates/coordinator/src/settings.rs
@@ -198,7 +198,7 @@
     }
 
     fn slot(&self, replica_count: usize) -> Result<Slot, SettingsError> {
-        Slot::checked(self.wire.slot, replica_count)
+        Slot::from_number(self.wire.slot, replica_count)
             .ok_or_else(|| self.error("slot", "a place among the keepers, from 1", &self.wire.slot))
     }
 
--- a/crates/coordinator/src/state/deduplication.rs
+++ b/crates/coordinator/src/state/deduplication.rs
@@ -39,7 +39,7 @@
 impl CallerRecords {
     /// The recorded response to a command that was already applied, or a rejection if it is no longer known whether the command was
     /// applied. `begun_version` is the version of the state that the caller had seen.
-    pub(super) fn known_response(
+    pub(super) fn recorded_response(
         &self,
         caller: u64,
         number: CommandNumber,
--- a/crates/coordinator/src/state/mod.rs
+++ b/crates/coordinator/src/state/mod.rs
@@ -107,7 +107,7 @@
         let number = CommandNumber(command.number);
         if let Some(response) =
             self.callers
-                .known_response(command.caller, number, command.begun_version)
+                .recorded_response(command.caller, number, command.begun_version)
         {
             return response;
         }
--- a/crates/coordinator/tests/simulation/network.rs
+++ b/crates/coordinator/tests/simulation/network.rs
@@ -74,7 +74,7 @@
     pub(super) fn send(&mut self, from: Node, to: Node, message: Message) {
         match message.stream() {
             Some(stream) => self.send_on_stream(from, to, stream, message),
-            None => self.send_datagram(from, to, &message),
+            None => self.send_unordered(from, to, &message),
         }
     }
 
@@ -96,7 +96,7 @@
         self.schedule(after, event);
     }
 
-    fn send_datagram(&mut self, from: Node, to: Node, message: &Message) {
+    fn send_unordered(&mut self, from: Node, to: Node, message: &Message) {
         for _ in 0..self.random_copies() {
             let extra = if self.links.loss_percent > 0 {
                 self.rng.u64(0..MAX_EXTRA_DELAY)
--- a/crates/coordinator/tests/simulation/operators.rs
+++ b/crates/coordinator/tests/simulation/operators.rs
@@ -45,7 +45,7 @@
     }
 }
 
-fn command_of(operator: usize) -> CommandKind {
+fn command_kind_of(operator: usize) -> CommandKind {
     if operator != PROPOSER {
         return CommandKind::OverrideSite(wire::OverrideSite {
             site: "north".into(),
@@ -90,7 +90,7 @@
             caller: node.caller,
             number: node.last_number,
             begun_version: 0,
-            kind: Some(command_of(operator)),
+            kind: Some(command_kind_of(operator)),
             ..wire::Command::default()
         };
         node.started_at = now;
