--- a/crates/coordinator/src/replica/maintenance.rs
+++ b/crates/coordinator/src/replica/maintenance.rs
@@ -46,8 +46,8 @@
         self.propose_own(CommandKind::AnnounceVersion(announcement));
     }
 
-    /// Advances the agreed time by the time since this replica's last maintenance. The step is limited, as that maintenance of a new
-    /// leader may be long ago.
+    /// Advances the agreed time by the time since this replica's last maintenance. The step is limited, as the last maintenance of a
+    /// new leader may be long ago.
     fn advance_agreed_time(&mut self, elapsed: TimeDelta) {
         let step = elapsed.min(MAX_TIME_STEP);
         let time_ms = self.state.time_ms + step.as_millis();
--- a/crates/coordinator/src/replica/membership.rs
+++ b/crates/coordinator/src/replica/membership.rs
@@ -86,26 +86,28 @@
 
     /// Requests a place in the configuration if this replica has none, at most once per [`JOIN_RETRY_INTERVAL`].
     pub(super) fn request_membership(&mut self) {
-        if self.configuration() > 0 || self.now < self.members_requested_at + JOIN_RETRY_INTERVAL {
+        if self.configuration() > 0
+            || self.now < self.configuration_requested_at + JOIN_RETRY_INTERVAL
+        {
             return;
         }
-        self.request_members(self.settings.slot);
+        self.request_configuration(self.settings.slot);
     }
 
     /// Handles a message of a later configuration: this replica missed the end of its own one and requests the later one. It keeps its
     /// id there, as its disk is intact.
     pub(super) fn catch_up(&mut self, message: &PeerMessage) {
-        let is_own = message.to == self.own_id().0;
-        let is_due = self.now >= self.members_requested_at + CATCH_UP_RETRY_INTERVAL;
-        if self.configuration() > 0 && is_due && is_own {
-            self.request_members(Slot(0));
+        let is_for_this_replica = message.to == self.own_id().0;
+        let is_due = self.now >= self.configuration_requested_at + CATCH_UP_RETRY_INTERVAL;
+        if self.configuration() > 0 && is_due && is_for_this_replica {
+            self.request_configuration(Slot(0));
         }
     }
 
     /// Requests the configuration from all other replicas. `requested_slot` is the slot in which this replica asks to become a member;
     /// 0 if it does not.
-    fn request_members(&mut self, requested_slot: Slot) {
-        self.members_requested_at = self.now;
+    fn request_configuration(&mut self, requested_slot: Slot) {
+        self.configuration_requested_at = self.now;
         let request = ReadRequest {
             kind: ReadKind::Members as i32,
             slot: requested_slot.0,
@@ -184,7 +186,7 @@
         let is_silent =
             !self
                 .peers
-                .was_heard_within(member.id, MIN_SILENCE_BEFORE_REPLACEMENT, self.now);
+                .sent_message_within(member.id, MIN_SILENCE_BEFORE_REPLACEMENT, self.now);
         if member.incarnation == incarnation || !is_silent || member.id == own {
             return;
         }
@@ -274,8 +276,8 @@
 fn initial_state(configuration: &Configuration) -> ReplicatedState {
     let mut state = ReplicatedState::from_bytes(&configuration.base).unwrap_or_default();
     let member = |member: &ConfigurationMember| {
-        let before = state.member(member.id).copied().unwrap_or_default();
-        member.to_wire(before)
+        let stored_member = state.member(member.id).copied().unwrap_or_default();
+        member.to_wire(stored_member)
     };
     let members: Vec<wire::Member> = configuration.members.iter().map(member).collect();
     state.begin_configuration(configuration.number, members);
--- a/crates/coordinator/src/replica/mod.rs
+++ b/crates/coordinator/src/replica/mod.rs
@@ -51,7 +51,7 @@
     /// When this replica last did the leader's maintenance.
     last_maintenance_at: Timestamp,
     /// When the configuration was last requested from the other replicas.
-    members_requested_at: Timestamp,
+    configuration_requested_at: Timestamp,
     /// When the end of the configuration was last proposed.
     next_configuration_proposed_at: Timestamp,
     has_announced_version: bool,
@@ -90,7 +90,7 @@
             outputs: Vec::new(),
             last_decided_at: now,
             last_maintenance_at: now,
-            members_requested_at: Timestamp::ZERO,
+            configuration_requested_at: Timestamp::ZERO,
             next_configuration_proposed_at: Timestamp::ZERO,
             has_announced_version: false,
             position,
--- a/crates/coordinator/src/replica/peer_link.rs
+++ b/crates/coordinator/src/replica/peer_link.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 /// Maximum number of buffered messages that wait for an earlier one.
-const MAX_OUT_OF_ORDER: usize = 256;
+const MAX_OUT_OF_ORDER_MESSAGES: usize = 256;
 /// How long a message may be missing before a new run is requested.
 const GAP_TIMEOUT: TimeDelta = TimeDelta::from_millis(60);
 
@@ -96,7 +96,7 @@
 
     fn buffer_out_of_order(&mut self, message: PeerMessage, now: Timestamp) {
         self.gap_since.get_or_insert(now);
-        if self.out_of_order.len() < MAX_OUT_OF_ORDER {
+        if self.out_of_order.len() < MAX_OUT_OF_ORDER_MESSAGES {
             self.out_of_order.insert(message.number, message);
         }
     }
--- a/crates/coordinator/src/replica/peers.rs
+++ b/crates/coordinator/src/replica/peers.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Peers {
     links: BTreeMap<ReplicaId, PeerLink>,
-    last_heard: BTreeMap<ReplicaId, Timestamp>,
+    last_message_at: BTreeMap<ReplicaId, Timestamp>,
 }
 
 impl Peers {
@@ -27,12 +27,19 @@
         self.links.clear();
     }
 
-    fn record_heard(&mut self, id: ReplicaId, now: Timestamp) {
-        self.last_heard.insert(id, now);
+    fn record_message(&mut self, id: ReplicaId, now: Timestamp) {
+        self.last_message_at.insert(id, now);
     }
 
-    pub(super) fn was_heard_within(&self, id: ReplicaId, span: TimeDelta, now: Timestamp) -> bool {
-        self.last_heard.get(&id).is_some_and(|at| now < *at + span)
+    pub(super) fn sent_message_within(
+        &self,
+        id: ReplicaId,
+        span: TimeDelta,
+        now: Timestamp,
+    ) -> bool {
+        self.last_message_at
+            .get(&id)
+            .is_some_and(|at| now < *at + span)
     }
 
     fn link(&mut self, id: ReplicaId) -> &mut PeerLink {
@@ -65,7 +72,7 @@
             }
             return;
         }
-        self.peers.record_heard(from, self.now);
+        self.peers.record_message(from, self.now);
         if message.reset_run != 0 {
             self.receive_reset(from, message.reset_run);
         } else {
--- a/crates/coordinator/tests/simulation/invariants.rs
+++ b/crates/coordinator/tests/simulation/invariants.rs
@@ -9,7 +9,7 @@
 use chalkdeck_leader_election::FencingToken;
 
 /// Maximum number of commands by which replicas may lag behind each other after recovery.
-const MAX_LAG: u64 = 40;
+const MAX_LAG_COMMANDS: u64 = 40;
 /// Maximum number of differing lines that are printed.
 const MAX_DIFFERENCES: usize = 8;
 
@@ -135,7 +135,7 @@
         let indices = || positions.iter().map(|position| position.0);
         let lag = indices().max().unwrap_or(0) - indices().min().unwrap_or(0);
         let differ = find_differing_replicas(&taking_part).is_some();
-        if lag > MAX_LAG {
+        if lag > MAX_LAG_COMMANDS {
             self.violations
                 .push(format!("replicas lag behind each other: {positions:?}"));
         }
@@ -215,7 +215,7 @@
     }
 }
 
-/// Two replicas that have applied the same configuration and log index and have different states.
+/// Two replicas that are at the same log index of the same configuration but have different states.
 fn find_differing_replicas<'a>(replicas: &[&'a Replica]) -> Option<(&'a Replica, &'a Replica)> {
     let position = |replica: &Replica| (replica.configuration(), replica.state().index);
     for (index, one) in replicas.iter().enumerate() {
