--- a/crates/cli/src/coordinator.rs
+++ b/crates/cli/src/coordinator.rs
@@ -82,8 +82,10 @@
     }
     let signals = Signals::take()?;
     let server = ReplicaServer::start(&settings, start_mode)?;
-    let admin = server.admin().map_or("-".to_string(), |a| a.to_string());
-    println!("ready grpc={} admin={admin}", server.listen());
+    let admin = server
+        .admin_address()
+        .map_or("-".to_string(), |a| a.to_string());
+    println!("ready grpc={} admin={admin}", server.listen_address());
     Ok(server.run(&signals)?)
 }
 
--- a/crates/coordinator/src/agent/connection.rs
+++ b/crates/coordinator/src/agent/connection.rs
@@ -10,15 +10,15 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ConnectionState {
     Disconnected { retry_at: Timestamp },
-    Connecting { give_up_at: Timestamp },
-    Connected { last_heard_at: Timestamp },
+    Connecting { connect_deadline: Timestamp },
+    Connected { last_message_at: Timestamp },
 }
 
 /// What is to be done about the connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum ConnectionStep {
     Connect,
-    GiveUp,
+    Disconnect,
 }
 
 /// The connection to one of the replicas.
@@ -44,18 +44,20 @@
         self.replica_index
     }
 
-    pub(super) fn connected(&mut self, now: Timestamp) {
-        self.state = ConnectionState::Connected { last_heard_at: now };
+    pub(super) fn on_connected(&mut self, now: Timestamp) {
+        self.state = ConnectionState::Connected {
+            last_message_at: now,
+        };
     }
 
-    pub(super) fn heard(&mut self, now: Timestamp) {
+    pub(super) fn on_message(&mut self, now: Timestamp) {
         if matches!(self.state, ConnectionState::Connected { .. }) {
-            self.connected(now);
+            self.on_connected(now);
         }
     }
 
     /// Turns to the next replica.
-    pub(super) fn lost(&mut self, rng: &mut Rng, now: Timestamp) {
+    pub(super) fn switch_replica(&mut self, rng: &mut Rng, now: Timestamp) {
         self.replica_index = (self.replica_index + 1) % self.replica_count;
         let delay = TimeDelta::from_micros(rng.u64(..MAX_RECONNECT_DELAY.as_micros()));
         self.state = ConnectionState::Disconnected {
@@ -63,26 +65,28 @@
         };
     }
 
-    /// What is to be done at `now`. A replica that is silent for `patience` is given up; one that is being connected to has half
+    /// What is to be done at `now`. A replica that is silent for `silence_timeout` is given up; one that is being connected to has half
     /// of that.
     pub(super) fn next_step(
         &mut self,
         now: Timestamp,
-        patience: TimeDelta,
+        silence_timeout: TimeDelta,
     ) -> Option<ConnectionStep> {
         match self.state {
             ConnectionState::Disconnected { retry_at } if now >= retry_at => {
-                let half = TimeDelta::from_micros(patience.as_micros() / 2);
+                let connect_timeout = TimeDelta::from_micros(silence_timeout.as_micros() / 2);
                 self.state = ConnectionState::Connecting {
-                    give_up_at: now + half,
+                    connect_deadline: now + connect_timeout,
                 };
                 Some(ConnectionStep::Connect)
             }
-            ConnectionState::Connecting { give_up_at } if now >= give_up_at => {
-                Some(ConnectionStep::GiveUp)
+            ConnectionState::Connecting { connect_deadline } if now >= connect_deadline => {
+                Some(ConnectionStep::Disconnect)
             }
-            ConnectionState::Connected { last_heard_at } if now >= last_heard_at + patience => {
-                Some(ConnectionStep::GiveUp)
+            ConnectionState::Connected { last_message_at }
+                if now >= last_message_at + silence_timeout =>
+            {
+                Some(ConnectionStep::Disconnect)
             }
             _ => None,
         }
--- a/crates/coordinator/src/agent/leader_tasks.rs
+++ b/crates/coordinator/src/agent/leader_tasks.rs
@@ -41,36 +41,36 @@
     }
 
     fn read_proposals(&mut self, now: Timestamp) {
-        if self.is_reading_proposals || self.session.leads(REGISTRAR, now).is_none() {
+        if self.is_reading_proposals || self.session.leader_token(REGISTRAR, now).is_none() {
             return;
         }
         self.is_reading_proposals = true;
-        self.session.read(ReadRequest {
+        self.session.send_read(ReadRequest {
             kind: ReadKind::Proposals as i32,
             ..ReadRequest::default()
         });
     }
 
     /// Judges the proposal that was read. The token is the present one: a read that was sent under an earlier one serves as well.
-    pub(super) fn judge_proposal(&mut self, now: Timestamp, read: &ReadResponse) {
+    pub(super) fn judge_proposal(&mut self, now: Timestamp, response: &ReadResponse) {
         self.is_reading_proposals = false;
-        let Some(token) = self.session.leads(REGISTRAR, now) else {
+        let Some(token) = self.session.leader_token(REGISTRAR, now) else {
             return;
         };
-        if let Some(judgement) = registrar::judge(read, token) {
+        if let Some(judgement) = registrar::judge(response, token) {
             self.session.submit(CommandKind::JudgeProposal(judgement));
         }
     }
 
     fn fold_hits(&mut self, now: Timestamp) {
-        if let Some(token) = self.session.leads(HIT_TOTALS, now) {
+        if let Some(token) = self.session.leader_token(HIT_TOTALS, now) {
             let fold = wire::FoldHits { token: token.0 };
             self.session.submit(CommandKind::FoldHits(fold));
         }
     }
 
     fn publish_site_overrides(&mut self, now: Timestamp) {
-        if let Some(token) = self.session.leads(SITE_OVERRIDES, now) {
+        if let Some(token) = self.session.leader_token(SITE_OVERRIDES, now) {
             let publish = wire::PublishOverrides {
                 token: token.0,
                 up_to_version: self.session.state().version,
--- a/crates/coordinator/src/agent/mod.rs
+++ b/crates/coordinator/src/agent/mod.rs
@@ -17,7 +17,7 @@
 /// Customers whose hits are in one report.
 const CUSTOMERS_PER_REPORT: usize = 256;
 /// A replica that has not opened the first session by then is left for the next.
-const MAX_OPEN_PATIENCE: TimeDelta = TimeDelta::from_millis(1_500);
+const MAX_SESSION_OPEN_TIMEOUT: TimeDelta = TimeDelta::from_millis(1_500);
 
 /// What a gateway has to do.
 #[derive(Clone, Debug, PartialEq)]
@@ -26,7 +26,7 @@
     Connect(usize),
     /// Send a message on the connection.
     Send(Box<ClientMessage>),
-    /// The cached state was changed by this event: write it to the cache file, and then call [`GatewayAgent::state_persisted`].
+    /// The cached state was changed by this event: write it to the cache file, and then call [`GatewayAgent::on_state_persisted`].
     Persist(Box<WatchEvent>),
     /// Decide again whether open streams of these customers may continue, by [`GatewayAgent::may_continue`].
     RecheckStreams(Vec<String>),
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug)]
 pub struct AgentSettings {
     /// The gateway's name, site and incarnation, and whether it may lead elections.
-    pub open: wire::OpenSession,
+    pub open_session: wire::OpenSession,
     /// The number of replicas.
     pub replica_count: usize,
     /// Time between reports.
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 pub struct GatewayAgent {
     session: SessionClient,
-    access: access::RuleStore,
+    rule_store: access::RuleStore,
     statistics: CallStatistics,
     connection: ReplicaConnection,
     rng: Rng,
@@ -64,7 +64,7 @@
     /// A read of proposals is under way.
     is_reading_proposals: bool,
     /// The session was valid at the last tick.
-    was_valid: bool,
+    was_session_valid: bool,
     actions: Vec<AgentAction>,
 }
 
@@ -73,23 +73,23 @@
     pub fn new(settings: AgentSettings, state: CachedState, now: Timestamp) -> GatewayAgent {
         let mut rng = Rng::with_seed(settings.seed);
         let connection = ReplicaConnection::new(settings.replica_count, &mut rng, now);
-        let first_report = rng.u64(..settings.report_interval.as_micros().max(1));
-        let mut access = access::RuleStore::default();
+        let first_report_delay = rng.u64(..settings.report_interval.as_micros().max(1));
+        let mut rule_store = access::RuleStore::default();
         for rule_set in state.rules.values().filter_map(rule_set_from_wire) {
-            access.insert(rule_set);
+            rule_store.insert(rule_set);
         }
         let overrides = state.site_overrides.values().cloned();
         let actions = overrides.map(AgentAction::ApplySiteOverride).collect();
         GatewayAgent {
-            session: SessionClient::new(settings.open, LeaseTerms::default(), state),
-            access,
+            session: SessionClient::new(settings.open_session, LeaseTerms::default(), state),
+            rule_store,
             statistics: CallStatistics::default(),
             connection,
             rng,
             report_interval: settings.report_interval,
-            report_at: now + TimeDelta::from_micros(first_report),
+            report_at: now + TimeDelta::from_micros(first_report_delay),
             is_reading_proposals: false,
-            was_valid: false,
+            was_session_valid: false,
             actions,
         }
     }
@@ -100,8 +100,8 @@
     }
 
     /// The customers' access rules.
-    pub fn access(&self) -> &access::RuleStore {
-        &self.access
+    pub fn rule_store(&self) -> &access::RuleStore {
+        &self.rule_store
     }
 
     /// The place of the replica that it is connected to, or connects to next.
@@ -134,7 +134,7 @@
     ) -> access::Verdict {
         let session = access::SessionState::new(self.session.is_valid(now));
         self.statistics.record(customer, call, version);
-        self.access.decide(customer, call, session)
+        self.rule_store.decide(customer, call, session)
     }
 
     /// Decides whether a call that was admitted before may continue.
@@ -145,98 +145,98 @@
         call: &access::Call,
     ) -> access::Verdict {
         let session = access::SessionState::new(self.session.is_valid(now));
-        self.access.recheck(customer, call, session)
+        self.rule_store.recheck(customer, call, session)
     }
 
     // ---- connection ----
 
-    /// The connection that was asked for is established. Nothing is sent on it before [`GatewayAgent::stream_accepted`].
-    pub fn connected(&mut self, now: Timestamp) {
-        self.connection.connected(now);
+    /// The connection that was asked for is established. Nothing is sent on it before [`GatewayAgent::on_stream_accepted`].
+    pub fn on_connected(&mut self, now: Timestamp) {
+        self.connection.on_connected(now);
     }
 
     /// The replica was heard on the connection: it accepted the session's stream.
     ///
     /// Only now is the session opened. A gateway that is heard but hears nothing would otherwise open one session after another at
     /// the replicas: elections would be led by a gateway that may not act, and rule sets would wait for it to apply them.
-    pub fn stream_accepted(&mut self, now: Timestamp) {
-        self.connection.heard(now);
+    pub fn on_stream_accepted(&mut self, now: Timestamp) {
+        self.connection.on_message(now);
         self.is_reading_proposals = false;
-        self.session.connected();
+        self.session.on_connected();
     }
 
     /// The connection failed, or is lost.
-    pub fn connection_lost(&mut self, now: Timestamp) {
-        self.session.disconnected();
+    pub fn on_connection_lost(&mut self, now: Timestamp) {
+        self.session.on_disconnected();
         self.is_reading_proposals = false;
-        self.connection.lost(&mut self.rng, now);
+        self.connection.switch_replica(&mut self.rng, now);
     }
 
     /// Time passes.
     pub fn tick(&mut self, now: Timestamp) {
-        match self.connection.next_step(now, self.patience()) {
+        match self.connection.next_step(now, self.silence_timeout()) {
             Some(ConnectionStep::Connect) => {
                 let connect = AgentAction::Connect(self.connection.replica_index());
                 self.actions.push(connect);
             }
-            Some(ConnectionStep::GiveUp) => self.connection_lost(now),
+            Some(ConnectionStep::Disconnect) => self.on_connection_lost(now),
             None => {}
         }
         self.session.tick(now);
         self.run_leader_tasks(now);
-        self.report(now);
+        self.send_report(now);
         let is_valid = self.session.is_valid(now);
-        if is_valid != self.was_valid {
-            self.was_valid = is_valid;
+        if is_valid != self.was_session_valid {
+            self.was_session_valid = is_valid;
             self.actions.push(AgentAction::RecheckAllStreams);
         }
     }
 
     /// How long a replica may be silent: half of a lease is left for another one then.
-    fn patience(&self) -> TimeDelta {
-        let half_lease = self.session.terms().half_lease();
+    fn silence_timeout(&self) -> TimeDelta {
+        let half_lease = self.session.lease_terms().half_lease();
         if self.session.is_open() {
             half_lease
         } else {
-            half_lease.min(MAX_OPEN_PATIENCE)
+            half_lease.min(MAX_SESSION_OPEN_TIMEOUT)
         }
     }
 
     /// Takes a message of the replica in.
     pub fn receive(&mut self, now: Timestamp, message: ServerMessage) {
-        self.connection.heard(now);
-        let received = self.session.receive(now, message);
-        if let Some(update) = received.update {
-            self.state_updated(update);
+        self.connection.on_message(now);
+        let outcome = self.session.receive(now, message);
+        if let Some(update) = outcome.update {
+            self.on_state_updated(update);
         }
-        if received.report_acknowledged {
-            self.access.hits().confirm_report();
+        if outcome.is_report_acknowledged {
+            self.rule_store.hits().confirm_report();
         }
-        if received.session_changed {
+        if outcome.has_session_changed {
             self.is_reading_proposals = false;
         }
-        if let Some(read) = &received.read {
-            self.judge_proposal(now, read);
+        if let Some(response) = &outcome.read_response {
+            self.judge_proposal(now, response);
         }
-        if received.unavailable {
-            self.connection_lost(now);
+        if outcome.is_replica_unavailable {
+            self.on_connection_lost(now);
         }
     }
 
-    fn state_updated(&mut self, update: StateUpdate) {
+    fn on_state_updated(&mut self, update: StateUpdate) {
         let StateUpdate { changes, event } = update;
         if changes.is_empty() {
             return;
         }
         self.actions.push(AgentAction::Persist(Box::new(event)));
-        for customer in &changes.rules {
+        for customer in &changes.rule_customers {
             self.update_rules(customer);
         }
-        if !changes.rules.is_empty() {
+        if !changes.rule_customers.is_empty() {
             self.actions
-                .push(AgentAction::RecheckStreams(changes.rules));
+                .push(AgentAction::RecheckStreams(changes.rule_customers));
         }
-        if changes.contracts {
+        if changes.has_contract_changes {
             self.actions.push(AgentAction::ContractsChanged);
         }
         let overrides = changes.site_overrides.into_iter();
@@ -247,36 +247,45 @@
     fn update_rules(&mut self, customer: &str) {
         let cached = self.session.state().rules.get(customer);
         let rule_set = cached.and_then(rule_set_from_wire);
-        let known_version = self.access.get(customer).map_or(0, |s| s.set().version);
+        let stored_version = self
+            .rule_store
+            .get(customer)
+            .map_or(0, |rules| rules.set().version);
         // An older version is one of another fleet's state, whose versions begin anew.
-        if rule_set.as_ref().is_none_or(|s| s.version < known_version) {
-            self.access.remove(customer);
+        if rule_set
+            .as_ref()
+            .is_none_or(|set| set.version < stored_version)
+        {
+            self.rule_store.remove(customer);
         }
         if let Some(rule_set) = rule_set {
-            self.access.insert(rule_set);
+            self.rule_store.insert(rule_set);
         }
     }
 
-    fn report(&mut self, now: Timestamp) {
+    fn send_report(&mut self, now: Timestamp) {
         if now < self.report_at || !self.session.can_report() {
             return;
         }
         self.report_at = now + self.report_interval;
-        if !self.access.hits().has_changes() && self.statistics.is_empty() {
+        if !self.rule_store.hits().has_changes() && self.statistics.is_empty() {
             return;
         }
-        let hits = self.access.report_hits(CUSTOMERS_PER_REPORT).into_iter();
+        let hits = self
+            .rule_store
+            .report_hits(CUSTOMERS_PER_REPORT)
+            .into_iter();
         let mut report = wire::Report {
-            hits: hits.map(hit_line).collect(),
+            hits: hits.map(hit_line_to_wire).collect(),
             ..wire::Report::default()
         };
         self.statistics.drain_into(&mut report);
-        self.session.report(report);
+        self.session.send_report(report);
     }
 
     /// The cache file holds the state up to this version. To be called at the start, too, if there is a cache file.
-    pub fn state_persisted(&mut self, now: Timestamp, version: u64) {
-        self.session.state_persisted(now, version);
+    pub fn on_state_persisted(&mut self, now: Timestamp, version: u64) {
+        self.session.on_state_persisted(now, version);
     }
 
     /// The gateway is about to stop: others lead its elections at once.
@@ -290,7 +299,7 @@
     }
 }
 
-fn hit_line(hits: access::RuleHits) -> wire::HitLine {
+fn hit_line_to_wire(hits: access::RuleHits) -> wire::HitLine {
     wire::HitLine {
         customer: hits.customer,
         version: hits.version,
--- a/crates/coordinator/src/cache_file.rs
+++ b/crates/coordinator/src/cache_file.rs
@@ -48,10 +48,10 @@
     /// Open for appending; `None`: the next write replaces the file.
     file: Option<File>,
     /// Bytes of the whole state, and of the changes after it.
-    whole_bytes: u64,
+    full_state_bytes: u64,
     change_bytes: u64,
     /// The version after the last record.
-    version: u64,
+    written_version: u64,
 }
 
 impl CacheFile {
@@ -72,9 +72,9 @@
         let file = CacheFile {
             path: path.to_path_buf(),
             file: None,
-            whole_bytes: 0,
+            full_state_bytes: 0,
             change_bytes: 0,
-            version: state.version,
+            written_version: state.version,
         };
         Ok((file, state))
     }
@@ -84,13 +84,13 @@
     /// # Errors
     /// The disk; the next call then writes the whole state.
     pub fn write(&mut self, event: &WatchEvent, state: &CachedState) -> Result<(), CacheFileError> {
-        let written = if event.whole {
-            self.replace(state)
+        let result = if event.whole {
+            self.rewrite(state)
         } else {
-            self.append_or_replace(event, state)
+            self.append_or_rewrite(event, state)
         };
-        self.version = state.version;
-        written.map_err(|source| {
+        self.written_version = state.version;
+        result.map_err(|source| {
             self.file = None;
             CacheFileError::Io {
                 file: self.path.clone(),
@@ -99,36 +99,36 @@
         })
     }
 
-    fn append_or_replace(&mut self, event: &WatchEvent, state: &CachedState) -> io::Result<()> {
-        let has_room = self.change_bytes < MIN_REWRITE_BYTES.max(self.whole_bytes);
-        let Some(file) = self.file.as_mut().filter(|_| has_room) else {
-            return self.replace(state);
+    fn append_or_rewrite(&mut self, event: &WatchEvent, state: &CachedState) -> io::Result<()> {
+        let can_append = self.change_bytes < MIN_REWRITE_BYTES.max(self.full_state_bytes);
+        let Some(file) = self.file.as_mut().filter(|_| can_append) else {
+            return self.rewrite(state);
         };
         // Events in between that changed nothing were not written, and are no gap.
         let change = WatchEvent {
-            since: self.version,
+            since: self.written_version,
             ..event.clone()
         };
         let mut bytes = Vec::new();
         record::append_message(&mut bytes, &change);
         self.change_bytes += bytes.len() as u64;
         if bytes.len() > record::MAX_BODY_LEN {
-            return self.replace(state);
+            return self.rewrite(state);
         }
         file.write_all(&bytes)?;
         file.sync_data()
     }
 
     /// Writes the whole state to a new file, and puts that in the place of the old one.
-    fn replace(&mut self, state: &CachedState) -> io::Result<()> {
-        let bytes = encode_whole(state);
+    fn rewrite(&mut self, state: &CachedState) -> io::Result<()> {
+        let bytes = encode_full_state(state);
         let new_path = self.path.with_extension("new");
         let mut file = File::create(&new_path)?;
         file.write_all(&bytes)?;
         file.sync_data()?;
         std::fs::rename(&new_path, &self.path)?;
         File::open(parent_folder(&self.path))?.sync_all()?;
-        self.whole_bytes = bytes.len() as u64;
+        self.full_state_bytes = bytes.len() as u64;
         self.change_bytes = 0;
         self.file = Some(OpenOptions::new().append(true).open(&self.path)?);
         Ok(())
@@ -167,7 +167,7 @@
 }
 
 /// Records of a whole state: all but the rule sets in the first, and then these.
-fn encode_whole(state: &CachedState) -> Vec<u8> {
+fn encode_full_state(state: &CachedState) -> Vec<u8> {
     let mut event = state.to_event();
     let rule_sets: Vec<wire::RuleSet> = std::mem::take(&mut event.rules);
     let mut bytes = Vec::new();
--- a/crates/coordinator/src/cache_file/tests.rs
+++ b/crates/coordinator/src/cache_file/tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_written_state_is_read_back_and_a_torn_last_record_is_dropped() {
+fn a_written_state_is_read_back_and_only_a_torn_last_record_is_tolerated() {
     let path = std::env::temp_dir().join(format!("chalkdeck-cache-file-{}", std::process::id()));
     let _ = std::fs::remove_file(&path);
     let (mut file, mut state) = CacheFile::open(&path).expect("none yet");
--- a/crates/coordinator/src/call_statistics.rs
+++ b/crates/coordinator/src/call_statistics.rs
@@ -15,26 +15,26 @@
 #[derive(Debug, Default)]
 pub struct CallStatistics {
     /// By the hash of what tells one kind from another.
-    calls: FxHashMap<u64, wire::CallCount>,
-    versions: FxHashMap<u64, wire::VersionCalls>,
+    call_counts: FxHashMap<u64, wire::CallCount>,
+    version_calls: FxHashMap<u64, wire::VersionCalls>,
     /// Calls that were left out as there was no room for their kind.
-    pub left_out: u64,
+    pub dropped_calls: u64,
 }
 
-fn hash_of(parts: &[&str]) -> u64 {
+fn hash_parts(parts: &[&str]) -> u64 {
     let mut hasher = FxHasher::default();
     parts.hash(&mut hasher);
     hasher.finish()
 }
 
 /// The service in a path of gRPC; `None`: it is another path.
-fn service_of(path: &str) -> Option<&str> {
+fn grpc_service(path: &str) -> Option<&str> {
     let (service, _) = path.strip_prefix('/')?.split_once('/')?;
     (!service.is_empty()).then_some(service)
 }
 
 /// The entry under a key, made first if there is room; `None`: there is none.
-fn entry<T>(
+fn entry_within_limit<T>(
     entries: &mut FxHashMap<u64, T>,
     key: u64,
     create: impl FnOnce() -> T,
@@ -48,17 +48,17 @@
 impl CallStatistics {
     /// Counts a call. `version`: of its service, as the caller gives it.
     pub fn record(&mut self, customer: &str, call: &Call, version: Option<&str>) {
-        self.record_kind(customer, call);
-        if let Some(service) = service_of(call.path) {
+        self.record_call_count(customer, call);
+        if let Some(service) = grpc_service(call.path) {
             let version = version
                 .filter(|v| !v.is_empty() && v.len() <= MAX_VERSION_BYTES)
                 .unwrap_or(UNVERSIONED);
-            self.record_version(customer, service, version);
+            self.record_version_use(customer, service, version);
         }
     }
 
-    fn record_kind(&mut self, customer: &str, call: &Call) {
-        let key = hash_of(&[customer, call.caller_region, call.path, call.class]);
+    fn record_call_count(&mut self, customer: &str, call: &Call) {
+        let key = hash_parts(&[customer, call.caller_region, call.path, call.class]);
         let create = || wire::CallCount {
             customer: customer.into(),
             caller_region: call.caller_region.into(),
@@ -67,39 +67,41 @@
             class: call.class.into(),
             count: 0,
         };
-        match entry(&mut self.calls, key, create) {
-            Some(kind) => kind.count += 1,
-            None => self.left_out += 1,
+        match entry_within_limit(&mut self.call_counts, key, create) {
+            Some(call_count) => call_count.count += 1,
+            None => self.dropped_calls += 1,
         }
     }
 
-    fn record_version(&mut self, customer: &str, service: &str, version: &str) {
-        let key = hash_of(&[customer, service, version]);
+    fn record_version_use(&mut self, customer: &str, service: &str, version: &str) {
+        let key = hash_parts(&[customer, service, version]);
         let create = || wire::VersionCalls {
             customer: customer.into(),
             service: service.into(),
             version: version.into(),
             calls: 0,
         };
-        match entry(&mut self.versions, key, create) {
-            Some(in_use) => in_use.calls += 1,
-            None => self.left_out += 1,
+        match entry_within_limit(&mut self.version_calls, key, create) {
+            Some(version_calls) => version_calls.calls += 1,
+            None => self.dropped_calls += 1,
         }
     }
 
     /// Whether no call came since the last report.
     pub fn is_empty(&self) -> bool {
-        self.calls.is_empty() && self.versions.is_empty()
+        self.call_counts.is_empty() && self.version_calls.is_empty()
     }
 
     /// Moves all of it into a report, which is sent until it is acknowledged and counts once.
     pub fn drain_into(&mut self, report: &mut wire::Report) {
-        report
-            .version_calls
-            .extend(self.versions.drain().map(|(_, version)| version));
+        report.version_calls.extend(
+            self.version_calls
+                .drain()
+                .map(|(_, version_calls)| version_calls),
+        );
         report
             .call_counts
-            .extend(self.calls.drain().map(|(_, kind)| kind));
+            .extend(self.call_counts.drain().map(|(_, call_count)| call_count));
     }
 }
 
--- a/crates/coordinator/src/call_statistics/tests.rs
+++ b/crates/coordinator/src/call_statistics/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn calls_count_by_kind_and_version_up_to_the_bound() {
+fn calls_are_counted_by_kind_and_version_up_to_the_entry_limit() {
     let mut statistics = CallStatistics::default();
     let call = |path| Call {
         caller_region: "eu",
@@ -18,11 +18,13 @@
     statistics.record("a", &call("TAKE"), None);
     let mut report = wire::Report::default();
     statistics.drain_into(&mut report);
-    report.version_calls.sort_by_key(|version| version.calls);
+    report
+        .version_calls
+        .sort_by_key(|version_calls| version_calls.calls);
     let versions: Vec<_> = report
         .version_calls
         .iter()
-        .map(|s| (s.service.as_str(), s.version.as_str(), s.calls))
+        .map(|v| (v.service.as_str(), v.version.as_str(), v.calls))
         .collect();
     assert_eq!(
         versions,
@@ -32,7 +34,7 @@
         report
             .call_counts
             .iter()
-            .map(|kind| kind.count)
+            .map(|call_count| call_count.count)
             .sum::<u64>(),
         5
     );
@@ -41,7 +43,7 @@
         statistics.record(&i.to_string(), &call("TAKE"), None);
     }
     assert_eq!(
-        statistics.left_out, 5,
+        statistics.dropped_calls, 5,
         "calls beyond the bound are counted as left out"
     );
 }
--- a/crates/coordinator/src/client.rs
+++ b/crates/coordinator/src/client.rs
@@ -5,7 +5,7 @@
 use crate::protocol::{
     wire, CommandKind, CommandResponse, ReadRequest, ReadResponse, ResponseCode,
 };
-use crate::server::{connection_limits, MAX_STATE_BYTES, READ_PATH, SUBMIT_PATH};
+use crate::server::{connection_limits, MAX_STATE_MESSAGE_BYTES, READ_PATH, SUBMIT_PATH};
 use chalkdeck_net::clock::incarnation;
 use chalkdeck_net::grpc::{self, Code};
 use chalkdeck_net::unary::UnaryMessage;
@@ -74,7 +74,7 @@
     replicas: Vec<SocketAddr>,
     /// By what the replicas tell this caller from others.
     caller: u64,
-    last_command: CommandNumber,
+    last_command_number: CommandNumber,
     /// The place of the replica that answered last, or is to be asked next.
     replica_index: usize,
     connection: Option<ConnId>,
@@ -93,7 +93,7 @@
             engine,
             replicas,
             caller,
-            last_command: CommandNumber(0),
+            last_command_number: CommandNumber(0),
             replica_index,
             connection: None,
         })
@@ -108,10 +108,10 @@
         kind: CommandKind,
         timeout: TimeDelta,
     ) -> Result<CommandResponse, ClientError> {
-        self.last_command.0 += 1;
+        self.last_command_number.0 += 1;
         let command = wire::Command {
             caller: self.caller,
-            number: self.last_command.0,
+            number: self.last_command_number.0,
             kind: Some(kind),
             ..wire::Command::default()
         };
@@ -119,12 +119,12 @@
         while self.now() < deadline {
             let response = self.call::<CommandResponse>(SUBMIT_PATH, &command, deadline)?;
             let Some(response) = response else {
-                self.next_replica(deadline)?;
+                self.switch_replica(deadline)?;
                 continue;
             };
             match response.code() {
                 ResponseCode::Done => return Ok(response),
-                ResponseCode::Elsewhere => self.next_replica(deadline)?,
+                ResponseCode::Elsewhere => self.switch_replica(deadline)?,
                 _ => {
                     let reason = response.reason;
                     return Err(ClientError::Rejected { reason });
@@ -150,7 +150,7 @@
         while self.now() < deadline {
             match self.call::<ReadResponse>(READ_PATH, request, deadline)? {
                 Some(response) if response.configuration > 0 => return Ok(response),
-                _ => self.next_replica(deadline)?,
+                _ => self.switch_replica(deadline)?,
             }
         }
         Err(ClientError::NoAnswer {
@@ -186,26 +186,22 @@
     }
 
     /// Turns to the next replica after a while.
-    fn next_replica(&mut self, deadline: Timestamp) -> Result<(), ClientError> {
+    fn switch_replica(&mut self, deadline: Timestamp) -> Result<(), ClientError> {
         self.disconnect();
         self.replica_index = (self.replica_index + 1) % self.replicas.len();
         let resume_at = (self.now() + RETRY_DELAY).min(deadline);
         let mut events = Vec::new();
         while self.now() < resume_at {
-            self.wait_for_events(resume_at, &mut events)?;
+            self.poll_until(resume_at, &mut events)?;
             events.clear();
         }
         Ok(())
     }
 
-    fn wait_for_events(
-        &mut self,
-        until: Timestamp,
-        events: &mut Vec<Event>,
-    ) -> Result<(), ClientError> {
-        let left = until - self.now();
+    fn poll_until(&mut self, until: Timestamp, events: &mut Vec<Event>) -> Result<(), ClientError> {
+        let remaining = until - self.now();
         self.engine
-            .turn(left.as_micros(), events)
+            .turn(remaining.as_micros(), events)
             .map_err(ClientError::Poll)
     }
 
@@ -234,14 +230,14 @@
             response: UnaryMessage::default(),
         };
         if is_connected {
-            call.open(&mut self.engine);
+            call.send_request(&mut self.engine);
         }
         let mut events = Vec::new();
         while self.now() < deadline {
-            self.wait_for_events(deadline, &mut events)?;
+            self.poll_until(deadline, &mut events)?;
             for event in events.drain(..) {
                 match call.on_event(&mut self.engine, event) {
-                    CallState::Open => {}
+                    CallState::Pending => {}
                     CallState::ConnectionLost => {
                         self.connection = None;
                         return Ok(None);
@@ -271,14 +267,14 @@
 
 /// How far a call has come.
 enum CallState {
-    Open,
+    Pending,
     Answered(Vec<u8>),
     Failed,
     ConnectionLost,
 }
 
 impl UnaryCall<'_> {
-    fn open(&mut self, engine: &mut Engine) {
+    fn send_request(&mut self, engine: &mut Engine) {
         let head = grpc::request(&self.address.to_string(), self.path);
         self.stream = head.and_then(|head| engine.open(self.connection, head, false));
         if let Some(stream) = self.stream {
@@ -287,25 +283,25 @@
         }
     }
 
-    fn is_own(&self, stream: StreamId) -> bool {
+    fn is_own_stream(&self, stream: StreamId) -> bool {
         self.stream == Some(stream)
     }
 
     fn on_event(&mut self, engine: &mut Engine, event: Event) -> CallState {
         match event {
             Event::Connected { conn } if conn == self.connection => {
-                self.open(engine);
-                CallState::Open
+                self.send_request(engine);
+                CallState::Pending
             }
             Event::Closed { conn, .. } if conn == self.connection => CallState::ConnectionLost,
-            Event::Data { stream, data } if self.is_own(stream) => {
+            Event::Data { stream, data } if self.is_own_stream(stream) => {
                 engine.consume(stream, data.len());
-                match self.response.push(&data, MAX_STATE_BYTES) {
-                    Ok(()) => CallState::Open,
+                match self.response.push(&data, MAX_STATE_MESSAGE_BYTES) {
+                    Ok(()) => CallState::Pending,
                     Err(_) => CallState::Failed,
                 }
             }
-            Event::End { stream, trailers } if self.is_own(stream) => {
+            Event::End { stream, trailers } if self.is_own_stream(stream) => {
                 let status = trailers.as_ref().and_then(Code::from_trailers);
                 match self.response.message() {
                     Some(body) if status == Some(Code::Ok) => CallState::Answered(body.to_vec()),
@@ -317,8 +313,8 @@
                 stream,
                 ended: true,
                 ..
-            } if self.is_own(stream) => CallState::Failed,
-            _ => CallState::Open,
+            } if self.is_own_stream(stream) => CallState::Failed,
+            _ => CallState::Pending,
         }
     }
 }
--- a/crates/coordinator/src/server/incoming.rs
+++ b/crates/coordinator/src/server/incoming.rs
@@ -1,6 +1,6 @@
 //! Streams that gateways, operators and other replicas have opened.
 
-use super::{MAX_STATE_BYTES, PEER_PATH, READ_PATH, SESSION_PATH, SUBMIT_PATH};
+use super::{MAX_STATE_MESSAGE_BYTES, PEER_PATH, READ_PATH, SESSION_PATH, SUBMIT_PATH};
 use crate::protocol::{wire, ClientMessage, PeerMessage, ReadRequest};
 use bytes::Bytes;
 use chalkdeck_net::grpc::Deframer;
@@ -19,7 +19,7 @@
 }
 
 impl Method {
-    pub(super) fn of_path(path: &str) -> Option<Method> {
+    pub(super) fn from_path(path: &str) -> Option<Method> {
         match path {
             SUBMIT_PATH => Some(Method::Submit),
             READ_PATH => Some(Method::Read),
@@ -37,7 +37,7 @@
     fn max_message_bytes(self) -> usize {
         match self {
             Method::Submit | Method::Read | Method::Session => MAX_REQUEST_BYTES,
-            Method::Peer => MAX_STATE_BYTES,
+            Method::Peer => MAX_STATE_MESSAGE_BYTES,
         }
     }
 }
@@ -52,7 +52,7 @@
 
 /// What was received is no message of the method.
 #[derive(Debug)]
-pub(super) struct Malformed;
+pub(super) struct MalformedMessage;
 
 /// A stream that was opened here by another side.
 pub(super) struct IncomingStream {
@@ -68,14 +68,17 @@
         }
     }
 
-    pub(super) fn push(&mut self, data: &[u8]) {
+    pub(super) fn push_data(&mut self, data: &[u8]) {
         self.deframer.push(data);
     }
 
     /// The next whole message; `None`: more bytes are needed.
-    pub(super) fn next_message(&mut self) -> Result<Option<IncomingMessage>, Malformed> {
+    pub(super) fn next_message(&mut self) -> Result<Option<IncomingMessage>, MalformedMessage> {
         let max_bytes = self.method.max_message_bytes();
-        let body: Option<Bytes> = self.deframer.next(max_bytes).map_err(|_| Malformed)?;
+        let body: Option<Bytes> = self
+            .deframer
+            .next(max_bytes)
+            .map_err(|_| MalformedMessage)?;
         let Some(body) = body else {
             return Ok(None);
         };
@@ -85,6 +88,6 @@
             Method::Session => ClientMessage::decode(body).map(IncomingMessage::Session),
             Method::Peer => PeerMessage::decode(body).map(IncomingMessage::Peer),
         };
-        message.map(Some).map_err(|_| Malformed)
+        message.map(Some).map_err(|_| MalformedMessage)
     }
 }
--- a/crates/coordinator/src/server/mod.rs
+++ b/crates/coordinator/src/server/mod.rs
@@ -18,7 +18,7 @@
 use chalkdeck_net::{ConnId, Engine, Event, Limits, ListenerId, StreamId};
 use chalkdeck_time::{TimeDelta, Timestamp};
 use chalkdeck_wal::disk::Folder;
-use incoming::{IncomingMessage, IncomingStream, Malformed, Method};
+use incoming::{IncomingMessage, IncomingStream, MalformedMessage, Method};
 use peers::PeerConnections;
 use prost::Message;
 use rustc_hash::FxHashMap;
@@ -34,15 +34,15 @@
 pub const PEER_PATH: &str = "/chalkdeck.keeper.v1.Keeper/Peer";
 
 /// The longest message of another replica: it may hold the whole state.
-pub(crate) const MAX_STATE_BYTES: usize = 512 << 20;
+pub(crate) const MAX_STATE_MESSAGE_BYTES: usize = 512 << 20;
 /// Bytes that may wait for a gateway that does not read; its stream is reset then.
-const MAX_UNREAD_BYTES: usize = 64 << 20;
+const MAX_GATEWAY_SEND_QUEUE_BYTES: usize = 64 << 20;
 /// A connection is pinged this often, and lost when a ping is not answered by the next.
 const KEEPALIVE_INTERVAL: TimeDelta = TimeDelta::from_millis(1_000);
 /// The longest wait for events in one turn.
-const MAX_TURN_WAIT: TimeDelta = TimeDelta::from_millis(50);
+const MAX_POLL_WAIT: TimeDelta = TimeDelta::from_millis(50);
 /// Token of the timer of ticks.
-const TICK_TIMER: u64 = 1;
+const TICK_TIMER_TOKEN: u64 = 1;
 /// Bytes of log after which a snapshot is written, for each byte of the state that the configuration began with: a snapshot holds
 /// that state, too.
 const LOG_TO_STATE_RATIO: usize = 2;
@@ -64,11 +64,11 @@
 pub struct ReplicaServer {
     engine: Engine,
     listener: ListenerId,
-    listen: SocketAddr,
-    admin: Option<SocketAddr>,
+    listen_address: SocketAddr,
+    admin_address: Option<SocketAddr>,
     replica: Replica,
     log: ReplicaLog<Folder>,
-    incoming: FxHashMap<StreamId, IncomingStream>,
+    incoming_streams: FxHashMap<StreamId, IncomingStream>,
     peers: PeerConnections,
     tick_interval: TimeDelta,
     record_count: u64,
@@ -90,20 +90,20 @@
             start_mode,
             Timestamp::from_micros(engine.now()),
         )?;
-        let (listener, listen) = bind(&mut engine, settings.listen, Protocol::Http2)?;
-        let admin = match settings.admin {
+        let (listener, listen_address) = bind(&mut engine, settings.listen, Protocol::Http2)?;
+        let admin_address = match settings.admin {
             Some(address) => Some(bind(&mut engine, address, Protocol::Http1)?.1),
             None => None,
         };
-        engine.timer(engine.now(), TICK_TIMER);
+        engine.timer(engine.now(), TICK_TIMER_TOKEN);
         Ok(ReplicaServer {
             engine,
             listener,
-            listen,
-            admin,
+            listen_address,
+            admin_address,
             replica,
             log: opened.log,
-            incoming: FxHashMap::default(),
+            incoming_streams: FxHashMap::default(),
             peers: PeerConnections::new(&settings.replicas, settings.slot),
             tick_interval: settings.tick_interval,
             record_count: 0,
@@ -111,13 +111,13 @@
     }
 
     /// Where it listens for gRPC.
-    pub fn listen(&self) -> SocketAddr {
-        self.listen
+    pub fn listen_address(&self) -> SocketAddr {
+        self.listen_address
     }
 
     /// Where it listens for health checks and metrics.
-    pub fn admin(&self) -> Option<SocketAddr> {
-        self.admin
+    pub fn admin_address(&self) -> Option<SocketAddr> {
+        self.admin_address
     }
 
     /// Serves until it is asked to stop.
@@ -129,7 +129,7 @@
         self.end_turn()?;
         while !signals.stop() {
             self.engine
-                .turn(MAX_TURN_WAIT.as_micros(), &mut events)
+                .turn(MAX_POLL_WAIT.as_micros(), &mut events)
                 .map_err(ServerError::Poll)?;
             let now = Timestamp::from_micros(self.engine.now());
             self.replica.advance_clock(now);
@@ -161,20 +161,20 @@
         match output {
             Output::Peer(slot, message) => self.peers.send(&mut self.engine, slot, &message),
             Output::ReadMembers(slot, request) => {
-                self.peers.read(&mut self.engine, slot, &request);
+                self.peers.send_read(&mut self.engine, slot, &request);
             }
             Output::CommandResponse(requester, response) => self.respond(requester, &response),
             Output::ReadResponse(requester, response) => {
                 self.respond(requester, response.as_ref());
             }
-            Output::Session(requester, message) => self.send_in_session(requester, &*message),
+            Output::Session(requester, message) => self.send_to_gateway(requester, &*message),
         }
     }
 
     /// Sends the one response of a unary call.
     fn respond(&mut self, requester: RequesterId, message: &impl Message) {
         let stream = StreamId(requester.0);
-        if self.incoming.remove(&stream).is_none() {
+        if self.incoming_streams.remove(&stream).is_none() {
             return;
         }
         self.engine.respond(stream, grpc::head(), false);
@@ -184,10 +184,10 @@
             .finish(stream, Some(grpc::trailers(Code::Ok, "")));
     }
 
-    fn send_in_session(&mut self, requester: RequesterId, message: &impl Message) {
+    fn send_to_gateway(&mut self, requester: RequesterId, message: &impl Message) {
         let stream = StreamId(requester.0);
-        if self.engine.queued(stream) > MAX_UNREAD_BYTES {
-            self.incoming_closed(stream);
+        if self.engine.queued(stream) > MAX_GATEWAY_SEND_QUEUE_BYTES {
+            self.remove_incoming(stream);
             self.engine.reset(stream, h2::Reason::ENHANCE_YOUR_CALM);
             return;
         }
@@ -197,20 +197,20 @@
 
     fn on_event(&mut self, event: Event) {
         match event {
-            Event::Timer(TICK_TIMER) => self.on_tick(),
-            Event::Opened { stream, head, .. } => self.on_opened(stream, head.uri.path()),
+            Event::Timer(TICK_TIMER_TOKEN) => self.on_tick(),
+            Event::Opened { stream, head, .. } => self.on_stream_opened(stream, head.uri.path()),
             Event::Data { stream, data } => {
                 self.engine.consume(stream, data.len());
                 self.on_data(stream, &data);
             }
-            Event::End { stream, .. } => self.on_end(stream),
+            Event::End { stream, .. } => self.on_remote_end(stream),
             Event::StreamFailed { stream, .. } => {
-                self.incoming_closed(stream);
-                self.peers.stream_closed(stream);
+                self.remove_incoming(stream);
+                self.peers.on_stream_closed(stream);
             }
-            Event::Connected { conn } => self.peers.connected(conn),
-            Event::Closed { conn, .. } => self.peers.closed(&self.engine, conn),
-            Event::Get { conn, path } => self.on_get(conn, &path),
+            Event::Connected { conn } => self.peers.on_connected(conn),
+            Event::Closed { conn, .. } => self.peers.on_connection_closed(&self.engine, conn),
+            Event::Get { conn, path } => self.on_http_get(conn, &path),
             _ => {}
         }
     }
@@ -218,12 +218,12 @@
     fn on_tick(&mut self) {
         self.replica.tick();
         let next = Timestamp::from_micros(self.engine.now()) + self.tick_interval;
-        self.engine.timer(next.as_micros(), TICK_TIMER);
+        self.engine.timer(next.as_micros(), TICK_TIMER_TOKEN);
         self.peers.tick(&mut self.engine);
     }
 
-    fn on_opened(&mut self, stream: StreamId, path: &str) {
-        let Some(method) = Method::of_path(path) else {
+    fn on_stream_opened(&mut self, stream: StreamId, path: &str) {
+        let Some(method) = Method::from_path(path) else {
             let trailers = grpc::trailers(Code::Unimplemented, &format!("no method {path}"));
             let head = grpc::trailers_only(trailers);
             return self.engine.respond(stream, head, true);
@@ -231,40 +231,41 @@
         if method.is_streaming() {
             self.engine.respond(stream, grpc::head(), false);
         }
-        self.incoming.insert(stream, IncomingStream::new(method));
+        self.incoming_streams
+            .insert(stream, IncomingStream::new(method));
     }
 
     /// The other side sends nothing more.
-    fn on_end(&mut self, stream: StreamId) {
-        let incoming = self.incoming.get(&stream);
+    fn on_remote_end(&mut self, stream: StreamId) {
+        let incoming = self.incoming_streams.get(&stream);
         if incoming.is_some_and(|incoming| incoming.method.is_streaming()) {
             self.engine
                 .finish(stream, Some(grpc::trailers(Code::Ok, "")));
-            self.incoming_closed(stream);
+            self.remove_incoming(stream);
         }
-        self.peers.stream_closed(stream);
+        self.peers.on_stream_closed(stream);
     }
 
-    fn incoming_closed(&mut self, stream: StreamId) {
-        let incoming = self.incoming.remove(&stream);
+    fn remove_incoming(&mut self, stream: StreamId) {
+        let incoming = self.incoming_streams.remove(&stream);
         if incoming.is_some_and(|incoming| incoming.method == Method::Session) {
             self.replica.stream_closed(RequesterId(stream.0));
         }
     }
 
     fn on_data(&mut self, stream: StreamId, data: &[u8]) {
-        if let Some(response) = self.peers.receive(stream, data) {
+        if let Some(response) = self.peers.receive_read_data(stream, data) {
             return self.replica.receive_members(&response);
         }
-        if let Some(incoming) = self.incoming.get_mut(&stream) {
-            incoming.push(data);
+        if let Some(incoming) = self.incoming_streams.get_mut(&stream) {
+            incoming.push_data(data);
         }
         // A message may close its stream.
-        while let Some(incoming) = self.incoming.get_mut(&stream) {
+        while let Some(incoming) = self.incoming_streams.get_mut(&stream) {
             match incoming.next_message() {
                 Ok(Some(message)) => self.on_message(RequesterId(stream.0), message),
                 Ok(None) => return,
-                Err(Malformed) => return self.on_malformed(stream),
+                Err(MalformedMessage) => return self.on_malformed(stream),
             }
         }
     }
@@ -282,17 +283,17 @@
 
     fn on_malformed(&mut self, stream: StreamId) {
         let trailers = grpc::trailers(Code::InvalidArgument, "expected a message of this method");
-        let incoming = self.incoming.get(&stream);
+        let incoming = self.incoming_streams.get(&stream);
         if incoming.is_some_and(|incoming| !incoming.method.is_streaming()) {
             let head = grpc::trailers_only(trailers);
             self.engine.respond(stream, head, true);
         } else {
             self.engine.finish(stream, Some(trailers));
         }
-        self.incoming_closed(stream);
+        self.remove_incoming(stream);
     }
 
-    fn on_get(&mut self, conn: ConnId, path: &str) {
+    fn on_http_get(&mut self, conn: ConnId, path: &str) {
         match path {
             "/healthz" if self.replica.has_quorum() => self.engine.reply(conn, 200, "ok\n"),
             "/healthz" => self.engine.reply(
@@ -355,7 +356,7 @@
     ReplicaSettings {
         slot: settings.slot,
         replica_count: settings.replicas.len() as u32,
-        terms: settings.terms,
+        terms: settings.lease_terms,
         min_move_interval_ms: settings.min_move_interval_ms,
         unused_after_ms: settings.unused_after_ms,
         max_log_entries: settings.max_log_entries,
--- a/crates/coordinator/src/server/peers.rs
+++ b/crates/coordinator/src/server/peers.rs
@@ -1,6 +1,6 @@
 //! Connections to the other replicas: one each, established when there is something to send.
 
-use super::{connection_limits, MAX_STATE_BYTES, PEER_PATH, READ_PATH};
+use super::{connection_limits, MAX_STATE_MESSAGE_BYTES, PEER_PATH, READ_PATH};
 use crate::ids::Slot;
 use crate::protocol::{PeerMessage, ReadRequest, ReadResponse};
 use chalkdeck_net::grpc;
@@ -16,9 +16,9 @@
 /// A connection that is not established by then is given up.
 const CONNECT_TIMEOUT: TimeDelta = TimeDelta::from_millis(2_000);
 /// Bytes that may wait for a replica that does not read; its connection is closed then.
-const MAX_UNREAD_BYTES: usize = 1 << 30;
+const MAX_PEER_SEND_QUEUE_BYTES: usize = 1 << 30;
 /// Reads that are under way, for each replica.
-const MAX_READS_PER_REPLICA: usize = 8;
+const MAX_PENDING_READS_PER_REPLICA: usize = 8;
 
 /// The connection to one replica.
 struct PeerConnection {
@@ -27,9 +27,9 @@
     is_established: bool,
     stream: Option<StreamId>,
     /// No attempt to connect is made before.
-    connect_at: Timestamp,
+    next_connect_at: Timestamp,
     /// When an attempt is given up.
-    give_up_at: Timestamp,
+    connect_deadline: Timestamp,
 }
 
 impl PeerConnection {
@@ -39,34 +39,38 @@
             connection: None,
             is_established: false,
             stream: None,
-            connect_at: Timestamp::ZERO,
-            give_up_at: Timestamp::ZERO,
+            next_connect_at: Timestamp::ZERO,
+            connect_deadline: Timestamp::ZERO,
         }
     }
 
     /// The connection if it is established; if there is none it is begun.
-    fn established(&mut self, engine: &mut Engine) -> Option<ConnId> {
+    fn connect_if_needed(&mut self, engine: &mut Engine) -> Option<ConnId> {
         let now = Timestamp::from_micros(engine.now());
-        if self.connection.is_none() && now >= self.connect_at {
+        if self.connection.is_none() && now >= self.next_connect_at {
             self.connection = engine.connect(self.address, connection_limits()).ok();
-            self.connect_at = now + RECONNECT_DELAY;
-            self.give_up_at = now + CONNECT_TIMEOUT;
+            self.next_connect_at = now + RECONNECT_DELAY;
+            self.connect_deadline = now + CONNECT_TIMEOUT;
         }
         self.connection.filter(|_| self.is_established)
     }
 
     /// The stream of messages, opened unless it is open.
-    fn stream(&mut self, engine: &mut Engine, connection: ConnId) -> Option<StreamId> {
+    fn open_stream_if_needed(
+        &mut self,
+        engine: &mut Engine,
+        connection: ConnId,
+    ) -> Option<StreamId> {
         if self.stream.is_none_or(|stream| !engine.is_open(stream)) {
             self.stream = open_stream(engine, connection, self.address, PEER_PATH);
         }
         self.stream
     }
 
-    fn lost(&mut self, now: Timestamp) {
+    fn on_connection_lost(&mut self, now: Timestamp) {
         let address = self.address;
         *self = PeerConnection {
-            connect_at: now + RECONNECT_DELAY,
+            next_connect_at: now + RECONNECT_DELAY,
             ..PeerConnection::new(address)
         };
     }
@@ -84,25 +88,25 @@
 
 /// Connections to all other replicas.
 pub(super) struct PeerConnections {
-    own: Slot,
+    own_slot: Slot,
     /// By place in the list of addresses; the replica's own is not used.
     peers: Vec<PeerConnection>,
     /// Reads under way, by their streams.
-    reads: FxHashMap<StreamId, UnaryMessage>,
+    pending_reads: FxHashMap<StreamId, UnaryMessage>,
 }
 
 impl PeerConnections {
-    pub(super) fn new(addresses: &[SocketAddr], own: Slot) -> PeerConnections {
+    pub(super) fn new(addresses: &[SocketAddr], own_slot: Slot) -> PeerConnections {
         PeerConnections {
-            own,
+            own_slot,
             peers: addresses.iter().copied().map(PeerConnection::new).collect(),
-            reads: FxHashMap::default(),
+            pending_reads: FxHashMap::default(),
         }
     }
 
     /// The connection to another replica; `None`: it is this one's own slot, or no slot.
     fn peer(&mut self, slot: Slot) -> Option<&mut PeerConnection> {
-        if slot == self.own {
+        if slot == self.own_slot {
             return None;
         }
         self.peers.get_mut(slot.index())
@@ -113,31 +117,32 @@
         let Some(peer) = self.peer(slot) else {
             return;
         };
-        let Some(connection) = peer.established(engine) else {
+        let Some(connection) = peer.connect_if_needed(engine) else {
             return;
         };
-        let Some(stream) = peer.stream(engine, connection) else {
+        let Some(stream) = peer.open_stream_if_needed(engine, connection) else {
             return;
         };
-        if engine.queued(stream) > MAX_UNREAD_BYTES {
+        if engine.queued(stream) > MAX_PEER_SEND_QUEUE_BYTES {
             engine.close(connection);
-            peer.lost(Timestamp::from_micros(engine.now()));
+            peer.on_connection_lost(Timestamp::from_micros(engine.now()));
             return;
         }
         engine.send(stream, grpc::frame(&message.encode_to_vec()));
     }
 
     /// Reads the configuration that a replica is in, or drops the read.
-    pub(super) fn read(&mut self, engine: &mut Engine, slot: Slot, request: &ReadRequest) {
+    pub(super) fn send_read(&mut self, engine: &mut Engine, slot: Slot, request: &ReadRequest) {
         let Some(peer) = self.peer(slot) else {
             return;
         };
         let address = peer.address;
-        let Some(connection) = peer.established(engine) else {
+        let Some(connection) = peer.connect_if_needed(engine) else {
             return;
         };
-        self.reads.retain(|stream, _| engine.is_open(*stream));
-        if self.reads.len() >= MAX_READS_PER_REPLICA * self.peers.len() {
+        self.pending_reads
+            .retain(|stream, _| engine.is_open(*stream));
+        if self.pending_reads.len() >= MAX_PENDING_READS_PER_REPLICA * self.peers.len() {
             return;
         }
         let Some(stream) = open_stream(engine, connection, address, READ_PATH) else {
@@ -145,22 +150,22 @@
         };
         engine.send(stream, grpc::frame(&request.encode_to_vec()));
         engine.finish(stream, None);
-        self.reads.insert(stream, UnaryMessage::default());
+        self.pending_reads.insert(stream, UnaryMessage::default());
     }
 
     /// Gives up connections that are not established in time.
     pub(super) fn tick(&mut self, engine: &mut Engine) {
         let now = Timestamp::from_micros(engine.now());
         for peer in &mut self.peers {
-            let is_late = !peer.is_established && now >= peer.give_up_at;
-            if let Some(connection) = peer.connection.filter(|_| is_late) {
+            let is_timed_out = !peer.is_established && now >= peer.connect_deadline;
+            if let Some(connection) = peer.connection.filter(|_| is_timed_out) {
                 engine.close(connection);
-                peer.lost(now);
+                peer.on_connection_lost(now);
             }
         }
     }
 
-    pub(super) fn connected(&mut self, connection: ConnId) {
+    pub(super) fn on_connected(&mut self, connection: ConnId) {
         for peer in &mut self.peers {
             if peer.connection == Some(connection) {
                 peer.is_established = true;
@@ -168,16 +173,16 @@
         }
     }
 
-    pub(super) fn closed(&mut self, engine: &Engine, connection: ConnId) {
+    pub(super) fn on_connection_closed(&mut self, engine: &Engine, connection: ConnId) {
         let now = Timestamp::from_micros(engine.now());
         let mut peers = self.peers.iter_mut();
         if let Some(peer) = peers.find(|peer| peer.connection == Some(connection)) {
-            peer.lost(now);
+            peer.on_connection_lost(now);
         }
     }
 
-    pub(super) fn stream_closed(&mut self, stream: StreamId) {
-        self.reads.remove(&stream);
+    pub(super) fn on_stream_closed(&mut self, stream: StreamId) {
+        self.pending_reads.remove(&stream);
         for peer in &mut self.peers {
             if peer.stream == Some(stream) {
                 peer.stream = None;
@@ -186,14 +191,18 @@
     }
 
     /// Takes bytes in; the response to a read, once it is whole.
-    pub(super) fn receive(&mut self, stream: StreamId, data: &[u8]) -> Option<ReadResponse> {
-        let gather = self.reads.get_mut(&stream)?;
-        let is_sound = gather.push(data, MAX_STATE_BYTES).is_ok();
-        let response = gather
+    pub(super) fn receive_read_data(
+        &mut self,
+        stream: StreamId,
+        data: &[u8],
+    ) -> Option<ReadResponse> {
+        let buffer = self.pending_reads.get_mut(&stream)?;
+        let is_valid = buffer.push(data, MAX_STATE_MESSAGE_BYTES).is_ok();
+        let response = buffer
             .message()
             .and_then(|body| ReadResponse::decode(&body[..]).ok());
-        if !is_sound || response.is_some() {
-            self.reads.remove(&stream);
+        if !is_valid || response.is_some() {
+            self.pending_reads.remove(&stream);
         }
         response
     }
--- a/crates/coordinator/src/session/cached_state.rs
+++ b/crates/coordinator/src/session/cached_state.rs
@@ -31,9 +31,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StateChanges {
     /// Customers whose rule set was changed or removed.
-    pub rules: Vec<String>,
+    pub rule_customers: Vec<String>,
     /// Contracts were admitted or retired.
-    pub contracts: bool,
+    pub has_contract_changes: bool,
     /// Overrides that are new.
     pub site_overrides: Vec<SiteOverride>,
 }
@@ -74,7 +74,7 @@
     fn remove_absent(&mut self, event: &WatchEvent, changes: &mut StateChanges) {
         let customers: BTreeSet<&String> = event.rules.iter().map(|set| &set.customer).collect();
         let removed = self.rules.keys().filter(|c| !customers.contains(c));
-        changes.rules.extend(removed.cloned());
+        changes.rule_customers.extend(removed.cloned());
         self.rules
             .retain(|customer, _| customers.contains(customer));
         self.contracts.clear();
@@ -86,19 +86,19 @@
         for set in &event.rules {
             if self.rules.get(&set.customer) != Some(set) {
                 self.rules.insert(set.customer.clone(), set.clone());
-                changes.rules.push(set.customer.clone());
+                changes.rule_customers.push(set.customer.clone());
             }
         }
         for customer in &event.removed_rules {
             if self.rules.remove(customer).is_some() {
-                changes.rules.push(customer.clone());
+                changes.rule_customers.push(customer.clone());
             }
         }
     }
 
     fn apply_contracts(&mut self, event: &WatchEvent, changes: &mut StateChanges) {
         for contract in &event.contracts {
-            changes.contracts |= self.contracts.insert(ServiceVersion {
+            changes.has_contract_changes |= self.contracts.insert(ServiceVersion {
                 service: contract.service.clone(),
                 version: contract.version.clone(),
             });
@@ -109,18 +109,18 @@
             .iter()
             .filter_map(|name| name.split_once(' '))
         {
-            changes.contracts |= self.contracts.remove(&ServiceVersion {
+            changes.has_contract_changes |= self.contracts.remove(&ServiceVersion {
                 service: service.to_string(),
                 version: version.to_string(),
             });
         }
-        changes.contracts |= event.whole;
+        changes.has_contract_changes |= event.whole;
     }
 
     fn apply_site_overrides(&mut self, event: &WatchEvent, changes: &mut StateChanges) {
         for site_override in &event.site_overrides {
-            let known = self.site_overrides.get(&site_override.site);
-            if known.is_none_or(|known| known.changed < site_override.changed) {
+            let known_override = self.site_overrides.get(&site_override.site);
+            if known_override.is_none_or(|known| known.changed < site_override.changed) {
                 self.site_overrides
                     .insert(site_override.site.clone(), site_override.clone());
                 changes.site_overrides.push(site_override.clone());
--- a/crates/coordinator/src/session/cached_state/tests.rs
+++ b/crates/coordinator/src/session/cached_state/tests.rs
@@ -13,7 +13,7 @@
 }
 
 /// An event that holds the whole state.
-fn whole_event(version: u64, customers: &[&str]) -> WatchEvent {
+fn full_state_event(version: u64, customers: &[&str]) -> WatchEvent {
     WatchEvent {
         version,
         whole: true,
@@ -35,15 +35,15 @@
 
 fn state_at(version: u64, customers: &[&str]) -> CachedState {
     let mut state = CachedState::default();
-    state.apply(&whole_event(version, customers));
+    state.apply(&full_state_event(version, customers));
     state
 }
 
 #[test]
-fn a_whole_event_removes_what_it_does_not_name() {
+fn a_full_state_event_removes_entries_that_it_does_not_list() {
     let mut state = state_at(3, &["a", "b"]);
-    let changes = state.apply(&whole_event(5, &["b", "c"]));
-    assert_eq!(changes.rules, ["a", "c"]);
+    let changes = state.apply(&full_state_event(5, &["b", "c"]));
+    assert_eq!(changes.rule_customers, ["a", "c"]);
     let customers: Vec<&String> = state.rules.keys().collect();
     assert_eq!(customers, ["b", "c"]);
 }
@@ -54,26 +54,26 @@
     let before = state.clone();
     let after_gap = change_event(9, 8);
     assert!(state.has_gap_before(&after_gap));
-    for event in [after_gap, whole_event(4, &[])] {
+    for event in [after_gap, full_state_event(4, &[])] {
         assert!(state.apply(&event).is_empty());
         assert_eq!(state, before);
     }
 }
 
 #[test]
-fn a_state_of_another_fleet_replaces_a_newer_one() {
+fn the_state_of_another_cluster_replaces_a_newer_one() {
     let mut state = state_at(50, &["a"]);
-    let other_fleet = WatchEvent {
+    let other_cluster = WatchEvent {
         cluster: CLUSTER + 1,
-        ..whole_event(2, &["b"])
+        ..full_state_event(2, &["b"])
     };
-    let changes = state.apply(&other_fleet);
-    assert_eq!(changes.rules, ["a", "b"]);
+    let changes = state.apply(&other_cluster);
+    assert_eq!(changes.rule_customers, ["a", "b"]);
     assert_eq!((state.version, state.cluster), (2, CLUSTER + 1));
 }
 
 #[test]
-fn a_service_without_contracts_admits_every_version_and_others_only_admitted_ones() {
+fn a_service_without_contracts_admits_any_version_and_others_only_admitted_versions() {
     let mut state = state_at(1, &[]);
     let contract = wire::Contract {
         service: "farm.v1.Farm".into(),
@@ -84,19 +84,19 @@
         contracts: vec![contract],
         ..change_event(2, 1)
     };
-    assert!(state.apply(&admitted).contracts);
+    assert!(state.apply(&admitted).has_contract_changes);
     assert!(state.admits("other.v1.Other", "1"));
     assert!(state.admits("farm.v1.Farm", "2") && !state.admits("farm.v1.Farm", "1"));
     let retired = WatchEvent {
         retired_contracts: vec!["farm.v1.Farm 2".into()],
         ..change_event(3, 2)
     };
-    assert!(state.apply(&retired).contracts);
+    assert!(state.apply(&retired).has_contract_changes);
     assert!(state.contracts.is_empty());
 }
 
 #[test]
-fn a_state_as_one_event_restores_the_same_state() {
+fn a_state_converted_to_an_event_and_applied_is_unchanged() {
     let state = state_at(4, &["a", "b"]);
     let mut restored = CachedState::default();
     restored.apply(&state.to_event());
--- a/crates/coordinator/src/session/mod.rs
+++ b/crates/coordinator/src/session/mod.rs
@@ -14,7 +14,7 @@
 };
 use chalkdeck_leader_election::{FencingToken, LeaseTerms, RenewalNumber, SessionId};
 use chalkdeck_time::{TimeDelta, Timestamp};
-use renewal::Renewal;
+use renewal::LeaseRenewal;
 use requests::PendingRequests;
 use std::collections::BTreeMap;
 
@@ -36,31 +36,31 @@
 
 /// The outcome of a message from a replica.
 #[derive(Debug, Default)]
-pub struct Received {
+pub struct ReceiveOutcome {
     /// The cached state was updated.
     pub update: Option<StateUpdate>,
     /// A read was answered.
-    pub read: Option<ReadResponse>,
+    pub read_response: Option<ReadResponse>,
     /// The report was acknowledged: the next one may be sent.
-    pub report_acknowledged: bool,
+    pub is_report_acknowledged: bool,
     /// The session is another one, or over.
-    pub session_changed: bool,
+    pub has_session_changed: bool,
     /// This replica opens no session: another one is to be tried.
-    pub unavailable: bool,
+    pub is_replica_unavailable: bool,
 }
 
 /// The client of one gateway's session.
 #[derive(Debug)]
 pub struct SessionClient {
-    open: wire::OpenSession,
+    open_session: wire::OpenSession,
     id: SessionId,
     /// A session was opened since the gateway was started.
-    was_opened: bool,
+    had_session: bool,
     is_connected: bool,
     state: CachedState,
     elections: BTreeMap<String, Election>,
     pending_work: PendingWork,
-    renewal: Renewal,
+    renewal: LeaseRenewal,
     /// When the session is opened again over the same connection.
     reopen_at: Option<Timestamp>,
     requests: PendingRequests,
@@ -70,16 +70,20 @@
 impl SessionClient {
     /// A client without a session. `open`: the gateway's name, site and incarnation. `terms` hold until a replica announces its
     /// own.
-    pub fn new(open: wire::OpenSession, terms: LeaseTerms, state: CachedState) -> SessionClient {
+    pub fn new(
+        open_session: wire::OpenSession,
+        lease_terms: LeaseTerms,
+        state: CachedState,
+    ) -> SessionClient {
         SessionClient {
-            open,
+            open_session,
             id: NO_SESSION,
-            was_opened: false,
+            had_session: false,
             is_connected: false,
             state,
             elections: BTreeMap::new(),
             pending_work: PendingWork::default(),
-            renewal: Renewal::new(terms),
+            renewal: LeaseRenewal::new(lease_terms),
             reopen_at: None,
             requests: PendingRequests::default(),
             outbox: Vec::new(),
@@ -87,8 +91,8 @@
     }
 
     /// The lease terms that were announced, or are assumed until then.
-    pub fn terms(&self) -> &LeaseTerms {
-        self.renewal.terms()
+    pub fn lease_terms(&self) -> &LeaseTerms {
+        self.renewal.lease_terms()
     }
 
     /// The session's id; 0: none is open.
@@ -117,7 +121,7 @@
     }
 
     /// The fencing token of an election that this gateway leads at `now`; `None`: it does not lead it.
-    pub fn leads(&self, election: &str, now: Timestamp) -> Option<FencingToken> {
+    pub fn leader_token(&self, election: &str, now: Timestamp) -> Option<FencingToken> {
         let election = self.elections.get(election)?;
         let is_leader = election.leader == self.id.0 && election.move_to == 0;
         (is_leader && self.is_valid(now)).then_some(FencingToken(election.token))
@@ -128,7 +132,7 @@
         self.elections.get(election).map_or(&[], |e| &e.progress)
     }
 
-    /// Elections as they were last received.
+    /// Elections as they were last outcome.
     pub fn elections(&self) -> impl Iterator<Item = &Election> {
         self.elections.values()
     }
@@ -148,11 +152,11 @@
     // ---- connection ----
 
     /// A connection to a replica is established, and the replica was heard on it.
-    pub fn connected(&mut self) {
+    pub fn on_connected(&mut self) {
         self.is_connected = true;
         self.outbox.clear();
         let hello = wire::Hello {
-            open: Some(self.open.clone()),
+            open: Some(self.open_session.clone()),
             state_version: self.state.version,
             session: self.id.0,
             cluster: self.state.cluster,
@@ -161,7 +165,7 @@
     }
 
     /// The connection is lost. The session lasts as long as its lease.
-    pub fn disconnected(&mut self) {
+    pub fn on_disconnected(&mut self) {
         self.is_connected = false;
         self.outbox.clear();
     }
@@ -184,99 +188,106 @@
         }
         if self.reopen_at.is_some_and(|at| now >= at) {
             self.reopen_at = None;
-            self.connected();
+            self.on_connected();
         }
         if self.is_open() && self.renewal.is_due(now) {
-            let renewal = self.renewal.send(now, self.id, self.state.version);
+            let renewal = self.renewal.next_renewal(now, self.id, self.state.version);
             self.send(ClientMessageKind::Renewal(renewal));
         }
     }
 
     /// The cache file holds the state up to this version. From here on no later one is acknowledged before it is written, too:
     /// after a restart the gateway goes by what is in the file.
-    pub fn state_persisted(&mut self, now: Timestamp, version: u64) {
-        self.renewal.persisted(version);
-        self.renewal.acknowledge_early(now, self.state.version);
+    pub fn on_state_persisted(&mut self, now: Timestamp, version: u64) {
+        self.renewal.set_persisted_version(version);
+        self.renewal
+            .schedule_early_acknowledgement(now, self.state.version);
     }
 
     // ---- messages of a replica ----
 
     /// Takes a message of a replica in.
-    pub fn receive(&mut self, now: Timestamp, message: ServerMessage) -> Received {
-        self.renewal.heard(now);
+    pub fn receive(&mut self, now: Timestamp, message: ServerMessage) -> ReceiveOutcome {
+        self.renewal.on_message(now);
         if message.session_ended {
-            return self.session_ended(now, message.response.as_ref());
+            return self.on_session_ended(now, message.response.as_ref());
         }
-        let mut received = Received::default();
+        let mut outcome = ReceiveOutcome::default();
         let changes = message
             .event
             .as_ref()
-            .and_then(|event| self.receive_event(now, event));
+            .and_then(|event| self.apply_event(now, event));
         if message.session > 0 {
-            received.session_changed = self.session_opened(now, &message);
+            outcome.has_session_changed = self.on_session_opened(now, &message);
         }
-        self.renewal.acknowledge_early(now, self.state.version);
+        self.renewal
+            .schedule_early_acknowledgement(now, self.state.version);
         if message.granted_renewal > 0 {
-            self.renewal.granted(RenewalNumber(message.granted_renewal));
+            self.renewal
+                .on_granted(RenewalNumber(message.granted_renewal));
         }
-        received.report_acknowledged = self
+        outcome.is_report_acknowledged = self
             .requests
             .acknowledge_report(message.acknowledged_report);
         if message.response.is_some() {
             self.requests
-                .command_answered(CommandNumber(message.answered_command));
+                .on_command_answered(CommandNumber(message.answered_command));
         }
-        received.read = message.read;
-        received.update = changes
+        outcome.read_response = message.read;
+        outcome.update = changes
             .zip(message.event)
             .map(|(changes, event)| StateUpdate { changes, event });
-        received
+        outcome
     }
 
     /// The replicas do not know the session, or opened none.
-    fn session_ended(&mut self, now: Timestamp, response: Option<&CommandResponse>) -> Received {
-        let unavailable = !self.is_open();
+    fn on_session_ended(
+        &mut self,
+        now: Timestamp,
+        response: Option<&CommandResponse>,
+    ) -> ReceiveOutcome {
+        let is_replica_unavailable = !self.is_open();
         self.adopt_later_incarnation(response);
-        self.renewal.end();
+        self.renewal.end_lease();
         // Elections stay as they are: a replica that lags less may find the same session again.
         self.id = NO_SESSION;
         self.reopen_at = Some(now + REOPEN_DELAY);
-        Received {
-            unavailable,
-            session_changed: true,
-            ..Received::default()
+        ReceiveOutcome {
+            is_replica_unavailable,
+            has_session_changed: true,
+            ..ReceiveOutcome::default()
         }
     }
 
     /// A later incarnation of this gateway is known, though this one has reported nothing yet: the machine's date was set back
     /// in between.
     fn adopt_later_incarnation(&mut self, response: Option<&CommandResponse>) {
-        let known = response.map_or(0, |response| response.token);
-        if known >= self.open.incarnation && !self.was_opened {
-            self.open.incarnation = known + 1;
+        let known_incarnation = response.map_or(0, |response| response.token);
+        if known_incarnation >= self.open_session.incarnation && !self.had_session {
+            self.open_session.incarnation = known_incarnation + 1;
         }
     }
 
     /// Applies a watch event; `None`: changes before it are missing, and are asked for.
-    fn receive_event(&mut self, now: Timestamp, event: &WatchEvent) -> Option<StateChanges> {
+    fn apply_event(&mut self, now: Timestamp, event: &WatchEvent) -> Option<StateChanges> {
         if self.state.has_gap_before(event) {
             // Not put off by each further event: where they come often, the gap would never be asked for.
             self.reopen_at.get_or_insert(now + REOPEN_DELAY);
             return None;
         }
         if event.cluster != self.state.cluster || event.version >= self.state.version {
-            self.receive_elections(event);
+            self.update_elections(event);
         }
-        let version_before = self.state.version;
+        let previous_version = self.state.version;
         let changes = self.state.apply(event);
         if changes.is_empty() {
             self.renewal
-                .nothing_to_persist(version_before, self.state.version);
+                .advance_persisted_version(previous_version, self.state.version);
         }
         Some(changes)
     }
 
-    fn receive_elections(&mut self, event: &WatchEvent) {
+    fn update_elections(&mut self, event: &WatchEvent) {
         if event.whole {
             self.elections.clear();
         }
@@ -288,18 +299,18 @@
     }
 
     /// A session is open; returns whether it is another one than before.
-    fn session_opened(&mut self, now: Timestamp, message: &ServerMessage) -> bool {
+    fn on_session_opened(&mut self, now: Timestamp, message: &ServerMessage) -> bool {
         let id = SessionId(message.session);
         let is_new = id != self.id;
-        self.was_opened = true;
+        self.had_session = true;
         if is_new {
-            self.renewal.begin(LeaseTerms {
+            self.renewal.begin_lease(LeaseTerms {
                 lease: TimeDelta::from_micros(message.lease_us).max(MIN_LEASE),
                 drift_ppm: message.drift_ppm,
             });
         }
         self.id = id;
-        self.renewal.renew_at(now);
+        self.renewal.schedule(now);
         self.resend_requests();
         is_new
     }
@@ -310,7 +321,7 @@
         for command in commands {
             self.send(ClientMessageKind::Command(command));
         }
-        if let Some(report) = self.requests.report_for(self.id) {
+        if let Some(report) = self.requests.pending_report_for(self.id) {
             self.send(ClientMessageKind::Report(report));
         }
     }
@@ -319,9 +330,9 @@
 
     /// Submits a command; it is applied once, however often it has to be sent.
     pub fn submit(&mut self, kind: CommandKind) {
-        let command = self
-            .requests
-            .add_command(self.open.incarnation, self.state.version, kind);
+        let command =
+            self.requests
+                .add_command(self.open_session.incarnation, self.state.version, kind);
         self.send(ClientMessageKind::Command(command));
     }
 
@@ -331,26 +342,26 @@
     }
 
     /// Sends a read; its response is lost with the connection.
-    pub fn read(&mut self, request: ReadRequest) {
+    pub fn send_read(&mut self, request: ReadRequest) {
         self.send(ClientMessageKind::Read(request));
     }
 
     /// Whether a report may be sent: there is a session, and the last report was acknowledged.
     pub fn can_report(&self) -> bool {
-        self.is_open() && self.is_connected && !self.requests.has_report()
+        self.is_open() && self.is_connected && !self.requests.has_pending_report()
     }
 
     /// Sends a report; it is sent again until it is acknowledged.
-    pub fn report(&mut self, report: wire::Report) {
+    pub fn send_report(&mut self, report: wire::Report) {
         let report = self.requests.add_report(self.id, report);
         self.send(ClientMessageKind::Report(report));
     }
 
     /// Withdraws as a candidate, as the gateway is about to stop: others lead its elections at once. The session goes on.
     pub fn resign(&mut self) {
-        let was_candidate = std::mem::replace(&mut self.open.candidate, false);
+        let was_candidate = std::mem::replace(&mut self.open_session.candidate, false);
         if was_candidate && self.is_open() {
-            self.submit(CommandKind::OpenSession(self.open.clone()));
+            self.submit(CommandKind::OpenSession(self.open_session.clone()));
         }
     }
 
--- a/crates/coordinator/src/session/renewal.rs
+++ b/crates/coordinator/src/session/renewal.rs
@@ -9,29 +9,29 @@
 
 /// The lease of a session with the time of its next renewal.
 #[derive(Debug)]
-pub(super) struct Renewal {
+pub(super) struct LeaseRenewal {
     lease: Lease,
     renew_at: Timestamp,
     /// When a replica was last heard.
-    last_heard_at: Timestamp,
+    last_message_at: Timestamp,
     /// The version that the last renewal acknowledged.
     acknowledged_version: u64,
     /// The version in the cache file; `None`: there is no cache file, so no older state can come back with a restart.
     persisted_version: Option<u64>,
 }
 
-impl Renewal {
-    pub(super) fn new(terms: LeaseTerms) -> Renewal {
-        Renewal {
-            lease: Lease::new(terms),
+impl LeaseRenewal {
+    pub(super) fn new(lease_terms: LeaseTerms) -> LeaseRenewal {
+        LeaseRenewal {
+            lease: Lease::new(lease_terms),
             renew_at: Timestamp::ZERO,
-            last_heard_at: Timestamp::ZERO,
+            last_message_at: Timestamp::ZERO,
             acknowledged_version: 0,
             persisted_version: None,
         }
     }
 
-    pub(super) fn terms(&self) -> &LeaseTerms {
+    pub(super) fn lease_terms(&self) -> &LeaseTerms {
         self.lease.terms()
     }
 
@@ -39,43 +39,43 @@
         self.lease.is_valid(now)
     }
 
-    pub(super) fn heard(&mut self, now: Timestamp) {
-        self.last_heard_at = now;
+    pub(super) fn on_message(&mut self, now: Timestamp) {
+        self.last_message_at = now;
     }
 
     /// Begins with another session, which has no lease yet.
-    pub(super) fn begin(&mut self, terms: LeaseTerms) {
-        self.lease = Lease::new(terms);
+    pub(super) fn begin_lease(&mut self, lease_terms: LeaseTerms) {
+        self.lease = Lease::new(lease_terms);
     }
 
-    pub(super) fn renew_at(&mut self, at: Timestamp) {
+    pub(super) fn schedule(&mut self, at: Timestamp) {
         self.renew_at = at;
     }
 
-    pub(super) fn granted(&mut self, number: RenewalNumber) {
+    pub(super) fn on_granted(&mut self, number: RenewalNumber) {
         self.lease.renewal_granted(number);
     }
 
-    pub(super) fn end(&mut self) {
+    pub(super) fn end_lease(&mut self) {
         self.lease.end();
     }
 
     /// Whether a renewal is to be sent now. None is sent while no replica is heard: a gateway that is heard but hears nothing
     /// would keep the elections that it leads from all others, while it may not act itself.
     pub(super) fn is_due(&self, now: Timestamp) -> bool {
-        let hears_replicas = now < self.last_heard_at + self.terms().half_lease();
-        now >= self.renew_at && hears_replicas
+        let is_hearing_replicas = now < self.last_message_at + self.lease_terms().half_lease();
+        now >= self.renew_at && is_hearing_replicas
     }
 
     /// The renewal that is sent now.
-    pub(super) fn send(
+    pub(super) fn next_renewal(
         &mut self,
         now: Timestamp,
         session: SessionId,
         cached_version: u64,
     ) -> wire::Renewal {
         let number = self.lease.renewal_sent(now);
-        self.renew_at = now + self.terms().renewal_interval();
+        self.renew_at = now + self.lease_terms().renewal_interval();
         self.acknowledged_version = self.durable_version(cached_version);
         wire::Renewal {
             session: session.0,
@@ -85,19 +85,19 @@
     }
 
     /// The cache file holds the state up to this version.
-    pub(super) fn persisted(&mut self, version: u64) {
+    pub(super) fn set_persisted_version(&mut self, version: u64) {
         self.persisted_version = Some(version);
     }
 
     /// The state moved on without anything that has to be written to the cache file.
-    pub(super) fn nothing_to_persist(&mut self, from_version: u64, to_version: u64) {
+    pub(super) fn advance_persisted_version(&mut self, from_version: u64, to_version: u64) {
         if self.persisted_version == Some(from_version) {
             self.persisted_version = Some(to_version);
         }
     }
 
     /// Renews early if a version can be acknowledged that was not yet: others wait for that.
-    pub(super) fn acknowledge_early(&mut self, now: Timestamp, cached_version: u64) {
+    pub(super) fn schedule_early_acknowledgement(&mut self, now: Timestamp, cached_version: u64) {
         if self.durable_version(cached_version) > self.acknowledged_version {
             self.renew_at = self.renew_at.min(now + MIN_ACKNOWLEDGEMENT_DELAY);
         }
--- a/crates/coordinator/src/session/requests.rs
+++ b/crates/coordinator/src/session/requests.rs
@@ -8,9 +8,9 @@
 /// Requests under way.
 #[derive(Debug, Default)]
 pub(super) struct PendingRequests {
-    last_command: CommandNumber,
+    last_command_number: CommandNumber,
     commands: BTreeMap<CommandNumber, wire::Command>,
-    last_report: u64,
+    last_report_number: u64,
     report: Option<wire::Report>,
 }
 
@@ -22,19 +22,20 @@
         state_version: u64,
         kind: CommandKind,
     ) -> wire::Command {
-        self.last_command.0 += 1;
+        self.last_command_number.0 += 1;
         let command = wire::Command {
             caller,
-            number: self.last_command.0,
+            number: self.last_command_number.0,
             begun_version: state_version,
             kind: Some(kind),
             ..wire::Command::default()
         };
-        self.commands.insert(self.last_command, command.clone());
+        self.commands
+            .insert(self.last_command_number, command.clone());
         command
     }
 
-    pub(super) fn command_answered(&mut self, number: CommandNumber) {
+    pub(super) fn on_command_answered(&mut self, number: CommandNumber) {
         self.commands.remove(&number);
     }
 
@@ -44,10 +45,10 @@
 
     /// A report under the next number.
     pub(super) fn add_report(&mut self, session: SessionId, report: wire::Report) -> wire::Report {
-        self.last_report += 1;
+        self.last_report_number += 1;
         let report = wire::Report {
             session: session.0,
-            number: self.last_report,
+            number: self.last_report_number,
             ..report
         };
         self.report = Some(report.clone());
@@ -55,22 +56,25 @@
     }
 
     /// The report that is not acknowledged, as one of this session.
-    pub(super) fn report_for(&mut self, session: SessionId) -> Option<wire::Report> {
+    pub(super) fn pending_report_for(&mut self, session: SessionId) -> Option<wire::Report> {
         let report = self.report.as_mut()?;
         report.session = session.0;
         Some(report.clone())
     }
 
-    pub(super) fn has_report(&self) -> bool {
+    pub(super) fn has_pending_report(&self) -> bool {
         self.report.is_some()
     }
 
     /// Whether this acknowledges the report under way, which is then over.
     pub(super) fn acknowledge_report(&mut self, number: u64) -> bool {
-        let acknowledged = self.report.as_ref().is_some_and(|r| r.number == number);
-        if acknowledged {
+        let is_acknowledged = self
+            .report
+            .as_ref()
+            .is_some_and(|report| report.number == number);
+        if is_acknowledged {
             self.report = None;
         }
-        acknowledged
+        is_acknowledged
     }
 }
--- a/crates/coordinator/src/settings.rs
+++ b/crates/coordinator/src/settings.rs
@@ -11,7 +11,7 @@
 use std::path::{Path, PathBuf};
 
 /// The message that the text is the form of.
-const MESSAGE: &str = "chalkdeck.keeper.v1.Settings";
+const MESSAGE_NAME: &str = "chalkdeck.keeper.v1.Settings";
 
 const DEFAULT_LEASE_MS: u64 = 6_000;
 const DEFAULT_DRIFT_PPM: u32 = 10_000;
@@ -20,7 +20,7 @@
 /// 30 days.
 const DEFAULT_UNUSED_AFTER_MS: u64 = 30 * 24 * 3_600_000;
 const DEFAULT_MAX_LOG_ENTRIES: u64 = 10_000;
-const LEASE_MS: RangeInclusive<u64> = 200..=600_000;
+const LEASE_MS_RANGE: RangeInclusive<u64> = 200..=600_000;
 const MAX_DRIFT_PPM: u32 = 100_000;
 /// Within a lease the consensus has to elect a leader, and to decide some renewals.
 const MIN_TICKS_PER_LEASE: u64 = 20;
@@ -86,7 +86,7 @@
     /// Where its log is kept.
     pub folder: PathBuf,
     /// Terms of the sessions' leases.
-    pub terms: LeaseTerms,
+    pub lease_terms: LeaseTerms,
     /// See [`crate::replica::ReplicaSettings::min_move_interval_ms`].
     pub min_move_interval_ms: u64,
     /// See [`crate::replica::ReplicaSettings::unused_after_ms`].
@@ -119,35 +119,40 @@
     /// See [`Settings::load`].
     pub fn parse(source: &str, file: &str, base: &Path) -> Result<Settings, SettingsError> {
         let wire: wire::Settings =
-            text::parse(MESSAGE, source).map_err(|error| SettingsError::Form {
+            text::parse(MESSAGE_NAME, source).map_err(|error| SettingsError::Form {
                 file: file.into(),
                 line: error.line,
                 what: error.what,
             })?;
-        let checker = Checker { file, wire: &wire };
-        let replicas = checker.replicas()?;
-        let slot = checker.slot(replicas.len())?;
-        let folder = checker.folder()?;
-        let terms = checker.terms()?;
+        let validator = FieldValidator { file, wire: &wire };
+        let replicas = validator.replicas()?;
+        let slot = validator.slot(replicas.len())?;
+        let folder = validator.folder()?;
+        let lease_terms = validator.lease_terms()?;
         Ok(Settings {
             slot,
-            tick_interval: checker.tick_interval(terms.lease)?,
-            listen: checker.listen(replicas[slot.index()])?,
-            admin: checker.admin()?,
+            tick_interval: validator.tick_interval(lease_terms.lease)?,
+            listen: validator.listen_address(replicas[slot.index()])?,
+            admin: validator.admin_address()?,
             replicas,
             folder: base.join(folder),
-            terms,
-            min_move_interval_ms: or_default(u64::from(wire.move_ms), DEFAULT_MIN_MOVE_INTERVAL_MS),
-            unused_after_ms: or_default(wire.dead_after_ms, DEFAULT_UNUSED_AFTER_MS),
-            max_log_entries: or_default(u64::from(wire.snapshot_entries), DEFAULT_MAX_LOG_ENTRIES)
-                as usize,
+            lease_terms,
+            min_move_interval_ms: value_or_default(
+                u64::from(wire.move_ms),
+                DEFAULT_MIN_MOVE_INTERVAL_MS,
+            ),
+            unused_after_ms: value_or_default(wire.dead_after_ms, DEFAULT_UNUSED_AFTER_MS),
+            max_log_entries: value_or_default(
+                u64::from(wire.snapshot_entries),
+                DEFAULT_MAX_LOG_ENTRIES,
+            ) as usize,
             elections: wire.duties,
         })
     }
 }
 
 /// A field that is not set reads as 0.
-fn or_default(value: u64, default: u64) -> u64 {
+fn value_or_default(value: u64, default: u64) -> u64 {
     if value == 0 {
         default
     } else {
@@ -156,12 +161,12 @@
 }
 
 /// Checks of the fields' values.
-struct Checker<'a> {
+struct FieldValidator<'a> {
     file: &'a str,
     wire: &'a wire::Settings,
 }
 
-impl Checker<'_> {
+impl FieldValidator<'_> {
     fn error(
         &self,
         field: &'static str,
@@ -181,7 +186,7 @@
         }
     }
 
-    fn address(&self, field: &'static str, text: &str) -> Result<SocketAddr, SettingsError> {
+    fn parse_address(&self, field: &'static str, text: &str) -> Result<SocketAddr, SettingsError> {
         text.parse()
             .map_err(|_| self.error(field, "ip:port", &text))
     }
@@ -189,7 +194,7 @@
     fn replicas(&self) -> Result<Vec<SocketAddr>, SettingsError> {
         let mut replicas = Vec::new();
         for text in &self.wire.keepers {
-            replicas.push(self.address("keepers", text)?);
+            replicas.push(self.parse_address("keepers", text)?);
         }
         if !is_valid_replica_count(replicas.len()) {
             return Err(self.error("keepers", "one, three or five addresses", &replicas.len()));
@@ -209,7 +214,7 @@
         Ok(&self.wire.folder)
     }
 
-    fn terms(&self) -> Result<LeaseTerms, SettingsError> {
+    fn lease_terms(&self) -> Result<LeaseTerms, SettingsError> {
         let drift_ppm = match self.wire.drift_ppm {
             0 => DEFAULT_DRIFT_PPM,
             drift_ppm => drift_ppm,
@@ -217,8 +222,8 @@
         if drift_ppm > MAX_DRIFT_PPM {
             return Err(self.error("drift_ppm", "at most 100000", &drift_ppm));
         }
-        let lease_ms = or_default(u64::from(self.wire.lease_ms), DEFAULT_LEASE_MS);
-        if !LEASE_MS.contains(&lease_ms) {
+        let lease_ms = value_or_default(u64::from(self.wire.lease_ms), DEFAULT_LEASE_MS);
+        if !LEASE_MS_RANGE.contains(&lease_ms) {
             return Err(self.error("lease_ms", "200 to 600000", &self.wire.lease_ms));
         }
         Ok(LeaseTerms {
@@ -228,7 +233,7 @@
     }
 
     fn tick_interval(&self, lease: TimeDelta) -> Result<TimeDelta, SettingsError> {
-        let tick_ms = or_default(u64::from(self.wire.tick_ms), DEFAULT_TICK_MS);
+        let tick_ms = value_or_default(u64::from(self.wire.tick_ms), DEFAULT_TICK_MS);
         let tick = TimeDelta::from_millis(tick_ms);
         if tick * MIN_TICKS_PER_LEASE > lease {
             return Err(self.error(
@@ -241,18 +246,18 @@
     }
 
     /// `own`: the address of the replica's slot.
-    fn listen(&self, own: SocketAddr) -> Result<SocketAddr, SettingsError> {
+    fn listen_address(&self, slot_address: SocketAddr) -> Result<SocketAddr, SettingsError> {
         if self.wire.listen.is_empty() {
-            return Ok(own);
+            return Ok(slot_address);
         }
-        self.address("listen", &self.wire.listen)
+        self.parse_address("listen", &self.wire.listen)
     }
 
-    fn admin(&self) -> Result<Option<SocketAddr>, SettingsError> {
+    fn admin_address(&self) -> Result<Option<SocketAddr>, SettingsError> {
         if self.wire.admin.is_empty() {
             return Ok(None);
         }
-        self.address("admin", &self.wire.admin).map(Some)
+        self.parse_address("admin", &self.wire.admin).map(Some)
     }
 }
 
--- a/crates/coordinator/tests/session_client.rs
+++ b/crates/coordinator/tests/session_client.rs
@@ -12,7 +12,7 @@
     Timestamp::from_millis(millis)
 }
 
-fn open() -> wire::OpenSession {
+fn open_session() -> wire::OpenSession {
     wire::OpenSession {
         gateway: "g".into(),
         site: "north".into(),
@@ -39,9 +39,13 @@
 }
 
 /// A client whose session has a valid lease, and whose messages were sent.
-fn with_valid_session(now: Timestamp) -> SessionClient {
-    let mut session = SessionClient::new(open(), LeaseTerms::default(), CachedState::default());
-    session.connected();
+fn client_with_valid_session(now: Timestamp) -> SessionClient {
+    let mut session = SessionClient::new(
+        open_session(),
+        LeaseTerms::default(),
+        CachedState::default(),
+    );
+    session.on_connected();
     session.receive(
         now,
         ServerMessage {
@@ -65,7 +69,7 @@
 }
 
 /// The version that the last renewal acknowledges.
-fn acknowledged(messages: &[ClientMessage]) -> Option<u64> {
+fn acknowledged_version(messages: &[ClientMessage]) -> Option<u64> {
     messages
         .iter()
         .rev()
@@ -76,21 +80,21 @@
 }
 
 #[test]
-fn a_gap_is_asked_for_however_often_events_are_received() {
-    let mut session = with_valid_session(at_ms(0));
-    let mut said_hello = false;
+fn missing_events_are_requested_even_while_further_events_keep_arriving() {
+    let mut session = client_with_valid_session(at_ms(0));
+    let mut has_sent_hello = false;
     session.receive(at_ms(10), message(event(13, 12)));
     for i in 0..40 {
         let now = at_ms(20 + i * 20);
         session.receive(now, message(event(14 + i, 13 + i)));
         session.tick(now);
-        said_hello |= session
+        has_sent_hello |= session
             .take_messages()
             .iter()
             .any(|message| matches!(message.kind, Some(ClientMessageKind::Hello(_))));
     }
     assert!(
-        said_hello,
+        has_sent_hello,
         "it says which version it has, so that the replica sends the rest"
     );
     assert_eq!(
@@ -101,9 +105,9 @@
 }
 
 #[test]
-fn no_version_is_acknowledged_that_the_cache_file_lacks() {
-    let mut session = with_valid_session(at_ms(0));
-    session.state_persisted(at_ms(0), 10);
+fn a_version_is_acknowledged_only_once_the_cache_file_holds_it() {
+    let mut session = client_with_valid_session(at_ms(0));
+    session.on_state_persisted(at_ms(0), 10);
     let set = wire::RuleSet {
         customer: "c".into(),
         version: 1,
@@ -120,30 +124,30 @@
     );
     session.tick(at_ms(2_000));
     assert_eq!(
-        acknowledged(&session.take_messages()),
+        acknowledged_version(&session.take_messages()),
         Some(10),
         "received, but a restart would go back"
     );
-    session.state_persisted(at_ms(2_010), 11);
+    session.on_state_persisted(at_ms(2_010), 11);
     session.tick(at_ms(2_100));
     assert_eq!(
-        acknowledged(&session.take_messages()),
+        acknowledged_version(&session.take_messages()),
         Some(11),
         "acknowledged early once it is written"
     );
     // An event that changes nothing moves the version on all the same.
     session.receive(at_ms(2_200), message(event(12, 11)));
     session.tick(at_ms(2_300));
-    assert_eq!(acknowledged(&session.take_messages()), Some(12));
+    assert_eq!(acknowledged_version(&session.take_messages()), Some(12));
 }
 
 #[test]
-fn a_session_that_hears_no_replica_is_not_renewed() {
-    let mut session = with_valid_session(at_ms(0));
+fn a_session_is_not_renewed_while_no_replica_message_arrives() {
+    let mut session = client_with_valid_session(at_ms(0));
     let mut last_renewal = Timestamp::ZERO;
     for now in (0..20_000).step_by(100).map(at_ms) {
         session.tick(now);
-        if acknowledged(&session.take_messages()).is_some() {
+        if acknowledged_version(&session.take_messages()).is_some() {
             last_renewal = now;
         }
     }
@@ -163,12 +167,12 @@
         },
     );
     session.tick(at_ms(20_000));
-    assert!(acknowledged(&session.take_messages()).is_some());
+    assert!(acknowledged_version(&session.take_messages()).is_some());
 }
 
 #[test]
 fn a_gateway_that_resigns_keeps_its_session_and_leads_nothing() {
-    let mut session = with_valid_session(at_ms(0));
+    let mut session = client_with_valid_session(at_ms(0));
     let election = Election {
         name: "tally".into(),
         leader: 5,
@@ -182,7 +186,10 @@
             ..event(11, 10)
         }),
     );
-    assert_eq!(session.leads("tally", at_ms(10)), Some(FencingToken(9)));
+    assert_eq!(
+        session.leader_token("tally", at_ms(10)),
+        Some(FencingToken(9))
+    );
     session.resign();
     session.resign();
     let opens = session.take_messages().into_iter().filter(|message| {
@@ -204,7 +211,7 @@
     );
     assert_eq!(
         (
-            session.leads("tally", at_ms(20)),
+            session.leader_token("tally", at_ms(20)),
             session.is_valid(at_ms(20))
         ),
         (None, true)
@@ -212,7 +219,7 @@
 }
 
 #[test]
-fn a_gateway_whose_date_was_set_back_takes_a_later_incarnation_unless_it_had_a_session() {
+fn after_a_clock_rollback_a_gateway_adopts_a_later_incarnation_unless_it_had_a_session() {
     let rejection = CommandResponse {
         token: 900,
         code: ResponseCode::Refused as i32,
@@ -224,7 +231,7 @@
         ..ServerMessage::default()
     };
     let incarnation = |session: &mut SessionClient| {
-        session.connected();
+        session.on_connected();
         let hello = session
             .take_messages()
             .into_iter()
@@ -234,11 +241,15 @@
             });
         hello.expect("it says hello").incarnation
     };
-    let mut session = SessionClient::new(open(), LeaseTerms::default(), CachedState::default());
-    session.connected();
+    let mut session = SessionClient::new(
+        open_session(),
+        LeaseTerms::default(),
+        CachedState::default(),
+    );
+    session.on_connected();
     session.receive(at_ms(0), ended.clone());
     assert_eq!(incarnation(&mut session), 901);
-    let mut session = with_valid_session(at_ms(0));
+    let mut session = client_with_valid_session(at_ms(0));
     session.receive(at_ms(0), ended);
     assert_eq!(
         incarnation(&mut session),
--- a/crates/coordinator/tests/session_state.rs
+++ b/crates/coordinator/tests/session_state.rs
@@ -6,12 +6,12 @@
 
 /// A state with the number of its last command.
 #[derive(Default)]
-struct State {
+struct StateDriver {
     state: ReplicatedState,
     last_number: u64,
 }
 
-impl State {
+impl StateDriver {
     fn submit(&mut self, kind: CommandKind) -> CommandResponse {
         self.last_number += 1;
         self.state.apply(&wire::Command {
@@ -21,7 +21,7 @@
             ..wire::Command::default()
         })
     }
-    fn open(&mut self, incarnation: u64) -> CommandResponse {
+    fn open_session(&mut self, incarnation: u64) -> CommandResponse {
         let (gateway, site) = ("g".to_string(), "north".to_string());
         self.submit(CommandKind::OpenSession(wire::OpenSession {
             gateway,
@@ -30,15 +30,15 @@
             candidate: true,
         }))
     }
-    fn expire(&mut self, session: u64) {
-        let renewed = self
+    fn expire_session(&mut self, session: u64) {
+        let renewal_index = self
             .state
             .session(SessionId(session))
             .expect("it is open")
             .renewal_index;
         self.submit(CommandKind::ExpireSession(wire::ExpireSession {
             session,
-            renewal_index: renewed,
+            renewal_index,
         }));
     }
     fn report(&mut self, session: u64, count: u64) {
@@ -55,22 +55,26 @@
             ..Default::default()
         }));
     }
-    fn fold(&mut self) {
+    fn fold_hits(&mut self) {
         let token = self
             .state
             .elections()
             .find(|election| election.name == HIT_TOTALS)
-            .map_or(0, |d| d.token);
+            .map_or(0, |election| election.token);
         self.submit(CommandKind::FoldHits(wire::FoldHits { token }));
     }
     fn hits(&self) -> u64 {
-        self.state.hit_lines("c").iter().map(|l| l.count).sum()
+        self.state
+            .hit_lines("c")
+            .iter()
+            .map(|line| line.count)
+            .sum()
     }
 }
 
 #[test]
-fn hits_of_an_incarnation_that_expired_and_is_back_count_once_whatever_an_earlier_one_sends() {
-    let mut state = State::default();
+fn hits_of_a_reopened_incarnation_count_once_despite_delayed_messages_of_an_earlier_one() {
+    let mut state = StateDriver::default();
     state.submit(CommandKind::EnsureElection(wire::EnsureElection {
         election: HIT_TOTALS.into(),
     }));
@@ -81,28 +85,28 @@
         candidate: true,
     };
     state.submit(CommandKind::OpenSession(other));
-    let first = state.open(20).id;
+    let first = state.open_session(20).id;
     state.report(first, 10);
-    state.expire(first);
-    state.fold();
-    assert_eq!(state.open(20).id, 3, "the same incarnation is back");
+    state.expire_session(first);
+    state.fold_hits();
+    assert_eq!(state.open_session(20).id, 3, "the same incarnation is back");
     state.report(3, 12);
-    state.expire(3);
+    state.expire_session(3);
     // A message of an earlier incarnation was delayed.
-    let late = state.open(19);
+    let late = state.open_session(19);
     assert_eq!(
         (late.id, late.token),
         (0, 20),
         "rejected, with the incarnation that is known"
     );
-    state.fold();
-    let again = state.open(20).id;
+    state.fold_hits();
+    let again = state.open_session(20).id;
     state.report(again, 15);
     assert_eq!(state.hits(), 15);
     // A later incarnation's count is its own, and the earlier one's is folded.
-    state.expire(again);
-    let later = state.open(30).id;
-    state.fold();
+    state.expire_session(again);
+    let later = state.open_session(30).id;
+    state.fold_hits();
     state.report(later, 4);
     assert_eq!(state.hits(), 19);
 }
--- a/crates/coordinator/tests/simulation/gateways.rs
+++ b/crates/coordinator/tests/simulation/gateways.rs
@@ -53,7 +53,7 @@
         let node = &mut self.gateways[gateway];
         node.life += 1;
         let settings = AgentSettings {
-            open: wire::OpenSession {
+            open_session: wire::OpenSession {
                 gateway: format!("g{gateway}"),
                 site: SITES[gateway % SITES.len()].into(),
                 incarnation: (gateway as u64 + 1) << 20 | node.life,
@@ -65,7 +65,7 @@
         };
         let now = node.clock.at(self.now);
         let mut agent = GatewayAgent::new(settings, node.persisted.clone(), now);
-        agent.state_persisted(now, node.persisted.version);
+        agent.on_state_persisted(now, node.persisted.version);
         node.agent = Some(agent);
         node.hits = 0;
         node.stream = 0;
@@ -78,7 +78,8 @@
             return;
         };
         agent.tick(now);
-        if !self.quiet && self.rng.u8(..) < CALL_ODDS && agent.access().get(CUSTOMER).is_some() {
+        if !self.quiet && self.rng.u8(..) < CALL_ODDS && agent.rule_store().get(CUSTOMER).is_some()
+        {
             let call = Call {
                 caller_region: "eu",
                 gateway_region: "north",
@@ -89,7 +90,7 @@
             node.hits += 1;
             self.hits += 1;
         }
-        if let Some(token) = agent.session().leads(LAB, now) {
+        if let Some(token) = agent.session().leader_token(LAB, now) {
             let life = node.life;
             self.schedule_act(gateway, token, life);
         }
@@ -159,7 +160,7 @@
             AgentAction::Connect(replica) => {
                 node.replica = replica;
                 node.stream = self.rng.u64(1..u64::MAX);
-                agent.connected(now);
+                agent.on_connected(now);
                 let to = Node::Replica(replica);
                 let message = Message::OpenStream(node.stream);
                 self.send(Node::Gateway(gateway), to, message);
@@ -171,7 +172,7 @@
             }
             AgentAction::Persist(_) => {
                 node.persisted = agent.session().state().clone();
-                agent.state_persisted(now, node.persisted.version);
+                agent.on_state_persisted(now, node.persisted.version);
             }
             AgentAction::RecheckStreams(_)
             | AgentAction::RecheckAllStreams
@@ -185,7 +186,7 @@
         let now = node.clock.at(self.now);
         let is_present = stream == node.stream;
         if let Some(agent) = node.agent.as_mut().filter(|_| is_present) {
-            agent.stream_accepted(now);
+            agent.on_stream_accepted(now);
             self.carry_out(gateway);
         }
     }
--- a/crates/coordinator/tests/simulation/invariants.rs
+++ b/crates/coordinator/tests/simulation/invariants.rs
@@ -36,7 +36,7 @@
     fn token_at(&self, gateway: &GatewayNode, election: &str) -> Option<FencingToken> {
         let now = gateway.clock.at(self.now);
         let agent = gateway.agent.as_ref()?;
-        agent.session().leads(election, now)
+        agent.session().leader_token(election, now)
     }
 
     fn check_equal_states(&mut self) {
--- a/crates/grpc-gateway/src/coordinator_link/connection.rs
+++ b/crates/grpc-gateway/src/coordinator_link/connection.rs
@@ -18,7 +18,7 @@
         let address = self.settings.addresses[replica_index];
         match engine.connect(address, connection_limits()) {
             Ok(conn) => self.conn = Some(conn),
-            Err(_) => self.agent.connection_lost(loop_time(engine)),
+            Err(_) => self.agent.on_connection_lost(loop_time(engine)),
         }
     }
 
@@ -28,7 +28,7 @@
         let head = grpc::request(&authority, SESSION_PATH);
         self.stream = head.and_then(|head| engine.open(conn, head, false));
         match self.stream {
-            Some(_) => self.agent.connected(loop_time(engine)),
+            Some(_) => self.agent.on_connected(loop_time(engine)),
             None => self.abandon_connection(engine),
         }
     }
@@ -36,7 +36,7 @@
     /// Closes the connection and lets the agent choose what follows.
     pub(super) fn abandon_connection(&mut self, engine: &mut Engine) {
         self.close_connection(engine);
-        self.agent.connection_lost(loop_time(engine));
+        self.agent.on_connection_lost(loop_time(engine));
     }
 
     /// Passes the messages in these bytes to the agent. A malformed one ends the connection.
--- a/crates/grpc-gateway/src/coordinator_link/events.rs
+++ b/crates/grpc-gateway/src/coordinator_link/events.rs
@@ -132,7 +132,7 @@
             return false;
         }
         match progress {
-            StreamProgress::Open => link.agent.stream_accepted(loop_time(&self.engine)),
+            StreamProgress::Open => link.agent.on_stream_accepted(loop_time(&self.engine)),
             StreamProgress::Ended => link.abandon_connection(&mut self.engine),
         }
         self.run_coordinator_actions();
--- a/crates/grpc-gateway/src/coordinator_link/mod.rs
+++ b/crates/grpc-gateway/src/coordinator_link/mod.rs
@@ -82,7 +82,7 @@
         let version = state.version;
         let mut agent = GatewayAgent::new(agent_settings(settings, zone_name, now), state, now);
         if cache_file.is_some() {
-            agent.state_persisted(now, version);
+            agent.on_state_persisted(now, version);
         }
         Ok(CoordinatorLink {
             agent,
@@ -105,14 +105,14 @@
     zone_name: &str,
     now: Timestamp,
 ) -> AgentSettings {
-    let open = wire::OpenSession {
+    let open_session = wire::OpenSession {
         gateway: settings.name.clone(),
         site: zone_name.to_string(),
         incarnation: incarnation(now.as_micros()),
         candidate: settings.is_candidate,
     };
     AgentSettings {
-        open,
+        open_session,
         replica_count: settings.addresses.len(),
         report_interval: TimeDelta::from_micros(settings.report_interval),
         seed: fastrand::u64(..),
--- a/crates/grpc-gateway/src/coordinator_link/persistence.rs
+++ b/crates/grpc-gateway/src/coordinator_link/persistence.rs
@@ -18,7 +18,7 @@
         match cache_file.write(change, state) {
             Ok(()) => {
                 self.persist_retry_at = None;
-                self.agent.state_persisted(now, version);
+                self.agent.on_state_persisted(now, version);
             }
             Err(error) => {
                 if self.persist_retry_at.is_none() {
--- a/crates/grpc-gateway/src/coordinator_link/status.rs
+++ b/crates/grpc-gateway/src/coordinator_link/status.rs
@@ -79,7 +79,7 @@
             version: session.state().version,
             leaderships: self.leaderships(now),
             rule_sets: self.rule_sets(),
-            rule_count: self.agent.access().rule_count(),
+            rule_count: self.agent.rule_store().rule_count(),
             held_back: self.held_back.clone(),
             is_last_resort: self.is_last_resort,
             is_persist_failing: self.persist_retry_at.is_some(),
@@ -91,7 +91,7 @@
         session
             .elections()
             .filter_map(|election| {
-                let token = session.leads(&election.name, now)?;
+                let token = session.leader_token(&election.name, now)?;
                 Some(LeadershipStatus {
                     election: election.name.clone(),
                     token: token.0,
@@ -101,7 +101,7 @@
     }
 
     fn rule_sets(&self) -> Vec<RuleSetStatus> {
-        let access = self.agent.access();
+        let access = self.agent.rule_store();
         let mut rule_sets: Vec<RuleSetStatus> = access
             .customers()
             .filter_map(|customer| {
--- a/crates/testbed/src/rig/keeping.rs
+++ b/crates/testbed/src/rig/keeping.rs
@@ -48,6 +48,6 @@
     begin(args.with_parent);
     let (settings, signals) = (Settings::load(&args.config)?, Signals::take()?);
     let server = ReplicaServer::start(&settings, StartMode::Bootstrap)?;
-    println!("ready grpc={}", server.listen());
+    println!("ready grpc={}", server.listen_address());
     Ok(server.run(&signals)?)
 }
