--- a/crates/coordinator/src/agent/connection.rs
+++ b/crates/coordinator/src/agent/connection.rs
@@ -1,10 +1,10 @@
-//! Which replica a gateway is connected to, and when it turns to another.
+//! Selects the replica that a gateway connects to, and detects when to fail over to another one.
 
 use chalkdeck_time::{TimeDelta, Timestamp};
 use fastrand::Rng;
 
-/// The longest delay before another replica is connected to. It is chosen at random, so that gateways that lost one replica do
-/// not turn to the next at the same time.
+/// Maximum delay before connecting to the next replica. The delay is random, so that gateways that have lost the same replica do
+/// not all connect to the next one at once.
 const MAX_RECONNECT_DELAY: TimeDelta = TimeDelta::from_millis(200);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -14,7 +14,7 @@
     Connected { last_message_at: Timestamp },
 }
 
-/// What is to be done about the connection.
+/// The next step for the connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum ConnectionStep {
     Connect,
@@ -30,7 +30,7 @@
 }
 
 impl ReplicaConnection {
-    /// Begins with a replica that is chosen at random.
+    /// Starts disconnected, with a randomly selected replica.
     pub(super) fn new(replica_count: usize, rng: &mut Rng, now: Timestamp) -> ReplicaConnection {
         ReplicaConnection {
             replica_count: replica_count.max(1),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The place of the replica in the list of addresses.
+    /// Index of the selected replica in the address list.
     pub(super) fn replica_index(&self) -> usize {
         self.replica_index
     }
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Turns to the next replica.
+    /// Selects the next replica, which is connected to after a random delay.
     pub(super) fn switch_replica(&mut self, rng: &mut Rng, now: Timestamp) {
         self.replica_index = (self.replica_index + 1) % self.replica_count;
         let delay = TimeDelta::from_micros(rng.u64(..MAX_RECONNECT_DELAY.as_micros()));
@@ -65,8 +65,8 @@
         };
     }
 
-    /// What is to be done at `now`. A replica that is silent for `silence_timeout` is given up; one that is being connected to has half
-    /// of that.
+    /// Returns the step that is due at `now`. A connection is closed once the replica has been silent for `silence_timeout`; a
+    /// connect attempt times out after half of that.
     pub(super) fn next_step(
         &mut self,
         now: Timestamp,
--- a/crates/coordinator/src/agent/leader_tasks.rs
+++ b/crates/coordinator/src/agent/leader_tasks.rs
@@ -1,5 +1,5 @@
-//! Tasks of the built-in elections that a gateway leads. Each command carries the election's fencing token, which the replicated
-//! state compares.
+//! Tasks of the built-in elections that a gateway leads. Each command carries the election's fencing token, and the replicated
+//! state rejects commands with an outdated one.
 
 use super::GatewayAgent;
 use crate::protocol::{wire, CommandKind, ReadKind, ReadRequest, ReadResponse};
@@ -8,7 +8,7 @@
 use chalkdeck_time::Timestamp;
 
 impl GatewayAgent {
-    /// Does what is pending, one command at a time.
+    /// Runs pending tasks. At most one command is in flight at a time.
     pub(super) fn run_leader_tasks(&mut self, now: Timestamp) {
         if self.session.has_pending_commands() {
             return;
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The release of an election that is to be handed over.
+    /// The command that releases the first election whose handover is requested.
     fn requested_release(&self) -> Option<wire::ReleaseElection> {
         let election = self.session.requested_handover()?;
         Some(wire::ReleaseElection {
@@ -51,7 +51,8 @@
         });
     }
 
-    /// Judges the proposal that was read. The token is the present one: a read that was sent under an earlier one serves as well.
+    /// Judges the proposal in the response to a read. The verdict carries the current token, even if the read was sent under an
+    /// earlier one: the response is valid for both.
     pub(super) fn judge_proposal(&mut self, now: Timestamp, response: &ReadResponse) {
         self.is_reading_proposals = false;
         let Some(token) = self.session.leader_token(REGISTRAR, now) else {
--- a/crates/coordinator/src/agent/mod.rs
+++ b/crates/coordinator/src/agent/mod.rs
@@ -1,5 +1,5 @@
-//! A gateway's part in the fleet, free of I/O: which replica it is connected to, the elections that it leads, its reports, and
-//! what its customers' access rules decide about calls.
+//! A gateway's coordinator agent, free of I/O: it selects the replica to connect to, runs the tasks of the elections that the
+//! gateway leads, sends reports, and applies customers' access rules to calls.
 
 mod connection;
 mod leader_tasks;
@@ -14,44 +14,45 @@
 use connection::{ConnectionStep, ReplicaConnection};
 use fastrand::Rng;
 
-/// Customers whose hits are in one report.
+/// Maximum number of customers whose rule hits are sent in one report.
 const CUSTOMERS_PER_REPORT: usize = 256;
-/// A replica that has not opened the first session by then is left for the next.
+/// Maximum time that a replica may be silent while no session is open, before the agent tries the next replica.
 const MAX_SESSION_OPEN_TIMEOUT: TimeDelta = TimeDelta::from_millis(1_500);
 
-/// What a gateway has to do.
+/// An action that the gateway has to carry out for its agent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AgentAction {
-    /// Connect to the replica at that place in the list of addresses, and close an earlier connection.
+    /// Connect to the replica at this index in the address list, and close any earlier connection.
     Connect(usize),
-    /// Send a message on the connection.
+    /// Send a message on the session's stream.
     Send(Box<ClientMessage>),
-    /// The cached state was changed by this event: write it to the cache file, and then call [`GatewayAgent::on_state_persisted`].
+    /// Write this event, which changed the cached state, to the cache file, and then call
+    /// [`GatewayAgent::on_state_persisted`].
     Persist(Box<WatchEvent>),
-    /// Decide again whether open streams of these customers may continue, by [`GatewayAgent::may_continue`].
+    /// Check with [`GatewayAgent::may_continue`] whether open streams of these customers may continue.
     RecheckStreams(Vec<String>),
-    /// The same for open streams of all customers: the session became valid, or invalid.
+    /// Check this for open streams of all customers, because the session became valid or invalid.
     RecheckAllStreams,
-    /// Other versions of services are admitted now.
+    /// Check endpoints again, because the set of admitted contract versions changed.
     ContractsChanged,
     /// Apply an operator's override of a site.
     ApplySiteOverride(SiteOverride),
 }
 
-/// Settings of a gateway's agent.
+/// Settings of a [`GatewayAgent`].
 #[derive(Clone, Debug)]
 pub struct AgentSettings {
-    /// The gateway's name, site and incarnation, and whether it may lead elections.
+    /// The request that opens a session: the gateway's name, site and incarnation, and whether it is a candidate in elections.
     pub open_session: wire::OpenSession,
     /// The number of replicas.
     pub replica_count: usize,
     /// Time between reports.
     pub report_interval: TimeDelta,
-    /// Seed of random choices.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// One gateway's part in the fleet.
+/// The coordinator agent of one gateway.
 #[derive(Debug)]
 pub struct GatewayAgent {
     session: SessionClient,
@@ -61,15 +62,15 @@
     rng: Rng,
     report_interval: TimeDelta,
     report_at: Timestamp,
-    /// A read of proposals is under way.
+    /// A read of proposals was sent and is not answered yet.
     is_reading_proposals: bool,
-    /// The session was valid at the last tick.
+    /// Whether the session was valid at the last tick.
     was_session_valid: bool,
     actions: Vec<AgentAction>,
 }
 
 impl GatewayAgent {
-    /// Begins with the state that the gateway cached before it was started, and without a connection.
+    /// Creates a disconnected agent with the state that an earlier process of the gateway has cached.
     pub fn new(settings: AgentSettings, state: CachedState, now: Timestamp) -> GatewayAgent {
         let mut rng = Rng::with_seed(settings.seed);
         let connection = ReplicaConnection::new(settings.replica_count, &mut rng, now);
@@ -104,17 +105,17 @@
         &self.rule_store
     }
 
-    /// The place of the replica that it is connected to, or connects to next.
+    /// Index in the address list of the replica that the agent is connected to, or connects to next.
     pub fn replica_index(&self) -> usize {
         self.connection.replica_index()
     }
 
-    /// Whether the replicated state was ever received. Without it no call may be admitted, as it is not known what is denied.
+    /// Whether the replicated state was ever received. Until then no call may be admitted, because the access rules are unknown.
     pub fn has_state(&self) -> bool {
         self.session.has_state()
     }
 
-    /// Takes what is to be done now, in order.
+    /// Removes and returns the pending actions, in the order in which they have to be carried out.
     pub fn take_actions(&mut self) -> Vec<AgentAction> {
         let messages = self.session.take_messages().into_iter();
         self.actions
@@ -124,7 +125,7 @@
 
     // ---- calls ----
 
-    /// Decides about a call at its arrival, and counts it under the version of the service that the caller speaks.
+    /// Decides whether a new call is admitted, and counts it under the service version that the caller uses.
     pub fn admit_call(
         &mut self,
         now: Timestamp,
@@ -137,7 +138,7 @@
         self.rule_store.decide(customer, call, session)
     }
 
-    /// Decides whether a call that was admitted before may continue.
+    /// Decides whether a call that was admitted earlier may continue.
     pub fn may_continue(
         &self,
         now: Timestamp,
@@ -150,29 +151,31 @@
 
     // ---- connection ----
 
-    /// The connection that was asked for is established. Nothing is sent on it before [`GatewayAgent::on_stream_accepted`].
+    /// Records that the requested connection is established. Nothing is sent on it before
+    /// [`GatewayAgent::on_stream_accepted`].
     pub fn on_connected(&mut self, now: Timestamp) {
         self.connection.on_connected(now);
     }
 
-    /// The replica was heard on the connection: it accepted the session's stream.
+    /// Opens the session, after the replica has sent response headers for the session's stream.
     ///
-    /// Only now is the session opened. A gateway that is heard but hears nothing would otherwise open one session after another at
-    /// the replicas: elections would be led by a gateway that may not act, and rule sets would wait for it to apply them.
+    /// The session is not opened earlier because the network may deliver in one direction only. A gateway that can send but not
+    /// receive would otherwise open session after session. It would be elected leader without being allowed to act, and the
+    /// rollout of rule sets would wait for its acknowledgement.
     pub fn on_stream_accepted(&mut self, now: Timestamp) {
         self.connection.on_message(now);
         self.is_reading_proposals = false;
         self.session.on_connected();
     }
 
-    /// The connection failed, or is lost.
+    /// Switches to the next replica after the connection could not be established or was lost.
     pub fn on_connection_lost(&mut self, now: Timestamp) {
         self.session.on_disconnected();
         self.is_reading_proposals = false;
         self.connection.switch_replica(&mut self.rng, now);
     }
 
-    /// Time passes.
+    /// Advances time to `now`: checks timeouts, renews the session, runs leader tasks and sends reports when they are due.
     pub fn tick(&mut self, now: Timestamp) {
         match self.connection.next_step(now, self.silence_timeout()) {
             Some(ConnectionStep::Connect) => {
@@ -192,7 +195,8 @@
         }
     }
 
-    /// How long a replica may be silent: half of a lease is left for another one then.
+    /// How long a replica may be silent before the connection is closed. This leaves half of the lease to renew the session at
+    /// another replica.
     fn silence_timeout(&self) -> TimeDelta {
         let half_lease = self.session.lease_terms().half_lease();
         if self.session.is_open() {
@@ -202,7 +206,7 @@
         }
     }
 
-    /// Takes a message of the replica in.
+    /// Handles a message from the replica.
     pub fn receive(&mut self, now: Timestamp, message: ServerMessage) {
         self.connection.on_message(now);
         let outcome = self.session.receive(now, message);
@@ -251,7 +255,8 @@
             .rule_store
             .get(customer)
             .map_or(0, |rules| rules.set().version);
-        // An older version is one of another fleet's state, whose versions begin anew.
+        // A lower version belongs to another cluster, whose versions start from the beginning. The stored set is removed first,
+        // because the store ignores versions that are not higher than its own.
         if rule_set
             .as_ref()
             .is_none_or(|set| set.version < stored_version)
@@ -283,17 +288,19 @@
         self.session.send_report(report);
     }
 
-    /// The cache file holds the state up to this version. To be called at the start, too, if there is a cache file.
+    /// Records that the cache file holds the state up to this version. If there is a cache file, this must also be called at
+    /// start-up.
     pub fn on_state_persisted(&mut self, now: Timestamp, version: u64) {
         self.session.on_state_persisted(now, version);
     }
 
-    /// The gateway is about to stop: others lead its elections at once.
+    /// Withdraws from all elections before the gateway shuts down, so that other gateways take over without waiting for the
+    /// lease to expire.
     pub fn resign(&mut self) {
         self.session.resign();
     }
 
-    /// The gateway stops.
+    /// Closes the session when the gateway stops.
     pub fn close(&mut self) {
         self.session.close();
     }
--- a/crates/coordinator/src/cache_file.rs
+++ b/crates/coordinator/src/cache_file.rs
@@ -1,5 +1,5 @@
-//! The file in which a gateway caches the replicated state: a log of watch events, first the whole state and then changes of it.
-//! A last record that was torn by a crash counts as not written.
+//! The file in which a gateway caches the replicated state: a log of watch events, which starts with the full state and
+//! continues with changes. A torn last record, left by a crash during a write, is ignored.
 
 use crate::protocol::{wire, WatchEvent};
 use crate::session::CachedState;
@@ -9,15 +9,15 @@
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// Rule sets in one record of a whole state, as the size of a record is bounded.
+/// Rule sets per record when the full state is written. The full state is split because the size of a record is limited.
 const RULE_SETS_PER_RECORD: usize = 64;
-/// The file is not rewritten before changes take so many bytes, however short the whole state is.
+/// Minimum size of the appended changes before the file is rewritten, so that a small state is not rewritten too often.
 const MIN_REWRITE_BYTES: u64 = 1 << 20;
 
-/// Why the file cannot be used.
+/// An error of the cache file.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum CacheFileError {
-    /// It cannot be read or written.
+    /// The file cannot be read or written.
     #[error("{}: {source}", file.display())]
     #[diagnostic(
         code(chalkdeck::keeper::kept_file),
@@ -26,10 +26,10 @@
     Io {
         /// Its path.
         file: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// It holds something else.
+    /// The file is damaged, or not a cache file.
     #[error("{}: expected a gateway's cache of the replicated state", file.display())]
     #[diagnostic(
         code(chalkdeck::keeper::kept_form),
@@ -41,24 +41,26 @@
     },
 }
 
-/// The open file.
+/// An open cache file.
 #[derive(Debug)]
 pub struct CacheFile {
     path: PathBuf,
-    /// Open for appending; `None`: the next write replaces the file.
+    /// Open for appending; `None` if the next write must rewrite the file.
     file: Option<File>,
-    /// Bytes of the whole state, and of the changes after it.
+    /// Size of the records of the full state at the start of the file.
     full_state_bytes: u64,
+    /// Size of the changes appended since then.
     change_bytes: u64,
-    /// The version after the last record.
+    /// Version of the state after the last written record.
     written_version: u64,
 }
 
 impl CacheFile {
-    /// Opens the file and reads the state in it; one that is not there holds an empty state.
+    /// Opens the file and reads the state from it. A missing file holds an empty state.
     ///
     /// # Errors
-    /// See [`CacheFileError`]. The gateway must not start then: it would go by no rules where it went by some before.
+    /// See [`CacheFileError`]. The gateway must not start after an error, because it would run without access rules that it has
+    /// applied before.
     pub fn open(path: &Path) -> Result<(CacheFile, CachedState), CacheFileError> {
         let bytes = read_if_exists(path).map_err(|source| CacheFileError::Io {
             file: path.to_path_buf(),
@@ -79,10 +81,10 @@
         Ok((file, state))
     }
 
-    /// Writes an event that was applied to `state`, and returns once it is on the disk.
+    /// Writes an event that was applied to `state`, and returns once it is synced to disk.
     ///
     /// # Errors
-    /// The disk; the next call then writes the whole state.
+    /// The write failed. The next call then writes the full state.
     pub fn write(&mut self, event: &WatchEvent, state: &CachedState) -> Result<(), CacheFileError> {
         let result = if event.whole {
             self.rewrite(state)
@@ -104,7 +106,7 @@
         let Some(file) = self.file.as_mut().filter(|_| can_append) else {
             return self.rewrite(state);
         };
-        // Events in between that changed nothing were not written, and are no gap.
+        // Events without changes are not written. `since` is set to the last written version, so that they don't count as a gap.
         let change = WatchEvent {
             since: self.written_version,
             ..event.clone()
@@ -119,7 +121,7 @@
         file.sync_data()
     }
 
-    /// Writes the whole state to a new file, and puts that in the place of the old one.
+    /// Writes the full state to a new file, and atomically renames it over the old one.
     fn rewrite(&mut self, state: &CachedState) -> io::Result<()> {
         let bytes = encode_full_state(state);
         let new_path = self.path.with_extension("new");
@@ -152,7 +154,7 @@
     Ok(bytes)
 }
 
-/// The state that records lead to; `None`: they are damaged, or something else.
+/// Replays the records and returns the resulting state; `None` if the bytes are damaged or are not those of a cache file.
 fn replay(bytes: &[u8]) -> Option<CachedState> {
     let mut state = CachedState::default();
     let mut offset = 0;
@@ -160,13 +162,13 @@
         state.apply(&WatchEvent::decode(body).ok()?);
         offset += record::HEADER_LEN + body.len();
     }
-    // Only the last record may be torn.
+    // A torn record is tolerated only at the end, and only after a complete one.
     let is_torn = offset < bytes.len();
     let is_damaged = is_torn && (offset == 0 || record::exists_from(bytes, offset + 1));
     (!is_damaged).then_some(state)
 }
 
-/// Records of a whole state: all but the rule sets in the first, and then these.
+/// Encodes the full state: the first record holds everything but the rule sets, which follow in further records.
 fn encode_full_state(state: &CachedState) -> Vec<u8> {
     let mut event = state.to_event();
     let rule_sets: Vec<wire::RuleSet> = std::mem::take(&mut event.rules);
--- a/crates/coordinator/src/cache_file/tests.rs
+++ b/crates/coordinator/src/cache_file/tests.rs
@@ -27,7 +27,7 @@
 fn a_written_state_is_read_back_and_only_a_torn_last_record_is_tolerated() {
     let path = std::env::temp_dir().join(format!("chalkdeck-cache-file-{}", std::process::id()));
     let _ = std::fs::remove_file(&path);
-    let (mut file, mut state) = CacheFile::open(&path).expect("none yet");
+    let (mut file, mut state) = CacheFile::open(&path).expect("a missing file is an empty state");
     assert_eq!(state.version, 0);
     let many: Vec<_> = (0..200).map(|i| rule_set(&format!("c{i}"), 1)).collect();
     for change in [
@@ -38,16 +38,16 @@
         state.apply(&change);
         file.write(&change, &state).expect("written");
     }
-    // An event that changes nothing, and is not written, lies between.
+    // An event that changes nothing is not written, so the file skips version 6.
     state.apply(&event(6, false, &[]));
     let last = event(7, false, &[rule_set("c9", 2)]);
     state.apply(&last);
     file.write(&last, &state).expect("written");
-    let (_, reread) = CacheFile::open(&path).expect("sound");
-    assert_eq!(reread, state, "whole and changes");
-    let bytes = std::fs::read(&path).expect("there");
-    std::fs::write(&path, &bytes[..bytes.len() - 3]).expect("torn");
-    let (_, torn) = CacheFile::open(&path).expect("the last record alone is torn");
+    let (_, reread) = CacheFile::open(&path).expect("an intact file");
+    assert_eq!(reread, state, "the full state and the changes after it");
+    let bytes = std::fs::read(&path).expect("the file exists");
+    std::fs::write(&path, &bytes[..bytes.len() - 3]).expect("truncated");
+    let (_, torn) = CacheFile::open(&path).expect("a torn last record is ignored");
     assert_eq!(
         (
             torn.version,
@@ -64,7 +64,7 @@
             CacheFile::open(&path),
             Err(CacheFileError::Malformed { .. })
         ),
-        "damage before sound records is an error"
+        "damage before intact records is an error"
     );
     let _ = std::fs::remove_file(&path);
 }
--- a/crates/coordinator/src/call_statistics.rs
+++ b/crates/coordinator/src/call_statistics.rs
@@ -1,4 +1,5 @@
-//! Calls of a gateway since its last report, by kind and by the version of the service that the caller speaks.
+//! Counts a gateway's calls since its last report, by kind (customer, caller's region, path and class) and by the service version
+//! that the caller uses.
 
 use crate::protocol::wire;
 use crate::registrar::UNVERSIONED;
@@ -6,19 +7,19 @@
 use rustc_hash::{FxHashMap, FxHasher};
 use std::hash::{Hash, Hasher};
 
-/// Kinds of calls, and uses of versions, in one report; calls of further ones are left out of it.
+/// Maximum number of kinds of calls, and of service versions, in one report. Calls beyond that are not counted.
 const MAX_ENTRIES: usize = 2_048;
-/// Longer names of versions count as [`UNVERSIONED`].
+/// Maximum length of a version name. Calls with a longer name are counted as [`UNVERSIONED`].
 const MAX_VERSION_BYTES: usize = 256;
 
-/// Calls since the last report.
+/// Call counts since the last report.
 #[derive(Debug, Default)]
 pub struct CallStatistics {
-    /// By the hash of what tells one kind from another.
+    /// Keyed by the hash of customer, caller's region, path and class.
     call_counts: FxHashMap<u64, wire::CallCount>,
     version_calls: FxHashMap<u64, wire::VersionCalls>,
-    /// Calls that were left out as there was no room for their kind.
-    pub dropped_calls: u64,
+    /// Number of increments that were dropped because a map had reached [`MAX_ENTRIES`].
+    pub dropped_increments: u64,
 }
 
 fn hash_parts(parts: &[&str]) -> u64 {
@@ -27,13 +28,13 @@
     hasher.finish()
 }
 
-/// The service in a path of gRPC; `None`: it is another path.
+/// The service name in a gRPC path; `None` if the path is not of the form `/service/method`.
 fn grpc_service(path: &str) -> Option<&str> {
     let (service, _) = path.strip_prefix('/')?.split_once('/')?;
     (!service.is_empty()).then_some(service)
 }
 
-/// The entry under a key, made first if there is room; `None`: there is none.
+/// The entry of a key, which is created if it is missing; `None` if it is missing and the map has reached [`MAX_ENTRIES`].
 fn entry_within_limit<T>(
     entries: &mut FxHashMap<u64, T>,
     key: u64,
@@ -46,7 +47,7 @@
 }
 
 impl CallStatistics {
-    /// Counts a call. `version`: of its service, as the caller gives it.
+    /// Counts a call. `version` is the service version that the caller states.
     pub fn record(&mut self, customer: &str, call: &Call, version: Option<&str>) {
         self.record_call_count(customer, call);
         if let Some(service) = grpc_service(call.path) {
@@ -69,7 +70,7 @@
         };
         match entry_within_limit(&mut self.call_counts, key, create) {
             Some(call_count) => call_count.count += 1,
-            None => self.dropped_calls += 1,
+            None => self.dropped_increments += 1,
         }
     }
 
@@ -83,16 +84,16 @@
         };
         match entry_within_limit(&mut self.version_calls, key, create) {
             Some(version_calls) => version_calls.calls += 1,
-            None => self.dropped_calls += 1,
+            None => self.dropped_increments += 1,
         }
     }
 
-    /// Whether no call came since the last report.
+    /// Whether no call was counted since the last report.
     pub fn is_empty(&self) -> bool {
         self.call_counts.is_empty() && self.version_calls.is_empty()
     }
 
-    /// Moves all of it into a report, which is sent until it is acknowledged and counts once.
+    /// Moves all counts into a report. The report is resent until it is acknowledged, and is applied only once.
     pub fn drain_into(&mut self, report: &mut wire::Report) {
         report.version_calls.extend(
             self.version_calls
--- a/crates/coordinator/src/call_statistics/tests.rs
+++ b/crates/coordinator/src/call_statistics/tests.rs
@@ -43,7 +43,7 @@
         statistics.record(&i.to_string(), &call("TAKE"), None);
     }
     assert_eq!(
-        statistics.dropped_calls, 5,
-        "calls beyond the bound are counted as left out"
+        statistics.dropped_increments, 5,
+        "calls beyond the limit are counted as dropped"
     );
 }
--- a/crates/coordinator/src/client.rs
+++ b/crates/coordinator/src/client.rs
@@ -1,5 +1,5 @@
-//! A blocking client of the replicas, for operators and tools. It asks one replica after another until one answers; a command is
-//! sent again under its own number, so it is applied once.
+//! A blocking client of the replicas, for operators and tools. It tries one replica after another until one answers. A command is
+//! resent under the same number, so that it is applied only once.
 
 use crate::ids::CommandNumber;
 use crate::protocol::{
@@ -15,9 +15,9 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// How long one replica has to answer before the next is asked.
+/// Timeout of a request to one replica, after which the next one is tried.
 const REPLICA_TIMEOUT: TimeDelta = TimeDelta::from_millis(1_500);
-/// Time between the answer of one replica and the request to the next.
+/// Delay between a failed request to one replica and the request to the next.
 const RETRY_DELAY: TimeDelta = TimeDelta::from_millis(100);
 
 /// Why a request failed.
@@ -30,19 +30,19 @@
         help("see the limit of descriptors (ulimit -n)")
     )]
     Poll(io::Error),
-    /// No replica answered a read.
+    /// No replica has answered a read.
     #[error("no replica of {replicas} answered within {seconds} s")]
     #[diagnostic(
         code(chalkdeck::keeper::no_answer),
         help("see whether the addresses are those of the replicas, and their /healthz: without a majority nothing is agreed on")
     )]
     NoAnswer {
-        /// How many were asked.
+        /// The number of replicas that were tried.
         replicas: usize,
-        /// For how long.
+        /// The timeout in seconds.
         seconds: u64,
     },
-    /// No replica answered a command.
+    /// No replica has answered a command, so its outcome is unknown.
     #[error(
         "no replica of {replicas} answered within {seconds} s: whether the command was taken is not known"
     )]
@@ -51,40 +51,40 @@
         help("say the same command again: what was taken before is not harmed by it; see the replicas' /healthz")
     )]
     OutcomeUnknown {
-        /// How many were asked.
+        /// The number of replicas that were tried.
         replicas: usize,
-        /// For how long.
+        /// The timeout in seconds.
         seconds: u64,
     },
-    /// The command was rejected.
+    /// The replicas have rejected the command.
     #[error("refused: {reason}")]
     #[diagnostic(
         code(chalkdeck::keeper::refused),
         help("nothing was changed; the text says what was expected")
     )]
     Rejected {
-        /// What the replicas say.
+        /// The reason that the replicas have given.
         reason: String,
     },
 }
 
-/// The client.
+/// A blocking client of the replicas.
 pub struct CoordinatorClient {
     engine: Engine,
     replicas: Vec<SocketAddr>,
-    /// By what the replicas tell this caller from others.
+    /// Identifies this client to the replicas, which deduplicate commands by caller and number.
     caller: u64,
     last_command_number: CommandNumber,
-    /// The place of the replica that answered last, or is to be asked next.
+    /// Index in the address list of the replica that answered last or is tried next.
     replica_index: usize,
     connection: Option<ConnId>,
 }
 
 impl CoordinatorClient {
-    /// A client that is a caller of its own.
+    /// Creates a client with a caller id of its own, which is not connected yet.
     ///
     /// # Errors
-    /// The system gives no poll handle.
+    /// The operating system has not provided a poll handle.
     pub fn new(replicas: Vec<SocketAddr>) -> Result<CoordinatorClient, ClientError> {
         let engine = Engine::new().map_err(ClientError::Poll)?;
         let caller = incarnation(engine.now());
@@ -99,10 +99,10 @@
         })
     }
 
-    /// Submits a command, and returns once it was applied.
+    /// Submits a command, and returns once it is applied.
     ///
     /// # Errors
-    /// It was rejected, or its outcome is not known within `timeout`.
+    /// The command was rejected, its outcome is unknown after `timeout`, or the event loop failed.
     pub fn submit(
         &mut self,
         kind: CommandKind,
@@ -137,10 +137,10 @@
         })
     }
 
-    /// Reads the state of any replica that takes part; without a quorum it may be an old one.
+    /// Reads the state from any replica that is in a configuration. Without a quorum the state may be outdated.
     ///
     /// # Errors
-    /// No replica answered within `timeout`.
+    /// No replica answered within `timeout`, or the event loop failed.
     pub fn read(
         &mut self,
         request: &ReadRequest,
@@ -159,7 +159,7 @@
         })
     }
 
-    /// Reads the state of the replica at a place in the list of addresses; `None`: it does not answer within `timeout`.
+    /// Reads the state from the replica at an index in the address list; `None` if it does not answer within `timeout`.
     ///
     /// # Errors
     /// The event loop failed.
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Turns to the next replica after a while.
+    /// Disconnects, selects the next replica and waits for the retry delay.
     fn switch_replica(&mut self, deadline: Timestamp) -> Result<(), ClientError> {
         self.disconnect();
         self.replica_index = (self.replica_index + 1) % self.replicas.len();
@@ -205,7 +205,7 @@
             .map_err(ClientError::Poll)
     }
 
-    /// One unary call to the present replica; `None`: it has not answered in time.
+    /// Makes a unary call to the selected replica; `None` if it has failed or timed out.
     fn call<R: Message + Default>(
         &mut self,
         path: &str,
@@ -255,7 +255,7 @@
     span.as_millis() / 1_000
 }
 
-/// One unary call on a connection.
+/// A unary call on a connection.
 struct UnaryCall<'a> {
     connection: ConnId,
     address: SocketAddr,
@@ -265,7 +265,7 @@
     response: UnaryMessage,
 }
 
-/// How far a call has come.
+/// The state of a unary call.
 enum CallState {
     Pending,
     Answered(Vec<u8>),
--- a/crates/coordinator/src/server/error.rs
+++ b/crates/coordinator/src/server/error.rs
@@ -1,4 +1,4 @@
-//! Why a replica does not start, or stops.
+//! Errors that prevent a replica from starting, or stop it.
 
 use crate::consensus::ConsensusError;
 use crate::log::LogError;
@@ -7,17 +7,17 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why a replica does not start, or stops.
+/// An error that prevents a replica from starting, or stops it.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum ServerError {
-    /// The system gives no poll handle, or the event loop failed.
+    /// The operating system has not provided a poll handle, or the event loop failed.
     #[error("poll: {0}")]
     #[diagnostic(
         code(chalkdeck::keeper::poll),
         help("see the limit of descriptors (ulimit -n)")
     )]
     Poll(io::Error),
-    /// An address cannot be listened at.
+    /// An address cannot be bound.
     #[error("cannot listen at {address}: {source}")]
     #[diagnostic(
         code(chalkdeck::keeper::listen),
@@ -28,19 +28,19 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The folder cannot be created.
+    /// The log's folder cannot be opened or created.
     #[error("folder {}: {source}", folder.display())]
     #[diagnostic(code(chalkdeck::keeper::folder), help("see its path, room and rights"))]
     Folder {
         /// Its path.
         folder: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The log in the folder cannot be read back.
+    /// The log in the folder cannot be read.
     #[error("folder {}: {source}", folder.display())]
     #[diagnostic(
         code(chalkdeck::keeper::damage),
@@ -49,7 +49,7 @@
     Damaged {
         /// Its path.
         folder: PathBuf,
-        /// What is wrong there.
+        /// The error of the log.
         source: OpenError,
     },
     /// See [`ConsensusError`].
--- a/crates/coordinator/src/server/incoming.rs
+++ b/crates/coordinator/src/server/incoming.rs
@@ -1,4 +1,4 @@
-//! Streams that gateways, operators and other replicas have opened.
+//! Incoming gRPC streams, which gateways, operators and other replicas open.
 
 use super::{MAX_STATE_MESSAGE_BYTES, PEER_PATH, READ_PATH, SESSION_PATH, SUBMIT_PATH};
 use crate::protocol::{wire, ClientMessage, PeerMessage, ReadRequest};
@@ -6,10 +6,10 @@
 use chalkdeck_net::grpc::Deframer;
 use prost::Message;
 
-/// The longest message of operators and gateways.
+/// Maximum size of a message from operators and gateways.
 const MAX_REQUEST_BYTES: usize = 4 << 20;
 
-/// A method of the service.
+/// A method of the gRPC service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Method {
     Submit,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Whether both sides send any number of messages.
+    /// Whether the method is bidirectional streaming.
     pub(super) fn is_streaming(self) -> bool {
         matches!(self, Method::Session | Method::Peer)
     }
@@ -42,7 +42,7 @@
     }
 }
 
-/// A message that was received.
+/// A received message.
 pub(super) enum IncomingMessage {
     Submit(wire::Command),
     Read(ReadRequest),
@@ -50,11 +50,11 @@
     Peer(PeerMessage),
 }
 
-/// What was received is no message of the method.
+/// The received bytes are not a message of the method.
 #[derive(Debug)]
 pub(super) struct MalformedMessage;
 
-/// A stream that was opened here by another side.
+/// A stream that a client has opened.
 pub(super) struct IncomingStream {
     pub(super) method: Method,
     deframer: Deframer,
@@ -72,7 +72,7 @@
         self.deframer.push(data);
     }
 
-    /// The next whole message; `None`: more bytes are needed.
+    /// The next complete message; `None` if more bytes are needed.
     pub(super) fn next_message(&mut self) -> Result<Option<IncomingMessage>, MalformedMessage> {
         let max_bytes = self.method.max_message_bytes();
         let body: Option<Bytes> = self
--- a/crates/coordinator/src/server/metrics.rs
+++ b/crates/coordinator/src/server/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of a replica in the text form of OpenMetrics.
+//! Metrics of a replica in the OpenMetrics text format.
 
 use crate::replica::Replica;
 use std::fmt::Write;
@@ -9,12 +9,12 @@
     value: u64,
 }
 
-/// All metrics. `record_count`: records written since the start.
+/// Renders all metrics. `record_count` is the number of log records written since the start.
 pub(super) fn render(replica: &Replica, record_count: u64) -> String {
     let mut text = String::new();
     for gauge in gauges(replica, record_count) {
         let Gauge { name, help, value } = gauge;
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = writeln!(text, "# HELP chalkdeck_keeper_{name} {help}");
         let _ = writeln!(text, "# TYPE chalkdeck_keeper_{name} gauge");
         let _ = writeln!(text, "chalkdeck_keeper_{name} {value}");
--- a/crates/coordinator/src/server/mod.rs
+++ b/crates/coordinator/src/server/mod.rs
@@ -1,5 +1,6 @@
-//! One replica on sockets: commands, reads and sessions in, and messages of the consensus both ways. What a turn sends leaves after
-//! its record is on the disk. It decides nothing.
+//! The network server of one replica: it receives commands, reads and sessions, and exchanges consensus messages with the other
+//! replicas. The output of an event-loop turn is sent only after the turn's record is synced to disk. All decisions are made by
+//! [`Replica`].
 
 mod error;
 mod incoming;
@@ -24,29 +25,29 @@
 use rustc_hash::FxHashMap;
 use std::net::SocketAddr;
 
-/// Path of the method that submits a command.
+/// gRPC path of the method that submits a command.
 pub const SUBMIT_PATH: &str = "/chalkdeck.keeper.v1.Keeper/Tell";
-/// Path of the method that reads the state.
+/// gRPC path of the method that reads the state.
 pub const READ_PATH: &str = "/chalkdeck.keeper.v1.Keeper/Look";
-/// Path of the method of gateways' sessions.
+/// gRPC path of the method for gateways' sessions.
 pub const SESSION_PATH: &str = "/chalkdeck.keeper.v1.Keeper/Session";
-/// Path of the method of messages between replicas.
+/// gRPC path of the method for messages between replicas.
 pub const PEER_PATH: &str = "/chalkdeck.keeper.v1.Keeper/Peer";
 
-/// The longest message of another replica: it may hold the whole state.
+/// Maximum size of a message from a replica, which may hold the full state.
 pub(crate) const MAX_STATE_MESSAGE_BYTES: usize = 512 << 20;
-/// Bytes that may wait for a gateway that does not read; its stream is reset then.
+/// Maximum size of a gateway's send queue. The stream of a gateway that reads too slowly is reset beyond that.
 const MAX_GATEWAY_SEND_QUEUE_BYTES: usize = 64 << 20;
-/// A connection is pinged this often, and lost when a ping is not answered by the next.
+/// Interval between keepalive pings. A connection is closed if a ping is not answered before the next one is due.
 const KEEPALIVE_INTERVAL: TimeDelta = TimeDelta::from_millis(1_000);
-/// The longest wait for events in one turn.
+/// Maximum time that an event-loop turn waits for events.
 const MAX_POLL_WAIT: TimeDelta = TimeDelta::from_millis(50);
-/// Token of the timer of ticks.
+/// Token of the tick timer.
 const TICK_TIMER_TOKEN: u64 = 1;
-/// Bytes of log after which a snapshot is written, for each byte of the state that the configuration began with: a snapshot holds
-/// that state, too.
+/// Size of the log at which a snapshot is written, as a multiple of the configuration's initial state, because each snapshot
+/// contains that state.
 const LOG_TO_STATE_RATIO: usize = 2;
-/// A smaller state counts as this many bytes.
+/// Lower bound for the state size in this calculation.
 const MIN_STATE_BYTES: usize = 16 << 20;
 
 /// Limits of a replica's connections.
@@ -75,7 +76,7 @@
 }
 
 impl ReplicaServer {
-    /// Reads the folder back and binds the ports.
+    /// Replays the log in the settings' folder and binds the addresses.
     ///
     /// # Errors
     /// See [`ServerError`].
@@ -110,20 +111,20 @@
         })
     }
 
-    /// Where it listens for gRPC.
+    /// The address that the gRPC server listens on.
     pub fn listen_address(&self) -> SocketAddr {
         self.listen_address
     }
 
-    /// Where it listens for health checks and metrics.
+    /// The address that health checks and metrics are served on.
     pub fn admin_address(&self) -> Option<SocketAddr> {
         self.admin_address
     }
 
-    /// Serves until it is asked to stop.
+    /// Serves until a signal requests the stop.
     ///
     /// # Errors
-    /// The disk, or the event loop; nothing was sent that is not on the disk.
+    /// Writing the log or polling for events failed. No output was sent whose record is not on disk.
     pub fn run(mut self, signals: &Signals) -> Result<(), ServerError> {
         let mut events = Vec::new();
         self.end_turn()?;
@@ -142,7 +143,7 @@
         self.engine.turn(0, &mut events).map_err(ServerError::Poll)
     }
 
-    /// Writes the record of a turn, then sends its outputs.
+    /// Writes the record of a turn, and then sends the turn's outputs.
     fn end_turn(&mut self) -> Result<(), ServerError> {
         if let Some(record) = self.replica.end_turn() {
             self.log.write(&record)?;
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Sends the one response of a unary call.
+    /// Sends the response of a unary call.
     fn respond(&mut self, requester: RequesterId, message: &impl Message) {
         let stream = StreamId(requester.0);
         if self.incoming_streams.remove(&stream).is_none() {
@@ -235,7 +236,7 @@
             .insert(stream, IncomingStream::new(method));
     }
 
-    /// The other side sends nothing more.
+    /// Handles the end of the remote side of a stream.
     fn on_remote_end(&mut self, stream: StreamId) {
         let incoming = self.incoming_streams.get(&stream);
         if incoming.is_some_and(|incoming| incoming.method.is_streaming()) {
@@ -260,7 +261,7 @@
         if let Some(incoming) = self.incoming_streams.get_mut(&stream) {
             incoming.push_data(data);
         }
-        // A message may close its stream.
+        // Handling a message may remove the stream.
         while let Some(incoming) = self.incoming_streams.get_mut(&stream) {
             match incoming.next_message() {
                 Ok(Some(message)) => self.on_message(RequesterId(stream.0), message),
@@ -312,7 +313,7 @@
     }
 }
 
-/// What is spoken at a listener.
+/// The protocol of a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Protocol {
     Http1,
@@ -351,7 +352,7 @@
     opened: &OpenedLog<Folder>,
     incarnation: u64,
 ) -> ReplicaSettings {
-    // A replica without a configuration is known by its disk, so that it asks for the same place after a restart.
+    // A replica without a configuration uses its disk's incarnation, so that it requests the same membership after a restart.
     let has_configuration = opened.state.configuration.number > 0;
     ReplicaSettings {
         slot: settings.slot,
--- a/crates/coordinator/src/server/peers.rs
+++ b/crates/coordinator/src/server/peers.rs
@@ -1,4 +1,4 @@
-//! Connections to the other replicas: one each, established when there is something to send.
+//! Connections to the other replicas: one per replica, established on demand.
 
 use super::{connection_limits, MAX_STATE_MESSAGE_BYTES, PEER_PATH, READ_PATH};
 use crate::ids::Slot;
@@ -11,13 +11,13 @@
 use rustc_hash::FxHashMap;
 use std::net::SocketAddr;
 
-/// Time between two attempts to connect.
+/// Minimum time between two connect attempts.
 const RECONNECT_DELAY: TimeDelta = TimeDelta::from_millis(100);
-/// A connection that is not established by then is given up.
+/// Timeout of a connect attempt.
 const CONNECT_TIMEOUT: TimeDelta = TimeDelta::from_millis(2_000);
-/// Bytes that may wait for a replica that does not read; its connection is closed then.
+/// Maximum size of a replica's send queue. The connection to a replica that reads too slowly is closed beyond that.
 const MAX_PEER_SEND_QUEUE_BYTES: usize = 1 << 30;
-/// Reads that are under way, for each replica.
+/// Maximum number of pending reads, as an average over all replicas: the limit applies to their total.
 const MAX_PENDING_READS_PER_REPLICA: usize = 8;
 
 /// The connection to one replica.
@@ -26,9 +26,9 @@
     connection: Option<ConnId>,
     is_established: bool,
     stream: Option<StreamId>,
-    /// No attempt to connect is made before.
+    /// No connect attempt is made before this time.
     next_connect_at: Timestamp,
-    /// When an attempt is given up.
+    /// When the connect attempt times out.
     connect_deadline: Timestamp,
 }
 
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The connection if it is established; if there is none it is begun.
+    /// The connection, if it is established. Starts a connect attempt if there is none.
     fn connect_if_needed(&mut self, engine: &mut Engine) -> Option<ConnId> {
         let now = Timestamp::from_micros(engine.now());
         if self.connection.is_none() && now >= self.next_connect_at {
@@ -55,7 +55,7 @@
         self.connection.filter(|_| self.is_established)
     }
 
-    /// The stream of messages, opened unless it is open.
+    /// The stream for consensus messages, which is opened if needed.
     fn open_stream_if_needed(
         &mut self,
         engine: &mut Engine,
@@ -89,9 +89,9 @@
 /// Connections to all other replicas.
 pub(super) struct PeerConnections {
     own_slot: Slot,
-    /// By place in the list of addresses; the replica's own is not used.
+    /// By index in the address list. The entry of the replica's own slot is not used.
     peers: Vec<PeerConnection>,
-    /// Reads under way, by their streams.
+    /// Partial responses of pending reads, by stream.
     pending_reads: FxHashMap<StreamId, UnaryMessage>,
 }
 
@@ -104,7 +104,7 @@
         }
     }
 
-    /// The connection to another replica; `None`: it is this one's own slot, or no slot.
+    /// The connection to another replica; `None` for the replica's own slot or an unknown slot.
     fn peer(&mut self, slot: Slot) -> Option<&mut PeerConnection> {
         if slot == self.own_slot {
             return None;
@@ -112,7 +112,7 @@
         self.peers.get_mut(slot.index())
     }
 
-    /// Sends a message, or drops it where there is no connection: the consensus core repeats what it needs.
+    /// Sends a message, or drops it if there is no connection: the consensus core resends messages as needed.
     pub(super) fn send(&mut self, engine: &mut Engine, slot: Slot, message: &PeerMessage) {
         let Some(peer) = self.peer(slot) else {
             return;
@@ -131,7 +131,7 @@
         engine.send(stream, grpc::frame(&message.encode_to_vec()));
     }
 
-    /// Reads the configuration that a replica is in, or drops the read.
+    /// Sends a read of a replica's configuration, or drops it if there is no connection or too many reads are pending.
     pub(super) fn send_read(&mut self, engine: &mut Engine, slot: Slot, request: &ReadRequest) {
         let Some(peer) = self.peer(slot) else {
             return;
@@ -153,7 +153,7 @@
         self.pending_reads.insert(stream, UnaryMessage::default());
     }
 
-    /// Gives up connections that are not established in time.
+    /// Closes connections that were not established before their deadline.
     pub(super) fn tick(&mut self, engine: &mut Engine) {
         let now = Timestamp::from_micros(engine.now());
         for peer in &mut self.peers {
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Takes bytes in; the response to a read, once it is whole.
+    /// Buffers received bytes of a read's response, and returns the response once it is complete.
     pub(super) fn receive_read_data(
         &mut self,
         stream: StreamId,
--- a/crates/coordinator/src/session/cached_state.rs
+++ b/crates/coordinator/src/session/cached_state.rs
@@ -1,4 +1,4 @@
-//! The copy of the replicated state at a gateway.
+//! A gateway's copy of the replicated state.
 
 use crate::protocol::{wire, SiteOverride, WatchEvent};
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,29 +12,30 @@
     pub version: String,
 }
 
-/// What a gateway knows of the replicated state. It outlasts sessions and, in a [`crate::cache_file::CacheFile`], restarts.
+/// A gateway's copy of the replicated state. It is kept across sessions and, in a [`crate::cache_file::CacheFile`], across
+/// restarts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CachedState {
-    /// The version of the state; 0: nothing was ever received.
+    /// The version of the state; 0 if no state was ever received.
     pub version: u64,
-    /// Which fleet's state it is.
+    /// The id of the cluster that the state belongs to.
     pub cluster: u64,
     /// Rule sets by customer.
     pub rules: BTreeMap<String, wire::RuleSet>,
-    /// Admitted contracts.
+    /// Admitted contract versions.
     pub contracts: BTreeSet<ServiceVersion>,
-    /// Operators' overrides by site.
+    /// Operators' site overrides, by site.
     pub site_overrides: BTreeMap<String, SiteOverride>,
 }
 
-/// What a watch event changed.
+/// The changes that a watch event has made to the cached state.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StateChanges {
     /// Customers whose rule set was changed or removed.
     pub rule_customers: Vec<String>,
-    /// Contracts were admitted or retired.
+    /// Whether contracts were admitted or retired.
     pub has_contract_changes: bool,
-    /// Overrides that are new.
+    /// Site overrides that are new or changed.
     pub site_overrides: Vec<SiteOverride>,
 }
 
@@ -51,8 +52,8 @@
         !event.whole && (event.cluster != self.cluster || event.since > self.version)
     }
 
-    /// Applies an event. An event that is older than the state, from a replica that lags, changes nothing, nor does one that has
-    /// a gap before it.
+    /// Applies an event. An event that is older than the state, as a lagging replica sends it, is ignored, and so is one after a
+    /// gap.
     pub fn apply(&mut self, event: &WatchEvent) -> StateChanges {
         let mut changes = StateChanges::default();
         let is_older = event.cluster == self.cluster && event.version < self.version;
@@ -70,7 +71,7 @@
         changes
     }
 
-    /// Removes what an event that holds the whole state does not name.
+    /// Removes entries that a full-state event does not list.
     fn remove_absent(&mut self, event: &WatchEvent, changes: &mut StateChanges) {
         let customers: BTreeSet<&String> = event.rules.iter().map(|set| &set.customer).collect();
         let removed = self.rules.keys().filter(|c| !customers.contains(c));
@@ -103,7 +104,7 @@
                 version: contract.version.clone(),
             });
         }
-        // Each is the service and the version with a blank between them.
+        // Each entry is the service and the version, separated by a space.
         for (service, version) in event
             .retired_contracts
             .iter()
@@ -128,7 +129,7 @@
         }
     }
 
-    /// The whole state as one event.
+    /// The full state as one event.
     pub fn to_event(&self) -> WatchEvent {
         let contract = |admitted: &ServiceVersion| wire::Contract {
             service: admitted.service.clone(),
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Whether a server that speaks this version of a service may serve: the version was admitted, or the service has no
+    /// Whether an endpoint with this version of a service may serve requests: the version is admitted, or the service has no
     /// contracts at all.
     pub fn admits(&self, service: &str, version: &str) -> bool {
         let has_contracts = self.contracts.iter().any(|c| c.service == service);
--- a/crates/coordinator/src/session/cached_state/tests.rs
+++ b/crates/coordinator/src/session/cached_state/tests.rs
@@ -12,7 +12,7 @@
     }
 }
 
-/// An event that holds the whole state.
+/// An event that holds the full state.
 fn full_state_event(version: u64, customers: &[&str]) -> WatchEvent {
     WatchEvent {
         version,
@@ -23,7 +23,7 @@
     }
 }
 
-/// An event with what has changed since a version.
+/// An event without changes, for the versions after `since`.
 fn change_event(version: u64, since: u64) -> WatchEvent {
     WatchEvent {
         version,
--- a/crates/coordinator/src/session/mod.rs
+++ b/crates/coordinator/src/session/mod.rs
@@ -1,4 +1,5 @@
-//! A gateway's side of its session, free of I/O: what is sent, what is received, and whether the gateway may act.
+//! The gateway's side of a coordinator session, free of I/O: it creates outgoing messages, handles incoming ones, and tracks
+//! whether the lease allows the gateway to act.
 
 mod cached_state;
 mod renewal;
@@ -18,58 +19,58 @@
 use requests::PendingRequests;
 use std::collections::BTreeMap;
 
-/// How long to wait before a session is opened again that the replicas do not know, or whose watch events have a gap.
+/// Delay before a new hello is sent after the replicas have ended the session, or after a gap in the watch events.
 const REOPEN_DELAY: TimeDelta = TimeDelta::from_millis(200);
-/// The shortest lease that a replica may announce.
+/// Lower bound for the lease that a replica announces.
 const MIN_LEASE: TimeDelta = TimeDelta::from_millis(1);
-/// Id of a session that is not open.
+/// Session id that stands for no open session.
 const NO_SESSION: SessionId = SessionId(0);
 
-/// A watch event that was received without a gap, and what it changed.
+/// A watch event that was applied to the cached state, and the resulting changes.
 #[derive(Debug)]
 pub struct StateUpdate {
-    /// What changed.
+    /// The changes of the cached state.
     pub changes: StateChanges,
-    /// The event.
+    /// The applied event.
     pub event: WatchEvent,
 }
 
-/// The outcome of a message from a replica.
+/// The outcome of handling a message from a replica.
 #[derive(Debug, Default)]
 pub struct ReceiveOutcome {
-    /// The cached state was updated.
+    /// The applied watch event, if the message contained one and it followed without a gap.
     pub update: Option<StateUpdate>,
-    /// A read was answered.
+    /// The response to a read.
     pub read_response: Option<ReadResponse>,
-    /// The report was acknowledged: the next one may be sent.
+    /// Whether the pending report was acknowledged, so that the next one may be sent.
     pub is_report_acknowledged: bool,
-    /// The session is another one, or over.
+    /// Whether the session was replaced by a new one, or has ended.
     pub has_session_changed: bool,
-    /// This replica opens no session: another one is to be tried.
+    /// Whether the replica has declined to open a session, so that another replica has to be tried.
     pub is_replica_unavailable: bool,
 }
 
-/// The client of one gateway's session.
+/// The session of one gateway with the replicas.
 #[derive(Debug)]
 pub struct SessionClient {
     open_session: wire::OpenSession,
     id: SessionId,
-    /// A session was opened since the gateway was started.
+    /// Whether a session was opened since the gateway was started.
     had_session: bool,
     is_connected: bool,
     state: CachedState,
     elections: BTreeMap<String, Election>,
     pending_work: PendingWork,
     renewal: LeaseRenewal,
-    /// When the session is opened again over the same connection.
+    /// When a new hello is sent on the same connection.
     reopen_at: Option<Timestamp>,
     requests: PendingRequests,
     outbox: Vec<ClientMessage>,
 }
 
 impl SessionClient {
-    /// A client without a session. `open`: the gateway's name, site and incarnation. `terms` hold until a replica announces its
-    /// own.
+    /// A client without a session. `open_session` holds the gateway's name, site and incarnation. `lease_terms` are assumed until
+    /// a replica announces its own.
     pub fn new(
         open_session: wire::OpenSession,
         lease_terms: LeaseTerms,
@@ -90,22 +91,23 @@
         }
     }
 
-    /// The lease terms that were announced, or are assumed until then.
+    /// The lease terms that a replica has announced, or the assumed ones before that.
     pub fn lease_terms(&self) -> &LeaseTerms {
         self.renewal.lease_terms()
     }
 
-    /// The session's id; 0: none is open.
+    /// The session's id; 0 if no session is open.
     pub fn id(&self) -> SessionId {
         self.id
     }
 
-    /// Whether a session is open, as far as is known here; its lease may have expired.
+    /// Whether a session is open as far as this gateway knows. Its lease may have expired.
     pub fn is_open(&self) -> bool {
         self.id != NO_SESSION
     }
 
-    /// Whether the session's lease is valid by the gateway's own clock. To be checked right before each act that rests on it.
+    /// Whether the session's lease is valid by the gateway's own clock. This must be checked immediately before each action that
+    /// depends on the lease.
     pub fn is_valid(&self, now: Timestamp) -> bool {
         self.is_open() && self.renewal.is_valid(now)
     }
@@ -115,43 +117,43 @@
         &self.state
     }
 
-    /// Whether a state was ever received, since this start or an earlier one.
+    /// Whether the replicated state was ever received, by this process or an earlier one whose cache file was read.
     pub fn has_state(&self) -> bool {
         self.state.version > 0
     }
 
-    /// The fencing token of an election that this gateway leads at `now`; `None`: it does not lead it.
+    /// The fencing token of an election that this gateway leads at `now`; `None` if it is not the leader.
     pub fn leader_token(&self, election: &str, now: Timestamp) -> Option<FencingToken> {
         let election = self.elections.get(election)?;
         let is_leader = election.leader == self.id.0 && election.move_to == 0;
         (is_leader && self.is_valid(now)).then_some(FencingToken(election.token))
     }
 
-    /// How far an earlier leader got with the election's task.
+    /// The progress of the election's task that an earlier leader has recorded.
     pub fn progress(&self, election: &str) -> &[u8] {
         self.elections.get(election).map_or(&[], |e| &e.progress)
     }
 
-    /// Elections as they were last outcome.
+    /// The elections in the state in which they were last received.
     pub fn elections(&self) -> impl Iterator<Item = &Election> {
         self.elections.values()
     }
 
-    /// The first election that this gateway leads and is asked to hand over.
+    /// The first election that this gateway leads and is requested to hand over.
     pub fn requested_handover(&self) -> Option<&Election> {
         self.elections
             .values()
             .find(|e| self.is_open() && e.leader == self.id.0 && e.move_to != 0)
     }
 
-    /// Work that waits for leaders.
+    /// Work that is waiting for the leaders of the built-in elections.
     pub fn pending_work(&self) -> PendingWork {
         self.pending_work
     }
 
     // ---- connection ----
 
-    /// A connection to a replica is established, and the replica was heard on it.
+    /// Sends a hello on a new connection, after the replica has accepted the session's stream.
     pub fn on_connected(&mut self) {
         self.is_connected = true;
         self.outbox.clear();
@@ -164,7 +166,7 @@
         self.send(ClientMessageKind::Hello(hello));
     }
 
-    /// The connection is lost. The session lasts as long as its lease.
+    /// Records that the connection is lost. The session stays open until its lease expires.
     pub fn on_disconnected(&mut self) {
         self.is_connected = false;
         self.outbox.clear();
@@ -176,12 +178,12 @@
         }
     }
 
-    /// Takes the messages that are to be sent.
+    /// Removes and returns the messages that have to be sent.
     pub fn take_messages(&mut self) -> Vec<ClientMessage> {
         std::mem::take(&mut self.outbox)
     }
 
-    /// Time passes.
+    /// Advances time to `now`: sends a new hello or a renewal if it is due.
     pub fn tick(&mut self, now: Timestamp) {
         if !self.is_connected {
             return;
@@ -196,17 +198,17 @@
         }
     }
 
-    /// The cache file holds the state up to this version. From here on no later one is acknowledged before it is written, too:
-    /// after a restart the gateway goes by what is in the file.
+    /// Records that the cache file holds the state up to this version. From the first call on, a version is acknowledged only
+    /// once it is in the cache file, because a restarted gateway uses the state in the file.
     pub fn on_state_persisted(&mut self, now: Timestamp, version: u64) {
         self.renewal.set_persisted_version(version);
         self.renewal
             .schedule_early_acknowledgement(now, self.state.version);
     }
 
-    // ---- messages of a replica ----
+    // ---- messages from a replica ----
 
-    /// Takes a message of a replica in.
+    /// Handles a message from a replica.
     pub fn receive(&mut self, now: Timestamp, message: ServerMessage) -> ReceiveOutcome {
         self.renewal.on_message(now);
         if message.session_ended {
@@ -240,7 +242,7 @@
         outcome
     }
 
-    /// The replicas do not know the session, or opened none.
+    /// Handles the end of the session: the replica does not know it, or has opened none.
     fn on_session_ended(
         &mut self,
         now: Timestamp,
@@ -249,7 +251,7 @@
         let is_replica_unavailable = !self.is_open();
         self.adopt_later_incarnation(response);
         self.renewal.end_lease();
-        // Elections stay as they are: a replica that lags less may find the same session again.
+        // Elections are kept, because this replica may only be lagging: another one may still know the same session.
         self.id = NO_SESSION;
         self.reopen_at = Some(now + REOPEN_DELAY);
         ReceiveOutcome {
@@ -259,8 +261,9 @@
         }
     }
 
-    /// A later incarnation of this gateway is known, though this one has reported nothing yet: the machine's date was set back
-    /// in between.
+    /// Adopts an incarnation above the one that the replicas know, if theirs is not lower than this gateway's. Incarnations are
+    /// derived from the system clock, so this happens when the clock was set back between two starts. A gateway that has already
+    /// had a session keeps its incarnation, because its reports are counted under it.
     fn adopt_later_incarnation(&mut self, response: Option<&CommandResponse>) {
         let known_incarnation = response.map_or(0, |response| response.token);
         if known_incarnation >= self.open_session.incarnation && !self.had_session {
@@ -268,10 +271,10 @@
         }
     }
 
-    /// Applies a watch event; `None`: changes before it are missing, and are asked for.
+    /// Applies a watch event; `None` if earlier changes are missing, which a new hello then requests.
     fn apply_event(&mut self, now: Timestamp, event: &WatchEvent) -> Option<StateChanges> {
         if self.state.has_gap_before(event) {
-            // Not put off by each further event: where they come often, the gap would never be asked for.
+            // A time that is already set is kept: frequent events would otherwise postpone the request forever.
             self.reopen_at.get_or_insert(now + REOPEN_DELAY);
             return None;
         }
@@ -298,7 +301,7 @@
         self.pending_work = PendingWork::from(event);
     }
 
-    /// A session is open; returns whether it is another one than before.
+    /// Records that a session is open. Returns whether it is a different one than before.
     fn on_session_opened(&mut self, now: Timestamp, message: &ServerMessage) -> bool {
         let id = SessionId(message.session);
         let is_new = id != self.id;
@@ -315,7 +318,7 @@
         is_new
     }
 
-    /// Sends again what may have been lost with an earlier connection.
+    /// Resends pending requests, which may have been lost with an earlier connection.
     fn resend_requests(&mut self) {
         let commands: Vec<wire::Command> = self.requests.commands().cloned().collect();
         for command in commands {
@@ -328,7 +331,7 @@
 
     // ---- requests ----
 
-    /// Submits a command; it is applied once, however often it has to be sent.
+    /// Submits a command. It is resent until it is answered, and is applied only once.
     pub fn submit(&mut self, kind: CommandKind) {
         let command =
             self.requests
@@ -336,28 +339,29 @@
         self.send(ClientMessageKind::Command(command));
     }
 
-    /// Whether commands are not answered yet.
+    /// Whether a command is not answered yet.
     pub fn has_pending_commands(&self) -> bool {
         self.requests.commands().len() > 0
     }
 
-    /// Sends a read; its response is lost with the connection.
+    /// Sends a read. It is not resent if the connection is lost.
     pub fn send_read(&mut self, request: ReadRequest) {
         self.send(ClientMessageKind::Read(request));
     }
 
-    /// Whether a report may be sent: there is a session, and the last report was acknowledged.
+    /// Whether a report may be sent: a session is open, the client is connected, and the last report was acknowledged.
     pub fn can_report(&self) -> bool {
         self.is_open() && self.is_connected && !self.requests.has_pending_report()
     }
 
-    /// Sends a report; it is sent again until it is acknowledged.
+    /// Sends a report, and resends it until it is acknowledged.
     pub fn send_report(&mut self, report: wire::Report) {
         let report = self.requests.add_report(self.id, report);
         self.send(ClientMessageKind::Report(report));
     }
 
-    /// Withdraws as a candidate, as the gateway is about to stop: others lead its elections at once. The session goes on.
+    /// Withdraws the gateway's candidacy in elections before a shutdown, so that other gateways take over immediately. The
+    /// session stays open.
     pub fn resign(&mut self) {
         let was_candidate = std::mem::replace(&mut self.open_session.candidate, false);
         if was_candidate && self.is_open() {
--- a/crates/coordinator/src/session/renewal.rs
+++ b/crates/coordinator/src/session/renewal.rs
@@ -1,22 +1,22 @@
-//! When a gateway renews its session, and which version of the state it acknowledges with that.
+//! Schedules the renewals of a gateway's session, and determines which version of the state they acknowledge.
 
 use chalkdeck_leader_election::{Lease, LeaseTerms, RenewalNumber, SessionId};
 use chalkdeck_proto::chalkdeck::keeper::v1 as wire;
 use chalkdeck_time::{TimeDelta, Timestamp};
 
-/// A newer version is acknowledged by a renewal of its own, but no more often than this.
-const MIN_ACKNOWLEDGEMENT_DELAY: TimeDelta = TimeDelta::from_millis(20);
+/// Delay of an early renewal that acknowledges a newer version. It limits how often such renewals are sent.
+const EARLY_RENEWAL_DELAY: TimeDelta = TimeDelta::from_millis(20);
 
-/// The lease of a session with the time of its next renewal.
+/// The lease of a session, and the time of its next renewal.
 #[derive(Debug)]
 pub(super) struct LeaseRenewal {
     lease: Lease,
     renew_at: Timestamp,
-    /// When a replica was last heard.
+    /// When the last message from a replica was received.
     last_message_at: Timestamp,
-    /// The version that the last renewal acknowledged.
+    /// The version that the last renewal has acknowledged.
     acknowledged_version: u64,
-    /// The version in the cache file; `None`: there is no cache file, so no older state can come back with a restart.
+    /// The version in the cache file; `None` if there is no cache file, so that a restart cannot return to an older state.
     persisted_version: Option<u64>,
 }
 
@@ -43,7 +43,7 @@
         self.last_message_at = now;
     }
 
-    /// Begins with another session, which has no lease yet.
+    /// Starts the lease of a new session, which is not valid before its first renewal is granted.
     pub(super) fn begin_lease(&mut self, lease_terms: LeaseTerms) {
         self.lease = Lease::new(lease_terms);
     }
@@ -60,14 +60,14 @@
         self.lease.end();
     }
 
-    /// Whether a renewal is to be sent now. None is sent while no replica is heard: a gateway that is heard but hears nothing
-    /// would keep the elections that it leads from all others, while it may not act itself.
+    /// Whether a renewal is due. None is sent while no messages arrive from the replicas: a gateway that can send but not receive
+    /// would otherwise keep its elections without being allowed to act as their leader.
     pub(super) fn is_due(&self, now: Timestamp) -> bool {
         let is_hearing_replicas = now < self.last_message_at + self.lease_terms().half_lease();
         now >= self.renew_at && is_hearing_replicas
     }
 
-    /// The renewal that is sent now.
+    /// Creates the renewal to send at `now`, and schedules the one after it.
     pub(super) fn next_renewal(
         &mut self,
         now: Timestamp,
@@ -84,26 +84,27 @@
         }
     }
 
-    /// The cache file holds the state up to this version.
+    /// Records that the cache file holds the state up to this version.
     pub(super) fn set_persisted_version(&mut self, version: u64) {
         self.persisted_version = Some(version);
     }
 
-    /// The state moved on without anything that has to be written to the cache file.
+    /// Records that the state advanced to a new version without changes that have to be written to the cache file.
     pub(super) fn advance_persisted_version(&mut self, from_version: u64, to_version: u64) {
         if self.persisted_version == Some(from_version) {
             self.persisted_version = Some(to_version);
         }
     }
 
-    /// Renews early if a version can be acknowledged that was not yet: others wait for that.
+    /// Schedules an early renewal if a newer version can be acknowledged, because rule sets are in force only once all gateways
+    /// have acknowledged them.
     pub(super) fn schedule_early_acknowledgement(&mut self, now: Timestamp, cached_version: u64) {
         if self.durable_version(cached_version) > self.acknowledged_version {
-            self.renew_at = self.renew_at.min(now + MIN_ACKNOWLEDGEMENT_DELAY);
+            self.renew_at = self.renew_at.min(now + EARLY_RENEWAL_DELAY);
         }
     }
 
-    /// The version that this gateway goes by, also after a restart.
+    /// The highest version that this gateway still has after a restart.
     fn durable_version(&self, cached_version: u64) -> u64 {
         self.persisted_version
             .map_or(cached_version, |persisted| persisted.min(cached_version))
--- a/crates/coordinator/src/session/requests.rs
+++ b/crates/coordinator/src/session/requests.rs
@@ -1,11 +1,11 @@
-//! Commands and reports of a gateway that are not answered yet. They are sent again over each new connection.
+//! Commands and reports of a gateway that are not answered yet. They are resent whenever a session is opened or resumed.
 
 use crate::ids::CommandNumber;
 use crate::protocol::{wire, CommandKind};
 use chalkdeck_leader_election::SessionId;
 use std::collections::BTreeMap;
 
-/// Requests under way.
+/// Requests that are not answered yet.
 #[derive(Debug, Default)]
 pub(super) struct PendingRequests {
     last_command_number: CommandNumber,
@@ -15,7 +15,7 @@
 }
 
 impl PendingRequests {
-    /// A command under the next number. `state_version`: what its sender has seen of the state.
+    /// Adds a command under the next number. `state_version` is the version of the state that the sender has seen.
     pub(super) fn add_command(
         &mut self,
         caller: u64,
@@ -43,7 +43,7 @@
         self.commands.values()
     }
 
-    /// A report under the next number.
+    /// Adds a report under the next number.
     pub(super) fn add_report(&mut self, session: SessionId, report: wire::Report) -> wire::Report {
         self.last_report_number += 1;
         let report = wire::Report {
@@ -55,7 +55,7 @@
         report
     }
 
-    /// The report that is not acknowledged, as one of this session.
+    /// The pending report, reassigned to this session.
     pub(super) fn pending_report_for(&mut self, session: SessionId) -> Option<wire::Report> {
         let report = self.report.as_mut()?;
         report.session = session.0;
@@ -66,7 +66,7 @@
         self.report.is_some()
     }
 
-    /// Whether this acknowledges the report under way, which is then over.
+    /// Removes the pending report if it has this number. Returns whether it had.
     pub(super) fn acknowledge_report(&mut self, number: u64) -> bool {
         let is_acknowledged = self
             .report
--- a/crates/coordinator/src/settings.rs
+++ b/crates/coordinator/src/settings.rs
@@ -1,4 +1,4 @@
-//! A replica's settings, read from protobuf text.
+//! A replica's settings, in protobuf text format.
 
 use crate::consensus::is_valid_replica_count;
 use crate::ids::Slot;
@@ -10,7 +10,7 @@
 use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 
-/// The message that the text is the form of.
+/// The protobuf message whose text format is read.
 const MESSAGE_NAME: &str = "chalkdeck.keeper.v1.Settings";
 
 const DEFAULT_LEASE_MS: u64 = 6_000;
@@ -22,13 +22,13 @@
 const DEFAULT_MAX_LOG_ENTRIES: u64 = 10_000;
 const LEASE_MS_RANGE: RangeInclusive<u64> = 200..=600_000;
 const MAX_DRIFT_PPM: u32 = 100_000;
-/// Within a lease the consensus has to elect a leader, and to decide some renewals.
+/// Minimum number of consensus ticks per lease, because the replicas must elect a leader and decide renewals within one lease.
 const MIN_TICKS_PER_LEASE: u64 = 20;
 
-/// Why settings cannot be used.
+/// An error in a replica's settings.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
 pub enum SettingsError {
-    /// The file cannot be read.
+    /// The settings file cannot be read.
     #[error("{file}: {why}")]
     #[diagnostic(
         code(chalkdeck::keeper::settings_file),
@@ -37,10 +37,10 @@
     File {
         /// Its path.
         file: String,
-        /// What the system says.
+        /// The error of the operating system.
         why: String,
     },
-    /// Not the text form of a replica's settings.
+    /// The text is not a `Settings` message in protobuf text format.
     #[error("{file}:{line}: {what}")]
     #[diagnostic(
         code(chalkdeck::keeper::settings_form),
@@ -49,12 +49,12 @@
     Form {
         /// Its path.
         file: String,
-        /// The line, from 1.
+        /// The line number, from 1.
         line: usize,
-        /// What was expected there.
+        /// The problem in that line.
         what: String,
     },
-    /// A field's value cannot be used.
+    /// A field has an invalid value.
     #[error("{file}: {field}: expected {expected}, found {found}")]
     #[diagnostic(
         code(chalkdeck::keeper::settings_value),
@@ -65,9 +65,9 @@
         file: String,
         /// The field.
         field: &'static str,
-        /// What it may be.
+        /// The valid values.
         expected: &'static str,
-        /// What it is.
+        /// The actual value.
         found: String,
     },
 }
@@ -75,17 +75,17 @@
 /// All settings of a replica.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Its place among the replicas.
+    /// The replica's slot in the address list.
     pub slot: Slot,
-    /// Where it listens for gRPC.
+    /// The address that the gRPC server listens on.
     pub listen: SocketAddr,
-    /// Where it listens for health checks and metrics.
+    /// The address that health checks and metrics are served on.
     pub admin: Option<SocketAddr>,
     /// Addresses of all replicas, by slot.
     pub replicas: Vec<SocketAddr>,
-    /// Where its log is kept.
+    /// The folder of the replica's log.
     pub folder: PathBuf,
-    /// Terms of the sessions' leases.
+    /// Lease terms of the sessions.
     pub lease_terms: LeaseTerms,
     /// See [`crate::replica::ReplicaSettings::min_move_interval_ms`].
     pub min_move_interval_ms: u64,
@@ -93,17 +93,17 @@
     pub unused_after_ms: u64,
     /// Time between ticks of the consensus.
     pub tick_interval: TimeDelta,
-    /// Entries after which the log begins anew.
+    /// Maximum number of log entries before the log is compacted into a new configuration.
     pub max_log_entries: usize,
-    /// Elections beside the built-in ones.
+    /// Elections in addition to the built-in ones.
     pub elections: Vec<String>,
 }
 
 impl Settings {
-    /// Reads a file.
+    /// Reads the settings from a file.
     ///
     /// # Errors
-    /// They name the file, and the line or the field with what was expected.
+    /// See [`SettingsError`]. The errors name the file, and the line or the field with the expected value.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let file = path.display().to_string();
         let source = std::fs::read_to_string(path).map_err(|error| SettingsError::File {
@@ -113,7 +113,7 @@
         Settings::parse(&source, &file, path.parent().unwrap_or(Path::new(".")))
     }
 
-    /// The same from text; the folder is relative to `base`.
+    /// Parses settings from text. A relative path of the log's folder is resolved against `base`.
     ///
     /// # Errors
     /// See [`Settings::load`].
@@ -151,7 +151,7 @@
     }
 }
 
-/// A field that is not set reads as 0.
+/// Replaces 0, the value of an unset field, by the default.
 fn value_or_default(value: u64, default: u64) -> u64 {
     if value == 0 {
         default
@@ -160,7 +160,7 @@
     }
 }
 
-/// Checks of the fields' values.
+/// Validates the values of the fields.
 struct FieldValidator<'a> {
     file: &'a str,
     wire: &'a wire::Settings,
@@ -245,7 +245,7 @@
         Ok(tick)
     }
 
-    /// `own`: the address of the replica's slot.
+    /// The address to listen on. `slot_address`, the address of the replica's slot, is the default.
     fn listen_address(&self, slot_address: SocketAddr) -> Result<SocketAddr, SettingsError> {
         if self.wire.listen.is_empty() {
             return Ok(slot_address);
--- a/crates/coordinator/tests/session_client.rs
+++ b/crates/coordinator/tests/session_client.rs
@@ -1,4 +1,4 @@
-//! The session client of a gateway: what it does about gaps between watch events, and which versions it acknowledges.
+//! Tests of a gateway's session client: gaps in the watch events, acknowledged versions, renewals and incarnations.
 
 use chalkdeck_coordinator::protocol::{
     wire, ClientMessage, ClientMessageKind, CommandKind, CommandResponse, Election, ResponseCode,
@@ -38,7 +38,7 @@
     }
 }
 
-/// A client whose session has a valid lease, and whose messages were sent.
+/// A client whose session has a valid lease, and whose outbox is empty.
 fn client_with_valid_session(now: Timestamp) -> SessionClient {
     let mut session = SessionClient::new(
         open_session(),
@@ -68,7 +68,7 @@
     session
 }
 
-/// The version that the last renewal acknowledges.
+/// The version that the last renewal in these messages acknowledges.
 fn acknowledged_version(messages: &[ClientMessage]) -> Option<u64> {
     messages
         .iter()
@@ -95,12 +95,12 @@
     }
     assert!(
         has_sent_hello,
-        "it says which version it has, so that the replica sends the rest"
+        "a hello states the cached version, so that the replica sends the missing changes"
     );
     assert_eq!(
         session.state().version,
         10,
-        "and applies nothing over the gap"
+        "no event after the gap is applied"
     );
 }
 
@@ -126,16 +126,16 @@
     assert_eq!(
         acknowledged_version(&session.take_messages()),
         Some(10),
-        "received, but a restart would go back"
+        "version 11 was received, but a restart would return to 10"
     );
     session.on_state_persisted(at_ms(2_010), 11);
     session.tick(at_ms(2_100));
     assert_eq!(
         acknowledged_version(&session.take_messages()),
         Some(11),
-        "acknowledged early once it is written"
+        "acknowledged early once it is in the cache file"
     );
-    // An event that changes nothing moves the version on all the same.
+    // An event without changes still advances the version.
     session.receive(at_ms(2_200), message(event(12, 11)));
     session.tick(at_ms(2_300));
     assert_eq!(acknowledged_version(&session.take_messages()), Some(12));
@@ -154,9 +154,9 @@
     let half_lease = LeaseTerms::default().half_lease().as_micros();
     assert!(
         (half_lease / 2..half_lease).contains(&last_renewal.as_micros()),
-        "its last renewal is sent at {last_renewal:?}"
+        "the last renewal was sent at {last_renewal:?}"
     );
-    // Once it hears one again, it goes on.
+    // Renewals resume once a message arrives again.
     session.receive(
         at_ms(20_000),
         ServerMessage {
@@ -239,7 +239,7 @@
                 Some(ClientMessageKind::Hello(hello)) => hello.open,
                 _ => None,
             });
-        hello.expect("it says hello").incarnation
+        hello.expect("a hello was sent").incarnation
     };
     let mut session = SessionClient::new(
         open_session(),
@@ -254,6 +254,6 @@
     assert_eq!(
         incarnation(&mut session),
         7,
-        "what it reported counts under its own incarnation"
+        "its reports are counted under its own incarnation"
     );
 }
--- a/crates/coordinator/tests/session_state.rs
+++ b/crates/coordinator/tests/session_state.rs
@@ -1,10 +1,10 @@
-//! Incarnations of gateways in the replicated state.
+//! Tests of gateway incarnations in the replicated state.
 
 use chalkdeck_coordinator::protocol::{wire, CommandKind, CommandResponse};
 use chalkdeck_coordinator::state::{ReplicatedState, HIT_TOTALS};
 use chalkdeck_leader_election::SessionId;
 
-/// A state with the number of its last command.
+/// Submits numbered commands to a replicated state.
 #[derive(Default)]
 struct StateDriver {
     state: ReplicatedState,
@@ -34,7 +34,7 @@
         let renewal_index = self
             .state
             .session(SessionId(session))
-            .expect("it is open")
+            .expect("the session is open")
             .renewal_index;
         self.submit(CommandKind::ExpireSession(wire::ExpireSession {
             session,
@@ -89,21 +89,25 @@
     state.report(first, 10);
     state.expire_session(first);
     state.fold_hits();
-    assert_eq!(state.open_session(20).id, 3, "the same incarnation is back");
+    assert_eq!(
+        state.open_session(20).id,
+        3,
+        "the same incarnation opens a new session"
+    );
     state.report(3, 12);
     state.expire_session(3);
-    // A message of an earlier incarnation was delayed.
+    // A delayed message of an earlier incarnation arrives.
     let late = state.open_session(19);
     assert_eq!(
         (late.id, late.token),
         (0, 20),
-        "rejected, with the incarnation that is known"
+        "rejected with the known incarnation"
     );
     state.fold_hits();
     let again = state.open_session(20).id;
     state.report(again, 15);
     assert_eq!(state.hits(), 15);
-    // A later incarnation's count is its own, and the earlier one's is folded.
+    // A later incarnation has a count of its own, and the count of the earlier one is folded into the totals.
     state.expire_session(again);
     let later = state.open_session(30).id;
     state.fold_hits();
