--- a/crates/coordinator/src/agent/mod.rs
+++ b/crates/coordinator/src/agent/mod.rs
@@ -15,7 +15,7 @@
 use fastrand::Rng;
 
 /// Maximum number of customers whose rule hits are sent in one report.
-const CUSTOMERS_PER_REPORT: usize = 256;
+const MAX_CUSTOMERS_PER_REPORT: usize = 256;
 /// Maximum time that a replica may be silent while no session is open, before the agent tries the next replica.
 const MAX_SESSION_OPEN_TIMEOUT: TimeDelta = TimeDelta::from_millis(1_500);
 
@@ -278,7 +278,7 @@
         }
         let hits = self
             .rule_store
-            .report_hits(CUSTOMERS_PER_REPORT)
+            .report_hits(MAX_CUSTOMERS_PER_REPORT)
             .into_iter();
         let mut report = wire::Report {
             hits: hits.map(hit_line_to_wire).collect(),
--- a/crates/coordinator/src/cache_file/tests.rs
+++ b/crates/coordinator/src/cache_file/tests.rs
@@ -29,9 +29,9 @@
     let _ = std::fs::remove_file(&path);
     let (mut file, mut state) = CacheFile::open(&path).expect("a missing file is an empty state");
     assert_eq!(state.version, 0);
-    let many: Vec<_> = (0..200).map(|i| rule_set(&format!("c{i}"), 1)).collect();
+    let rule_sets: Vec<_> = (0..200).map(|i| rule_set(&format!("c{i}"), 1)).collect();
     for change in [
-        event(3, true, &many),
+        event(3, true, &rule_sets),
         event(4, false, &[rule_set("c7", 2)]),
         event(5, false, &[rule_set("c8", 2)]),
     ] {
--- a/crates/coordinator/src/client.rs
+++ b/crates/coordinator/src/client.rs
@@ -20,7 +20,7 @@
 /// Delay between a failed request to one replica and the request to the next.
 const RETRY_DELAY: TimeDelta = TimeDelta::from_millis(100);
 
-/// Why a request failed.
+/// An error of a request to the replicas.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum ClientError {
     /// The event loop failed.
--- a/crates/coordinator/src/server/mod.rs
+++ b/crates/coordinator/src/server/mod.rs
@@ -47,7 +47,7 @@
 /// Size of the log at which a snapshot is written, as a multiple of the configuration's initial state, because each snapshot
 /// contains that state.
 const LOG_TO_STATE_RATIO: usize = 2;
-/// Lower bound for the state size in this calculation.
+/// Lower bound for the state size that [`LOG_TO_STATE_RATIO`] is applied to.
 const MIN_STATE_BYTES: usize = 16 << 20;
 
 /// Limits of a replica's connections.
@@ -121,7 +121,7 @@
         self.admin_address
     }
 
-    /// Serves until a signal requests the stop.
+    /// Serves until a stop signal is received.
     ///
     /// # Errors
     /// Writing the log or polling for events failed. No output was sent whose record is not on disk.
@@ -236,7 +236,7 @@
             .insert(stream, IncomingStream::new(method));
     }
 
-    /// Handles the end of the remote side of a stream.
+    /// Handles a stream whose remote side has finished sending.
     fn on_remote_end(&mut self, stream: StreamId) {
         let incoming = self.incoming_streams.get(&stream);
         if incoming.is_some_and(|incoming| incoming.method.is_streaming()) {
@@ -266,7 +266,7 @@
             match incoming.next_message() {
                 Ok(Some(message)) => self.on_message(RequesterId(stream.0), message),
                 Ok(None) => return,
-                Err(MalformedMessage) => return self.on_malformed(stream),
+                Err(MalformedMessage) => return self.on_malformed_message(stream),
             }
         }
     }
@@ -282,7 +282,7 @@
         }
     }
 
-    fn on_malformed(&mut self, stream: StreamId) {
+    fn on_malformed_message(&mut self, stream: StreamId) {
         let trailers = grpc::trailers(Code::InvalidArgument, "expected a message of this method");
         let incoming = self.incoming_streams.get(&stream);
         if incoming.is_some_and(|incoming| !incoming.method.is_streaming()) {
--- a/crates/coordinator/src/session/mod.rs
+++ b/crates/coordinator/src/session/mod.rs
@@ -20,7 +20,7 @@
 use std::collections::BTreeMap;
 
 /// Delay before a new hello is sent after the replicas have ended the session, or after a gap in the watch events.
-const REOPEN_DELAY: TimeDelta = TimeDelta::from_millis(200);
+const HELLO_RETRY_DELAY: TimeDelta = TimeDelta::from_millis(200);
 /// Lower bound for the lease that a replica announces.
 const MIN_LEASE: TimeDelta = TimeDelta::from_millis(1);
 /// Session id that stands for no open session.
@@ -62,8 +62,8 @@
     elections: BTreeMap<String, Election>,
     pending_work: PendingWork,
     renewal: LeaseRenewal,
-    /// When a new hello is sent on the same connection.
-    reopen_at: Option<Timestamp>,
+    /// When a new hello is due on the same connection.
+    next_hello_at: Option<Timestamp>,
     requests: PendingRequests,
     outbox: Vec<ClientMessage>,
 }
@@ -85,7 +85,7 @@
             elections: BTreeMap::new(),
             pending_work: PendingWork::default(),
             renewal: LeaseRenewal::new(lease_terms),
-            reopen_at: None,
+            next_hello_at: None,
             requests: PendingRequests::default(),
             outbox: Vec::new(),
         }
@@ -134,7 +134,7 @@
         self.elections.get(election).map_or(&[], |e| &e.progress)
     }
 
-    /// The elections in the state in which they were last received.
+    /// The elections as last received.
     pub fn elections(&self) -> impl Iterator<Item = &Election> {
         self.elections.values()
     }
@@ -188,8 +188,8 @@
         if !self.is_connected {
             return;
         }
-        if self.reopen_at.is_some_and(|at| now >= at) {
-            self.reopen_at = None;
+        if self.next_hello_at.is_some_and(|at| now >= at) {
+            self.next_hello_at = None;
             self.on_connected();
         }
         if self.is_open() && self.renewal.is_due(now) {
@@ -253,7 +253,7 @@
         self.renewal.end_lease();
         // Elections are kept, because this replica may only be lagging: another one may still know the same session.
         self.id = NO_SESSION;
-        self.reopen_at = Some(now + REOPEN_DELAY);
+        self.next_hello_at = Some(now + HELLO_RETRY_DELAY);
         ReceiveOutcome {
             is_replica_unavailable,
             has_session_changed: true,
@@ -275,7 +275,7 @@
     fn apply_event(&mut self, now: Timestamp, event: &WatchEvent) -> Option<StateChanges> {
         if self.state.has_gap_before(event) {
             // A time that is already set is kept: frequent events would otherwise postpone the request forever.
-            self.reopen_at.get_or_insert(now + REOPEN_DELAY);
+            self.next_hello_at.get_or_insert(now + HELLO_RETRY_DELAY);
             return None;
         }
         if event.cluster != self.state.cluster || event.version >= self.state.version {
--- a/crates/coordinator/src/session/renewal.rs
+++ b/crates/coordinator/src/session/renewal.rs
@@ -63,8 +63,8 @@
     /// Whether a renewal is due. None is sent while no messages arrive from the replicas: a gateway that can send but not receive
     /// would otherwise keep its elections without being allowed to act as their leader.
     pub(super) fn is_due(&self, now: Timestamp) -> bool {
-        let is_hearing_replicas = now < self.last_message_at + self.lease_terms().half_lease();
-        now >= self.renew_at && is_hearing_replicas
+        let is_receiving = now < self.last_message_at + self.lease_terms().half_lease();
+        now >= self.renew_at && is_receiving
     }
 
     /// Creates the renewal to send at `now`, and schedules the one after it.
--- a/crates/coordinator/src/session/requests.rs
+++ b/crates/coordinator/src/session/requests.rs
@@ -66,7 +66,7 @@
         self.report.is_some()
     }
 
-    /// Removes the pending report if it has this number. Returns whether it had.
+    /// Removes the pending report if it has this number, and returns whether it did.
     pub(super) fn acknowledge_report(&mut self, number: u64) -> bool {
         let is_acknowledged = self
             .report
--- a/crates/coordinator/src/settings.rs
+++ b/crates/coordinator/src/settings.rs
@@ -167,7 +167,7 @@
 }
 
 impl FieldValidator<'_> {
-    fn error(
+    fn value_error(
         &self,
         field: &'static str,
         expected: &'static str,
@@ -188,7 +188,7 @@
 
     fn parse_address(&self, field: &'static str, text: &str) -> Result<SocketAddr, SettingsError> {
         text.parse()
-            .map_err(|_| self.error(field, "ip:port", &text))
+            .map_err(|_| self.value_error(field, "ip:port", &text))
     }
 
     fn replicas(&self) -> Result<Vec<SocketAddr>, SettingsError> {
@@ -197,19 +197,24 @@
             replicas.push(self.parse_address("keepers", text)?);
         }
         if !is_valid_replica_count(replicas.len()) {
-            return Err(self.error("keepers", "one, three or five addresses", &replicas.len()));
+            return Err(self.value_error(
+                "keepers",
+                "one, three or five addresses",
+                &replicas.len(),
+            ));
         }
         Ok(replicas)
     }
 
     fn slot(&self, replica_count: usize) -> Result<Slot, SettingsError> {
-        Slot::checked(self.wire.slot, replica_count)
-            .ok_or_else(|| self.error("slot", "a place among the keepers, from 1", &self.wire.slot))
+        Slot::checked(self.wire.slot, replica_count).ok_or_else(|| {
+            self.value_error("slot", "a place among the keepers, from 1", &self.wire.slot)
+        })
     }
 
     fn folder(&self) -> Result<&str, SettingsError> {
         if self.wire.folder.is_empty() {
-            return Err(self.error("folder", "where the log is kept", &""));
+            return Err(self.value_error("folder", "where the log is kept", &""));
         }
         Ok(&self.wire.folder)
     }
@@ -220,11 +225,11 @@
             drift_ppm => drift_ppm,
         };
         if drift_ppm > MAX_DRIFT_PPM {
-            return Err(self.error("drift_ppm", "at most 100000", &drift_ppm));
+            return Err(self.value_error("drift_ppm", "at most 100000", &drift_ppm));
         }
         let lease_ms = value_or_default(u64::from(self.wire.lease_ms), DEFAULT_LEASE_MS);
         if !LEASE_MS_RANGE.contains(&lease_ms) {
-            return Err(self.error("lease_ms", "200 to 600000", &self.wire.lease_ms));
+            return Err(self.value_error("lease_ms", "200 to 600000", &self.wire.lease_ms));
         }
         Ok(LeaseTerms {
             lease: TimeDelta::from_millis(lease_ms),
@@ -236,7 +241,7 @@
         let tick_ms = value_or_default(u64::from(self.wire.tick_ms), DEFAULT_TICK_MS);
         let tick = TimeDelta::from_millis(tick_ms);
         if tick * MIN_TICKS_PER_LEASE > lease {
-            return Err(self.error(
+            return Err(self.value_error(
                 "tick_ms",
                 "at most a twentieth of lease_ms",
                 &self.wire.tick_ms,
--- a/crates/coordinator/tests/session_state.rs
+++ b/crates/coordinator/tests/session_state.rs
@@ -78,13 +78,14 @@
     state.submit(CommandKind::EnsureElection(wire::EnsureElection {
         election: HIT_TOTALS.into(),
     }));
-    let other = wire::OpenSession {
+    // Gateway h opens its session first and leads the election, so that folds carry a valid token.
+    let leader = wire::OpenSession {
         gateway: "h".into(),
         site: "south".into(),
         incarnation: 5,
         candidate: true,
     };
-    state.submit(CommandKind::OpenSession(other));
+    state.submit(CommandKind::OpenSession(leader));
     let first = state.open_session(20).id;
     state.report(first, 10);
     state.expire_session(first);
@@ -97,18 +98,18 @@
     state.report(3, 12);
     state.expire_session(3);
     // A delayed message of an earlier incarnation arrives.
-    let late = state.open_session(19);
+    let delayed = state.open_session(19);
     assert_eq!(
-        (late.id, late.token),
+        (delayed.id, delayed.token),
         (0, 20),
         "rejected with the known incarnation"
     );
     state.fold_hits();
-    let again = state.open_session(20).id;
-    state.report(again, 15);
+    let reopened = state.open_session(20).id;
+    state.report(reopened, 15);
     assert_eq!(state.hits(), 15);
     // A later incarnation has a count of its own, and the count of the earlier one is folded into the totals.
-    state.expire_session(again);
+    state.expire_session(reopened);
     let later = state.open_session(30).id;
     state.fold_hits();
     state.report(later, 4);
