--- a/crates/coordinator/src/cache_file.rs
+++ b/crates/coordinator/src/cache_file.rs
@@ -164,7 +164,7 @@
     }
     // A torn record is tolerated only at the end, and only after a complete one.
     let is_torn = offset < bytes.len();
-    let is_damaged = is_torn && (offset == 0 || record::exists_from(bytes, offset + 1));
+    let is_damaged = is_torn && (offset == 0 || record::has_valid_record_from(bytes, offset + 1));
     (!is_damaged).then_some(state)
 }
 
--- a/crates/coordinator/src/session/renewal.rs
+++ b/crates/coordinator/src/session/renewal.rs
@@ -53,7 +53,7 @@
     }
 
     pub(super) fn on_granted(&mut self, number: RenewalNumber) {
-        self.lease.renewal_granted(number);
+        self.lease.record_grant(number);
     }
 
     pub(super) fn end_lease(&mut self) {
@@ -74,7 +74,7 @@
         session: SessionId,
         cached_version: u64,
     ) -> wire::Renewal {
-        let number = self.lease.renewal_sent(now);
+        let number = self.lease.start_renewal(now);
         self.renew_at = now + self.lease_terms().renewal_interval();
         self.acknowledged_version = self.durable_version(cached_version);
         wire::Renewal {
--- a/crates/grpc-gateway/src/sites/monitor.rs
+++ b/crates/grpc-gateway/src/sites/monitor.rs
@@ -1,7 +1,7 @@
 //! The failover core together with the names of its sites and the operators' overrides.
 
-use crate::base::failed::SiteOverridesError;
-use crate::base::server::{zone_of, Server};
+use crate::base::errors::SiteOverridesError;
+use crate::base::listed_endpoint::{zone_id_of, ListedEndpoint};
 use crate::base::settings::Settings;
 use crate::site_overrides::SiteOverrides;
 use chalkdeck::api::{EndpointState, ZoneId};
@@ -31,12 +31,12 @@
         let core = FailoverCore::new(FailoverSettings {
             own_site,
             gateway_index: settings.policy.gateway_index,
-            gateways: settings.policy.gateways,
-            cold_capacity: settings.policy.slow_start_min_capacity,
-            warm_up: settings.policy.slow_start_duration,
-            overload_factor: settings.policy.overload_multiple,
+            gateway_count: settings.policy.gateways,
+            slow_start_min_capacity: settings.policy.slow_start_min_capacity,
+            slow_start_duration: settings.policy.slow_start_duration,
+            overload_multiple: settings.policy.overload_multiple,
         });
-        let overrides = SiteOverrides::load(settings.site_words.as_deref())?;
+        let overrides = SiteOverrides::load(settings.site_overrides_file.as_deref())?;
         Ok(SiteMonitor {
             core,
             names: BTreeMap::from([(own_site, settings.zone_name.clone())]),
@@ -46,26 +46,26 @@
     }
 
     /// Takes over a new endpoint list.
-    pub(super) fn update_endpoints(&mut self, now: Timestamp, servers: &[Server]) {
+    pub(super) fn update_endpoints(&mut self, now: Timestamp, servers: &[ListedEndpoint]) {
         for server in servers {
             let site = site_of(server.entry.zone);
             self.names.insert(site, server.zone_name.clone());
         }
         let entries: Vec<EndpointEntry> = servers.iter().map(endpoint_entry).collect();
-        self.handle(now, Event::EndpointsListed(&entries));
+        self.handle(now, Event::EndpointListUpdated(&entries));
         // An override of an earlier process counts from the first list that names its site on.
         for name in self.overrides.out_of_service() {
             let event = Event::OverrideSet {
-                site: site_of(zone_of(name)),
+                site: site_of(zone_id_of(name)),
                 site_override: SiteOverride::HoldOut,
             };
-            self.core.on(now, event);
+            self.core.handle(now, event);
         }
     }
 
     /// Passes an event to the failover core.
     pub(super) fn handle(&mut self, now: Timestamp, event: Event) {
-        self.core.on(now, event);
+        self.core.handle(now, event);
     }
 
     /// The plan as of `now`.
@@ -84,12 +84,12 @@
     SiteId(zone.0)
 }
 
-fn endpoint_entry(server: &Server) -> EndpointEntry {
+fn endpoint_entry(server: &ListedEndpoint) -> EndpointEntry {
     EndpointEntry {
         endpoint: EndpointId(server.entry.endpoint.0),
         site: site_of(server.entry.zone),
         in_service: server.entry.state == EndpointState::InService,
         weight: server.entry.weight,
-        started: server.entry.started_at,
+        started_at: server.entry.started_at,
     }
 }
--- a/crates/grpc-gateway/src/sites/plan.rs
+++ b/crates/grpc-gateway/src/sites/plan.rs
@@ -17,7 +17,7 @@
 impl GatewayServer {
     /// Reports the endpoints' concurrency and computes the plan again.
     pub(crate) fn refresh_site_plan(&mut self) {
-        self.set_timer(PLAN_INTERVAL, TimerPurpose::SitePlan);
+        self.set_timer(PLAN_INTERVAL, TimerPurpose::SitePlanRefresh);
         let now = self.now();
         let Some(sites) = &mut self.sites else { return };
         let reported: Vec<EndpointConcurrency> = self
@@ -39,7 +39,7 @@
         let now = self.now();
         let Some(sites) = &mut self.sites else { return };
         let mut plan = sites.plan(now);
-        if !self.settings.site_floor {
+        if !self.settings.is_site_shedding_enabled {
             plan.threshold = SheddingThreshold::ADMIT_ALL;
         }
         let applied = sites.applied_plan.as_ref();
--- a/crates/grpc-gateway/tests/flow.rs
+++ b/crates/grpc-gateway/tests/flow.rs
@@ -1,200 +1,219 @@
-//! Big bodies, slow readers and floods: what is held stays bounded and others are served.
+//! Large bodies, slow readers and floods: memory stays bounded, and other clients are served.
 mod common;
 use chalkdeck_net::grpc::{self, Code};
 use common::*;
 use std::io::Write;
 use std::net::TcpStream;
 
-const BIG: usize = 50 << 20;
-/// What a gateway may hold of one call: a window and what is kept on either side, and socket buffers between.
-const HELD: usize = 16 << 20;
+const LARGE_BODY_BYTES: usize = 50 << 20;
+/// The most that a gateway may buffer of one call: a flow-control window and a buffer on either side, and socket buffers.
+const MAX_BUFFERED_BYTES: usize = 16 << 20;
 
-/// Another client's call is served meanwhile.
-fn others_are_served(rig: &mut Rig) {
-    let before = rig.servers.opened.len();
-    let call = rig.call(BUY, &[]);
-    let stream = rig.arrived(before + 1);
-    rig.servers.answer(stream, b"fine");
-    assert_eq!(rig.ended(call), Code::Ok);
+/// Sends another call and checks that it is served.
+fn assert_others_are_served(harness: &mut Harness) {
+    let before = harness.servers.incoming_streams.len();
+    let call = harness.call(BUY, &[]);
+    let stream = harness.wait_for_server_call(before + 1);
+    harness.servers.answer(stream, b"fine");
+    assert_eq!(harness.wait_for_status(call), Code::Ok);
 }
 
 #[test]
-fn a_big_answer_waits_at_its_server_for_a_slow_client() {
-    let mut rig = Rig::new(1);
-    let call = rig.call(WATCH, &[]);
-    let stream = rig.arrived(1);
-    rig.client.slow = true;
-    rig.servers.engine.respond(stream, grpc::head(), false);
-    rig.servers.engine.send(stream, payload(BIG));
-    rig.servers
+fn slow_client_holds_a_large_response_back_at_the_server() {
+    let mut harness = Harness::new(1);
+    let call = harness.call(WATCH, &[]);
+    let stream = harness.wait_for_server_call(1);
+    harness.client.withholds_window = true;
+    harness.servers.engine.respond(stream, grpc::head(), false);
+    harness
+        .servers
+        .engine
+        .send(stream, payload(LARGE_BODY_BYTES));
+    harness
+        .servers
         .engine
         .finish(stream, Some(grpc::trailers(Code::Ok, "")));
-    rig.until("the first bytes", |r| {
-        r.heard(call).is_some_and(|s| s.bytes > 0)
+    harness.turn_until("the first bytes", |r| {
+        r.client_stream(call).is_some_and(|s| s.received_bytes > 0)
     });
-    rig.pass(200);
-    let left = rig.servers.engine.queued(stream);
+    harness.turn_for(200);
+    let unsent = harness.servers.engine.queued(stream);
     assert!(
-        left > BIG - HELD,
-        "the gateway took in {} bytes",
-        BIG - left
+        unsent > LARGE_BODY_BYTES - MAX_BUFFERED_BYTES,
+        "the gateway buffered {} bytes",
+        LARGE_BODY_BYTES - unsent
+    );
+    harness.client.withholds_window = false;
+    assert_others_are_served(&mut harness);
+    let received = harness.client.streams[&call].received_bytes;
+    harness.client.engine.consume(call, received);
+    assert_eq!(harness.wait_for_status(call), Code::Ok);
+    assert_eq!(
+        harness.client.streams[&call].received_bytes,
+        LARGE_BODY_BYTES + 5
     );
-    rig.client.slow = false;
-    others_are_served(&mut rig);
-    let heard = rig.client.seen[&call].bytes;
-    rig.client.engine.consume(call, heard);
-    assert_eq!(rig.ended(call), Code::Ok);
-    assert_eq!(rig.client.seen[&call].bytes, BIG + 5);
 }
 
 #[test]
-fn a_big_unary_answer_goes_through_without_being_kept() {
-    let mut rig = Rig::new(1);
-    let call = rig.call(VIEW, &[]);
-    let stream = rig.arrived(1);
-    rig.servers.answer(stream, &vec![1; 3 << 20]);
-    assert_eq!(rig.ended(call), Code::Ok);
-    assert_eq!(rig.client.seen[&call].bytes, (3 << 20) + 5);
+fn large_unary_response_is_forwarded_whole() {
+    let mut harness = Harness::new(1);
+    let call = harness.call(VIEW, &[]);
+    let stream = harness.wait_for_server_call(1);
+    harness.servers.answer(stream, &vec![1; 3 << 20]);
+    assert_eq!(harness.wait_for_status(call), Code::Ok);
+    assert_eq!(harness.client.streams[&call].received_bytes, (3 << 20) + 5);
 }
 
 #[test]
-fn a_big_request_waits_at_its_client_for_a_slow_server() {
-    let mut rig = Rig::new(1);
-    let call = rig.open(WATCH, &[]);
-    rig.servers.slow = true;
-    rig.client.engine.send(call, payload(BIG));
-    rig.client.engine.finish(call, None);
-    let stream = rig.arrived(1);
-    rig.until("the first bytes", |r| r.servers.seen[&stream].bytes > 0);
-    rig.pass(200);
-    let left = rig.client.engine.queued(call);
+fn slow_server_holds_a_large_request_back_at_the_client() {
+    let mut harness = Harness::new(1);
+    let call = harness.open_call(WATCH, &[]);
+    harness.servers.withholds_window = true;
+    harness.client.engine.send(call, payload(LARGE_BODY_BYTES));
+    harness.client.engine.finish(call, None);
+    let stream = harness.wait_for_server_call(1);
+    harness.turn_until("the first bytes", |r| {
+        r.servers.streams[&stream].received_bytes > 0
+    });
+    harness.turn_for(200);
+    let unsent = harness.client.engine.queued(call);
     assert!(
-        left > BIG - HELD,
-        "the gateway took in {} bytes",
-        BIG - left
+        unsent > LARGE_BODY_BYTES - MAX_BUFFERED_BYTES,
+        "the gateway buffered {} bytes",
+        LARGE_BODY_BYTES - unsent
     );
-    rig.servers.slow = false;
-    let heard = rig.servers.seen[&stream].bytes;
-    rig.servers.engine.consume(stream, heard);
-    rig.until("the whole body", |r| {
-        r.servers.seen[&stream].bytes == BIG + 5
+    harness.servers.withholds_window = false;
+    let received = harness.servers.streams[&stream].received_bytes;
+    harness.servers.engine.consume(stream, received);
+    harness.turn_until("the whole body", |r| {
+        r.servers.streams[&stream].received_bytes == LARGE_BODY_BYTES + 5
     });
-    rig.servers.answer(stream, b"fine");
-    assert_eq!(rig.ended(call), Code::Ok);
+    harness.servers.answer(stream, b"fine");
+    assert_eq!(harness.wait_for_status(call), Code::Ok);
 }
 
 #[test]
-fn a_body_too_big_to_keep_is_sent_once_only() {
+fn request_body_over_the_buffer_limit_is_not_retried() {
     for (bytes, attempts) in [(1 << 10, 2), (1 << 20, 1)] {
-        let mut rig = Rig::new(3);
-        let call = rig.open(VIEW, &[]);
-        rig.client.engine.send(call, payload(bytes));
-        rig.client.engine.finish(call, None);
-        let stream = rig.arrived(1);
-        rig.until("the whole body", |r| {
-            r.servers.seen[&stream].bytes == bytes + 5
+        let mut harness = Harness::new(3);
+        let call = harness.open_call(VIEW, &[]);
+        harness.client.engine.send(call, payload(bytes));
+        harness.client.engine.finish(call, None);
+        let stream = harness.wait_for_server_call(1);
+        harness.turn_until("the whole body", |r| {
+            r.servers.streams[&stream].received_bytes == bytes + 5
         });
-        rig.servers.engine.reset(stream, h2::Reason::INTERNAL_ERROR);
-        rig.until("a second attempt or an end", |r| {
-            r.servers.opened.len() > 1 || r.heard(call).is_some_and(|s| s.ended)
+        harness
+            .servers
+            .engine
+            .reset(stream, h2::Reason::INTERNAL_ERROR);
+        harness.turn_until("a second attempt or an end", |r| {
+            r.servers.incoming_streams.len() > 1
+                || r.client_stream(call).is_some_and(|s| s.is_ended)
         });
-        assert_eq!(rig.servers.opened.len(), attempts, "{bytes} bytes");
+        assert_eq!(
+            harness.servers.incoming_streams.len(),
+            attempts,
+            "{bytes} bytes"
+        );
         if attempts == 1 {
             assert_eq!(
-                rig.ended(call),
+                harness.wait_for_status(call),
                 Code::ResourceExhausted,
-                "it is safe, so it is refused"
+                "a safe call is rejected rather than failed"
             );
             continue;
         }
-        let again = rig.servers.opened[1];
-        rig.until("the body again", |r| {
-            r.servers.seen[&again].bytes == bytes + 5
+        let second_stream = harness.servers.incoming_streams[1];
+        harness.turn_until("the whole body in the second attempt", |r| {
+            r.servers.streams[&second_stream].received_bytes == bytes + 5
         });
-        rig.servers.answer(again, b"fine");
-        assert_eq!(rig.ended(call), Code::Ok);
+        harness.servers.answer(second_stream, b"fine");
+        assert_eq!(harness.wait_for_status(call), Code::Ok);
     }
 }
 
 #[test]
-fn metadata_too_large_ends_that_call_alone() {
-    let mut rig = Rig::new(1);
+fn oversized_metadata_fails_only_its_own_call() {
+    let mut harness = Harness::new(1);
     let long = "x".repeat(40_000);
-    let call = rig.call(BUY, &[("x-long", &long)]);
-    rig.until("its end", |r| {
-        r.heard(call)
-            .is_some_and(|s| s.head.is_some() || s.broken.is_some())
+    let call = harness.call(BUY, &[("x-long", &long)]);
+    harness.turn_until("the end of the call", |r| {
+        r.client_stream(call)
+            .is_some_and(|s| s.http_status.is_some() || s.error.is_some())
     });
-    let seen = &rig.client.seen[&call];
-    let told = seen.head == Some(http::StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
-    assert!(told || seen.broken.is_some());
-    assert!(rig.servers.opened.is_empty());
-    others_are_served(&mut rig);
+    let received = &harness.client.streams[&call];
+    let has_http_status =
+        received.http_status == Some(http::StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
+    assert!(has_http_status || received.error.is_some());
+    assert!(harness.servers.incoming_streams.is_empty());
+    assert_others_are_served(&mut harness);
 }
 
 #[test]
-fn a_flood_of_resets_ends_its_own_connection_alone() {
-    let mut rig = Rig::new(1);
-    let bad = rig.client.connect(rig.gateway.listen());
-    rig.until("a second connection", |r| r.client.up.contains(&bad));
+fn reset_flood_closes_only_its_own_connection() {
+    let mut harness = Harness::new(1);
+    let flooding = harness.client.connect(harness.gateway.listen_address());
+    harness.turn_until("a second connection", |r| {
+        r.client.established_connections.contains(&flooding)
+    });
     let mut sent = 0;
-    while !rig.client.closed.contains(&bad) && sent < 20_000 {
+    while !harness.client.closed_connections.contains(&flooding) && sent < 20_000 {
         for _ in 0..50 {
             let head = grpc::request("gateway", WATCH).expect("a head");
-            if let Some(stream) = rig.client.engine.open(bad, head, false) {
-                rig.client.turn();
-                rig.client.engine.reset(stream, h2::Reason::CANCEL);
+            if let Some(stream) = harness.client.engine.open(flooding, head, false) {
+                harness.client.turn();
+                harness.client.engine.reset(stream, h2::Reason::CANCEL);
                 sent += 1;
             }
         }
-        rig.turn();
+        harness.turn();
     }
     assert!(
-        rig.client.closed.contains(&bad),
-        "after {sent} resets it is closed"
+        harness.client.closed_connections.contains(&flooding),
+        "open after {sent} resets"
     );
-    others_are_served(&mut rig);
-    rig.until("nothing is held", |r| r.gateway.open_calls() == 0);
+    assert_others_are_served(&mut harness);
+    harness.turn_until("no open call", |r| r.gateway.open_call_count() == 0);
 }
 
 #[test]
-fn a_flood_of_pings_keeps_nobody_waiting() {
-    let mut rig = Rig::new(1);
-    let mut socket = TcpStream::connect(rig.gateway.listen()).expect("a connection");
-    socket
-        .set_nonblocking(true)
-        .expect("a socket that does not wait");
-    let mut bytes = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".to_vec();
-    bytes.extend([0, 0, 0, 4, 0, 0, 0, 0, 0]);
+fn ping_flood_does_not_delay_other_clients() {
+    let mut harness = Harness::new(1);
+    let mut socket = TcpStream::connect(harness.gateway.listen_address()).expect("a connection");
+    socket.set_nonblocking(true).expect("a non-blocking socket");
+    let mut flood = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".to_vec();
+    flood.extend([0, 0, 0, 4, 0, 0, 0, 0, 0]);
     for i in 0..100_000_u32 {
-        bytes.extend([0, 0, 8, 6, 0, 0, 0, 0, 0, 0, 0, 0, 0]);
-        bytes.extend(i.to_be_bytes());
+        flood.extend([0, 0, 8, 6, 0, 0, 0, 0, 0, 0, 0, 0, 0]);
+        flood.extend(i.to_be_bytes());
     }
-    // It never reads the answers.
+    // The flooding client never reads the acknowledgements.
     let mut sent = 0;
     for _ in 0..50 {
-        while let Ok(n) = socket.write(&bytes[sent..]) {
-            sent += n;
-            if sent == bytes.len() {
+        while let Ok(written) = socket.write(&flood[sent..]) {
+            sent += written;
+            if sent == flood.len() {
                 break;
             }
         }
-        others_are_served(&mut rig);
+        assert_others_are_served(&mut harness);
     }
-    assert!(sent > 50 * 17, "the flood was one");
+    assert!(sent > 50 * 17, "many pings were sent");
 }
 
 #[test]
-fn bytes_that_are_no_http2_close_their_connection_alone() {
-    let mut rig = Rig::new(1);
+fn invalid_http2_bytes_affect_only_their_own_connection() {
+    let mut harness = Harness::new(1);
     for garbage in [
         &b"GET / HTTP/1.1\r\nhost: x\r\n\r\n"[..],
         &[0xff; 300][..],
         b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\x09\x07\0",
     ] {
-        let mut socket = TcpStream::connect(rig.gateway.listen()).expect("a connection");
-        socket.write_all(garbage).expect("it goes out");
+        let mut socket =
+            TcpStream::connect(harness.gateway.listen_address()).expect("a connection");
+        socket.write_all(garbage).expect("bytes sent");
         drop(socket);
-        others_are_served(&mut rig);
+        assert_others_are_served(&mut harness);
     }
 }
--- a/crates/policy/src/engine/dispatch.rs
+++ b/crates/policy/src/engine/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sending an attempt, or keeping the request until an endpoint is free.
+//! Sends attempts, or keeps requests pending until an endpoint is free.
 
 use super::stragglers::straggler_check_after;
 use super::DecisionEngine;
@@ -6,20 +6,20 @@
 use crate::request::{Attempt, OpenRequest};
 use crate::timers::TimerPurpose;
 
-/// Part of the latency objective that is left for a further attempt when the first is given up
-/// early, and that the first has at the least.
-const SPARE_OBJECTIVE_PART: f64 = 0.3;
+/// Fraction of the latency objective that an attempt with an early timeout leaves for a retry, and
+/// the minimum fraction that it gets itself.
+const RETRY_OBJECTIVE_FRACTION: f64 = 0.3;
 
-/// Deadlines of an attempt that is sent now.
-struct AttemptDeadlines {
-    /// When it is given up.
-    until: Timestamp,
-    /// After what time it is checked for being a straggler; none: it is not.
+/// Timeouts of an attempt that is sent now.
+struct AttemptTimeouts {
+    /// When it times out.
+    times_out_at: Timestamp,
+    /// Time after which it is checked for being a straggler; `None` if it is not checked.
     straggler_check: Option<TimeDelta>,
 }
 
 impl DecisionEngine {
-    /// Sends the next attempt, or keeps the request until an endpoint is free.
+    /// Sends the next attempt, or keeps the request pending until an endpoint is free.
     pub(super) fn dispatch(&mut self, id: RequestId) {
         match self.select_endpoint(id) {
             Some(endpoint) => self.send(id, endpoint),
@@ -34,7 +34,7 @@
             return;
         };
         let units = request.incoming.units;
-        let deadlines = self.attempt_deadlines(request, endpoint_id);
+        let timeouts = self.attempt_timeouts(request, endpoint_id);
         let quick_answers_before = self
             .endpoints
             .get(endpoint_id)
@@ -58,15 +58,15 @@
         self.actions.push(Action::SendAttempt {
             request: id,
             endpoint: endpoint_id,
-            deadline: deadlines.until,
+            deadline: timeouts.times_out_at,
         });
-        if let Some(after) = deadlines.straggler_check {
+        if let Some(after) = timeouts.straggler_check {
             let request = id;
             self.set_timer(TimerPurpose::StragglerCheck { request, attempt }, after);
         }
     }
 
-    /// Notes an attempt that is sent, and returns its number.
+    /// Records an attempt that is sent, and returns its index.
     fn record_attempt(&mut self, id: RequestId, attempt: Attempt) -> usize {
         let Some(request) = self.requests.get_mut(&id) else {
             return 0;
@@ -77,36 +77,37 @@
         request.attempts.len() - 1
     }
 
-    fn attempt_deadlines(&self, request: &OpenRequest, endpoint: EndpointId) -> AttemptDeadlines {
+    fn attempt_timeouts(&self, request: &OpenRequest, endpoint: EndpointId) -> AttemptTimeouts {
         let now = self.now;
         let class = request.class(&self.settings);
         let objective = class.latency_objective;
-        let early = request.arrived_at + objective.mul_f64(1.0 - SPARE_OBJECTIVE_PART);
-        let is_early_enough = early > now + objective.mul_f64(SPARE_OBJECTIVE_PART);
-        let until = if self.may_give_up_early(request, endpoint) && is_early_enough {
-            early
+        let early_deadline = request.arrived_at + objective.mul_f64(1.0 - RETRY_OBJECTIVE_FRACTION);
+        let is_early_enough = early_deadline > now + objective.mul_f64(RETRY_OBJECTIVE_FRACTION);
+        let times_out_at = if self.may_time_out_early(request, endpoint) && is_early_enough {
+            early_deadline
         } else {
             request.incoming.deadline
         };
-        let usual_latency = self
+        let mean_latency = self
             .endpoints
             .get(endpoint)
             .map_or(0.0, |endpoint| endpoint.latency);
-        let check_after = straggler_check_after(usual_latency, objective);
+        let check_after = straggler_check_after(mean_latency, objective);
         let is_checked = class.idempotency == Idempotency::Idempotent
             && !class.is_streaming
-            && now + check_after < early;
-        AttemptDeadlines {
-            until: until.min(request.incoming.deadline),
+            && now + check_after < early_deadline;
+        AttemptTimeouts {
+            times_out_at: times_out_at.min(request.incoming.deadline),
             straggler_check: is_checked.then_some(check_after),
         }
     }
 
-    /// Whether an attempt may be given up while another could still meet the objective: only at an
-    /// endpoint out of line, against endpoints that fall silent, and only while the fleet is calm.
-    /// Given up by the clock alone, work is done twice, which tips a full fleet into congestion.
-    /// Trade-off: the first request at each silent endpoint waits.
-    fn may_give_up_early(&self, request: &OpenRequest, endpoint: EndpointId) -> bool {
+    /// Whether an attempt may time out early enough for a retry to meet the latency objective. This
+    /// guards against endpoints that stop responding, so it applies only to endpoints on probation
+    /// or outliers, and only while the fleet is healthy. Early timeouts in general would run work
+    /// twice, which drives a fleet at capacity into congestion. Trade-off: the first request at
+    /// each endpoint that stops responding waits for its deadline.
+    fn may_time_out_early(&self, request: &OpenRequest, endpoint: EndpointId) -> bool {
         let class = request.class(&self.settings);
         let is_repeatable_anywhere = match class.idempotency {
             Idempotency::Idempotent => true,
@@ -116,11 +117,11 @@
         let is_suspect = self
             .endpoints
             .get(endpoint)
-            .is_some_and(|endpoint| endpoint.is_on_trial || endpoint.is_outlier(&self.fleet));
+            .is_some_and(|endpoint| endpoint.is_on_probation || endpoint.is_outlier(&self.fleet));
         is_repeatable_anywhere
             && !class.is_streaming
             && request.attempts.len() + 1 < self.settings.max_attempts
-            && self.fleet.is_calm()
+            && self.fleet.is_healthy()
             && is_suspect
     }
 }
