--- a/crates/coordinator/src/agent/connection.rs
+++ b/crates/coordinator/src/agent/connection.rs
@@ -1,24 +1,24 @@
-//! Which replica a gateway is connected to, and when it turns to another.
+//! Selects the replica that a gateway connects to, and detects when to fail over to another one.
 
 use chalkdeck_time::{TimeDelta, Timestamp};
 use fastrand::Rng;
 
-/// The longest delay before another replica is connected to. It is chosen at random, so that gateways that lost one replica do
-/// not turn to the next at the same time.
+/// Maximum delay before connecting to the next replica. The delay is random, so that gateways that have lost the same replica do
+/// not all connect to the next one at once.
 const MAX_RECONNECT_DELAY: TimeDelta = TimeDelta::from_millis(200);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ConnectionState {
     Disconnected { retry_at: Timestamp },
-    Connecting { give_up_at: Timestamp },
-    Connected { last_heard_at: Timestamp },
+    Connecting { connect_deadline: Timestamp },
+    Connected { last_message_at: Timestamp },
 }
 
-/// What is to be done about the connection.
+/// The next step for the connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum ConnectionStep {
     Connect,
-    GiveUp,
+    Disconnect,
 }
 
 /// The connection to one of the replicas.
@@ -30,7 +30,7 @@
 }
 
 impl ReplicaConnection {
-    /// Begins with a replica that is chosen at random.
+    /// Starts disconnected, with a randomly selected replica.
     pub(super) fn new(replica_count: usize, rng: &mut Rng, now: Timestamp) -> ReplicaConnection {
         ReplicaConnection {
             replica_count: replica_count.max(1),
@@ -39,23 +39,25 @@
         }
     }
 
-    /// The place of the replica in the list of addresses.
+    /// Index of the selected replica in the address list.
     pub(super) fn replica_index(&self) -> usize {
         self.replica_index
     }
 
-    pub(super) fn connected(&mut self, now: Timestamp) {
-        self.state = ConnectionState::Connected { last_heard_at: now };
+    pub(super) fn on_connected(&mut self, now: Timestamp) {
+        self.state = ConnectionState::Connected {
+            last_message_at: now,
+        };
     }
 
-    pub(super) fn heard(&mut self, now: Timestamp) {
+    pub(super) fn on_message(&mut self, now: Timestamp) {
         if matches!(self.state, ConnectionState::Connected { .. }) {
-            self.connected(now);
+            self.on_connected(now);
         }
     }
 
-    /// Turns to the next replica.
-    pub(super) fn lost(&mut self, rng: &mut Rng, now: Timestamp) {
+    /// Selects the next replica, which is connected to after a random delay.
+    pub(super) fn switch_replica(&mut self, rng: &mut Rng, now: Timestamp) {
         self.replica_index = (self.replica_index + 1) % self.replica_count;
         let delay = TimeDelta::from_micros(rng.u64(..MAX_RECONNECT_DELAY.as_micros()));
         self.state = ConnectionState::Disconnected {
@@ -63,26 +65,28 @@
         };
     }
 
-    /// What is to be done at `now`. A replica that is silent for `patience` is given up; one that is being connected to has half
-    /// of that.
+    /// Returns the step that is due at `now`. A connection is closed once the replica has been silent for `silence_timeout`; a
+    /// connect attempt times out after half of that.
     pub(super) fn next_step(
         &mut self,
         now: Timestamp,
-        patience: TimeDelta,
+        silence_timeout: TimeDelta,
     ) -> Option<ConnectionStep> {
         match self.state {
             ConnectionState::Disconnected { retry_at } if now >= retry_at => {
-                let half = TimeDelta::from_micros(patience.as_micros() / 2);
+                let connect_timeout = TimeDelta::from_micros(silence_timeout.as_micros() / 2);
                 self.state = ConnectionState::Connecting {
-                    give_up_at: now + half,
+                    connect_deadline: now + connect_timeout,
                 };
                 Some(ConnectionStep::Connect)
             }
-            ConnectionState::Connecting { give_up_at } if now >= give_up_at => {
-                Some(ConnectionStep::GiveUp)
+            ConnectionState::Connecting { connect_deadline } if now >= connect_deadline => {
+                Some(ConnectionStep::Disconnect)
             }
-            ConnectionState::Connected { last_heard_at } if now >= last_heard_at + patience => {
-                Some(ConnectionStep::GiveUp)
+            ConnectionState::Connected { last_message_at }
+                if now >= last_message_at + silence_timeout =>
+            {
+                Some(ConnectionStep::Disconnect)
             }
             _ => None,
         }
--- a/crates/coordinator/tests/simulation/gateways.rs
+++ b/crates/coordinator/tests/simulation/gateways.rs
@@ -54,7 +54,7 @@
         let node = &mut self.gateways[gateway];
         node.start_count += 1;
         let settings = AgentSettings {
-            open: wire::OpenSession {
+            open_session: wire::OpenSession {
                 gateway: format!("g{gateway}"),
                 site: SITES[gateway % SITES.len()].into(),
                 incarnation: (gateway as u64 + 1) << 20 | node.start_count,
@@ -66,7 +66,7 @@
         };
         let now = node.clock.at(self.now);
         let mut agent = GatewayAgent::new(settings, node.persisted.clone(), now);
-        agent.state_persisted(now, node.persisted.version);
+        agent.on_state_persisted(now, node.persisted.version);
         node.agent = Some(agent);
         node.hits = 0;
         node.stream = 0;
@@ -81,7 +81,7 @@
         agent.tick(now);
         if !self.are_calls_stopped
             && self.rng.u8(..) < CALL_TICKS_OF_256
-            && agent.access().get(CUSTOMER).is_some()
+            && agent.rule_store().get(CUSTOMER).is_some()
         {
             let call = Call {
                 caller_region: "eu",
@@ -93,7 +93,7 @@
             node.hits += 1;
             self.hits += 1;
         }
-        if let Some(token) = agent.session().leads(EFFECTS_ELECTION, now) {
+        if let Some(token) = agent.session().leader_token(EFFECTS_ELECTION, now) {
             let start_count = node.start_count;
             self.schedule_effect(gateway, token, start_count);
         }
@@ -165,7 +165,7 @@
             AgentAction::Connect(replica) => {
                 node.replica = replica;
                 node.stream = self.rng.u64(1..u64::MAX);
-                agent.connected(now);
+                agent.on_connected(now);
                 let to = Node::Replica(replica);
                 let message = Message::OpenStream(node.stream);
                 self.send(Node::Gateway(gateway), to, message);
@@ -177,7 +177,7 @@
             }
             AgentAction::Persist(_) => {
                 node.persisted = agent.session().state().clone();
-                agent.state_persisted(now, node.persisted.version);
+                agent.on_state_persisted(now, node.persisted.version);
             }
             AgentAction::RecheckStreams(_)
             | AgentAction::RecheckAllStreams
@@ -191,7 +191,7 @@
         let now = node.clock.at(self.now);
         let is_current = stream == node.stream;
         if let Some(agent) = node.agent.as_mut().filter(|_| is_current) {
-            agent.stream_accepted(now);
+            agent.on_stream_accepted(now);
             self.perform_actions(gateway);
         }
     }
--- a/crates/grpc-gateway/src/call_flow/accept.rs
+++ b/crates/grpc-gateway/src/call_flow/accept.rs
@@ -1,4 +1,4 @@
-//! Calls as they arrive from clients.
+//! Accepts calls of clients, or rejects invalid ones.
 
 use crate::base::call_head::InvalidCall;
 use crate::call_head;
@@ -12,13 +12,13 @@
 use http::request;
 
 impl GatewayServer {
-    /// A client opened a stream. `ended`: its request has no body.
+    /// Handles a stream that a client opened. `is_ended`: its request has no body.
     pub(crate) fn on_call(
         &mut self,
         stream: StreamId,
         conn: ConnId,
         head: &request::Parts,
-        ended: bool,
+        is_ended: bool,
     ) {
         if self.fault == Some(Fault::Shut) && self.has_reloaded {
             let trailers = grpc::trailers(Code::Unavailable, "fault injection");
@@ -30,11 +30,11 @@
         let now = self.engine.now();
         let mut call_head = match call_head::parse(&self.settings, id, now, head) {
             Ok(call_head) => call_head,
-            Err(rejected) => return self.reject_invalid(stream, id, &rejected),
+            Err(invalid) => return self.reject_invalid(stream, id, &invalid),
         };
         let caller = match self.admit_call(&mut call_head, head, conn) {
             Ok(caller) => caller,
-            Err(rejected) => return self.reject_invalid(stream, id, &rejected),
+            Err(invalid) => return self.reject_invalid(stream, id, &invalid),
         };
         tracing::debug!(
             call = id.0,
@@ -43,7 +43,7 @@
             "taken"
         );
         let request = call_head.request.clone();
-        let buffer = RequestBuffer::new(self.settings.keep_bytes, ended);
+        let buffer = RequestBuffer::new(self.settings.max_buffered_bytes, is_ended);
         let call = Call::new(call_head, stream, now, buffer);
         self.calls.insert(Call { caller, ..call });
         self.metrics.accepted_calls.inc();
@@ -51,12 +51,12 @@
         self.enqueue_request(request);
     }
 
-    /// Answers a call that cannot be accepted, before the decisions hear of it.
-    fn reject_invalid(&mut self, stream: StreamId, id: RequestId, rejected: &InvalidCall) {
-        tracing::info!(call = id.0, kind = rejected.kind, reason = %rejected.reason, "call rejected as invalid");
-        self.metrics.input_rejected(rejected.kind);
-        let response = match rejected.code {
-            Some(code) => grpc::trailers_only(grpc::trailers(code, &rejected.reason)),
+    /// Answers an invalid call without passing it to the decisions.
+    fn reject_invalid(&mut self, stream: StreamId, id: RequestId, invalid: &InvalidCall) {
+        tracing::info!(call = id.0, kind = invalid.kind, reason = %invalid.reason, "call rejected as invalid");
+        self.metrics.input_rejected(invalid.kind);
+        let response = match invalid.code {
+            Some(code) => grpc::trailers_only(grpc::trailers(code, &invalid.reason)),
             None => unsupported_media_type(),
         };
         self.engine.respond(stream, response, true);
--- a/crates/grpc-gateway/src/coordinator_link/events.rs
+++ b/crates/grpc-gateway/src/coordinator_link/events.rs
@@ -2,7 +2,7 @@
 
 use super::connection::loop_time;
 use super::CoordinatorStatus;
-use crate::base::server::Server;
+use crate::base::listed_endpoint::ListedEndpoint;
 use crate::gateway_server::{GatewayServer, TimerPurpose};
 use chalkdeck_coordinator::agent::AgentAction;
 use chalkdeck_net::{ConnId, StreamId};
@@ -39,7 +39,7 @@
         };
         link.retry_persist(now);
         link.agent.tick(now);
-        self.set_timer(TICK_INTERVAL, TimerPurpose::Coordinator);
+        self.set_timer(TICK_INTERVAL, TimerPurpose::CoordinatorTick);
         self.run_coordinator_actions();
     }
 
@@ -87,7 +87,7 @@
     }
 
     /// Marks endpoints that must not get new requests as draining; see `contracts`.
-    pub(crate) fn hold_back_endpoints(&mut self, servers: &mut [Server]) {
+    pub(crate) fn hold_back_endpoints(&mut self, servers: &mut [ListedEndpoint]) {
         if let Some(link) = &mut self.coordinator {
             link.hold_back(servers);
         }
@@ -132,7 +132,7 @@
             return false;
         }
         match progress {
-            StreamProgress::Open => link.agent.stream_accepted(loop_time(&self.engine)),
+            StreamProgress::Open => link.agent.on_stream_accepted(loop_time(&self.engine)),
             StreamProgress::Ended => link.abandon_connection(&mut self.engine),
         }
         self.run_coordinator_actions();
--- a/crates/grpc-gateway/src/coordinator_link/mod.rs
+++ b/crates/grpc-gateway/src/coordinator_link/mod.rs
@@ -12,8 +12,8 @@
 pub(crate) use events::StreamProgress;
 pub use status::{CoordinatorStatus, LeadershipStatus, RuleSetStatus};
 
-use crate::base::failed::CoordinatorError;
-use crate::base::server::Server;
+use crate::base::errors::CoordinatorError;
+use crate::base::listed_endpoint::ListedEndpoint;
 use crate::base::settings::{CoordinatorSettings, Settings};
 use chalkdeck_access::RegionTable;
 use chalkdeck_coordinator::agent::{AgentSettings, GatewayAgent};
@@ -39,7 +39,7 @@
     stream: Option<StreamId>,
     deframer: Deframer,
     /// The endpoint list as it was read.
-    listed: Vec<Server>,
+    listed: Vec<ListedEndpoint>,
     /// Addresses of endpoints whose contract version was not admitted.
     held_back: Vec<String>,
     /// No endpoint in service has an admitted contract version, so all are used.
@@ -68,11 +68,11 @@
         zone_name: &str,
         now: Timestamp,
     ) -> Result<CoordinatorLink, CoordinatorError> {
-        let regions = match &settings.regions {
+        let regions = match &settings.regions_file {
             Some(file) => read_regions(file)?,
             None => RegionTable::default(),
         };
-        let (cache_file, state) = match &settings.state {
+        let (cache_file, state) = match &settings.state_file {
             Some(file) => {
                 let (cache_file, state) = CacheFile::open(file)?;
                 (Some(cache_file), state)
@@ -82,7 +82,7 @@
         let version = state.version;
         let mut agent = GatewayAgent::new(agent_settings(settings, zone_name, now), state, now);
         if cache_file.is_some() {
-            agent.state_persisted(now, version);
+            agent.on_state_persisted(now, version);
         }
         Ok(CoordinatorLink {
             agent,
@@ -105,14 +105,14 @@
     zone_name: &str,
     now: Timestamp,
 ) -> AgentSettings {
-    let open = wire::OpenSession {
+    let open_session = wire::OpenSession {
         gateway: settings.name.clone(),
         site: zone_name.to_string(),
         incarnation: incarnation(now.as_micros()),
         candidate: settings.is_candidate,
     };
     AgentSettings {
-        open,
+        open_session,
         replica_count: settings.addresses.len(),
         report_interval: TimeDelta::from_micros(settings.report_interval),
         seed: fastrand::u64(..),
--- a/crates/policy/src/engine/attempt_results.rs
+++ b/crates/policy/src/engine/attempt_results.rs
@@ -1,59 +1,62 @@
-//! The end of an attempt: what it shows about its endpoint and the fleet, and what happens to the
-//! request.
+//! Handling of attempts that end: statistics of the endpoint and the fleet, and the next step of
+//! the request.
 
 use super::DecisionEngine;
 use crate::api::{AttemptResult, EndpointId, Outcome, TimeDelta, Timestamp};
 use crate::endpoint::Endpoint;
 use crate::request::Attempt;
 
-/// An answer that takes, with twice its endpoint's usual time, more than this part of the objective
-/// indicates congestion.
-const LATE_OBJECTIVE_PART: f64 = 0.85;
-/// Usual times of the endpoint that count into it.
-const LATE_USUAL_TIMES: u64 = 2;
-/// An answer within this part of the objective is quick.
-const QUICK_OBJECTIVE_PART: f64 = 0.25;
-/// Connects that fail for longer than this, with no answer between, indicate a restart.
-const RESTART_CONNECT_FAILURES: TimeDelta = TimeDelta::from_millis(700);
-/// The least random factor for the length of an ejection.
+/// An answer indicates congestion if its latency plus a margin exceeds this fraction of the latency
+/// objective.
+const LATE_OBJECTIVE_FRACTION: f64 = 0.85;
+/// That margin, as a multiple of the endpoint's mean latency.
+const LATENCY_MARGIN_MULTIPLE: u64 = 2;
+/// An answer within this fraction of the latency objective is quick.
+const QUICK_OBJECTIVE_FRACTION: f64 = 0.25;
+/// Connects that fail for longer than this, with no answer in between, indicate that the endpoint
+/// restarted.
+const MIN_RESTART_DOWNTIME: TimeDelta = TimeDelta::from_millis(700);
+/// Minimum of the random factor on the duration of an ejection.
 const MIN_EJECTION_JITTER: f64 = 0.75;
-/// The spread of that factor.
+/// Range of that factor.
 const EJECTION_JITTER_SPREAD: f64 = 0.5;
 
-/// What the end of one attempt shows about its endpoint.
+/// How an attempt ended, as evidence about its endpoint.
 struct AttemptEvidence {
     endpoint: EndpointId,
     outcome: Outcome,
     elapsed: TimeDelta,
     /// The class's latency objective.
     objective: TimeDelta,
-    /// The attempt was late alone, and its endpoint answered others.
+    /// Whether only this attempt was late, while its endpoint answered others quickly.
     is_straggler: bool,
 }
 
 impl AttemptEvidence {
-    /// Whether it shows nothing about the endpoint: a straggler that was given up.
-    fn is_void(&self) -> bool {
+    /// Whether it is no evidence about the endpoint, as the attempt was a straggler that was
+    /// cancelled or timed out.
+    fn is_inconclusive(&self) -> bool {
         self.is_straggler && matches!(self.outcome, Outcome::Cancelled | Outcome::Timeout)
     }
 
-    /// Whether the endpoint has too many attempts in flight. Trade-off: just after a short stall it
-    /// seems so, too.
+    /// Whether the endpoint has too many attempts in flight. Trade-off: a short stall of the
+    /// endpoint is also taken for congestion.
     fn is_congested(&self, endpoint: &Endpoint) -> bool {
-        let usual = TimeDelta::from_micros(LATE_USUAL_TIMES * endpoint.latency as u64);
+        let latency_margin =
+            TimeDelta::from_micros(LATENCY_MARGIN_MULTIPLE * endpoint.latency as u64);
         let is_late = matches!(self.outcome, Outcome::Ok | Outcome::Cancelled)
-            && self.elapsed + usual > self.objective.mul_f64(LATE_OBJECTIVE_PART);
-        let has_no_room = matches!(self.outcome, Outcome::Rejected | Outcome::Timeout);
-        !self.is_void() && (is_late || has_no_room)
+            && self.elapsed + latency_margin > self.objective.mul_f64(LATE_OBJECTIVE_FRACTION);
+        let is_at_capacity = matches!(self.outcome, Outcome::Rejected | Outcome::Timeout);
+        !self.is_inconclusive() && (is_late || is_at_capacity)
     }
 
-    /// Whether the endpoint could take more attempts at once.
+    /// Whether the endpoint answered quickly, and so could handle more attempts in parallel.
     fn is_quick_answer(&self) -> bool {
-        let quick = self.objective.mul_f64(QUICK_OBJECTIVE_PART);
-        self.outcome == Outcome::Ok && self.elapsed < quick
+        let threshold = self.objective.mul_f64(QUICK_OBJECTIVE_FRACTION);
+        self.outcome == Outcome::Ok && self.elapsed < threshold
     }
 
-    /// Whether it failed or missed its objective.
+    /// Whether the attempt failed or missed the latency objective.
     fn is_failed_or_late(&self) -> bool {
         let is_error = !matches!(
             self.outcome,
@@ -64,7 +67,8 @@
 }
 
 impl DecisionEngine {
-    /// Takes the end of an attempt: the request goes on, is sent again, or is rejected.
+    /// Handles the end of an attempt: the request is complete, is retried, or is rejected or
+    /// failed.
     pub(super) fn on_attempt_ended(&mut self, result: &AttemptResult) {
         let Some(attempt) = self.close_attempt(result) else {
             return;
@@ -83,7 +87,7 @@
             is_straggler: outcome != Outcome::Ok && self.is_straggler(&attempt),
         });
         if is_answered {
-            self.forget_if_finished(id);
+            self.remove_if_finished(id);
         } else if is_within_objective && self.may_retry(id) && self.retry_budget.has_retry() {
             self.retry_budget.spend();
             self.dispatch(id);
@@ -95,7 +99,7 @@
         }
     }
 
-    /// Notes that an attempt is no longer in flight; none if it is not known, or ended before.
+    /// Marks an attempt as ended and returns it; `None` if it is unknown or had ended before.
     fn close_attempt(&mut self, result: &AttemptResult) -> Option<Attempt> {
         let request = self.requests.get_mut(&result.request)?;
         let attempt = request.attempts.get_mut(result.attempt)?;
@@ -106,18 +110,18 @@
         attempt.may_have_run = !result.outcome.never_ran();
         let attempt = attempt.clone();
         let is_first_answer = result.outcome == Outcome::Ok && !request.is_done;
-        request.is_done |= result.request_finished || result.outcome == Outcome::Ok;
+        request.is_done |= result.is_request_finished || result.outcome == Outcome::Ok;
         let reserved_units = request.incoming.units;
         if let Some(units) = result.settled_units.filter(|_| is_first_answer) {
             if let Some(customer) = self.customers.get_mut(&request.incoming.customer) {
-                customer.window.unposted += units - reserved_units;
+                customer.quota_counter.unposted += units - reserved_units;
             }
         }
         Some(attempt)
     }
 
-    /// Learns from the end of an attempt: limits, accept rate, shares of failures, latencies,
-    /// ejections.
+    /// Updates concurrency limits, accept rate, failure shares, latencies and ejections with the
+    /// end of an attempt.
     fn record_evidence(&mut self, evidence: &AttemptEvidence) {
         let now = self.now;
         let jitter = MIN_EJECTION_JITTER + EJECTION_JITTER_SPREAD * self.rng.f64();
@@ -137,13 +141,14 @@
         } else if evidence.is_quick_answer() && endpoint.was_at_limit(limit_share) {
             endpoint.increase_limit();
             if is_overloaded {
-                self.overload.raise();
+                self.overload.increase();
             }
         }
         let is_connect_failure = evidence.outcome == Outcome::ConnectFailed;
         let is_first_connect_failure = is_connect_failure && endpoint.observe_connect_failure(now);
-        let is_failure =
-            evidence.is_failed_or_late() && !evidence.is_void() && !is_first_connect_failure;
+        let is_failure = evidence.is_failed_or_late()
+            && !evidence.is_inconclusive()
+            && !is_first_connect_failure;
         self.fleet.observe_result(is_failure);
         let weight = endpoint.observe_result(now, is_failure);
         let mut has_restarted = false;
@@ -156,15 +161,15 @@
         if is_failure {
             endpoint.eject_if_outlier(now, evidence.outcome, &self.fleet, jitter);
         }
-        self.endpoints.slow_starts += usize::from(has_restarted);
+        self.endpoints.slow_start_count += usize::from(has_restarted);
         self.endpoints.in_flight = (self.endpoints.in_flight - 1.0).max(0.0);
     }
 }
 
-/// An endpoint answers: if connects to it failed for a while before, it has restarted without the
-/// list telling it, and is taken to be in slow start. Returns whether one began.
+/// Begins a slow start of an endpoint that answers after connects to it failed for a while: it has
+/// restarted before the endpoint list shows it. Returns whether a slow start began.
 fn begin_slow_start_after_restart(endpoint: &mut Endpoint, now: Timestamp) -> bool {
-    let was_unreachable = endpoint.end_connect_failures(RESTART_CONNECT_FAILURES);
+    let was_unreachable = endpoint.clear_connect_failures(MIN_RESTART_DOWNTIME);
     if !was_unreachable || endpoint.slow_start_since.is_some() {
         return false;
     }
--- a/crates/policy/src/engine/status.rs
+++ b/crates/policy/src/engine/status.rs
@@ -1,4 +1,4 @@
-//! What can be read off the engine between events. Nothing here changes it.
+//! Read-only views of the engine's state.
 
 use super::DecisionEngine;
 use crate::api::{
@@ -7,7 +7,7 @@
 use crate::window::{QuotaWindow, WindowPosition};
 
 impl DecisionEngine {
-    /// Attempts in flight at each endpoint in service, and this gateway's part of its concurrency
+    /// Attempts in flight at each endpoint in service, and this gateway's share of its concurrency
     /// limit.
     pub fn endpoint_concurrency(&self) -> impl Iterator<Item = EndpointConcurrency> + '_ {
         let limit_share = self.limit_share();
@@ -20,21 +20,21 @@
             })
     }
 
-    /// How a customer stands with its quota, or with its concurrency limit where the plan has no
-    /// rate. Makes no call.
+    /// A customer's usage of its quota, or of its concurrency limit if the plan has no rate, as
+    /// known to this gateway. Does not call the counter.
     pub fn quota_status(&self, now: Timestamp, customer: CustomerId, plan: PlanId) -> QuotaStatus {
         let plan = &self.settings.plans[plan.0];
         if plan.rate <= 0.0 {
             return self.concurrency_status(customer, plan);
         }
-        let window = QuotaWindow::of(plan);
+        let window = QuotaWindow::for_plan(plan);
         let position = WindowPosition::at(now, customer, window.length);
         let known = self
             .customers
             .get(&customer)
-            .filter(|known| known.window.index == position.index);
+            .filter(|known| known.quota_counter.index == position.index);
         let available = known.map_or(window.allowance, |known| {
-            self.available_units(customer, known.window.known_total())
+            self.available_units(customer, known.quota_counter.known_total())
         });
         QuotaStatus {
             limit: window.allowance,
@@ -44,13 +44,13 @@
     }
 
     fn concurrency_status(&self, customer: CustomerId, plan: &Plan) -> QuotaStatus {
-        let in_flight = self
+        let held_slots = self
             .customers
             .get(&customer)
-            .map_or(0.0, |customer| customer.in_flight);
+            .map_or(0.0, |customer| customer.held_slots);
         QuotaStatus {
             limit: plan.max_concurrency,
-            remaining: (plan.max_concurrency - in_flight).max(0.0),
+            remaining: (plan.max_concurrency - held_slots).max(0.0),
             resets_in: TimeDelta::ZERO,
         }
     }
--- a/crates/policy/tests/recording/settings.rs
+++ b/crates/policy/tests/recording/settings.rs
@@ -1,4 +1,4 @@
-//! Settings drawn from a seed.
+//! Random settings.
 
 use chalkdeck::api::*;
 
@@ -15,7 +15,7 @@
         key_scope,
         key_window: TimeDelta::from_micros(random.u64(300..3_000) * MILLISECOND),
         is_streaming: false,
-        admission_only: false,
+        is_admission_only: false,
     }
 }
 
@@ -33,14 +33,14 @@
     }
 }
 
-/// A class of every idempotency and key scope.
+/// Classes with every idempotency and key scope, a streaming one and an admission-only one.
 fn classes(random: &mut fastrand::Rng) -> Vec<Class> {
     let streaming = Class {
         is_streaming: true,
         ..class(Idempotency::Idempotent, KeyScope::All, random)
     };
-    let admission_only = Class {
-        admission_only: true,
+    let is_admission_only = Class {
+        is_admission_only: true,
         ..class(Idempotency::NonIdempotent, KeyScope::All, random)
     };
     vec![
@@ -51,11 +51,11 @@
         class(Idempotency::Keyed, KeyScope::All, random),
         class(Idempotency::NonIdempotent, KeyScope::All, random),
         streaming,
-        admission_only,
+        is_admission_only,
     ]
 }
 
-/// A plan of every kind.
+/// Plans with a quota, a ceiling, concurrency limits, and no limit.
 fn plans() -> Vec<Plan> {
     let ceiling = Plan {
         ceiling_rate: 20.0,
@@ -81,7 +81,7 @@
     ]
 }
 
-/// Settings of one gateway.
+/// Draws the settings of one gateway.
 pub fn draw(random: &mut fastrand::Rng) -> Settings {
     let classes = classes(random);
     let gateways = [1, 2, 20, 300][random.usize(..4)];
