--- a/crates/coordinator/src/agent/leader_tasks.rs
+++ b/crates/coordinator/src/agent/leader_tasks.rs
@@ -1,14 +1,14 @@
-//! Tasks of the built-in elections that a gateway leads. Each command carries the election's fencing token, which the replicated
-//! state compares.
+//! Tasks of the built-in elections that a gateway leads. Each command carries the election's fencing token, and the replicated
+//! state rejects commands with an outdated one.
 
 use super::GatewayAgent;
 use crate::protocol::{wire, CommandKind, ReadKind, ReadRequest, ReadResponse};
 use crate::registrar;
-use crate::state::{HIT_TOTALS, REGISTRAR, SITE_OVERRIDES};
+use crate::state::{HIT_TOTALS_ELECTION, REGISTRAR_ELECTION, SITE_OVERRIDES_ELECTION};
 use chalkdeck_time::Timestamp;
 
 impl GatewayAgent {
-    /// Does what is pending, one command at a time.
+    /// Runs pending tasks. At most one command is in flight at a time.
     pub(super) fn run_leader_tasks(&mut self, now: Timestamp) {
         if self.session.has_pending_commands() {
             return;
@@ -18,18 +18,18 @@
             return;
         }
         let pending = self.session.pending_work();
-        if pending.proposals {
+        if pending.has_proposals {
             self.read_proposals(now);
         }
-        if pending.unfolded_hits {
+        if pending.has_unfolded_hits {
             self.fold_hits(now);
         }
-        if pending.unpublished_overrides {
+        if pending.has_unpublished_overrides {
             self.publish_site_overrides(now);
         }
     }
 
-    /// The release of an election that is to be handed over.
+    /// The command that releases the first election whose handover is requested.
     fn requested_release(&self) -> Option<wire::ReleaseElection> {
         let election = self.session.requested_handover()?;
         Some(wire::ReleaseElection {
@@ -41,36 +41,38 @@
     }
 
     fn read_proposals(&mut self, now: Timestamp) {
-        if self.is_reading_proposals || self.session.leads(REGISTRAR, now).is_none() {
+        if self.is_reading_proposals || self.session.leader_token(REGISTRAR_ELECTION, now).is_none()
+        {
             return;
         }
         self.is_reading_proposals = true;
-        self.session.read(ReadRequest {
+        self.session.send_read(ReadRequest {
             kind: ReadKind::Proposals as i32,
             ..ReadRequest::default()
         });
     }
 
-    /// Judges the proposal that was read. The token is the present one: a read that was sent under an earlier one serves as well.
-    pub(super) fn judge_proposal(&mut self, now: Timestamp, read: &ReadResponse) {
+    /// Judges the proposal in the response to a read. The verdict carries the current token, even if the read was sent under an
+    /// earlier one: the response is valid for both.
+    pub(super) fn judge_proposal(&mut self, now: Timestamp, response: &ReadResponse) {
         self.is_reading_proposals = false;
-        let Some(token) = self.session.leads(REGISTRAR, now) else {
+        let Some(token) = self.session.leader_token(REGISTRAR_ELECTION, now) else {
             return;
         };
-        if let Some(judgement) = registrar::judge(read, token) {
+        if let Some(judgement) = registrar::judge(response, token) {
             self.session.submit(CommandKind::JudgeProposal(judgement));
         }
     }
 
     fn fold_hits(&mut self, now: Timestamp) {
-        if let Some(token) = self.session.leads(HIT_TOTALS, now) {
+        if let Some(token) = self.session.leader_token(HIT_TOTALS_ELECTION, now) {
             let fold = wire::FoldHits { token: token.0 };
             self.session.submit(CommandKind::FoldHits(fold));
         }
     }
 
     fn publish_site_overrides(&mut self, now: Timestamp) {
-        if let Some(token) = self.session.leads(SITE_OVERRIDES, now) {
+        if let Some(token) = self.session.leader_token(SITE_OVERRIDES_ELECTION, now) {
             let publish = wire::PublishOverrides {
                 token: token.0,
                 up_to_version: self.session.state().version,
--- a/crates/coordinator/src/cache_file.rs
+++ b/crates/coordinator/src/cache_file.rs
@@ -1,5 +1,5 @@
-//! The file in which a gateway caches the replicated state: a log of watch events, first the whole state and then changes of it.
-//! A last record that was torn by a crash counts as not written.
+//! The file in which a gateway caches the replicated state: a log of watch events, which starts with the full state and
+//! continues with changes. A torn last record, left by a crash during a write, is ignored.
 
 use crate::protocol::{wire, WatchEvent};
 use crate::session::CachedState;
@@ -9,15 +9,15 @@
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// Rule sets in one record of a whole state, as the size of a record is bounded.
+/// Rule sets per record when the full state is written. The full state is split because the size of a record is limited.
 const RULE_SETS_PER_RECORD: usize = 64;
-/// The file is not rewritten before changes take so many bytes, however short the whole state is.
+/// Minimum size of the appended changes before the file is rewritten, so that a small state is not rewritten too often.
 const MIN_REWRITE_BYTES: u64 = 1 << 20;
 
-/// Why the file cannot be used.
+/// An error of the cache file.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum CacheFileError {
-    /// It cannot be read or written.
+    /// The file cannot be read or written.
     #[error("{}: {source}", file.display())]
     #[diagnostic(
         code(chalkdeck::keeper::kept_file),
@@ -26,10 +26,10 @@
     Io {
         /// Its path.
         file: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// It holds something else.
+    /// The file is damaged, or not a cache file.
     #[error("{}: expected a gateway's cache of the replicated state", file.display())]
     #[diagnostic(
         code(chalkdeck::keeper::kept_form),
@@ -41,24 +41,26 @@
     },
 }
 
-/// The open file.
+/// An open cache file.
 #[derive(Debug)]
 pub struct CacheFile {
     path: PathBuf,
-    /// Open for appending; `None`: the next write replaces the file.
+    /// Open for appending; `None` if the next write must rewrite the file.
     file: Option<File>,
-    /// Bytes of the whole state, and of the changes after it.
-    whole_bytes: u64,
+    /// Size of the records of the full state at the start of the file.
+    full_state_bytes: u64,
+    /// Size of the changes appended since then.
     change_bytes: u64,
-    /// The version after the last record.
-    version: u64,
+    /// Version of the state after the last written record.
+    written_version: u64,
 }
 
 impl CacheFile {
-    /// Opens the file and reads the state in it; one that is not there holds an empty state.
+    /// Opens the file and reads the state from it. A missing file holds an empty state.
     ///
     /// # Errors
-    /// See [`CacheFileError`]. The gateway must not start then: it would go by no rules where it went by some before.
+    /// See [`CacheFileError`]. The gateway must not start after an error, because it would run without access rules that it has
+    /// applied before.
     pub fn open(path: &Path) -> Result<(CacheFile, CachedState), CacheFileError> {
         let bytes = read_if_exists(path).map_err(|source| CacheFileError::Io {
             file: path.to_path_buf(),
@@ -72,25 +74,25 @@
         let file = CacheFile {
             path: path.to_path_buf(),
             file: None,
-            whole_bytes: 0,
+            full_state_bytes: 0,
             change_bytes: 0,
-            version: state.version,
+            written_version: state.version,
         };
         Ok((file, state))
     }
 
-    /// Writes an event that was applied to `state`, and returns once it is on the disk.
+    /// Writes an event that was applied to `state`, and returns once it is synced to disk.
     ///
     /// # Errors
-    /// The disk; the next call then writes the whole state.
+    /// The write failed. The next call then writes the full state.
     pub fn write(&mut self, event: &WatchEvent, state: &CachedState) -> Result<(), CacheFileError> {
-        let written = if event.whole {
-            self.replace(state)
+        let result = if event.whole {
+            self.rewrite(state)
         } else {
-            self.append_or_replace(event, state)
+            self.append_or_rewrite(event, state)
         };
-        self.version = state.version;
-        written.map_err(|source| {
+        self.written_version = state.version;
+        result.map_err(|source| {
             self.file = None;
             CacheFileError::Io {
                 file: self.path.clone(),
@@ -99,36 +101,36 @@
         })
     }
 
-    fn append_or_replace(&mut self, event: &WatchEvent, state: &CachedState) -> io::Result<()> {
-        let has_room = self.change_bytes < MIN_REWRITE_BYTES.max(self.whole_bytes);
-        let Some(file) = self.file.as_mut().filter(|_| has_room) else {
-            return self.replace(state);
+    fn append_or_rewrite(&mut self, event: &WatchEvent, state: &CachedState) -> io::Result<()> {
+        let can_append = self.change_bytes < MIN_REWRITE_BYTES.max(self.full_state_bytes);
+        let Some(file) = self.file.as_mut().filter(|_| can_append) else {
+            return self.rewrite(state);
         };
-        // Events in between that changed nothing were not written, and are no gap.
+        // Events without changes are not written. `since` is set to the last written version, so that they don't count as a gap.
         let change = WatchEvent {
-            since: self.version,
+            since: self.written_version,
             ..event.clone()
         };
         let mut bytes = Vec::new();
         record::append_message(&mut bytes, &change);
         self.change_bytes += bytes.len() as u64;
         if bytes.len() > record::MAX_BODY_LEN {
-            return self.replace(state);
+            return self.rewrite(state);
         }
         file.write_all(&bytes)?;
         file.sync_data()
     }
 
-    /// Writes the whole state to a new file, and puts that in the place of the old one.
-    fn replace(&mut self, state: &CachedState) -> io::Result<()> {
-        let bytes = encode_whole(state);
+    /// Writes the full state to a new file, and atomically renames it over the old one.
+    fn rewrite(&mut self, state: &CachedState) -> io::Result<()> {
+        let bytes = encode_full_state(state);
         let new_path = self.path.with_extension("new");
         let mut file = File::create(&new_path)?;
         file.write_all(&bytes)?;
         file.sync_data()?;
         std::fs::rename(&new_path, &self.path)?;
         File::open(parent_folder(&self.path))?.sync_all()?;
-        self.whole_bytes = bytes.len() as u64;
+        self.full_state_bytes = bytes.len() as u64;
         self.change_bytes = 0;
         self.file = Some(OpenOptions::new().append(true).open(&self.path)?);
         Ok(())
@@ -152,7 +154,7 @@
     Ok(bytes)
 }
 
-/// The state that records lead to; `None`: they are damaged, or something else.
+/// Replays the records and returns the resulting state; `None` if the bytes are damaged or are not those of a cache file.
 fn replay(bytes: &[u8]) -> Option<CachedState> {
     let mut state = CachedState::default();
     let mut offset = 0;
@@ -160,14 +162,14 @@
         state.apply(&WatchEvent::decode(body).ok()?);
         offset += record::HEADER_LEN + body.len();
     }
-    // Only the last record may be torn.
+    // A torn record is tolerated only at the end, and only after a complete one.
     let is_torn = offset < bytes.len();
-    let is_damaged = is_torn && (offset == 0 || record::exists_from(bytes, offset + 1));
+    let is_damaged = is_torn && (offset == 0 || record::has_valid_record_from(bytes, offset + 1));
     (!is_damaged).then_some(state)
 }
 
-/// Records of a whole state: all but the rule sets in the first, and then these.
-fn encode_whole(state: &CachedState) -> Vec<u8> {
+/// Encodes the full state: the first record holds everything but the rule sets, which follow in further records.
+fn encode_full_state(state: &CachedState) -> Vec<u8> {
     let mut event = state.to_event();
     let rule_sets: Vec<wire::RuleSet> = std::mem::take(&mut event.rules);
     let mut bytes = Vec::new();
--- a/crates/coordinator/src/server/incoming.rs
+++ b/crates/coordinator/src/server/incoming.rs
@@ -1,15 +1,15 @@
-//! Streams that gateways, operators and other replicas have opened.
+//! Incoming gRPC streams, which gateways, operators and other replicas open.
 
-use super::{MAX_STATE_BYTES, PEER_PATH, READ_PATH, SESSION_PATH, SUBMIT_PATH};
+use super::{MAX_STATE_MESSAGE_BYTES, PEER_PATH, READ_PATH, SESSION_PATH, SUBMIT_PATH};
 use crate::protocol::{wire, ClientMessage, PeerMessage, ReadRequest};
 use bytes::Bytes;
 use chalkdeck_net::grpc::Deframer;
 use prost::Message;
 
-/// The longest message of operators and gateways.
+/// Maximum size of a message from operators and gateways.
 const MAX_REQUEST_BYTES: usize = 4 << 20;
 
-/// A method of the service.
+/// A method of the gRPC service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Method {
     Submit,
@@ -19,7 +19,7 @@
 }
 
 impl Method {
-    pub(super) fn of_path(path: &str) -> Option<Method> {
+    pub(super) fn from_path(path: &str) -> Option<Method> {
         match path {
             SUBMIT_PATH => Some(Method::Submit),
             READ_PATH => Some(Method::Read),
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Whether both sides send any number of messages.
+    /// Whether the method is bidirectional streaming.
     pub(super) fn is_streaming(self) -> bool {
         matches!(self, Method::Session | Method::Peer)
     }
@@ -37,12 +37,12 @@
     fn max_message_bytes(self) -> usize {
         match self {
             Method::Submit | Method::Read | Method::Session => MAX_REQUEST_BYTES,
-            Method::Peer => MAX_STATE_BYTES,
+            Method::Peer => MAX_STATE_MESSAGE_BYTES,
         }
     }
 }
 
-/// A message that was received.
+/// A received message.
 pub(super) enum IncomingMessage {
     Submit(wire::Command),
     Read(ReadRequest),
@@ -50,11 +50,11 @@
     Peer(PeerMessage),
 }
 
-/// What was received is no message of the method.
+/// The received bytes are not a message of the method.
 #[derive(Debug)]
-pub(super) struct Malformed;
+pub(super) struct MalformedMessage;
 
-/// A stream that was opened here by another side.
+/// A stream that a client has opened.
 pub(super) struct IncomingStream {
     pub(super) method: Method,
     deframer: Deframer,
@@ -68,14 +68,17 @@
         }
     }
 
-    pub(super) fn push(&mut self, data: &[u8]) {
+    pub(super) fn push_data(&mut self, data: &[u8]) {
         self.deframer.push(data);
     }
 
-    /// The next whole message; `None`: more bytes are needed.
-    pub(super) fn next_message(&mut self) -> Result<Option<IncomingMessage>, Malformed> {
+    /// The next complete message; `None` if more bytes are needed.
+    pub(super) fn next_message(&mut self) -> Result<Option<IncomingMessage>, MalformedMessage> {
         let max_bytes = self.method.max_message_bytes();
-        let body: Option<Bytes> = self.deframer.next(max_bytes).map_err(|_| Malformed)?;
+        let body: Option<Bytes> = self
+            .deframer
+            .next(max_bytes)
+            .map_err(|_| MalformedMessage)?;
         let Some(body) = body else {
             return Ok(None);
         };
@@ -85,6 +88,6 @@
             Method::Session => ClientMessage::decode(body).map(IncomingMessage::Session),
             Method::Peer => PeerMessage::decode(body).map(IncomingMessage::Peer),
         };
-        message.map(Some).map_err(|_| Malformed)
+        message.map(Some).map_err(|_| MalformedMessage)
     }
 }
--- a/crates/coordinator/src/settings.rs
+++ b/crates/coordinator/src/settings.rs
@@ -1,4 +1,4 @@
-//! A replica's settings, read from protobuf text.
+//! A replica's settings, in protobuf text format.
 
 use crate::consensus::is_valid_replica_count;
 use crate::ids::Slot;
@@ -10,8 +10,8 @@
 use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 
-/// The message that the text is the form of.
-const MESSAGE: &str = "chalkdeck.keeper.v1.Settings";
+/// The protobuf message whose text format is read.
+const MESSAGE_NAME: &str = "chalkdeck.keeper.v1.Settings";
 
 const DEFAULT_LEASE_MS: u64 = 6_000;
 const DEFAULT_DRIFT_PPM: u32 = 10_000;
@@ -20,15 +20,15 @@
 /// 30 days.
 const DEFAULT_UNUSED_AFTER_MS: u64 = 30 * 24 * 3_600_000;
 const DEFAULT_MAX_LOG_ENTRIES: u64 = 10_000;
-const LEASE_MS: RangeInclusive<u64> = 200..=600_000;
+const LEASE_MS_RANGE: RangeInclusive<u64> = 200..=600_000;
 const MAX_DRIFT_PPM: u32 = 100_000;
-/// Within a lease the consensus has to elect a leader, and to decide some renewals.
+/// Minimum number of consensus ticks per lease, because the replicas must elect a leader and decide renewals within one lease.
 const MIN_TICKS_PER_LEASE: u64 = 20;
 
-/// Why settings cannot be used.
+/// An error in a replica's settings.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
 pub enum SettingsError {
-    /// The file cannot be read.
+    /// The settings file cannot be read.
     #[error("{file}: {why}")]
     #[diagnostic(
         code(chalkdeck::keeper::settings_file),
@@ -37,10 +37,10 @@
     File {
         /// Its path.
         file: String,
-        /// What the system says.
+        /// The error of the operating system.
         why: String,
     },
-    /// Not the text form of a replica's settings.
+    /// The text is not a `Settings` message in protobuf text format.
     #[error("{file}:{line}: {what}")]
     #[diagnostic(
         code(chalkdeck::keeper::settings_form),
@@ -49,12 +49,12 @@
     Form {
         /// Its path.
         file: String,
-        /// The line, from 1.
+        /// The line number, from 1.
         line: usize,
-        /// What was expected there.
+        /// The problem in that line.
         what: String,
     },
-    /// A field's value cannot be used.
+    /// A field has an invalid value.
     #[error("{file}: {field}: expected {expected}, found {found}")]
     #[diagnostic(
         code(chalkdeck::keeper::settings_value),
@@ -65,9 +65,9 @@
         file: String,
         /// The field.
         field: &'static str,
-        /// What it may be.
+        /// The valid values.
         expected: &'static str,
-        /// What it is.
+        /// The actual value.
         found: String,
     },
 }
@@ -75,35 +75,35 @@
 /// All settings of a replica.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Its place among the replicas.
+    /// The replica's slot in the address list.
     pub slot: Slot,
-    /// Where it listens for gRPC.
+    /// The address that the gRPC server listens on.
     pub listen: SocketAddr,
-    /// Where it listens for health checks and metrics.
+    /// The address that health checks and metrics are served on.
     pub admin: Option<SocketAddr>,
     /// Addresses of all replicas, by slot.
     pub replicas: Vec<SocketAddr>,
-    /// Where its log is kept.
+    /// The folder of the replica's log.
     pub folder: PathBuf,
-    /// Terms of the sessions' leases.
-    pub terms: LeaseTerms,
+    /// Lease terms of the sessions.
+    pub lease_terms: LeaseTerms,
     /// See [`crate::replica::ReplicaSettings::min_move_interval_ms`].
     pub min_move_interval_ms: u64,
     /// See [`crate::replica::ReplicaSettings::unused_after_ms`].
     pub unused_after_ms: u64,
     /// Time between ticks of the consensus.
     pub tick_interval: TimeDelta,
-    /// Entries after which the log begins anew.
+    /// Maximum number of log entries before the log is compacted into a new configuration.
     pub max_log_entries: usize,
-    /// Elections beside the built-in ones.
+    /// Elections in addition to the built-in ones.
     pub elections: Vec<String>,
 }
 
 impl Settings {
-    /// Reads a file.
+    /// Reads the settings from a file.
     ///
     /// # Errors
-    /// They name the file, and the line or the field with what was expected.
+    /// See [`SettingsError`]. The errors name the file, and the line or the field with the expected value.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let file = path.display().to_string();
         let source = std::fs::read_to_string(path).map_err(|error| SettingsError::File {
@@ -113,41 +113,46 @@
         Settings::parse(&source, &file, path.parent().unwrap_or(Path::new(".")))
     }
 
-    /// The same from text; the folder is relative to `base`.
+    /// Parses settings from text. A relative path of the log's folder is resolved against `base`.
     ///
     /// # Errors
     /// See [`Settings::load`].
     pub fn parse(source: &str, file: &str, base: &Path) -> Result<Settings, SettingsError> {
         let wire: wire::Settings =
-            text::parse(MESSAGE, source).map_err(|error| SettingsError::Form {
+            text::parse(MESSAGE_NAME, source).map_err(|error| SettingsError::Form {
                 file: file.into(),
                 line: error.line,
                 what: error.what,
             })?;
-        let checker = Checker { file, wire: &wire };
-        let replicas = checker.replicas()?;
-        let slot = checker.slot(replicas.len())?;
-        let folder = checker.folder()?;
-        let terms = checker.terms()?;
+        let validator = FieldValidator { file, wire: &wire };
+        let replicas = validator.replicas()?;
+        let slot = validator.slot(replicas.len())?;
+        let folder = validator.folder()?;
+        let lease_terms = validator.lease_terms()?;
         Ok(Settings {
             slot,
-            tick_interval: checker.tick_interval(terms.lease)?,
-            listen: checker.listen(replicas[slot.index()])?,
-            admin: checker.admin()?,
+            tick_interval: validator.tick_interval(lease_terms.lease)?,
+            listen: validator.listen_address(replicas[slot.index()])?,
+            admin: validator.admin_address()?,
             replicas,
             folder: base.join(folder),
-            terms,
-            min_move_interval_ms: or_default(u64::from(wire.move_ms), DEFAULT_MIN_MOVE_INTERVAL_MS),
-            unused_after_ms: or_default(wire.dead_after_ms, DEFAULT_UNUSED_AFTER_MS),
-            max_log_entries: or_default(u64::from(wire.snapshot_entries), DEFAULT_MAX_LOG_ENTRIES)
-                as usize,
+            lease_terms,
+            min_move_interval_ms: value_or_default(
+                u64::from(wire.move_ms),
+                DEFAULT_MIN_MOVE_INTERVAL_MS,
+            ),
+            unused_after_ms: value_or_default(wire.dead_after_ms, DEFAULT_UNUSED_AFTER_MS),
+            max_log_entries: value_or_default(
+                u64::from(wire.snapshot_entries),
+                DEFAULT_MAX_LOG_ENTRIES,
+            ) as usize,
             elections: wire.duties,
         })
     }
 }
 
-/// A field that is not set reads as 0.
-fn or_default(value: u64, default: u64) -> u64 {
+/// Replaces 0, the value of an unset field, by the default.
+fn value_or_default(value: u64, default: u64) -> u64 {
     if value == 0 {
         default
     } else {
@@ -155,14 +160,14 @@
     }
 }
 
-/// Checks of the fields' values.
-struct Checker<'a> {
+/// Validates the values of the fields.
+struct FieldValidator<'a> {
     file: &'a str,
     wire: &'a wire::Settings,
 }
 
-impl Checker<'_> {
-    fn error(
+impl FieldValidator<'_> {
+    fn value_error(
         &self,
         field: &'static str,
         expected: &'static str,
@@ -181,45 +186,50 @@
         }
     }
 
-    fn address(&self, field: &'static str, text: &str) -> Result<SocketAddr, SettingsError> {
+    fn parse_address(&self, field: &'static str, text: &str) -> Result<SocketAddr, SettingsError> {
         text.parse()
-            .map_err(|_| self.error(field, "ip:port", &text))
+            .map_err(|_| self.value_error(field, "ip:port", &text))
     }
 
     fn replicas(&self) -> Result<Vec<SocketAddr>, SettingsError> {
         let mut replicas = Vec::new();
         for text in &self.wire.keepers {
-            replicas.push(self.address("keepers", text)?);
+            replicas.push(self.parse_address("keepers", text)?);
         }
         if !is_valid_replica_count(replicas.len()) {
-            return Err(self.error("keepers", "one, three or five addresses", &replicas.len()));
+            return Err(self.value_error(
+                "keepers",
+                "one, three or five addresses",
+                &replicas.len(),
+            ));
         }
         Ok(replicas)
     }
 
     fn slot(&self, replica_count: usize) -> Result<Slot, SettingsError> {
-        Slot::checked(self.wire.slot, replica_count)
-            .ok_or_else(|| self.error("slot", "a place among the keepers, from 1", &self.wire.slot))
+        Slot::from_number(self.wire.slot, replica_count).ok_or_else(|| {
+            self.value_error("slot", "a place among the keepers, from 1", &self.wire.slot)
+        })
     }
 
     fn folder(&self) -> Result<&str, SettingsError> {
         if self.wire.folder.is_empty() {
-            return Err(self.error("folder", "where the log is kept", &""));
+            return Err(self.value_error("folder", "where the log is kept", &""));
         }
         Ok(&self.wire.folder)
     }
 
-    fn terms(&self) -> Result<LeaseTerms, SettingsError> {
+    fn lease_terms(&self) -> Result<LeaseTerms, SettingsError> {
         let drift_ppm = match self.wire.drift_ppm {
             0 => DEFAULT_DRIFT_PPM,
             drift_ppm => drift_ppm,
         };
         if drift_ppm > MAX_DRIFT_PPM {
-            return Err(self.error("drift_ppm", "at most 100000", &drift_ppm));
+            return Err(self.value_error("drift_ppm", "at most 100000", &drift_ppm));
         }
-        let lease_ms = or_default(u64::from(self.wire.lease_ms), DEFAULT_LEASE_MS);
-        if !LEASE_MS.contains(&lease_ms) {
-            return Err(self.error("lease_ms", "200 to 600000", &self.wire.lease_ms));
+        let lease_ms = value_or_default(u64::from(self.wire.lease_ms), DEFAULT_LEASE_MS);
+        if !LEASE_MS_RANGE.contains(&lease_ms) {
+            return Err(self.value_error("lease_ms", "200 to 600000", &self.wire.lease_ms));
         }
         Ok(LeaseTerms {
             lease: TimeDelta::from_millis(lease_ms),
@@ -228,10 +238,10 @@
     }
 
     fn tick_interval(&self, lease: TimeDelta) -> Result<TimeDelta, SettingsError> {
-        let tick_ms = or_default(u64::from(self.wire.tick_ms), DEFAULT_TICK_MS);
+        let tick_ms = value_or_default(u64::from(self.wire.tick_ms), DEFAULT_TICK_MS);
         let tick = TimeDelta::from_millis(tick_ms);
         if tick * MIN_TICKS_PER_LEASE > lease {
-            return Err(self.error(
+            return Err(self.value_error(
                 "tick_ms",
                 "at most a twentieth of lease_ms",
                 &self.wire.tick_ms,
@@ -240,19 +250,19 @@
         Ok(tick)
     }
 
-    /// `own`: the address of the replica's slot.
-    fn listen(&self, own: SocketAddr) -> Result<SocketAddr, SettingsError> {
+    /// The address to listen on. `slot_address`, the address of the replica's slot, is the default.
+    fn listen_address(&self, slot_address: SocketAddr) -> Result<SocketAddr, SettingsError> {
         if self.wire.listen.is_empty() {
-            return Ok(own);
+            return Ok(slot_address);
         }
-        self.address("listen", &self.wire.listen)
+        self.parse_address("listen", &self.wire.listen)
     }
 
-    fn admin(&self) -> Result<Option<SocketAddr>, SettingsError> {
+    fn admin_address(&self) -> Result<Option<SocketAddr>, SettingsError> {
         if self.wire.admin.is_empty() {
             return Ok(None);
         }
-        self.address("admin", &self.wire.admin).map(Some)
+        self.parse_address("admin", &self.wire.admin).map(Some)
     }
 }
 
--- a/crates/grpc-gateway/src/settings.rs
+++ b/crates/grpc-gateway/src/settings.rs
@@ -119,7 +119,7 @@
             },
             key_window: millis(class.window_ms),
             is_streaming: class.stream,
-            admission_only: false,
+            is_admission_only: false,
         })
     }
 }
@@ -263,7 +263,7 @@
     };
     let class = source.index_of("resp.class", &resp.class, names)?;
     let admission_class = api::Class {
-        admission_only: true,
+        is_admission_only: true,
         idempotency: Idempotency::NonIdempotent,
         is_streaming: false,
         ..classes[class].clone()
--- a/crates/policy/src/engine/concurrency_slots.rs
+++ b/crates/policy/src/engine/concurrency_slots.rs
@@ -1,4 +1,4 @@
-//! Admission by a plan's concurrency limit: one slot for each request until it has ended, counted
+//! Admission by a plan's concurrency limit: each request holds a slot until it has ended, counted
 //! over all gateways.
 
 use super::quota::{CounterAnswer, RETRY_EXPONENT};
@@ -8,22 +8,24 @@
 use crate::token_bucket::TokenBucket;
 use crate::window::UNITS_TOLERANCE;
 
-/// Part of a plan's slots that starts without an answer of the counter may fill: counted starts
-/// need the others, and starts come in bursts.
-const UNCOUNTED_SLOTS_PART: f64 = 0.5;
-/// The shortest time for which a slot is assumed to be in use, in microseconds.
+/// Fraction of a plan's slots that requests admitted without a reply of the counter may use. The
+/// rest is left for counted requests, and for bursts.
+const UNCOUNTED_SLOTS_FRACTION: f64 = 0.5;
+/// Minimum time that a slot is assumed to be held, in microseconds.
 const MIN_HOLD_MICROS: f64 = 1.0;
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
 impl DecisionEngine {
-    /// Calls the counter for a slot if the request is sampled, and decides it otherwise.
+    /// Calls the counter for a slot if the request is sampled, otherwise decides the request
+    /// without a call.
     pub(super) fn admit_by_concurrency(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
         let customer = request.incoming.customer;
-        // A slot takes two calls, so where quotas are counted, too, slots are sampled last.
+        // A slot takes two calls, so if requests with a quota also call the counter, slots get the
+        // lowest sample rate.
         let exponent = if self.counter.sampler.has_seen_value() {
             RETRY_EXPONENT
         } else {
@@ -44,7 +46,7 @@
         }
     }
 
-    /// Decides a request by the total of slots in use, or by this gateway's share of them.
+    /// Decides a request by the total of slots in use, or by this gateway's share of the slots.
     pub(super) fn decide_by_concurrency(&mut self, id: RequestId, answer: CounterAnswer) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -66,23 +68,23 @@
         } else {
             self.reject_or_fail(id);
         }
-        self.post_surplus_slots(customer);
+        self.release_surplus_slots(customer);
     }
 
     fn has_uncounted_slot(&mut self, customer_id: CustomerId, plan: PlanId) -> bool {
         let customer = &self.customers[&customer_id];
         let max_concurrency = self.settings.plans[plan.0].max_concurrency;
         if max_concurrency >= customer.gateways {
-            customer.in_flight < (max_concurrency / customer.gateways).floor()
+            customer.held_slots < (max_concurrency / customer.gateways).floor()
         } else {
             self.try_start_uncounted(customer_id)
         }
     }
 
-    /// Paces starts where a gateway's share is below one slot: all gateways together fill a part of
-    /// the slots at the present time to answer, in place of one slot each. The bucket starts full,
-    /// for customers with few requests at a gateway. Trade-off: one that sends much through many
-    /// gateways starts too many at first.
+    /// Limits the start rate if a gateway's share is below one slot. At the current latency, all
+    /// gateways together use a fraction of the slots, instead of one slot each. The bucket starts
+    /// full, for customers with few requests per gateway. Trade-off: a customer with many requests
+    /// through many gateways exceeds its slots at first.
     fn try_start_uncounted(&mut self, customer: CustomerId) -> bool {
         let now = self.now;
         let hold_seconds = self.fleet.latency.max(MIN_HOLD_MICROS) / MICROS_PER_SECOND;
@@ -90,7 +92,8 @@
             return false;
         };
         let plan: &Plan = &self.settings.plans[customer.plan.0];
-        let rate = UNCOUNTED_SLOTS_PART * plan.max_concurrency / customer.gateways / hold_seconds;
+        let rate =
+            UNCOUNTED_SLOTS_FRACTION * plan.max_concurrency / customer.gateways / hold_seconds;
         let bucket = customer.slot_bucket.get_or_insert(TokenBucket {
             level: 1.0,
             capacity: 1.0,
@@ -101,21 +104,21 @@
         bucket.try_take(now, 1.0)
     }
 
-    /// Takes off the shared count what it has above this gateway's attempts in flight.
-    pub(super) fn post_surplus_slots(&mut self, customer_id: CustomerId) {
+    /// Subtracts from the shared count the slots that this gateway has added and no longer uses.
+    pub(super) fn release_surplus_slots(&mut self, customer_id: CustomerId) {
         self.roll_windows(customer_id);
         let Some(customer) = self.customers.get_mut(&customer_id) else {
             return;
         };
-        let epoch = &mut customer.epoch;
-        let surplus = epoch.posted + epoch.posting + epoch.unposted - customer.in_flight;
+        let counter = &mut customer.concurrency_counter;
+        let surplus = counter.posted + counter.posting + counter.unposted - customer.held_slots;
         if surplus > UNITS_TOLERANCE && !self.counter.breaker.is_open() {
-            epoch.unposted -= surplus;
+            counter.unposted -= surplus;
             self.post_unposted(customer_id, CounterPurpose::Concurrency);
         }
     }
 
-    /// The request goes on: to an endpoint, or back to the caller that does the work.
+    /// Admits a request: sends it to an endpoint, or grants it to the caller that does the work.
     fn admit(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -124,11 +127,11 @@
         if has_limit {
             request.holds_slot = true;
             if let Some(customer) = self.customers.get_mut(&request.incoming.customer) {
-                customer.in_flight += 1.0;
+                customer.held_slots += 1.0;
             }
         }
-        if self.settings.classes[request.incoming.class.0].admission_only {
-            // Its units stay counted and its slot held; from here on it has no deadline.
+        if self.settings.classes[request.incoming.class.0].is_admission_only {
+            // The request keeps its counted units and its slot, and no longer has a deadline.
             request.is_streaming = true;
             request.counted = None;
             self.actions.push(Action::Grant(id));
--- a/crates/policy/src/engine/counter_replies.rs
+++ b/crates/policy/src/engine/counter_replies.rs
@@ -1,4 +1,5 @@
-//! Answers of the counter: what a total or a failure changes, and who goes on because of it.
+//! Handling of the counter's replies: updates of the counts, circuit breakers and sample rate, and
+//! the decision of the waiting request.
 
 use super::quota::CounterAnswer;
 use super::DecisionEngine;
@@ -8,7 +9,7 @@
 use crate::window::UNITS_TOLERANCE;
 
 impl DecisionEngine {
-    /// Takes the answer to the oldest call for a key.
+    /// Handles the reply to the oldest call for a key.
     pub(crate) fn on_counter_reply(&mut self, key: CounterKey, outcome: Outcome, total: f64) {
         let Some(call) = self.counter.calls.pop(key) else {
             return;
@@ -33,12 +34,12 @@
             self.post_remaining_units(&call);
         }
         if let Some(request) = call.request {
-            self.forget_if_finished(request);
+            self.remove_if_finished(request);
         }
     }
 
-    /// Takes a total into the customer's counter. Returns the total that decides the request:
-    /// without the units of unsampled requests, with those that are not posted.
+    /// Updates the customer's count with a total. Returns the total that decides the request:
+    /// without the units added for unsampled requests, with the own units that it does not contain.
     fn apply_total(&mut self, call: &CounterCall, total: f64) -> f64 {
         let now = self.now;
         let Some(customer) = self.customers.get_mut(&call.customer) else {
@@ -47,18 +48,19 @@
         let plan = &self.settings.plans[customer.plan.0];
         let mut deciding_total = total - call.unsampled_units;
         let counter = customer.counter_mut(call.purpose);
-        if counter.index == call.window {
+        if counter.index == call.window_index {
             counter.end_posting(call.posted_late);
             let lost = counter.confirm_add(call.amount, total, call.purpose);
             counter.observe_total(now, total, plan);
             deciding_total += counter.unconfirmed();
-            // What the counter lost may be used again by others: under a ceiling that is paid for.
+            // Other gateways may use the units that the counter lost again, so the ceiling's bucket
+            // is charged for them.
             customer.ceiling_bucket.level -= lost;
         }
         customer.breaker.record_success(call.is_probe);
-        let share_holds_a_request =
+        let is_share_enough_for_request =
             customer.gateways * self.settings.max_request_units <= plan.burst;
-        if share_holds_a_request {
+        if is_share_enough_for_request {
             customer.local_bucket = None;
         }
         self.record_counter_success(call);
@@ -80,20 +82,23 @@
         counter.breaker.record_success(call.is_probe);
         if let Some(request) = call.request.and_then(|id| self.requests.get_mut(&id)) {
             let units = request.incoming.units + call.unsampled_units;
-            let window = call.window;
+            let window_index = call.window_index;
             request.counted = match call.purpose {
-                CounterPurpose::Quota => Some(CountedUnits { window, units }),
+                CounterPurpose::Quota => Some(CountedUnits {
+                    window_index,
+                    units,
+                }),
                 CounterPurpose::Concurrency => None,
             };
         }
     }
 
-    /// A failed call that surely was not counted leaves its late units unposted; then the failure
-    /// counts.
+    /// Handles a failed call: its late units become unposted again if the call certainly was not
+    /// counted. Then records the failure.
     fn apply_failed_call(&mut self, call: &CounterCall, outcome: Outcome) {
         if let Some(customer) = self.customers.get_mut(&call.customer) {
             let counter = customer.counter_mut(call.purpose);
-            if counter.index == call.window {
+            if counter.index == call.window_index {
                 counter.end_posting(call.posted_late);
                 if outcome.never_ran() {
                     counter.unposted += call.posted_late;
@@ -103,15 +108,15 @@
         self.record_counter_failure(call, outcome);
     }
 
-    /// Failures of the same customer in a row count once for the common breaker, while that
-    /// customer's own breaker opens: one busy key that uses up its part of the counter must not cut
-    /// off all customers.
+    /// Consecutive failures of one customer count once for the common breaker, while that
+    /// customer's own breaker opens. Otherwise one busy key that exhausts its part of the counter
+    /// would cut off all customers.
     fn record_counter_failure(&mut self, call: &CounterCall, outcome: Outcome) {
         let now = self.now;
         let timeout = self.settings.counter_timeout;
         let counter = &mut self.counter;
-        // A call that failed with its connection is no evidence against a counter that answered
-        // others a moment ago.
+        // A call that failed with its connection is no evidence against a counter that has just
+        // answered others.
         let is_connection_failure = !matches!(outcome, Outcome::Timeout | Outcome::Rejected);
         let replied_recently = now < counter.last_reply_at + timeout;
         if is_connection_failure && !call.is_probe && replied_recently {
@@ -131,7 +136,7 @@
         let has_unposted = self
             .customers
             .get(&call.customer)
-            .is_some_and(|customer| customer.window.unposted > UNITS_TOLERANCE);
+            .is_some_and(|customer| customer.quota_counter.unposted > UNITS_TOLERANCE);
         if has_unposted {
             self.post_unposted(call.customer, CounterPurpose::Quota);
         }
--- a/crates/policy/src/engine/pending.rs
+++ b/crates/policy/src/engine/pending.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for an endpoint.
+//! Handling of requests that wait for an endpoint.
 
 use super::DecisionEngine;
 use crate::api::{RequestId, TimeDelta};
@@ -6,15 +6,16 @@
 use crate::timers::TimerPurpose;
 use std::cmp::Reverse;
 
-/// Longest wait for an endpoint, as part of the latency objective: later the answer would miss it.
-const MAX_WAIT_PART: f64 = 0.3;
-/// How often waiting requests are tried.
-const RETRY_INTERVAL: TimeDelta = TimeDelta::from_millis(10);
-/// Resolution of the priority density by which requests are sorted, in steps for each unit.
-const DENSITY_STEPS: f64 = 1e6;
+/// Maximum wait for an endpoint, as a fraction of the latency objective. After a longer wait the
+/// answer would miss the objective.
+const MAX_WAIT_OBJECTIVE_FRACTION: f64 = 0.3;
+/// Interval at which pending requests are tried.
+const PENDING_POLL_INTERVAL: TimeDelta = TimeDelta::from_millis(10);
+/// Steps per unit of priority density in the integer sort key of pending requests.
+const DENSITY_STEPS_PER_UNIT: f64 = 1e6;
 
 impl DecisionEngine {
-    /// Keeps a request until an endpoint is free.
+    /// Keeps a request pending until an endpoint is free.
     pub(super) fn keep_pending(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             if request.pending_since.is_none() {
@@ -28,12 +29,12 @@
     fn set_pending_timer(&mut self) {
         if !self.pending.is_empty() && !self.pending.is_timer_set {
             self.pending.is_timer_set = true;
-            self.set_timer(TimerPurpose::PendingRequests, RETRY_INTERVAL);
+            self.set_timer(TimerPurpose::PendingRequests, PENDING_POLL_INTERVAL);
         }
     }
 
-    /// Tries all waiting requests, those of most weight first, and rejects those that waited for
-    /// too long.
+    /// Tries all pending requests in descending order of priority density, and rejects those that
+    /// have waited too long.
     pub(super) fn send_pending(&mut self) {
         let mut waiting = self.pending.take_all();
         waiting.retain(|id| {
@@ -55,22 +56,21 @@
         self.set_pending_timer();
     }
 
-    /// Priority weight of a request; where sites are watched, for each unit of capacity that it
-    /// takes.
+    /// Sort key of a request: its priority weight, divided by its units if site failover is on.
     fn density(&self, request: &OpenRequest) -> u64 {
         let capacity = if self.shedder.threshold.is_some() {
             request.incoming.units
         } else {
             1.0
         };
-        (request.priority_weight(&self.settings) / capacity * DENSITY_STEPS) as u64
+        (request.priority_weight(&self.settings) / capacity * DENSITY_STEPS_PER_UNIT) as u64
     }
 
     fn has_waited_too_long(&self, request: &OpenRequest) -> bool {
         let objective = request.class(&self.settings).latency_objective;
-        let longest = objective.mul_f64(MAX_WAIT_PART);
+        let max_wait = objective.mul_f64(MAX_WAIT_OBJECTIVE_FRACTION);
         request
             .pending_since
-            .is_some_and(|since| self.now >= since + longest)
+            .is_some_and(|since| self.now >= since + max_wait)
     }
 }
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -70,7 +70,7 @@
             endpoint: self.addresses.register(fields.required_text("backend")?),
             outcome: fields.outcome()?,
             elapsed: fields.duration_or("took", TimeDelta::ZERO)?,
-            request_finished: fields.bool_or("ended", false)?,
+            is_request_finished: fields.bool_or("ended", false)?,
             settled_units: Some(fields.f64_or("settled", 0.0)?).filter(|units| *units > 0.0),
             load_report: fields.load_report()?,
         })
--- a/crates/simulator-adapter/src/settings.rs
+++ b/crates/simulator-adapter/src/settings.rs
@@ -160,7 +160,7 @@
         key_scope: parse_key_scope(entry)?,
         key_window: entry.duration_or("window", TimeDelta::ZERO)?,
         is_streaming: entry.bool_or("streaming", false)?,
-        admission_only: false,
+        is_admission_only: false,
     })
 }
 
