--- a/crates/contract/src/hold_back.rs
+++ b/crates/contract/src/hold_back.rs
@@ -1,26 +1,26 @@
-//! Which servers get no calls because the version of their contract was not admitted.
+//! Holds back servers whose contract version was not admitted: they get no calls.
 
-/// What a server announces in the endpoint list.
+/// The contract that a server announces in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerContract<'a> {
-    /// Whether it is in service.
+    /// Whether the server is in service.
     pub is_in_service: bool,
-    /// The service and the version, parted by a space; `None` if it announces none.
+    /// The service and the version, separated by a space; `None` if the server announces no version.
     pub contract: Option<&'a str>,
 }
 
 /// Which servers of a list are held back.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HoldBack {
-    /// For each server, in the order of the list, whether it is held back.
+    /// Whether each server is held back, in the order of the list.
     pub is_held_back: Vec<bool>,
-    /// No server in service has an admitted version, so that none is held back: calls that an unadmitted version may misread are worse
-    /// than none only where another server can take them.
+    /// Whether no server in service has an admitted version, so that none is held back. An unadmitted version may misread calls, but
+    /// holding it back helps only if another server can take them.
     pub is_last_resort: bool,
 }
 
-/// Holds back the servers with a version that `is_admitted` (given the service and the version) denies, unless all servers in
-/// service are such. A server that announces no version is not held back.
+/// Holds back each server with a version for which `is_admitted` (given the service and the version) returns false, unless that would
+/// hold back all servers in service. A server that announces no version is not held back.
 pub fn hold_back<'a>(
     servers: impl Iterator<Item = ServerContract<'a>>,
     is_admitted: impl Fn(&str, &str) -> bool,
@@ -30,17 +30,17 @@
         !is_admitted(service, version)
     };
     let mut is_held_back = Vec::new();
-    let mut in_service = 0;
-    let mut usable = 0;
+    let mut in_service_count = 0;
+    let mut usable_count = 0;
     for server in servers {
-        let is_held = server.contract.is_some_and(is_unadmitted);
+        let has_unadmitted_version = server.contract.is_some_and(is_unadmitted);
         if server.is_in_service {
-            in_service += 1;
-            usable += usize::from(!is_held);
+            in_service_count += 1;
+            usable_count += usize::from(!has_unadmitted_version);
         }
-        is_held_back.push(is_held);
+        is_held_back.push(has_unadmitted_version);
     }
-    let is_last_resort = in_service > 0 && usable == 0;
+    let is_last_resort = in_service_count > 0 && usable_count == 0;
     if is_last_resort {
         is_held_back.fill(false);
     }
--- a/crates/contract/src/hold_back/tests.rs
+++ b/crates/contract/src/hold_back/tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn unadmitted_versions_are_held_back_unless_there_is_no_other() {
+fn unadmitted_versions_are_held_back_unless_all_servers_in_service_are_unadmitted() {
     assert_eq!(
         decide(&[
             in_service(ADMITTED),
@@ -40,7 +40,7 @@
         (all_unadmitted.is_held_back, all_unadmitted.is_last_resort),
         (vec![false, false], true)
     );
-    // A draining server is no other that could take calls.
+    // A draining server with an admitted version cannot take the calls.
     assert!(decide(&[draining(ADMITTED), in_service(UNADMITTED)]).is_last_resort);
     assert!(!decide(&[draining(UNADMITTED)]).is_last_resort);
 }
--- a/crates/contract/src/incompatibility.rs
+++ b/crates/contract/src/incompatibility.rs
@@ -1,9 +1,9 @@
-//! One incompatibility of two versions, and what shows it.
+//! An incompatibility of two versions and the witness that shows it.
 
 use crate::CompatibilityRule;
 use std::fmt;
 
-/// Which way a message goes.
+/// The direction of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Direction {
     /// Written by an old subscriber, read by the new publisher.
@@ -12,36 +12,36 @@
     Response,
 }
 
-/// Evidence of an incompatibility.
+/// A message or a call that shows an incompatibility.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Witness {
-    /// A message that its reader reads otherwise than its writer means it.
+    /// A message to which the reader gives another meaning than the writer.
     Message {
-        /// Which way it goes.
+        /// The direction of the message.
         direction: Direction,
-        /// The full name of its type at its writer.
+        /// The full name of the message's type in the writer's version.
         message: String,
-        /// Its binary form.
+        /// The message in binary form.
         bytes: Vec<u8>,
-        /// What its writer means, as text.
+        /// The message as its writer means it, in text or JSON form.
         written: String,
-        /// What its reader reads, as text.
+        /// The message as its reader decodes it, in the same form, or why the reader cannot decode it.
         read: String,
     },
-    /// A call that goes otherwise than before, in words.
+    /// A description of a call whose outcome differs from before.
     Call(String),
 }
 
 /// A change that breaks a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Incompatibility {
-    /// The method; of a message also its direction and the path of the field.
+    /// The method; for a message, followed by the direction and the path of the field.
     pub path: String,
     /// The rule that is broken.
     pub rule: CompatibilityRule,
-    /// What was and what is proposed.
+    /// A description of the old and the proposed state.
     pub change: String,
-    /// What shows it.
+    /// A message or a call that shows the incompatibility.
     pub witness: Witness,
 }
 
--- a/crates/contract/src/kinds.rs
+++ b/crates/contract/src/kinds.rs
@@ -1,4 +1,4 @@
-//! Kinds of values: how a field holds them, and whether one kind can be read as another.
+//! The multiplicity of a field, and whether values of one kind can be read as another kind.
 
 use crate::CompatibilityLevel;
 use prost_reflect::{FieldDescriptor, Kind};
@@ -12,7 +12,7 @@
     Map,
 }
 
-/// As publishers read it; part of the wire format.
+/// The text in reports to publishers; part of the wire format.
 impl fmt::Display for Multiplicity {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -33,39 +33,45 @@
     }
 }
 
-/// The name of a kind as schemas write it.
+/// The name of a kind as it is written in a schema.
 pub(crate) fn kind_name(kind: &Kind) -> String {
     match kind {
         Kind::Message(message) => message.full_name().to_string(),
-        Kind::Enum(of) => of.full_name().to_string(),
+        Kind::Enum(enum_type) => enum_type.full_name().to_string(),
         scalar => format!("{scalar:?}").to_lowercase(),
     }
 }
 
-/// Whether values that are written as one kind are read as the same values of another.
+/// Whether values that are written as one kind are read as the same values of another kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Readability {
-    /// All of them are.
-    Same,
-    /// All are in the binary form, but not in JSON.
-    OnlyInBinary,
-    /// Some are not.
-    Different,
+pub(crate) enum KindCompatibility {
+    /// All values are.
+    Full,
+    /// All values are in the binary form, but not in JSON.
+    BinaryOnly,
+    /// Some values are not.
+    Incompatible,
 }
 
-pub(crate) fn readability(written: &Kind, read: &Kind, level: CompatibilityLevel) -> Readability {
+pub(crate) fn kind_compatibility(
+    written: &Kind,
+    read: &Kind,
+    level: CompatibilityLevel,
+) -> KindCompatibility {
     match (written, read) {
-        (Kind::Message(_), Kind::Message(_)) | (Kind::Enum(_), Kind::Enum(_)) => Readability::Same,
-        // Wider integers of the same encoding.
+        (Kind::Message(_), Kind::Message(_)) | (Kind::Enum(_), Kind::Enum(_)) => {
+            KindCompatibility::Full
+        }
+        // The reader's integer type is wider and has the same encoding.
         (Kind::Int32 | Kind::Uint32, Kind::Int64)
         | (Kind::Uint32, Kind::Uint64)
-        | (Kind::Sint32, Kind::Sint64) => Readability::Same,
-        // JSON has bytes in base64.
+        | (Kind::Sint32, Kind::Sint64) => KindCompatibility::Full,
+        // JSON encodes bytes in base64, but a string as plain text.
         (Kind::String, Kind::Bytes) if level == CompatibilityLevel::WireAndJson => {
-            Readability::OnlyInBinary
+            KindCompatibility::BinaryOnly
         }
-        (Kind::String, Kind::Bytes) => Readability::Same,
-        (a, b) if std::mem::discriminant(a) == std::mem::discriminant(b) => Readability::Same,
-        _ => Readability::Different,
+        (Kind::String, Kind::Bytes) => KindCompatibility::Full,
+        (a, b) if std::mem::discriminant(a) == std::mem::discriminant(b) => KindCompatibility::Full,
+        _ => KindCompatibility::Incompatible,
     }
 }
--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -1,9 +1,9 @@
-//! Whether a service's new version is compatible with those that subscribers still use, free of I/O.
+//! Checks whether a new version of a service is compatible with the versions that subscribers still use. Does no I/O.
 //!
-//! A [`ServiceVersion`] is a set of descriptors together with what the gateways' decisions promise of each method.
-//! [`find_incompatibilities`] reads old requests by the new publisher's descriptors and new responses by old subscribers', at a
-//! [`CompatibilityLevel`], and gives each [`Incompatibility`] with a witness. [`VersionsInUse`] knows which versions are in use, and
-//! [`hold_back`] which servers get no calls because their version was not admitted.
+//! A [`ServiceVersion`] holds the descriptors of a service and a [`Promise`] for each of its methods. [`find_incompatibilities`] reads
+//! requests of old subscribers with the new descriptors and responses of the new publisher with the old descriptors, at a
+//! [`CompatibilityLevel`], and returns each [`Incompatibility`] with a [`Witness`]. [`VersionsInUse`] tracks which versions are in
+//! use, and [`hold_back`] finds the servers that get no calls because their version was not admitted.
 #![forbid(unsafe_code)]
 
 mod hold_back;
--- a/crates/contract/src/message_check/enums.rs
+++ b/crates/contract/src/message_check/enums.rs
@@ -1,4 +1,4 @@
-//! Values of enums that both versions have.
+//! Checks the values of an enum that the writer and the reader both have.
 
 use super::{Finding, MessageCheck, MessagePair};
 use crate::kinds::{multiplicity, Multiplicity};
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The rule that a change of an enum's value breaks, if it breaks one, and the change.
+    /// The rule that the change of an enum value breaks, and a description of the change; `None` if it breaks none.
     fn value_change(
         &self,
         value: &EnumValueDescriptor,
@@ -38,7 +38,7 @@
         let (name, number) = (value.name(), value.number());
         let names_read = names_of(reader, number);
         if let Some(new_name) = names_read.first() {
-            // An enum can have several names for one number.
+            // With aliases, an enum has several names for one number.
             let names_written = names_of(writer, number);
             if names_written.iter().any(|name| names_read.contains(name)) {
                 return None;
@@ -60,8 +60,9 @@
 }
 
 /// The names that an enum has for a number.
-fn names_of(of: &EnumDescriptor, number: i32) -> Vec<String> {
-    of.values()
+fn names_of(enum_type: &EnumDescriptor, number: i32) -> Vec<String> {
+    enum_type
+        .values()
         .filter(|value| value.number() == number)
         .map(|value| value.name().to_string())
         .collect()
--- a/crates/contract/src/message_check/fields.rs
+++ b/crates/contract/src/message_check/fields.rs
@@ -1,7 +1,7 @@
-//! Fields whose numbers both versions have.
+//! Checks fields whose numbers the writer and the reader both have.
 
-use super::{moved_number, Finding, MessageCheck, MessagePair};
-use crate::kinds::{kind_name, multiplicity, readability, Multiplicity, Readability};
+use super::{describe_moved_number, Finding, MessageCheck, MessagePair};
+use crate::kinds::{kind_compatibility, kind_name, multiplicity, KindCompatibility, Multiplicity};
 use crate::samples::{message_with, sample_message};
 use crate::{CompatibilityLevel, CompatibilityRule};
 use prost_reflect::{DynamicMessage, FieldDescriptor, Kind, Value};
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The rule that a change of the field's type breaks, if it breaks one, and the change.
+    /// The rule that the change of the field's type breaks, and a description of the change; `None` if it breaks none.
     fn type_change(
         &self,
         written: &FieldDescriptor,
@@ -52,15 +52,15 @@
             let change = format!("{old} was written, {new} is read");
             return Some((CompatibilityRule::Cardinality, change));
         }
-        let readability = if written.is_group() == read.is_group() {
-            readability(&written.kind(), &read.kind(), self.level)
+        let kind_compatibility = if written.is_group() == read.is_group() {
+            kind_compatibility(&written.kind(), &read.kind(), self.level)
         } else {
-            Readability::Different
+            KindCompatibility::Incompatible
         };
-        let rule = match readability {
-            Readability::Same => return None,
-            Readability::OnlyInBinary => CompatibilityRule::JsonForm,
-            Readability::Different => CompatibilityRule::Type,
+        let rule = match kind_compatibility {
+            KindCompatibility::Full => return None,
+            KindCompatibility::BinaryOnly => CompatibilityRule::JsonForm,
+            KindCompatibility::Incompatible => CompatibilityRule::Type,
         };
         let change = format!(
             "{} was written, {} is read",
@@ -79,13 +79,13 @@
         if written.name() == read.name() && written.json_name() == read.json_name() {
             return;
         }
-        // If the old name has a new number, what is written there is read as something else.
+        // If the reader has the same name under another number, it reads the written value as another field.
         let moved = pair
             .reader
             .get_field_by_name(written.name())
             .filter(|field| field.number() != written.number());
         let (rule, change) = if let Some(moved) = moved {
-            let change = moved_number(written, &moved);
+            let change = describe_moved_number(written, &moved);
             (CompatibilityRule::NumberMoved, change)
         } else if self.level == CompatibilityLevel::WireAndJson {
             let (old, new) = (written.json_name(), read.json_name());
@@ -158,7 +158,7 @@
     }
 }
 
-/// The same value of the widest type that it can be read as.
+/// The value in the widest type that it can be read as, so that defaults of compatible types compare as equal.
 fn widened(value: Value) -> Value {
     match value {
         Value::I32(number) => Value::I64(number.into()),
--- a/crates/contract/src/message_check/mod.rs
+++ b/crates/contract/src/message_check/mod.rs
@@ -1,4 +1,4 @@
-//! The check of one message as its writer means it, read by another version's descriptors.
+//! Checks whether the reader's version of a message keeps the meaning that the writer's version gives it.
 
 mod enums;
 mod fields;
@@ -15,37 +15,38 @@
 pub(crate) struct MessageCheck<'a> {
     level: CompatibilityLevel,
     direction: Direction,
-    /// The method and its side, with which all paths begin.
-    place: String,
-    /// The type of the whole message at its writer and at its reader.
+    /// The method and its side, which start the path of each incompatibility.
+    path_prefix: String,
+    /// The type of the top-level message in the writer's version and in the reader's.
     root_writer: MessageDescriptor,
     root_reader: MessageDescriptor,
-    compared: HashSet<TypePair>,
+    /// The types that were checked already, so that recursive types are checked once.
+    checked_types: HashSet<TypePair>,
     found: &'a mut Vec<Incompatibility>,
 }
 
-/// The full names of a type at the writer and at the reader.
+/// The full names of a message type in the writer's version and in the reader's.
 #[derive(PartialEq, Eq, Hash)]
 struct TypePair {
     writer: String,
     reader: String,
 }
 
-/// A message within the whole one, in both versions.
+/// The type of the top-level message or of a nested one, in both versions.
 struct MessagePair<'a> {
-    /// The fields that lead to it.
+    /// The fields that lead to it from the top-level message.
     path: &'a [FieldDescriptor],
     writer: &'a MessageDescriptor,
     reader: &'a MessageDescriptor,
 }
 
-/// What is to be reported of a field.
+/// An incompatible change of a field.
 struct Finding<'a> {
     field: &'a str,
     rule: CompatibilityRule,
-    /// What was and what is proposed.
+    /// A description of the old and the new state.
     change: String,
-    /// A message of the writer that shows it.
+    /// A message of the writer's type that the reader misreads.
     written: DynamicMessage,
 }
 
@@ -53,7 +54,7 @@
     pub(crate) fn new(
         level: CompatibilityLevel,
         direction: Direction,
-        place: String,
+        path_prefix: String,
         root_writer: MessageDescriptor,
         root_reader: MessageDescriptor,
         found: &mut Vec<Incompatibility>,
@@ -61,15 +62,15 @@
         MessageCheck {
             level,
             direction,
-            place,
+            path_prefix,
             root_writer,
             root_reader,
-            compared: HashSet::new(),
+            checked_types: HashSet::new(),
             found,
         }
     }
 
-    /// Checks the whole message and all messages in it.
+    /// Checks the top-level message and all messages nested in it.
     pub(crate) fn run(&mut self) {
         let (writer, reader) = (self.root_writer.clone(), self.root_reader.clone());
         self.check_message(&MessagePair {
@@ -84,35 +85,35 @@
             writer: pair.writer.full_name().to_string(),
             reader: pair.reader.full_name().to_string(),
         };
-        if !self.compared.insert(types) {
+        if !self.checked_types.insert(types) {
             return;
         }
         for field in pair.writer.fields() {
             match pair.reader.get_field(field.number()) {
                 Some(read) => self.check_field(pair, &field, &read),
-                None => self.check_field_without_reader(pair, &field),
+                None => self.check_field_missing_in_reader(pair, &field),
             }
         }
         for field in pair.reader.fields() {
             if pair.writer.get_field(field.number()).is_none() {
-                self.check_field_without_writer(pair, &field);
+                self.check_field_missing_in_writer(pair, &field);
             }
         }
         self.check_oneofs(pair);
     }
 
     fn report(&mut self, pair: &MessagePair, finding: Finding) {
-        let whole = nested_message(&self.root_writer, pair.path, finding.written);
+        let root_message = nested_message(&self.root_writer, pair.path, finding.written);
         let witness = match finding.rule {
             CompatibilityRule::JsonName | CompatibilityRule::JsonForm => {
-                json_witness(self.direction, &whole, &self.root_reader)
+                json_witness(self.direction, &root_message, &self.root_reader)
             }
-            _ => binary_witness(self.direction, &whole, &self.root_reader),
+            _ => binary_witness(self.direction, &root_message, &self.root_reader),
         };
         let mut names: Vec<&str> = pair.path.iter().map(|field| field.name()).collect();
         names.push(finding.field);
         self.found.push(Incompatibility {
-            path: format!("{} {}", self.place, names.join(".")),
+            path: format!("{} {}", self.path_prefix, names.join(".")),
             rule: finding.rule,
             change: finding.change,
             witness,
@@ -136,8 +137,8 @@
     }
 }
 
-/// What is reported of a field whose name has another number at the reader.
-fn moved_number(field: &FieldDescriptor, moved: &FieldDescriptor) -> String {
+/// Describes a field whose name has another number in the reader's version.
+fn describe_moved_number(field: &FieldDescriptor, moved: &FieldDescriptor) -> String {
     format!(
         "'{}' was number {}, and is {}",
         field.name(),
--- a/crates/contract/src/message_check/oneofs.rs
+++ b/crates/contract/src/message_check/oneofs.rs
@@ -1,7 +1,7 @@
-//! Fields that could be set together must not become exclusive.
+//! Checks that fields that could be set together do not become exclusive.
 
 use super::{Finding, MessageCheck, MessagePair};
-use crate::samples::{sample_field_once, sample_message};
+use crate::samples::{sample_field_with_one_element, sample_message};
 use crate::CompatibilityRule;
 use prost_reflect::FieldDescriptor;
 
@@ -16,7 +16,7 @@
                 continue;
             };
             let mut both = sample_message(first);
-            both.set_field(second, sample_field_once(second));
+            both.set_field(second, sample_field_with_one_element(second));
             let change = format!(
                 "'{}' and '{}' could both be set, and now stand in oneof '{}'",
                 first.name(),
@@ -34,7 +34,7 @@
     }
 }
 
-/// The first two fields that do not exclude each other.
+/// The first two fields that can both be set, as they are not in the same oneof.
 fn find_independent(fields: &[FieldDescriptor]) -> Option<(&FieldDescriptor, &FieldDescriptor)> {
     for (index, first) in fields.iter().enumerate() {
         let oneof = oneof_name(first);
@@ -47,7 +47,7 @@
     None
 }
 
-/// The full name of the oneof that a field belongs to. Those that proto3 makes for optional fields do not count.
+/// The full name of the oneof that a field belongs to. The synthetic oneofs of optional proto3 fields do not count.
 fn oneof_name(field: &FieldDescriptor) -> Option<String> {
     let oneof = field.containing_oneof()?;
     (!oneof.is_synthetic()).then(|| oneof.full_name().to_string())
--- a/crates/contract/src/message_check/unmatched.rs
+++ b/crates/contract/src/message_check/unmatched.rs
@@ -1,24 +1,30 @@
-//! Fields whose numbers only the writer or only the reader has.
+//! Checks fields whose numbers only the writer or only the reader has.
 
-use super::{moved_number, Finding, MessageCheck, MessagePair};
-use crate::samples::{message_with_number, sample_message};
+use super::{describe_moved_number, Finding, MessageCheck, MessagePair};
+use crate::samples::{message_with_unknown_field, sample_message};
 use crate::{CompatibilityLevel, CompatibilityRule, Direction};
 use prost_reflect::{DynamicMessage, FieldDescriptor, MessageDescriptor};
 
 impl MessageCheck<'_> {
-    /// The writer has a field whose number the reader does not have.
-    pub(super) fn check_field_without_reader(
+    /// Checks a field of the writer whose number the reader does not have.
+    pub(super) fn check_field_missing_in_reader(
         &mut self,
         pair: &MessagePair,
         field: &FieldDescriptor,
     ) {
         let (rule, change) = if let Some(moved) = pair.reader.get_field_by_name(field.name()) {
-            let change = moved_number(field, &moved);
+            let change = describe_moved_number(field, &moved);
             (CompatibilityRule::NumberMoved, change)
         } else if self.is_removed_unreserved(pair, field) {
-            (CompatibilityRule::FieldRemoved, not_reserved(field))
+            (
+                CompatibilityRule::FieldRemoved,
+                describe_unreserved_number(field),
+            )
         } else if self.is_reserved_earlier(pair, field) {
-            (CompatibilityRule::NumberReused, was_reserved(field))
+            (
+                CompatibilityRule::NumberReused,
+                describe_reserved_number(field),
+            )
         } else if self.is_unknown_json_name(pair, field) {
             let change = format!("name '{}' is gone and not reserved", field.name());
             (CompatibilityRule::JsonName, change)
@@ -34,17 +40,17 @@
         self.report(pair, finding);
     }
 
-    /// An old request has a field that was removed without its number being reserved.
+    /// Whether an old request has a field that was removed without its number being reserved.
     fn is_removed_unreserved(&self, pair: &MessagePair, field: &FieldDescriptor) -> bool {
         self.direction == Direction::Request && !is_reserved(self.newer(pair), field)
     }
 
-    /// A new response has a field whose number the old version reserved.
+    /// Whether a new response has a field whose number the old version reserved.
     fn is_reserved_earlier(&self, pair: &MessagePair, field: &FieldDescriptor) -> bool {
         self.direction == Direction::Response && is_reserved(self.older(pair), field)
     }
 
-    /// An old request has a name that a strict reader of JSON rejects, as it does not know it.
+    /// Whether an old request has a field name that a strict JSON reader rejects as unknown.
     fn is_unknown_json_name(&self, pair: &MessagePair, field: &FieldDescriptor) -> bool {
         let mut reserved_names = self.newer(pair).reserved_names();
         self.direction == Direction::Request
@@ -52,8 +58,8 @@
             && !reserved_names.any(|name| name == field.name())
     }
 
-    /// The reader has a field whose number the writer does not have.
-    pub(super) fn check_field_without_writer(
+    /// Checks a field of the reader whose number the writer does not have.
+    pub(super) fn check_field_missing_in_writer(
         &mut self,
         pair: &MessagePair,
         field: &FieldDescriptor,
@@ -63,17 +69,21 @@
             let change = format!("'{}' is required and never written", field.name());
             (CompatibilityRule::Required, change, empty)
         } else if pair.writer.get_field_by_name(field.name()).is_some() {
-            // This was reported at the writer's number.
+            // The change of the number was already reported for the writer's field.
             return;
         } else if self.direction == Direction::Request && is_reserved(self.older(pair), field) {
-            let earlier = message_with_number(pair.writer, field.number());
+            let earlier = message_with_unknown_field(pair.writer, field.number());
             (
                 CompatibilityRule::NumberReused,
-                was_reserved(field),
+                describe_reserved_number(field),
                 earlier,
             )
         } else if self.direction == Direction::Response && !is_reserved(self.newer(pair), field) {
-            (CompatibilityRule::FieldRemoved, not_reserved(field), empty)
+            (
+                CompatibilityRule::FieldRemoved,
+                describe_unreserved_number(field),
+                empty,
+            )
         } else {
             return;
         };
@@ -93,10 +103,10 @@
     ranges.any(|range| range.contains(&field.number()))
 }
 
-fn not_reserved(field: &FieldDescriptor) -> String {
+fn describe_unreserved_number(field: &FieldDescriptor) -> String {
     format!("number {} is gone and not reserved", field.number())
 }
 
-fn was_reserved(field: &FieldDescriptor) -> String {
+fn describe_reserved_number(field: &FieldDescriptor) -> String {
     format!("number {} was reserved", field.number())
 }
--- a/crates/contract/src/promise.rs
+++ b/crates/contract/src/promise.rs
@@ -1,65 +1,67 @@
-//! What the gateways' decisions promise of a method, and what subscribers rely on beside it.
+//! What a service version promises for a method, and what its subscribers rely on in addition.
 
 use std::fmt;
 
-/// What a retry of a call does. The order is from the strongest promise to the weakest.
+/// The effect of retrying a call. The variants are ordered from the strongest promise to the weakest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Idempotency {
-    /// It has no further effect.
+    /// A retry has no further effect.
     Idempotent,
-    /// It has no further effect within the scope and the window of its idempotency key.
+    /// A retry has no further effect within the scope and the window of its idempotency key.
     Keyed,
-    /// It has its effect again.
+    /// A retry has its effect again.
     NonIdempotent,
 }
 
-/// The servers that deduplicate retries of one idempotency key. The order is from the smallest scope to the largest.
+/// The servers that together deduplicate retries with one idempotency key. The variants are ordered from the smallest scope to the
+/// largest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum KeyScope {
-    /// Those of one cell.
+    /// The servers of one cell.
     Cell,
-    /// Those of one zone.
+    /// The servers of one zone.
     Zone,
     /// All servers.
     All,
 }
 
-/// What is promised of one method.
+/// What a service version promises for one method, by the gateways' settings for the method's class and route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Promise {
-    /// What a retry does.
+    /// The effect of retrying a call.
     pub idempotency: Idempotency,
-    /// Which servers deduplicate retries of a key.
+    /// The servers that together deduplicate retries with one idempotency key.
     pub key_scope: KeyScope,
-    /// For how long they do, in milliseconds.
+    /// How long the servers deduplicate retries, in milliseconds.
     pub key_window_ms: u64,
     /// The latency objective in milliseconds.
     pub latency_objective_ms: u64,
-    /// The longest that a call may take, in milliseconds.
+    /// The longest time that a call may take, in milliseconds.
     pub deadline_ms: u64,
-    /// What a call takes from the quota.
+    /// The units that a call takes from the quota.
     pub units: f64,
-    /// The value of an answer in time, which orders what is shed.
+    /// The value of a call that is answered in time; decides which calls are shed first.
     pub value: f64,
 }
 
-/// What the subscribers of a version rely on beside its promises.
+/// What the subscribers of a version rely on in addition to its promises.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SubscriberBounds {
-    /// How long retries of one call last at its clients, in milliseconds; `None` for as long as the promised window.
+    /// The longest time after the first attempt at which a client retries a call, in milliseconds; `None` stands for the window that the
+    /// old version promises.
     pub longest_retry_ms: Option<u64>,
-    /// The smallest burst of the callers' plans, in units; `None` if no plan limits it.
+    /// The smallest burst among the callers' plans, in units; `None` if no plan limits bursts.
     pub smallest_burst: Option<f64>,
 }
 
 impl Promise {
-    /// Value for each unit: when a site is lost, the calls with the least of it are shed first.
+    /// The value of a call for each of its units. When a site is lost, the calls with the least value per unit are shed first.
     pub(crate) fn value_per_unit(&self) -> f64 {
         self.value / self.units.max(f64::MIN_POSITIVE)
     }
 }
 
-/// As publishers read it; part of the wire format.
+/// The text in reports to publishers; part of the wire format.
 impl fmt::Display for Idempotency {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -70,7 +72,7 @@
     }
 }
 
-/// As publishers read it; part of the wire format.
+/// The text in reports to publishers; part of the wire format.
 impl fmt::Display for KeyScope {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
--- a/crates/contract/src/promise_check.rs
+++ b/crates/contract/src/promise_check.rs
@@ -1,10 +1,10 @@
-//! Which changes of a promise take something back.
+//! Finds changes that weaken the promise for a method.
 
 use crate::{CompatibilityRule, Idempotency, Incompatibility, Promise, SubscriberBounds, Witness};
 
-/// The check of one method's promises.
+/// The check of one method's old and new promise.
 pub(crate) struct PromiseCheck<'a> {
-    /// The service and the method.
+    /// The method as `SERVICE/METHOD`.
     pub(crate) path: &'a str,
     pub(crate) old: &'a Promise,
     pub(crate) new: &'a Promise,
@@ -13,20 +13,20 @@
 }
 
 impl PromiseCheck<'_> {
-    /// Adds what the new promise takes back of the old one.
+    /// Adds an incompatibility for each respect in which the new promise is weaker than the old one.
     pub(crate) fn run(&mut self) {
         self.check_idempotency();
-        if self.are_both_keyed() {
+        if self.is_keyed_in_both() {
             self.check_key_scope();
             self.check_key_window();
         }
-        self.check_time(
+        self.check_duration(
             CompatibilityRule::PromiseDeadline,
             "deadline",
             self.old.deadline_ms,
             self.new.deadline_ms,
         );
-        self.check_time(
+        self.check_duration(
             CompatibilityRule::PromiseAim,
             "aim",
             self.old.latency_objective_ms,
@@ -45,7 +45,7 @@
         });
     }
 
-    fn are_both_keyed(&self) -> bool {
+    fn is_keyed_in_both(&self) -> bool {
         self.old.idempotency == Idempotency::Keyed && self.new.idempotency == Idempotency::Keyed
     }
 
@@ -89,7 +89,7 @@
         );
     }
 
-    fn check_time(&mut self, rule: CompatibilityRule, name: &str, old_ms: u64, new_ms: u64) {
+    fn check_duration(&mut self, rule: CompatibilityRule, name: &str, old_ms: u64, new_ms: u64) {
         if new_ms >= old_ms {
             return;
         }
--- a/crates/contract/src/rule.rs
+++ b/crates/contract/src/rule.rs
@@ -1,58 +1,58 @@
-//! The rules of compatibility.
+//! The rules that a compatible change keeps.
 
 use std::fmt;
 
-/// A rule that a change breaks. The variants are named as publishers read them, see [`CompatibilityRule::name`].
+/// A rule that an incompatible change breaks. Reports to publishers name it by its variant, see [`CompatibilityRule::name`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum CompatibilityRule {
     /// A method was removed.
     MethodRemoved,
-    /// A method changed from one message to a stream or back.
+    /// The request or the response of a method changed from a single message to a stream, or the reverse.
     Streaming,
-    /// A field was removed and its number not reserved, so that it may be given to another field.
+    /// A field was removed and its number not reserved, so that another field may reuse the number.
     FieldRemoved,
-    /// A reserved number is in use again.
+    /// A field uses a reserved number.
     NumberReused,
     /// A field has another number.
     NumberMoved,
-    /// Values of the written type cannot all be read as the same values of the other type.
+    /// Some values of the writer's type cannot be read as the same values of the reader's type.
     Type,
     /// A singular field became repeated or a map, or the reverse.
     Cardinality,
-    /// Fields that could be set together became exclusive.
+    /// Fields that could be set together became members of one oneof.
     Oneof,
-    /// "Not set" and "set to the default" can no longer be told apart.
+    /// The reader can no longer distinguish an unset field from one that is set to its default.
     Presence,
-    /// A required field is not always written.
+    /// A field that the reader requires is not always written.
     Required,
-    /// An absent field reads as another value.
+    /// An absent field reads as another default value.
     Default,
-    /// An enum has a value that its reader does not know.
+    /// The reader does not know a value of an enum.
     EnumValue,
-    /// A number of an enum has another name.
+    /// An enum value has another name for its number, or another number for its name.
     EnumReused,
     /// A field has another name in JSON and text.
     JsonName,
-    /// A value has another form in JSON.
+    /// Values of a field have another form in JSON.
     JsonForm,
     /// The promised [`Idempotency`](crate::Idempotency) became weaker.
     PromiseEffect,
-    /// Retries are deduplicated by fewer servers.
+    /// Fewer servers deduplicate retries together: the [`KeyScope`](crate::KeyScope) became smaller.
     PromiseGroup,
-    /// Retries are deduplicated for a shorter time than they may last.
+    /// Servers deduplicate retries for a shorter time than clients retry.
     PromiseWindow,
     /// A call has a shorter deadline.
     PromiseDeadline,
     /// A call has a shorter latency objective.
     PromiseAim,
-    /// A call takes more units than a plan ever has.
+    /// A call takes more units than the burst of a plan, so that the plan never admits it.
     PromiseUnits,
-    /// A call is shed earlier when a site is lost.
+    /// A call has less value per unit, so that it is shed earlier when a site is lost.
     PromiseWorth,
 }
 
 impl CompatibilityRule {
-    /// The rule's name as publishers read it in the answer to a proposal. These texts are part of the wire format.
+    /// The rule's name in the response to a publisher's proposal; part of the wire format.
     pub fn name(self) -> &'static str {
         match self {
             CompatibilityRule::MethodRemoved => "MethodRemoved",
@@ -80,7 +80,7 @@
         }
     }
 
-    /// What the publisher can do instead, in one line.
+    /// What the publisher can do instead, in one line; part of the wire format.
     pub fn help(self) -> &'static str {
         match self {
             CompatibilityRule::MethodRemoved => "keep the method until its callers have gone to another, then retire the versions that have it",
--- a/crates/contract/src/samples.rs
+++ b/crates/contract/src/samples.rs
@@ -1,4 +1,4 @@
-//! Messages that make a difference of two versions visible.
+//! Sample messages that are written by one version and misread by the other if the two are incompatible.
 
 use crate::kinds::{multiplicity, Multiplicity};
 use prost::encoding::{encode_key, WireType};
@@ -7,14 +7,14 @@
 };
 use std::collections::HashMap;
 
-/// A number that differs from the default and from every value of most enums.
-const UNNAMED_NUMBER: i32 = 7;
-/// The text of a string or of a map's key.
-const TEXT: &str = "witness";
-/// Bytes that are not UTF-8.
-const NOT_UTF8: [u8; 3] = [0xff, 0xfe, 7];
+/// A number that differs from the default and that most enums have no name for.
+const SAMPLE_NUMBER: i32 = 7;
+/// The sample of a string and the fallback for a map key.
+const SAMPLE_TEXT: &str = "witness";
+/// The sample of a bytes field: not UTF-8, so that it cannot be read as a string.
+const SAMPLE_BYTES: [u8; 3] = [0xff, 0xfe, 7];
 
-/// A value that differs from the default and shows most changes of a type: negative, large, not UTF-8.
+/// A value that differs from the default and is misread after most changes of its type: negative, large or not UTF-8.
 pub(crate) fn sample_value(kind: &Kind) -> Value {
     match kind {
         Kind::Double => Value::F64(-1.5e300),
@@ -24,43 +24,43 @@
         Kind::Uint32 | Kind::Fixed32 => Value::U32(u32::MAX - 5),
         Kind::Uint64 | Kind::Fixed64 => Value::U64(u64::MAX - 5),
         Kind::Bool => Value::Bool(true),
-        Kind::String => Value::String(TEXT.into()),
-        Kind::Bytes => Value::Bytes(NOT_UTF8.to_vec().into()),
+        Kind::String => Value::String(SAMPLE_TEXT.into()),
+        Kind::Bytes => Value::Bytes(SAMPLE_BYTES.to_vec().into()),
         Kind::Message(message) => Value::Message(DynamicMessage::new(message.clone())),
-        Kind::Enum(of) => {
-            let mut numbers = of.values().map(|value| value.number());
-            // An open enum can have a number without a name; 0 would not be written.
-            let is_open = of.parent_file().syntax() != Syntax::Proto2;
+        Kind::Enum(enum_type) => {
+            let mut numbers = enum_type.values().map(|value| value.number());
+            // If 0 is the only value, an open enum uses a number without a name, because 0 would not be encoded.
+            let is_open = enum_type.parent_file().syntax() != Syntax::Proto2;
             let fallback = if is_open {
-                UNNAMED_NUMBER
+                SAMPLE_NUMBER
             } else {
-                of.default_value().number()
+                enum_type.default_value().number()
             };
             Value::EnumNumber(numbers.find(|number| *number != 0).unwrap_or(fallback))
         }
     }
 }
 
-/// A value of a field whose elements are samples: one, two of a repeated field, or one entry of a map.
+/// A sample value of a field: a single value, a list of two values, or a map of one entry.
 pub(crate) fn sample_field(field: &FieldDescriptor) -> Value {
     let value = sample_value(&field.kind());
     match multiplicity(field) {
         Multiplicity::Repeated => Value::List(vec![value.clone(), value]),
-        Multiplicity::Single | Multiplicity::Map => single_sample(field, value),
+        Multiplicity::Single | Multiplicity::Map => value_or_map(field, value),
     }
 }
 
-/// A value of a field with one element.
-pub(crate) fn sample_field_once(field: &FieldDescriptor) -> Value {
+/// A sample value of a field with one element: a single value, a list of one value, or a map of one entry.
+pub(crate) fn sample_field_with_one_element(field: &FieldDescriptor) -> Value {
     let value = sample_value(&field.kind());
     match multiplicity(field) {
         Multiplicity::Repeated => Value::List(vec![value]),
-        Multiplicity::Single | Multiplicity::Map => single_sample(field, value),
+        Multiplicity::Single | Multiplicity::Map => value_or_map(field, value),
     }
 }
 
-/// The value itself, or an entry of a map.
-fn single_sample(field: &FieldDescriptor, value: Value) -> Value {
+/// The given value of a singular field, or a map with one sample entry.
+fn value_or_map(field: &FieldDescriptor, value: Value) -> Value {
     let kind = field.kind();
     let Some(entry) = kind.as_message().filter(|_| field.is_map()) else {
         return value;
@@ -71,10 +71,10 @@
 }
 
 fn sample_key(kind: &Kind) -> MapKey {
-    map_key(&sample_value(kind)).unwrap_or_else(|| MapKey::String(TEXT.into()))
+    map_key(&sample_value(kind)).unwrap_or_else(|| MapKey::String(SAMPLE_TEXT.into()))
 }
 
-/// The value as a key of a map; `None` if it cannot be one.
+/// The value as a map key; `None` if its type cannot be a key.
 fn map_key(value: &Value) -> Option<MapKey> {
     Some(match value {
         Value::Bool(value) => MapKey::Bool(*value),
@@ -87,19 +87,19 @@
     })
 }
 
-/// A message with one field set.
+/// A message with this value in one field and all others unset.
 pub(crate) fn message_with(field: &FieldDescriptor, value: Value) -> DynamicMessage {
     let mut message = DynamicMessage::new(field.parent_message().clone());
     message.set_field(field, value);
     message
 }
 
-/// A message with a sample in one field.
+/// A message with a sample value in one field and all others unset.
 pub(crate) fn sample_message(field: &FieldDescriptor) -> DynamicMessage {
     message_with(field, sample_field(field))
 }
 
-/// A message of type `root` that has `leaf` at the end of a path of fields.
+/// A message of type `root` that holds `leaf` at the end of `path`.
 pub(crate) fn nested_message(
     root: &MessageDescriptor,
     path: &[FieldDescriptor],
@@ -115,7 +115,7 @@
         let value = match multiplicity(field) {
             Multiplicity::Single => Value::Message(inner),
             Multiplicity::Repeated => Value::List(vec![Value::Message(inner)]),
-            Multiplicity::Map => map_of_entry(&inner),
+            Multiplicity::Map => map_from_entry(&inner),
         };
         let mut message = DynamicMessage::new(outer);
         message.set_field(field, value);
@@ -124,20 +124,25 @@
     inner
 }
 
-/// A map with the entry that a message of the map's entry type holds.
-fn map_of_entry(entry: &DynamicMessage) -> Value {
-    let of = entry.descriptor();
-    let key = map_key(&entry.get_field(&of.map_entry_key_field()));
+/// Converts a message of a map's entry type into a map with that entry.
+fn map_from_entry(entry: &DynamicMessage) -> Value {
+    let entry_type = entry.descriptor();
+    let key = map_key(&entry.get_field(&entry_type.map_entry_key_field()));
     let key = key.unwrap_or_else(|| MapKey::String(String::new()));
-    let value = entry.get_field(&of.map_entry_value_field()).into_owned();
+    let value = entry
+        .get_field(&entry_type.map_entry_value_field())
+        .into_owned();
     Value::Map(HashMap::from([(key, value)]))
 }
 
-/// A message with a field of this number, as a version before may have written it.
-pub(crate) fn message_with_number(root: &MessageDescriptor, number: u32) -> DynamicMessage {
+/// A message with an unknown field of this number, as a version before the writer's may have written it.
+pub(crate) fn message_with_unknown_field(
+    message: &MessageDescriptor,
+    number: u32,
+) -> DynamicMessage {
     let mut bytes = Vec::new();
     encode_key(number, WireType::Varint, &mut bytes);
-    bytes.push(UNNAMED_NUMBER as u8);
-    DynamicMessage::decode(root.clone(), &bytes[..])
-        .unwrap_or_else(|_| DynamicMessage::new(root.clone()))
+    bytes.push(SAMPLE_NUMBER as u8);
+    DynamicMessage::decode(message.clone(), &bytes[..])
+        .unwrap_or_else(|_| DynamicMessage::new(message.clone()))
 }
--- a/crates/contract/src/service_check.rs
+++ b/crates/contract/src/service_check.rs
@@ -1,4 +1,4 @@
-//! The check of a new version against an old one, method by method.
+//! Checks a new version of a service against an old one, method by method.
 
 use crate::message_check::MessageCheck;
 use crate::promise_check::PromiseCheck;
@@ -8,8 +8,8 @@
 };
 use prost_reflect::MethodDescriptor;
 
-/// What of an old version a new one breaks: old requests read by the new publisher, new responses read by old subscribers, and what
-/// was promised.
+/// Finds what a new version breaks for subscribers of an old one: old requests that the new publisher misreads, new responses that old
+/// subscribers misread, and promises that became weaker.
 pub fn find_incompatibilities(
     old: &ServiceVersion,
     new: &ServiceVersion,
@@ -24,13 +24,13 @@
             found.push(removed_method(path));
             continue;
         };
-        let methods = MethodPair {
+        let pair = MethodPair {
             path: &path,
             old: &old_method,
             new: &new_method,
         };
-        methods.check_streaming(&mut found);
-        methods.check_messages(level, &mut found);
+        pair.check_streaming(&mut found);
+        pair.check_messages(level, &mut found);
         if let (Some(old), Some(new)) = (old.promises.get(name), new.promises.get(name)) {
             let mut check = PromiseCheck {
                 path: &path,
@@ -57,6 +57,7 @@
 
 /// A method in both versions.
 struct MethodPair<'a> {
+    /// The method as `SERVICE/METHOD`.
     path: &'a str,
     old: &'a MethodDescriptor,
     new: &'a MethodDescriptor,
@@ -91,17 +92,17 @@
 
     fn check_messages(&self, level: CompatibilityLevel, found: &mut Vec<Incompatibility>) {
         for direction in [Direction::Request, Direction::Response] {
-            let place = format!("{} {}", self.path, side_name(direction));
+            let path_prefix = format!("{} {}", self.path, side_name(direction));
             let (writer, reader) = match direction {
                 Direction::Request => (self.old.input(), self.new.input()),
                 Direction::Response => (self.new.output(), self.old.output()),
             };
-            MessageCheck::new(level, direction, place, writer, reader, found).run();
+            MessageCheck::new(level, direction, path_prefix, writer, reader, found).run();
         }
     }
 }
 
-/// The side of a method as publishers read it; part of the wire format.
+/// The name of a method's side in reports to publishers; part of the wire format.
 fn side_name(direction: Direction) -> &'static str {
     match direction {
         Direction::Request => "request",
--- a/crates/contract/src/service_version.rs
+++ b/crates/contract/src/service_version.rs
@@ -1,13 +1,13 @@
-//! A version of a service as its publisher proposes it.
+//! A version of a service, as its publisher proposes it.
 
 use crate::Promise;
 use prost_reflect::{DescriptorPool, ServiceDescriptor};
 use std::collections::BTreeMap;
 
-/// The most bytes of one set of descriptors.
+/// The maximum length of an encoded descriptor set.
 pub const MAX_DESCRIPTOR_BYTES: usize = 1 << 20;
 
-/// Which forms of messages have to stay compatible.
+/// The forms of messages that have to stay compatible.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum CompatibilityLevel {
     /// The binary form.
@@ -19,35 +19,35 @@
 /// Why a version is not accepted.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error, miette::Diagnostic)]
 pub enum VersionError {
-    /// The descriptors are too long; has their bytes.
+    /// The descriptor set is too long. Holds its length in bytes.
     #[error("descriptors: expected at most {MAX_DESCRIPTOR_BYTES} bytes, found {0}")]
     #[diagnostic(
         code(chalkdeck::contract::too_long),
         help("leave out files that the service does not import, and source info")
     )]
     TooLong(usize),
-    /// The descriptors cannot be decoded, or files that they import are missing.
+    /// The descriptor set cannot be decoded, or imported files are missing. Holds the reason.
     #[error("descriptors: {0}")]
     #[diagnostic(
         code(chalkdeck::contract::descriptors),
         help("give a FileDescriptorSet with all imported files, as `protoc --include_imports --descriptor_set_out` writes it")
     )]
     InvalidDescriptors(String),
-    /// The descriptors do not have the service.
+    /// The descriptor set does not contain the service. Holds the service's name.
     #[error("service: '{0}' is not in the descriptors")]
     #[diagnostic(
         code(chalkdeck::contract::service),
         help("give the service's full name, with its package")
     )]
     UnknownService(String),
-    /// A promise is of a method that the service does not have.
+    /// There is a promise for a method that the service does not have. Holds the method's name.
     #[error("promises: '{0}' is no method of the service")]
     #[diagnostic(
         code(chalkdeck::contract::method),
         help("name each method as the service does, without its package")
     )]
     UnknownMethod(String),
-    /// There is no promise of a method.
+    /// There is no promise for a method of the service. Holds the method's name.
     #[error("promises: expected one for '{0}'")]
     #[diagnostic(code(chalkdeck::contract::promise), help("say of each method what its class is: effect, group and window of keys, aim, deadline, units, worth"))]
     MissingPromise(String),
@@ -56,16 +56,16 @@
 /// A version of a service.
 #[derive(Clone, Debug)]
 pub struct ServiceVersion {
-    /// The version's name, as servers and callers give it.
+    /// The version's name, as servers announce it and callers send it.
     pub name: String,
-    /// The service.
+    /// The descriptor of the service.
     pub service: ServiceDescriptor,
-    /// What is promised of each method.
+    /// The promise for each method, by the method's name.
     pub promises: BTreeMap<String, Promise>,
 }
 
 impl ServiceVersion {
-    /// Decodes a version and checks that there is one promise for each method.
+    /// Decodes a version and checks that there is a promise for each method and for nothing else.
     ///
     /// # Errors
     /// See [`VersionError`].
--- a/crates/contract/src/versions_in_use.rs
+++ b/crates/contract/src/versions_in_use.rs
@@ -1,23 +1,23 @@
-//! Which versions of a service are in use: declared by subscribers, or seen in calls by gateways. Times are milliseconds of the
-//! replicated clock.
+//! Tracks which versions of a service are in use: declared by subscribers, or seen in calls by gateways. Times are milliseconds of
+//! the replicated clock.
 
 use std::collections::BTreeMap;
 
-/// The most customers that are counted for one version; calls of further ones are counted together.
-const MAX_CUSTOMERS: usize = 10_000;
-/// The customer that stands for further ones.
+/// The most customers that are tracked separately for one version; the use by further customers is tracked together.
+const MAX_CUSTOMERS_PER_VERSION: usize = 10_000;
+/// Stands for all customers beyond [`MAX_CUSTOMERS_PER_VERSION`].
 const OTHER_CUSTOMERS: &str = "(others)";
 
 /// One customer's use of one version.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VersionUse {
-    /// Whether the customer declared that it subscribes.
+    /// Whether the customer declared a subscription to the version.
     pub is_declared: bool,
-    /// Calls that gateways saw.
+    /// The number of calls that gateways saw.
     pub calls: u64,
     /// The time of the last call; `None` if there was none.
     pub last_call_ms: Option<u64>,
-    /// How long retries of one of its calls last, where it declared that.
+    /// The longest time after the first attempt at which the customer retries a call, if it declared one.
     pub longest_retry_ms: Option<u64>,
 }
 
@@ -33,21 +33,26 @@
 /// The versions of one service that are in use.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VersionsInUse {
-    /// By version, then by customer.
+    /// The use of each version by each customer: by version, then by customer.
     pub uses: BTreeMap<String, BTreeMap<String, VersionUse>>,
-    /// Versions that an operator retired, and when.
+    /// The versions that an operator retired, with the time of the retirement.
     pub retired: BTreeMap<String, u64>,
 }
 
 impl VersionsInUse {
-    fn use_of(&mut self, version: &str, customer: &str) -> &mut VersionUse {
+    /// The use of a version by a customer, which is added if it is new.
+    fn version_use_mut(&mut self, version: &str, customer: &str) -> &mut VersionUse {
         let uses = self.uses.entry(version.to_string()).or_default();
-        let is_full = uses.len() >= MAX_CUSTOMERS && !uses.contains_key(customer);
-        let customer = if is_full { OTHER_CUSTOMERS } else { customer };
+        let is_over_limit = uses.len() >= MAX_CUSTOMERS_PER_VERSION && !uses.contains_key(customer);
+        let customer = if is_over_limit {
+            OTHER_CUSTOMERS
+        } else {
+            customer
+        };
         uses.entry(customer.to_string()).or_default()
     }
 
-    /// A customer subscribes to a version, or no longer does.
+    /// Records whether a customer subscribes to a version, and for how long it retries calls.
     pub fn declare(
         &mut self,
         version: &str,
@@ -55,24 +60,24 @@
         is_declared: bool,
         longest_retry_ms: Option<u64>,
     ) {
-        let version_use = self.use_of(version, customer);
+        let version_use = self.version_use_mut(version, customer);
         version_use.is_declared = is_declared;
         version_use.longest_retry_ms = longest_retry_ms;
     }
 
-    /// Gateways saw calls.
+    /// Records calls that gateways saw.
     pub fn record_calls(&mut self, version: &str, customer: &str, calls: u64, now_ms: u64) {
-        // Calls that are reported after a retirement count as later, also within one step of the clock.
+        // Calls that are reported after a retirement count as later, even in the same clock step.
         let now_ms = match self.retired.get(version) {
             Some(retired_ms) => now_ms.max(retired_ms + 1),
             None => now_ms,
         };
-        let version_use = self.use_of(version, customer);
+        let version_use = self.version_use_mut(version, customer);
         version_use.calls += calls;
         version_use.last_call_ms = version_use.last_call_ms.max(Some(now_ms));
     }
 
-    /// An operator retires a version: it is no longer in use, whatever was declared and seen until now.
+    /// Retires a version on behalf of an operator: earlier subscriptions and calls no longer count as use.
     pub fn retire(&mut self, version: &str, now_ms: u64) {
         let mut retired_ms = now_ms;
         if let Some(uses) = self.uses.get_mut(version) {
@@ -85,33 +90,35 @@
         self.retired.insert(version.to_string(), retired_ms);
     }
 
-    /// The customers that use a version now: those that declared it, and those whose last call is less than `dead_after_ms` ago and
+    /// The customers that use a version now: those that declared it, and those whose last call is less than `unused_after_ms` ago and
     /// later than the version's retirement.
-    pub fn users(&self, version: &str, now_ms: u64, dead_after_ms: u64) -> Vec<VersionUser> {
+    pub fn users(&self, version: &str, now_ms: u64, unused_after_ms: u64) -> Vec<VersionUser> {
         let retired_ms = self.retired.get(version).copied();
-        let is_recent = |last_call_ms: u64| {
-            let is_alive = now_ms.saturating_sub(last_call_ms) < dead_after_ms;
-            is_alive && retired_ms.is_none_or(|retired_ms| last_call_ms > retired_ms)
+        let counts_as_use = |last_call_ms: u64| {
+            let is_recent = now_ms.saturating_sub(last_call_ms) < unused_after_ms;
+            is_recent && retired_ms.is_none_or(|retired_ms| last_call_ms > retired_ms)
         };
         let uses = self.uses.get(version).into_iter().flatten();
-        uses.filter(|(_, of)| of.is_declared || of.last_call_ms.is_some_and(is_recent))
-            .map(|(customer, version_use)| VersionUser {
-                customer: customer.clone(),
-                version_use: version_use.clone(),
-            })
-            .collect()
+        uses.filter(|(_, version_use)| {
+            version_use.is_declared || version_use.last_call_ms.is_some_and(counts_as_use)
+        })
+        .map(|(customer, version_use)| VersionUser {
+            customer: customer.clone(),
+            version_use: version_use.clone(),
+        })
+        .collect()
     }
 
-    /// The versions that some customer uses now.
-    pub fn versions(&self, now_ms: u64, dead_after_ms: u64) -> Vec<String> {
+    /// The versions that at least one customer uses now.
+    pub fn versions(&self, now_ms: u64, unused_after_ms: u64) -> Vec<String> {
         let versions = self.uses.keys();
         versions
-            .filter(|version| !self.users(version, now_ms, dead_after_ms).is_empty())
+            .filter(|version| !self.users(version, now_ms, unused_after_ms).is_empty())
             .cloned()
             .collect()
     }
 
-    /// Retired versions that were called after their retirement.
+    /// The retired versions that were called after their retirement.
     pub fn called_after_retirement(&self) -> Vec<String> {
         let is_called = |version: &str, retired_ms: u64| {
             let mut uses = self.uses.get(version).into_iter().flatten();
--- a/crates/contract/src/witness.rs
+++ b/crates/contract/src/witness.rs
@@ -1,10 +1,10 @@
-//! Witnesses: messages as they are written by one version and read by the other.
+//! Builds witnesses: messages as one version writes them and as the other reads them.
 
 use crate::{Direction, Witness};
 use prost::Message;
 use prost_reflect::{DynamicMessage, MessageDescriptor, ReflectMessage};
 
-/// The witness of a message in binary form.
+/// The witness of a message that is misread in its binary form.
 pub(crate) fn binary_witness(
     direction: Direction,
     written: &DynamicMessage,
@@ -13,7 +13,7 @@
     let bytes = written.encode_to_vec();
     let read = match DynamicMessage::decode(reader.clone(), &bytes[..]) {
         Ok(message) => message.to_text_format(),
-        Err(error) => unreadable(&error),
+        Err(error) => describe_decode_error(&error),
     };
     Witness::Message {
         direction,
@@ -24,7 +24,7 @@
     }
 }
 
-/// The witness of a message in JSON form.
+/// The witness of a message that is misread in its JSON form.
 pub(crate) fn json_witness(
     direction: Direction,
     written: &DynamicMessage,
@@ -34,7 +34,7 @@
     let mut source = serde_json::Deserializer::from_str(&json);
     let read = match DynamicMessage::deserialize(reader.clone(), &mut source) {
         Ok(message) => serde_json::to_string(&message).unwrap_or_default(),
-        Err(error) => unreadable(&error),
+        Err(error) => describe_decode_error(&error),
     };
     Witness::Message {
         direction,
@@ -45,6 +45,6 @@
     }
 }
 
-fn unreadable(error: &dyn std::error::Error) -> String {
+fn describe_decode_error(error: &dyn std::error::Error) -> String {
     format!("nothing: {error}")
 }
