--- a/crates/contract/tests/judge/main.rs
+++ b/crates/contract/tests/oracle/main.rs
@@ -1,34 +1,35 @@
-//! The checker against a judge that does not know its rules: random schemas and random changes. What the checker accepts is written
-//! and read both ways with nothing lost or changed; the witness of each rejection shows its incompatibility.
+//! Compares the checker with an oracle that does not know its rules, on random schemas and random changes of them. If the checker accepts
+//! a change, random requests and responses have to keep their meaning between the two versions; the witness of each incompatibility
+//! that it finds has to be a message that the reader misreads.
 
-mod agreement;
-mod evidence;
-mod messages;
+mod preservation;
+mod random_messages;
 #[path = "../schemas/mod.rs"]
 mod schemas;
+mod witness_check;
 
-use agreement::{agree_in_binary, agree_in_json};
 use chalkdeck_contract::{
     find_incompatibilities, CompatibilityLevel, CompatibilityRule, Direction, Incompatibility,
     ServiceVersion, SubscriberBounds,
 };
-use evidence::{shows, types_of, Types};
-use messages::{random_message, Random};
+use preservation::{is_preserved_in_binary, is_preserved_in_json};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestCaseError, TestRunner};
-use schemas::changes::{any_changes, change, Change, CHANGES};
+use random_messages::{random_message, Random};
+use schemas::changes::{any_changes, apply_change, Change, CHANGE_DESCRIPTIONS};
 use schemas::{any_schema, Schema};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
+use witness_check::{is_shown_by_witness, types_of, Types};
 
-/// The environment variable that sets another number of cases.
+/// The environment variable that overrides [`DEFAULT_CASES`].
 const CASES_VARIABLE: &str = "CASES";
 const DEFAULT_CASES: u32 = 3_000;
 const MESSAGES_PER_DIRECTION: usize = 12;
-/// Levels of messages in the random ones.
+/// Levels of nested messages in a random message.
 const MESSAGE_DEPTH: u32 = 2;
-/// Rules that the cases have to break at least.
-const LEAST_RULES: usize = 13;
+/// The number of different rules that the cases have to break at least, so that the test covers them.
+const MIN_BROKEN_RULES: usize = 13;
 
 /// One random case.
 #[derive(Debug)]
@@ -37,15 +38,15 @@
     new_schema: Schema,
     changes: Vec<Change>,
     level: CompatibilityLevel,
-    /// For the random messages.
+    /// The seed of the random messages.
     seed: u64,
 }
 
 impl Case {
     fn new(old_schema: Schema, changes: Vec<Change>, seed: u64, level: CompatibilityLevel) -> Case {
         let mut new_schema = old_schema.clone();
-        for drawn in &changes {
-            change(&mut new_schema, *drawn);
+        for change in &changes {
+            apply_change(&mut new_schema, *change);
         }
         Case {
             old_schema,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Checks that messages of both directions mean the same to their readers.
+    /// Checks that random messages of both directions keep their meaning.
     fn check_accepted(
         &self,
         old: &ServiceVersion,
@@ -68,12 +69,12 @@
             for _ in 0..MESSAGES_PER_DIRECTION {
                 let written = random_message(&writer, &mut random, MESSAGE_DEPTH);
                 prop_assert!(
-                    agree_in_binary(&written, &reader),
+                    is_preserved_in_binary(&written, &reader),
                     "{direction:?} {written:?}\n{self:?}"
                 );
                 if self.level == CompatibilityLevel::WireAndJson {
                     prop_assert!(
-                        agree_in_json(&written, &reader),
+                        is_preserved_in_json(&written, &reader),
                         "json {direction:?} {written:?}\n{self:?}"
                     );
                 }
@@ -83,29 +84,29 @@
     }
 }
 
-/// How often a kind of change was drawn.
+/// How often a kind of change was drawn, was accepted, and had no effect.
 #[derive(Default)]
-struct Drawn {
-    cases: usize,
+struct ChangeCounts {
+    drawn: usize,
     accepted: usize,
     without_effect: usize,
 }
 
-/// What was drawn and found in all cases.
+/// Counts of the changes and of the broken rules in all cases.
 #[derive(Default)]
 struct Statistics {
-    changes: BTreeMap<&'static str, Drawn>,
+    changes: BTreeMap<&'static str, ChangeCounts>,
     rules: BTreeMap<CompatibilityRule, usize>,
 }
 
 impl Statistics {
     fn add(&mut self, case: &Case, found: &[Incompatibility]) {
-        for drawn in &case.changes {
-            let name = CHANGES[usize::from(drawn.kind)];
-            let count = self.changes.entry(name).or_default();
-            count.cases += 1;
-            count.accepted += usize::from(found.is_empty());
-            count.without_effect += usize::from(case.new_schema == case.old_schema);
+        for change in &case.changes {
+            let description = CHANGE_DESCRIPTIONS[usize::from(change.kind)];
+            let counts = self.changes.entry(description).or_default();
+            counts.drawn += 1;
+            counts.accepted += usize::from(found.is_empty());
+            counts.without_effect += usize::from(case.new_schema == case.old_schema);
         }
         for incompatibility in found {
             *self.rules.entry(incompatibility.rule).or_default() += 1;
@@ -113,10 +114,10 @@
     }
 
     fn print(&self) {
-        for (name, drawn) in &self.changes {
+        for (description, counts) in &self.changes {
             println!(
-                "{name}: {} drawn, {} accepted, {} without effect",
-                drawn.cases, drawn.accepted, drawn.without_effect
+                "{description}: {} drawn, {} accepted, {} without effect",
+                counts.drawn, counts.accepted, counts.without_effect
             );
         }
         println!("{:?}", self.rules);
@@ -135,8 +136,8 @@
     statistics.add(case, &found);
     for incompatibility in &found {
         prop_assert!(
-            shows(incompatibility, &old, &new),
-            "its witness shows nothing: {incompatibility}\n{case:?}"
+            is_shown_by_witness(incompatibility, &old, &new),
+            "the witness does not show its incompatibility: {incompatibility}\n{case:?}"
         );
     }
     if found.is_empty() {
@@ -146,7 +147,7 @@
 }
 
 #[test]
-fn accepted_changes_read_the_same_and_rejected_ones_have_a_witness() {
+fn accepted_changes_preserve_messages_and_rejected_changes_have_a_witness() {
     let cases = std::env::var(CASES_VARIABLE).ok();
     let mut runner = TestRunner::new(Config {
         cases: cases
@@ -173,11 +174,11 @@
     result.unwrap_or_else(|error| panic!("{error}"));
     assert_eq!(
         statistics.changes.len(),
-        CHANGES.len(),
+        CHANGE_DESCRIPTIONS.len(),
         "every kind of change was drawn"
     );
     assert!(
-        statistics.rules.len() >= LEAST_RULES,
+        statistics.rules.len() >= MIN_BROKEN_RULES,
         "{:?}",
         statistics.rules
     );
--- a/crates/contract/tests/judge/agreement.rs
+++ b/crates/contract/tests/oracle/preservation.rs
@@ -1,4 +1,4 @@
-//! Whether a message means the same to its writer and its reader, without the rules of the checker.
+//! Decides whether a message keeps its meaning when another version reads it, without the rules of the checker.
 
 use prost::Message;
 use prost_reflect::{
@@ -6,33 +6,34 @@
     MessageDescriptor, ReflectMessage, Syntax, Value,
 };
 
-/// The form that a message was read from.
+/// The encoding that a message was read from.
 #[derive(Clone, Copy, PartialEq)]
-enum Form {
+enum Encoding {
     Binary,
     Json,
 }
 
 /// A value with the kind that its version declares.
 #[derive(Clone, Copy)]
-struct Typed<'a> {
+struct TypedValue<'a> {
     value: &'a Value,
     kind: &'a Kind,
 }
 
-/// Whether the binary form means the same to a reader, also after the reader wrote it again and the writer read that.
-pub fn agree_in_binary(written: &DynamicMessage, reader: &MessageDescriptor) -> bool {
+/// Whether a reader of the binary form reads what was written, and the writer reads it again from what the reader re-encodes.
+pub fn is_preserved_in_binary(written: &DynamicMessage, reader: &MessageDescriptor) -> bool {
     let Ok(read) = DynamicMessage::decode(reader.clone(), &written.encode_to_vec()[..]) else {
         return false;
     };
-    let Ok(back) = DynamicMessage::decode(written.descriptor(), &read.encode_to_vec()[..]) else {
+    let Ok(read_back) = DynamicMessage::decode(written.descriptor(), &read.encode_to_vec()[..])
+    else {
         return false;
     };
-    reads_the_same(written, &read) && reads_the_same(written, &back)
+    is_read_as_written(written, &read) && is_read_as_written(written, &read_back)
 }
 
-/// Whether the JSON form means the same to a reader that ignores unknown names.
-pub fn agree_in_json(written: &DynamicMessage, reader: &MessageDescriptor) -> bool {
+/// Whether a reader of the JSON form that ignores unknown names reads what was written.
+pub fn is_preserved_in_json(written: &DynamicMessage, reader: &MessageDescriptor) -> bool {
     let Ok(text) = serde_json::to_string(written) else {
         return true;
     };
@@ -52,55 +53,55 @@
             return true;
         };
         is_absent_message(written, &field)
-            || is_same_field(written, &field, &read, &read_field, Form::Json)
+            || has_same_field_value(written, &field, &read, &read_field, Encoding::Json)
     })
 }
 
-/// Whether a reader that rejects unknown names takes the JSON form, and it means the same.
-pub fn agree_in_strict_json(written: &DynamicMessage, reader: &MessageDescriptor) -> bool {
+/// Whether a reader that rejects unknown names accepts the JSON form and reads what was written.
+pub fn is_preserved_in_strict_json(written: &DynamicMessage, reader: &MessageDescriptor) -> bool {
     let text = serde_json::to_string(written).expect("it has a JSON form");
     let mut source = serde_json::Deserializer::from_str(&text);
     DynamicMessage::deserialize(reader.clone(), &mut source).is_ok()
-        && agree_in_json(written, reader)
+        && is_preserved_in_json(written, reader)
 }
 
-/// Whether a message that was read from the binary form has what its writer wrote, and nothing else.
-pub fn reads_the_same(written: &DynamicMessage, read: &DynamicMessage) -> bool {
-    messages_agree(written, read, Form::Binary)
+/// Whether a message that was read from the binary form has all that its writer wrote and nothing else.
+pub fn is_read_as_written(written: &DynamicMessage, read: &DynamicMessage) -> bool {
+    is_same_message(written, read, Encoding::Binary)
 }
 
-fn messages_agree(written: &DynamicMessage, read: &DynamicMessage, form: Form) -> bool {
+fn is_same_message(written: &DynamicMessage, read: &DynamicMessage, encoding: Encoding) -> bool {
     let (writer, reader) = (written.descriptor(), read.descriptor());
-    let is_kept = writer
+    let are_fields_kept = writer
         .fields()
         .all(|field| match reader.get_field(field.number()) {
-            Some(read_field) => field_agrees(written, &field, read, &read_field, form),
-            // It is kept among the unknown fields, where the reader has reserved the number or is the older one.
+            Some(read_field) => is_field_preserved(written, &field, read, &read_field, encoding),
+            // The reader, which reserved the number or is the older version, keeps the value among its unknown fields.
             None => {
-                form == Form::Json
+                encoding == Encoding::Json
                     || !written.has_field(&field)
                     || read
                         .unknown_fields()
                         .any(|unknown| unknown.number() == field.number())
             }
         });
-    let has_nothing_else = reader
+    let has_no_extra_fields = reader
         .fields()
         .all(|field| writer.get_field(field.number()).is_some() || !read.has_field(&field));
     let has_all_required = reader
         .fields()
         .all(|field| field.cardinality() != Cardinality::Required || read.has_field(&field));
-    is_kept && has_nothing_else && has_all_required
+    are_fields_kept && has_no_extra_fields && has_all_required
 }
 
-fn field_agrees(
+fn is_field_preserved(
     written: &DynamicMessage,
     field: &FieldDescriptor,
     read: &DynamicMessage,
     read_field: &FieldDescriptor,
-    form: Form,
+    encoding: Encoding,
 ) -> bool {
-    // An absent message has nothing that could be read otherwise.
+    // An absent message has no content to compare; it only has to stay absent.
     if is_absent_message(written, field) {
         return !read.has_field(read_field);
     }
@@ -108,11 +109,11 @@
     let is_set = written.has_field(field);
     let is_presence_kept = !has_presence
         || is_set == read.has_field(read_field)
-        // A field without presence is there if it differs from its default.
+        // Without presence, the reader's field counts as set if its value differs from its default.
         || !read_field.supports_presence() && !is_set;
     is_presence_kept
         && field.is_map() == read_field.is_map()
-        && is_same_field(written, field, read, read_field, form)
+        && has_same_field_value(written, field, read, read_field, encoding)
 }
 
 fn is_singular(field: &FieldDescriptor) -> bool {
@@ -123,37 +124,37 @@
     is_singular(field) && matches!(field.kind(), Kind::Message(_)) && !written.has_field(field)
 }
 
-fn is_same_field(
+fn has_same_field_value(
     written: &DynamicMessage,
     field: &FieldDescriptor,
     read: &DynamicMessage,
     read_field: &FieldDescriptor,
-    form: Form,
+    encoding: Encoding,
 ) -> bool {
-    let written = Typed {
+    let written = TypedValue {
         value: &written.get_field(field),
         kind: &field.kind(),
     };
-    let read = Typed {
+    let read = TypedValue {
         value: &read.get_field(read_field),
         kind: &read_field.kind(),
     };
-    is_same(written, read, form)
+    is_same_value(written, read, encoding)
 }
 
-fn is_same(written: Typed, read: Typed, form: Form) -> bool {
+fn is_same_value(written: TypedValue, read: TypedValue, encoding: Encoding) -> bool {
     match (written.value, read.value) {
         (Value::List(a), Value::List(b)) => {
             let is_same_element = |(a, b)| {
-                let written = Typed {
+                let written = TypedValue {
                     value: a,
                     kind: written.kind,
                 };
-                let read = Typed {
+                let read = TypedValue {
                     value: b,
                     kind: read.kind,
                 };
-                is_same(written, read, form)
+                is_same_value(written, read, encoding)
             };
             a.len() == b.len() && a.iter().zip(b).all(is_same_element)
         }
@@ -161,24 +162,24 @@
             let written_kind = map_value_kind(written.kind);
             let read_kind = map_value_kind(read.kind);
             let is_same_entry = |(key, value): (&MapKey, &Value)| {
-                let written = Typed {
+                let written = TypedValue {
                     value,
                     kind: &written_kind,
                 };
                 b.get(key).is_some_and(|value| {
-                    let read = Typed {
+                    let read = TypedValue {
                         value,
                         kind: &read_kind,
                     };
-                    is_same(written, read, form)
+                    is_same_value(written, read, encoding)
                 })
             };
             a.len() == b.len() && a.iter().all(is_same_entry)
         }
-        (Value::Message(a), Value::Message(b)) => messages_agree(a, b, form),
+        (Value::Message(a), Value::Message(b)) => is_same_message(a, b, encoding),
         (Value::EnumNumber(a), Value::EnumNumber(b)) => match (written.kind, read.kind) {
             (Kind::Enum(writer), Kind::Enum(reader)) => {
-                a == b && is_same_number(*a, writer, reader)
+                a == b && is_same_enum_number(*a, writer, reader)
             }
             _ => false,
         },
@@ -187,14 +188,14 @@
 }
 
 fn map_value_kind(kind: &Kind) -> Kind {
-    let entry = kind.as_message().expect("an entry");
+    let entry = kind.as_message().expect("a map entry type");
     entry.map_entry_value_field().kind()
 }
 
-/// Whether a number of an enum stands for the same to both.
-fn is_same_number(number: i32, writer: &EnumDescriptor, reader: &EnumDescriptor) -> bool {
-    let names = |of: &EnumDescriptor| -> Vec<String> {
-        let values = of.values().filter(|value| value.number() == number);
+/// Whether an enum number has the same meaning in both versions.
+fn is_same_enum_number(number: i32, writer: &EnumDescriptor, reader: &EnumDescriptor) -> bool {
+    let names = |enum_type: &EnumDescriptor| -> Vec<String> {
+        let values = enum_type.values().filter(|value| value.number() == number);
         values.map(|value| value.name().to_string()).collect()
     };
     let (written, read) = (names(writer), names(reader));
@@ -217,14 +218,14 @@
         (Value::String(a), Value::Bytes(b)) => a.as_bytes() == &b[..],
         (Value::F32(a), Value::F32(b)) => a.to_bits() == b.to_bits(),
         (Value::F64(a), Value::F64(b)) => a.to_bits() == b.to_bits(),
-        (a, b) => match (integer(a), integer(b)) {
+        (a, b) => match (as_integer(a), as_integer(b)) {
             (Some(a), Some(b)) => a == b,
             _ => a == b,
         },
     }
 }
 
-fn integer(value: &Value) -> Option<i128> {
+fn as_integer(value: &Value) -> Option<i128> {
     match value {
         Value::I32(number) => Some((*number).into()),
         Value::I64(number) => Some((*number).into()),
--- a/crates/contract/tests/judge/messages.rs
+++ b/crates/contract/tests/oracle/random_messages.rs
@@ -1,14 +1,14 @@
-//! Random messages of a type.
+//! Random messages of a given type.
 
 use prost_reflect::{
     Cardinality, DynamicMessage, FieldDescriptor, Kind, MapKey, MessageDescriptor, Value,
 };
 use std::collections::HashMap;
 
-/// Integers at the edges of their types, of which one is drawn.
-const EDGES: [u64; 7] = [0, 1, u64::MAX, 1 << 31, 1 << 63, 127, (1 << 31) - 1];
+/// Bits of integers at the limits of their types and encodings; drawn more often than others.
+const EDGE_CASES: [u64; 7] = [0, 1, u64::MAX, 1 << 31, 1 << 63, 127, (1 << 31) - 1];
 
-/// A small generator (SplitMix64), so that a failing case is described by its seed alone.
+/// A SplitMix64 generator. Its sequence depends on the seed alone, so that the seed of a failing case reproduces it.
 pub struct Random(pub u64);
 
 impl Random {
@@ -19,22 +19,27 @@
         mixed ^ (mixed >> 31)
     }
 
+    /// A number from 0 to `limit - 1`.
     pub fn below(&mut self, limit: u64) -> u64 {
         self.next() % limit.max(1)
     }
 
-    /// Any bits, or those of an edge.
+    /// The bits of an edge case, or random ones.
     fn bits(&mut self) -> u64 {
-        let any = self.next();
-        let choice = self.below(EDGES.len() as u64 + 1) as usize;
-        EDGES.get(choice).copied().unwrap_or(any)
+        let random_bits = self.next();
+        let choice = self.below(EDGE_CASES.len() as u64 + 1) as usize;
+        EDGE_CASES.get(choice).copied().unwrap_or(random_bits)
     }
 }
 
-/// A message with some fields set and some not, and with `depth` levels of messages in it.
-pub fn random_message(of: &MessageDescriptor, random: &mut Random, depth: u32) -> DynamicMessage {
-    let mut message = DynamicMessage::new(of.clone());
-    for field in of.fields() {
+/// A message with some fields set and some not, and with up to `depth` levels of nested messages.
+pub fn random_message(
+    message_type: &MessageDescriptor,
+    random: &mut Random,
+    depth: u32,
+) -> DynamicMessage {
+    let mut message = DynamicMessage::new(message_type.clone());
+    for field in message_type.fields() {
         let is_skipped = random.below(3) == 0;
         let is_too_deep = matches!(field.kind(), Kind::Message(_)) && depth == 0;
         let is_required = field.cardinality() == Cardinality::Required;
@@ -50,7 +55,7 @@
 fn random_field(field: &FieldDescriptor, random: &mut Random, depth: u32) -> Value {
     let kind = field.kind();
     if field.is_map() {
-        let entry = kind.as_message().expect("an entry");
+        let entry = kind.as_message().expect("a map entry type");
         let value = random_value(&entry.map_entry_value_field().kind(), random, depth);
         return Value::Map(HashMap::from([(MapKey::String("k".into()), value)]));
     }
@@ -75,9 +80,13 @@
         Kind::String if bits & 1 == 1 => Value::String("text".into()),
         Kind::String => Value::String(String::new()),
         Kind::Bytes => Value::Bytes(bits.to_le_bytes()[..(bits % 9) as usize].to_vec().into()),
-        Kind::Message(of) => Value::Message(random_message(of, random, depth.saturating_sub(1))),
-        Kind::Enum(of) => {
-            let numbers: Vec<i32> = of.values().map(|value| value.number()).collect();
+        Kind::Message(message_type) => Value::Message(random_message(
+            message_type,
+            random,
+            depth.saturating_sub(1),
+        )),
+        Kind::Enum(enum_type) => {
+            let numbers: Vec<i32> = enum_type.values().map(|value| value.number()).collect();
             Value::EnumNumber(numbers[random.below(numbers.len() as u64) as usize])
         }
     }
--- a/crates/contract/tests/judge/evidence.rs
+++ b/crates/contract/tests/oracle/witness_check.rs
@@ -1,18 +1,20 @@
-//! Whether the witness of an incompatibility shows it.
+//! Checks that the witness of an incompatibility shows it.
 
-use crate::agreement::{agree_in_binary, agree_in_json, agree_in_strict_json, reads_the_same};
+use crate::preservation::{
+    is_preserved_in_binary, is_preserved_in_json, is_preserved_in_strict_json, is_read_as_written,
+};
 use chalkdeck_contract::{CompatibilityRule, Direction, Incompatibility, ServiceVersion, Witness};
 use prost_reflect::{DynamicMessage, MessageDescriptor, ReflectMessage, Value};
 
-/// The writer's and the reader's type of a message.
+/// The type of a message in the writer's version and in the reader's.
 pub struct Types {
     pub writer: MessageDescriptor,
     pub reader: MessageDescriptor,
 }
 
-/// The types of the only method.
+/// The types of the only method's request or response.
 pub fn types_of(old: &ServiceVersion, new: &ServiceVersion, direction: Direction) -> Types {
-    let method = |version: &ServiceVersion| version.service.methods().next().expect("the method");
+    let method = |version: &ServiceVersion| version.service.methods().next().expect("a method");
     match direction {
         Direction::Request => Types {
             writer: method(old).input(),
@@ -25,43 +27,48 @@
     }
 }
 
-/// Whether the witness shows its incompatibility.
-pub fn shows(found: &Incompatibility, old: &ServiceVersion, new: &ServiceVersion) -> bool {
+/// Whether the witness of an incompatibility shows it.
+pub fn is_shown_by_witness(
+    incompatibility: &Incompatibility,
+    old: &ServiceVersion,
+    new: &ServiceVersion,
+) -> bool {
     let Witness::Message {
         direction, bytes, ..
-    } = &found.witness
+    } = &incompatibility.witness
     else {
         return true;
     };
     let Types { writer, reader } = types_of(old, new, *direction);
-    let written = DynamicMessage::decode(writer, &bytes[..]).expect("its writer reads it");
+    let written =
+        DynamicMessage::decode(writer, &bytes[..]).expect("the writer decodes its own message");
     let read = DynamicMessage::decode(reader.clone(), &bytes[..]);
-    match found.rule {
-        // What was written is not seen by its reader, or what was always written is not written any more.
+    match incompatibility.rule {
+        // The reader does not find what was written, or the writer no longer writes a field.
         CompatibilityRule::FieldRemoved | CompatibilityRule::NumberMoved => {
-            let is_never_written =
-                *direction == Direction::Response && found.rule == CompatibilityRule::FieldRemoved;
-            is_never_written
+            let is_no_longer_written = *direction == Direction::Response
+                && incompatibility.rule == CompatibilityRule::FieldRemoved;
+            is_no_longer_written
                 || read.map_or(true, |read| {
                     has_unknown_fields(&read)
-                        || !reads_the_same(&written, &read)
+                        || !is_read_as_written(&written, &read)
                         || has_other_names(&written, &read)
                 })
         }
-        // What the new publisher answers, or what was written long ago, means something else to its reader.
+        // The reader gives another meaning to what the new publisher writes or an earlier version wrote under the reserved number.
         CompatibilityRule::NumberReused => read.map_or(true, |read| {
-            !reads_the_same(&written, &read)
+            !is_read_as_written(&written, &read)
                 || has_unknown_fields(&read)
                 || written.unknown_fields().count() > 0
         }),
         CompatibilityRule::JsonName | CompatibilityRule::JsonForm => {
-            !agree_in_strict_json(&written, &reader)
+            !is_preserved_in_strict_json(&written, &reader)
         }
-        _ => !agree_in_binary(&written, &reader) || !agree_in_json(&written, &reader),
+        _ => !is_preserved_in_binary(&written, &reader) || !is_preserved_in_json(&written, &reader),
     }
 }
 
-/// Whether something that was written is read under another name.
+/// Whether a field that was written is read under another name.
 fn has_other_names(written: &DynamicMessage, read: &DynamicMessage) -> bool {
     written.fields().any(|(field, value)| {
         let Some(read_field) = read.descriptor().get_field(field.number()) else {
--- a/crates/contract/tests/own_wire.rs
+++ b/crates/contract/tests/own_protobuf_schemas.rs
@@ -1,5 +1,5 @@
-//! The project's own messages stay readable by what commit d5a4349 speaks: the checker finds no break at its wire level, and messages
-//! that people write as text keep every name.
+//! The project's own protobuf schemas stay compatible with those of commit d5a4349: the checker finds no incompatibility of the
+//! services at the wire level in either direction, and messages that people write or read as text keep every field and enum name.
 
 use chalkdeck_contract::{
     find_incompatibilities, CompatibilityLevel, Idempotency, KeyScope, Promise, ServiceVersion,
@@ -8,9 +8,9 @@
 use prost_reflect::{DescriptorPool, MessageDescriptor};
 use std::collections::{BTreeMap, BTreeSet};
 
-const RECORDED: &[u8] = include_bytes!("fixtures/descriptors-d5a4349.bin");
+const RECORDED_DESCRIPTORS: &[u8] = include_bytes!("fixtures/descriptors-d5a4349.bin");
 const SERVICES: [&str; 2] = ["chalkdeck.keeper.v1.Keeper", "chalkdeck.counter.v1.Counter"];
-/// Messages that operators and users write or read in text form, with all that they contain.
+/// Messages that operators and users write or read in text form. The messages nested in them count too.
 const TEXT_MESSAGES: [&str; 9] = [
     "chalkdeck.client.v1.Settings",
     "chalkdeck.config.v1.Gateway",
@@ -37,104 +37,115 @@
 
 fn version(service: &str, descriptors: &[u8]) -> ServiceVersion {
     let pool = DescriptorPool::decode(descriptors).expect("descriptors");
-    let service_descriptor = pool.get_service_by_name(service).expect("the service");
+    let service_descriptor = pool.get_service_by_name(service).expect("a known service");
     let promises: BTreeMap<String, Promise> = service_descriptor
         .methods()
-        .map(|m| (m.name().to_string(), promise()))
+        .map(|method| (method.name().to_string(), promise()))
         .collect();
-    ServiceVersion::parse("v1", service, descriptors, promises).expect("a sound version")
+    ServiceVersion::parse("v1", service, descriptors, promises).expect("a valid version")
 }
 
-/// One line for each field of a message and of the messages in it, with its name.
-fn fields(of: &MessageDescriptor, seen: &mut BTreeSet<String>, lines: &mut BTreeSet<String>) {
-    if !seen.insert(of.full_name().to_string()) {
+/// Adds a line for each field and enum value of a message and of the messages nested in it.
+fn add_lines(
+    message: &MessageDescriptor,
+    visited: &mut BTreeSet<String>,
+    lines: &mut BTreeSet<String>,
+) {
+    if !visited.insert(message.full_name().to_string()) {
         return;
     }
-    for field in of.fields() {
+    for field in message.fields() {
         let kind = field.kind();
         lines.insert(format!(
             "{} {} {} {:?} {:?}",
-            of.full_name(),
+            message.full_name(),
             field.number(),
             field.name(),
             field.cardinality(),
             kind
         ));
-        if let Some(values) = kind.as_enum() {
-            lines.extend(
-                values
-                    .values()
-                    .map(|v| format!("{} {} {}", values.full_name(), v.number(), v.name())),
-            );
+        if let Some(enum_type) = kind.as_enum() {
+            lines.extend(enum_type.values().map(|value| {
+                format!(
+                    "{} {} {}",
+                    enum_type.full_name(),
+                    value.number(),
+                    value.name()
+                )
+            }));
         }
-        if let Some(message) = kind.as_message() {
-            fields(message, seen, lines);
+        if let Some(nested) = kind.as_message() {
+            add_lines(nested, visited, lines);
         }
     }
 }
 
-fn text_forms(descriptors: &[u8]) -> BTreeSet<String> {
+/// The fields and enum values of all messages in text form, one in each line.
+fn lines_of_text_messages(descriptors: &[u8]) -> BTreeSet<String> {
     let pool = DescriptorPool::decode(descriptors).expect("descriptors");
     let mut lines = BTreeSet::new();
     for name in TEXT_MESSAGES {
         let message = pool
             .get_message_by_name(name)
             .unwrap_or_else(|| panic!("{name} is a message"));
-        fields(&message, &mut BTreeSet::new(), &mut lines);
+        add_lines(&message, &mut BTreeSet::new(), &mut lines);
     }
     lines
 }
 
 #[test]
-fn services_of_the_recorded_commit_are_not_broken_either_way() {
+fn services_stay_compatible_with_the_recorded_commit_in_both_directions() {
     for service in SERVICES {
-        let recorded = version(service, RECORDED);
-        let present = version(service, chalkdeck_proto::DESCRIPTORS);
-        for (old, new) in [(&recorded, &present), (&present, &recorded)] {
-            let breaks = find_incompatibilities(
+        let recorded = version(service, RECORDED_DESCRIPTORS);
+        let current = version(service, chalkdeck_proto::DESCRIPTORS);
+        for (old, new) in [(&recorded, &current), (&current, &recorded)] {
+            let incompatibilities = find_incompatibilities(
                 old,
                 new,
                 CompatibilityLevel::Wire,
                 SubscriberBounds::default(),
             );
-            assert!(breaks.is_empty(), "{service}: {breaks:?}");
+            assert!(
+                incompatibilities.is_empty(),
+                "{service}: {incompatibilities:?}"
+            );
         }
     }
 }
 
 #[test]
 fn messages_in_text_form_keep_every_name_number_and_type() {
-    let (recorded, present) = (
-        text_forms(RECORDED),
-        text_forms(chalkdeck_proto::DESCRIPTORS),
+    let (recorded, current) = (
+        lines_of_text_messages(RECORDED_DESCRIPTORS),
+        lines_of_text_messages(chalkdeck_proto::DESCRIPTORS),
     );
     assert!(recorded.len() > 200, "{} lines", recorded.len());
-    let lost: Vec<_> = recorded.difference(&present).collect();
-    assert!(lost.is_empty(), "gone or changed: {lost:#?}");
+    let missing: Vec<_> = recorded.difference(&current).collect();
+    assert!(missing.is_empty(), "removed or changed: {missing:#?}");
 }
 
 #[test]
-fn a_changed_field_number_would_be_found() {
-    let mut changed = prost_types_of(RECORDED);
+fn changed_field_number_is_found() {
+    let mut changed = decode_file_set(RECORDED_DESCRIPTORS);
     let field = changed
         .file
         .iter_mut()
-        .flat_map(|f| f.message_type.iter_mut())
-        .find(|m| m.name() == "AddRequest")
-        .and_then(|m| m.field.first_mut())
+        .flat_map(|file| file.message_type.iter_mut())
+        .find(|message| message.name() == "AddRequest")
+        .and_then(|message| message.field.first_mut())
         .expect("a field");
     field.number = Some(field.number() + 100);
     let changed = prost::Message::encode_to_vec(&changed);
     let service = "chalkdeck.counter.v1.Counter";
-    let breaks = find_incompatibilities(
-        &version(service, RECORDED),
+    let incompatibilities = find_incompatibilities(
+        &version(service, RECORDED_DESCRIPTORS),
         &version(service, &changed),
         CompatibilityLevel::Wire,
         SubscriberBounds::default(),
     );
-    assert!(!breaks.is_empty());
+    assert!(!incompatibilities.is_empty());
 }
 
-fn prost_types_of(descriptors: &[u8]) -> prost_types::FileDescriptorSet {
+fn decode_file_set(descriptors: &[u8]) -> prost_types::FileDescriptorSet {
     prost::Message::decode(descriptors).expect("descriptors")
 }
--- a/crates/contract/tests/recorded_texts.rs
+++ b/crates/contract/tests/recorded_texts.rs
@@ -1,7 +1,7 @@
-//! Incompatibilities are found and worded as recorded from commit 129cb7d, byte for byte: they are shown to publishers.
+//! The checker finds the same incompatibilities as at commit 129cb7d, with the same texts byte for byte, because publishers see the texts.
 //!
-//! Seeded schemas and changes of them are checked at both levels. The text, the help and the witness of every incompatibility go into a digest
-//! for each block of cases. Texts of promises and of errors are recorded as they are.
+//! Random schemas and changes from a fixed seed are checked at both levels. The text, help and witness of every incompatibility go into
+//! one digest for each block of cases. Texts about promises and of errors are recorded in full.
 
 mod schemas;
 
@@ -12,7 +12,7 @@
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
-use schemas::changes::{any_changes, change, Change};
+use schemas::changes::{any_changes, apply_change, Change};
 use schemas::{any_schema, Schema};
 use std::collections::BTreeMap;
 
@@ -22,7 +22,7 @@
 const BLOCKS: usize = 16;
 const CASES_PER_BLOCK: usize = 200;
 
-/// FNV-1a over texts, each with its length.
+/// An FNV-1a hash over byte strings, each with its length.
 struct Digest(u64);
 
 impl Digest {
@@ -58,14 +58,14 @@
     }
 }
 
-/// The rule's name in an incompatibility's text, which is `path: rule: what`.
+/// The rule's name in an incompatibility's text, which is `path: rule: change; witness`.
 fn rule_name(found: &Incompatibility) -> String {
     let text = found.to_string();
     let after_path = &text[found.path.len() + 2..];
     after_path.split(':').next().unwrap_or_default().to_string()
 }
 
-/// A schema, changes of it, and whether JSON counts.
+/// A schema, changes of it, and whether its JSON form has to stay compatible.
 fn any_case() -> impl Strategy<Value = (Schema, Vec<Change>, bool)> {
     (any_schema(), any_changes(), any::<bool>())
 }
@@ -76,8 +76,8 @@
     has_json: bool,
 ) -> Vec<Incompatibility> {
     let mut changed = schema.clone();
-    for drawn in changes {
-        change(&mut changed, *drawn);
+    for change in changes {
+        apply_change(&mut changed, *change);
     }
     let (Some(old), Some(new)) = (schema.version("old"), changed.version("new")) else {
         return Vec::new();
@@ -122,7 +122,7 @@
     assert_eq!(lines, recorded, "now:\n{}\n", lines.join("\n"));
 }
 
-/// Texts of the check of two versions of an empty schema with these promises.
+/// The texts of the incompatibilities between two versions of an empty schema with these promises.
 fn promise_texts(old: &Promise, new: &Promise, bounds: SubscriberBounds) -> Vec<String> {
     let version = |promise: &Promise| {
         let promises = BTreeMap::from([("Call".to_string(), promise.clone())]);
--- a/crates/contract/tests/schemas/descriptors.rs
+++ b/crates/contract/tests/schemas/descriptors.rs
@@ -1,4 +1,4 @@
-//! Descriptors of a schema.
+//! Conversion of a schema into protobuf descriptors.
 
 use super::{Field, Form, Schema};
 use prost_types::descriptor_proto::ReservedRange;
@@ -81,9 +81,9 @@
     if fields.iter().any(|field| field.is_in_oneof) {
         message.oneof_decl.push(oneof("choice"));
     }
-    let mut optional = Vec::new();
+    let mut optional_fields = Vec::new();
     for field in fields {
-        let kind = kind_in(name, field);
+        let kind = field_type(name, field);
         let form = field.form(is_proto2);
         let mut descriptor = field_descriptor(field, kind, form, is_proto2);
         if form == Form::Map {
@@ -93,12 +93,12 @@
             message.nested_type.push(map_entry(entry, kind));
         }
         if descriptor.proto3_optional == Some(true) {
-            optional.push(message.field.len());
+            optional_fields.push(message.field.len());
         }
         message.field.push(descriptor);
     }
-    // The oneofs that proto3 has for optional fields come after all others.
-    for index in optional {
+    // Synthetic oneofs of optional proto3 fields have to come after all others.
+    for index in optional_fields {
         let field = &mut message.field[index];
         field.oneof_index = Some(message.oneof_decl.len() as i32);
         message
@@ -108,8 +108,8 @@
     message
 }
 
-/// The type of a field. The inner message does not hold itself.
-fn kind_in(message: &str, field: &Field) -> Type {
+/// The type of a field in a message. The inner message has no fields of its own type, so strings take their place.
+fn field_type(message: &str, field: &Field) -> Type {
     match field.kind() {
         Type::Message if message == INNER => Type::String,
         kind => kind,
@@ -135,10 +135,10 @@
         Form::Required => Label::Required,
         Form::Singular => Label::Optional,
     };
-    let is_plain = form == Form::Singular && !field.is_in_oneof;
-    let has_default = is_proto2 && is_plain && is_varint(kind) && field.default > 0;
+    let is_outside_oneof = form == Form::Singular && !field.is_in_oneof;
+    let has_default = is_proto2 && is_outside_oneof && is_varint(kind) && field.default > 0;
     let is_packable = !matches!(kind, Type::String | Type::Bytes | Type::Message);
-    let is_optional = !is_proto2 && is_plain && field.is_optional && kind != Type::Message;
+    let is_optional = !is_proto2 && is_outside_oneof && field.is_optional && kind != Type::Message;
     FieldDescriptorProto {
         name: Some(field.name.clone()),
         number: Some(field.number as i32),
@@ -163,7 +163,7 @@
     )
 }
 
-fn map_entry(name: String, value: Type) -> DescriptorProto {
+fn map_entry(name: String, value_type: Type) -> DescriptorProto {
     let field = |name: &str, number, kind: Type| FieldDescriptorProto {
         name: Some(name.into()),
         number: Some(number),
@@ -174,7 +174,7 @@
     };
     DescriptorProto {
         name: Some(name),
-        field: vec![field("key", 1, Type::String), field("value", 2, value)],
+        field: vec![field("key", 1, Type::String), field("value", 2, value_type)],
         options: Some(MessageOptions {
             map_entry: Some(true),
             ..Default::default()
--- a/crates/contract/tests/schemas/mod.rs
+++ b/crates/contract/tests/schemas/mod.rs
@@ -34,7 +34,7 @@
     Type::Sfixed32,
 ];
 
-/// The label of a field.
+/// How a field holds its values.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Form {
     Singular,
@@ -43,8 +43,8 @@
     Map,
 }
 
-/// A schema in a form that is easy to change: a service whose method takes and returns an outer message, which can hold an inner
-/// message and an enum.
+/// A schema in a form that is easy to change: a service with one method that takes and returns an outer message, which may contain an
+/// inner message and an enum.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Schema {
     pub is_proto2: bool,
@@ -61,11 +61,11 @@
     pub number: u32,
     /// An index of [`KINDS`].
     pub kind: u8,
-    /// See [`Field::form`].
+    /// Selects the form, see [`Field::form`].
     pub label: u8,
     pub is_in_oneof: bool,
     pub is_optional: bool,
-    /// The default in proto2, if it is not 0.
+    /// The default of an integer field in proto2; 0 for none.
     pub default: u8,
     pub is_packed: bool,
 }
@@ -87,7 +87,7 @@
 }
 
 impl Schema {
-    /// A version of the schema; `None` if it is not valid.
+    /// The schema as a service version; `None` if the schema is not valid.
     pub fn version(&self, name: &str) -> Option<ServiceVersion> {
         let promises = BTreeMap::from([("Call".to_string(), promise())]);
         ServiceVersion::parse(name, "t.S", &self.descriptors(), promises).ok()
@@ -122,7 +122,7 @@
 }
 
 fn any_field() -> impl Strategy<Value = Field> {
-    let numbers = (
+    let parameters = (
         0u8..17,
         0u8..8,
         0u8..6,
@@ -130,14 +130,14 @@
         0u8..3,
         any::<bool>(),
     );
-    numbers.prop_map(
-        |(kind, label, oneof, is_optional, default, is_packed)| Field {
+    parameters.prop_map(
+        |(kind, label, oneof_choice, is_optional, default, is_packed)| Field {
             name: String::new(),
             number: 0,
             kind,
-            // Half of all fields are singular.
+            // Makes at least half of all fields singular.
             label: if label >= 4 { 0 } else { label },
-            is_in_oneof: oneof == 0,
+            is_in_oneof: oneof_choice == 0,
             is_optional,
             default,
             is_packed,
@@ -146,23 +146,27 @@
 }
 
 /// Gives fields their names and numbers.
-fn numbered(fields: Vec<Field>, prefix: &str) -> Vec<Field> {
-    let numbered = |(index, field): (usize, Field)| Field {
+fn with_names_and_numbers(fields: Vec<Field>, prefix: &str) -> Vec<Field> {
+    let with_name_and_number = |(index, field): (usize, Field)| Field {
         name: format!("{prefix}_{index}"),
         number: index as u32 + 1,
         ..field
     };
-    fields.into_iter().enumerate().map(numbered).collect()
+    fields
+        .into_iter()
+        .enumerate()
+        .map(with_name_and_number)
+        .collect()
 }
 
 pub fn any_schema() -> impl Strategy<Value = Schema> {
-    let fields = |limit| prop::collection::vec(any_field(), 1..limit);
+    let fields = |end| prop::collection::vec(any_field(), 1..end);
     (any::<bool>(), fields(6), fields(4), 1i32..4).prop_map(
-        |(is_proto2, outer, inner, enum_values)| Schema {
+        |(is_proto2, outer, inner, enum_value_count)| Schema {
             is_proto2,
-            outer: numbered(outer, "f"),
-            inner: numbered(inner, "g"),
-            enum_values: (0..enum_values)
+            outer: with_names_and_numbers(outer, "f"),
+            inner: with_names_and_numbers(inner, "g"),
+            enum_values: (0..enum_value_count)
                 .map(|number| (format!("V{number}"), number))
                 .collect(),
             reserved_numbers: vec![changes::RESERVED_NUMBER],
--- a/crates/contract/tests/service_versions.rs
+++ b/crates/contract/tests/service_versions.rs
@@ -1,4 +1,4 @@
-//! Changes of promises and methods that are reported, and versions that cannot be parsed.
+//! Incompatible changes of promises and methods, and versions that cannot be parsed.
 
 use chalkdeck_contract::{
     find_incompatibilities, CompatibilityLevel, CompatibilityRule, Idempotency, KeyScope, Promise,
@@ -10,10 +10,10 @@
 const FILE: &str = "farm.proto";
 const SERVICE: &str = "farm.v1.Farm";
 const SOURCE: &str = r#"syntax = "proto3"; package farm.v1;
-message Ask { string field = 1; } message Told { int64 worth = 1; }
-service Farm { rpc View(Ask) returns (Told); rpc Watch(Ask) returns (stream Told); }"#;
+message Request { string field = 1; } message Response { int64 worth = 1; }
+service Farm { rpc View(Request) returns (Response); rpc Watch(Request) returns (stream Response); }"#;
 
-/// Finds the one file that is compiled.
+/// Resolves the only file that is compiled.
 struct OneFile(protox::file::File);
 
 impl protox::file::FileResolver for OneFile {
@@ -51,7 +51,7 @@
     promised.collect()
 }
 
-/// The version with a change of what is promised of `View`.
+/// A version with a changed promise for `View`.
 fn version_with(change: impl Fn(&mut Promise)) -> ServiceVersion {
     let mut promises = promises(&["View", "Watch"]);
     promises.get_mut("View").map(change);
@@ -62,7 +62,7 @@
     version_with(|_| {})
 }
 
-/// The rules that a change of what is promised of `View` breaks.
+/// The rules that a change of the promise for `View` breaks.
 fn rules_broken_by(
     change: impl Fn(&mut Promise),
     bounds: SubscriberBounds,
@@ -70,15 +70,19 @@
     let new = version_with(change);
     let found = find_incompatibilities(&old_version(), &new, CompatibilityLevel::Wire, bounds);
     assert!(
-        found
-            .iter()
-            .all(|f| f.path == "farm.v1.Farm/View" && matches!(f.witness, Witness::Call(_))),
+        found.iter().all(
+            |incompatibility| incompatibility.path == "farm.v1.Farm/View"
+                && matches!(incompatibility.witness, Witness::Call(_))
+        ),
         "{found:?}"
     );
-    found.into_iter().map(|f| f.rule).collect()
+    found
+        .into_iter()
+        .map(|incompatibility| incompatibility.rule)
+        .collect()
 }
 
-/// A change of a promise, what subscribers rely on, and the rules that it breaks.
+/// A change of a promise, the bounds that subscribers rely on, and the rules that the change breaks.
 struct PromiseCase {
     change: fn(&mut Promise),
     bounds: SubscriberBounds,
@@ -90,14 +94,14 @@
     smallest_burst: None,
 };
 
-const fn retries_of(longest_retry_ms: u64) -> SubscriberBounds {
+const fn bounds_with_retries(longest_retry_ms: u64) -> SubscriberBounds {
     SubscriberBounds {
         longest_retry_ms: Some(longest_retry_ms),
         ..NO_BOUNDS
     }
 }
 
-const fn burst_of(smallest_burst: f64) -> SubscriberBounds {
+const fn bounds_with_burst(smallest_burst: f64) -> SubscriberBounds {
     SubscriberBounds {
         smallest_burst: Some(smallest_burst),
         ..NO_BOUNDS
@@ -140,10 +144,10 @@
         NO_BOUNDS,
         &[CompatibilityRule::PromiseWindow],
     ),
-    case(|p| p.key_window_ms = 1_000, retries_of(900), &[]),
+    case(|p| p.key_window_ms = 1_000, bounds_with_retries(900), &[]),
     case(
         |p| p.key_window_ms = 1_000,
-        retries_of(1_001),
+        bounds_with_retries(1_001),
         &[CompatibilityRule::PromiseWindow],
     ),
     case(
@@ -158,7 +162,7 @@
     ),
     case(
         use_more_units,
-        burst_of(2.5),
+        bounds_with_burst(2.5),
         &[CompatibilityRule::PromiseUnits],
     ),
     case(use_more_units, NO_BOUNDS, &[]),
@@ -170,7 +174,7 @@
 ];
 
 #[test]
-fn promise_that_takes_something_back_breaks_its_rule() {
+fn weakened_promise_breaks_its_rule() {
     for (index, case) in PROMISE_CASES.into_iter().enumerate() {
         let broken = rules_broken_by(case.change, case.bounds);
         assert_eq!(broken, case.broken, "case {index}");
@@ -186,10 +190,10 @@
         let level = CompatibilityLevel::Wire;
         find_incompatibilities(&old_version(), &new, level, SubscriberBounds::default())
             .into_iter()
-            .map(|found| (found.path, found.rule))
+            .map(|incompatibility| (incompatibility.path, incompatibility.rule))
             .collect()
     };
-    let removed = SOURCE.replace("rpc Watch(Ask) returns (stream Told);", "");
+    let removed = SOURCE.replace("rpc Watch(Request) returns (stream Response);", "");
     assert_eq!(
         broken_by(&removed, &["View"]),
         [(
@@ -197,17 +201,17 @@
             CompatibilityRule::MethodRemoved
         )]
     );
-    let unary = SOURCE.replace("(stream Told)", "(Told)");
+    let unary_response = SOURCE.replace("(stream Response)", "(Response)");
     assert_eq!(
-        broken_by(&unary, &["View", "Watch"]),
+        broken_by(&unary_response, &["View", "Watch"]),
         [(
             "farm.v1.Farm/Watch".to_string(),
             CompatibilityRule::Streaming
         )]
     );
-    let stream = SOURCE.replace("rpc View(Ask)", "rpc View(stream Ask)");
+    let streamed_request = SOURCE.replace("rpc View(Request)", "rpc View(stream Request)");
     assert_eq!(
-        broken_by(&stream, &["View", "Watch"]),
+        broken_by(&streamed_request, &["View", "Watch"]),
         [(
             "farm.v1.Farm/View".to_string(),
             CompatibilityRule::Streaming
@@ -218,7 +222,7 @@
 #[test]
 fn version_that_cannot_be_parsed_is_rejected_with_the_reason() {
     let valid = descriptors(SOURCE);
-    let both = promises(&["View", "Watch"]);
+    let valid_promises = promises(&["View", "Watch"]);
     let error_of = |service: &str, descriptors: &[u8], promises: BTreeMap<String, Promise>| {
         ServiceVersion::parse("v", service, descriptors, promises)
             .map(|_| ())
@@ -227,15 +231,15 @@
     let too_long = vec![0; (1 << 20) + 1];
     assert_eq!(MAX_DESCRIPTOR_BYTES, 1 << 20);
     assert_eq!(
-        error_of(SERVICE, &too_long, both.clone()),
+        error_of(SERVICE, &too_long, valid_promises.clone()),
         VersionError::TooLong((1 << 20) + 1)
     );
     assert!(matches!(
-        error_of(SERVICE, b"noise", both.clone()),
+        error_of(SERVICE, b"noise", valid_promises.clone()),
         VersionError::InvalidDescriptors(_)
     ));
     assert_eq!(
-        error_of("farm.v1.Barn", &valid, both),
+        error_of("farm.v1.Barn", &valid, valid_promises),
         VersionError::UnknownService("farm.v1.Barn".into())
     );
     assert_eq!(
--- a/crates/contract/tests/versions_in_use.rs
+++ b/crates/contract/tests/versions_in_use.rs
@@ -1,24 +1,24 @@
-//! Which versions count as in use.
+//! Versions count as in use while customers declare or call them.
 
 use chalkdeck_contract::VersionsInUse;
 
 const DAY_MS: u64 = 86_400_000;
-/// A version that nobody declared and nobody called for this long is not in use.
-const DEAD_AFTER_MS: u64 = 30 * DAY_MS;
+/// A version that no customer declares is unused after so long without a call.
+const UNUSED_AFTER_MS: u64 = 30 * DAY_MS;
 
 #[test]
 fn version_is_in_use_while_it_is_declared_or_called() {
     let mut in_use = VersionsInUse::default();
     in_use.declare("v1", "harvest-1", true, Some(800));
     in_use.record_calls("v2", "harvest-2", 5, 10 * DAY_MS);
-    assert_eq!(in_use.versions(11 * DAY_MS, DEAD_AFTER_MS), ["v1", "v2"]);
+    assert_eq!(in_use.versions(11 * DAY_MS, UNUSED_AFTER_MS), ["v1", "v2"]);
     assert_eq!(
-        in_use.versions(41 * DAY_MS, DEAD_AFTER_MS),
+        in_use.versions(41 * DAY_MS, UNUSED_AFTER_MS),
         ["v1"],
-        "the last call of v2 is too long ago"
+        "the last call of v2 was more than 30 days ago"
     );
     in_use.declare("v1", "harvest-1", false, None);
-    assert_eq!(in_use.versions(11 * DAY_MS, DEAD_AFTER_MS), ["v2"]);
+    assert_eq!(in_use.versions(11 * DAY_MS, UNUSED_AFTER_MS), ["v2"]);
 }
 
 #[test]
@@ -28,7 +28,7 @@
     in_use.retire("v2", 12 * DAY_MS);
     assert_eq!(
         (
-            in_use.versions(13 * DAY_MS, DEAD_AFTER_MS),
+            in_use.versions(13 * DAY_MS, UNUSED_AFTER_MS),
             in_use.called_after_retirement()
         ),
         (Vec::new(), Vec::new())
@@ -36,18 +36,18 @@
     in_use.record_calls("v2", "harvest-3", 1, 14 * DAY_MS);
     assert_eq!(
         (
-            in_use.versions(15 * DAY_MS, DEAD_AFTER_MS),
+            in_use.versions(15 * DAY_MS, UNUSED_AFTER_MS),
             in_use.called_after_retirement()
         ),
         (vec!["v2".to_string()], vec!["v2".to_string()])
     );
-    let users = in_use.users("v2", 15 * DAY_MS, DEAD_AFTER_MS);
+    let users = in_use.users("v2", 15 * DAY_MS, UNUSED_AFTER_MS);
     let customers: Vec<&str> = users.iter().map(|user| user.customer.as_str()).collect();
     assert_eq!(customers, ["harvest-3"]);
 }
 
 #[test]
-fn customers_of_a_version_are_bounded_and_no_call_is_lost() {
+fn tracked_customers_of_a_version_are_bounded_and_all_calls_are_counted() {
     let mut in_use = VersionsInUse::default();
     for customer in 0..10_050 {
         in_use.record_calls("v3", &format!("c{customer}"), 1, DAY_MS);
@@ -59,7 +59,7 @@
             .map(|version_use| version_use.calls)
             .sum::<u64>(),
         10_050,
-        "none is lost"
+        "all calls are counted"
     );
 }
 
