--- a/crates/capacity-planner/src/chart.rs
+++ b/crates/capacity-planner/src/chart.rs
@@ -1,4 +1,5 @@
-//! Cases as an SVG: a bar for each case, with the calls within the quotas that are served by class, and those rejected on top.
+//! Draws cases as an SVG: one bar for each case, which stacks the calls within the quotas that are served, by class, and those that are
+//! rejected.
 
 use crate::scenario::SiteLossCase;
 use crate::table::title;
@@ -10,26 +11,27 @@
 };
 use std::path::Path;
 
-/// Width of the picture in pixels.
+/// Width of the picture. Lengths are in pixels unless stated otherwise.
 const WIDTH: u32 = 960;
-/// Height of the picture without its bars, and of each bar with its gap.
+/// Height of the picture without its rows.
 const BASE_HEIGHT: u32 = 80;
+/// Height of the row of a case: a bar and its gaps.
 const ROW_HEIGHT: u32 = 34;
 const MARGIN: u32 = 12;
 const X_LABEL_HEIGHT: u32 = 28;
 const Y_LABEL_WIDTH: u32 = 200;
 const CAPTION: &str = "calls a second inside quotas: served by class, refused in grey";
 const CAPTION_SIZE: u32 = 16;
-/// Part of the row above and below a bar.
+/// The gap above and below a bar, as a fraction of the row.
 const BAR_GAP: f64 = 0.15;
 /// The x-axis ends at this many times the longest bar.
 const X_AXIS_STRETCH: f64 = 1.02;
 /// Grid lines for each row; only those at the middle of a row have a label.
 const GRID_LINES_PER_ROW: usize = 4;
-/// A grid line at this distance of a row's middle or less belongs to it.
+/// The largest distance, as a fraction of a row, between the row's middle and the grid line with its label.
 const LABEL_TOLERANCE: f64 = 0.01;
-/// Size of a class's mark in the legend.
-const LEGEND_MARK: i32 = 12;
+/// Width of a class's color sample in the legend.
+const LEGEND_SAMPLE_WIDTH: i32 = 12;
 
 type Chart<'a> = ChartContext<'a, SVGBackend<'a>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 type Bar = Rectangle<(f64, f64)>;
@@ -70,24 +72,27 @@
     Ok(())
 }
 
-/// Draws the served calls: for each class a bar beside those of the classes before.
+/// Draws the served calls: in each row, the bar of a class starts where that of the class before ends.
 fn draw_served(chart: &mut Chart, cases: &[SiteLossCase]) -> anyhow::Result<()> {
     let classes = classes(cases);
     for (index, class) in classes.iter().enumerate() {
         let color = Palette99::pick(index).to_rgba();
         let bars = cases.iter().enumerate().map(|(position, case)| {
-            let earlier = &classes[..index];
-            let start: f64 = earlier.iter().map(|c| served_calls_of(case, c)).sum();
-            let end = start + served_calls_of(case, class);
-            bar(row(cases, position), start, end, color.filled())
+            let earlier_classes = &classes[..index];
+            let start: f64 = earlier_classes
+                .iter()
+                .map(|earlier| served_calls_of_class(case, earlier))
+                .sum();
+            let end = start + served_calls_of_class(case, class);
+            bar(row_of_case(cases, position), start, end, color.filled())
         });
         chart
             .draw_series(bars)?
             .label(*class)
             .legend(move |(x, y)| {
                 let corners = [
-                    (x, y - LEGEND_MARK / 3),
-                    (x + LEGEND_MARK, y + LEGEND_MARK / 3),
+                    (x, y - LEGEND_SAMPLE_WIDTH / 3),
+                    (x + LEGEND_SAMPLE_WIDTH, y + LEGEND_SAMPLE_WIDTH / 3),
                 ];
                 Rectangle::new(corners, color.filled())
             });
@@ -99,7 +104,7 @@
     let bar_of = |(position, case): (usize, &SiteLossCase)| {
         let style = BLACK.mix(0.25).filled();
         bar(
-            row(cases, position),
+            row_of_case(cases, position),
             served_calls(case),
             offered_calls(case),
             style,
@@ -132,7 +137,7 @@
 }
 
 /// Calls a second of a class within the quotas that are served.
-fn served_calls_of(case: &SiteLossCase, class: &str) -> f64 {
+fn served_calls_of_class(case: &SiteLossCase, class: &str) -> f64 {
     let within_quota = case.outcomes.iter().filter(|o| !o.is_over_quota);
     within_quota
         .filter(|o| o.class == class)
@@ -140,8 +145,8 @@
         .sum()
 }
 
-/// The row of a case; the first case is at the top.
-fn row(cases: &[SiteLossCase], position: usize) -> usize {
+/// The row of a case, counted from the bottom; the first case is at the top.
+fn row_of_case(cases: &[SiteLossCase], position: usize) -> usize {
     cases.len() - 1 - position
 }
 
--- a/crates/capacity-planner/src/command.rs
+++ b/crates/capacity-planner/src/command.rs
@@ -43,7 +43,7 @@
         let file = self.file.display().to_string();
         let text = std::fs::read_to_string(&self.file).with_context(|| file.clone())?;
         let input = PlanningInput::parse(&file, &text)?;
-        let cases = scenario::all_cases(&input)?;
+        let cases = scenario::solve_all_cases(&input)?;
         if self.json {
             println!("{}", serde_json::to_string_pretty(&cases)?);
         } else {
--- a/crates/capacity-planner/src/input/mod.rs
+++ b/crates/capacity-planner/src/input/mod.rs
@@ -1,28 +1,28 @@
-//! What is planned for: sites with their capacities, and the demand.
+//! The input of the planner: sites with their capacities, and the demand.
 
 mod error;
 mod parse;
 mod source;
 
-pub use error::{InputError, InputProblem, Place};
+pub use error::{FieldPath, InputError, InputProblem};
 
-/// The full name of the protobuf message that an input file holds as text.
-pub const MESSAGE: &str = "chalkdeck.plan.v1.SiteLoss";
+/// The full name of the protobuf message that an input file holds in text form.
+pub const MESSAGE_TYPE: &str = "chalkdeck.plan.v1.SiteLoss";
 /// The least number of sites.
 pub const MIN_SITES: usize = 2;
-/// The most sites; each pair of them is a case of its own.
+/// The most sites. The limit bounds the number of cases, as each pair of sites is one.
 pub const MAX_SITES: usize = 32;
-/// The most lines of demand.
-pub const MAX_DEMAND: usize = 1_000;
+/// The most demand entries.
+pub const MAX_DEMAND_ENTRIES: usize = 1_000;
 
 /// A site.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Site {
-    /// Its name.
+    /// The site's name.
     pub name: String,
-    /// Units a second that its servers bear.
+    /// Units a second that the site's servers can serve.
     pub capacity: f64,
-    /// The number of gateways that stand there.
+    /// The number of gateways at the site.
     pub gateways: f64,
 }
 
@@ -50,6 +50,6 @@
     pub sites: Vec<Site>,
     /// All demand with a rate above zero.
     pub demand: Vec<Demand>,
-    /// The part of a call's value that is lost if another site than its gateway's serves it.
+    /// The fraction of a call's value that is lost if another site than that of its gateway serves it.
     pub crossing_cost: f64,
 }
--- a/crates/capacity-planner/src/input/parse.rs
+++ b/crates/capacity-planner/src/input/parse.rs
@@ -2,8 +2,8 @@
 
 use super::source::Source;
 use super::{
-    Demand, InputError, InputProblem, Place, PlanningInput, Site, MAX_DEMAND, MAX_SITES, MESSAGE,
-    MIN_SITES,
+    Demand, FieldPath, InputError, InputProblem, PlanningInput, Site, MAX_DEMAND_ENTRIES,
+    MAX_SITES, MESSAGE_TYPE, MIN_SITES,
 };
 use chalkdeck_proto::chalkdeck::plan::v1 as wire;
 use chalkdeck_proto::text;
@@ -12,13 +12,13 @@
 const DEFAULT_CROSSING_COST: f64 = 0.01;
 
 impl PlanningInput {
-    /// Parses and validates the text of an input; `file` stands in errors.
+    /// Parses and validates the text of an input. Errors name `file`.
     ///
     /// # Errors
-    /// The first thing that is wrong with the text.
+    /// The first error that is found in the text.
     pub fn parse(file: &str, text: &str) -> Result<PlanningInput, InputError> {
         let source = Source { file, text };
-        let message: wire::SiteLoss = text::parse(MESSAGE, text)
+        let message: wire::SiteLoss = text::parse(MESSAGE_TYPE, text)
             .map_err(|e| source.error_at_line(e.line, InputProblem::Syntax(e.what)))?;
         check_names(&source, &message)?;
         check_counts(&source, &message)?;
@@ -42,15 +42,19 @@
     if !(MIN_SITES..=MAX_SITES).contains(&site_count) {
         return Err(source.error("sites", 0, InputProblem::SiteCount(site_count)));
     }
-    if message.demand.len() > MAX_DEMAND {
-        return Err(source.error("demand", MAX_DEMAND, InputProblem::TooMuchDemand));
+    if message.demand.len() > MAX_DEMAND_ENTRIES {
+        return Err(source.error(
+            "demand",
+            MAX_DEMAND_ENTRIES,
+            InputProblem::TooManyDemandEntries,
+        ));
     }
     Ok(())
 }
 
-fn crossing_cost(source: &Source, given: f64) -> Result<f64, InputError> {
+fn crossing_cost(source: &Source, configured: f64) -> Result<f64, InputError> {
     let field = "crossing_cost";
-    let cost = source.check_number(Place::Field(field), given)?;
+    let cost = source.check_number(FieldPath::TopLevel(field), configured)?;
     if cost >= 1.0 {
         return Err(source.error(field, 0, InputProblem::CrossingCost(cost)));
     }
@@ -64,14 +68,14 @@
     let list = "sites";
     let mut sites = Vec::new();
     for (index, message) in messages.iter().enumerate() {
-        let place = Place::Element {
+        let path = FieldPath::Element {
             list,
             index,
             field: "capacity",
         };
-        let capacity = source.check_number(place, message.capacity)?;
+        let capacity = source.check_number(path, message.capacity)?;
         if capacity == 0.0 {
-            return Err(source.error(list, index, InputProblem::NoCapacity(place)));
+            return Err(source.error(list, index, InputProblem::NoCapacity(path)));
         }
         sites.push(Site {
             name: message.name.clone(),
@@ -80,12 +84,12 @@
         });
     }
     if sites.iter().all(|site| site.gateways == 0.0) {
-        let place = Place::Element {
+        let path = FieldPath::Element {
             list,
             index: 0,
             field: "gateways",
         };
-        return Err(source.error(list, 0, InputProblem::NoGateways(place)));
+        return Err(source.error(list, 0, InputProblem::NoGateways(path)));
     }
     Ok(sites)
 }
@@ -95,7 +99,7 @@
     check_plans(source, &message.plans)?;
     let mut demand = Vec::new();
     for index in 0..message.demand.len() {
-        demand.extend(demand_of_line(source, message, index)?);
+        demand.extend(demand_of_entry(source, message, index)?);
     }
     if demand.is_empty() {
         return Err(source.error("demand", 0, InputProblem::NoDemand));
@@ -105,77 +109,77 @@
 
 fn check_classes(source: &Source, classes: &[wire::Class]) -> Result<(), InputError> {
     for (index, class) in classes.iter().enumerate() {
-        let place = |field| Place::Element {
+        let path = |field| FieldPath::Element {
             list: "classes",
             index,
             field,
         };
-        source.check_number(place("worth"), class.worth)?;
-        source.check_number(place("units"), class.units)?;
+        source.check_number(path("worth"), class.worth)?;
+        source.check_number(path("units"), class.units)?;
     }
     Ok(())
 }
 
 fn check_plans(source: &Source, plans: &[wire::Plan]) -> Result<(), InputError> {
     for (index, plan) in plans.iter().enumerate() {
-        let place = |field| Place::Element {
+        let path = |field| FieldPath::Element {
             list: "plans",
             index,
             field,
         };
-        source.check_number(place("price"), plan.price)?;
-        source.check_number(place("over_worth"), plan.over_worth)?;
+        source.check_number(path("price"), plan.price)?;
+        source.check_number(path("over_worth"), plan.over_worth)?;
     }
     Ok(())
 }
 
-/// The demand within and beyond the quotas that one line gives, as far as its rate is above zero.
-fn demand_of_line(
+/// The demand within and beyond the quotas of one demand entry. Demand with a rate of zero is left out.
+fn demand_of_entry(
     source: &Source,
     message: &wire::SiteLoss,
     index: usize,
 ) -> Result<Vec<Demand>, InputError> {
-    let line = &message.demand[index];
-    let place = |field| Place::Element {
+    let entry = &message.demand[index];
+    let path = |field| FieldPath::Element {
         list: "demand",
         index,
         field,
     };
     let error = |problem| source.error("demand", index, problem);
-    let class = message.classes.iter().find(|c| c.name == line.class);
+    let class = message.classes.iter().find(|c| c.name == entry.class);
     let class = class.ok_or_else(|| {
         error(InputProblem::UnknownClass {
-            place: place("class"),
-            found: line.class.clone(),
+            path: path("class"),
+            found: entry.class.clone(),
         })
     })?;
-    let plan = message.plans.iter().find(|p| p.name == line.plan);
+    let plan = message.plans.iter().find(|p| p.name == entry.plan);
     let plan = plan.ok_or_else(|| {
         error(InputProblem::UnknownPlan {
-            place: place("plan"),
-            found: line.plan.clone(),
+            path: path("plan"),
+            found: entry.plan.clone(),
         })
     })?;
-    let is_same = |other: &wire::Demand| other.class == line.class && other.plan == line.plan;
+    let is_same = |other: &wire::Demand| other.class == entry.class && other.plan == entry.plan;
     if message.demand[..index].iter().any(is_same) {
         return Err(error(InputProblem::DuplicateDemand {
-            place: place("class"),
-            class: line.class.clone(),
-            plan: line.plan.clone(),
+            path: path("class"),
+            class: entry.class.clone(),
+            plan: entry.plan.clone(),
         }));
     }
     let value = class.worth * one_if_unset(plan.price);
     let within_quota = Demand {
-        class: line.class.clone(),
-        plan: line.plan.clone(),
+        class: entry.class.clone(),
+        plan: entry.plan.clone(),
         is_over_quota: false,
-        rate: source.check_number(place("rate"), line.rate)?,
+        rate: source.check_number(path("rate"), entry.rate)?,
         units: one_if_unset(class.units),
         value,
     };
     let over_quota = Demand {
         is_over_quota: true,
-        rate: source.check_number(place("over_rate"), line.over_rate)?,
+        rate: source.check_number(path("over_rate"), entry.over_rate)?,
         value: value * plan.over_worth,
         ..within_quota.clone()
     };
@@ -184,7 +188,7 @@
     Ok(demand)
 }
 
-/// Numbers that are not given read as zero; for some of them that stands for one.
+/// The number, or one if it is zero: an unset field reads as zero, and some fields have a default of one.
 fn one_if_unset(number: f64) -> f64 {
     if number == 0.0 {
         1.0
--- a/crates/capacity-planner/src/input/source.rs
+++ b/crates/capacity-planner/src/input/source.rs
@@ -1,11 +1,11 @@
-//! The text of an input, for errors that name its lines.
+//! The text of an input, in which errors are located by line.
 
-use super::{InputError, InputProblem, Place};
+use super::{FieldPath, InputError, InputProblem};
 
-/// The first line of a text.
+/// The number of the first line of a text.
 const FIRST_LINE: usize = 1;
 
-/// The file that an input is read from.
+/// The name and the text of an input file.
 pub(super) struct Source<'a> {
     pub(super) file: &'a str,
     pub(super) text: &'a str,
@@ -26,18 +26,18 @@
     }
 
     /// Checks that a number is finite and not negative.
-    pub(super) fn check_number(&self, place: Place, found: f64) -> Result<f64, InputError> {
+    pub(super) fn check_number(&self, path: FieldPath, found: f64) -> Result<f64, InputError> {
         if found.is_finite() && found >= 0.0 {
             return Ok(found);
         }
-        let (field, index) = match place {
-            Place::Field(field) => (field, 0),
-            Place::Element { list, index, .. } => (list, index),
+        let (field, index) = match path {
+            FieldPath::TopLevel(field) => (field, 0),
+            FieldPath::Element { list, index, .. } => (list, index),
         };
-        Err(self.error(field, index, InputProblem::InvalidNumber { place, found }))
+        Err(self.error(field, index, InputProblem::InvalidNumber { path, found }))
     }
 
-    /// Checks that there are names, and that they are all different.
+    /// Checks that there is at least one name, and that names are not empty and all different.
     pub(super) fn check_names<'a>(
         &self,
         list: &'static str,
@@ -50,7 +50,7 @@
         for (index, name) in names.iter().enumerate() {
             if name.is_empty() || names[..index].contains(name) {
                 let problem = InputProblem::InvalidName {
-                    place: Place::Element {
+                    path: FieldPath::Element {
                         list,
                         index,
                         field: "name",
--- a/crates/capacity-planner/src/lib.rs
+++ b/crates/capacity-planner/src/lib.rs
@@ -1,8 +1,8 @@
-//! What the loss of a site costs: for each site and each pair of sites, where load goes at best, what is served and rejected, and
-//! what capacity is missing.
+//! Plans for the loss of sites: for each site and each pair of sites, the best distribution of load over the remaining sites, the calls
+//! that are served and rejected, and the missing capacity.
 //!
-//! Free of I/O but for [`command`] and [`chart`]. The optimum is a linear program. It knows rates and no queues, so that servers run
-//! at their whole capacity, and is what live decisions are measured against.
+//! Only [`command`] and [`chart`] do I/O. The optimum is the solution of a linear program. It models rates but no queues, so servers run
+//! at their full capacity; the decisions of live gateways are measured against it.
 #![forbid(unsafe_code)]
 
 pub mod chart;
--- a/crates/capacity-planner/src/optimum.rs
+++ b/crates/capacity-planner/src/optimum.rs
@@ -1,4 +1,5 @@
-//! The optimum as a linear program: rates of calls by gateway site, server site and demand that maximize the value served.
+//! The linear program of the optimum: it finds the rates of calls, by gateway site, server site and demand, that maximize the served
+//! value.
 
 use crate::input::{Demand, PlanningInput, Site};
 use good_lp::solvers::microlp::microlp;
@@ -6,12 +7,13 @@
     constraint, variable, variables, Expression, ResolutionError, Solution, SolverModel, Variable,
 };
 
-/// Calls within the quotas count so many times their value, so that a call beyond them never takes their place.
-const WITHIN_QUOTA_PRIORITY: f64 = 1e3;
-/// Calls without value count this much, so that they are served where there is capacity.
+/// How many times more a call within the quotas weighs in the objective than one beyond them with the same value, so that calls beyond
+/// the quotas never displace it.
+const WITHIN_QUOTA_WEIGHT: f64 = 1e3;
+/// The least value of a call in the objective, so that calls without value are served where capacity remains.
 const MIN_VALUE: f64 = 1e-6;
 
-/// Calls a second that are served, by site of the gateway, site of the server and demand.
+/// Calls a second that are served, by gateway site, server site and demand.
 pub(crate) struct ServedRates {
     dimensions: Dimensions,
     rates: Vec<f64>,
@@ -36,7 +38,7 @@
     }
 }
 
-/// The numbers of sites and demands, which give each rate its position.
+/// The numbers of sites and demands, which determine the index of each rate.
 #[derive(Clone, Copy)]
 struct Dimensions {
     sites: usize,
@@ -57,13 +59,17 @@
     }
 }
 
-/// Solves the program for the sites that are up. Calls arrive at all their gateways alike; without a gateway none arrive.
-pub(crate) fn solve(input: &PlanningInput, up: &[&Site]) -> Result<ServedRates, ResolutionError> {
+/// Solves the linear program for the remaining sites. Calls arrive at the same rate at each of their gateways; without a gateway none
+/// arrive.
+pub(crate) fn solve(
+    input: &PlanningInput,
+    remaining_sites: &[&Site],
+) -> Result<ServedRates, ResolutionError> {
     let dimensions = Dimensions {
-        sites: up.len(),
+        sites: remaining_sites.len(),
         demands: input.demand.len(),
     };
-    if up.is_empty() {
+    if remaining_sites.is_empty() {
         return Ok(ServedRates {
             dimensions,
             rates: Vec::new(),
@@ -75,10 +81,10 @@
         .collect();
     let objective = objective(input, dimensions, &rates);
     let mut model = variables.maximise(objective).using(microlp);
-    for constraint in demand_constraints(input, up, dimensions, &rates) {
+    for constraint in demand_constraints(input, remaining_sites, dimensions, &rates) {
         model = model.with(constraint);
     }
-    for constraint in capacity_constraints(input, up, dimensions, &rates) {
+    for constraint in capacity_constraints(input, remaining_sites, dimensions, &rates) {
         model = model.with(constraint);
     }
     let solution = model.solve()?;
@@ -91,34 +97,34 @@
     })
 }
 
-/// The value that is served, less what crossings cost.
+/// The served value, less the cost of calls that cross between sites.
 fn objective(input: &PlanningInput, dimensions: Dimensions, rates: &[Variable]) -> Expression {
     let mut value = Expression::from(0.0);
     for (from, to) in dimensions.site_pairs() {
-        let kept_part = if from == to {
+        let kept_fraction = if from == to {
             1.0
         } else {
             1.0 - input.crossing_cost
         };
         for (index, demand) in input.demand.iter().enumerate() {
             let rate = rates[dimensions.index(from, to, index)];
-            value += rate * (weight(demand) * kept_part);
+            value += rate * (weight(demand) * kept_fraction);
         }
     }
     value
 }
 
-/// The gateways of a site send no more calls than arrive there.
+/// Limits the calls that the gateways of a site send to those that arrive there.
 fn demand_constraints(
     input: &PlanningInput,
-    up: &[&Site],
+    remaining_sites: &[&Site],
     dimensions: Dimensions,
     rates: &[Variable],
 ) -> Vec<good_lp::Constraint> {
-    let gateways: f64 = up.iter().map(|site| site.gateways).sum();
+    let gateways: f64 = remaining_sites.iter().map(|site| site.gateways).sum();
     let mut constraints = Vec::new();
-    for (from, site) in up.iter().enumerate() {
-        let arriving_part = if gateways > 0.0 {
+    for (from, site) in remaining_sites.iter().enumerate() {
+        let arriving_fraction = if gateways > 0.0 {
             site.gateways / gateways
         } else {
             0.0
@@ -127,21 +133,21 @@
             let sent: Expression = (0..dimensions.sites)
                 .map(|to| rates[dimensions.index(from, to, index)])
                 .sum();
-            constraints.push(constraint!(sent <= demand.rate * arriving_part));
+            constraints.push(constraint!(sent <= demand.rate * arriving_fraction));
         }
     }
     constraints
 }
 
-/// The servers of a site get no more units than they bear.
+/// Limits the units that the servers of a site receive to the site's capacity.
 fn capacity_constraints(
     input: &PlanningInput,
-    up: &[&Site],
+    remaining_sites: &[&Site],
     dimensions: Dimensions,
     rates: &[Variable],
 ) -> Vec<good_lp::Constraint> {
     let mut constraints = Vec::new();
-    for (to, site) in up.iter().enumerate() {
+    for (to, site) in remaining_sites.iter().enumerate() {
         let mut received = Expression::from(0.0);
         for from in 0..dimensions.sites {
             for (index, demand) in input.demand.iter().enumerate() {
@@ -153,11 +159,11 @@
     constraints
 }
 
-/// What serving a call of this demand counts in the objective.
+/// The weight of a served call of this demand in the objective.
 fn weight(demand: &Demand) -> f64 {
     let value = demand.value.max(MIN_VALUE);
     if demand.is_over_quota {
-        value / WITHIN_QUOTA_PRIORITY
+        value / WITHIN_QUOTA_WEIGHT
     } else {
         value
     }
--- a/crates/capacity-planner/src/scenario.rs
+++ b/crates/capacity-planner/src/scenario.rs
@@ -1,16 +1,16 @@
-//! The cases of lost sites, and the best that the remaining sites can do in each.
+//! The cases of lost sites, and the optimum of the remaining sites in each.
 
 use crate::input::{PlanningInput, Site};
 use crate::optimum::{self, ServedRates};
 use good_lp::ResolutionError;
 use serde::Serialize;
 
-/// Flows of fewer units a second are rounding errors.
+/// The least flow that is reported, in units a second; smaller ones are rounding errors.
 const MIN_FLOW: f64 = 1e-9;
-/// Stands in errors for the case without a lost site.
+/// Names the lost sites in an error if no site is lost.
 const NO_SITE: &str = "nothing";
 
-/// What becomes of one demand.
+/// How much of one demand is served and rejected.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct DemandOutcome {
     /// The class's name.
@@ -30,9 +30,9 @@
 /// Load that the gateways of one site send to another.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Flow {
-    /// The site of the gateways.
+    /// The name of the gateways' site.
     pub from: String,
-    /// The site of the servers.
+    /// The name of the servers' site.
     pub to: String,
     /// Units a second.
     pub units: f64,
@@ -41,41 +41,42 @@
 /// How much of a site's capacity is in use.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct SiteUtilization {
-    /// The site.
+    /// The site's name.
     pub site: String,
-    /// The part of its capacity, 0 to 1.
-    pub part: f64,
+    /// The fraction of its capacity that is in use, from 0 to 1.
+    #[serde(rename = "part")]
+    pub fraction: f64,
 }
 
-/// One case of lost sites.
+/// The optimum if certain sites are lost.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct SiteLossCase {
-    /// The sites that are lost; empty if all are up.
+    /// The names of the lost sites; empty if no site is lost.
     #[serde(rename = "lost")]
     pub lost_sites: Vec<String>,
-    /// Value a second within the quotas that is served.
+    /// Value a second of the served calls within the quotas.
     #[serde(rename = "worth")]
     pub served_value: f64,
-    /// Value a second within the quotas that is offered.
+    /// Value a second of all calls within the quotas.
     #[serde(rename = "worth_offered")]
     pub offered_value: f64,
-    /// What becomes of each demand.
+    /// How much of each demand is served and rejected.
     #[serde(rename = "served")]
     pub outcomes: Vec<DemandOutcome>,
-    /// Where load goes, between all sites that are up.
+    /// The load that the gateways of each remaining site send to each remaining site.
     pub flows: Vec<Flow>,
-    /// Of each site that is up.
+    /// The utilization of each remaining site.
     #[serde(rename = "in_use")]
     pub utilization: Vec<SiteUtilization>,
-    /// The site with the highest utilization; `None` if no site is up.
+    /// The name of the site with the highest utilization; `None` if no site remains.
     #[serde(rename = "tightest")]
     pub most_utilized: Option<String>,
-    /// Units a second of capacity that are missing to serve all demand within the quotas.
+    /// The additional capacity that the demand within the quotas needs, in units a second.
     #[serde(rename = "missing")]
     pub missing_capacity: f64,
 }
 
-/// Why a case has no optimum.
+/// The solver found no optimum for a case.
 #[derive(Debug, thiserror::Error)]
 #[error("no optimum with {lost_sites} lost: {reason}")]
 pub struct NoOptimum {
@@ -83,11 +84,11 @@
     reason: ResolutionError,
 }
 
-/// All cases: no site lost, each site, and each pair unless that is all there is.
+/// Solves all cases: no lost site, each lost site, and each pair of lost sites unless there are only two sites.
 ///
 /// # Errors
-/// A case that the solver finds no optimum for.
-pub fn all_cases(input: &PlanningInput) -> Result<Vec<SiteLossCase>, NoOptimum> {
+/// The solver finds no optimum for a case.
+pub fn solve_all_cases(input: &PlanningInput) -> Result<Vec<SiteLossCase>, NoOptimum> {
     let site_count = input.sites.len();
     let mut lost_sites: Vec<Vec<usize>> = vec![Vec::new()];
     for site in 0..site_count {
@@ -100,26 +101,29 @@
             }
         }
     }
-    lost_sites.iter().map(|lost| case(input, lost)).collect()
+    lost_sites
+        .iter()
+        .map(|lost| solve_case(input, lost))
+        .collect()
 }
 
-/// The case in which the sites at these positions are lost.
+/// Solves the case in which the sites at these positions are lost.
 ///
 /// # Errors
 /// The solver finds no optimum.
-pub fn case(input: &PlanningInput, lost: &[usize]) -> Result<SiteLossCase, NoOptimum> {
+pub fn solve_case(input: &PlanningInput, lost: &[usize]) -> Result<SiteLossCase, NoOptimum> {
     let lost_sites: Vec<String> = lost
         .iter()
         .map(|&site| input.sites[site].name.clone())
         .collect();
-    let up: Vec<&Site> = input
+    let remaining_sites: Vec<&Site> = input
         .sites
         .iter()
         .enumerate()
         .filter(|(site, _)| !lost.contains(site))
         .map(|(_, site)| site)
         .collect();
-    let rates = optimum::solve(input, &up).map_err(|reason| NoOptimum {
+    let rates = optimum::solve(input, &remaining_sites).map_err(|reason| NoOptimum {
         lost_sites: if lost_sites.is_empty() {
             NO_SITE.into()
         } else {
@@ -127,27 +131,27 @@
         },
         reason,
     })?;
-    let utilization = utilization(input, &up, &rates);
+    let utilization = utilization(input, &remaining_sites, &rates);
     let most_utilized = utilization
         .iter()
-        .max_by(|a, b| a.part.total_cmp(&b.part))
+        .max_by(|a, b| a.fraction.total_cmp(&b.fraction))
         .map(|most| most.site.clone());
     let mut case = SiteLossCase {
         lost_sites,
         served_value: 0.0,
         offered_value: 0.0,
         outcomes: Vec::new(),
-        flows: flows(input, &up, &rates),
+        flows: flows(input, &remaining_sites, &rates),
         utilization,
         most_utilized,
         missing_capacity: 0.0,
     };
     add_outcomes(&mut case, input, &rates);
-    case.missing_capacity = missing_capacity(input, &up);
+    case.missing_capacity = missing_capacity(input, &remaining_sites);
     Ok(case)
 }
 
-/// Adds what becomes of each demand, and the sums of its value.
+/// Adds the outcome of each demand, and the sums of the value within the quotas.
 fn add_outcomes(case: &mut SiteLossCase, input: &PlanningInput, rates: &ServedRates) {
     for (index, demand) in input.demand.iter().enumerate() {
         let served = rates.total_rate(index).min(demand.rate);
@@ -165,10 +169,10 @@
     }
 }
 
-fn flows(input: &PlanningInput, up: &[&Site], rates: &ServedRates) -> Vec<Flow> {
+fn flows(input: &PlanningInput, remaining_sites: &[&Site], rates: &ServedRates) -> Vec<Flow> {
     let mut flows = Vec::new();
-    for (from, from_site) in up.iter().enumerate() {
-        for (to, to_site) in up.iter().enumerate() {
+    for (from, from_site) in remaining_sites.iter().enumerate() {
+        for (to, to_site) in remaining_sites.iter().enumerate() {
             let units = rates.units(from, to, &input.demand);
             if units > MIN_FLOW {
                 flows.push(Flow {
@@ -182,24 +186,32 @@
     flows
 }
 
-fn utilization(input: &PlanningInput, up: &[&Site], rates: &ServedRates) -> Vec<SiteUtilization> {
+fn utilization(
+    input: &PlanningInput,
+    remaining_sites: &[&Site],
+    rates: &ServedRates,
+) -> Vec<SiteUtilization> {
     let utilization_of = |(to, site): (usize, &&Site)| {
-        let units: f64 = (0..up.len())
+        let units: f64 = (0..remaining_sites.len())
             .map(|from| rates.units(from, to, &input.demand))
             .sum();
         SiteUtilization {
             site: site.name.clone(),
-            part: units / site.capacity,
+            fraction: units / site.capacity,
         }
     };
-    up.iter().enumerate().map(utilization_of).collect()
+    remaining_sites
+        .iter()
+        .enumerate()
+        .map(utilization_of)
+        .collect()
 }
 
-fn missing_capacity(input: &PlanningInput, up: &[&Site]) -> f64 {
+fn missing_capacity(input: &PlanningInput, remaining_sites: &[&Site]) -> f64 {
     let mut needed = 0.0;
     for demand in input.demand.iter().filter(|d| !d.is_over_quota) {
         needed += demand.rate * demand.units;
     }
-    let available: f64 = up.iter().map(|site| site.capacity).sum();
+    let available: f64 = remaining_sites.iter().map(|site| site.capacity).sum();
     (needed - available).max(0.0)
 }
--- a/crates/capacity-planner/src/table.rs
+++ b/crates/capacity-planner/src/table.rs
@@ -1,11 +1,11 @@
-//! Cases as a table for a terminal.
+//! Formats cases as a table for a terminal.
 
 use crate::scenario::SiteLossCase;
 
-/// Rejections of fewer calls a second are rounding errors.
+/// The lowest rate of rejections that is listed, in calls a second; lower ones are rounding errors.
 const MIN_REJECTED: f64 = 1e-6;
 
-/// The title of a case.
+/// The title of a case, which names the lost sites.
 pub fn title(case: &SiteLossCase) -> String {
     if case.lost_sites.is_empty() {
         return "nothing lost".to_string();
@@ -13,7 +13,7 @@
     format!("{} lost", case.lost_sites.join(" and "))
 }
 
-/// All cases, one after another.
+/// Formats all cases, one after another.
 pub fn render(cases: &[SiteLossCase]) -> String {
     let mut table = String::new();
     for case in cases {
@@ -39,7 +39,7 @@
         .iter()
         .find(|utilization| Some(&utilization.site) == case.most_utilized.as_ref());
     if let Some(most_utilized) = most_utilized {
-        let percent = 100.0 * most_utilized.part;
+        let percent = 100.0 * most_utilized.fraction;
         line += &format!("; tightest {} at {percent:.0}%", most_utilized.site);
     }
     if case.missing_capacity > 0.0 {
--- a/crates/capacity-planner/tests/invalid_input.rs
+++ b/crates/capacity-planner/tests/invalid_input.rs
@@ -1,4 +1,4 @@
-//! Invalid inputs are rejected in one line with the file, the line and the field.
+//! Invalid inputs are rejected with an error of one line that names the file, the line and the field.
 use chalkdeck_capacity_planner::input::PlanningInput;
 
 const THREE_SITES: &str = include_str!("../examples/three-sites.txtpb");
@@ -40,12 +40,12 @@
         ),
         (changed("worth: 4", "value: 4"), "8: "),
     ];
-    for (text, place) in cases {
+    for (text, line_and_field) in cases {
         let error = PlanningInput::parse("f.txtpb", &text)
-            .expect_err(place)
+            .expect_err(line_and_field)
             .to_string();
         assert!(
-            error.starts_with(&format!("f.txtpb:{place}")) && error.lines().count() == 1,
+            error.starts_with(&format!("f.txtpb:{line_and_field}")) && error.lines().count() == 1,
             "{error}"
         );
     }
--- a/crates/capacity-planner/tests/optimum.rs
+++ b/crates/capacity-planner/tests/optimum.rs
@@ -1,19 +1,21 @@
-//! The optimum against what can be computed by hand.
+//! The optimum equals what can be computed without a linear program.
 use chalkdeck_capacity_planner::input::{Demand, PlanningInput, Site};
-use chalkdeck_capacity_planner::scenario::{all_cases, case, DemandOutcome, SiteLossCase};
+use chalkdeck_capacity_planner::scenario::{
+    solve_all_cases, solve_case, DemandOutcome, SiteLossCase,
+};
 use chalkdeck_capacity_planner::table;
 use proptest::prelude::*;
 
 const THREE_SITES: &str = include_str!("../examples/three-sites.txtpb");
-/// Rates below this are rounding errors.
-const NEGLIGIBLE: f64 = 1e-6;
+/// Differences of rates and fractions up to this are rounding errors.
+const TOLERANCE: f64 = 1e-6;
 
 fn three_sites() -> PlanningInput {
     PlanningInput::parse("three-sites.txtpb", THREE_SITES).expect("a valid input")
 }
 
 fn case_without(lost: &[usize]) -> SiteLossCase {
-    case(&three_sites(), lost).expect("an optimum")
+    solve_case(&three_sites(), lost).expect("an optimum")
 }
 
 fn within_quota(case: &SiteLossCase) -> impl Iterator<Item = &DemandOutcome> {
@@ -24,46 +26,46 @@
 
 #[test]
 fn each_site_and_each_pair_is_a_case() {
-    let cases = all_cases(&three_sites()).expect("an optimum");
+    let cases = solve_all_cases(&three_sites()).expect("an optimum");
     assert_eq!(cases.len(), 1 + 3 + 3);
     assert_eq!(cases[0].missing_capacity, 0.0);
-    assert!(within_quota(&cases[0]).all(|outcome| outcome.rejected < NEGLIGIBLE));
+    assert!(within_quota(&cases[0]).all(|outcome| outcome.rejected < TOLERANCE));
     assert!(
         cases[0].flows.iter().all(|flow| flow.from == flow.to),
-        "crossings cost, so there are none: {:?}",
+        "no call crosses between sites, because crossings have a cost: {:?}",
         cases[0].flows
     );
 }
 
 #[test]
 fn lost_site_rejects_the_calls_of_least_value_per_unit() {
-    let lost = case_without(&[0]);
+    let case = case_without(&[0]);
     let demand = three_sites().demand;
     let needed: f64 = demand
         .iter()
         .filter(|demand| !demand.is_over_quota)
         .map(|demand| demand.rate * demand.units)
         .sum();
-    assert!((lost.missing_capacity - (needed - 300.0)).abs() < NEGLIGIBLE);
-    // Reports of the cheapest plan are rejected first; what is missing is less than all reports.
-    let rejected: Vec<&DemandOutcome> = within_quota(&lost)
-        .filter(|outcome| outcome.rejected > NEGLIGIBLE)
+    assert!((case.missing_capacity - (needed - 300.0)).abs() < TOLERANCE);
+    // Reports of the cheapest plan are rejected first. The missing capacity is less than what all reports need.
+    let rejected: Vec<&DemandOutcome> = within_quota(&case)
+        .filter(|outcome| outcome.rejected > TOLERANCE)
         .collect();
     assert!(
         rejected.iter().all(|outcome| outcome.class == "report"),
         "{rejected:?}"
     );
-    assert!(lost.outcomes.iter().any(|outcome| {
-        outcome.class == "report" && outcome.plan == "seed" && outcome.served < NEGLIGIBLE
+    assert!(case.outcomes.iter().any(|outcome| {
+        outcome.class == "report" && outcome.plan == "seed" && outcome.served < TOLERANCE
     }));
-    assert!(lost
+    assert!(case
         .utilization
         .iter()
-        .all(|site| (site.part - 1.0).abs() < NEGLIGIBLE));
+        .all(|site| (site.fraction - 1.0).abs() < TOLERANCE));
 }
 
 #[test]
-fn calls_beyond_quotas_are_served_only_from_capacity_that_no_other_needs() {
+fn calls_beyond_quotas_are_served_only_from_spare_capacity() {
     let served_over_quota = |case: &SiteLossCase| {
         case.outcomes
             .iter()
@@ -71,8 +73,9 @@
             .map(|outcome| outcome.served)
     };
     assert_eq!(served_over_quota(&case_without(&[0])), Some(0.0));
-    let calm = served_over_quota(&case_without(&[])).expect("some demand beyond quotas");
-    assert!((calm - 10.0).abs() < NEGLIGIBLE);
+    let served_with_all_sites =
+        served_over_quota(&case_without(&[])).expect("some demand beyond quotas");
+    assert!((served_with_all_sites - 10.0).abs() < TOLERANCE);
 }
 
 #[test]
@@ -87,16 +90,16 @@
             "name: \"south\" capacity: 150",
         );
     let input = PlanningInput::parse("one.txtpb", &text).expect("a valid input");
-    let lost = case(&input, &[0]).expect("an optimum");
-    assert_eq!(lost.served_value, 0.0);
-    assert!(table::render(&[lost]).contains("0.0% of the worth"));
+    let case = solve_case(&input, &[0]).expect("an optimum");
+    assert_eq!(case.served_value, 0.0);
+    assert!(table::render(&[case]).contains("0.0% of the worth"));
 }
 
 proptest! {
-    /// Without a crossing cost worth counting, the optimum is the greedy one by value per unit.
+    /// With a negligible crossing cost, serving calls in the order of their value per unit is optimal.
     #[test]
-    fn optimum_is_greedy_by_value_per_unit(
-        kinds in prop::collection::vec((1.0..50.0f64, 0.1..4.0f64, 0.1..9.0f64), 1..8),
+    fn optimum_equals_the_greedy_solution_by_value_per_unit(
+        calls in prop::collection::vec((1.0..50.0f64, 0.1..4.0f64, 0.1..9.0f64), 1..8),
         capacities in prop::collection::vec(1.0..100.0f64, 2..5),
     ) {
         let demand_of = |(index, &(rate, units, value)): (usize, &(f64, f64, f64))| Demand {
@@ -112,24 +115,24 @@
             capacity,
             gateways: 1.0,
         };
-        let demand: Vec<Demand> = kinds.iter().enumerate().map(demand_of).collect();
+        let demand: Vec<Demand> = calls.iter().enumerate().map(demand_of).collect();
         let input = PlanningInput {
             sites: capacities.iter().enumerate().map(site_of).collect(),
             demand: demand.clone(),
             crossing_cost: 1e-9,
         };
-        let case = case(&input, &[]).expect("an optimum");
-        let mut by_value: Vec<&Demand> = demand.iter().collect();
-        by_value.sort_by(|a, b| (b.value / b.units).total_cmp(&(a.value / a.units)));
-        let mut remaining = capacities.iter().sum::<f64>();
-        let mut best = 0.0;
-        for demand in by_value {
-            let rate = demand.rate.min(remaining / demand.units);
-            remaining -= rate * demand.units;
-            best += rate * demand.value;
+        let case = solve_case(&input, &[]).expect("an optimum");
+        let mut by_value_per_unit: Vec<&Demand> = demand.iter().collect();
+        by_value_per_unit.sort_by(|a, b| (b.value / b.units).total_cmp(&(a.value / a.units)));
+        let mut remaining_capacity = capacities.iter().sum::<f64>();
+        let mut greedy_value = 0.0;
+        for demand in by_value_per_unit {
+            let rate = demand.rate.min(remaining_capacity / demand.units);
+            remaining_capacity -= rate * demand.units;
+            greedy_value += rate * demand.value;
         }
-        let difference = (case.served_value - best).abs();
-        prop_assert!(difference < 1e-4 * best.max(1.0), "{} against {best}", case.served_value);
-        prop_assert!(case.utilization.iter().all(|site| site.part <= 1.0 + NEGLIGIBLE));
+        let difference = (case.served_value - greedy_value).abs();
+        prop_assert!(difference < 1e-4 * greedy_value.max(1.0), "{} against {greedy_value}", case.served_value);
+        prop_assert!(case.utilization.iter().all(|site| site.fraction <= 1.0 + TOLERANCE));
     }
 }
--- a/crates/capacity-planner/tests/recorded_output.rs
+++ b/crates/capacity-planner/tests/recorded_output.rs
@@ -1,7 +1,7 @@
 //! Tables, JSON and error texts are the same as those recorded from commit 129cb7d, byte for byte.
 
 use chalkdeck_capacity_planner::input::PlanningInput;
-use chalkdeck_capacity_planner::scenario::{all_cases, SiteLossCase};
+use chalkdeck_capacity_planner::scenario::{solve_all_cases, SiteLossCase};
 use chalkdeck_capacity_planner::table;
 
 const THREE_SITES: &str = include_str!("../examples/three-sites.txtpb");
@@ -9,7 +9,7 @@
 const RECORDED_JSON: &str = include_str!("recorded/three-sites.json");
 const RECORDED_ERRORS: &str = include_str!("recorded/errors.txt");
 
-/// Changes to the example, each of which makes it invalid: what is replaced, and by what.
+/// Changes that each make the example invalid: the text before and after.
 const INVALID_CHANGES: [(&str, &str); 16] = [
     ("capacity: 150", "capacity: -1"),
     ("capacity: 150", "capacity: 0"),
@@ -31,7 +31,7 @@
 
 fn planned(text: &str) -> Vec<SiteLossCase> {
     let input = PlanningInput::parse("three-sites.txtpb", text).expect("a valid input");
-    all_cases(&input).expect("an optimum")
+    solve_all_cases(&input).expect("an optimum")
 }
 
 #[test]
@@ -45,23 +45,23 @@
     assert_eq!(json, RECORDED_JSON.trim_end());
 }
 
-/// Inputs with too little or too much of something.
-fn short_texts() -> Vec<String> {
+/// Inputs with too few or too many elements of some kind, or with an invalid crossing cost.
+fn short_inputs() -> Vec<String> {
     let site = |name: usize| format!("sites {{ name: \"s{name}\" capacity: 1 gateways: 1 }}\n");
     let sites = |count: usize| (0..count).map(site).collect::<String>();
-    let others = "classes { name: \"c\" worth: 1 }\nplans { name: \"p\" }\n";
+    let class_and_plan = "classes { name: \"c\" worth: 1 }\nplans { name: \"p\" }\n";
     let demand = "demand { class: \"c\" plan: \"p\" rate: 0 }\n";
     vec![
         String::new(),
         "what".to_string(),
         sites(2),
         format!("{}classes {{ name: \"c\" }}\n", sites(2)),
-        format!("{}{others}", sites(1)),
-        format!("{}{others}", sites(33)),
-        format!("{}{others}", sites(2)),
-        format!("{}{others}{demand}", sites(2)),
-        format!("{}{others}{}", sites(2), demand.repeat(1_001)),
-        format!("{}{others}crossing_cost: -1\n", sites(2)),
+        format!("{}{class_and_plan}", sites(1)),
+        format!("{}{class_and_plan}", sites(33)),
+        format!("{}{class_and_plan}", sites(2)),
+        format!("{}{class_and_plan}{demand}", sites(2)),
+        format!("{}{class_and_plan}{}", sites(2), demand.repeat(1_001)),
+        format!("{}{class_and_plan}crossing_cost: -1\n", sites(2)),
     ]
 }
 
@@ -74,7 +74,7 @@
         let error = PlanningInput::parse("changed.txtpb", &changed).expect_err(after);
         errors.push(error.to_string());
     }
-    for text in short_texts() {
+    for text in short_inputs() {
         let error = PlanningInput::parse("short.txtpb", &text).expect_err(&text);
         errors.push(error.to_string());
     }
--- a/crates/testbed/src/audit/sites.rs
+++ b/crates/testbed/src/audit/sites.rs
@@ -274,7 +274,7 @@
             demand: kinds.into_values().collect(),
             crossing_cost: 1e-6,
         };
-        Ok(scenario::case(
+        Ok(scenario::solve_case(
             &input,
             if lost {
                 std::slice::from_ref(&self.zone)
