--- a/crates/capacity-planner/src/scenario.rs
+++ b/crates/capacity-planner/src/scenario.rs
@@ -90,18 +90,18 @@
 /// The solver finds no optimum for a case.
 pub fn solve_all_cases(input: &PlanningInput) -> Result<Vec<SiteLossCase>, NoOptimum> {
     let site_count = input.sites.len();
-    let mut lost_sites: Vec<Vec<usize>> = vec![Vec::new()];
+    let mut combinations: Vec<Vec<usize>> = vec![Vec::new()];
     for site in 0..site_count {
-        lost_sites.push(vec![site]);
+        combinations.push(vec![site]);
     }
     if site_count > 2 {
         for first in 0..site_count {
             for second in first + 1..site_count {
-                lost_sites.push(vec![first, second]);
+                combinations.push(vec![first, second]);
             }
         }
     }
-    lost_sites
+    combinations
         .iter()
         .map(|lost| solve_case(input, lost))
         .collect()
--- a/crates/contract/src/kinds.rs
+++ b/crates/contract/src/kinds.rs
@@ -45,11 +45,11 @@
 /// Whether values that are written as one kind are read as the same values of another kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum KindCompatibility {
-    /// All values are.
+    /// All values are read as the same values.
     Full,
-    /// All values are in the binary form, but not in JSON.
+    /// All values are read as the same values from the binary form, but not from JSON.
     BinaryOnly,
-    /// Some values are not.
+    /// Some values are read as other values or cannot be read.
     Incompatible,
 }
 
--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -1,5 +1,7 @@
 //! Checks whether a new version of a service is compatible with the versions that subscribers still use. Does no I/O.
 //!
+//! A publisher offers a service and proposes its versions. Subscribers are the customers that call it.
+//!
 //! A [`ServiceVersion`] holds the descriptors of a service and a [`Promise`] for each of its methods. [`find_incompatibilities`] reads
 //! requests of old subscribers with the new descriptors and responses of the new publisher with the old descriptors, at a
 //! [`CompatibilityLevel`], and returns each [`Incompatibility`] with a [`Witness`]. [`VersionsInUse`] tracks which versions are in
--- a/crates/contract/src/versions_in_use.rs
+++ b/crates/contract/src/versions_in_use.rs
@@ -30,7 +30,7 @@
     pub version_use: VersionUse,
 }
 
-/// The versions of one service that are in use.
+/// The use and the retirements of the versions of one service.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VersionsInUse {
     /// The use of each version by each customer: by version, then by customer.
@@ -40,7 +40,7 @@
 }
 
 impl VersionsInUse {
-    /// The use of a version by a customer, which is added if it is new.
+    /// The use of a version by a customer; adds an entry if there is none.
     fn version_use_mut(&mut self, version: &str, customer: &str) -> &mut VersionUse {
         let uses = self.uses.entry(version.to_string()).or_default();
         let is_over_limit = uses.len() >= MAX_CUSTOMERS_PER_VERSION && !uses.contains_key(customer);
--- a/crates/contract/tests/oracle/main.rs
+++ b/crates/contract/tests/oracle/main.rs
@@ -1,6 +1,6 @@
 //! Compares the checker with an oracle that does not know its rules, on random schemas and random changes of them. If the checker accepts
-//! a change, random requests and responses have to keep their meaning between the two versions; the witness of each incompatibility
-//! that it finds has to be a message that the reader misreads.
+//! a change, random requests and responses have to keep their meaning between the two versions. If it finds an incompatibility, the
+//! witness has to show it.
 
 mod preservation;
 mod random_messages;
@@ -156,8 +156,8 @@
         rng_seed: RngSeed::Fixed(7),
         ..Config::default()
     });
-    let level = any::<bool>().prop_map(|has_json| {
-        if has_json {
+    let level = any::<bool>().prop_map(|is_json_checked| {
+        if is_json_checked {
             CompatibilityLevel::WireAndJson
         } else {
             CompatibilityLevel::Wire
--- a/crates/contract/tests/recorded_texts.rs
+++ b/crates/contract/tests/recorded_texts.rs
@@ -73,7 +73,7 @@
 fn incompatibilities_of(
     schema: &Schema,
     changes: &[Change],
-    has_json: bool,
+    is_json_checked: bool,
 ) -> Vec<Incompatibility> {
     let mut changed = schema.clone();
     for change in changes {
@@ -82,7 +82,7 @@
     let (Some(old), Some(new)) = (schema.version("old"), changed.version("new")) else {
         return Vec::new();
     };
-    let level = if has_json {
+    let level = if is_json_checked {
         CompatibilityLevel::WireAndJson
     } else {
         CompatibilityLevel::Wire
@@ -103,8 +103,8 @@
         let mut count = 0;
         for _ in 0..CASES_PER_BLOCK {
             let case = any_case().new_tree(&mut runner).expect("a case");
-            let (schema, changes, has_json) = case.current();
-            for found in incompatibilities_of(&schema, &changes, has_json) {
+            let (schema, changes, is_json_checked) = case.current();
+            for found in incompatibilities_of(&schema, &changes, is_json_checked) {
                 digest.add_incompatibility(&found);
                 *rules.entry(rule_name(&found)).or_default() += 1;
                 count += 1;
