--- a/crates/contract/src/message_check/enums.rs
+++ b/crates/contract/src/message_check/enums.rs
@@ -1,4 +1,4 @@
-//! Checks the values of an enum that the writer and the reader both have.
+//! Checks the enum values of a field that the writer and the reader both have.
 
 use super::{Finding, MessageCheck, MessagePair};
 use crate::kinds::{multiplicity, Multiplicity};
--- a/crates/contract/src/message_check/fields.rs
+++ b/crates/contract/src/message_check/fields.rs
@@ -79,7 +79,7 @@
         if written.name() == read.name() && written.json_name() == read.json_name() {
             return;
         }
-        // If the reader has the same name under another number, it reads the written value as another field.
+        // If the reader has the same name under another number, it reads the written value into another field.
         let moved = pair
             .reader
             .get_field_by_name(written.name())
