--- a/crates/coordinator/src/client.rs
+++ b/crates/coordinator/src/client.rs
@@ -1,11 +1,11 @@
-//! A blocking client of the replicas, for operators and tools. It asks one replica after another until one answers; a command is
-//! sent again under its own number, so it is applied once.
+//! A blocking client of the replicas, for operators and tools. It tries one replica after another until one answers. A command is
+//! resent under the same number, so that it is applied only once.
 
 use crate::ids::CommandNumber;
 use crate::protocol::{
     wire, CommandKind, CommandResponse, ReadRequest, ReadResponse, ResponseCode,
 };
-use crate::server::{connection_limits, MAX_STATE_BYTES, READ_PATH, SUBMIT_PATH};
+use crate::server::{connection_limits, MAX_STATE_MESSAGE_BYTES, READ_PATH, SUBMIT_PATH};
 use chalkdeck_net::clock::generate_incarnation;
 use chalkdeck_net::grpc::{self, Code};
 use chalkdeck_net::unary::UnaryMessage;
@@ -15,12 +15,12 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// How long one replica has to answer before the next is asked.
+/// Timeout of a request to one replica, after which the next one is tried.
 const REPLICA_TIMEOUT: TimeDelta = TimeDelta::from_millis(1_500);
-/// Time between the answer of one replica and the request to the next.
+/// Delay between a failed request to one replica and the request to the next.
 const RETRY_DELAY: TimeDelta = TimeDelta::from_millis(100);
 
-/// Why a request failed.
+/// An error of a request to the replicas.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum ClientError {
     /// The event loop failed.
@@ -30,19 +30,19 @@
         help("see the limit of descriptors (ulimit -n)")
     )]
     Poll(io::Error),
-    /// No replica answered a read.
+    /// No replica has answered a read.
     #[error("no replica of {replicas} answered within {seconds} s")]
     #[diagnostic(
         code(chalkdeck::keeper::no_answer),
         help("see whether the addresses are those of the replicas, and their /healthz: without a majority nothing is agreed on")
     )]
     NoAnswer {
-        /// How many were asked.
+        /// The number of replicas that were tried.
         replicas: usize,
-        /// For how long.
+        /// The timeout in seconds.
         seconds: u64,
     },
-    /// No replica answered a command.
+    /// No replica has answered a command, so its outcome is unknown.
     #[error(
         "no replica of {replicas} answered within {seconds} s: whether the command was taken is not known"
     )]
@@ -51,40 +51,40 @@
         help("say the same command again: what was taken before is not harmed by it; see the replicas' /healthz")
     )]
     OutcomeUnknown {
-        /// How many were asked.
+        /// The number of replicas that were tried.
         replicas: usize,
-        /// For how long.
+        /// The timeout in seconds.
         seconds: u64,
     },
-    /// The command was rejected.
+    /// The replicas have rejected the command.
     #[error("refused: {reason}")]
     #[diagnostic(
         code(chalkdeck::keeper::refused),
         help("nothing was changed; the text says what was expected")
     )]
     Rejected {
-        /// What the replicas say.
+        /// The reason that the replicas have given.
         reason: String,
     },
 }
 
-/// The client.
+/// A blocking client of the replicas.
 pub struct CoordinatorClient {
     engine: Engine,
     replicas: Vec<SocketAddr>,
-    /// By what the replicas tell this caller from others.
+    /// Identifies this client to the replicas, which deduplicate commands by caller and number.
     caller: u64,
-    last_command: CommandNumber,
-    /// The place of the replica that answered last, or is to be asked next.
+    last_command_number: CommandNumber,
+    /// Index in the address list of the replica that answered last or is tried next.
     replica_index: usize,
     connection: Option<ConnId>,
 }
 
 impl CoordinatorClient {
-    /// A client that is a caller of its own.
+    /// Creates a client with a caller id of its own, which is not connected yet.
     ///
     /// # Errors
-    /// The system gives no poll handle.
+    /// The operating system has not provided a poll handle.
     pub fn new(replicas: Vec<SocketAddr>) -> Result<CoordinatorClient, ClientError> {
         let engine = Engine::new().map_err(ClientError::Poll)?;
         let caller = generate_incarnation(engine.now());
@@ -93,25 +93,25 @@
             engine,
             replicas,
             caller,
-            last_command: CommandNumber(0),
+            last_command_number: CommandNumber(0),
             replica_index,
             connection: None,
         })
     }
 
-    /// Submits a command, and returns once it was applied.
+    /// Submits a command, and returns once it is applied.
     ///
     /// # Errors
-    /// It was rejected, or its outcome is not known within `timeout`.
+    /// The command was rejected, its outcome is unknown after `timeout`, or the event loop failed.
     pub fn submit(
         &mut self,
         kind: CommandKind,
         timeout: TimeDelta,
     ) -> Result<CommandResponse, ClientError> {
-        self.last_command.0 += 1;
+        self.last_command_number.0 += 1;
         let command = wire::Command {
             caller: self.caller,
-            number: self.last_command.0,
+            number: self.last_command_number.0,
             kind: Some(kind),
             ..wire::Command::default()
         };
@@ -119,12 +119,12 @@
         while self.now() < deadline {
             let response = self.call::<CommandResponse>(SUBMIT_PATH, &command, deadline)?;
             let Some(response) = response else {
-                self.next_replica(deadline)?;
+                self.switch_replica(deadline)?;
                 continue;
             };
             match response.code() {
                 ResponseCode::Done => return Ok(response),
-                ResponseCode::Elsewhere => self.next_replica(deadline)?,
+                ResponseCode::Elsewhere => self.switch_replica(deadline)?,
                 _ => {
                     let reason = response.reason;
                     return Err(ClientError::Rejected { reason });
@@ -137,10 +137,10 @@
         })
     }
 
-    /// Reads the state of any replica that takes part; without a quorum it may be an old one.
+    /// Reads the state from any replica that is in a configuration. Without a quorum the state may be outdated.
     ///
     /// # Errors
-    /// No replica answered within `timeout`.
+    /// No replica answered within `timeout`, or the event loop failed.
     pub fn read(
         &mut self,
         request: &ReadRequest,
@@ -150,7 +150,7 @@
         while self.now() < deadline {
             match self.call::<ReadResponse>(READ_PATH, request, deadline)? {
                 Some(response) if response.configuration > 0 => return Ok(response),
-                _ => self.next_replica(deadline)?,
+                _ => self.switch_replica(deadline)?,
             }
         }
         Err(ClientError::NoAnswer {
@@ -159,7 +159,7 @@
         })
     }
 
-    /// Reads the state of the replica at a place in the list of addresses; `None`: it does not answer within `timeout`.
+    /// Reads the state from the replica at an index in the address list; `None` if it does not answer within `timeout`.
     ///
     /// # Errors
     /// The event loop failed.
@@ -185,31 +185,27 @@
         }
     }
 
-    /// Turns to the next replica after a while.
-    fn next_replica(&mut self, deadline: Timestamp) -> Result<(), ClientError> {
+    /// Disconnects, selects the next replica and waits for the retry delay.
+    fn switch_replica(&mut self, deadline: Timestamp) -> Result<(), ClientError> {
         self.disconnect();
         self.replica_index = (self.replica_index + 1) % self.replicas.len();
         let resume_at = (self.now() + RETRY_DELAY).min(deadline);
         let mut events = Vec::new();
         while self.now() < resume_at {
-            self.wait_for_events(resume_at, &mut events)?;
+            self.poll_until(resume_at, &mut events)?;
             events.clear();
         }
         Ok(())
     }
 
-    fn wait_for_events(
-        &mut self,
-        until: Timestamp,
-        events: &mut Vec<Event>,
-    ) -> Result<(), ClientError> {
-        let left = until - self.now();
+    fn poll_until(&mut self, until: Timestamp, events: &mut Vec<Event>) -> Result<(), ClientError> {
+        let remaining = until - self.now();
         self.engine
-            .turn(left.as_micros(), events)
+            .turn(remaining.as_micros(), events)
             .map_err(ClientError::Poll)
     }
 
-    /// One unary call to the present replica; `None`: it has not answered in time.
+    /// Makes a unary call to the selected replica; `None` if it has failed or timed out.
     fn call<R: Message + Default>(
         &mut self,
         path: &str,
@@ -234,14 +230,14 @@
             response: UnaryMessage::default(),
         };
         if is_connected {
-            call.open(&mut self.engine);
+            call.send_request(&mut self.engine);
         }
         let mut events = Vec::new();
         while self.now() < deadline {
-            self.wait_for_events(deadline, &mut events)?;
+            self.poll_until(deadline, &mut events)?;
             for event in events.drain(..) {
                 match call.on_event(&mut self.engine, event) {
-                    CallState::Open => {}
+                    CallState::Pending => {}
                     CallState::ConnectionLost => {
                         self.connection = None;
                         return Ok(None);
@@ -259,7 +255,7 @@
     span.as_millis() / 1_000
 }
 
-/// One unary call on a connection.
+/// A unary call on a connection.
 struct UnaryCall<'a> {
     connection: ConnId,
     address: SocketAddr,
@@ -269,16 +265,16 @@
     response: UnaryMessage,
 }
 
-/// How far a call has come.
+/// The state of a unary call.
 enum CallState {
-    Open,
+    Pending,
     Answered(Vec<u8>),
     Failed,
     ConnectionLost,
 }
 
 impl UnaryCall<'_> {
-    fn open(&mut self, engine: &mut Engine) {
+    fn send_request(&mut self, engine: &mut Engine) {
         let head = grpc::request_head(&self.address.to_string(), self.path);
         self.stream = head.and_then(|head| engine.open_stream(self.connection, head, false));
         if let Some(stream) = self.stream {
@@ -287,25 +283,25 @@
         }
     }
 
-    fn is_own(&self, stream: StreamId) -> bool {
+    fn is_own_stream(&self, stream: StreamId) -> bool {
         self.stream == Some(stream)
     }
 
     fn on_event(&mut self, engine: &mut Engine, event: Event) -> CallState {
         match event {
             Event::Connected { conn } if conn == self.connection => {
-                self.open(engine);
-                CallState::Open
+                self.send_request(engine);
+                CallState::Pending
             }
             Event::Closed { conn, .. } if conn == self.connection => CallState::ConnectionLost,
-            Event::Data { stream, data } if self.is_own(stream) => {
+            Event::Data { stream, data } if self.is_own_stream(stream) => {
                 engine.consume(stream, data.len());
-                match self.response.push(&data, MAX_STATE_BYTES) {
-                    Ok(()) => CallState::Open,
+                match self.response.push(&data, MAX_STATE_MESSAGE_BYTES) {
+                    Ok(()) => CallState::Pending,
                     Err(_) => CallState::Failed,
                 }
             }
-            Event::StreamEnded { stream, trailers } if self.is_own(stream) => {
+            Event::StreamEnded { stream, trailers } if self.is_own_stream(stream) => {
                 let status = trailers.as_ref().and_then(Code::from_trailers);
                 match self.response.message() {
                     Some(body) if status == Some(Code::Ok) => CallState::Answered(body.to_vec()),
@@ -317,8 +313,8 @@
                 stream,
                 is_end_stream: true,
                 ..
-            } if self.is_own(stream) => CallState::Failed,
-            _ => CallState::Open,
+            } if self.is_own_stream(stream) => CallState::Failed,
+            _ => CallState::Pending,
         }
     }
 }
