--- a/crates/grpc-gateway/src/resp/command.rs
+++ b/crates/grpc-gateway/src/resp/command.rs
@@ -44,21 +44,21 @@
     Err(text.into())
 }
 
-fn parse_text(word: &Bytes, argument: &str) -> Result<String, String> {
+fn parse_text(word: &Bytes, what: &str) -> Result<String, String> {
     match std::str::from_utf8(word) {
         Ok(text) if !text.is_empty() => Ok(text.to_string()),
-        _ => error(format!("ERR {argument}: expected text")),
+        _ => error(format!("ERR {what}: expected text")),
     }
 }
 
-fn parse_number(word: &Bytes, argument: &str) -> Result<f64, String> {
+fn parse_number(word: &Bytes, what: &str) -> Result<f64, String> {
     let number = std::str::from_utf8(word)
         .ok()
         .and_then(|text| text.parse::<f64>().ok());
     match number.filter(|number| number.is_finite()) {
         Some(number) => Ok(number),
         None => error(format!(
-            "ERR {argument}: expected a number, found '{}'",
+            "ERR {what}: expected a number, found '{}'",
             word.escape_ascii()
         )),
     }
--- a/crates/grpc-gateway/src/resp/mod.rs
+++ b/crates/grpc-gateway/src/resp/mod.rs
@@ -154,8 +154,8 @@
                     }
                     break;
                 }
-                ParsedCommand::Invalid(error) => {
-                    self.end_resp_session(conn, Reply::Error(format!("ERR {error}")));
+                ParsedCommand::Invalid(why) => {
+                    self.end_resp_session(conn, Reply::Error(format!("ERR {why}")));
                     break;
                 }
                 ParsedCommand::Complete(words) => self.execute_resp_command(conn, &words),
@@ -235,7 +235,7 @@
         units: f64,
         lease: Option<u64>,
     ) {
-        let (max_units, plan) = (
+        let (most, plan) = (
             self.settings.policy.max_request_units,
             self.settings.plan_for(customer),
         );
@@ -247,9 +247,9 @@
         let Some(plan) = plan else {
             return session.push_reply(Reply::Error("NOPLAN this customer has no plan".into()));
         };
-        if !(units > 0.0 && units <= max_units) {
+        if !(units > 0.0 && units <= most) {
             return session.push_reply(Reply::Error(format!(
-                "ERR units: expected above 0, at most {max_units}, found {units}"
+                "ERR units: expected above 0, at most {most}, found {units}"
             )));
         }
         if lease.is_some() && session.ticket_count >= MAX_TICKETS_PER_CONNECTION {
