--- a/crates/cli/src/coordinator.rs
+++ b/crates/cli/src/coordinator.rs
@@ -8,7 +8,7 @@
 use chalkdeck_coordinator::settings::Settings;
 use chalkdeck_grpc_gateway::logs;
 use chalkdeck_net::signals::Signals;
-use chalkdeck_testbed::parts::process::end_with_parent;
+use chalkdeck_testbed::common::process::exit_with_parent;
 use chalkdeck_time::TimeDelta;
 use clap::Subcommand;
 use std::net::SocketAddr;
@@ -78,7 +78,7 @@
     let settings = Settings::load(config)?;
     logs::start("info", false);
     if with_parent {
-        end_with_parent();
+        exit_with_parent();
     }
     let signals = Signals::take()?;
     let server = ReplicaServer::start(&settings, start_mode)?;
--- a/crates/cli/src/site.rs
+++ b/crates/cli/src/site.rs
@@ -2,7 +2,7 @@
 
 use anyhow::{bail, Context};
 use chalkdeck_grpc_gateway::sites::SitesStatus;
-use chalkdeck_testbed::parts::control;
+use chalkdeck_testbed::common::control;
 use clap::{Args, Subcommand};
 use std::fmt::Write;
 use std::net::SocketAddr;
--- a/crates/cli/tests/access.rs
+++ b/crates/cli/tests/access.rs
@@ -244,7 +244,7 @@
     let mut caller = Caller::new(fleet.grpc(1));
     let (code, why) = caller.call(&[("x-customer", "keeps")]);
     assert_eq!(code, Some(Code::Unavailable), "{why}");
-    let health = chalkdeck_testbed::parts::control::get(fleet.admin(1), "/healthz");
+    let health = chalkdeck_testbed::common::control::get(fleet.admin(1), "/healthz");
     assert!(health.is_err_and(|e| e.to_string().contains("no keeper was heard")));
     fleet.cut_off("g1", false);
     until("it has heard", || {
--- a/crates/cli/tests/duties.rs
+++ b/crates/cli/tests/duties.rs
@@ -185,7 +185,7 @@
     fleet.does(&["keeper", "word", "north", "drain"]);
     let held_out = |fleet: &Fleet, g: usize| {
         let text =
-            chalkdeck_testbed::parts::control::get(fleet.admin(g), "/sites").unwrap_or_default();
+            chalkdeck_testbed::common::control::get(fleet.admin(g), "/sites").unwrap_or_default();
         text.contains("\"site\":\"north\"") && text.contains("held out")
     };
     until("those that run heard it", || {
--- a/crates/cli/tests/fleet/mod.rs
+++ b/crates/cli/tests/fleet/mod.rs
@@ -4,8 +4,8 @@
 use chalkdeck_grpc_gateway::coordinator_link::CoordinatorStatus;
 use chalkdeck_net::grpc::{self, Code};
 use chalkdeck_net::{ConnId, Engine, Event, Limits, StreamId};
-use chalkdeck_testbed::parts::control;
-use chalkdeck_testbed::parts::process::{Process, Program};
+use chalkdeck_testbed::common::control;
+use chalkdeck_testbed::common::process::{Process, Program};
 use http::{HeaderName, HeaderValue};
 use rustix::process::Signal;
 use std::collections::BTreeMap;
@@ -102,7 +102,7 @@
             .collect();
         let program = Program {
             exe: env!("CARGO_BIN_EXE_chalkdeck").into(),
-            before: Vec::new(),
+            leading_args: Vec::new(),
         };
         let mut args = vec!["lab".to_string(), "links".to_string()];
         for name in &names {
--- a/crates/cli/tests/measured.rs
+++ b/crates/cli/tests/measured.rs
@@ -3,7 +3,7 @@
 
 mod fleet;
 
-use chalkdeck_testbed::parts::process::{cpu_seconds, memory_kib};
+use chalkdeck_testbed::common::process::{cpu_seconds, memory_kib};
 use fleet::{until, Caller, Fleet, LEASE_MS};
 use rustix::process::Signal;
 use std::time::{Duration, Instant};
--- a/crates/cli/tests/stored_data.rs
+++ b/crates/cli/tests/stored_data.rs
@@ -5,7 +5,7 @@
 
 mod fleet;
 
-use chalkdeck_testbed::parts::control;
+use chalkdeck_testbed::common::control;
 use fleet::{until, Caller, Fleet};
 use std::path::{Path, PathBuf};
 
--- a/crates/cli/tests/wire_names.rs
+++ b/crates/cli/tests/wire_names.rs
@@ -3,7 +3,7 @@
 
 mod fleet;
 
-use chalkdeck_testbed::parts::control;
+use chalkdeck_testbed::common::control;
 use fleet::{Caller, Fleet};
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
--- a/crates/testbed/src/audit/rules.rs
+++ b/crates/testbed/src/audit/rules.rs
@@ -1,8 +1,8 @@
 //! Checks the five rules of a run from what crossed the sockets of clients and servers, and what the run itself did;
 //! never from what a gateway says.
 
-use crate::parts::log::{self, End, Line};
-use crate::parts::script;
+use crate::common::event_log::{self, CallOutcome, Entry};
+use crate::common::script;
 use chalkdeck_proto::chalkdeck::config::v1::{class, Class, Plan};
 use chalkdeck_proto::chalkdeck::lab::v1::Day;
 use std::collections::{BTreeMap, HashMap};
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
     pub calls: usize,
-    pub ends: BTreeMap<End, usize>,
+    pub ends: BTreeMap<CallOutcome, usize>,
     pub attempts: usize,
     pub effects: usize,
     pub breaches: Vec<Breach>,
@@ -34,7 +34,7 @@
 /// All that a run left behind.
 pub struct Record {
     pub day: Day,
-    pub lines: Vec<Line>,
+    pub lines: Vec<Entry>,
 }
 
 impl Record {
@@ -45,7 +45,7 @@
         for entry in std::fs::read_dir(dir)? {
             let path = entry?.path();
             if path.extension().is_some_and(|e| e == "jsonl") {
-                lines.extend(log::read(&path)?);
+                lines.extend(event_log::read(&path)?);
             }
         }
         lines.sort_by_key(time);
@@ -53,17 +53,17 @@
     }
 }
 
-fn time(line: &Line) -> u64 {
+fn time(line: &Entry) -> u64 {
     match line {
-        Line::Call { t, .. }
-        | Line::Answer { t, .. }
-        | Line::Arrive { t, .. }
-        | Line::Start { t, .. }
-        | Line::Done { t, .. }
-        | Line::Reply { t, .. }
-        | Line::Cancel { t, .. }
-        | Line::Fell { t, .. }
-        | Line::Note { t, .. } => *t,
+        Entry::Call { t, .. }
+        | Entry::Answer { t, .. }
+        | Entry::Arrive { t, .. }
+        | Entry::Start { t, .. }
+        | Entry::Done { t, .. }
+        | Entry::Reply { t, .. }
+        | Entry::Cancel { t, .. }
+        | Entry::Fell { t, .. }
+        | Entry::Note { t, .. } => *t,
     }
 }
 
@@ -82,7 +82,7 @@
     key: String,
     customer: String,
     units: f64,
-    answers: Vec<(u64, End)>,
+    answers: Vec<(u64, CallOutcome)>,
     attempts: Vec<Attempt>,
 }
 
@@ -100,7 +100,7 @@
 }
 
 impl Spans {
-    fn of(lines: &[Line]) -> Spans {
+    fn of(lines: &[Entry]) -> Spans {
         let mut spans = Spans {
             gateway: Vec::new(),
             ended_gateways: Vec::new(),
@@ -110,7 +110,7 @@
             clients: Vec::new(),
         };
         for line in lines {
-            let Line::Note { t, what, target } = line else {
+            let Entry::Note { t, what, target } = line else {
                 continue;
             };
             let gateway: usize = target.parse().unwrap_or(usize::MAX);
@@ -156,7 +156,7 @@
     }
     /// The spans that a word to the relays belongs to.
     fn links(&mut self, word: &str) -> &mut Vec<(u64, u64)> {
-        if script::of_clients(word) {
+        if script::is_for_client_links(word) {
             &mut self.clients
         } else {
             &mut self.held_up
@@ -196,7 +196,7 @@
     held_sites_kept(record, &mut verdict);
     ceilings_kept(&calls, &rules, &mut verdict);
     for line in &record.lines {
-        if let Line::Fell { t, server } = line {
+        if let Entry::Fell { t, server } = line {
             verdict.breach(4, format!("cold server {server} was pushed over at {t}"));
         }
     }
@@ -217,7 +217,7 @@
     let mut calls: BTreeMap<String, Call> = BTreeMap::new();
     for line in &record.lines {
         match line {
-            Line::Call {
+            Entry::Call {
                 t,
                 id,
                 customer,
@@ -234,7 +234,7 @@
                     (path.clone(), key.clone(), customer.clone());
                 verdict.calls += 1;
             }
-            Line::Answer { t, id, end, .. } => {
+            Entry::Answer { t, id, end, .. } => {
                 calls
                     .entry(id.clone())
                     .or_default()
@@ -242,7 +242,7 @@
                     .push((*t, *end));
                 *verdict.ends.entry(*end).or_default() += 1;
             }
-            Line::Arrive { t, server, id, .. } => {
+            Entry::Arrive { t, server, id, .. } => {
                 let attempt = Attempt {
                     t: *t,
                     server: server.clone(),
@@ -251,7 +251,7 @@
                 calls.entry(id.clone()).or_default().attempts.push(attempt);
                 verdict.attempts += 1;
             }
-            Line::Reply {
+            Entry::Reply {
                 server,
                 id,
                 unprocessed: true,
@@ -265,7 +265,7 @@
                     .find(|a| a.server == *server && !a.unprocessed);
                 of.into_iter().for_each(|a| a.unprocessed = true);
             }
-            Line::Done { effect: true, .. } => verdict.effects += 1,
+            Entry::Done { effect: true, .. } => verdict.effects += 1,
             _ => {}
         }
     }
@@ -285,11 +285,13 @@
     }
     let down = spans.down(call.gateway, call.sent, at) || spans.client_links(call.sent, at);
     match end {
-        End::Silent if !down => verdict.breach(1, format!("call {id} had no answer in time")),
-        End::Lost if !down && !spans.reconnected(call.sent, at) => {
+        CallOutcome::Silent if !down => {
+            verdict.breach(1, format!("call {id} had no answer in time"))
+        }
+        CallOutcome::Lost if !down && !spans.reconnected(call.sent, at) => {
             verdict.breach(1, format!("call {id} was cut off by a gateway that ran"));
         }
-        _ if at > call.deadline.saturating_add(SLACK) && !down && end != End::Silent => {
+        _ if at > call.deadline.saturating_add(SLACK) && !down && end != CallOutcome::Silent => {
             verdict.breach(
                 1,
                 format!(
@@ -385,20 +387,23 @@
         }
     }
     let everywhere = keyed && (class.group() == class::Group::All || rules.zone_count == 1);
-    let refused = call.answers.first().is_some_and(|a| a.1 == End::Refused);
+    let refused = call
+        .answers
+        .first()
+        .is_some_and(|a| a.1 == CallOutcome::Refused);
     if refused && !ran.is_empty() && !everywhere {
         verdict.breach(2, format!("call {id} was refused though it may have run"));
     }
 }
 
 /// Each key has its effect once, whichever cells saw it.
-fn effects_once(lines: &[Line], rules: &Rules, verdict: &mut Verdict) {
+fn effects_once(lines: &[Entry], rules: &Rules, verdict: &mut Verdict) {
     let mut path_of: HashMap<&str, &str> = HashMap::new();
     let mut effects: HashMap<&str, usize> = HashMap::new();
     for line in lines {
         match line {
-            Line::Call { id, path, .. } => drop(path_of.insert(id, path)),
-            Line::Done {
+            Entry::Call { id, path, .. } => drop(path_of.insert(id, path)),
+            Entry::Done {
                 id,
                 key,
                 effect: true,
@@ -426,17 +431,17 @@
     }
 }
 
-fn drains_kept(lines: &[Line], rules: &Rules, verdict: &mut Verdict) {
+fn drains_kept(lines: &[Entry], rules: &Rules, verdict: &mut Verdict) {
     let mut unlisted: HashMap<&str, u64> = HashMap::new();
     for line in lines {
         match line {
-            Line::Note { t, what, target } if what == "unlisted" => {
+            Entry::Note { t, what, target } if what == "unlisted" => {
                 unlisted.entry(target).or_insert(*t);
             }
-            Line::Note { what, target, .. } if what == "listed" => {
+            Entry::Note { what, target, .. } if what == "listed" => {
                 unlisted.remove(target.as_str());
             }
-            Line::Arrive { t, server, id, .. } => {
+            Entry::Arrive { t, server, id, .. } => {
                 let Some(since) = unlisted.get(server.as_str()) else {
                     continue;
                 };
@@ -459,7 +464,7 @@
     let mut held: HashMap<&str, u64> = HashMap::new();
     for line in &record.lines {
         match line {
-            Line::Note { what, target, .. } if what == "server" => {
+            Entry::Note { what, target, .. } if what == "server" => {
                 let Some((server, zone)) = target.split_once(' ') else {
                     continue;
                 };
@@ -471,11 +476,11 @@
                     zone_of.insert(server, &z.name);
                 });
             }
-            Line::Note { t, what, target } if what == "site_held" => drop(held.insert(target, *t)),
-            Line::Note { what, target, .. } if what == "site_let_back" => {
+            Entry::Note { t, what, target } if what == "site_held" => drop(held.insert(target, *t)),
+            Entry::Note { what, target, .. } if what == "site_let_back" => {
                 held.remove(target.as_str());
             }
-            Line::Arrive { t, server, id, .. } => {
+            Entry::Arrive { t, server, id, .. } => {
                 let Some(zone) = zone_of.get(server.as_str()) else {
                     continue;
                 };
--- a/crates/testbed/src/audit/site_chart.rs
+++ b/crates/testbed/src/audit/site_chart.rs
@@ -2,7 +2,7 @@
 //! planner's line.
 
 use crate::audit::sites::{Seen, SiteDay, SLOT};
-use crate::parts::log::End;
+use crate::common::event_log::CallOutcome;
 use anyhow::Context;
 use plotters::coord::Shift;
 use plotters::prelude::*;
@@ -82,7 +82,8 @@
     let classes = day.day.gateway.iter().flat_map(|g| &g.classes).enumerate();
     let of = |(class, c): (usize, &chalkdeck_proto::chalkdeck::config::v1::Class)| {
         let count = |s: usize| {
-            let those = in_slot(day, s).filter(|c| c.class == class && c.end == Some(End::Refused));
+            let those =
+                in_slot(day, s).filter(|c| c.class == class && c.end == Some(CallOutcome::Refused));
             (at(s), those.count() as f64 / SLOT)
         };
         (c.name.clone(), (0..slots(day)).map(count).collect())
--- a/crates/testbed/src/audit/sites.rs
+++ b/crates/testbed/src/audit/sites.rs
@@ -2,7 +2,7 @@
 //! how soon it was noticed, and how the site came back.
 
 use crate::audit::rules::Record;
-use crate::parts::log::{End, Line};
+use crate::common::event_log::{CallOutcome, Entry};
 use anyhow::Context;
 use chalkdeck_capacity_planner::input::{Demand, PlanningInput, Site};
 use chalkdeck_capacity_planner::scenario;
@@ -29,7 +29,7 @@
     pub gateway: usize,
     pub class: usize,
     pub plan: String,
-    pub end: Option<End>,
+    pub end: Option<CallOutcome>,
     /// Seconds to its answer.
     pub took: f64,
     /// What it is worth, and that for each unit.
@@ -111,7 +111,7 @@
             f64::from(lost.at_ms + lost.for_ms) / 1e3,
         );
         let first = record.lines.iter().find_map(|l| {
-            if let Line::Call { t, .. } = l {
+            if let Entry::Call { t, .. } = l {
                 Some(*t)
             } else {
                 None
@@ -135,14 +135,14 @@
 
     fn read_calls(&mut self, record: &Record, first: u64) {
         let gateway = self.day.gateway.clone().unwrap_or_default();
-        let mut ends: HashMap<&str, (u64, End)> = HashMap::new();
+        let mut ends: HashMap<&str, (u64, CallOutcome)> = HashMap::new();
         for line in &record.lines {
-            if let Line::Answer { t, id, end, .. } = line {
+            if let Entry::Answer { t, id, end, .. } = line {
                 ends.insert(id, (*t, *end));
             }
         }
         for line in &record.lines {
-            let Line::Call {
+            let Entry::Call {
                 t,
                 id,
                 customer,
@@ -179,7 +179,7 @@
                 worth,
                 dense: worth / units,
                 work: work_of(&self.day, path),
-                in_time: answer.is_some_and(|a| a.1 == End::Served)
+                in_time: answer.is_some_and(|a| a.1 == CallOutcome::Served)
                     && took <= u64::from(gateway.classes[class].aim_ms) * 1_000,
             });
         }
@@ -188,7 +188,7 @@
     fn read_arrivals(&mut self, record: &Record, first: u64) {
         let mut zone_of: HashMap<&str, usize> = HashMap::new();
         for line in &record.lines {
-            let Line::Note { what, target, .. } = line else {
+            let Entry::Note { what, target, .. } = line else {
                 continue;
             };
             if let Some((server, zone)) = target.split_once(' ').filter(|_| what == "server") {
@@ -198,7 +198,7 @@
         let slots = (f64::from(self.day.seconds) / SLOT) as usize + 8;
         self.arrived = vec![vec![0.0; slots]; self.day.zones.len()];
         for line in &record.lines {
-            let Line::Arrive {
+            let Entry::Arrive {
                 t, server, path, ..
             } = line
             else {
@@ -218,7 +218,7 @@
 
     fn read_statuses(&mut self, record: &Record, first: u64) {
         for line in &record.lines {
-            let Line::Note { t, what, target } = line else {
+            let Entry::Note { t, what, target } = line else {
                 continue;
             };
             let Some((gateway, text)) = target.split_once(' ').filter(|_| what == "sites") else {
@@ -307,7 +307,7 @@
     }
 
     fn figures_of(&self, name: &str, calls: &[&Seen]) -> anyhow::Result<Phase> {
-        let ended = |end: &[End]| {
+        let ended = |end: &[CallOutcome]| {
             calls
                 .iter()
                 .filter(|c| c.end.is_some_and(|e| end.contains(&e)))
@@ -325,15 +325,20 @@
         let lost = name.starts_with(['2', '3']);
         let best = self.optimum(calls, seconds.max(0.1), lost)? * seconds.max(0.1);
         let healthy = |c: &&&Seen| {
-            c.gateway % self.day.zones.len() != self.zone && c.end == Some(End::Served)
+            c.gateway % self.day.zones.len() != self.zone && c.end == Some(CallOutcome::Served)
         };
         let mut took: Vec<f64> = calls.iter().filter(healthy).map(|c| c.took * 1e3).collect();
         took.sort_by(f64::total_cmp);
         Ok(Phase {
             calls: calls.len(),
-            served: ended(&[End::Served]),
-            refused: ended(&[End::Refused]),
-            failed: ended(&[End::Failed, End::Lost, End::Silent, End::Other]),
+            served: ended(&[CallOutcome::Served]),
+            refused: ended(&[CallOutcome::Refused]),
+            failed: ended(&[
+                CallOutcome::Failed,
+                CallOutcome::Lost,
+                CallOutcome::Silent,
+                CallOutcome::Other,
+            ]),
             worth: worth / offered.max(1e-9),
             of_optimum: worth / best.max(1e-9),
             p99_ms: took.get(took.len() * 99 / 100).copied().unwrap_or(0.0),
@@ -431,9 +436,9 @@
         .for_each(|c| by_gateway.entry(c.gateway).or_default().push(c));
     let (mut refused, mut inverted) = (0_u32, 0_u32);
     for calls in by_gateway.values() {
-        for c in calls.iter().filter(|c| c.end == Some(End::Refused)) {
+        for c in calls.iter().filter(|c| c.end == Some(CallOutcome::Refused)) {
             let near = |o: &&&Seen| ((o.at - c.at).abs() * 1e6) as u64 <= MOMENT;
-            let cheap = |o: &&Seen| o.end == Some(End::Served) && o.dense < c.dense * EQUAL;
+            let cheap = |o: &&Seen| o.end == Some(CallOutcome::Served) && o.dense < c.dense * EQUAL;
             refused += 1;
             inverted += u32::from(calls.iter().filter(near).any(cheap));
         }
--- a/crates/testbed/src/audit/timeline.rs
+++ b/crates/testbed/src/audit/timeline.rs
@@ -1,8 +1,8 @@
 //! Runs over time: calls served in each slot, and how soon a run recovered after its last trouble.
 
 use crate::audit::rules::Record;
-use crate::parts::log::{End, Line};
-use crate::parts::plot::{self, Curve};
+use crate::common::event_log::{CallOutcome, Entry};
+use crate::common::plot::{self, Curve};
 use clap::Args;
 use std::path::{Path, PathBuf};
 
@@ -29,9 +29,9 @@
 }
 
 impl Timeline {
-    pub fn of(lines: &[Line]) -> Timeline {
+    pub fn of(lines: &[Entry]) -> Timeline {
         let first = lines.iter().find_map(|l| {
-            if let Line::Call { t, .. } = l {
+            if let Entry::Call { t, .. } = l {
                 Some(*t)
             } else {
                 None
@@ -42,16 +42,16 @@
         let mut trouble: Option<(u64, u64)> = None;
         for line in lines {
             match line {
-                Line::Answer {
+                Entry::Answer {
                     t,
-                    end: End::Served,
+                    end: CallOutcome::Served,
                     ..
                 } => {
                     let slot = (t.saturating_sub(first) / SLOT) as usize;
                     served.resize(served.len().max(slot + 1), 0);
                     served[slot] += 1;
                 }
-                Line::Note { t, what, .. } if what == "act" => {
+                Entry::Note { t, what, .. } if what == "act" => {
                     let at = t.saturating_sub(first);
                     trouble = Some(trouble.map_or((at, at), |was| (was.0, at)));
                 }
@@ -108,7 +108,7 @@
             points,
         }
     };
-    plot::curves(
+    plot::write_chart(
         path,
         "calls served a second",
         &lines.iter().map(curve).collect::<Vec<_>>(),
--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -1,6 +1,7 @@
 //! Commands of the laboratory.
 
 use crate::audit::timeline::{self, TimelineArgs};
+use crate::common::process::Program;
 use crate::load::command::{self as load, LoadArgs};
 use crate::measure::adds::{self, AddsArgs};
 use crate::measure::asks::{self, AsksArgs};
@@ -9,7 +10,6 @@
 use crate::measure::reconnect::{self, ReconnectArgs};
 use crate::measure::returns::{self, ReturnsArgs};
 use crate::measure::sites::{self, SitesArgs};
-use crate::parts::process::Program;
 use crate::rig::counting::{self, OwnCounterArgs};
 use crate::rig::day::{self, RunArgs};
 use crate::rig::demo::{self, DemoArgs};
--- a/crates/testbed/src/parts/log.rs
+++ b/crates/testbed/src/common/event_log.rs
@@ -1,14 +1,15 @@
-//! What crossed a socket, one JSON line each, with the machine's monotonic time in microseconds.
+//! Event logs of a run: what clients and servers sent and received, one JSON object a line. `t` is the machine's monotonic
+//! time in microseconds.
 
 use serde::{Deserialize, Serialize};
 use std::fs::File;
 use std::io::{BufRead, BufReader, BufWriter, Write};
 use std::path::Path;
 
-/// One line of a log.
+/// One event, which is one line of a log. Names of variants and fields are the log's format.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(tag = "ev", rename_all = "snake_case")]
-pub enum Line {
+pub enum Entry {
     /// A client sends a call.
     Call {
         t: u64,
@@ -20,15 +21,15 @@
         deadline: u64,
         gateway: usize,
     },
-    /// A client's call ended: the status it read, or why there was none.
+    /// A client's call ended: the status that it received, or -1, and the reason in `end`.
     Answer {
         t: u64,
         id: String,
-        end: End,
+        end: CallOutcome,
         status: i32,
         pushback: Option<i64>,
     },
-    /// A server's socket brought a call.
+    /// A server received a call.
     Arrive {
         t: u64,
         server: String,
@@ -38,14 +39,14 @@
         key: String,
         units: f64,
     },
-    /// A server begins to work on it.
+    /// A server starts to process a call.
     Start {
         t: u64,
         server: String,
         id: String,
         key: String,
     },
-    /// A server's work is done; `effect`: it changed something, which a dropped repeat does not.
+    /// A server has processed a call. `effect`: the call changed state; false for a duplicate that the server suppressed.
     Done {
         t: u64,
         server: String,
@@ -53,7 +54,7 @@
         key: String,
         effect: bool,
     },
-    /// A server answered, with this status; `unprocessed`: it said that it did not look at the call.
+    /// A server responded with this status. `unprocessed`: it marked the call as rejected before any processing.
     Reply {
         t: u64,
         server: String,
@@ -61,11 +62,11 @@
         status: i32,
         unprocessed: bool,
     },
-    /// A server was told that the call is off.
+    /// A server learned that the call was cancelled.
     Cancel { t: u64, server: String, id: String },
-    /// A cold server was pushed over.
+    /// A server that was still warming up collapsed under overload.
     Fell { t: u64, server: String },
-    /// Something that the run did.
+    /// An action of the run itself, such as a fault or the end of the load.
     Note {
         t: u64,
         what: String,
@@ -76,60 +77,60 @@
 /// How a call ended for its client.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[serde(rename_all = "snake_case")]
-pub enum End {
-    /// A server's answer.
+pub enum CallOutcome {
+    /// A server responded.
     Served,
-    /// RESOURCE_EXHAUSTED with advice.
+    /// RESOURCE_EXHAUSTED with a retry delay.
     Refused,
     /// DEADLINE_EXCEEDED or UNAVAILABLE.
     Failed,
-    /// The connection to the gateway was lost first.
+    /// The connection to the gateway was lost before a response.
     Lost,
-    /// The client's time ran out without an answer.
+    /// The client gave up waiting for a response after its deadline.
     Silent,
-    /// Another status of the gateway's own.
+    /// Another status that the gateway itself produced.
     Other,
 }
 
-/// Writes a log.
-pub struct Log {
+/// Writes an event log.
+pub struct EventLog {
     out: Option<BufWriter<File>>,
 }
 
-impl Log {
-    /// Writes to a new file; without a path, nowhere.
-    pub fn create(path: Option<&Path>) -> std::io::Result<Log> {
+impl EventLog {
+    /// Creates the file; without a path, events are discarded.
+    pub fn create(path: Option<&Path>) -> std::io::Result<EventLog> {
         let out = path.map(File::create).transpose()?.map(BufWriter::new);
-        Ok(Log { out })
+        Ok(EventLog { out })
     }
-    /// Adds a line.
-    pub fn line(&mut self, line: &Line) {
+    /// Appends an event. A write error is logged and stops the logging.
+    pub fn append(&mut self, event: &Entry) {
         let Some(out) = &mut self.out else { return };
-        let written = serde_json::to_writer(&mut *out, line).map_err(std::io::Error::from);
+        let written = serde_json::to_writer(&mut *out, event).map_err(std::io::Error::from);
         if let Err(e) = written.and_then(|()| out.write_all(b"\n")) {
             tracing::error!(error = %e, "event log not writable: logging stopped");
             self.out = None;
         }
     }
-    /// Hands all lines to the system, so that a kill loses none.
+    /// Writes all buffered lines to the file, so that a SIGKILL loses none.
     pub fn flush(&mut self) {
         let _ = self.out.as_mut().map(|out| out.flush());
     }
 }
 
-/// Reads a log. A last line cut short by a kill is left out. Errors name file and line.
-pub fn read(path: &Path) -> anyhow::Result<Vec<Line>> {
-    let mut lines = Vec::new();
+/// Reads an event log. Ignores an incomplete last line, which a killed process leaves behind. Errors name file and line.
+pub fn read(path: &Path) -> anyhow::Result<Vec<Entry>> {
+    let mut events = Vec::new();
     let mut reader = BufReader::new(File::open(path)?);
-    let (mut text, mut at) = (String::new(), 0);
+    let (mut text, mut line_number) = (String::new(), 0);
     while reader.read_line(&mut text)? > 0 {
-        at += 1;
+        line_number += 1;
         match serde_json::from_str(&text) {
-            Ok(line) => lines.push(line),
+            Ok(event) => events.push(event),
             Err(_) if !text.ends_with('\n') => {}
-            Err(e) => anyhow::bail!("{}:{at}: expected a log line: {e}", path.display()),
+            Err(e) => anyhow::bail!("{}:{line_number}: expected a log line: {e}", path.display()),
         }
         text.clear();
     }
-    Ok(lines)
+    Ok(events)
 }
--- a/crates/testbed/src/parts/process.rs
+++ b/crates/testbed/src/common/process.rs
@@ -1,4 +1,4 @@
-//! Processes of a run: started with a line of addresses, ended by their ids.
+//! Child processes of a run: starting them, reading the addresses in their ready line, signalling and killing them.
 
 use anyhow::{bail, Context};
 use chalkdeck_grpc_gateway::logs;
@@ -10,96 +10,102 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, ChildStdout, Command, Stdio};
 
-/// Lines of a part's standard error that are shown where it does not start.
-const SHOWN_ERROR_LINES: usize = 3;
+/// Lines of a process's standard error that the error shows if it does not start.
+const SHOWN_STDERR_LINES: usize = 3;
 
-/// How the parts of a run are started: this very program, with the arguments that lead to the lab's commands.
+/// The program that child processes run: this executable, with the arguments that select the testbed's subcommands.
 #[derive(Clone, Debug)]
 pub struct Program {
     pub exe: PathBuf,
-    pub before: Vec<String>,
+    /// Arguments that come before the testbed's own subcommand.
+    pub leading_args: Vec<String>,
 }
 
 impl Program {
-    /// The program that runs now.
-    pub fn this(before: &[&str]) -> anyhow::Result<Program> {
-        let exe = std::env::current_exe().context("expected to know this program's own file")?;
+    /// The executable of the current process.
+    pub fn this(leading_args: &[&str]) -> anyhow::Result<Program> {
+        let exe = std::env::current_exe().context("expected the path of this executable")?;
         Ok(Program {
             exe,
-            before: before.iter().map(|s| s.to_string()).collect(),
+            leading_args: leading_args.iter().map(|s| s.to_string()).collect(),
         })
     }
 }
 
-/// A part that runs.
+/// A child process, which is killed when this value is dropped.
 pub struct Process {
     child: Child,
     stdout: Option<BufReader<ChildStdout>>,
-    ready: HashMap<String, String>,
+    ready_fields: HashMap<String, String>,
 }
 
 impl Process {
-    /// Starts it and waits for its line of addresses. Its standard error goes to a file.
+    /// Starts a child process and waits for its ready line. Appends its standard error to `stderr_file`.
     pub fn start(
         program: &Program,
         args: &[String],
-        errors_file: &Path,
+        stderr_file: &Path,
     ) -> anyhow::Result<Process> {
-        let errors = File::options()
+        let stderr = File::options()
             .create(true)
             .append(true)
-            .open(errors_file)?;
+            .open(stderr_file)?;
         let mut child = Command::new(&program.exe)
-            .args(&program.before)
+            .args(&program.leading_args)
             .args(args)
             .arg("--with-parent")
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
-            .stderr(errors)
+            .stderr(stderr)
             .spawn()
             .with_context(|| format!("expected to start {}", program.exe.display()))?;
-        let mut stdout = BufReader::new(child.stdout.take().context("expected the part's output")?);
+        let mut stdout = BufReader::new(
+            child
+                .stdout
+                .take()
+                .context("expected the process's standard output")?,
+        );
         let mut line = String::new();
         stdout.read_line(&mut line)?;
         let Some(rest) = line.trim().strip_prefix("ready") else {
             let _ = child.kill();
             let _ = child.wait();
             bail!(
-                "{}: expected a line 'ready ...', found '{}'; its last lines: {}",
+                "{}: expected a line 'ready ...', found '{}'; the last lines of its standard error: {}",
                 args.join(" "),
                 line.trim(),
-                last_lines(errors_file)
+                last_lines(stderr_file)
             );
         };
         let pairs = rest.split_whitespace().filter_map(|p| p.split_once('='));
-        let ready = pairs.map(|(k, v)| (k.to_string(), v.to_string())).collect();
+        let ready_fields = pairs.map(|(k, v)| (k.to_string(), v.to_string())).collect();
         Ok(Process {
             child,
             stdout: Some(stdout),
-            ready,
+            ready_fields,
         })
     }
 
-    /// An address that it told.
+    /// The address under this name in the ready line.
     pub fn address(&self, name: &str) -> anyhow::Result<SocketAddr> {
         let text = self
-            .ready
+            .ready_fields
             .get(name)
-            .with_context(|| format!("expected {name} in the part's line"))?;
+            .with_context(|| format!("expected {name} in the ready line"))?;
         Ok(text.parse()?)
     }
-    /// Addresses that it told, parted by commas.
+    /// The comma-separated addresses under this name in the ready line.
     pub fn addresses(&self, name: &str) -> anyhow::Result<Vec<SocketAddr>> {
         let text = self
-            .ready
+            .ready_fields
             .get(name)
-            .with_context(|| format!("expected {name} in the part's line"))?;
+            .with_context(|| format!("expected {name} in the ready line"))?;
         text.split(',')
             .map(|a| a.parse().map_err(anyhow::Error::from))
             .collect()
     }
-    /// Passes the rest of its output on, line by line, from a thread of its own.
-    pub fn echo(&mut self) {
+    /// Copies the rest of its standard output to this process's, line by line, in a separate thread.
+    pub fn forward_stdout(&mut self) {
         let Some(stdout) = self.stdout.take() else {
             return;
         };
@@ -118,15 +124,14 @@
             let _ = kill_process(pid, signal);
         }
     }
-    /// Whether it still runs.
-    pub fn runs(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
-    /// Waits for its end; whether it ended well.
+    /// Waits for the process to exit; returns whether its exit status was 0.
     pub fn wait(&mut self) -> bool {
         self.child.wait().is_ok_and(|status| status.success())
     }
-    /// Ends it at once.
+    /// Sends SIGKILL and waits for the process to exit.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -139,30 +144,30 @@
     }
 }
 
-/// The end of what a part wrote to its standard error.
-fn last_lines(errors_file: &Path) -> String {
-    let text = std::fs::read_to_string(errors_file).unwrap_or_default();
+/// The last lines that a process wrote to its standard error.
+fn last_lines(stderr_file: &Path) -> String {
+    let text = std::fs::read_to_string(stderr_file).unwrap_or_default();
     let lines: Vec<&str> = text.lines().collect();
-    let first = lines.len().saturating_sub(SHOWN_ERROR_LINES);
+    let first = lines.len().saturating_sub(SHOWN_STDERR_LINES);
     lines[first..].join(" | ")
 }
 
-/// The first step of a part: logs, and an end with its parent where that is asked.
-pub fn begin(with_parent: bool) {
+/// Initializes a child process: starts logging and, if `with_parent` is set, ties its lifetime to the parent's.
+pub fn init_process(with_parent: bool) {
     logs::start("info", false);
     if with_parent {
-        end_with_parent();
+        exit_with_parent();
     }
 }
 
-/// Asks the system to end this process with its parent.
-pub fn end_with_parent() {
+/// Asks the kernel to send SIGTERM to this process when its parent exits.
+pub fn exit_with_parent() {
     if let Err(e) = rustix::process::set_parent_process_death_signal(Some(Signal::TERM)) {
         tracing::warn!(error = %e, "process may outlive its parent");
     }
 }
 
-/// Processor time that a process has used, in seconds.
+/// User and system CPU time of a process, in seconds.
 pub fn cpu_seconds(id: u32) -> anyhow::Result<f64> {
     let text = std::fs::read_to_string(format!("/proc/{id}/stat"))?;
     let fields: Vec<&str> = text
@@ -173,19 +178,19 @@
         .collect();
     let ticks: f64 = fields
         .get(11..13)
-        .context("expected times in stat")?
+        .context("expected CPU times in /proc/ID/stat")?
         .iter()
         .filter_map(|f| f.parse::<f64>().ok())
         .sum();
     Ok(ticks / rustix::param::clock_ticks_per_second() as f64)
 }
 
-/// Memory that a process holds now, in KiB.
+/// Resident memory of a process, in KiB.
 pub fn memory_kib(id: u32) -> anyhow::Result<u64> {
     let text = std::fs::read_to_string(format!("/proc/{id}/status"))?;
     let line = text
         .lines()
         .find_map(|l| l.strip_prefix("VmRSS:"))
-        .context("expected VmRSS")?;
+        .context("expected VmRSS in /proc/ID/status")?;
     Ok(line.trim().trim_end_matches(" kB").trim().parse()?)
 }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,14 +1,15 @@
-//! The laboratory: stand-ins for the counter and the servers, a load tool, scripted days and their audit.
+//! The testbed: stand-ins for the counter and the servers, a load generator, scripted days with fault injection, and
+//! audits of the recorded runs.
 //!
-//! Arrows between the folders run one way: `parts` knows nobody, stand-ins, load and audit know parts, the rig knows
-//! these, measurement and soak know the rig.
+//! Modules depend on each other in one direction: `common` uses no other module; `stand_ins`, `load` and `audit` use
+//! `common`; `rig` uses these; `measure` and `soak` use `rig`.
 #![forbid(unsafe_code)]
 
 pub mod audit;
 pub mod cli;
+pub mod common;
 pub mod load;
 pub mod measure;
-pub mod parts;
 pub mod rig;
 pub mod soak;
 pub mod stand_ins;
--- a/crates/testbed/src/load/calls.rs
+++ b/crates/testbed/src/load/calls.rs
@@ -1,9 +1,9 @@
 //! Open-loop gRPC load from many customers. Latencies count from the time at which a call was due, so that a load tool
 //! that falls behind does not hide it (coordinated omission).
 
-use crate::parts::control;
-use crate::parts::log::{End, Line, Log};
-use crate::parts::report::Figures;
+use crate::common::control;
+use crate::common::event_log::{CallOutcome, Entry, EventLog};
+use crate::common::load_stats::LoadStats;
 use chalkdeck_net::clock::monotonic;
 use chalkdeck_net::grpc::{self, Code};
 use chalkdeck_net::signals::Signals;
@@ -94,16 +94,16 @@
     naive_retries: u32,
     /// Failed calls are repeated as their class allows, not whatever it is.
     repeats_by_class: bool,
-    log: Log,
+    log: EventLog,
     rng: fastrand::Rng,
-    pub figures: Figures,
+    pub figures: LoadStats,
     stop_sending: bool,
     mix_total: f64,
     control: Option<SocketAddr>,
 }
 
 impl Load {
-    pub fn start(plan: Plan, log: Log) -> std::io::Result<Load> {
+    pub fn start(plan: Plan, log: EventLog) -> std::io::Result<Load> {
         let mut engine = Engine::new()?;
         let control = match plan.control {
             Some(address) => Some(engine.listen(address, Limits::default(), false, true)?.1),
@@ -129,7 +129,7 @@
             repeats_by_class: false,
             log,
             rng: fastrand::Rng::with_seed(plan.seed),
-            figures: Figures::default(),
+            figures: LoadStats::default(),
             stop_sending: false,
             mix_total,
             control,
@@ -251,16 +251,16 @@
                 self.figures.bytes += data.len() as u64;
             }
             Event::End { stream, trailers } => self.on_end(stream, &trailers.unwrap_or_default()),
-            Event::StreamFailed { stream, .. } => self.ended(stream, End::Lost, -1, None),
+            Event::StreamFailed { stream, .. } => self.ended(stream, CallOutcome::Lost, -1, None),
             Event::Timer(token) => {
                 if let Some(due) = self.due.remove(&token) {
                     self.on_due(due);
                 }
             }
             Event::Get { conn, path } => {
-                let (_, pairs) = control::parse(&path);
+                let (_, pairs) = control::parse_target(&path);
                 let done = self.set(&pairs);
-                control::answer(&mut self.engine, conn, done);
+                control::respond(&mut self.engine, conn, done);
             }
             _ => {}
         }
@@ -274,12 +274,12 @@
             Due::Give(stream) => {
                 if self.open.contains_key(&stream) {
                     self.engine.reset(stream, h2::Reason::CANCEL);
-                    self.ended(stream, End::Silent, -1, None);
+                    self.ended(stream, CallOutcome::Silent, -1, None);
                 }
             }
             Due::Second => {
                 if self.plan.lines {
-                    println!("{}", self.figures.line());
+                    println!("{}", self.figures.to_line());
                 }
                 if !self.stop_sending {
                     self.due_at(self.engine.now() + 1_000_000, Due::Second);
@@ -389,7 +389,7 @@
             t + deadline
         };
         let name = self.customers[customer].name.clone();
-        let line = Line::Call {
+        let line = Entry::Call {
             t,
             id: id.clone(),
             customer: name,
@@ -399,7 +399,7 @@
             deadline: until,
             gateway,
         };
-        self.log.line(&line);
+        self.log.append(&line);
         if deadline > 0 {
             self.due_at(self.engine.now() + deadline + LISTEN_ON, Due::Give(stream));
         }
@@ -418,9 +418,9 @@
                 heard: false,
             },
         );
-        self.figures.sent(&self.customers[customer].plan);
-        self.figures.tries += 1;
-        self.figures.firsts += u64::from(tries == 0);
+        self.figures.record_sent(&self.customers[customer].plan);
+        self.figures.attempts += 1;
+        self.figures.calls += u64::from(tries == 0);
         true
     }
 
@@ -446,20 +446,20 @@
             .and_then(|v| v.to_str().ok())
             .and_then(|v| v.parse::<i64>().ok());
         let end = match code {
-            Some(Code::ResourceExhausted) if pushback.is_some() => End::Refused,
-            Some(Code::Unavailable | Code::DeadlineExceeded) => End::Failed,
-            Some(Code::Ok | Code::Internal | Code::NotFound) => End::Served,
-            _ => End::Other,
+            Some(Code::ResourceExhausted) if pushback.is_some() => CallOutcome::Refused,
+            Some(Code::Unavailable | Code::DeadlineExceeded) => CallOutcome::Failed,
+            Some(Code::Ok | Code::Internal | Code::NotFound) => CallOutcome::Served,
+            _ => CallOutcome::Other,
         };
         self.ended(stream, end, code.map_or(-1, |c| c as i32), pushback);
     }
 
-    fn ended(&mut self, stream: StreamId, end: End, status: i32, pushback: Option<i64>) {
+    fn ended(&mut self, stream: StreamId, end: CallOutcome, status: i32, pushback: Option<i64>) {
         let Some(open) = self.open.remove(&stream) else {
             return;
         };
         let t = monotonic();
-        self.log.line(&Line::Answer {
+        self.log.append(&Entry::Answer {
             t,
             id: open.id.clone(),
             end,
@@ -469,7 +469,7 @@
         let took = self.engine.now().saturating_sub(open.due);
         let late = t > open.deadline;
         self.figures
-            .ended(&self.customers[open.customer].plan, end, took, late);
+            .record_end(&self.customers[open.customer].plan, end, took, late);
         let again = self.repeats(end, open.mix) && open.tries < self.naive_retries;
         if again && !self.stop_sending {
             self.try_call(
@@ -490,10 +490,12 @@
     }
 
     /// Whether a call that ended so is made again.
-    fn repeats(&self, end: End, mix: usize) -> bool {
+    fn repeats(&self, end: CallOutcome, mix: usize) -> bool {
         match end {
-            End::Refused => true,
-            End::Failed | End::Lost => !self.repeats_by_class || self.plan.may_repeat[mix],
+            CallOutcome::Refused => true,
+            CallOutcome::Failed | CallOutcome::Lost => {
+                !self.repeats_by_class || self.plan.may_repeat[mix]
+            }
             _ => false,
         }
     }
--- a/crates/testbed/src/load/command.rs
+++ b/crates/testbed/src/load/command.rs
@@ -1,11 +1,11 @@
 //! The load tool: which clients, at what rate, for how long.
 
+use crate::common::event_log::EventLog;
+use crate::common::load_stats::LoadSummary;
+use crate::common::process::init_process;
+use crate::common::script;
 use crate::load::calls::{Load, Plan};
 use crate::load::library;
-use crate::parts::log::Log;
-use crate::parts::process::begin;
-use crate::parts::report::Summary;
-use crate::parts::script;
 use anyhow::{bail, Context};
 use chalkdeck_client::Idempotency;
 use chalkdeck_net::signals::Signals;
@@ -62,7 +62,7 @@
 
 /// Runs it until its time is over.
 pub fn command(args: LoadArgs) -> anyhow::Result<()> {
-    begin(args.with_parent);
+    init_process(args.with_parent);
     let signals = Signals::take()?;
     let day = script::read(&args.day)?;
     let mut shape = day.load.context("expected a load in the day")?;
@@ -86,7 +86,7 @@
             prefix: args.prefix,
         };
         println!("ready control=-");
-        let figures = library::run(&library, &signals, Log::create(args.log.as_deref())?)?;
+        let figures = library::run(&library, &signals, EventLog::create(args.log.as_deref())?)?;
         return write_summary(args.out.as_deref(), &figures.summary());
     }
     let may_repeat = may_repeat(&day.gateway.unwrap_or_default(), &shape);
@@ -103,7 +103,7 @@
         lines: args.lines,
         naive: args.naive,
     };
-    let mut load = Load::start(plan, Log::create(args.log.as_deref())?)?;
+    let mut load = Load::start(plan, EventLog::create(args.log.as_deref())?)?;
     let control = load
         .control()
         .map_or(String::new(), |c| format!(" control={c}"));
@@ -145,7 +145,7 @@
     shape.mix.iter().map(repeat).collect()
 }
 
-fn write_summary(out: Option<&Path>, summary: &Summary) -> anyhow::Result<()> {
+fn write_summary(out: Option<&Path>, summary: &LoadSummary) -> anyhow::Result<()> {
     let text = serde_json::to_string(summary)?;
     match out {
         Some(path) => std::fs::write(path, text)?,
--- a/crates/testbed/src/load/library.rs
+++ b/crates/testbed/src/load/library.rs
@@ -1,8 +1,8 @@
 //! Open-loop load through the client library: one client for each customer, a call's tries are the library's.
 
+use crate::common::event_log::{CallOutcome, Entry, EventLog};
+use crate::common::load_stats::LoadStats;
 use crate::load::calls::{customers, kind_at, Customer};
-use crate::parts::log::{End, Line, Log};
-use crate::parts::report::Figures;
 use anyhow::Context;
 use bytes::Bytes;
 use chalkdeck_client::{Call, Client, Idempotency, Outcome, Reply, Settings, TimeDelta};
@@ -43,8 +43,8 @@
     clients: Vec<Client>,
     mixed: f64,
     serial: u64,
-    log: Log,
-    figures: Figures,
+    log: EventLog,
+    figures: LoadStats,
     rng: fastrand::Rng,
     ended: Sender<Ended>,
     inbox: Receiver<Ended>,
@@ -52,7 +52,7 @@
 }
 
 /// Sends for the planned time and waits for the last ends.
-pub fn run(plan: &Plan, signals: &Signals, log: Log) -> anyhow::Result<Figures> {
+pub fn run(plan: &Plan, signals: &Signals, log: EventLog) -> anyhow::Result<LoadStats> {
     let customers = customers(&plan.shape);
     let count = if plan.outstanding.is_some() {
         1
@@ -70,7 +70,7 @@
     let (ended, inbox) = channel();
     let mixed = plan.shape.mix.iter().map(|m| m.share).sum();
     let rng = fastrand::Rng::with_seed(plan.seed);
-    let (serial, open, figures) = (0, 0, Figures::default());
+    let (serial, open, figures) = (0, 0, LoadStats::default());
     let mut load = Load {
         plan,
         customers,
@@ -158,7 +158,7 @@
         );
         let t = monotonic();
         let deadline = t + u64::from(mix.timeout_ms) * 1_000;
-        self.log.line(&Line::Call {
+        self.log.append(&Entry::Call {
             t,
             id: id.clone(),
             customer: customer.clone(),
@@ -168,8 +168,8 @@
             deadline,
             gateway: 0,
         });
-        self.figures.sent(&plan);
-        self.figures.firsts += 1;
+        self.figures.record_sent(&plan);
+        self.figures.calls += 1;
         self.open += 1;
         let call = call_of(
             &mix,
@@ -214,26 +214,26 @@
             reply,
         } = ended;
         self.open -= 1;
-        self.figures.tries += u64::from(reply.attempts);
+        self.figures.attempts += u64::from(reply.attempts);
         let end = match reply.outcome {
-            Outcome::Answered => End::Served,
-            Outcome::Rejected { .. } | Outcome::NotSent => End::Refused,
-            Outcome::Failed | Outcome::DeadlineExceeded { .. } => End::Failed,
-            Outcome::TooManyCalls | Outcome::Cancelled => End::Other,
+            Outcome::Answered => CallOutcome::Served,
+            Outcome::Rejected { .. } | Outcome::NotSent => CallOutcome::Refused,
+            Outcome::Failed | Outcome::DeadlineExceeded { .. } => CallOutcome::Failed,
+            Outcome::TooManyCalls | Outcome::Cancelled => CallOutcome::Other,
         };
         let status = reply.status.map_or(-1, |c| c as i32);
-        self.log.line(&Line::Answer {
+        self.log.append(&Entry::Answer {
             t: at,
             id,
             end,
             status,
             pushback: None,
         });
-        self.figures.ended(
+        self.figures.record_end(
             &plan,
             end,
             at.saturating_sub(due),
-            at > deadline && end == End::Served,
+            at > deadline && end == CallOutcome::Served,
         );
     }
 }
--- a/crates/testbed/src/measure/adds.rs
+++ b/crates/testbed/src/measure/adds.rs
@@ -1,8 +1,8 @@
 //! What the counter costs: adds a second for each promise, beside the stand-in and beside a bare loop of write and sync of the
 //! same bytes, in turns; and how long a start takes.
 
-use crate::parts::control::metric;
-use crate::parts::process::{cpu_seconds, Process, Program};
+use crate::common::control::read_metric;
+use crate::common::process::{cpu_seconds, Process, Program};
 use anyhow::{bail, Context};
 use bytes::BytesMut;
 use chalkdeck_net::grpc::{self, Deframer};
@@ -318,8 +318,8 @@
     }
     let admin = ways[0].process.address("admin")?;
     let (adds, batches) = (
-        metric(admin, "chalkdeck_counter_batch_adds_sum")?,
-        metric(admin, "chalkdeck_counter_batch_adds_count")?,
+        read_metric(admin, "chalkdeck_counter_batch_adds_sum")?,
+        read_metric(admin, "chalkdeck_counter_batch_adds_count")?,
     );
     let batch = adds / batches;
     let syncs = bare(
@@ -358,7 +358,7 @@
     crowd.each = Some(0);
     crowd.args.names = 1_000_000;
     crowd.run(60.0)?;
-    let names = metric(process.address("admin")?, "chalkdeck_counter_names")?;
+    let names = read_metric(process.address("admin")?, "chalkdeck_counter_names")?;
     drop(process);
     let begun = Instant::now();
     let process = own(program, &args.dir, "SYNC")?;
--- a/crates/testbed/src/measure/asks.rs
+++ b/crates/testbed/src/measure/asks.rs
@@ -1,7 +1,7 @@
 //! What the RESP front costs: pipelines of asks with the decisions on, beside ECHO on the same loop, in turns.
 
+use crate::common::process::{cpu_seconds, Program};
 use crate::measure::gateway;
-use crate::parts::process::{cpu_seconds, Program};
 use crate::rig::fleet::{any, Fleet};
 use anyhow::{bail, Context};
 use chalkdeck_proto::chalkdeck::config::v1::Resp;
--- a/crates/testbed/src/measure/flood.rs
+++ b/crates/testbed/src/measure/flood.rs
@@ -1,9 +1,9 @@
 //! One customer floods a gateway while others keep to their quotas: what the others lose, with the door and without it.
 
-use crate::parts::control;
-use crate::parts::process::{memory_kib, Process, Program};
-use crate::parts::report::Summary;
-use crate::parts::script::MESSAGE;
+use crate::common::control;
+use crate::common::load_stats::LoadSummary;
+use crate::common::process::{memory_kib, Process, Program};
+use crate::common::script::DAY_MESSAGE;
 use crate::rig::demo;
 use crate::rig::fleet::{any, Fleet};
 use anyhow::{bail, Context};
@@ -58,7 +58,7 @@
     }
 
     /// The others' calls for a while.
-    fn others(&self, name: &str) -> anyhow::Result<Summary> {
+    fn others(&self, name: &str) -> anyhow::Result<LoadSummary> {
         let (mut load, out) = self.load(name, &self.dir.join("day.txtpb"), self.seconds, &[])?;
         if !load.wait() {
             bail!(
@@ -103,12 +103,12 @@
     let path = dir.join("flood.txtpb");
     std::fs::write(
         &path,
-        text::print(MESSAGE, &day).context("expected a text form")?,
+        text::print(DAY_MESSAGE, &day).context("expected a text form")?,
     )?;
     Ok(path)
 }
 
-fn share(summary: &Summary) -> f64 {
+fn share(summary: &LoadSummary) -> f64 {
     summary.served as f64 / summary.sent.max(1) as f64
 }
 
@@ -155,9 +155,9 @@
     std::thread::sleep(SETTLE);
     let during = run.others("during")?;
     let grown = memory_kib(id)?;
-    let refused = control::metric(run.fleet.admin(0), "chalkdeck_door_refused_total")?;
+    let refused = control::read_metric(run.fleet.admin(0), "chalkdeck_door_refused_total")?;
     load.wait();
-    let flood: Summary = serde_json::from_str(&std::fs::read_to_string(out)?)?;
+    let flood: LoadSummary = serde_json::from_str(&std::fs::read_to_string(out)?)?;
     let ms = |us: u64| us as f64 / 1e3;
     println!(
         "| {connections} | {} | {:.0} ({refused} at the door) | {:.3}, {:.3} | {:.1}, {:.1} | {:.1}, {:.1} | {:.1}, {:.1} |",
--- a/crates/testbed/src/measure/gateway.rs
+++ b/crates/testbed/src/measure/gateway.rs
@@ -1,10 +1,10 @@
 //! What the gateway costs, side by side in one run: calls straight to the servers, through a bare relay on the same
 //! sockets, and through a gateway that asks the counter for each call.
 
-use crate::parts::control;
-use crate::parts::process::{cpu_seconds, memory_kib, Process, Program};
-use crate::parts::report::Summary;
-use crate::parts::script::MESSAGE;
+use crate::common::control;
+use crate::common::load_stats::LoadSummary;
+use crate::common::process::{cpu_seconds, memory_kib, Process, Program};
+use crate::common::script::DAY_MESSAGE;
 use crate::rig::fleet::{any, Fleet};
 use anyhow::{bail, Context};
 use chalkdeck_proto::chalkdeck::lab::v1::Day;
@@ -43,7 +43,7 @@
 }
 
 struct Sample {
-    summary: Summary,
+    summary: LoadSummary,
     cpu: f64,
 }
 
@@ -65,7 +65,7 @@
 /// A fleet whose servers answer at once, and customers within their quotas.
 pub fn fleet() -> anyhow::Result<Day> {
     let source = include_str!("../../days/measure.txtpb");
-    text::parse(MESSAGE, source).map_err(|e| anyhow::anyhow!("measure day: {e}"))
+    text::parse(DAY_MESSAGE, source).map_err(|e| anyhow::anyhow!("measure day: {e}"))
 }
 
 /// Runs all of it and prints tables.
@@ -172,7 +172,7 @@
             .transpose()?
             .zip(before)
             .map_or(0.0, |(after, before)| after - before);
-        let summary: Summary = serde_json::from_str(&std::fs::read_to_string(out)?)?;
+        let summary: LoadSummary = serde_json::from_str(&std::fs::read_to_string(out)?)?;
         Ok(Sample { summary, cpu })
     }
 
@@ -243,7 +243,7 @@
         println!("\n| load | way | p50 us | p99 us | p99.9 us |\n| --- | --- | --- | --- | --- |");
         for part in [0.2, 0.5, 0.8] {
             let rate = (most * part).round().to_string();
-            let mut best: Vec<Option<Summary>> = vec![None; ways.len()];
+            let mut best: Vec<Option<LoadSummary>> = vec![None; ways.len()];
             for _ in 0..rounds {
                 for (way, best) in ways.iter().zip(&mut best) {
                     let summary = self.load(way, &["--rate", &rate])?.summary;
--- a/crates/testbed/src/measure/reconnect.rs
+++ b/crates/testbed/src/measure/reconnect.rs
@@ -1,9 +1,9 @@
 //! Many clients lose their gateway at once. Each is a core of the client library of its own, or a naive one that connects
 //! again every 10 ms; all of them share one loop, so that thousands fit into one process. Those that are back call on.
 
-use crate::parts::plot::{self, Curve};
-use crate::parts::process::Program;
-use crate::parts::script::Act;
+use crate::common::plot::{self, Curve};
+use crate::common::process::Program;
+use crate::common::script::ScriptAction;
 use crate::rig::demo;
 use crate::rig::fleet::{any, Fleet};
 use anyhow::{bail, Context};
@@ -288,7 +288,7 @@
         curve("library", play(program, args, false)?),
         curve("naive, every 10 ms", play(program, args, true)?),
     ];
-    plot::curves(svg, "connects begun in 100 ms after the loss", &curves)
+    plot::write_chart(svg, "connects begun in 100 ms after the loss", &curves)
 }
 
 fn play(program: &Program, args: &ReconnectArgs, naive: bool) -> anyhow::Result<Begun> {
@@ -299,14 +299,14 @@
     let mut crowd = Crowd::new(args, address, naive)?;
     crowd.start();
     crowd.until("the first connections", 60.0, |c| c.up == c.cores.len())?;
-    fleet.act(&Act::KillGateway(0), None)?;
+    fleet.act(&ScriptAction::KillGateway(0), None)?;
     let lost = crowd.engine.now();
     crowd.lost_at = Some(lost);
     let back = lost + (args.away * 1e6) as u64;
     while crowd.engine.now() < back {
         crowd.turn()?;
     }
-    fleet.act(&Act::StartGateway(0), None)?;
+    fleet.act(&ScriptAction::StartGateway(0), None)?;
     let started = crowd.engine.now();
     crowd.calls = Some(Calls {
         due: 0,
--- a/crates/testbed/src/measure/returns.rs
+++ b/crates/testbed/src/measure/returns.rs
@@ -1,7 +1,7 @@
 //! Callers that ask for more than their quota and come back exactly when they were told to: how many are served then, and how
 //! evenly customers fare. Over RESP, through one gateway.
 
-use crate::parts::process::Program;
+use crate::common::process::Program;
 use crate::rig::demo;
 use crate::rig::fleet::{any, Fleet};
 use anyhow::{bail, Context};
--- a/crates/testbed/src/measure/sites.rs
+++ b/crates/testbed/src/measure/sites.rs
@@ -4,8 +4,8 @@
 use crate::audit::rules::{audit, Record};
 use crate::audit::site_chart;
 use crate::audit::sites::{capacity_of, work_of, Figures, SiteDay};
-use crate::parts::process::Program;
-use crate::parts::script;
+use crate::common::process::Program;
+use crate::common::script;
 use crate::rig::day::{self, Ways};
 use anyhow::bail;
 use chalkdeck_proto::chalkdeck::config::v1::Sites;
--- a/crates/testbed/src/rig/between.rs
+++ b/crates/testbed/src/rig/between.rs
@@ -1,7 +1,7 @@
 //! The relays of a fleet: gateways reach servers and counter, and clients reach gateways, each site by addresses of its own.
 
-use crate::parts::process::{Process, Program};
-use crate::parts::script::CLIENTS;
+use crate::common::process::{Process, Program};
+use crate::common::script::CLIENTS_SITE;
 use chalkdeck_proto::chalkdeck::lab::v1::Day;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -53,7 +53,7 @@
             program,
             day,
             &dir.join("client-links.log"),
-            &[CLIENTS],
+            &[CLIENTS_SITE],
             &targets,
         )
     }
--- a/crates/testbed/src/rig/counting.rs
+++ b/crates/testbed/src/rig/counting.rs
@@ -1,8 +1,8 @@
 //! The counter of a fleet: the project's own, or the stand-in with its faults.
 
-use crate::parts::control;
-use crate::parts::process::begin;
-use crate::parts::process::{Process, Program};
+use crate::common::control;
+use crate::common::process::init_process;
+use crate::common::process::{Process, Program};
 use crate::rig::fleet::{any, reserve};
 use anyhow::{bail, Context};
 use chalkdeck_net::signals::Signals;
@@ -96,7 +96,7 @@
 
 /// Runs the counter itself until it is stopped.
 pub fn command(args: &OwnCounterArgs) -> anyhow::Result<()> {
-    begin(args.with_parent);
+    init_process(args.with_parent);
     let settings = chalkdeck_counter::settings::Settings::load(&args.config)?;
     chalkdeck_counter::server::run(&settings, &Signals::take()?)?;
     Ok(())
--- a/crates/testbed/src/rig/day.rs
+++ b/crates/testbed/src/rig/day.rs
@@ -1,9 +1,9 @@
 //! Plays a scripted day: processes, troubles by the clock, logs in one folder, and the audit.
 
 use crate::audit::rules;
-use crate::parts::process::Program;
-use crate::parts::report::Summary;
-use crate::parts::script::{self, script, within};
+use crate::common::load_stats::LoadSummary;
+use crate::common::process::Program;
+use crate::common::script::{self, clip_to_duration, day_actions};
 use crate::rig::fleet::{any, Fleet};
 use crate::rig::watch::Watch;
 use anyhow::{bail, Context};
@@ -62,8 +62,8 @@
 }
 
 /// Plays a day and leaves its logs in `dir`. Returns what the load saw.
-pub fn run(program: Program, day: Day, dir: &Path, ways: &Ways) -> anyhow::Result<Summary> {
-    let acts = within(script(&day)?, day.seconds.saturating_mul(1_000));
+pub fn run(program: Program, day: Day, dir: &Path, ways: &Ways) -> anyhow::Result<LoadSummary> {
+    let acts = clip_to_duration(day_actions(&day)?, day.seconds.saturating_mul(1_000));
     let signals = Signals::take()?;
     let seconds = f64::from(day.seconds);
     let mut fleet = Fleet::start(program, day, dir, any(), ways.fault.clone())?;
@@ -92,21 +92,25 @@
     let mut load = fleet.load(seconds, &more)?;
     // The library's load takes no commands; days that need them say so when they come to it.
     let control = load.address("control").ok();
-    load.echo();
+    load.forward_stdout();
     let begin = monotonic();
     for timed in acts {
-        while monotonic() < begin + u64::from(timed.at) * 1_000 {
+        while monotonic() < begin + u64::from(timed.at_ms) * 1_000 {
             if signals.stop() {
                 bail!("stopped by a signal");
             }
             std::thread::sleep(Duration::from_millis(2));
         }
         if ways.lines {
-            println!("# {:.1} s: {:?}", f64::from(timed.at) / 1e3, timed.act);
+            println!(
+                "# {:.1} s: {:?}",
+                f64::from(timed.at_ms) / 1e3,
+                timed.action
+            );
         }
         fleet
-            .act(&timed.act, control)
-            .with_context(|| format!("{:?}", timed.act))?;
+            .act(&timed.action, control)
+            .with_context(|| format!("{:?}", timed.action))?;
     }
     if !load.wait() {
         bail!(
--- a/crates/testbed/src/rig/demo.rs
+++ b/crates/testbed/src/rig/demo.rs
@@ -1,8 +1,8 @@
 //! The demo: three gateways, a counter, nine servers and a small load on this machine, with no settings.
 
-use crate::parts::control;
-use crate::parts::process::Program;
-use crate::parts::script::MESSAGE;
+use crate::common::control;
+use crate::common::process::Program;
+use crate::common::script::DAY_MESSAGE;
 use crate::rig::fleet::Fleet;
 use anyhow::Context;
 use chalkdeck_net::signals::Signals;
@@ -28,7 +28,7 @@
 /// The demo's fleet and load.
 pub fn fleet() -> anyhow::Result<Day> {
     let source = include_str!("../../days/demo.txtpb");
-    text::parse(MESSAGE, source).map_err(|e| anyhow::anyhow!("the demo's day: {e}"))
+    text::parse(DAY_MESSAGE, source).map_err(|e| anyhow::anyhow!("the demo's day: {e}"))
 }
 
 /// Starts all, prints where to call, and a line of figures each second until the time is up or it is stopped.
@@ -68,7 +68,7 @@
     let mut load = (!no_load)
         .then(|| fleet.load(span as f64, &["--lines"]))
         .transpose()?;
-    load.iter_mut().for_each(|l| l.echo());
+    load.iter_mut().for_each(|l| l.forward_stdout());
     let end = Instant::now() + Duration::from_secs(span);
     let mut second = Instant::now() + Duration::from_secs(1);
     while !signals.stop() && Instant::now() < end {
--- a/crates/testbed/src/rig/fleet.rs
+++ b/crates/testbed/src/rig/fleet.rs
@@ -1,8 +1,8 @@
 //! The processes of a day: gateways, counter, cells and load, and the acts that befall them.
 
-use crate::parts::log::{Line, Log};
-use crate::parts::process::{Process, Program};
-use crate::parts::script::{Listed, MESSAGE};
+use crate::common::event_log::{Entry, EventLog};
+use crate::common::process::{Process, Program};
+use crate::common::script::{ListStatus, DAY_MESSAGE};
 use crate::rig::between::Between;
 use crate::rig::counting::CounterPart;
 use crate::rig::keeping::KeeperPart;
@@ -36,7 +36,7 @@
 struct OnList {
     address: SocketAddr,
     zone: usize,
-    listed: Listed,
+    listed: ListStatus,
     started_ms: Option<u64>,
 }
 
@@ -54,13 +54,13 @@
     cells: Vec<CellPart>,
     gateways: Vec<GatewayPart>,
     list: Vec<OnList>,
-    notes: Log,
+    notes: EventLog,
     fault: Option<String>,
 }
 
 /// One entry of the list, reached at `at`.
 fn endpoint(s: &OnList, at: SocketAddr, zone: &str) -> String {
-    let health = if s.listed == Listed::Draining {
+    let health = if s.listed == ListStatus::Draining {
         "DRAINING"
     } else {
         "HEALTHY"
@@ -105,9 +105,9 @@
         std::fs::create_dir_all(dir)?;
         let day_file = dir.join("day.txtpb");
         let day_text =
-            text::print(MESSAGE, &day).context("expected the day to have a text form")?;
+            text::print(DAY_MESSAGE, &day).context("expected the day to have a text form")?;
         std::fs::write(&day_file, day_text)?;
-        let notes = Log::create(Some(&dir.join("run.jsonl")))?;
+        let notes = EventLog::create(Some(&dir.join("run.jsonl")))?;
         let counter = CounterPart::start(&program, dir, day.own_counter)?;
         let keeper = day
             .own_keeper
@@ -222,7 +222,7 @@
             self.list.push(OnList {
                 address,
                 zone,
-                listed: Listed::Healthy,
+                listed: ListStatus::Healthy,
                 started_ms: None,
             });
         }
@@ -358,7 +358,7 @@
         for (z, zone) in self.day.zones.iter().enumerate() {
             out += &format!("endpoints {{\n  locality {{ zone: \"{}\" }}\n", zone.name);
             let in_zone = self.list.iter().enumerate().filter(|(_, s)| s.zone == z);
-            for (place, s) in in_zone.filter(|(_, s)| s.listed != Listed::Gone) {
+            for (place, s) in in_zone.filter(|(_, s)| s.listed != ListStatus::Gone) {
                 let at = self
                     .between
                     .as_ref()
@@ -375,7 +375,7 @@
 
     /// Writes down what the run itself did.
     pub fn note(&mut self, what: &str, target: impl ToString) {
-        self.notes.line(&Line::Note {
+        self.notes.append(&Entry::Note {
             t: monotonic(),
             what: what.to_string(),
             target: target.to_string(),
@@ -386,7 +386,7 @@
     /// Whether a gateway that has ended did so with status 0; `None`: it runs, or was ended by the run. Noted for the audit.
     pub fn gateway_exit(&mut self, gateway: usize) -> Option<bool> {
         let process = self.gateways[gateway].process.as_mut()?;
-        if process.runs() {
+        if process.is_running() {
             return None;
         }
         let well = process.wait();
--- a/crates/testbed/src/rig/fleet/acts.rs
+++ b/crates/testbed/src/rig/fleet/acts.rs
@@ -1,9 +1,9 @@
 //! Acts of a script, as they befall the parts of a fleet.
 
 use super::{addresses_of, Fleet, GatewayPart};
-use crate::parts::control;
-use crate::parts::process::Process;
-use crate::parts::script::{of_clients, Act, Listed};
+use crate::common::control;
+use crate::common::process::Process;
+use crate::common::script::{is_for_client_links, ListStatus, ScriptAction};
 use anyhow::Context;
 use rustix::process::Signal;
 use std::net::SocketAddr;
@@ -25,25 +25,25 @@
 
 impl Fleet {
     /// Carries out one act of the script. `load`: where the load takes commands.
-    pub fn act(&mut self, act: &Act, load: Option<SocketAddr>) -> anyhow::Result<()> {
+    pub fn act(&mut self, act: &ScriptAction, load: Option<SocketAddr>) -> anyhow::Result<()> {
         self.note("act", format!("{act:?}"));
         match act {
-            Act::Counter(query) => self.counter.fault(query)?,
-            Act::KillCounter => self.counter.kill(),
-            Act::StartCounter => self.counter.begin()?,
-            Act::Cell(zone, query) => self.set_cell(*zone, query)?,
-            Act::Server(server, query) => self.set_server(*server, query)?,
-            Act::KillCell(zone) => self.cells[*zone].process = None,
-            Act::StartCell(zone) => self.start_cell(*zone)?,
-            Act::ListCell(zone, is_listed) => self.list_cell(*zone, *is_listed)?,
-            Act::List(server, listed) => self.list_server(*server, *listed)?,
-            Act::KillGateway(gateway) => self.kill_gateway(*gateway),
-            Act::StartGateway(gateway) => self.start_gateway(*gateway)?,
-            Act::Stall(gateway, is_stalled) => self.stall_gateway(*gateway, *is_stalled),
-            Act::StallCell(zone, is_stalled) => self.stall_cell(*zone, *is_stalled),
-            Act::Links(word) => self.set_links(word)?,
-            Act::Operator(word, zone) => self.override_site(word, *zone)?,
-            Act::Load(query) => self.set_load(query, load)?,
+            ScriptAction::Counter(query) => self.counter.fault(query)?,
+            ScriptAction::KillCounter => self.counter.kill(),
+            ScriptAction::StartCounter => self.counter.begin()?,
+            ScriptAction::Cell(zone, query) => self.set_cell(*zone, query)?,
+            ScriptAction::Server(server, query) => self.set_server(*server, query)?,
+            ScriptAction::KillCell(zone) => self.cells[*zone].process = None,
+            ScriptAction::StartCell(zone) => self.start_cell(*zone)?,
+            ScriptAction::ListCell(zone, is_listed) => self.list_cell(*zone, *is_listed)?,
+            ScriptAction::List(server, listed) => self.list_server(*server, *listed)?,
+            ScriptAction::KillGateway(gateway) => self.kill_gateway(*gateway),
+            ScriptAction::StartGateway(gateway) => self.start_gateway(*gateway)?,
+            ScriptAction::Stall(gateway, is_stalled) => self.stall_gateway(*gateway, *is_stalled),
+            ScriptAction::StallCell(zone, is_stalled) => self.stall_cell(*zone, *is_stalled),
+            ScriptAction::Links(word) => self.set_links(word)?,
+            ScriptAction::Operator(word, zone) => self.override_site(word, *zone)?,
+            ScriptAction::Load(query) => self.set_load(query, load)?,
         }
         Ok(())
     }
@@ -73,9 +73,9 @@
 
     fn list_cell(&mut self, zone: usize, is_listed: bool) -> anyhow::Result<()> {
         let listed = if is_listed {
-            Listed::Fresh
+            ListStatus::Fresh
         } else {
-            Listed::Gone
+            ListStatus::Gone
         };
         for server in 0..self.list.len() {
             if self.list[server].zone == zone {
@@ -85,23 +85,23 @@
         self.write_lists()
     }
 
-    fn list_server(&mut self, server: usize, listed: Listed) -> anyhow::Result<()> {
+    fn list_server(&mut self, server: usize, listed: ListStatus) -> anyhow::Result<()> {
         self.set_listed(server, listed);
         self.write_lists()
     }
 
-    fn set_listed(&mut self, server: usize, listed: Listed) {
+    fn set_listed(&mut self, server: usize, listed: ListStatus) {
         let now_ms = self.clock.now() / 1_000;
         let entry = &mut self.list[server];
-        if listed == Listed::Fresh {
+        if listed == ListStatus::Fresh {
             entry.started_ms = Some(now_ms);
         }
-        entry.listed = if listed == Listed::Fresh {
-            Listed::Healthy
+        entry.listed = if listed == ListStatus::Fresh {
+            ListStatus::Healthy
         } else {
             listed
         };
-        let what = if entry.listed == Listed::Healthy {
+        let what = if entry.listed == ListStatus::Healthy {
             "listed"
         } else {
             "unlisted"
@@ -143,7 +143,7 @@
     fn set_links(&mut self, word: &str) -> anyhow::Result<()> {
         let is_over = word.contains("cut=0") || word.contains("heal=1");
         self.note_held_up(!is_over, word);
-        let relay = if of_clients(word) {
+        let relay = if is_for_client_links(word) {
             &self.before
         } else {
             &self.between
--- a/crates/testbed/src/rig/keeping.rs
+++ b/crates/testbed/src/rig/keeping.rs
@@ -1,6 +1,6 @@
 //! One keeper beside a fleet, for the demo: contracts and access rules to try, with nothing that outlasts its loss.
 
-use crate::parts::process::{begin, Process, Program};
+use crate::common::process::{init_process, Process, Program};
 use chalkdeck_coordinator::replica::StartMode;
 use chalkdeck_coordinator::server::ReplicaServer;
 use chalkdeck_coordinator::settings::Settings;
@@ -45,7 +45,7 @@
 
 /// Runs the keeper itself until it is stopped.
 pub fn command(args: &OwnKeeperArgs) -> anyhow::Result<()> {
-    begin(args.with_parent);
+    init_process(args.with_parent);
     let (settings, signals) = (Settings::load(&args.config)?, Signals::take()?);
     let server = ReplicaServer::start(&settings, StartMode::Bootstrap)?;
     println!("ready grpc={}", server.listen());
--- a/crates/testbed/src/rig/links/command.rs
+++ b/crates/testbed/src/rig/links/command.rs
@@ -1,7 +1,7 @@
 //! The relay as a part of a day, with its control port.
 
-use crate::parts::control;
-use crate::parts::process::begin;
+use crate::common::control;
+use crate::common::process::init_process;
 use crate::rig::links::faults::Word;
 use crate::rig::links::relay::{Link, Relay, Wire};
 use anyhow::{bail, Context};
@@ -53,7 +53,7 @@
 
 /// Runs a relay until it is stopped.
 pub fn command(args: &LinksArgs) -> anyhow::Result<()> {
-    begin(args.with_parent);
+    init_process(args.with_parent);
     let signals = Signals::take()?;
     let links = args
         .links
@@ -104,7 +104,7 @@
         .is_some_and(|line| !line.is_empty())
     {}
     let target = first.split_whitespace().nth(1).unwrap_or("/");
-    let (status, body) = match Word::read(&control::parse(target).1) {
+    let (status, body) = match Word::read(&control::parse_target(target).1) {
         Err(what) => ("400 Bad Request", what),
         Ok(word) => {
             let (sender, done) = channel();
--- a/crates/testbed/src/rig/links/faults/tests.rs
+++ b/crates/testbed/src/rig/links/faults/tests.rs
@@ -1,10 +1,10 @@
 //! Tests of `faults`.
 
 use super::*;
-use crate::parts::control;
+use crate::common::control;
 
 fn word(text: &str) -> Result<Word, String> {
-    Word::read(&control::parse(&format!("/set?{text}")).1)
+    Word::read(&control::parse_target(&format!("/set?{text}")).1)
 }
 
 #[test]
--- a/crates/testbed/src/rig/replay.rs
+++ b/crates/testbed/src/rig/replay.rs
@@ -66,7 +66,7 @@
             None => unplayed.push(trouble.kind.clone()),
         }
     }
-    crate::parts::script::script(&day)?;
+    crate::common::script::day_actions(&day)?;
     Ok(Replay { day, unplayed })
 }
 
--- a/crates/testbed/src/rig/serve.rs
+++ b/crates/testbed/src/rig/serve.rs
@@ -1,6 +1,6 @@
 //! A gateway, and the bare relay, as processes.
 
-use crate::parts::process::{begin, end_with_parent};
+use crate::common::process::{exit_with_parent, init_process};
 use chalkdeck_grpc_gateway::relay::Relay;
 use chalkdeck_grpc_gateway::{logs, GatewayServer, Settings};
 use chalkdeck_net::signals::Signals;
@@ -34,7 +34,7 @@
     let set = Settings::load(&args.config)?;
     logs::start(&set.log_level, set.log_json);
     if args.with_parent {
-        end_with_parent();
+        exit_with_parent();
     }
     let signals = Signals::take()?;
     let mut shell = GatewayServer::start(set, Some(args.config.clone()), fastrand::u64(..), false)?;
@@ -53,7 +53,7 @@
 
 /// Runs the bare relay until it is stopped.
 pub fn relay(args: RelayArgs) -> anyhow::Result<()> {
-    begin(args.with_parent);
+    init_process(args.with_parent);
     let signals = Signals::take()?;
     let mut relay = Relay::start(args.listen, args.servers)?;
     println!("ready grpc={}", relay.listen_address());
--- a/crates/testbed/src/rig/watch.rs
+++ b/crates/testbed/src/rig/watch.rs
@@ -1,7 +1,7 @@
 //! Looks at what gateways say of sites while a day is played, and writes it down.
 
-use crate::parts::control;
-use crate::parts::log::{Line, Log};
+use crate::common::control;
+use crate::common::event_log::{Entry, EventLog};
 use chalkdeck_net::clock::monotonic;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -22,21 +22,21 @@
 impl Watch {
     /// Begins to look; notes go to `path` as `sites` with the gateway's number and its answer.
     pub fn start(admins: Vec<SocketAddr>, path: &Path) -> std::io::Result<Watch> {
-        let log = Arc::new(Mutex::new(Log::create(Some(path))?));
+        let log = Arc::new(Mutex::new(EventLog::create(Some(path))?));
         let stop = Arc::new(AtomicBool::new(false));
         let threads = admins.into_iter().enumerate().map(|(gateway, admin)| {
             let (log, stop) = (log.clone(), stop.clone());
             std::thread::spawn(move || {
                 while !stop.load(Ordering::Relaxed) {
                     if let Ok(text) = control::get(admin, "/sites") {
-                        let note = Line::Note {
+                        let note = Entry::Note {
                             t: monotonic(),
                             what: "sites".into(),
                             target: format!("{gateway} {text}"),
                         };
                         log.lock()
                             .unwrap_or_else(PoisonError::into_inner)
-                            .line(&note);
+                            .append(&note);
                     }
                     std::thread::sleep(EACH);
                 }
--- a/crates/testbed/src/soak/checks.rs
+++ b/crates/testbed/src/soak/checks.rs
@@ -1,76 +1,86 @@
-//! Checks of a play beyond the rules: how gateways end, what they log, and whether all is as before once it is quiet.
+//! Checks of a soak run besides the audit rules: how gateways exit, what they log, and whether the fleet recovers after the
+//! faults.
 
-use crate::parts::report::Summary;
+use crate::common::load_stats::LoadSummary;
 
-/// What a gateway may hold more than before the faults, in descriptors, beside one connection to each server.
-const SPARE_DESCRIPTORS: usize = 4;
-/// What a gateway's memory may grow by, in KiB.
-const SPARE_MEMORY_KIB: u64 = 16 << 10;
-/// The part of calls that a calm load is served less than before.
-const SERVED_SLACK: f64 = 0.05;
-/// What a gateway logs of settings that it rejects.
+/// Open descriptors that a gateway may have more than before the faults, besides one connection to each server.
+const ALLOWED_EXTRA_DESCRIPTORS: usize = 4;
+/// Resident memory that a gateway may have more than before the faults, in KiB.
+const ALLOWED_EXTRA_MEMORY_KIB: u64 = 16 << 10;
+/// The most by which the served fraction of the baseline load may drop after the faults.
+const ALLOWED_SERVED_DROP: f64 = 0.05;
+/// Log message of a gateway that rejects its new settings.
 const REJECTED_RELOAD: &str = "reload rejected";
 
-/// How a gateway that was asked to end did so.
+/// How a gateway exited after SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Exit {
+pub enum GatewayExit {
     /// In time, with status 0.
-    Well,
+    Clean,
     /// In time, with another status or by a signal.
     Failed,
-    /// It ran on.
-    Late,
+    /// Not in time: it was still running.
+    TimedOut,
 }
 
-impl Exit {
+impl GatewayExit {
     pub(super) fn breach(self, gateway: usize) -> Option<String> {
         match self {
-            Exit::Well => None,
-            Exit::Failed => Some(format!("gateway {gateway} did not end with status 0")),
-            Exit::Late => Some(format!(
+            GatewayExit::Clean => None,
+            GatewayExit::Failed => Some(format!("gateway {gateway} did not end with status 0")),
+            GatewayExit::TimedOut => Some(format!(
                 "gateway {gateway} did not end in time after SIGTERM"
             )),
         }
     }
 }
 
-/// What one gateway holds while nothing happens.
+/// Resources that a gateway uses while it is idle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rest {
-    /// Open descriptors.
+pub struct IdleUsage {
+    /// Open file descriptors.
     pub descriptors: usize,
-    /// Memory, in KiB.
+    /// Resident memory, in KiB.
     pub memory_kib: u64,
 }
 
-/// Gateways that hold more than before the faults.
-pub(super) fn growth(before: &[Rest], after: &[Rest], servers: usize) -> Vec<String> {
-    let most = |pick: fn(&Rest) -> u64| before.iter().map(pick).max().unwrap_or(0);
-    let descriptors = most(|rest| rest.descriptors as u64) + (servers + SPARE_DESCRIPTORS) as u64;
-    let memory_kib = most(|rest| rest.memory_kib) + SPARE_MEMORY_KIB;
+/// Gateways that use more descriptors or memory than before the faults, which suggests a leak.
+pub(super) fn leak_breaches(
+    before: &[IdleUsage],
+    after: &[IdleUsage],
+    servers: usize,
+) -> Vec<String> {
+    let max_of = |pick: fn(&IdleUsage) -> u64| before.iter().map(pick).max().unwrap_or(0);
+    let max_descriptors =
+        max_of(|usage| usage.descriptors as u64) + (servers + ALLOWED_EXTRA_DESCRIPTORS) as u64;
+    let max_memory_kib = max_of(|usage| usage.memory_kib) + ALLOWED_EXTRA_MEMORY_KIB;
     let mut breaches = Vec::new();
-    for (gateway, rest) in after.iter().enumerate() {
-        if rest.descriptors as u64 > descriptors {
-            let held = rest.descriptors;
+    for (gateway, usage) in after.iter().enumerate() {
+        if usage.descriptors as u64 > max_descriptors {
+            let held = usage.descriptors;
             breaches.push(format!(
-                "gateway {gateway} holds {held} descriptors at rest, at most {descriptors} wanted"
+                "gateway {gateway} holds {held} descriptors at rest, at most {max_descriptors} wanted"
             ));
         }
-        if rest.memory_kib > memory_kib {
-            let held = rest.memory_kib;
+        if usage.memory_kib > max_memory_kib {
+            let held = usage.memory_kib;
             breaches.push(format!(
-                "gateway {gateway} holds {held} KiB at rest, at most {memory_kib} wanted"
+                "gateway {gateway} holds {held} KiB at rest, at most {max_memory_kib} wanted"
             ));
         }
     }
     breaches
 }
 
-/// Whether a calm load is served as before the faults.
-pub(super) fn calm(before: &Summary, after: &Summary) -> Option<String> {
-    let part = |summary: &Summary| summary.served as f64 / summary.sent.max(1) as f64;
-    let (wanted, served) = (part(before) - SERVED_SLACK, part(after));
-    (after.sent == 0 || served < wanted).then(|| {
+/// A breach if the baseline load after the faults is served less than before them.
+pub(super) fn baseline_breach(before: &LoadSummary, after: &LoadSummary) -> Option<String> {
+    let served_fraction =
+        |summary: &LoadSummary| summary.served as f64 / summary.sent.max(1) as f64;
+    let (min_served, served) = (
+        served_fraction(before) - ALLOWED_SERVED_DROP,
+        served_fraction(after),
+    );
+    (after.sent == 0 || served < min_served).then(|| {
         format!(
             "after the faults {} of {} calls of a calm load are served, before {} of {}",
             after.served, after.sent, before.served, before.sent
@@ -78,7 +88,7 @@
     })
 }
 
-/// Lines of a log that no drawn fault explains: errors, and panics.
+/// Errors and panics in a log that no injected fault explains. `reloads_fail`: faults make reloads of settings fail.
 pub(super) fn log_breaches(name: &str, text: &str, reloads_fail: bool) -> Vec<String> {
     let is_error = |line: &&str| line.contains(" ERROR ") || line.contains("panicked at");
     let is_explained = |line: &&str| reloads_fail && line.contains(REJECTED_RELOAD);
--- a/crates/testbed/src/soak/command.rs
+++ b/crates/testbed/src/soak/command.rs
@@ -1,9 +1,9 @@
-//! The command: seeds one after another, a line for each, and a report.
+//! The soak subcommand: runs the seeds one after another, prints a row for each, and writes a report.
 
-use super::draw::{draw, SoakPlan};
 use super::faults::FaultKind;
-use super::play::{play, Outcome, PlaySettings};
-use crate::parts::process::Program;
+use super::generate::{generate_plan, SoakPlan};
+use super::run::{run_plan, RunSettings, SoakOutcome};
+use crate::common::process::Program;
 use anyhow::{bail, Context};
 use clap::Args;
 use indicatif::{ProgressBar, ProgressStyle};
@@ -12,28 +12,28 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Breaches of one seed that are printed.
+/// The most breaches of a seed that are printed.
 const SHOWN_BREACHES: usize = 5;
 
-/// Arguments of the soak.
+/// Arguments of the soak subcommand.
 #[derive(Args)]
 pub struct SoakArgs {
-    /// Seeds to play, as A..B; B is not among them
+    /// Seeds to run, as A..B; B is excluded
     #[arg(long, value_parser = parse_seeds)]
     pub seeds: Range<u64>,
-    /// Seconds of load with faults
+    /// Length of the load with faults, in seconds
     #[arg(long, default_value_t = 14)]
     pub seconds: u32,
-    /// Quiet seconds after the last fault
+    /// Time without load or faults after the load, in seconds
     #[arg(long, default_value_t = 10)]
     pub quiet: u64,
-    /// Leave out faults of this kind; may be given several times
+    /// Leave out faults of this kind; may be repeated
     #[arg(long)]
     pub without: Vec<FaultKind>,
-    /// Where a table of the seeds goes, as Markdown
+    /// File to which a Markdown table of the seeds is written
     #[arg(long)]
     pub report: Option<PathBuf>,
-    /// Where logs go, a folder for each seed; those of seeds that passed are removed
+    /// Folder for logs, with a subfolder for each seed; those of seeds that passed are removed
     #[arg(long, default_value = "lab-out")]
     pub dir: PathBuf,
 }
@@ -50,10 +50,10 @@
     }
 }
 
-/// Plays the seeds.
+/// Runs the seeds.
 ///
 /// # Errors
-/// A check failed at some seed, or the rig did.
+/// A seed fails a check or can't be run.
 pub fn command(program: &Program, args: &SoakArgs) -> anyhow::Result<()> {
     let mut table = String::from(
         "| seed | world | faults | calls | result |\n| --- | --- | --- | --- | --- |\n",
@@ -62,22 +62,22 @@
     let progress = progress_bar(&args.seeds);
     for seed in args.seeds.clone() {
         progress.set_message(format!("seed {seed}"));
-        let plan = draw(seed, args.seconds, &args.without)?;
+        let plan = generate_plan(seed, args.seconds, &args.without)?;
         let dir = args.dir.join(format!("soak-{seed}"));
-        let settings = PlaySettings {
+        let settings = RunSettings {
             program: program.clone(),
             dir: dir.clone(),
             quiet: Duration::from_secs(args.quiet),
             fault: None,
         };
-        clear(&dir)?;
-        let outcome = play(&plan, &settings).with_context(|| format!("seed {seed}"));
+        remove_logs(&dir)?;
+        let outcome = run_plan(&plan, &settings).with_context(|| format!("seed {seed}"));
         let row = row(&plan, &outcome);
         progress.suspend(|| println!("{row}"));
         table += &row;
         table.push('\n');
         match outcome {
-            Ok(outcome) if outcome.breaches.is_empty() => clear(&dir)?,
+            Ok(outcome) if outcome.breaches.is_empty() => remove_logs(&dir)?,
             Ok(outcome) => {
                 failed.push(seed);
                 progress.suspend(|| print_breaches(&plan, &outcome, &dir));
@@ -108,31 +108,31 @@
     }
 }
 
-fn row(plan: &SoakPlan, outcome: &anyhow::Result<Outcome>) -> String {
+fn row(plan: &SoakPlan, outcome: &anyhow::Result<SoakOutcome>) -> String {
     let faults: Vec<&str> = plan.faults.iter().map(|fault| fault.kind.name()).collect();
     let (calls, result) = match outcome {
         Ok(outcome) if outcome.breaches.is_empty() => (outcome.calls, "passed".to_string()),
         Ok(outcome) => (outcome.calls, format!("FAILED: {}", outcome.breaches[0])),
         Err(error) => (0, format!("not played: {error:#}")),
     };
-    let mut row = format!("| {} | {} |", plan.seed, plan.world());
+    let mut row = format!("| {} | {} |", plan.seed, plan.topology());
     let _ = write!(row, " {} | {calls} | {result} |", faults.join(", "));
     row
 }
 
-fn print_breaches(plan: &SoakPlan, outcome: &Outcome, dir: &Path) {
+fn print_breaches(plan: &SoakPlan, outcome: &SoakOutcome, dir: &Path) {
     for fault in &plan.faults {
         println!("  {fault}");
     }
     for breach in outcome.breaches.iter().take(SHOWN_BREACHES) {
         println!("  {breach}");
     }
-    let all = outcome.breaches.len();
-    println!("  {all} breaches; logs are in {}", dir.display());
+    let count = outcome.breaches.len();
+    println!("  {count} breaches; logs are in {}", dir.display());
 }
 
-/// Removes the logs of an earlier play.
-fn clear(dir: &Path) -> anyhow::Result<()> {
+/// Removes the logs of an earlier run.
+fn remove_logs(dir: &Path) -> anyhow::Result<()> {
     match std::fs::remove_dir_all(dir) {
         Err(error) if error.kind() != std::io::ErrorKind::NotFound => Err(error.into()),
         _ => Ok(()),
--- a/crates/testbed/src/soak/draw.rs
+++ b/crates/testbed/src/soak/generate.rs
@@ -1,87 +1,88 @@
-//! Draws the world and the faults of a seed.
+//! Generates the fleet and the faults of a seed.
 
-use super::faults::{gateway_steps, Action, DrawnFault, FaultKind, Step, Target};
-use crate::parts::script::{self, Act, Timed, MESSAGE};
+use super::faults::{gateway_steps, FaultKind, PlannedFault, SoakAction, Step, Target};
+use crate::common::script::{self, ScriptAction, TimedAction, DAY_MESSAGE};
 use anyhow::Context;
 use chalkdeck_proto::chalkdeck::lab::v1::{Day, Trouble};
 use chalkdeck_proto::text;
 use fastrand::Rng;
 
-/// Nothing happens before this, in milliseconds: clients connect.
+/// The earliest time of a fault, in milliseconds, so that clients can connect first.
 const FIRST_FAULT_MS: u32 = 500;
-/// The least and the most faults that are looked for.
-const FAULTS: std::ops::RangeInclusive<usize> = 4..=9;
-/// Draws until a fault finds its target free.
-const MAX_DRAWS: usize = 60;
-/// How long what is stopped or dead stays so, in milliseconds.
-const PAUSE_MS: std::ops::Range<u32> = 200..1_500;
-/// How long faults that are no gateway's last, in milliseconds.
-const SPAN_MS: std::ops::Range<u32> = 600..3_000;
+/// The number of faults that a plan should have; fewer if no more fit in.
+const FAULT_COUNT: std::ops::RangeInclusive<usize> = 4..=9;
+/// The most faults that are generated for a plan; one whose target is taken at its time is discarded.
+const MAX_ATTEMPTS: usize = 60;
+/// How long a stopped or killed gateway stays down, in milliseconds.
+const DOWNTIME_MS: std::ops::Range<u32> = 200..1_500;
+/// How long faults of other targets last, in milliseconds.
+const DURATION_MS: std::ops::Range<u32> = 600..3_000;
 /// Zones of `days/soak.txtpb`.
 const ZONES: [&str; 3] = ["north", "middle", "south"];
 
-/// What a seed plays.
+/// The plan of a soak run.
 #[derive(Clone, Debug)]
 pub struct SoakPlan {
-    /// The seed.
+    /// The seed that the plan was generated from.
     pub seed: u64,
-    /// Gateways, servers, counter and load.
+    /// The fleet and its load.
     pub day: Day,
-    /// The faults, by their times.
-    pub faults: Vec<DrawnFault>,
+    /// The faults, ordered by time.
+    pub faults: Vec<PlannedFault>,
 }
 
 impl SoakPlan {
-    /// One line about the world.
-    pub fn world(&self) -> String {
+    /// A one-line summary of the fleet.
+    pub fn topology(&self) -> String {
         let servers: u32 = self.day.zones.iter().map(|zone| zone.servers).sum();
         let counter = if self.day.own_counter {
             "own counter"
         } else {
             "stand-in counter"
         };
-        let mut world = format!(
+        let mut topology = format!(
             "{} gateways, {servers} servers, {counter}",
             self.day.gateways
         );
         if self.day.links {
-            world += ", links";
+            topology += ", links";
         }
         if self.day.own_keeper {
-            world += ", coordinator";
+            topology += ", coordinator";
         }
-        world
+        topology
     }
 }
 
-/// Draws what a seed plays in so many seconds, without some kinds of faults. The other faults stay as they are.
+/// Generates the plan of a seed for a load of `seconds`. Leaves out faults of the excluded kinds; the others are the same as
+/// without the exclusion.
 ///
 /// # Errors
-/// The day that comes with the program is not sound.
-pub fn draw(seed: u64, seconds: u32, without: &[FaultKind]) -> anyhow::Result<SoakPlan> {
+/// The built-in `days/soak.txtpb` is invalid.
+pub fn generate_plan(seed: u64, seconds: u32, excluded: &[FaultKind]) -> anyhow::Result<SoakPlan> {
     let mut rng = Rng::with_seed(seed);
-    let day = draw_world(&mut rng, seed, seconds)?;
-    let mut faults: Vec<DrawnFault> = Vec::new();
-    let wanted = rng.usize(FAULTS);
-    for _ in 0..MAX_DRAWS {
-        if faults.len() == wanted {
+    let day = generate_day(&mut rng, seed, seconds)?;
+    let mut faults: Vec<PlannedFault> = Vec::new();
+    let count = rng.usize(FAULT_COUNT);
+    for _ in 0..MAX_ATTEMPTS {
+        if faults.len() == count {
             break;
         }
-        let fault = draw_fault(&mut rng, &day)?;
+        let fault = generate_fault(&mut rng, &day)?;
         let in_time = fault.until_ms + FIRST_FAULT_MS <= seconds * 1_000;
-        if in_time && faults.iter().all(|other| may_both_be(other, &fault)) {
+        if in_time && faults.iter().all(|other| can_coexist(other, &fault)) {
             faults.push(fault);
         }
     }
-    faults.retain(|fault| !without.contains(&fault.kind));
+    faults.retain(|fault| !excluded.contains(&fault.kind));
     faults.sort_by_key(|fault| fault.at_ms);
     Ok(SoakPlan { seed, day, faults })
 }
 
-fn draw_world(rng: &mut Rng, seed: u64, seconds: u32) -> anyhow::Result<Day> {
+fn generate_day(rng: &mut Rng, seed: u64, seconds: u32) -> anyhow::Result<Day> {
     let source = include_str!("../../days/soak.txtpb");
-    let mut day: Day =
-        text::parse(MESSAGE, source).map_err(|error| anyhow::anyhow!("the soak's day: {error}"))?;
+    let mut day: Day = text::parse(DAY_MESSAGE, source)
+        .map_err(|error| anyhow::anyhow!("days/soak.txtpb: {error}"))?;
     day.seed = seed;
     day.seconds = seconds;
     day.gateways = rng.u32(2..=4);
@@ -99,34 +100,34 @@
     Ok(day)
 }
 
-fn may_both_be(one: &DrawnFault, other: &DrawnFault) -> bool {
-    let apart = one.until_ms < other.at_ms || other.until_ms < one.at_ms;
-    apart || !one.target.excludes(other.target)
+fn can_coexist(one: &PlannedFault, other: &PlannedFault) -> bool {
+    let are_disjoint = one.until_ms < other.at_ms || other.until_ms < one.at_ms;
+    are_disjoint || !one.target.excludes(other.target)
 }
 
-fn draw_fault(rng: &mut Rng, day: &Day) -> anyhow::Result<DrawnFault> {
+fn generate_fault(rng: &mut Rng, day: &Day) -> anyhow::Result<PlannedFault> {
     let kind = FaultKind::ALL[rng.usize(..FaultKind::ALL.len())];
-    let kind = playable(kind, day);
+    let kind = supported_kind(kind, day);
     let at_ms = rng.u32(FIRST_FAULT_MS..day.seconds.max(2) * 1_000);
     let gateway = rng.usize(..day.gateways as usize);
     let zone = rng.usize(..ZONES.len());
-    let pause_ms = rng.u32(PAUSE_MS);
-    let span_ms = rng.u32(SPAN_MS);
+    let downtime_ms = rng.u32(DOWNTIME_MS);
+    let duration_ms = rng.u32(DURATION_MS);
     let (target, steps) = match kind {
-        FaultKind::Crowd => (Target::Clients, crowd_steps(at_ms, span_ms)),
-        kind => match trouble_of(rng, kind, day, zone) {
+        FaultKind::Crowd => (Target::Clients, crowd_steps(at_ms, duration_ms)),
+        kind => match script_trouble(rng, kind, day, zone) {
             Some((target, mut trouble)) => {
-                (trouble.at_ms, trouble.for_ms) = (at_ms, span_ms);
+                (trouble.at_ms, trouble.for_ms) = (at_ms, duration_ms);
                 (target, trouble_steps(day, trouble)?)
             }
             None => {
-                let steps = gateway_steps(kind, gateway, at_ms, pause_ms);
+                let steps = gateway_steps(kind, gateway, at_ms, downtime_ms);
                 (Target::Gateway(gateway), steps)
             }
         },
     };
     let until_ms = steps.iter().map(|step| step.at_ms).max().unwrap_or(at_ms);
-    Ok(DrawnFault {
+    Ok(PlannedFault {
         kind,
         target,
         at_ms,
@@ -135,9 +136,9 @@
     })
 }
 
-/// What a world has no part for is another fault there: the project's counter can only be killed or fall silent, and without links
-/// none has faults.
-fn playable(kind: FaultKind, day: &Day) -> FaultKind {
+/// Replaces a kind of fault that the fleet does not support: the product's counter can only be killed or silenced, and link
+/// faults need links.
+fn supported_kind(kind: FaultKind, day: &Day) -> FaultKind {
     match kind {
         FaultKind::CounterSlow | FaultKind::CounterRefusing if day.own_counter => {
             FaultKind::CounterKill
@@ -149,22 +150,27 @@
     }
 }
 
-fn crowd_steps(at_ms: u32, span_ms: u32) -> Vec<Step> {
-    let step = |at_ms: u32, action: Action| Step { at_ms, action };
+fn crowd_steps(at_ms: u32, duration_ms: u32) -> Vec<Step> {
+    let step = |at_ms: u32, action: SoakAction| Step { at_ms, action };
     vec![
-        step(at_ms, Action::CrowdArrives),
-        step(at_ms + span_ms, Action::CrowdLeaves),
+        step(at_ms, SoakAction::CrowdArrives),
+        step(at_ms + duration_ms, SoakAction::CrowdLeaves),
     ]
 }
 
-/// Faults that days know, too; `None`: it is one of a gateway.
-fn trouble_of(rng: &mut Rng, kind: FaultKind, day: &Day, zone: usize) -> Option<(Target, Trouble)> {
-    let before: u32 = day.zones[..zone].iter().map(|zone| zone.servers).sum();
-    let server = before + rng.u32(..day.zones[zone].servers);
+/// The trouble and target of a kind of fault that scripted days have, too; `None` for faults of a gateway.
+fn script_trouble(
+    rng: &mut Rng,
+    kind: FaultKind,
+    day: &Day,
+    zone: usize,
+) -> Option<(Target, Trouble)> {
+    let first_server: u32 = day.zones[..zone].iter().map(|zone| zone.servers).sum();
+    let server = first_server + rng.u32(..day.zones[zone].servers);
     let zone_name = ZONES[zone].to_string();
     let server = server.to_string();
     let none = String::new();
-    let (target, name, what, factor) = match kind {
+    let (target, kind_name, trouble_target, factor) = match kind {
         FaultKind::ZoneLoss => (Target::Zone(zone), "zone_loss", zone_name, 0.0),
         FaultKind::ZoneCut => (Target::Zone(zone), "zone_cut", zone_name, 0.0),
         FaultKind::Drain => (Target::Zone(zone), "drain", server, 0.0),
@@ -188,8 +194,8 @@
         _ => return None,
     };
     let trouble = Trouble {
-        kind: name.to_string(),
-        target: what,
+        kind: kind_name.to_string(),
+        target: trouble_target,
         factor,
         ..Trouble::default()
     };
@@ -201,12 +207,12 @@
         troubles: vec![trouble],
         ..day.clone()
     };
-    let as_step = |timed: Timed| Step {
-        at_ms: timed.at,
-        action: Action::Day(timed.act),
+    let as_step = |timed: TimedAction| Step {
+        at_ms: timed.at_ms,
+        action: SoakAction::Day(timed.action),
     };
-    // The project's own counter has its counts when it is back.
-    let is_playable = |timed: &Timed| !matches!(&timed.act, Act::Counter(word) if word == "empty");
-    let acts = script::script(&day)?.into_iter().filter(is_playable);
-    Ok(acts.map(as_step).collect())
+    // The product's counter keeps its counts over a restart: the command that empties the stand-in is left out.
+    let is_supported = |timed: &TimedAction| !matches!(&timed.action, ScriptAction::Counter(command) if command == "empty");
+    let actions = script::day_actions(&day)?.into_iter().filter(is_supported);
+    Ok(actions.map(as_step).collect())
 }
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -1,16 +1,17 @@
-//! The soak: worlds and faults drawn from seeds, played by real processes, and judged by what clients and servers saw.
+//! Soak test: generates a fleet and its faults from a seed, runs them with real processes, and checks the event logs of
+//! clients and servers.
 //!
-//! From the seed alone come the world and the faults with their times. What isn't the same from play to play is the system's
-//! scheduling, and with it which call meets which fault.
+//! The fleet and the faults with their times depend on the seed alone. The scheduling of the operating system differs from
+//! run to run, and with it which call meets which fault.
 
 mod checks;
 mod command;
-mod draw;
 mod faults;
-mod play;
+mod generate;
+mod run;
 
-pub use checks::{Exit, Rest};
+pub use checks::{GatewayExit, IdleUsage};
 pub use command::{command, SoakArgs};
-pub use draw::{draw, SoakPlan};
-pub use faults::{DrawnFault, FaultKind};
-pub use play::{play, Outcome, PlaySettings};
+pub use faults::{FaultKind, PlannedFault};
+pub use generate::{generate_plan, SoakPlan};
+pub use run::{run_plan, RunSettings, SoakOutcome};
--- a/crates/testbed/src/stand_ins/counter.rs
+++ b/crates/testbed/src/stand_ins/counter.rs
@@ -1,7 +1,7 @@
 //! Stand-in for the counter: named numbers in memory, and commands that make it silent, slow, refusing or empty.
 
-use crate::parts::control;
-use crate::parts::process::begin;
+use crate::common::control;
+use crate::common::process::init_process;
 use chalkdeck_net::grpc::{self, Code, Deframer};
 use chalkdeck_net::signals::Signals;
 use chalkdeck_net::unary::UnaryMessage;
@@ -131,9 +131,9 @@
                 self.reply(stream, answer);
             }
             Event::Get { conn, path } => {
-                let (_, pairs) = control::parse(&path);
+                let (_, pairs) = control::parse_target(&path);
                 let done = self.set(&pairs);
-                control::answer(&mut self.engine, conn, done);
+                control::respond(&mut self.engine, conn, done);
             }
             _ => {}
         }
@@ -287,7 +287,7 @@
 
 /// Runs it until it is stopped.
 pub fn command(args: &CounterArgs) -> anyhow::Result<()> {
-    begin(args.with_parent);
+    init_process(args.with_parent);
     let signals = Signals::take()?;
     let mut counter = Counter::start(args.listen, args.control)?;
     println!(
--- a/crates/testbed/src/stand_ins/farm.rs
+++ b/crates/testbed/src/stand_ins/farm.rs
@@ -1,10 +1,11 @@
-//! Stand-ins for the farm servers of one cell: several servers in one process, which share the keys they have seen.
+//! Stand-ins for the endpoints (farm servers) of one cell: several servers in one process, which share the idempotency
+//! keys that they have seen.
 
-use crate::parts::control;
-use crate::parts::log::{Line, Log};
-use crate::parts::process::begin;
-use crate::parts::script;
-use crate::stand_ins::model::{Admit, Build, Model};
+use crate::common::control;
+use crate::common::event_log::{Entry, EventLog};
+use crate::common::process::init_process;
+use crate::common::script;
+use crate::stand_ins::server_model::{Admission, ServerModel, ServerSpec};
 use bytes::Bytes;
 use chalkdeck_net::clock::monotonic;
 use chalkdeck_net::grpc::{self, Code};
@@ -37,38 +38,42 @@
     pub with_parent: bool,
 }
 
-/// How long between two messages of a streamed answer.
-const STREAM_STEP: u64 = 100_000;
-/// The most keys that are remembered.
-const MOST_KEYS: usize = 1 << 20;
+/// Time between two messages of a streamed response, in microseconds.
+const STREAM_INTERVAL_US: u64 = 100_000;
+/// Number of idempotency keys from which on expired ones are dropped.
+const MAX_KEYS: usize = 1 << 20;
 
-/// How the servers of a process are.
+/// Configuration of the servers of a cell.
 #[derive(Clone, Debug)]
-pub struct Farm {
-    pub build: Build,
+pub struct CellConfig {
+    pub spec: ServerSpec,
     pub work: Vec<Work>,
     pub connections: usize,
-    /// How long a key is remembered, in microseconds.
-    pub window: u64,
+    /// How long a repeated key counts as a duplicate, in microseconds.
+    pub key_window_us: u64,
     pub seed: u64,
 }
 
-/// Trouble of one server.
+/// Injected faults of one server.
 #[derive(Clone, Debug, Default)]
-struct Mood {
+struct Faults {
+    /// Accepts calls and doesn't respond.
     silent: bool,
+    /// Rejects calls as unprocessed.
     draining: bool,
-    /// Part of the calls that fail at once, of one path or all.
+    /// Fraction of the calls that fail at once.
     errors: f64,
+    /// The path to which `errors` applies; empty: all paths.
     errors_path: String,
+    /// Resets new streams with REFUSED_STREAM.
     refuse_streams: bool,
 }
 
 struct Server {
     name: String,
-    model: Model,
-    mood: Mood,
-    fallen: bool,
+    model: ServerModel,
+    faults: Faults,
+    has_collapsed: bool,
 }
 
 struct Call {
@@ -76,13 +81,13 @@
     id: String,
     key: String,
     work: Work,
-    /// Its number in the model.
-    number: u64,
+    /// Identifies the call in the server's model.
+    model_id: u64,
     messages_left: u32,
     running: bool,
 }
 
-enum Due {
+enum TimerEvent {
     Done(StreamId),
     Message(StreamId),
 }
@@ -90,23 +95,23 @@
 /// The servers of one cell.
 pub struct Cell {
     engine: Engine,
-    farm: Farm,
+    config: CellConfig,
     servers: Vec<Server>,
-    /// The servers' ports, which stay reserved while a server is down.
+    /// Ports of the servers; they stay reserved while a server is down.
     ports: Vec<ReservedPort>,
     control: SocketAddr,
     listener_of: HashMap<ListenerId, usize>,
     conns: HashMap<ConnId, usize>,
     calls: HashMap<StreamId, Call>,
-    by_number: HashMap<u64, StreamId>,
-    due: HashMap<u64, Due>,
-    next: u64,
-    keys: HashMap<String, u64>,
-    log: Log,
+    stream_of_model_id: HashMap<u64, StreamId>,
+    timers: HashMap<u64, TimerEvent>,
+    last_id: u64,
+    seen_keys: HashMap<String, u64>,
+    log: EventLog,
     rng: fastrand::Rng,
 }
 
-fn text(headers: &HeaderMap, name: &str) -> String {
+fn header_text(headers: &HeaderMap, name: &str) -> String {
     headers
         .get(name)
         .and_then(|v| v.to_str().ok())
@@ -115,16 +120,16 @@
 }
 
 impl Cell {
-    /// Binds one port for each server and one for control.
+    /// Binds one port for each server and a control port.
     pub fn start(
-        farm: Farm,
+        config: CellConfig,
         listen: &[SocketAddr],
         control: SocketAddr,
-        log: Log,
+        log: EventLog,
     ) -> std::io::Result<Cell> {
         let mut engine = Engine::new()?;
         let limits = Limits {
-            connections: farm.connections,
+            connections: config.connections,
             ..Limits::default()
         };
         let control = engine.listen(control, Limits::default(), false, true)?.1;
@@ -135,28 +140,28 @@
             let (listener, bound) = engine.listen(port.address(), limits, false, false)?;
             ports.push(port);
             listener_of.insert(listener, servers.len());
-            let model = Model::new(farm.build.clone(), now);
+            let model = ServerModel::new(config.spec.clone(), now);
             servers.push(Server {
                 name: bound.to_string(),
                 model,
-                mood: Mood::default(),
-                fallen: false,
+                faults: Faults::default(),
+                has_collapsed: false,
             });
         }
         Ok(Cell {
             engine,
-            rng: fastrand::Rng::with_seed(farm.seed),
-            farm,
+            rng: fastrand::Rng::with_seed(config.seed),
+            config,
             servers,
             ports,
             control,
             listener_of,
             conns: HashMap::new(),
             calls: HashMap::new(),
-            by_number: HashMap::new(),
-            due: HashMap::new(),
-            next: 0,
-            keys: HashMap::new(),
+            stream_of_model_id: HashMap::new(),
+            timers: HashMap::new(),
+            last_id: 0,
+            seen_keys: HashMap::new(),
             log,
         })
     }
@@ -167,7 +172,7 @@
         self.control
     }
 
-    /// Serves until it is asked to stop.
+    /// Serves until a signal asks it to stop.
     pub fn run(&mut self, signals: &Signals) -> std::io::Result<()> {
         let mut events = Vec::new();
         while !signals.stop() {
@@ -175,7 +180,7 @@
             for event in events.drain(..) {
                 self.on_event(event);
             }
-            // A kill must lose no line.
+            // A SIGKILL must not lose events.
             self.log.flush();
         }
         Ok(())
@@ -194,24 +199,25 @@
             } => self.on_call(stream, conn, &head),
             Event::Data { stream, data } => self.engine.consume(stream, data.len()),
             Event::StreamFailed { stream, .. } => self.on_cancel(stream),
-            Event::Timer(token) => match self.due.remove(&token) {
-                Some(Due::Done(stream)) => self.on_done(stream),
-                Some(Due::Message(stream)) => self.on_message(stream),
+            Event::Timer(token) => match self.timers.remove(&token) {
+                Some(TimerEvent::Done(stream)) => self.on_done(stream),
+                Some(TimerEvent::Message(stream)) => self.on_message(stream),
                 None => {}
             },
             Event::Get { conn, path } => {
-                let (_, pairs) = control::parse(&path);
-                let done = self.set(&pairs);
-                control::answer(&mut self.engine, conn, done);
+                let (_, pairs) = control::parse_target(&path);
+                let result = self.apply_command(&pairs);
+                control::respond(&mut self.engine, conn, result);
             }
             _ => {}
         }
     }
 
-    fn due_in(&mut self, after: u64, due: Due) {
-        self.next += 1;
-        self.due.insert(self.next, due);
-        self.engine.timer(self.engine.now() + after, self.next);
+    fn schedule(&mut self, delay_us: u64, event: TimerEvent) {
+        self.last_id += 1;
+        self.timers.insert(self.last_id, event);
+        self.engine
+            .timer(self.engine.now() + delay_us, self.last_id);
     }
 
     fn on_call(&mut self, stream: StreamId, conn: ConnId, head: &request::Parts) {
@@ -220,14 +226,14 @@
         };
         let path = head.uri.path().to_string();
         let (id, key) = (
-            text(&head.headers, "x-call-id"),
-            text(&head.headers, grpc::KEY),
+            header_text(&head.headers, "x-call-id"),
+            header_text(&head.headers, grpc::KEY),
         );
-        let customer = text(&head.headers, "x-customer");
-        let units = text(&head.headers, "x-units").parse().unwrap_or(1.0);
+        let customer = header_text(&head.headers, "x-customer");
+        let units = header_text(&head.headers, "x-units").parse().unwrap_or(1.0);
         let name = self.servers[server].name.clone();
         let t = monotonic();
-        self.log.line(&Line::Arrive {
+        self.log.append(&Entry::Arrive {
             t,
             server: name,
             id: id.clone(),
@@ -237,37 +243,37 @@
             units,
         });
         let work = self
-            .farm
+            .config
             .work
             .iter()
             .find(|w| w.path == path)
             .cloned()
             .unwrap_or_default();
-        let mood = self.servers[server].mood.clone();
-        let hit = mood.errors_path.is_empty() || mood.errors_path == path;
-        if mood.silent {
+        let faults = self.servers[server].faults.clone();
+        let errors_match_path = faults.errors_path.is_empty() || faults.errors_path == path;
+        if faults.silent {
             return;
         }
-        if mood.refuse_streams {
+        if faults.refuse_streams {
             self.engine.reset(stream, h2::Reason::REFUSED_STREAM);
             return self.log_reply(server, &id, -1, true);
         }
-        if mood.draining {
-            return self.turn_away(server, &id, stream);
+        if faults.draining {
+            return self.reject_unprocessed(server, &id, stream);
         }
-        if hit && self.rng.f64() < mood.errors {
+        if errors_match_path && self.rng.f64() < faults.errors {
             return self.reply(server, &id, stream, Code::Unavailable, false);
         }
-        self.next += 1;
-        let number = self.next;
-        let lasts = work.min_ms + (work.max_ms - work.min_ms).max(0.0) * self.rng.f64();
-        let admit = self.servers[server]
+        self.last_id += 1;
+        let model_id = self.last_id;
+        let duration_ms = work.min_ms + (work.max_ms - work.min_ms).max(0.0) * self.rng.f64();
+        let admission = self.servers[server]
             .model
-            .arrive(t, number, (lasts * 1e3) as u64);
-        match admit {
-            Admit::Full => return self.turn_away(server, &id, stream),
-            Admit::Fell => return self.on_fall(server),
-            Admit::Runs(_) | Admit::Waits => {}
+            .arrive(t, model_id, (duration_ms * 1e3) as u64);
+        match admission {
+            Admission::QueueFull => return self.reject_unprocessed(server, &id, stream),
+            Admission::Collapsed => return self.on_collapse(server),
+            Admission::Started(_) | Admission::Queued => {}
         }
         let messages_left = work.messages;
         self.calls.insert(
@@ -277,54 +283,54 @@
                 id,
                 key,
                 work,
-                number,
+                model_id,
                 messages_left,
                 running: false,
             },
         );
-        self.by_number.insert(number, stream);
-        if let Admit::Runs(lasts) = admit {
-            self.begin(stream, lasts);
+        self.stream_of_model_id.insert(model_id, stream);
+        if let Admission::Started(duration_us) = admission {
+            self.start_work(stream, duration_us);
         }
     }
 
-    /// It stays down: nothing more is answered, and new calls hear nothing.
-    fn on_fall(&mut self, server: usize) {
+    /// A collapsed server doesn't recover: it finishes no call and responds to no new one.
+    fn on_collapse(&mut self, server: usize) {
         let s = &mut self.servers[server];
-        s.mood.silent = true;
-        if !std::mem::replace(&mut s.fallen, true) {
-            self.log.line(&Line::Fell {
+        s.faults.silent = true;
+        if !std::mem::replace(&mut s.has_collapsed, true) {
+            self.log.append(&Entry::Fell {
                 t: monotonic(),
                 server: s.name.clone(),
             });
         }
     }
 
-    fn begin(&mut self, stream: StreamId, lasts: u64) {
+    fn start_work(&mut self, stream: StreamId, duration_us: u64) {
         let Some(call) = self.calls.get_mut(&stream) else {
             return;
         };
         call.running = true;
         let (id, key) = (call.id.clone(), call.key.clone());
         let server = self.servers[call.server].name.clone();
-        self.log.line(&Line::Start {
+        self.log.append(&Entry::Start {
             t: monotonic(),
             server,
             id,
             key,
         });
-        self.due_in(lasts, Due::Done(stream));
+        self.schedule(duration_us, TimerEvent::Done(stream));
     }
 
-    fn next_of(&mut self, server: usize, number: u64, called_off: bool) {
-        self.by_number.remove(&number);
-        if let Some((next, lasts)) =
+    fn finish_work(&mut self, server: usize, model_id: u64, is_cancelled: bool) {
+        self.stream_of_model_id.remove(&model_id);
+        if let Some((next, duration_us)) =
             self.servers[server]
                 .model
-                .leave(monotonic(), number, called_off)
+                .finish(monotonic(), model_id, is_cancelled)
         {
-            if let Some(&stream) = self.by_number.get(&next) {
-                self.begin(stream, lasts);
+            if let Some(&stream) = self.stream_of_model_id.get(&next) {
+                self.start_work(stream, duration_us);
             }
         }
     }
@@ -334,31 +340,35 @@
         let Some(call) = self.calls.get(&stream) else {
             return;
         };
-        let (server, number, id, key) =
-            (call.server, call.number, call.id.clone(), call.key.clone());
+        let (server, model_id, id, key) = (
+            call.server,
+            call.model_id,
+            call.id.clone(),
+            call.key.clone(),
+        );
         let name = self.servers[server].name.clone();
-        if self.keys.len() >= MOST_KEYS {
-            let window = self.farm.window;
-            self.keys.retain(|_, seen| *seen + window > t);
+        if self.seen_keys.len() >= MAX_KEYS {
+            let window = self.config.key_window_us;
+            self.seen_keys.retain(|_, seen| *seen + window > t);
         }
-        let repeated = !key.is_empty()
+        let is_duplicate = !key.is_empty()
             && self
-                .keys
+                .seen_keys
                 .get(&key)
-                .is_some_and(|seen| t < seen + self.farm.window);
-        if !key.is_empty() && !repeated {
-            self.keys.insert(key.clone(), t);
+                .is_some_and(|seen| t < seen + self.config.key_window_us);
+        if !key.is_empty() && !is_duplicate {
+            self.seen_keys.insert(key.clone(), t);
         }
-        self.log.line(&Line::Done {
+        self.log.append(&Entry::Done {
             t,
             server: name,
             id: id.clone(),
             key,
-            effect: !repeated,
+            effect: !is_duplicate,
         });
-        self.next_of(server, number, false);
-        if self.servers[server].fallen
-            || self.servers[server].mood.silent
+        self.finish_work(server, model_id, false);
+        if self.servers[server].has_collapsed
+            || self.servers[server].faults.silent
             || !self.engine.is_open(stream)
         {
             self.calls.remove(&stream);
@@ -371,7 +381,7 @@
         self.engine.respond(stream, grpc::head(), false);
         self.engine.send(stream, grpc::frame(&vec![b'f'; bytes]));
         if messages > 0 {
-            return self.due_in(STREAM_STEP, Due::Message(stream));
+            return self.schedule(STREAM_INTERVAL_US, TimerEvent::Message(stream));
         }
         self.finish(server, &id, stream);
     }
@@ -396,29 +406,32 @@
         if self.engine.queued(stream) == 0 {
             self.engine.send(stream, frame);
         }
-        self.due_in(STREAM_STEP, Due::Message(stream));
+        self.schedule(STREAM_INTERVAL_US, TimerEvent::Message(stream));
     }
 
     fn on_cancel(&mut self, stream: StreamId) {
         let Some(call) = self.calls.get(&stream) else {
             return;
         };
-        let (server, number, id, running) =
-            (call.server, call.number, call.id.clone(), call.running);
-        self.log.line(&Line::Cancel {
+        let (server, model_id, id, running) =
+            (call.server, call.model_id, call.id.clone(), call.running);
+        self.log.append(&Entry::Cancel {
             t: monotonic(),
             server: self.servers[server].name.clone(),
             id,
         });
-        // Work that runs on ends by its timer.
-        if running && self.farm.build.runs_on && call.messages_left == call.work.messages {
+        // A call that runs to its end is removed when its timer fires.
+        if running
+            && self.config.spec.finishes_cancelled
+            && call.messages_left == call.work.messages
+        {
             return;
         }
         self.calls.remove(&stream);
-        self.next_of(server, number, true);
+        self.finish_work(server, model_id, true);
     }
 
-    fn turn_away(&mut self, server: usize, id: &str, stream: StreamId) {
+    fn reject_unprocessed(&mut self, server: usize, id: &str, stream: StreamId) {
         self.reply(server, id, stream, Code::Unavailable, true);
     }
 
@@ -434,7 +447,7 @@
 
     fn log_reply(&mut self, server: usize, id: &str, status: i32, unprocessed: bool) {
         let server = self.servers[server].name.clone();
-        self.log.line(&Line::Reply {
+        self.log.append(&Entry::Reply {
             t: monotonic(),
             server,
             id: id.to_string(),
@@ -443,7 +456,7 @@
         });
     }
 
-    /// A dead server's port refuses connections; its next life starts cold.
+    /// Stops or starts a server. While it is down, its port refuses connections; it restarts without faults and in slow start.
     fn set_down(&mut self, server: usize, down: bool) -> Result<(), String> {
         let listener = self
             .listener_of
@@ -453,42 +466,43 @@
         if let Some(listener) = listener.filter(|_| down) {
             self.engine.unlisten(listener);
             self.listener_of.remove(&listener);
-            self.close_all(server..server + 1);
+            self.close_connections(server..server + 1);
         }
         if listener.is_none() && !down {
             let limits = Limits {
-                connections: self.farm.connections,
+                connections: self.config.connections,
                 ..Limits::default()
             };
             let address = self.ports[server].address();
-            let again = self.engine.listen(address, limits, false, false);
-            let (listener, _) = again.map_err(|e| format!("{address}: {e}\n"))?;
+            let listening = self.engine.listen(address, limits, false, false);
+            let (listener, _) = listening.map_err(|e| format!("{address}: {e}\n"))?;
             self.listener_of.insert(listener, server);
             let s = &mut self.servers[server];
-            s.model = Model::new(self.farm.build.clone(), monotonic());
-            (s.mood, s.fallen) = (Mood::default(), false);
+            s.model = ServerModel::new(self.config.spec.clone(), monotonic());
+            (s.faults, s.has_collapsed) = (Faults::default(), false);
         }
         Ok(())
     }
 
-    fn close_all(&mut self, servers: std::ops::Range<usize>) {
-        let all: Vec<ConnId> = self
+    fn close_connections(&mut self, servers: std::ops::Range<usize>) {
+        let conns: Vec<ConnId> = self
             .conns
             .iter()
             .filter(|c| servers.contains(c.1))
             .map(|c| *c.0)
             .collect();
-        all.into_iter().for_each(|conn| self.engine.close(conn));
+        conns.into_iter().for_each(|conn| self.engine.close(conn));
     }
 
-    /// `server` (a number; absent: all of the cell), `down`, `silent`, `draining`, `refuse_streams` (1 or 0), `errors` (a part),
-    /// `errors_path`, `slow` (a multiple of all work), `reset` (ends all connections), `cold` (a new start).
-    fn set(&mut self, pairs: &BTreeMap<String, String>) -> Result<(), String> {
+    /// Applies a control command: `server` (an index; absent: all servers of the cell), `down`, `silent`, `draining`,
+    /// `refuse_streams` (1 or 0), `errors` (a fraction of calls), `errors_path`, `slow` (a factor on the duration of all work),
+    /// `reset` (closes all connections), `cold` (restarts the slow start).
+    fn apply_command(&mut self, pairs: &BTreeMap<String, String>) -> Result<(), String> {
         let number = |v: &str| {
             v.parse::<f64>()
                 .map_err(|_| format!("expected a number, found '{v}'\n"))
         };
-        let chosen = match pairs.get("server") {
+        let selected = match pairs.get("server") {
             None => 0..self.servers.len(),
             Some(text) => match text.parse::<usize>() {
                 Ok(i) if i < self.servers.len() => i..i + 1,
@@ -500,7 +514,7 @@
                 }
             },
         };
-        for i in chosen.clone() {
+        for i in selected.clone() {
             for (name, value) in pairs {
                 if name == "down" {
                     self.set_down(i, value == "1")?;
@@ -508,27 +522,27 @@
                 let s = &mut self.servers[i];
                 match name.as_str() {
                     "server" | "down" => {}
-                    "silent" => s.mood.silent = value == "1",
-                    "draining" => s.mood.draining = value == "1",
-                    "refuse_streams" => s.mood.refuse_streams = value == "1",
-                    "errors" => s.mood.errors = number(value)?,
-                    "errors_path" => s.mood.errors_path = value.clone(),
-                    "slow" => s.model.slow = number(value)?.max(0.01),
-                    "cold" => s.model = Model::new(self.farm.build.clone(), monotonic()),
+                    "silent" => s.faults.silent = value == "1",
+                    "draining" => s.faults.draining = value == "1",
+                    "refuse_streams" => s.faults.refuse_streams = value == "1",
+                    "errors" => s.faults.errors = number(value)?,
+                    "errors_path" => s.faults.errors_path = value.clone(),
+                    "slow" => s.model.slowdown = number(value)?.max(0.01),
+                    "cold" => s.model = ServerModel::new(self.config.spec.clone(), monotonic()),
                     "reset" => {}
-                    _ => return Err(format!("{name}: not known here\n")),
+                    _ => return Err(format!("{name}: unknown parameter\n")),
                 }
             }
         }
         if pairs.contains_key("reset") {
-            self.close_all(chosen);
+            self.close_connections(selected);
         }
         Ok(())
     }
 }
 
-/// The servers' side of a day.
-pub fn farm_of(day: &Day, warm: bool) -> Farm {
+/// The configuration of a cell's servers in a day. With `warm`, they have their full capacity from the start.
+pub fn cell_config(day: &Day, warm: bool) -> CellConfig {
     let farm = day.farm.unwrap_or_default();
     let gateway = day.gateway.clone().unwrap_or_default();
     let start = gateway.start.unwrap_or_default();
@@ -538,40 +552,45 @@
         .map(|c| c.window_ms)
         .max()
         .unwrap_or(0);
-    let build = Build {
+    let spec = ServerSpec {
         cores: farm.cores.max(1) as usize,
-        room: farm.room as usize,
-        cold_from: start.cold_from,
-        cold: if warm {
+        queue_capacity: farm.room as usize,
+        slow_start_min_capacity: start.cold_from,
+        slow_start_us: if warm {
             0
         } else {
             u64::from(start.cold_ms) * 1_000
         },
-        fall_multiple: start.fall_multiple,
-        tip_after: u64::from(start.tip_after_ms) * 1_000,
-        runs_on: farm.runs_on,
+        overload_multiple: start.fall_multiple,
+        overload_duration_us: u64::from(start.tip_after_ms) * 1_000,
+        finishes_cancelled: farm.runs_on,
     };
     let connections = if farm.connections == 0 {
         1024
     } else {
         farm.connections as usize
     };
-    Farm {
-        build,
+    CellConfig {
+        spec,
         work: day.work.clone(),
         connections,
-        window: u64::from(window) * 1_000,
+        key_window_us: u64::from(window) * 1_000,
         seed: day.seed,
     }
 }
 
-/// Runs a cell until it is stopped.
+/// Runs the servers of a cell until a signal stops them.
 pub fn command(args: &FarmArgs) -> anyhow::Result<()> {
-    begin(args.with_parent);
+    init_process(args.with_parent);
     let signals = Signals::take()?;
     let day = script::read(&args.day)?;
-    let log = Log::create(args.log.as_deref())?;
-    let mut cell = Cell::start(farm_of(&day, args.warm), &args.listen, args.control, log)?;
+    let log = EventLog::create(args.log.as_deref())?;
+    let mut cell = Cell::start(
+        cell_config(&day, args.warm),
+        &args.listen,
+        args.control,
+        log,
+    )?;
     let addresses: Vec<String> = cell.addresses().iter().map(ToString::to_string).collect();
     println!(
         "ready servers={} control={}",
--- a/crates/testbed/src/stand_ins/mod.rs
+++ b/crates/testbed/src/stand_ins/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the counter and the servers.
+//! Stand-ins for the counter and for the endpoints (farm servers), with fault injection over a control port.
 
 pub mod counter;
 pub mod farm;
-pub mod model;
+pub mod server_model;
--- a/crates/testbed/tests/audit.rs
+++ b/crates/testbed/tests/audit.rs
@@ -1,6 +1,6 @@
 //! An audit of doctored logs: each rule's breach is found, and the log without it is sound.
 use chalkdeck_testbed::audit::rules::{audit, Record};
-use chalkdeck_testbed::parts::log::{End, Line};
+use chalkdeck_testbed::common::event_log::{CallOutcome, Entry};
 use chalkdeck_testbed::rig::demo;
 
 const NONE: [u8; 0] = [];
@@ -8,9 +8,9 @@
 const SELL: &str = "/farm.v1.Farm/Sell";
 const VIEW: &str = "/farm.v1.Farm/View";
 
-fn call(t: u64, id: &str, path: &str, key: &str) -> Line {
+fn call(t: u64, id: &str, path: &str, key: &str) -> Entry {
     let (id, path, key) = (id.into(), path.into(), key.into());
-    Line::Call {
+    Entry::Call {
         t,
         id,
         customer: "estate-0".into(),
@@ -21,8 +21,8 @@
         gateway: 0,
     }
 }
-fn answer(t: u64, id: &str, end: End) -> Line {
-    Line::Answer {
+fn answer(t: u64, id: &str, end: CallOutcome) -> Entry {
+    Entry::Answer {
         t,
         id: id.into(),
         end,
@@ -30,9 +30,9 @@
         pushback: None,
     }
 }
-fn arrive(t: u64, id: &str, server: &str) -> Line {
+fn arrive(t: u64, id: &str, server: &str) -> Entry {
     let (id, server) = (id.into(), server.into());
-    Line::Arrive {
+    Entry::Arrive {
         t,
         server,
         id,
@@ -42,8 +42,8 @@
         units: 1.0,
     }
 }
-fn unprocessed(t: u64, id: &str, server: &str) -> Line {
-    Line::Reply {
+fn unprocessed(t: u64, id: &str, server: &str) -> Entry {
+    Entry::Reply {
         t,
         server: server.into(),
         id: id.into(),
@@ -51,8 +51,8 @@
         unprocessed: true,
     }
 }
-fn done(t: u64, id: &str, key: &str, server: &str) -> Line {
-    Line::Done {
+fn done(t: u64, id: &str, key: &str, server: &str) -> Entry {
+    Entry::Done {
         t,
         server: server.into(),
         id: id.into(),
@@ -60,8 +60,8 @@
         effect: true,
     }
 }
-fn note(t: u64, what: &str, target: &str) -> Line {
-    Line::Note {
+fn note(t: u64, what: &str, target: &str) -> Entry {
+    Entry::Note {
         t,
         what: what.into(),
         target: target.into(),
@@ -69,7 +69,7 @@
 }
 
 /// The rules that a log breaks.
-fn broken(lines: Vec<Line>) -> Vec<u8> {
+fn broken(lines: Vec<Entry>) -> Vec<u8> {
     let day = demo::fleet().expect("the demo's day");
     let mut rules: Vec<u8> = audit(&Record { day, lines })
         .breaches
@@ -88,7 +88,7 @@
         unprocessed(S + 20, "a", "s1"),
         arrive(S + 30, "a", "s2"),
         done(S + 40, "a", "k", "s2"),
-        answer(S + 50, "a", End::Served),
+        answer(S + 50, "a", CallOutcome::Served),
     ];
     assert_eq!(broken(lines), NONE);
 }
@@ -99,7 +99,7 @@
     assert_eq!(
         broken(vec![
             call(S, "a", VIEW, ""),
-            answer(3 * S, "a", End::Served)
+            answer(3 * S, "a", CallOutcome::Served)
         ]),
         [1],
         "after the deadline"
@@ -107,24 +107,29 @@
     assert_eq!(
         broken(vec![
             call(S, "a", VIEW, ""),
-            answer(2 * S, "a", End::Silent)
+            answer(2 * S, "a", CallOutcome::Silent)
         ]),
         [1],
         "silence"
     );
     let twice = vec![
         call(S, "a", VIEW, ""),
-        answer(S + 9, "a", End::Served),
-        answer(S + 10, "a", End::Failed),
+        answer(S + 9, "a", CallOutcome::Served),
+        answer(S + 10, "a", CallOutcome::Failed),
     ];
     assert_eq!(broken(twice), [1], "two answers");
     let after = vec![
         call(S, "a", VIEW, ""),
-        answer(S + 9, "a", End::Failed),
+        answer(S + 9, "a", CallOutcome::Failed),
         arrive(S + 500_000, "a", "s1"),
     ];
     assert_eq!(broken(after), [1], "sent after its answer");
-    let lost = || vec![call(S, "a", VIEW, ""), answer(S + 9, "a", End::Lost)];
+    let lost = || {
+        vec![
+            call(S, "a", VIEW, ""),
+            answer(S + 9, "a", CallOutcome::Lost),
+        ]
+    };
     assert_eq!(broken(lost()), [1], "cut off");
     let mut killed = lost();
     killed.insert(1, note(S + 5, "gateway_killed", "0"));
@@ -138,13 +143,13 @@
             call(S, "a", SELL, key),
             arrive(S + 10, "a", "s1"),
             arrive(S + 10 + later, "a", "s2"),
-            answer(S + 20 + later, "a", End::Served),
+            answer(S + 20 + later, "a", CallOutcome::Served),
         ]
     };
     assert_eq!(broken(twice("", 10)), [2], "unsafe");
     assert_eq!(broken(twice("k", 10)), NONE, "keyed, inside its window");
     let mut late = twice("k", 4 * S);
-    late[0] = Line::Call {
+    late[0] = Entry::Call {
         t: S,
         id: "a".into(),
         customer: "estate-0".into(),
@@ -158,7 +163,7 @@
     let refused = vec![
         call(S, "a", SELL, ""),
         arrive(S + 9, "a", "s1"),
-        answer(S + 20, "a", End::Refused),
+        answer(S + 20, "a", CallOutcome::Refused),
     ];
     assert_eq!(broken(refused), [2], "refused though it may have run");
     let mut effects = twice("k", 10);
@@ -168,14 +173,14 @@
 
 #[test]
 fn work_for_a_server_that_drains() {
-    let at = |after: u64, more: Vec<Line>| {
+    let at = |after: u64, more: Vec<Entry>| {
         let t = S + after;
         let mut lines = vec![note(S, "unlisted", "s1")];
         lines.extend(more);
         lines.extend([
             call(t, "a", VIEW, ""),
             arrive(t + 10, "a", "s1"),
-            answer(t + 20, "a", End::Served),
+            answer(t + 20, "a", CallOutcome::Served),
         ]);
         broken(lines)
     };
@@ -199,7 +204,7 @@
         lines.extend([
             call(at, "a", VIEW, ""),
             arrive(at + 10, "a", "s1"),
-            answer(at + 50, "a", End::Served),
+            answer(at + 50, "a", CallOutcome::Served),
         ]);
         lines
     };
@@ -213,7 +218,7 @@
     let lines = |cut: bool| {
         let mut lines = vec![call(S, "a", VIEW, "")];
         lines.extend(cut.then(|| note(S + 10, "held_up", "from=north&cut=1")));
-        lines.push(answer(S + S / 2, "a", End::Refused));
+        lines.push(answer(S + S / 2, "a", CallOutcome::Refused));
         lines.extend(cut.then(|| note(3 * S, "let_through", "from=north&cut=0")));
         lines.push(arrive(3 * S + 10, "a", "s1"));
         lines
@@ -225,7 +230,7 @@
 #[test]
 fn a_cold_server_that_fell() {
     assert_eq!(
-        broken(vec![Line::Fell {
+        broken(vec![Entry::Fell {
             t: S,
             server: "s1".into()
         }]),
@@ -241,10 +246,10 @@
             vec![
                 call(t, &id, VIEW, ""),
                 arrive(t, &id, "s1"),
-                answer(t + 1, &id, End::Served),
+                answer(t + 1, &id, CallOutcome::Served),
             ]
         };
-        let mut lines: Vec<Line> = (0..count).flat_map(one).collect();
+        let mut lines: Vec<Entry> = (0..count).flat_map(one).collect();
         lines.sort_by_key(|l| serde_json::to_value(l).expect("a line")["t"].as_u64());
         broken(lines)
     };
--- a/crates/testbed/tests/days.rs
+++ b/crates/testbed/tests/days.rs
@@ -1,9 +1,9 @@
 //! Days played by real processes, and audits that must fail when a fault is put into the carrying code.
 use chalkdeck_proto::chalkdeck::lab::v1::{Day, Trouble};
 use chalkdeck_testbed::audit::rules::{audit, Record, Verdict};
-use chalkdeck_testbed::parts::process::Program;
-use chalkdeck_testbed::parts::report::Summary;
-use chalkdeck_testbed::parts::script;
+use chalkdeck_testbed::common::load_stats::LoadSummary;
+use chalkdeck_testbed::common::process::Program;
+use chalkdeck_testbed::common::script;
 use chalkdeck_testbed::rig::day::Ways;
 use chalkdeck_testbed::rig::{day, demo};
 use std::path::{Path, PathBuf};
@@ -12,12 +12,12 @@
 fn program() -> Program {
     Program {
         exe: PathBuf::from(env!("CARGO_BIN_EXE_chalkdeck-lab")),
-        before: Vec::new(),
+        leading_args: Vec::new(),
     }
 }
 
 struct Played {
-    summary: Summary,
+    summary: LoadSummary,
     verdict: Verdict,
 }
 
--- a/crates/testbed/tests/links.rs
+++ b/crates/testbed/tests/links.rs
@@ -1,5 +1,5 @@
 //! The relay between parties: what a network does to streams and datagrams.
-use chalkdeck_testbed::parts::control;
+use chalkdeck_testbed::common::control;
 use chalkdeck_testbed::rig::links::faults::Word;
 use chalkdeck_testbed::rig::links::{Link, Relay, Wire};
 use std::io::{ErrorKind, Read, Write};
@@ -28,7 +28,7 @@
 
 fn set(words: &Sender<(Word, Sender<usize>)>, text: &str) -> usize {
     let (sender, done) = channel();
-    let word = Word::read(&control::parse(&format!("/set?{text}")).1).expect("a sound word");
+    let word = Word::read(&control::parse_target(&format!("/set?{text}")).1).expect("a sound word");
     words.send((word, sender)).expect("it runs");
     done.recv().expect("it answers")
 }
--- a/crates/testbed/tests/sites.rs
+++ b/crates/testbed/tests/sites.rs
@@ -4,9 +4,9 @@
 use chalkdeck_grpc_gateway::sites::SitesStatus;
 use chalkdeck_proto::chalkdeck::lab::v1::{Day, Trouble};
 use chalkdeck_testbed::audit::rules::{audit, Record};
-use chalkdeck_testbed::parts::log::Line;
-use chalkdeck_testbed::parts::process::Program;
-use chalkdeck_testbed::parts::script;
+use chalkdeck_testbed::common::event_log::Entry;
+use chalkdeck_testbed::common::process::Program;
+use chalkdeck_testbed::common::script;
 use chalkdeck_testbed::rig::day::{self, Ways};
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, PoisonError};
@@ -83,7 +83,7 @@
     let dir = std::env::temp_dir().join(format!("chalkdeck-sites-{}-{name}", std::process::id()));
     let program = Program {
         exe: PathBuf::from(env!("CARGO_BIN_EXE_chalkdeck-lab")),
-        before: Vec::new(),
+        leading_args: Vec::new(),
     };
     let summary = day::run(program, day, &dir, &Ways::default()).expect("the day is played");
     let record = Record::read(&dir).expect("its logs are read");
@@ -91,7 +91,7 @@
     let _ = std::fs::remove_dir_all(&dir);
     let mut said = Vec::new();
     for line in &record.lines {
-        let Line::Note { t, what, target } = line else {
+        let Entry::Note { t, what, target } = line else {
             continue;
         };
         let Some((gateway, text)) = target.split_once(' ').filter(|_| what == "sites") else {
