--- a/crates/testbed/src/stand_ins/counter.rs
+++ b/crates/testbed/src/stand_ins/counter.rs
@@ -1,4 +1,5 @@
-//! Stand-in for the counter: named numbers in memory, and commands that make it silent, slow, refusing or empty.
+//! Stand-in for the counter: keeps named counts in memory, and has control commands that make it unresponsive, slow, refuse
+//! requests or lose its counts.
 
 use crate::common::control;
 use crate::common::process::init_process;
@@ -22,34 +23,37 @@
     pub with_parent: bool,
 }
 
-const MOST_BYTES: usize = 1_024;
-/// The most names that are kept; the oldest go first.
-const MOST_NAMES: usize = 1 << 20;
+/// The largest request message that is accepted.
+const MAX_MESSAGE_BYTES: usize = 1_024;
+/// Number of names from which on expired ones are dropped.
+const NAME_CLEANUP_THRESHOLD: usize = 1 << 20;
 
-struct Number {
+struct Count {
     total: f64,
-    until: u64,
+    expires_at: u64,
 }
 
-/// The stand-in.
-pub struct Counter {
+/// The stand-in for the counter.
+pub struct StandInCounter {
     engine: Engine,
     listen: SocketAddr,
     control: SocketAddr,
-    numbers: HashMap<u64, Number>,
-    asking: HashMap<StreamId, UnaryMessage>,
-    /// Streams of many adds.
-    streams: HashMap<StreamId, Deframer>,
-    late: HashMap<u64, (StreamId, AddResponse)>,
-    next: u64,
+    counts: HashMap<u64, Count>,
+    /// Requests of the `Add` method that have not arrived completely.
+    unary_requests: HashMap<StreamId, UnaryMessage>,
+    /// Streams of the `Adds` method.
+    add_streams: HashMap<StreamId, Deframer>,
+    /// Responses that wait for their timer.
+    delayed_responses: HashMap<u64, (StreamId, AddResponse)>,
+    last_timer: u64,
     silent: bool,
     refusing: bool,
-    slow_us: u64,
+    delay_us: u64,
 }
 
-impl Counter {
+impl StandInCounter {
     /// Binds both ports.
-    pub fn start(listen: SocketAddr, control: SocketAddr) -> std::io::Result<Counter> {
+    pub fn start(listen: SocketAddr, control: SocketAddr) -> std::io::Result<StandInCounter> {
         let mut engine = Engine::new()?;
         let limits = Limits {
             streams: 20_000,
@@ -57,21 +61,22 @@
         };
         let listen = engine.listen(listen, limits, false, false)?.1;
         let control = engine.listen(control, limits, false, true)?.1;
-        let (numbers, asking, late) = (HashMap::new(), HashMap::new(), HashMap::new());
-        let streams = HashMap::new();
-        let (next, silent, refusing, slow_us) = (0, false, false, 0);
-        Ok(Counter {
+        let (counts, unary_requests, delayed_responses) =
+            (HashMap::new(), HashMap::new(), HashMap::new());
+        let add_streams = HashMap::new();
+        let (last_timer, silent, refusing, delay_us) = (0, false, false, 0);
+        Ok(StandInCounter {
             engine,
             listen,
             control,
-            numbers,
-            asking,
-            streams,
-            late,
-            next,
+            counts,
+            unary_requests,
+            add_streams,
+            delayed_responses,
+            last_timer,
             silent,
             refusing,
-            slow_us,
+            delay_us,
         })
     }
     pub fn listen(&self) -> SocketAddr {
@@ -81,7 +86,7 @@
         self.control
     }
 
-    /// Answers until it is asked to stop.
+    /// Serves until a signal asks it to stop.
     pub fn run(&mut self, signals: &Signals) -> std::io::Result<()> {
         let mut events = Vec::new();
         while !signals.stop() {
@@ -97,50 +102,51 @@
         match event {
             Event::Opened { stream, head, .. } if head.uri.path().ends_with("/Adds") => {
                 self.engine.respond(stream, grpc::head(), false);
-                self.streams.insert(stream, Deframer::default());
+                self.add_streams.insert(stream, Deframer::default());
             }
             Event::Opened { stream, .. } => {
-                drop(self.asking.insert(stream, UnaryMessage::default()))
+                drop(self.unary_requests.insert(stream, UnaryMessage::default()))
             }
             Event::Data { stream, data } => {
                 self.engine.consume(stream, data.len());
-                if self.streams.contains_key(&stream) {
-                    return self.on_adds(stream, &data);
+                if self.add_streams.contains_key(&stream) {
+                    return self.on_stream_data(stream, &data);
                 }
-                let Some(gather) = self.asking.get_mut(&stream) else {
+                let Some(request) = self.unary_requests.get_mut(&stream) else {
                     return;
                 };
-                if gather.push(&data, MOST_BYTES).is_err() {
-                    self.asking.remove(&stream);
-                    self.status(stream, Code::InvalidArgument);
+                if request.push(&data, MAX_MESSAGE_BYTES).is_err() {
+                    self.unary_requests.remove(&stream);
+                    self.reply_status(stream, Code::InvalidArgument);
                 }
             }
-            Event::End { stream, .. } if self.streams.remove(&stream).is_some() => {
+            Event::End { stream, .. } if self.add_streams.remove(&stream).is_some() => {
                 self.engine
                     .finish(stream, Some(grpc::trailers(Code::Ok, "")));
             }
-            Event::End { stream, .. } => self.on_asked(stream),
+            Event::End { stream, .. } => self.on_unary_end(stream),
             Event::StreamFailed { stream, .. } => {
-                self.asking.remove(&stream);
-                self.streams.remove(&stream);
+                self.unary_requests.remove(&stream);
+                self.add_streams.remove(&stream);
             }
             Event::Timer(token) => {
-                let Some((stream, answer)) = self.late.remove(&token) else {
+                let Some((stream, response)) = self.delayed_responses.remove(&token) else {
                     return;
                 };
-                self.reply(stream, answer);
+                self.reply(stream, response);
             }
             Event::Get { conn, path } => {
                 let (_, pairs) = control::parse_target(&path);
-                let done = self.set(&pairs);
-                control::respond(&mut self.engine, conn, done);
+                let result = self.apply_command(&pairs);
+                control::respond(&mut self.engine, conn, result);
             }
             _ => {}
         }
     }
 
-    /// `silent`, `refusing` (1 or 0), `slow_ms`, `empty`.
-    fn set(&mut self, pairs: &BTreeMap<String, String>) -> Result<(), String> {
+    /// Applies a control command: `silent` (no responses; 1 or 0), `refusing` (UNAVAILABLE to every request; 1 or 0), `slow_ms`
+    /// (delay of responses), `empty` (drops all counts).
+    fn apply_command(&mut self, pairs: &BTreeMap<String, String>) -> Result<(), String> {
         for (name, value) in pairs {
             match name.as_str() {
                 "silent" => self.silent = value == "1",
@@ -149,9 +155,9 @@
                     let ms: f64 = value
                         .parse()
                         .map_err(|_| format!("slow_ms: expected a number, found {value}\n"))?;
-                    self.slow_us = (ms * 1e3) as u64;
+                    self.delay_us = (ms * 1e3) as u64;
                 }
-                "empty" => self.numbers.clear(),
+                "empty" => self.counts.clear(),
                 _ => {
                     return Err(format!(
                         "{name}: expected silent, refusing, slow_ms or empty\n"
@@ -162,27 +168,27 @@
         Ok(())
     }
 
-    fn on_asked(&mut self, stream: StreamId) {
-        let Some(gather) = self.asking.remove(&stream) else {
+    fn on_unary_end(&mut self, stream: StreamId) {
+        let Some(request) = self.unary_requests.remove(&stream) else {
             return;
         };
         if self.silent {
             return;
         }
         if self.refusing {
-            return self.status(stream, Code::Unavailable);
+            return self.reply_status(stream, Code::Unavailable);
         }
-        let Some(add) = gather
+        let Some(add) = request
             .message()
             .and_then(|m| AddRequest::decode(&m[..]).ok())
         else {
-            return self.status(stream, Code::InvalidArgument);
+            return self.reply_status(stream, Code::InvalidArgument);
         };
         if !add.amount.is_finite() {
-            return self.status(stream, Code::InvalidArgument);
+            return self.reply_status(stream, Code::InvalidArgument);
         }
         let total = self.add(&add);
-        self.reply_in_time(
+        self.reply_after_delay(
             stream,
             AddResponse {
                 total,
@@ -192,23 +198,27 @@
         );
     }
 
-    fn reply_in_time(&mut self, stream: StreamId, answer: AddResponse) {
-        if self.slow_us == 0 {
-            return self.reply(stream, answer);
+    fn reply_after_delay(&mut self, stream: StreamId, response: AddResponse) {
+        if self.delay_us == 0 {
+            return self.reply(stream, response);
         }
-        self.next += 1;
-        self.late.insert(self.next, (stream, answer));
+        self.last_timer += 1;
+        self.delayed_responses
+            .insert(self.last_timer, (stream, response));
         self.engine
-            .timer(self.engine.now() + self.slow_us, self.next);
+            .timer(self.engine.now() + self.delay_us, self.last_timer);
     }
 
-    fn on_adds(&mut self, stream: StreamId, data: &[u8]) {
-        let Some(deframer) = self.streams.get_mut(&stream) else {
+    fn on_stream_data(&mut self, stream: StreamId, data: &[u8]) {
+        let Some(deframer) = self.add_streams.get_mut(&stream) else {
             return;
         };
         deframer.push(data);
         loop {
-            let next = self.streams.get_mut(&stream).map(|d| d.next(MOST_BYTES));
+            let next = self
+                .add_streams
+                .get_mut(&stream)
+                .map(|d| d.next(MAX_MESSAGE_BYTES));
             let add = match next {
                 Some(Ok(Some(message))) => AddRequest::decode(&message[..])
                     .ok()
@@ -217,7 +227,7 @@
                 Some(Err(_)) => None,
             };
             let Some(add) = add else {
-                self.streams.remove(&stream);
+                self.add_streams.remove(&stream);
                 return self.engine.finish(
                     stream,
                     Some(grpc::trailers(Code::InvalidArgument, "expected an add")),
@@ -239,7 +249,7 @@
                 continue;
             }
             let total = self.add(&add);
-            self.reply_in_time(
+            self.reply_after_delay(
                 stream,
                 AddResponse {
                     total,
@@ -252,26 +262,26 @@
 
     fn add(&mut self, add: &AddRequest) -> f64 {
         let now = self.engine.now();
-        if self.numbers.len() >= MOST_NAMES {
-            self.numbers.retain(|_, n| n.until > now);
+        if self.counts.len() >= NAME_CLEANUP_THRESHOLD {
+            self.counts.retain(|_, n| n.expires_at > now);
         }
-        let number = self.numbers.entry(add.name).or_insert(Number {
+        let count = self.counts.entry(add.name).or_insert(Count {
             total: 0.0,
-            until: 0,
+            expires_at: 0,
         });
-        if number.until <= now {
-            *number = Number {
+        if count.expires_at <= now {
+            *count = Count {
                 total: 0.0,
-                until: now.saturating_add(add.lifetime_us),
+                expires_at: now.saturating_add(add.lifetime_us),
             };
         }
-        number.total += add.amount;
-        number.total
+        count.total += add.amount;
+        count.total
     }
 
-    fn reply(&mut self, stream: StreamId, answer: AddResponse) {
-        let frame = grpc::frame(&answer.encode_to_vec());
-        if self.streams.contains_key(&stream) {
+    fn reply(&mut self, stream: StreamId, response: AddResponse) {
+        let frame = grpc::frame(&response.encode_to_vec());
+        if self.add_streams.contains_key(&stream) {
             return self.engine.send(stream, frame);
         }
         self.engine.respond(stream, grpc::head(), false);
@@ -279,17 +289,17 @@
         self.engine
             .finish(stream, Some(grpc::trailers(Code::Ok, "")));
     }
-    fn status(&mut self, stream: StreamId, code: Code) {
+    fn reply_status(&mut self, stream: StreamId, code: Code) {
         self.engine
             .respond(stream, grpc::trailers_only(grpc::trailers(code, "")), true);
     }
 }
 
-/// Runs it until it is stopped.
+/// Runs the stand-in until a signal stops it.
 pub fn command(args: &CounterArgs) -> anyhow::Result<()> {
     init_process(args.with_parent);
     let signals = Signals::take()?;
-    let mut counter = Counter::start(args.listen, args.control)?;
+    let mut counter = StandInCounter::start(args.listen, args.control)?;
     println!(
         "ready grpc={} control={}",
         counter.listen(),
--- a/crates/testbed/src/stand_ins/farm.rs
+++ b/crates/testbed/src/stand_ins/farm.rs
@@ -21,7 +21,7 @@
 
 #[derive(Args)]
 pub struct FarmArgs {
-    /// A day: its farm, work and cold start
+    /// A day, of which the farm, the work and the slow start are used
     #[arg(long)]
     pub day: PathBuf,
     /// One address for each server
@@ -31,7 +31,7 @@
     pub control: SocketAddr,
     #[arg(long)]
     pub log: Option<PathBuf>,
-    /// The servers have been up for long
+    /// The servers have their full capacity from the start
     #[arg(long)]
     pub warm: bool,
     #[arg(long, hide = true)]
@@ -41,13 +41,15 @@
 /// Time between two messages of a streamed response, in microseconds.
 const STREAM_INTERVAL_US: u64 = 100_000;
 /// Number of idempotency keys from which on expired ones are dropped.
-const MAX_KEYS: usize = 1 << 20;
+const KEY_CLEANUP_THRESHOLD: usize = 1 << 20;
 
 /// Configuration of the servers of a cell.
 #[derive(Clone, Debug)]
 pub struct CellConfig {
     pub spec: ServerSpec,
+    /// What calls cost, by path.
     pub work: Vec<Work>,
+    /// The most connections to a server.
     pub connections: usize,
     /// How long a repeated key counts as a duplicate, in microseconds.
     pub key_window_us: u64,
@@ -83,12 +85,15 @@
     work: Work,
     /// Identifies the call in the server's model.
     model_id: u64,
+    /// Messages of a streamed response that are still to be sent.
     messages_left: u32,
-    running: bool,
+    is_running: bool,
 }
 
 enum TimerEvent {
+    /// The call's work is done.
     Done(StreamId),
+    /// The next message of a streamed response is due.
     Message(StreamId),
 }
 
@@ -103,9 +108,11 @@
     listener_of: HashMap<ListenerId, usize>,
     conns: HashMap<ConnId, usize>,
     calls: HashMap<StreamId, Call>,
-    stream_of_model_id: HashMap<u64, StreamId>,
+    stream_by_model_id: HashMap<u64, StreamId>,
     timers: HashMap<u64, TimerEvent>,
+    /// The last id that was assigned to a timer or to a call in a model.
     last_id: u64,
+    /// Idempotency keys and when they were first processed.
     seen_keys: HashMap<String, u64>,
     log: EventLog,
     rng: fastrand::Rng,
@@ -158,7 +165,7 @@
             listener_of,
             conns: HashMap::new(),
             calls: HashMap::new(),
-            stream_of_model_id: HashMap::new(),
+            stream_by_model_id: HashMap::new(),
             timers: HashMap::new(),
             last_id: 0,
             seen_keys: HashMap::new(),
@@ -285,16 +292,16 @@
                 work,
                 model_id,
                 messages_left,
-                running: false,
+                is_running: false,
             },
         );
-        self.stream_of_model_id.insert(model_id, stream);
+        self.stream_by_model_id.insert(model_id, stream);
         if let Admission::Started(duration_us) = admission {
             self.start_work(stream, duration_us);
         }
     }
 
-    /// A collapsed server doesn't recover: it finishes no call and responds to no new one.
+    /// A collapsed server doesn't recover: it sends no response any more, neither to calls that run nor to new ones.
     fn on_collapse(&mut self, server: usize) {
         let s = &mut self.servers[server];
         s.faults.silent = true;
@@ -310,7 +317,7 @@
         let Some(call) = self.calls.get_mut(&stream) else {
             return;
         };
-        call.running = true;
+        call.is_running = true;
         let (id, key) = (call.id.clone(), call.key.clone());
         let server = self.servers[call.server].name.clone();
         self.log.append(&Entry::Start {
@@ -323,13 +330,13 @@
     }
 
     fn finish_work(&mut self, server: usize, model_id: u64, is_cancelled: bool) {
-        self.stream_of_model_id.remove(&model_id);
+        self.stream_by_model_id.remove(&model_id);
         if let Some((next, duration_us)) =
             self.servers[server]
                 .model
                 .finish(monotonic(), model_id, is_cancelled)
         {
-            if let Some(&stream) = self.stream_of_model_id.get(&next) {
+            if let Some(&stream) = self.stream_by_model_id.get(&next) {
                 self.start_work(stream, duration_us);
             }
         }
@@ -347,7 +354,7 @@
             call.key.clone(),
         );
         let name = self.servers[server].name.clone();
-        if self.seen_keys.len() >= MAX_KEYS {
+        if self.seen_keys.len() >= KEY_CLEANUP_THRESHOLD {
             let window = self.config.key_window_us;
             self.seen_keys.retain(|_, seen| *seen + window > t);
         }
@@ -413,15 +420,15 @@
         let Some(call) = self.calls.get(&stream) else {
             return;
         };
-        let (server, model_id, id, running) =
-            (call.server, call.model_id, call.id.clone(), call.running);
+        let (server, model_id, id, is_running) =
+            (call.server, call.model_id, call.id.clone(), call.is_running);
         self.log.append(&Entry::Cancel {
             t: monotonic(),
             server: self.servers[server].name.clone(),
             id,
         });
         // A call that runs to its end is removed when its timer fires.
-        if running
+        if is_running
             && self.config.spec.finishes_cancelled
             && call.messages_left == call.work.messages
         {
--- a/crates/testbed/src/stand_ins/server_model.rs
+++ b/crates/testbed/src/stand_ins/server_model.rs
@@ -1,4 +1,5 @@
-//! Model of a server's capacity, without I/O: cores, a bounded queue, slow start, and collapse under overload while it warms up.
+//! Model of a server's capacity, without I/O: cores, a bounded queue, slow start, and collapse under overload during slow
+//! start.
 
 use std::collections::VecDeque;
 
@@ -26,9 +27,11 @@
 pub enum Admission {
     /// It got a core and takes this many microseconds.
     Started(u64),
+    /// All cores are busy: it waits for one.
     Queued,
+    /// The queue is full: it has to be rejected.
     QueueFull,
-    /// The server has collapsed, by this call or earlier, and answers nothing any more.
+    /// The server has collapsed, by this call or earlier, and doesn't respond any more.
     Collapsed,
 }
 
@@ -37,6 +40,7 @@
 pub struct ServerModel {
     spec: ServerSpec,
     started_at: u64,
+    /// Ids of the calls that have a core.
     running: Vec<u64>,
     /// Ids of the calls that wait and their work, in microseconds.
     waiting: VecDeque<(u64, u64)>,
