--- a/crates/testbed/src/common/script.rs
+++ b/crates/testbed/src/common/script.rs
@@ -15,7 +15,8 @@
 /// How long after the loss of a zone or server the endpoint list drops it.
 const LIST_DELAY_MS: u32 = 1_000;
 
-/// One action on the processes of a run. Names of variants go into the event log.
+/// One action on the processes of a run. Cells are given by the index of their zone, and names of variants go into the event
+/// log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ScriptAction {
     /// A control command to the counter.
@@ -30,14 +31,15 @@
     StartCell(usize),
     /// Adds the servers of a zone to the endpoint list, or removes them.
     ListCell(usize, bool),
+    /// Sets the state of one server in the endpoint list, by its index over all cells.
     List(usize, ListStatus),
     KillGateway(usize),
     StartGateway(usize),
     /// Stops a gateway by SIGSTOP (true), or resumes it by SIGCONT.
     Stall(usize, bool),
-    /// The same for the servers of a zone.
+    /// Stops or resumes the servers of a zone in the same way.
     StallCell(usize, bool),
-    /// A control command to the relay of the links.
+    /// A control command to a relay, which injects faults into links.
     Links(String),
     /// An operator's command on a zone, sent to all gateways: `drain`, `hold` or `let-back`.
     Operator(String, usize),
--- a/crates/testbed/src/soak/faults.rs
+++ b/crates/testbed/src/soak/faults.rs
@@ -43,11 +43,13 @@
     Signal(usize, Signal),
     /// Checks that a gateway has exited after SIGTERM.
     ExpectExit(usize),
-    /// Replaces a gateway's settings file with one that can't be parsed, and restores it.
+    /// Replaces a gateway's settings file with one that can't be parsed.
     BreakSettings(usize),
+    /// Restores the settings file.
     RestoreSettings(usize),
-    /// Idle clients connect, and disconnect.
+    /// Idle clients connect.
     CrowdArrives,
+    /// The idle clients disconnect.
     CrowdLeaves,
 }
 
@@ -87,7 +89,7 @@
     Kill "kill" "SIGKILL, then a restart.",
     HupSeries "hup_series" "SIGHUP several times within 100 ms.",
     HupAroundTerm "hup_around_term" "SIGHUP right before and after SIGTERM.",
-    HupBroken "hup_broken" "SIGHUP with settings that cannot be parsed, then with good ones.",
+    HupBroken "hup_broken" "SIGHUP with settings that cannot be parsed, then with valid ones.",
     Stall "stall" "SIGSTOP, and SIGCONT later.",
     StalledTerm "stalled_term" "SIGTERM while the gateway is stopped.",
     StalledHup "stalled_hup" "SIGHUP while the gateway is stopped.",
@@ -100,7 +102,7 @@
     FastErrors "fast_errors" "Some servers fail half of the calls of one path at once.",
     CounterDown "counter_down" "The counter stops responding.",
     CounterSlow "counter_slow" "The counter responds late.",
-    CounterKill "counter_kill" "The counter is killed and started again.",
+    CounterKill "counter_kill" "The counter is killed and restarted.",
     CounterRefusing "counter_refusing" "The counter refuses calls.",
     Burst "burst" "A customer far exceeds its quota.",
     Reconnect "reconnect" "All clients reconnect.",
@@ -145,7 +147,7 @@
     pub(super) target: Target,
     /// When it begins, in milliseconds after the start of the load.
     pub at_ms: u32,
-    /// When its last step is due, after which it is reverted, in milliseconds.
+    /// When its last step is due, which reverts the fault, in milliseconds after the start of the load.
     pub until_ms: u32,
     pub(super) steps: Vec<Step>,
 }
--- a/crates/testbed/tests/soak.rs
+++ b/crates/testbed/tests/soak.rs
@@ -149,7 +149,7 @@
 /// Guards against a load generator that retries a keyed sale after DEADLINE_EXCEEDED, when the first try may have run. The retry
 /// went through a gateway in another zone, and as keys hold in one zone only, seed 60 of 14 s broke rule 2 ("had its effect 2
 /// times"): calls c1343 and c1524 had the same key and one attempt each, and the second began 18 us after the first one's
-/// DEADLINE_EXCEEDED. Clients may retry such calls only after a refusal.
+/// DEADLINE_EXCEEDED. The user documentation has clients retry such calls only after a refusal.
 #[test]
 fn clients_retry_failed_calls_only_if_they_may_run_twice() {
     let plan = generate_plan(60, 14, &[]).expect("a plan");
