--- a/crates/testbed/src/audit/mod.rs
+++ b/crates/testbed/src/audit/mod.rs
@@ -1,6 +1,6 @@
-//! What a run left behind, checked and drawn.
+//! Checks, evaluation and charts of the logs of a run.
 
 pub mod rules;
-pub mod site_chart;
-pub mod sites;
+pub mod site_loss;
+pub mod site_loss_chart;
 pub mod timeline;
--- a/crates/testbed/src/audit/rules.rs
+++ b/crates/testbed/src/audit/rules.rs
@@ -1,5 +1,11 @@
-//! Checks the five rules of a run from what crossed the sockets of clients and servers, and what the run itself did;
-//! never from what a gateway says.
+//! Checks the five safety rules of a run against the event logs of its clients and servers and the actions of the run
+//! itself. It never relies on what a gateway reports about itself.
+//!
+//! 1. Each call ends once for its client, by its deadline, and no attempt is sent after that.
+//! 2. A call takes effect at most once, and is refused only if no server can have run it.
+//! 3. Servers that are drained, and sites that an operator holds out, get no calls after the grace period.
+//! 4. No server collapses under overload while it warms up.
+//! 5. No customer exceeds the ceiling of its plan.
 
 use crate::common::event_log::{self, CallOutcome, Entry};
 use crate::common::script;
@@ -8,53 +14,54 @@
 use std::collections::{BTreeMap, HashMap};
 use std::path::Path;
 
-/// How far apart two sockets' times of one thing may lie on a busy machine, in microseconds.
-const SLACK: u64 = 200_000;
-/// Grace of drains, in microseconds, and how late a gateway may read the list.
-const GRACE: u64 = 2_000_000;
+/// How far the timestamps of two processes for the same event may differ on a busy machine.
+const TIMESTAMP_SLACK_US: u64 = 200_000;
+/// Grace period of a drain; it covers a gateway that reads the endpoint list late.
+const DRAIN_GRACE_US: u64 = 2_000_000;
 
-/// One rule that a run broke.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
-    /// 1 to 5.
+    /// The rule's number, from 1 to 5.
     pub rule: u8,
-    pub what: String,
+    pub description: String,
 }
 
-/// What an audit found.
+/// The result of an audit.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
     pub calls: usize,
-    pub ends: BTreeMap<CallOutcome, usize>,
+    /// Calls by the way they ended for the client.
+    pub outcomes: BTreeMap<CallOutcome, usize>,
     pub attempts: usize,
     pub effects: usize,
     pub breaches: Vec<Breach>,
 }
 
-/// All that a run left behind.
+/// What a run recorded: its day and the events of all its logs, ordered by time.
 pub struct Record {
     pub day: Day,
-    pub lines: Vec<Entry>,
+    pub events: Vec<Entry>,
 }
 
 impl Record {
-    /// Reads a run's folder.
+    /// Reads the folder of a run.
     pub fn read(dir: &Path) -> anyhow::Result<Record> {
         let day = script::read(&dir.join("day.txtpb"))?;
-        let mut lines = Vec::new();
+        let mut events = Vec::new();
         for entry in std::fs::read_dir(dir)? {
             let path = entry?.path();
             if path.extension().is_some_and(|e| e == "jsonl") {
-                lines.extend(event_log::read(&path)?);
+                events.extend(event_log::read(&path)?);
             }
         }
-        lines.sort_by_key(time);
-        Ok(Record { day, lines })
+        events.sort_by_key(time_us);
+        Ok(Record { day, events })
     }
 }
 
-fn time(line: &Entry) -> u64 {
-    match line {
+fn time_us(event: &Entry) -> u64 {
+    match event {
         Entry::Call { t, .. }
         | Entry::Answer { t, .. }
         | Entry::Arrive { t, .. }
@@ -68,155 +75,161 @@
 }
 
 struct Attempt {
-    t: u64,
+    arrived_at: u64,
     server: String,
-    unprocessed: bool,
+    is_unprocessed: bool,
 }
 
 #[derive(Default)]
 struct Call {
-    sent: u64,
+    sent_at: u64,
     deadline: u64,
     gateway: usize,
     path: String,
     key: String,
     customer: String,
     units: f64,
-    answers: Vec<(u64, CallOutcome)>,
+    outcomes: Vec<(u64, CallOutcome)>,
     attempts: Vec<Attempt>,
 }
 
-/// Spans in which something did not hold, by gateway or for all.
-struct Spans {
-    gateway: Vec<(usize, u64, u64)>,
-    /// A gateway had ended as it was asked to: what was sent before has its answer.
-    ended_gateways: Vec<(usize, u64, u64)>,
+/// Periods of a run in which some rules are relaxed, each with its start and end. The time of an event that never came is
+/// `u64::MAX`.
+struct Disruptions {
+    /// Gateways that were killed or stopped by SIGSTOP.
+    gateway_outages: Vec<(usize, u64, u64)>,
+    /// Gateways that shut down on request. Calls sent before the shutdown must still get their responses.
+    gateway_shutdowns: Vec<(usize, u64, u64)>,
     reconnects: Vec<u64>,
-    ended: u64,
-    /// Links were in trouble or servers stood still: what was sent before may get there later.
-    held_up: Vec<(u64, u64)>,
-    /// The same between clients and gateways.
-    clients: Vec<(u64, u64)>,
+    load_ended_at: u64,
+    /// Faults on links to servers, and stopped servers: messages sent before may arrive later.
+    server_link_faults: Vec<(u64, u64)>,
+    /// Faults on the links between clients and gateways.
+    client_link_faults: Vec<(u64, u64)>,
 }
 
-impl Spans {
-    fn of(lines: &[Entry]) -> Spans {
-        let mut spans = Spans {
-            gateway: Vec::new(),
-            ended_gateways: Vec::new(),
+impl Disruptions {
+    fn from_events(events: &[Entry]) -> Disruptions {
+        let mut disruptions = Disruptions {
+            gateway_outages: Vec::new(),
+            gateway_shutdowns: Vec::new(),
             reconnects: Vec::new(),
-            ended: u64::MAX,
-            held_up: Vec::new(),
-            clients: Vec::new(),
+            load_ended_at: u64::MAX,
+            server_link_faults: Vec::new(),
+            client_link_faults: Vec::new(),
         };
-        for line in lines {
-            let Entry::Note { t, what, target } = line else {
+        for event in events {
+            let Entry::Note { t, what, target } = event else {
                 continue;
             };
             let gateway: usize = target.parse().unwrap_or(usize::MAX);
             match what.as_str() {
-                "gateway_killed" | "gateway_stalled" => spans.gateway.push((gateway, *t, u64::MAX)),
-                "gateway_ended" => spans.ended_gateways.push((gateway, *t, u64::MAX)),
+                "gateway_killed" | "gateway_stalled" => {
+                    disruptions.gateway_outages.push((gateway, *t, u64::MAX))
+                }
+                "gateway_ended" => disruptions.gateway_shutdowns.push((gateway, *t, u64::MAX)),
                 "gateway_started" | "gateway_resumed" => {
-                    let open = spans
-                        .gateway
+                    let unfinished = disruptions
+                        .gateway_outages
                         .iter_mut()
-                        .chain(&mut spans.ended_gateways)
+                        .chain(&mut disruptions.gateway_shutdowns)
                         .rev()
                         .find(|s| s.0 == gateway && s.2 == u64::MAX);
-                    open.into_iter().for_each(|s| s.2 = *t);
+                    unfinished.into_iter().for_each(|s| s.2 = *t);
                 }
-                "held_up" => spans.links(target).push((*t, u64::MAX)),
+                "held_up" => disruptions.link_faults_mut(target).push((*t, u64::MAX)),
                 "let_through" => {
-                    let open = spans
-                        .links(target)
+                    let unfinished = disruptions
+                        .link_faults_mut(target)
                         .iter_mut()
                         .rev()
                         .find(|s| s.1 == u64::MAX);
-                    open.into_iter().for_each(|s| s.1 = *t);
+                    unfinished.into_iter().for_each(|s| s.1 = *t);
                 }
-                "clients_reconnect" => spans.reconnects.push(*t),
-                "load_ended" => spans.ended = *t,
+                "clients_reconnect" => disruptions.reconnects.push(*t),
+                "load_ended" => disruptions.load_ended_at = *t,
                 _ => {}
             }
         }
-        spans
+        disruptions
     }
-    /// The gateway was dead or stalled at some time of the span, or had ended as it was asked to when the span began.
-    fn down(&self, gateway: usize, from: u64, to: u64) -> bool {
-        let was_down = self
-            .gateway
-            .iter()
-            .any(|s| s.0 == gateway && s.1 <= to + SLACK && s.2.saturating_add(SLACK) >= from);
-        let had_ended = self
-            .ended_gateways
+    /// Whether the gateway was killed or stopped at any time of the period, or had shut down before the period began.
+    fn is_gateway_down(&self, gateway: usize, from: u64, to: u64) -> bool {
+        let had_outage = self.gateway_outages.iter().any(|s| {
+            s.0 == gateway
+                && s.1 <= to + TIMESTAMP_SLACK_US
+                && s.2.saturating_add(TIMESTAMP_SLACK_US) >= from
+        });
+        let was_shut_down = self
+            .gateway_shutdowns
             .iter()
             .any(|s| s.0 == gateway && s.1 <= from && from <= s.2);
-        was_down || had_ended
+        had_outage || was_shut_down
     }
-    /// The spans that a word to the relays belongs to.
-    fn links(&mut self, word: &str) -> &mut Vec<(u64, u64)> {
-        if script::is_for_client_links(word) {
-            &mut self.clients
+    /// The faults that a relay command belongs to.
+    fn link_faults_mut(&mut self, command: &str) -> &mut Vec<(u64, u64)> {
+        if script::is_for_client_links(command) {
+            &mut self.client_link_faults
         } else {
-            &mut self.held_up
+            &mut self.server_link_faults
         }
     }
-    /// What a client sent or was to hear in that time may have been held up.
-    fn client_links(&self, from: u64, to: u64) -> bool {
-        self.clients
-            .iter()
-            .any(|s| s.0 <= to.saturating_add(SLACK) && s.1.saturating_add(SLACK) >= from)
+    /// Whether requests or responses of clients may have been delayed in the period.
+    fn has_client_link_fault(&self, from: u64, to: u64) -> bool {
+        self.client_link_faults.iter().any(|s| {
+            s.0 <= to.saturating_add(TIMESTAMP_SLACK_US)
+                && s.1.saturating_add(TIMESTAMP_SLACK_US) >= from
+        })
     }
-    /// What was sent by `from` may have arrived only at `to`.
-    fn held_up(&self, from: u64, to: u64) -> bool {
-        self.held_up
-            .iter()
-            .any(|s| s.0 <= to + SLACK && s.1.saturating_add(SLACK) >= from)
+    /// Whether a message that was sent by `from` may have arrived as late as `to`.
+    fn is_delivery_delayed(&self, from: u64, to: u64) -> bool {
+        self.server_link_faults.iter().any(|s| {
+            s.0 <= to + TIMESTAMP_SLACK_US && s.1.saturating_add(TIMESTAMP_SLACK_US) >= from
+        })
     }
-    fn reconnected(&self, from: u64, to: u64) -> bool {
+    fn has_reconnect(&self, from: u64, to: u64) -> bool {
         self.reconnects
             .iter()
-            .any(|t| from <= t + SLACK && *t <= to + SLACK)
+            .any(|t| from <= t + TIMESTAMP_SLACK_US && *t <= to + TIMESTAMP_SLACK_US)
     }
 }
 
-/// Audits a run.
+/// Checks all rules.
 pub fn audit(record: &Record) -> Verdict {
     let mut verdict = Verdict::default();
-    let spans = Spans::of(&record.lines);
-    let calls = gather(record, &mut verdict);
-    let rules = Rules::of(&record.day);
+    let disruptions = Disruptions::from_events(&record.events);
+    let calls = collect_calls(record, &mut verdict);
+    let settings = DaySettings::from_day(&record.day);
     for (id, call) in &calls {
-        answered_once(id, call, &spans, &mut verdict);
-        no_effect_twice(id, call, &rules, &mut verdict);
+        check_single_outcome(id, call, &disruptions, &mut verdict);
+        check_resends(id, call, &settings, &mut verdict);
     }
-    effects_once(&record.lines, &rules, &mut verdict);
-    drains_kept(&record.lines, &rules, &mut verdict);
-    held_sites_kept(record, &mut verdict);
-    ceilings_kept(&calls, &rules, &mut verdict);
-    for line in &record.lines {
-        if let Entry::Fell { t, server } = line {
-            verdict.breach(4, format!("cold server {server} was pushed over at {t}"));
+    check_single_effect(&record.events, &settings, &mut verdict);
+    check_drains(&record.events, &settings, &mut verdict);
+    check_held_out_sites(record, &mut verdict);
+    check_ceilings(&calls, &settings, &mut verdict);
+    for event in &record.events {
+        if let Entry::Fell { t, server } = event {
+            verdict.add_breach(4, format!("cold server {server} was pushed over at {t}"));
         }
     }
     verdict
 }
 
 impl Verdict {
-    fn breach(&mut self, rule: u8, what: String) {
-        self.breaches.push(Breach { rule, what });
+    fn add_breach(&mut self, rule: u8, description: String) {
+        self.breaches.push(Breach { rule, description });
     }
-    /// Whether a rule was broken.
-    pub fn broke(&self, rule: u8) -> bool {
+    /// Whether the run violated this rule.
+    pub fn has_breach_of(&self, rule: u8) -> bool {
         self.breaches.iter().any(|b| b.rule == rule)
     }
 }
 
-fn gather(record: &Record, verdict: &mut Verdict) -> BTreeMap<String, Call> {
+fn collect_calls(record: &Record, verdict: &mut Verdict) -> BTreeMap<String, Call> {
     let mut calls: BTreeMap<String, Call> = BTreeMap::new();
-    for line in &record.lines {
-        match line {
+    for event in &record.events {
+        match event {
             Entry::Call {
                 t,
                 id,
@@ -228,7 +241,7 @@
                 gateway,
             } => {
                 let call = calls.entry(id.clone()).or_default();
-                (call.sent, call.deadline, call.gateway, call.units) =
+                (call.sent_at, call.deadline, call.gateway, call.units) =
                     (*t, *deadline, *gateway, *units);
                 (call.path, call.key, call.customer) =
                     (path.clone(), key.clone(), customer.clone());
@@ -238,15 +251,15 @@
                 calls
                     .entry(id.clone())
                     .or_default()
-                    .answers
+                    .outcomes
                     .push((*t, *end));
-                *verdict.ends.entry(*end).or_default() += 1;
+                *verdict.outcomes.entry(*end).or_default() += 1;
             }
             Entry::Arrive { t, server, id, .. } => {
                 let attempt = Attempt {
-                    t: *t,
+                    arrived_at: *t,
                     server: server.clone(),
-                    unprocessed: false,
+                    is_unprocessed: false,
                 };
                 calls.entry(id.clone()).or_default().attempts.push(attempt);
                 verdict.attempts += 1;
@@ -258,12 +271,12 @@
                 ..
             } => {
                 let call = calls.entry(id.clone()).or_default();
-                let of = call
+                let attempt = call
                     .attempts
                     .iter_mut()
                     .rev()
-                    .find(|a| a.server == *server && !a.unprocessed);
-                of.into_iter().for_each(|a| a.unprocessed = true);
+                    .find(|a| a.server == *server && !a.is_unprocessed);
+                attempt.into_iter().for_each(|a| a.is_unprocessed = true);
             }
             Entry::Done { effect: true, .. } => verdict.effects += 1,
             _ => {}
@@ -272,27 +285,34 @@
     calls
 }
 
-fn answered_once(id: &str, call: &Call, spans: &Spans, verdict: &mut Verdict) {
-    let Some(&(at, end)) = call.answers.first() else {
-        let cut_off = spans.client_links(call.sent, u64::MAX - SLACK);
-        if !spans.down(call.gateway, call.sent, u64::MAX - SLACK) && !cut_off {
-            verdict.breach(1, format!("call {id} has no answer"));
+fn check_single_outcome(id: &str, call: &Call, disruptions: &Disruptions, verdict: &mut Verdict) {
+    let Some(&(at, end)) = call.outcomes.first() else {
+        let is_cut_off =
+            disruptions.has_client_link_fault(call.sent_at, u64::MAX - TIMESTAMP_SLACK_US);
+        if !disruptions.is_gateway_down(call.gateway, call.sent_at, u64::MAX - TIMESTAMP_SLACK_US)
+            && !is_cut_off
+        {
+            verdict.add_breach(1, format!("call {id} has no answer"));
         }
         return;
     };
-    if call.answers.len() > 1 {
-        verdict.breach(1, format!("call {id} has {} answers", call.answers.len()));
+    if call.outcomes.len() > 1 {
+        verdict.add_breach(1, format!("call {id} has {} answers", call.outcomes.len()));
     }
-    let down = spans.down(call.gateway, call.sent, at) || spans.client_links(call.sent, at);
+    let is_disrupted = disruptions.is_gateway_down(call.gateway, call.sent_at, at)
+        || disruptions.has_client_link_fault(call.sent_at, at);
     match end {
-        CallOutcome::Silent if !down => {
-            verdict.breach(1, format!("call {id} had no answer in time"))
+        CallOutcome::Silent if !is_disrupted => {
+            verdict.add_breach(1, format!("call {id} had no answer in time"))
         }
-        CallOutcome::Lost if !down && !spans.reconnected(call.sent, at) => {
-            verdict.breach(1, format!("call {id} was cut off by a gateway that ran"));
+        CallOutcome::Lost if !is_disrupted && !disruptions.has_reconnect(call.sent_at, at) => {
+            verdict.add_breach(1, format!("call {id} was cut off by a gateway that ran"));
         }
-        _ if at > call.deadline.saturating_add(SLACK) && !down && end != CallOutcome::Silent => {
-            verdict.breach(
+        _ if at > call.deadline.saturating_add(TIMESTAMP_SLACK_US)
+            && !is_disrupted
+            && end != CallOutcome::Silent =>
+        {
+            verdict.add_breach(
                 1,
                 format!(
                     "call {id} was answered {} us after its deadline",
@@ -302,37 +322,39 @@
         }
         _ => {}
     }
-    let late = call
-        .attempts
-        .iter()
-        .find(|a| a.t > at + SLACK && !down && !spans.held_up(at, a.t));
-    if let Some(a) = late {
-        verdict.breach(
+    let sent_late = call.attempts.iter().find(|a| {
+        a.arrived_at > at + TIMESTAMP_SLACK_US
+            && !is_disrupted
+            && !disruptions.is_delivery_delayed(at, a.arrived_at)
+    });
+    if let Some(a) = sent_late {
+        verdict.add_breach(
             1,
             format!(
                 "call {id} was sent to {} {} us after its answer",
                 a.server,
-                a.t - at
+                a.arrived_at - at
             ),
         );
     }
 }
 
-/// What the day's settings say of classes, plans, cells and lists.
-struct Rules {
-    class_of: HashMap<String, Class>,
+/// The settings of the day that the rules depend on.
+struct DaySettings {
+    class_by_path: HashMap<String, Class>,
     plans: HashMap<String, Plan>,
-    plan_of: HashMap<String, String>,
-    told_late: u64,
-    /// Cell of each server, learnt from which log it wrote into.
+    plan_by_customer: HashMap<String, String>,
+    /// How long it takes a gateway to see a change of the endpoint list.
+    list_delay_us: u64,
+    /// Number of zones; each has one cell of servers.
     zone_count: usize,
 }
 
-impl Rules {
-    fn of(day: &Day) -> Rules {
+impl DaySettings {
+    fn from_day(day: &Day) -> DaySettings {
         let gateway = day.gateway.clone().unwrap_or_default();
         let class = |name: &str| gateway.classes.iter().find(|c| c.name == name).cloned();
-        let class_of = gateway
+        let class_by_path = gateway
             .routes
             .iter()
             .filter_map(|r| Some((r.path.clone(), class(&r.class)?)))
@@ -342,67 +364,68 @@
             .iter()
             .map(|p| (p.name.clone(), p.clone()))
             .collect();
-        let mut plan_of = HashMap::new();
+        let mut plan_by_customer = HashMap::new();
         for group in day.load.iter().flat_map(|l| &l.customers) {
             for i in 0..group.count {
-                plan_of.insert(format!("{}-{i}", group.plan), group.plan.clone());
+                plan_by_customer.insert(format!("{}-{i}", group.plan), group.plan.clone());
             }
         }
         let poll = gateway.endpoints.map_or(0, |e| e.poll_ms);
-        let told_late = u64::from(if poll == 0 { 200 } else { poll }) * 1_000;
-        Rules {
-            class_of,
+        let list_delay_us = u64::from(if poll == 0 { 200 } else { poll }) * 1_000;
+        DaySettings {
+            class_by_path,
             plans,
-            plan_of,
-            told_late,
+            plan_by_customer,
+            list_delay_us,
             zone_count: day.zones.len(),
         }
     }
 }
 
-fn no_effect_twice(id: &str, call: &Call, rules: &Rules, verdict: &mut Verdict) {
-    let Some(class) = rules.class_of.get(&call.path) else {
+fn check_resends(id: &str, call: &Call, settings: &DaySettings, verdict: &mut Verdict) {
+    let Some(class) = settings.class_by_path.get(&call.path) else {
         return;
     };
     if class.effect() == class::Effect::Safe {
         return;
     }
-    let keyed = class.effect() == class::Effect::Keyed && !call.key.is_empty();
-    let ran: Vec<&Attempt> = call.attempts.iter().filter(|a| !a.unprocessed).collect();
-    let window = u64::from(class.window_ms) * 1_000;
+    let is_keyed = class.effect() == class::Effect::Keyed && !call.key.is_empty();
+    let may_have_run: Vec<&Attempt> = call.attempts.iter().filter(|a| !a.is_unprocessed).collect();
+    let window_us = u64::from(class.window_ms) * 1_000;
     for (i, attempt) in call.attempts.iter().enumerate().skip(1) {
-        let Some(first) = call.attempts[..i].iter().find(|a| !a.unprocessed) else {
+        let Some(first) = call.attempts[..i].iter().find(|a| !a.is_unprocessed) else {
             continue;
         };
-        if !keyed {
-            verdict.breach(
+        if !is_keyed {
+            verdict.add_breach(
                 2,
                 format!("unsafe call {id} was sent again after it may have run"),
             );
-        } else if attempt.t > first.t + window + SLACK {
-            verdict.breach(
+        } else if attempt.arrived_at > first.arrived_at + window_us + TIMESTAMP_SLACK_US {
+            verdict.add_breach(
                 2,
                 format!("keyed call {id} was sent again after its window"),
             );
         }
     }
-    let everywhere = keyed && (class.group() == class::Group::All || rules.zone_count == 1);
-    let refused = call
-        .answers
+    let holds_in_all_cells =
+        is_keyed && (class.group() == class::Group::All || settings.zone_count == 1);
+    let is_refused = call
+        .outcomes
         .first()
         .is_some_and(|a| a.1 == CallOutcome::Refused);
-    if refused && !ran.is_empty() && !everywhere {
-        verdict.breach(2, format!("call {id} was refused though it may have run"));
+    if is_refused && !may_have_run.is_empty() && !holds_in_all_cells {
+        verdict.add_breach(2, format!("call {id} was refused though it may have run"));
     }
 }
 
-/// Each key has its effect once, whichever cells saw it.
-fn effects_once(lines: &[Entry], rules: &Rules, verdict: &mut Verdict) {
-    let mut path_of: HashMap<&str, &str> = HashMap::new();
+/// Each key takes effect at most once over all cells.
+fn check_single_effect(events: &[Entry], settings: &DaySettings, verdict: &mut Verdict) {
+    let mut path_by_id: HashMap<&str, &str> = HashMap::new();
     let mut effects: HashMap<&str, usize> = HashMap::new();
-    for line in lines {
-        match line {
-            Entry::Call { id, path, .. } => drop(path_of.insert(id, path)),
+    for event in events {
+        match event {
+            Entry::Call { id, path, .. } => drop(path_by_id.insert(id, path)),
             Entry::Done {
                 id,
                 key,
@@ -412,9 +435,9 @@
                 *effects
                     .entry(if key.is_empty() { id } else { key })
                     .or_default() += 1;
-                let class = path_of
+                let class = path_by_id
                     .get(id.as_str())
-                    .and_then(|p| rules.class_of.get(*p));
+                    .and_then(|p| settings.class_by_path.get(*p));
                 if class.is_none_or(|c| c.effect() == class::Effect::Safe) {
                     effects.remove(if key.is_empty() {
                         id.as_str()
@@ -427,29 +450,31 @@
         }
     }
     for (key, count) in effects.into_iter().filter(|e| e.1 > 1) {
-        verdict.breach(2, format!("{key} had its effect {count} times"));
+        verdict.add_breach(2, format!("{key} had its effect {count} times"));
     }
 }
 
-fn drains_kept(lines: &[Entry], rules: &Rules, verdict: &mut Verdict) {
-    let mut unlisted: HashMap<&str, u64> = HashMap::new();
-    for line in lines {
-        match line {
+fn check_drains(events: &[Entry], settings: &DaySettings, verdict: &mut Verdict) {
+    let mut unlisted_since: HashMap<&str, u64> = HashMap::new();
+    for event in events {
+        match event {
             Entry::Note { t, what, target } if what == "unlisted" => {
-                unlisted.entry(target).or_insert(*t);
+                unlisted_since.entry(target).or_insert(*t);
             }
             Entry::Note { what, target, .. } if what == "listed" => {
-                unlisted.remove(target.as_str());
+                unlisted_since.remove(target.as_str());
             }
             Entry::Arrive { t, server, id, .. } => {
-                let Some(since) = unlisted.get(server.as_str()) else {
+                let Some(since) = unlisted_since.get(server.as_str()) else {
                     continue;
                 };
-                if *t > since + rules.told_late + GRACE + SLACK {
-                    let late = t - since;
-                    verdict.breach(
+                if *t > since + settings.list_delay_us + DRAIN_GRACE_US + TIMESTAMP_SLACK_US {
+                    let late_us = t - since;
+                    verdict.add_breach(
                         3,
-                        format!("call {id} reached {server} {late} us after it was off the list"),
+                        format!(
+                            "call {id} reached {server} {late_us} us after it was off the list"
+                        ),
                     );
                 }
             }
@@ -458,12 +483,12 @@
     }
 }
 
-/// What an operator keeps out gets nothing new once the grace is over: a drain of a whole site.
-fn held_sites_kept(record: &Record, verdict: &mut Verdict) {
-    let mut zone_of: HashMap<&str, &str> = HashMap::new();
+/// A site that an operator holds out gets no new calls after the grace period.
+fn check_held_out_sites(record: &Record, verdict: &mut Verdict) {
+    let mut zone_by_server: HashMap<&str, &str> = HashMap::new();
     let mut held: HashMap<&str, u64> = HashMap::new();
-    for line in &record.lines {
-        match line {
+    for event in &record.events {
+        match event {
             Entry::Note { what, target, .. } if what == "server" => {
                 let Some((server, zone)) = target.split_once(' ') else {
                     continue;
@@ -473,7 +498,7 @@
                     .ok()
                     .and_then(|z: usize| record.day.zones.get(z));
                 zone.into_iter().for_each(|z| {
-                    zone_of.insert(server, &z.name);
+                    zone_by_server.insert(server, &z.name);
                 });
             }
             Entry::Note { t, what, target } if what == "site_held" => drop(held.insert(target, *t)),
@@ -481,17 +506,19 @@
                 held.remove(target.as_str());
             }
             Entry::Arrive { t, server, id, .. } => {
-                let Some(zone) = zone_of.get(server.as_str()) else {
+                let Some(zone) = zone_by_server.get(server.as_str()) else {
                     continue;
                 };
-                let Some(since) = held.get(zone).filter(|since| *t > **since + GRACE + SLACK)
+                let Some(since) = held
+                    .get(zone)
+                    .filter(|since| *t > **since + DRAIN_GRACE_US + TIMESTAMP_SLACK_US)
                 else {
                     continue;
                 };
-                let late = t - since;
-                verdict.breach(
+                let late_us = t - since;
+                verdict.add_breach(
                     3,
-                    format!("call {id} reached {server} {late} us after {zone} was held out"),
+                    format!("call {id} reached {server} {late_us} us after {zone} was held out"),
                 );
             }
             _ => {}
@@ -499,31 +526,38 @@
     }
 }
 
-fn ceilings_kept(calls: &BTreeMap<String, Call>, rules: &Rules, verdict: &mut Verdict) {
-    let mut firsts: BTreeMap<&str, Vec<(u64, f64)>> = BTreeMap::new();
+fn check_ceilings(calls: &BTreeMap<String, Call>, settings: &DaySettings, verdict: &mut Verdict) {
+    let mut first_sends: BTreeMap<&str, Vec<(u64, f64)>> = BTreeMap::new();
     for call in calls.values() {
         if let Some(first) = call.attempts.first() {
-            firsts
+            first_sends
                 .entry(&call.customer)
                 .or_default()
-                .push((first.t, call.units));
+                .push((first.arrived_at, call.units));
         }
     }
-    for (customer, mut sends) in firsts {
-        let plan = rules.plan_of.get(customer).and_then(|p| rules.plans.get(p));
+    for (customer, mut sends) in first_sends {
+        let plan = settings
+            .plan_by_customer
+            .get(customer)
+            .and_then(|p| settings.plans.get(p));
         let Some(plan) = plan.filter(|p| p.ceiling_rate > 0.0) else {
             continue;
         };
         sends.sort_by_key(|s| s.0);
-        let (mut level, mut at) = (plan.ceiling_burst, sends[0].0);
+        let (mut tokens, mut updated_at) = (plan.ceiling_burst, sends[0].0);
         for (t, units) in sends {
-            level =
-                (level + (t - at) as f64 / 1e6 * plan.ceiling_rate).min(plan.ceiling_burst) - units;
-            at = t;
-            if level < -plan.ceiling_slack - 1e-9 {
-                verdict.breach(
+            tokens = (tokens + (t - updated_at) as f64 / 1e6 * plan.ceiling_rate)
+                .min(plan.ceiling_burst)
+                - units;
+            updated_at = t;
+            if tokens < -plan.ceiling_slack - 1e-9 {
+                verdict.add_breach(
                     5,
-                    format!("{customer} was {:.1} units over its ceiling at {t}", -level),
+                    format!(
+                        "{customer} was {:.1} units over its ceiling at {t}",
+                        -tokens
+                    ),
                 );
                 break;
             }
--- a/crates/testbed/src/audit/timeline.rs
+++ b/crates/testbed/src/audit/timeline.rs
@@ -1,4 +1,4 @@
-//! Runs over time: calls served in each slot, and how soon a run recovered after its last trouble.
+//! Calls served over time, and how soon a run recovered from its troubles.
 
 use crate::audit::rules::Record;
 use crate::common::event_log::{CallOutcome, Entry};
@@ -15,93 +15,101 @@
     pub svg: Option<PathBuf>,
 }
 
-/// Length of a slot in microseconds.
-const SLOT: u64 = 250_000;
-/// A run has recovered when it serves this part of what it served before the first trouble.
-const RECOVERED: f64 = 0.9;
+/// Width of the time slots.
+const SLOT_US: u64 = 250_000;
+/// A run has recovered when it serves this share of what it served before its first trouble.
+const RECOVERED_SHARE: f64 = 0.9;
 
-/// Served calls of a run by slots from its first call on.
+/// Calls served in each slot of a run, from its first call on.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Timeline {
     pub served: Vec<u32>,
-    /// When the first trouble began and the last act was done, in microseconds from the first call.
-    pub trouble: Option<(u64, u64)>,
+    /// Times of the first and the last scripted action, from the first call on.
+    pub trouble_us: Option<(u64, u64)>,
 }
 
 impl Timeline {
-    pub fn of(lines: &[Entry]) -> Timeline {
-        let first = lines.iter().find_map(|l| {
+    pub fn from_events(events: &[Entry]) -> Timeline {
+        let first_call = events.iter().find_map(|l| {
             if let Entry::Call { t, .. } = l {
                 Some(*t)
             } else {
                 None
             }
         });
-        let first = first.unwrap_or(0);
+        let start_us = first_call.unwrap_or(0);
         let mut served = Vec::new();
-        let mut trouble: Option<(u64, u64)> = None;
-        for line in lines {
-            match line {
+        let mut trouble_us: Option<(u64, u64)> = None;
+        for event in events {
+            match event {
                 Entry::Answer {
                     t,
                     end: CallOutcome::Served,
                     ..
                 } => {
-                    let slot = (t.saturating_sub(first) / SLOT) as usize;
+                    let slot = (t.saturating_sub(start_us) / SLOT_US) as usize;
                     served.resize(served.len().max(slot + 1), 0);
                     served[slot] += 1;
                 }
                 Entry::Note { t, what, .. } if what == "act" => {
-                    let at = t.saturating_sub(first);
-                    trouble = Some(trouble.map_or((at, at), |was| (was.0, at)));
+                    let at_us = t.saturating_sub(start_us);
+                    trouble_us = Some(trouble_us.map_or((at_us, at_us), |span| (span.0, at_us)));
                 }
                 _ => {}
             }
         }
-        Timeline { served, trouble }
+        Timeline { served, trouble_us }
     }
 
-    /// How long after its last act the run served again as it did before its first, over two slots; none: it did not.
-    pub fn recovery(&self) -> Option<u64> {
-        let (begin, end) = self.trouble?;
+    /// Time from the last scripted action until the run serves almost as many calls as before the first one, on average
+    /// over two slots; `None` if it never does.
+    pub fn recovery_us(&self) -> Option<u64> {
+        let (start, end) = self.trouble_us?;
         let before = self
             .served
-            .get(..(begin / SLOT) as usize)
+            .get(..(start / SLOT_US) as usize)
             .filter(|b| b.len() > 1)?;
-        // The first slot is short of its answers.
-        let usual = f64::from(before[1..].iter().sum::<u32>()) / (before.len() - 1) as f64;
-        let from = (end / SLOT) as usize;
+        // The first slot is left out: responses to its calls are still outstanding at its end.
+        let baseline = f64::from(before[1..].iter().sum::<u32>()) / (before.len() - 1) as f64;
+        let from = (end / SLOT_US) as usize;
         let pairs = self.served.windows(2).enumerate().skip(from);
-        let mut good = pairs.filter(|(_, w)| f64::from(w[0] + w[1]) / 2.0 >= RECOVERED * usual);
-        good.next()
-            .map(|(slot, _)| (slot as u64 * SLOT).saturating_sub(end))
+        let mut recovered =
+            pairs.filter(|(_, w)| f64::from(w[0] + w[1]) / 2.0 >= RECOVERED_SHARE * baseline);
+        recovered
+            .next()
+            .map(|(slot, _)| (slot as u64 * SLOT_US).saturating_sub(end))
     }
 }
 
-/// Prints recoveries of runs, and draws them.
+/// Prints how soon the runs recovered, and draws their timelines to `svg`.
 pub fn run(dirs: &[PathBuf], svg: Option<&Path>) -> anyhow::Result<()> {
-    let mut lines = Vec::new();
+    let mut timelines = Vec::new();
     for dir in dirs {
-        let timeline = Timeline::of(&Record::read(dir)?.lines);
+        let timeline = Timeline::from_events(&Record::read(dir)?.events);
         let recovery = timeline
-            .recovery()
+            .recovery_us()
             .map_or("not".to_string(), |us| format!("after {} ms", us / 1_000));
         println!("{}: recovered {recovery}", dir.display());
-        lines.push((
+        timelines.push((
             dir.file_name()
                 .map_or_else(String::new, |n| n.to_string_lossy().into_owned()),
             timeline,
         ));
     }
-    svg.map_or(Ok(()), |path| draw(path, &lines))
+    svg.map_or(Ok(()), |path| draw(path, &timelines))
 }
 
-fn draw(path: &Path, lines: &[(String, Timeline)]) -> anyhow::Result<()> {
-    let per_second = 1_000_000.0 / SLOT as f64;
+fn draw(path: &Path, timelines: &[(String, Timeline)]) -> anyhow::Result<()> {
+    let slots_per_second = 1_000_000.0 / SLOT_US as f64;
     let curve = |(name, timeline): &(String, Timeline)| {
         let points = timeline.served.iter().enumerate();
         let points = points
-            .map(|(slot, n)| (slot as f64 / per_second, f64::from(*n) * per_second))
+            .map(|(slot, n)| {
+                (
+                    slot as f64 / slots_per_second,
+                    f64::from(*n) * slots_per_second,
+                )
+            })
             .collect();
         Curve {
             name: name.clone(),
@@ -111,7 +119,7 @@
     plot::write_chart(
         path,
         "calls served a second",
-        &lines.iter().map(curve).collect::<Vec<_>>(),
+        &timelines.iter().map(curve).collect::<Vec<_>>(),
     )
 }
 
--- a/crates/testbed/src/audit/timeline/tests.rs
+++ b/crates/testbed/src/audit/timeline/tests.rs
@@ -3,16 +3,16 @@
 use super::*;
 
 #[test]
-fn recovery_counts_from_the_last_act() {
+fn recovery_is_measured_from_the_last_action() {
     let served = [5, 10, 10, 10, 0, 0, 0, 0, 2, 10, 10].to_vec();
     let timeline = Timeline {
         served,
-        trouble: Some((4 * SLOT, 8 * SLOT)),
+        trouble_us: Some((4 * SLOT_US, 8 * SLOT_US)),
     };
-    assert_eq!(timeline.recovery(), Some(SLOT));
-    let down = Timeline {
+    assert_eq!(timeline.recovery_us(), Some(SLOT_US));
+    let unrecovered = Timeline {
         served: vec![5, 10, 10, 10, 0, 0],
-        trouble: Some((4 * SLOT, 5 * SLOT)),
+        trouble_us: Some((4 * SLOT_US, 5 * SLOT_US)),
     };
-    assert_eq!(down.recovery(), None);
+    assert_eq!(unrecovered.recovery_us(), None);
 }
--- a/crates/testbed/src/measure/sites.rs
+++ b/crates/testbed/src/measure/sites.rs
@@ -2,8 +2,8 @@
 //! same calls, each against the optimum of the sites left.
 
 use crate::audit::rules::{audit, Record};
-use crate::audit::site_chart;
-use crate::audit::sites::{capacity_of, work_of, Figures, SiteDay};
+use crate::audit::site_loss::{mean_work_s, zone_capacity, SiteLossMetrics, SiteLossRun};
+use crate::audit::site_loss_chart;
 use crate::common::process::Program;
 use crate::common::script;
 use crate::rig::day::{self, Ways};
@@ -37,23 +37,30 @@
 pub fn rate(day: &Day, part: f64) -> f64 {
     let mix = day.load.iter().flat_map(|l| &l.mix);
     let shares: f64 = mix.clone().map(|m| m.share).sum();
-    let mean: f64 = mix.map(|m| m.share / shares * work_of(day, &m.path)).sum();
+    let mean: f64 = mix
+        .map(|m| m.share / shares * mean_work_s(day, &m.path))
+        .sum();
     let capacity: f64 = (0..day.zones.len())
-        .map(|zone| capacity_of(day, zone))
+        .map(|zone| zone_capacity(day, zone))
         .sum();
     part * capacity / mean
 }
 
 /// Plays a day and takes it apart. Errors: it could not be played, or a rule was broken.
-pub fn play(program: &Program, day: Day, dir: &Path) -> anyhow::Result<SiteDay> {
+pub fn play(program: &Program, day: Day, dir: &Path) -> anyhow::Result<SiteLossRun> {
     day::clear(dir)?;
     day::run(program.clone(), day, dir, &Ways::default())?;
     let record = Record::read(dir)?;
     let verdict = audit(&record);
     if let Some(breach) = verdict.breaches.first() {
-        bail!("{}: rule {}: {}", dir.display(), breach.rule, breach.what);
+        bail!(
+            "{}: rule {}: {}",
+            dir.display(),
+            breach.rule,
+            breach.description
+        );
     }
-    SiteDay::of(&record)
+    SiteLossRun::from_record(&record)
 }
 
 /// Measures what the arguments name.
@@ -86,10 +93,10 @@
                 let played = play(program, day, &dir)?;
                 print(
                     &format!("{:.0}% seed {} {name}", part * 100.0, base.seed + round),
-                    &played.figures()?,
+                    &played.metrics()?,
                 );
                 if let Some(svg) = args.svg.as_ref().filter(|_| *name == "site core") {
-                    site_chart::svg(svg, &played)?;
+                    site_loss_chart::write_chart(svg, &played)?;
                 }
             }
         }
@@ -97,7 +104,7 @@
     Ok(())
 }
 
-fn print(title: &str, f: &Figures) {
+fn print(title: &str, f: &SiteLossMetrics) {
     println!("{title}");
     for (name, p) in &f.phases {
         println!(
--- a/crates/testbed/src/rig/day.rs
+++ b/crates/testbed/src/rig/day.rs
@@ -176,10 +176,10 @@
     let verdict = rules::audit(&rules::Record::read(dir)?);
     println!(
         "calls {} ends {:?} attempts {} work done {}",
-        verdict.calls, verdict.ends, verdict.attempts, verdict.effects
+        verdict.calls, verdict.outcomes, verdict.attempts, verdict.effects
     );
     for breach in verdict.breaches.iter().take(20) {
-        println!("rule {}: {}", breach.rule, breach.what);
+        println!("rule {}: {}", breach.rule, breach.description);
     }
     if !verdict.breaches.is_empty() {
         bail!("{} breaches of the rules", verdict.breaches.len());
--- a/crates/testbed/src/soak/run.rs
+++ b/crates/testbed/src/soak/run.rs
@@ -293,8 +293,9 @@
         std::thread::sleep(SETTLE_TIME);
         let verdict = audit(&Record::read(self.dir)?);
         let rule_breaches = verdict.breaches.iter();
-        self.breaches
-            .extend(rule_breaches.map(|breach| format!("rule {}: {}", breach.rule, breach.what)));
+        self.breaches.extend(
+            rule_breaches.map(|breach| format!("rule {}: {}", breach.rule, breach.description)),
+        );
         self.breaches.extend(self.log_breaches()?);
         Ok(SoakOutcome {
             calls: verdict.calls,
--- a/crates/testbed/tests/audit.rs
+++ b/crates/testbed/tests/audit.rs
@@ -1,10 +1,11 @@
-//! An audit of doctored logs: each rule's breach is found, and the log without it is sound.
+//! Tests of the audit with fabricated logs: it detects a breach of each rule, and reports none for a similar log without the
+//! breach.
 use chalkdeck_testbed::audit::rules::{audit, Record};
 use chalkdeck_testbed::common::event_log::{CallOutcome, Entry};
 use chalkdeck_testbed::rig::demo;
 
-const NONE: [u8; 0] = [];
-const S: u64 = 1_000_000;
+const NO_BREACH: [u8; 0] = [];
+const SECOND_US: u64 = 1_000_000;
 const SELL: &str = "/farm.v1.Farm/Sell";
 const VIEW: &str = "/farm.v1.Farm/View";
 
@@ -17,7 +18,7 @@
         path,
         key,
         units: 1.0,
-        deadline: t + S,
+        deadline: t + SECOND_US,
         gateway: 0,
     }
 }
@@ -68,10 +69,10 @@
     }
 }
 
-/// The rules that a log breaks.
-fn broken(lines: Vec<Entry>) -> Vec<u8> {
+/// The rules that the audit reports as breached.
+fn breached_rules(events: Vec<Entry>) -> Vec<u8> {
     let day = demo::fleet().expect("the demo's day");
-    let mut rules: Vec<u8> = audit(&Record { day, lines })
+    let mut rules: Vec<u8> = audit(&Record { day, events })
         .breaches
         .iter()
         .map(|b| b.rule)
@@ -81,157 +82,191 @@
 }
 
 #[test]
-fn a_sound_log_breaks_nothing() {
-    let lines = vec![
-        call(S, "a", SELL, "k"),
-        arrive(S + 10, "a", "s1"),
-        unprocessed(S + 20, "a", "s1"),
-        arrive(S + 30, "a", "s2"),
-        done(S + 40, "a", "k", "s2"),
-        answer(S + 50, "a", CallOutcome::Served),
+fn correct_run_breaks_no_rule() {
+    let events = vec![
+        call(SECOND_US, "a", SELL, "k"),
+        arrive(SECOND_US + 10, "a", "s1"),
+        unprocessed(SECOND_US + 20, "a", "s1"),
+        arrive(SECOND_US + 30, "a", "s2"),
+        done(SECOND_US + 40, "a", "k", "s2"),
+        answer(SECOND_US + 50, "a", CallOutcome::Served),
     ];
-    assert_eq!(broken(lines), NONE);
+    assert_eq!(breached_rules(events), NO_BREACH);
 }
 
 #[test]
-fn calls_without_their_one_answer() {
-    assert_eq!(broken(vec![call(S, "a", VIEW, "")]), [1], "no answer");
+fn call_without_exactly_one_timely_answer_breaks_rule_1() {
     assert_eq!(
-        broken(vec![
-            call(S, "a", VIEW, ""),
-            answer(3 * S, "a", CallOutcome::Served)
+        breached_rules(vec![call(SECOND_US, "a", VIEW, "")]),
+        [1],
+        "no answer"
+    );
+    assert_eq!(
+        breached_rules(vec![
+            call(SECOND_US, "a", VIEW, ""),
+            answer(3 * SECOND_US, "a", CallOutcome::Served)
         ]),
         [1],
         "after the deadline"
     );
     assert_eq!(
-        broken(vec![
-            call(S, "a", VIEW, ""),
-            answer(2 * S, "a", CallOutcome::Silent)
+        breached_rules(vec![
+            call(SECOND_US, "a", VIEW, ""),
+            answer(2 * SECOND_US, "a", CallOutcome::Silent)
         ]),
         [1],
         "silence"
     );
     let twice = vec![
-        call(S, "a", VIEW, ""),
-        answer(S + 9, "a", CallOutcome::Served),
-        answer(S + 10, "a", CallOutcome::Failed),
+        call(SECOND_US, "a", VIEW, ""),
+        answer(SECOND_US + 9, "a", CallOutcome::Served),
+        answer(SECOND_US + 10, "a", CallOutcome::Failed),
     ];
-    assert_eq!(broken(twice), [1], "two answers");
-    let after = vec![
-        call(S, "a", VIEW, ""),
-        answer(S + 9, "a", CallOutcome::Failed),
-        arrive(S + 500_000, "a", "s1"),
+    assert_eq!(breached_rules(twice), [1], "two answers");
+    let sent_after = vec![
+        call(SECOND_US, "a", VIEW, ""),
+        answer(SECOND_US + 9, "a", CallOutcome::Failed),
+        arrive(SECOND_US + 500_000, "a", "s1"),
     ];
-    assert_eq!(broken(after), [1], "sent after its answer");
+    assert_eq!(breached_rules(sent_after), [1], "sent after its answer");
     let lost = || {
         vec![
-            call(S, "a", VIEW, ""),
-            answer(S + 9, "a", CallOutcome::Lost),
+            call(SECOND_US, "a", VIEW, ""),
+            answer(SECOND_US + 9, "a", CallOutcome::Lost),
         ]
     };
-    assert_eq!(broken(lost()), [1], "cut off");
-    let mut killed = lost();
-    killed.insert(1, note(S + 5, "gateway_killed", "0"));
-    assert_eq!(broken(killed), NONE, "its gateway was killed");
+    assert_eq!(breached_rules(lost()), [1], "cut off");
+    let mut with_kill = lost();
+    with_kill.insert(1, note(SECOND_US + 5, "gateway_killed", "0"));
+    assert_eq!(
+        breached_rules(with_kill),
+        NO_BREACH,
+        "its gateway was killed"
+    );
 }
 
 #[test]
-fn effects_that_may_have_happened_twice() {
-    let twice = |key: &str, later: u64| {
+fn possible_second_effect_breaks_rule_2() {
+    let twice = |key: &str, interval_us: u64| {
         vec![
-            call(S, "a", SELL, key),
-            arrive(S + 10, "a", "s1"),
-            arrive(S + 10 + later, "a", "s2"),
-            answer(S + 20 + later, "a", CallOutcome::Served),
+            call(SECOND_US, "a", SELL, key),
+            arrive(SECOND_US + 10, "a", "s1"),
+            arrive(SECOND_US + 10 + interval_us, "a", "s2"),
+            answer(SECOND_US + 20 + interval_us, "a", CallOutcome::Served),
         ]
     };
-    assert_eq!(broken(twice("", 10)), [2], "unsafe");
-    assert_eq!(broken(twice("k", 10)), NONE, "keyed, inside its window");
-    let mut late = twice("k", 4 * S);
+    assert_eq!(breached_rules(twice("", 10)), [2], "unsafe");
+    assert_eq!(
+        breached_rules(twice("k", 10)),
+        NO_BREACH,
+        "keyed, inside its window"
+    );
+    let mut late = twice("k", 4 * SECOND_US);
     late[0] = Entry::Call {
-        t: S,
+        t: SECOND_US,
         id: "a".into(),
         customer: "estate-0".into(),
         path: SELL.into(),
         key: "k".into(),
         units: 1.0,
-        deadline: 9 * S,
+        deadline: 9 * SECOND_US,
         gateway: 0,
     };
-    assert_eq!(broken(late), [2], "keyed, after its window");
+    assert_eq!(breached_rules(late), [2], "keyed, after its window");
     let refused = vec![
-        call(S, "a", SELL, ""),
-        arrive(S + 9, "a", "s1"),
-        answer(S + 20, "a", CallOutcome::Refused),
+        call(SECOND_US, "a", SELL, ""),
+        arrive(SECOND_US + 9, "a", "s1"),
+        answer(SECOND_US + 20, "a", CallOutcome::Refused),
     ];
-    assert_eq!(broken(refused), [2], "refused though it may have run");
+    assert_eq!(
+        breached_rules(refused),
+        [2],
+        "refused though it may have run"
+    );
     let mut effects = twice("k", 10);
-    effects.extend([done(S + 15, "a", "k", "s1"), done(S + 16, "a", "k", "s2")]);
-    assert_eq!(broken(effects), [2], "one key, two effects");
+    effects.extend([
+        done(SECOND_US + 15, "a", "k", "s1"),
+        done(SECOND_US + 16, "a", "k", "s2"),
+    ]);
+    assert_eq!(breached_rules(effects), [2], "one key, two effects");
 }
 
 #[test]
-fn work_for_a_server_that_drains() {
-    let at = |after: u64, more: Vec<Entry>| {
-        let t = S + after;
-        let mut lines = vec![note(S, "unlisted", "s1")];
-        lines.extend(more);
-        lines.extend([
+fn call_to_a_draining_server_after_the_grace_breaks_rule_3() {
+    let breached_with = |delay_us: u64, more: Vec<Entry>| {
+        let t = SECOND_US + delay_us;
+        let mut events = vec![note(SECOND_US, "unlisted", "s1")];
+        events.extend(more);
+        events.extend([
             call(t, "a", VIEW, ""),
             arrive(t + 10, "a", "s1"),
             answer(t + 20, "a", CallOutcome::Served),
         ]);
-        broken(lines)
+        breached_rules(events)
     };
-    assert_eq!(at(S, vec![]), NONE, "inside the grace");
-    assert_eq!(at(4 * S, vec![]), [3]);
     assert_eq!(
-        at(4 * S, vec![note(2 * S, "listed", "s1")]),
-        NONE,
+        breached_with(SECOND_US, vec![]),
+        NO_BREACH,
+        "inside the grace"
+    );
+    assert_eq!(breached_with(4 * SECOND_US, vec![]), [3]);
+    assert_eq!(
+        breached_with(4 * SECOND_US, vec![note(2 * SECOND_US, "listed", "s1")]),
+        NO_BREACH,
         "it is back"
     );
 }
 
 #[test]
-fn work_for_a_site_that_is_held_out() {
+fn call_to_a_held_out_site_after_the_grace_breaks_rule_3() {
     let zone = demo::fleet().expect("the demo's day").zones[0].name.clone();
-    let lines = |late: u64, let_back: bool| {
-        let back = let_back.then(|| note(4 * S, "site_let_back", &zone));
-        let mut lines = vec![note(0, "server", "s1 0"), note(S, "site_held", &zone)];
-        lines.extend(back);
-        let at = S + late;
-        lines.extend([
-            call(at, "a", VIEW, ""),
-            arrive(at + 10, "a", "s1"),
-            answer(at + 50, "a", CallOutcome::Served),
+    let events = |delay_us: u64, is_let_back: bool| {
+        let back = is_let_back.then(|| note(4 * SECOND_US, "site_let_back", &zone));
+        let mut events = vec![
+            note(0, "server", "s1 0"),
+            note(SECOND_US, "site_held", &zone),
+        ];
+        events.extend(back);
+        let t = SECOND_US + delay_us;
+        events.extend([
+            call(t, "a", VIEW, ""),
+            arrive(t + 10, "a", "s1"),
+            answer(t + 50, "a", CallOutcome::Served),
         ]);
-        lines
+        events
     };
-    assert_eq!(broken(lines(S, false)), NONE, "within the grace");
-    assert_eq!(broken(lines(4 * S, false)), [3]);
-    assert_eq!(broken(lines(4 * S, true)), NONE, "let back");
+    assert_eq!(
+        breached_rules(events(SECOND_US, false)),
+        NO_BREACH,
+        "within the grace"
+    );
+    assert_eq!(breached_rules(events(4 * SECOND_US, false)), [3]);
+    assert_eq!(
+        breached_rules(events(4 * SECOND_US, true)),
+        NO_BREACH,
+        "let back"
+    );
 }
 
 #[test]
-fn what_a_cut_held_up_may_arrive_after_the_answer() {
-    let lines = |cut: bool| {
-        let mut lines = vec![call(S, "a", VIEW, "")];
-        lines.extend(cut.then(|| note(S + 10, "held_up", "from=north&cut=1")));
-        lines.push(answer(S + S / 2, "a", CallOutcome::Refused));
-        lines.extend(cut.then(|| note(3 * S, "let_through", "from=north&cut=0")));
-        lines.push(arrive(3 * S + 10, "a", "s1"));
-        lines
+fn attempt_delayed_by_a_cut_link_may_arrive_after_the_answer() {
+    let events = |is_cut: bool| {
+        let mut events = vec![call(SECOND_US, "a", VIEW, "")];
+        events.extend(is_cut.then(|| note(SECOND_US + 10, "held_up", "from=north&cut=1")));
+        events.push(answer(SECOND_US + SECOND_US / 2, "a", CallOutcome::Refused));
+        events.extend(is_cut.then(|| note(3 * SECOND_US, "let_through", "from=north&cut=0")));
+        events.push(arrive(3 * SECOND_US + 10, "a", "s1"));
+        events
     };
-    assert_eq!(broken(lines(true)), NONE);
-    assert_eq!(broken(lines(false)), [1]);
+    assert_eq!(breached_rules(events(true)), NO_BREACH);
+    assert_eq!(breached_rules(events(false)), [1]);
 }
 
 #[test]
-fn a_cold_server_that_fell() {
+fn collapse_of_a_server_in_warm_up_breaks_rule_4() {
     assert_eq!(
-        broken(vec![Entry::Fell {
-            t: S,
+        breached_rules(vec![Entry::Fell {
+            t: SECOND_US,
             server: "s1".into()
         }]),
         [4]
@@ -239,21 +274,21 @@
 }
 
 #[test]
-fn a_ceiling_that_was_passed() {
-    let sends = |count: u64| {
-        let one = |i: u64| {
-            let (t, id) = (S + i, format!("c{i}"));
+fn exceeded_ceiling_breaks_rule_5() {
+    let breached_by_calls = |count: u64| {
+        let events_of = |i: u64| {
+            let (t, id) = (SECOND_US + i, format!("c{i}"));
             vec![
                 call(t, &id, VIEW, ""),
                 arrive(t, &id, "s1"),
                 answer(t + 1, &id, CallOutcome::Served),
             ]
         };
-        let mut lines: Vec<Entry> = (0..count).flat_map(one).collect();
-        lines.sort_by_key(|l| serde_json::to_value(l).expect("a line")["t"].as_u64());
-        broken(lines)
+        let mut events: Vec<Entry> = (0..count).flat_map(events_of).collect();
+        events.sort_by_key(|l| serde_json::to_value(l).expect("a line")["t"].as_u64());
+        breached_rules(events)
     };
-    // The demo's estate plan holds 100 units, and 10 of slack.
-    assert_eq!(sends(110), NONE);
-    assert_eq!(sends(111), [5]);
+    // The ceiling of the demo's estate plan allows a burst of 100 units and 10 units of slack.
+    assert_eq!(breached_by_calls(110), NO_BREACH);
+    assert_eq!(breached_by_calls(111), [5]);
 }
--- a/crates/testbed/tests/days.rs
+++ b/crates/testbed/tests/days.rs
@@ -86,7 +86,7 @@
     assert_eq!(sound.verdict.breaches, []);
     let faulty = play(&format!("{fault}-faulty"), day, Some(fault));
     assert!(
-        faulty.verdict.broke(rule),
+        faulty.verdict.has_breach_of(rule),
         "rule {rule}: {:?}",
         faulty.verdict.breaches
     );
