--- a/crates/testbed/src/load/mod.rs
+++ b/crates/testbed/src/load/mod.rs
@@ -1,5 +1,5 @@
-//! Load: plain gRPC clients, naive ones, and the client library.
+//! Load generators: plain gRPC clients, with or without naive retries, and the client library.
 
-pub mod calls;
 pub mod command;
 pub mod library;
+pub mod plain;
--- a/crates/testbed/tests/soak.rs
+++ b/crates/testbed/tests/soak.rs
@@ -2,7 +2,7 @@
 //! a seed always generates the same plan.
 
 use chalkdeck_testbed::common::process::Program;
-use chalkdeck_testbed::load::command::may_repeat;
+use chalkdeck_testbed::load::command::may_retry;
 use chalkdeck_testbed::soak::{
     generate_plan, run_plan, FaultKind, RunSettings, SoakOutcome, SoakPlan,
 };
@@ -155,7 +155,7 @@
     let plan = generate_plan(60, 14, &[]).expect("a plan");
     let load = plan.day.load.expect("a load");
     let gateway = plan.day.gateway.expect("settings");
-    let retried = may_repeat(&gateway, &load);
+    let retried = may_retry(&gateway, &load);
     let sales: Vec<bool> = load.mix.iter().map(|m| m.path.ends_with("Sell")).collect();
     let expected: Vec<bool> = sales.iter().map(|is_sale| !is_sale).collect();
     assert_eq!(
