--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -1,15 +1,15 @@
-//! Commands of the laboratory.
+//! The command line of the testbed.
 
 use crate::audit::timeline::{self, TimelineArgs};
 use crate::common::process::Program;
 use crate::load::command::{self as load, LoadArgs};
-use crate::measure::adds::{self, AddsArgs};
-use crate::measure::asks::{self, AsksArgs};
+use crate::measure::counter_throughput::{self, AddsArgs};
 use crate::measure::flood::{self, FloodArgs};
-use crate::measure::gateway::{self, MeasureArgs};
+use crate::measure::gateway_overhead::{self, MeasureArgs};
+use crate::measure::quota_retries::{self, ReturnsArgs};
 use crate::measure::reconnect::{self, ReconnectArgs};
-use crate::measure::returns::{self, ReturnsArgs};
-use crate::measure::sites::{self, SitesArgs};
+use crate::measure::resp_throughput::{self, AsksArgs};
+use crate::measure::site_loss::{self, SitesArgs};
 use crate::rig::counting::{self, OwnCounterArgs};
 use crate::rig::day::{self, RunArgs};
 use crate::rig::demo::{self, DemoArgs};
@@ -24,65 +24,65 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Stand-ins, load, days and audits for chalkdeck.
+/// Stand-ins, load generators, scripted days and audits for chalkdeck.
 #[derive(Parser)]
 #[command(name = "chalkdeck-lab", version)]
-pub struct Lab {
+pub struct Cli {
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// What the laboratory does.
+/// The subcommands of the testbed.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Stand-in for the counter
+    /// Run a stand-in for the counter
     Counter(CounterArgs),
-    /// The counter itself, as a part of a day
+    /// Run the product's counter as part of a day
     #[command(hide = true)]
     OwnCounter(OwnCounterArgs),
-    /// One keeper, as a part of the demo
+    /// Run one replica of the coordinator as part of the demo
     #[command(hide = true)]
     OwnKeeper(OwnKeeperArgs),
-    /// Stand-ins for the servers of one cell
+    /// Run stand-ins for the servers of one cell
     Farm(FarmArgs),
-    /// Open-loop gRPC load
+    /// Generate open-loop gRPC load
     Load(LoadArgs),
-    /// A gateway, as `chalkdeck serve` starts it
+    /// Run a gateway as `chalkdeck serve` does
     Serve(ServeArgs),
-    /// A relay on the gateway's sockets without its decisions
+    /// Run a relay that uses the gateway's network code but makes no decisions
     Relay(RelayArgs),
-    /// A relay between parties of a rig, with the faults of networks
+    /// Run relays between the processes of a run, which inject network faults
     Links(LinksArgs),
-    /// Play a day and audit it
+    /// Play a day and audit its run
     Run(RunArgs),
     /// Audit the logs of a run
     Audit { dir: PathBuf },
-    /// Play the troubles of a bench day and audit the run
+    /// Play the troubles of a bench day and audit its run
     Replay(ReplayArgs),
-    /// Gateways, counter, servers and a small load with no settings
+    /// Run gateways, a counter, servers and a small load without any configuration
     Demo(DemoArgs),
-    /// Served calls by time of one or more runs, as a table of recoveries and an SVG
+    /// Print how soon runs recovered from their troubles, and draw their served calls over time
     Timeline(TimelineArgs),
-    /// Many clients lose a gateway at once: connects by time, the library's against naive ones
+    /// Measure the reconnects of many clients after the loss of a gateway, with the client library and naively
     Reconnect(ReconnectArgs),
-    /// Adds a second of the counter by its promise, beside the stand-in and a bare loop
+    /// Measure the counter's adds per second by durability promise, next to the stand-in and a plain loop
     Adds(AddsArgs),
-    /// Callers over their quota that come back when they are told to
+    /// Measure callers over their quota that retry after the delay that they are given
     Returns(ReturnsArgs),
-    /// The loss of a site at several loads: the site core, failover alone and neither, against the optimum
+    /// Measure the loss of a site at several loads, with the site core, failover alone and neither
     Sites(SitesArgs),
-    /// One customer floods while others keep to their quotas, with the door and without
+    /// Measure the effect of one customer's flood on the others, with the gateway's door and without it
     Flood(FloodArgs),
-    /// Commands a second of the RESP front, beside ECHO on the same loop
+    /// Measure commands per second of the RESP front, next to ECHO on the same event loop
     Asks(AsksArgs),
-    /// Worlds and faults drawn from seeds, judged by what clients and servers saw
+    /// Run random environments and faults drawn from seeds, and check what clients and servers recorded
     Soak(SoakArgs),
-    /// Calls a second and core, and added latency: straight, through a bare relay, through a gateway
+    /// Measure throughput and added latency of a gateway, next to a plain relay and direct calls
     Measure(MeasureArgs),
 }
 
-/// Turns a command's end into the program's.
-pub fn exit(result: anyhow::Result<()>) -> ExitCode {
+/// Prints the error of a command, if any, and converts its result to the exit code of the program.
+pub fn exit_code(result: anyhow::Result<()>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
@@ -93,9 +93,9 @@
 }
 
 impl Command {
-    /// Does it. `before`: the arguments that lead this program to these commands.
-    pub fn run_as(self, before: &[&str]) -> anyhow::Result<()> {
-        let program = Program::this(before)?;
+    /// Runs the command. `leading_args` are the arguments that select the testbed's commands in this program.
+    pub fn run_as(self, leading_args: &[&str]) -> anyhow::Result<()> {
+        let program = Program::this(leading_args)?;
         match self {
             Command::Counter(args) => counter::command(&args),
             Command::OwnCounter(args) => counting::command(&args),
@@ -105,22 +105,22 @@
             Command::Serve(args) => serve::serve(&args),
             Command::Relay(args) => serve::relay(args),
             Command::Links(args) => links::command(&args),
-            Command::Run(args) => day::command(before, args),
+            Command::Run(args) => day::command(leading_args, args),
             Command::Audit { dir } => day::report(&dir),
-            Command::Replay(args) => replay::command(before, &args),
+            Command::Replay(args) => replay::command(leading_args, &args),
             Command::Timeline(args) => timeline::run(&args.dirs, args.svg.as_deref()),
             Command::Reconnect(args) => reconnect::run(&program, &args),
-            Command::Adds(args) => adds::run(&program, &args),
-            Command::Asks(args) => asks::run(program, &args),
-            Command::Returns(args) => returns::run(program, &args),
-            Command::Sites(args) => sites::run(&program, &args),
+            Command::Adds(args) => counter_throughput::run(&program, &args),
+            Command::Asks(args) => resp_throughput::run(program, &args),
+            Command::Returns(args) => quota_retries::run(program, &args),
+            Command::Sites(args) => site_loss::run(&program, &args),
             Command::Flood(args) => flood::run(&program, &args),
             Command::Soak(args) => soak::command(&program, &args),
-            Command::Measure(args) => gateway::run(program, &args),
+            Command::Measure(args) => gateway_overhead::run(program, &args),
             Command::Demo(args) => demo::run(program, args.port, args.seconds, args.no_load),
         }
     }
-    /// Does it in the laboratory's own program.
+    /// Runs the command in the testbed's own program.
     pub fn run(self) -> anyhow::Result<()> {
         self.run_as(&[])
     }
--- a/crates/testbed/src/load/plain.rs
+++ b/crates/testbed/src/load/plain.rs
@@ -13,7 +13,8 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-const RECONNECT_DELAY_US: u64 = 200_000;
+/// Delay before a connection that failed or was lost is opened again.
+const RECONNECT_US: u64 = 200_000;
 /// How long after its deadline a client still waits for a response, so that late ones are recorded.
 const LATE_RESPONSE_WAIT_US: u64 = 250_000;
 
@@ -52,13 +53,15 @@
     deadline: u64,
     conn: ConnId,
     key: String,
-    attempt: u32,
+    /// Number of this attempt, where 0 is the first one.
+    retry: u32,
     has_response: bool,
 }
 
 struct GatewayConn {
     gateway: usize,
-    is_up: bool,
+    /// Whether the connection is established.
+    up: bool,
 }
 
 /// Additional calls of some customers.
@@ -68,7 +71,7 @@
     rate: f64,
 }
 
-enum TimerEvent {
+enum Timer {
     SendNext,
     SendBurst,
     Connect(usize),
@@ -84,13 +87,13 @@
     conns: HashMap<ConnId, GatewayConn>,
     conns_by_gateway: Vec<Vec<ConnId>>,
     open_calls: HashMap<StreamId, OpenCall>,
-    timers: HashMap<u64, TimerEvent>,
+    timers: HashMap<u64, Timer>,
     last_timer: u64,
     last_call_number: u64,
     next_call_at: u64,
     burst: Burst,
     next_burst_call_at: u64,
-    shifted_to: Option<usize>,
+    shift_to: Option<usize>,
     naive_retries: u32,
     /// Whether the class of a failed call decides if it is retried; otherwise all failed calls are.
     retries_by_class: bool,
@@ -124,7 +127,7 @@
             next_call_at: 0,
             burst: Burst::default(),
             next_burst_call_at: 0,
-            shifted_to: None,
+            shift_to: None,
             naive_retries: config.naive_retries,
             retries_by_class: false,
             log,
@@ -150,14 +153,14 @@
     pub fn run(&mut self, signals: &Signals) -> std::io::Result<()> {
         let mut events = Vec::new();
         let connect_deadline = self.engine.now() + 5_000_000;
-        while self.conns.values().any(|l| !l.is_up) && self.engine.now() < connect_deadline {
+        while self.conns.values().any(|l| !l.up) && self.engine.now() < connect_deadline {
             self.turn(&mut events)?;
         }
         let start = self.engine.now();
         let until = start + (self.config.seconds * 1e6) as u64;
         self.next_call_at = start;
-        self.schedule(start, TimerEvent::SendNext);
-        self.schedule(start + 1_000_000, TimerEvent::PrintStats);
+        self.schedule(start, Timer::SendNext);
+        self.schedule(start + 1_000_000, Timer::PrintStats);
         while !signals.is_stop_requested() && self.engine.now() < until {
             self.turn(&mut events)?;
         }
@@ -198,7 +201,7 @@
         Ok(())
     }
 
-    fn schedule(&mut self, at: u64, event: TimerEvent) {
+    fn schedule(&mut self, at: u64, event: Timer) {
         self.last_timer += 1;
         self.timers.insert(self.last_timer, event);
         self.engine.set_timer(at, self.last_timer);
@@ -211,19 +214,10 @@
         };
         match self.engine.connect(self.config.gateways[gateway], limits) {
             Ok(conn) => {
-                self.conns.insert(
-                    conn,
-                    GatewayConn {
-                        gateway,
-                        is_up: false,
-                    },
-                );
+                self.conns.insert(conn, GatewayConn { gateway, up: false });
                 self.conns_by_gateway[gateway].push(conn);
             }
-            Err(_) => self.schedule(
-                self.engine.now() + RECONNECT_DELAY_US,
-                TimerEvent::Connect(gateway),
-            ),
+            Err(_) => self.schedule(self.engine.now() + RECONNECT_US, Timer::Connect(gateway)),
         }
     }
 
@@ -234,7 +228,7 @@
                 self.conns
                     .get_mut(&conn)
                     .into_iter()
-                    .for_each(|l| l.is_up = true);
+                    .for_each(|l| l.up = true);
             }
             Event::Closed { conn, .. } => {
                 let Some(closed) = self.conns.remove(&conn) else {
@@ -242,8 +236,8 @@
                 };
                 self.conns_by_gateway[closed.gateway].retain(|c| *c != conn);
                 self.schedule(
-                    self.engine.now() + RECONNECT_DELAY_US,
-                    TimerEvent::Connect(closed.gateway),
+                    self.engine.now() + RECONNECT_US,
+                    Timer::Connect(closed.gateway),
                 );
             }
             Event::ResponseHead {
@@ -265,9 +259,7 @@
             Event::StreamEnded { stream, trailers } => {
                 self.on_end(stream, &trailers.unwrap_or_default())
             }
-            Event::StreamFailed { stream, .. } => {
-                self.finish_call(stream, CallOutcome::Lost, -1, None)
-            }
+            Event::StreamFailed { stream, .. } => self.finish(stream, CallOutcome::Lost, -1, None),
             Event::Timer(token) => {
                 if let Some(event) = self.timers.remove(&token) {
                     self.on_timer(event);
@@ -282,23 +274,23 @@
         }
     }
 
-    fn on_timer(&mut self, event: TimerEvent) {
+    fn on_timer(&mut self, event: Timer) {
         match event {
-            TimerEvent::SendNext => self.send_due_calls(),
-            TimerEvent::SendBurst => self.send_burst(),
-            TimerEvent::Connect(gateway) => self.connect(gateway),
-            TimerEvent::GiveUp(stream) => {
+            Timer::SendNext => self.send_due_calls(),
+            Timer::SendBurst => self.send_burst(),
+            Timer::Connect(gateway) => self.connect(gateway),
+            Timer::GiveUp(stream) => {
                 if self.open_calls.contains_key(&stream) {
                     self.engine.reset(stream, h2::Reason::CANCEL);
-                    self.finish_call(stream, CallOutcome::Silent, -1, None);
+                    self.finish(stream, CallOutcome::Silent, -1, None);
                 }
             }
-            TimerEvent::PrintStats => {
+            Timer::PrintStats => {
                 if self.config.print_stats {
                     println!("{}", self.stats.to_line());
                 }
                 if !self.is_stopping {
-                    self.schedule(self.engine.now() + 1_000_000, TimerEvent::PrintStats);
+                    self.schedule(self.engine.now() + 1_000_000, Timer::PrintStats);
                 }
             }
         }
@@ -310,7 +302,7 @@
         }
         if let Some(count) = self.config.outstanding {
             while self.open_calls.len() < count && self.send_for_any_customer(self.engine.now()) {}
-            return self.schedule(self.engine.now() + 5_000, TimerEvent::SendNext);
+            return self.schedule(self.engine.now() + 5_000, Timer::SendNext);
         }
         let now = self.engine.now();
         while self.next_call_at <= now {
@@ -319,7 +311,7 @@
                 (-self.rng.f64().max(1e-12).ln() / self.config.spec.rate * 1e6) as u64;
             self.send_for_any_customer(due_at);
         }
-        self.schedule(self.next_call_at, TimerEvent::SendNext);
+        self.schedule(self.next_call_at, Timer::SendNext);
     }
 
     fn send_for_any_customer(&mut self, due_at: u64) -> bool {
@@ -343,7 +335,7 @@
             let customer = self.burst.customers[self.rng.usize(..self.burst.customers.len())];
             self.send(customer, due_at);
         }
-        self.schedule(self.next_burst_call_at, TimerEvent::SendBurst);
+        self.schedule(self.next_burst_call_at, Timer::SendBurst);
     }
 
     fn send(&mut self, customer: usize, due_at: u64) -> bool {
@@ -353,19 +345,19 @@
         } else {
             String::new()
         };
-        self.send_attempt(customer, kind, key, 0, due_at)
+        self.attempt(customer, kind, key, 0, due_at)
     }
 
     fn new_key(&mut self) -> String {
         format!("{:016x}{:016x}", self.rng.u64(..), self.rng.u64(..))
     }
 
-    fn send_attempt(
+    fn attempt(
         &mut self,
         customer: usize,
         kind: usize,
         key: String,
-        attempt: u32,
+        retry: u32,
         due_at: u64,
     ) -> bool {
         let Some(conn) = self.choose_conn(customer) else {
@@ -394,8 +386,8 @@
                 }
             }
         }
-        if attempt > 0 {
-            headers.insert(grpc::PREVIOUS_ATTEMPTS, HeaderValue::from(attempt));
+        if retry > 0 {
+            headers.insert(grpc::PREVIOUS_ATTEMPTS, HeaderValue::from(retry));
         }
         if timeout_us > 0 {
             headers.insert(grpc::TIMEOUT, grpc::encode_timeout(timeout_us));
@@ -429,7 +421,7 @@
         if timeout_us > 0 {
             self.schedule(
                 self.engine.now() + timeout_us + LATE_RESPONSE_WAIT_US,
-                TimerEvent::GiveUp(stream),
+                Timer::GiveUp(stream),
             );
         }
         let due_at = due_at.min(self.engine.now());
@@ -443,13 +435,13 @@
                 deadline,
                 conn,
                 key,
-                attempt,
+                retry,
                 has_response: false,
             },
         );
         self.stats.record_sent(&self.customers[customer].plan);
         self.stats.attempts += 1;
-        self.stats.calls += u64::from(attempt == 0);
+        self.stats.calls += u64::from(retry == 0);
         true
     }
 
@@ -457,23 +449,13 @@
     /// it has no established connection.
     fn choose_conn(&mut self, customer: usize) -> Option<ConnId> {
         let gateways = self.config.gateways.len();
-        let first = self
-            .shifted_to
-            .unwrap_or_else(|| self.rng.usize(..gateways));
-        let offset = if self.shifted_to.is_some() {
-            0
-        } else {
-            customer
-        };
+        let first = self.shift_to.unwrap_or_else(|| self.rng.usize(..gateways));
+        let offset = if self.shift_to.is_some() { 0 } else { customer };
         for step in 0..gateways {
             let conns = &self.conns_by_gateway[(first + step + offset) % gateways];
-            let up_conns: Vec<ConnId> = conns
-                .iter()
-                .copied()
-                .filter(|c| self.conns[c].is_up)
-                .collect();
-            if !up_conns.is_empty() {
-                return Some(up_conns[self.rng.usize(..up_conns.len())]);
+            let up: Vec<ConnId> = conns.iter().copied().filter(|c| self.conns[c].up).collect();
+            if !up.is_empty() {
+                return Some(up[self.rng.usize(..up.len())]);
             }
         }
         None
@@ -491,16 +473,10 @@
             Some(Code::Ok | Code::Internal | Code::NotFound) => CallOutcome::Served,
             _ => CallOutcome::Other,
         };
-        self.finish_call(stream, outcome, code.map_or(-1, |c| c as i32), pushback);
+        self.finish(stream, outcome, code.map_or(-1, |c| c as i32), pushback);
     }
 
-    fn finish_call(
-        &mut self,
-        stream: StreamId,
-        outcome: CallOutcome,
-        status: i32,
-        pushback: Option<i64>,
-    ) {
+    fn finish(&mut self, stream: StreamId, end: CallOutcome, status: i32, pushback: Option<i64>) {
         let Some(call) = self.open_calls.remove(&stream) else {
             return;
         };
@@ -508,7 +484,7 @@
         self.log.append(&Entry::Answer {
             t,
             id: call.id.clone(),
-            end: outcome,
+            end,
             status,
             pushback,
         });
@@ -516,17 +492,17 @@
         let is_late = t > call.deadline;
         self.stats.record_end(
             &self.customers[call.customer].plan,
-            outcome,
+            end,
             latency_us,
             is_late,
         );
-        let should_retry = self.may_retry(outcome, call.kind) && call.attempt < self.naive_retries;
+        let should_retry = self.may_retry(end, call.kind) && call.retry < self.naive_retries;
         if should_retry && !self.is_stopping {
-            self.send_attempt(
+            self.attempt(
                 call.customer,
                 call.kind,
                 call.key.clone(),
-                call.attempt + 1,
+                call.retry + 1,
                 self.engine.now(),
             );
         }
@@ -571,10 +547,10 @@
                 rate,
             };
             self.next_burst_call_at = self.engine.now();
-            self.schedule(self.next_burst_call_at, TimerEvent::SendBurst);
+            self.schedule(self.next_burst_call_at, Timer::SendBurst);
         }
         if let Some(shift) = number("shift")? {
-            self.shifted_to = usize::try_from(shift as i64)
+            self.shift_to = usize::try_from(shift as i64)
                 .ok()
                 .filter(|g| *g < self.config.gateways.len());
         }
--- a/crates/testbed/src/measure/flood.rs
+++ b/crates/testbed/src/measure/flood.rs
@@ -1,4 +1,5 @@
-//! One customer floods a gateway while others keep to their quotas: what the others lose, with the door and without it.
+//! Measures what other customers lose while one customer floods a gateway, with and without the gateway's door: the queue
+//! that takes requests in fair turns over customers before any decision is made for them.
 
 use crate::common::control;
 use crate::common::load_stats::LoadSummary;
@@ -16,81 +17,87 @@
 
 #[derive(Args)]
 pub struct FloodArgs {
-    /// Seconds of each single run
+    /// Duration of each single run, in seconds
     #[arg(long, default_value_t = 4.0)]
     pub seconds: f64,
-    /// Calls that the flood keeps out
+    /// Calls that the flood keeps outstanding
     #[arg(long, default_value_t = 2_000)]
     pub outstanding: usize,
-    /// Over so many connections, one run each
+    /// Numbers of connections that the flood is spread over, one run for each
     #[arg(long, value_delimiter = ',', default_values_t = [1, 10, 1_000])]
     pub connections: Vec<usize>,
     #[arg(long, default_value = "lab-out")]
     pub dir: PathBuf,
 }
 
-/// The plan of the customer that floods.
-const FLOODED: &str = "estate";
-/// How long after the flood's begin the others are looked at.
-const SETTLE: Duration = Duration::from_millis(500);
+/// The plan of the flooding customer.
+const FLOOD_PLAN: &str = "estate";
+/// How long the flood runs before the others are measured.
+const FLOOD_LEAD: Duration = Duration::from_millis(500);
 
-struct Run<'a> {
+struct FloodRun<'a> {
     dir: &'a Path,
     fleet: Fleet,
     seconds: f64,
 }
 
-impl Run<'_> {
-    fn load(
+impl FloodRun<'_> {
+    fn start_load(
         &self,
         name: &str,
         day: &Path,
         seconds: f64,
-        more: &[&str],
+        extra_args: &[&str],
     ) -> anyhow::Result<(Process, PathBuf)> {
-        let out = self.dir.join(format!("{name}.json"));
-        let text = out.display().to_string();
-        let own = ["--prefix", name, "--out", &text];
+        let summary_file = self.dir.join(format!("{name}.json"));
+        let file_text = summary_file.display().to_string();
+        let common_args = ["--prefix", name, "--out", &file_text];
         Ok((
-            self.fleet.load_of(day, seconds, &[&own, more].concat())?,
-            out,
+            self.fleet
+                .load_of(day, seconds, &[&common_args, extra_args].concat())?,
+            summary_file,
         ))
     }
 
-    /// The others' calls for a while.
-    fn others(&self, name: &str) -> anyhow::Result<LoadSummary> {
-        let (mut load, out) = self.load(name, &self.dir.join("day.txtpb"), self.seconds, &[])?;
+    /// Runs the load of the other customers and waits for its summary.
+    fn run_other_customers(&self, name: &str) -> anyhow::Result<LoadSummary> {
+        let (mut load, summary_file) =
+            self.start_load(name, &self.dir.join("day.txtpb"), self.seconds, &[])?;
         if !load.wait() {
             bail!(
                 "the load ended badly, see {}",
                 self.dir.join("load.log").display()
             );
         }
-        Ok(serde_json::from_str(&std::fs::read_to_string(out)?)?)
+        Ok(serde_json::from_str(&std::fs::read_to_string(
+            summary_file,
+        )?)?)
     }
 }
 
-fn fleet(door: bool) -> anyhow::Result<Day> {
+/// The day of the gateway and the other customers, without the load of the flooding customer.
+fn day_without_flood(has_door: bool) -> anyhow::Result<Day> {
     let mut day = demo::fleet()?;
     day.gateways = 1;
     day.load
         .iter_mut()
-        .for_each(|l| l.customers.retain(|c| c.plan != FLOODED));
+        .for_each(|l| l.customers.retain(|c| c.plan != FLOOD_PLAN));
     let gateway = day.gateway.as_mut().context("expected a gateway")?;
     gateway
         .customers
         .get_or_insert_default()
         .plan_of
-        .insert("flood-0".into(), FLOODED.into());
+        .insert("flood-0".into(), FLOOD_PLAN.into());
     gateway.door = Some(Door {
-        off: !door,
+        off: !has_door,
         ..Door::default()
     });
     Ok(day)
 }
 
-/// The flood's own day: one customer, whose name its plan's is.
-fn flood_day(dir: &Path, day: &Day) -> anyhow::Result<PathBuf> {
+/// Writes the day that defines the flood: calls of a single customer. The plan `flood` of its group only gives the customer
+/// its name, `flood-0`; the gateway assigns it to `FLOOD_PLAN`.
+fn write_flood_day(dir: &Path, day: &Day) -> anyhow::Result<PathBuf> {
     let mut day = day.clone();
     let load = day.load.as_mut().context("expected a load")?;
     load.customers = vec![Customers {
@@ -108,69 +115,70 @@
     Ok(path)
 }
 
-fn share(summary: &LoadSummary) -> f64 {
+fn served_share(summary: &LoadSummary) -> f64 {
     summary.served as f64 / summary.sent.max(1) as f64
 }
 
-/// Runs each number of connections with the door and without, and prints a table.
+/// Measures each number of connections with the door and without it, and prints a table.
 pub fn run(program: &Program, args: &FloodArgs) -> anyhow::Result<()> {
     println!("| connections | door | flood calls/s | others served before, during | p50, p99 before ms | during | RSS before, during MiB |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for &connections in &args.connections {
-        for door in [true, false] {
-            let dir = args.dir.join(format!("{connections}-{door}"));
-            one(program, args, connections, door, &dir)?;
+        for has_door in [true, false] {
+            let dir = args.dir.join(format!("{connections}-{has_door}"));
+            measure_one(program, args, connections, has_door, &dir)?;
         }
     }
     Ok(())
 }
 
-fn one(
+fn measure_one(
     program: &Program,
     args: &FloodArgs,
     connections: usize,
-    door: bool,
+    has_door: bool,
     dir: &Path,
 ) -> anyhow::Result<()> {
-    let day = fleet(door)?;
+    let day = day_without_flood(has_door)?;
     let fleet = Fleet::start(program.clone(), day.clone(), dir, any(), None)?;
     let id = fleet.gateway_process(0).context("expected a gateway")?.id();
-    let run = Run {
+    let run = FloodRun {
         dir,
         fleet,
         seconds: args.seconds,
     };
-    let flood = flood_day(dir, &day)?;
-    run.others("warm")?;
-    let before = run.others("before")?;
-    let rss = memory_kib(id)?;
+    let flood_file = write_flood_day(dir, &day)?;
+    run.run_other_customers("warm")?;
+    let before = run.run_other_customers("before")?;
+    let rss_before_kib = memory_kib(id)?;
     let (outstanding, connections_text) = (args.outstanding.to_string(), connections.to_string());
-    let more = [
+    let extra_args = [
         "--outstanding",
         &outstanding,
         "--connections",
         &connections_text,
     ];
-    let (mut load, out) = run.load("flood", &flood, args.seconds + 4.0, &more)?;
-    std::thread::sleep(SETTLE);
-    let during = run.others("during")?;
-    let grown = memory_kib(id)?;
-    let refused = control::read_metric(run.fleet.admin(0), "chalkdeck_door_refused_total")?;
+    let (mut load, summary_file) =
+        run.start_load("flood", &flood_file, args.seconds + 4.0, &extra_args)?;
+    std::thread::sleep(FLOOD_LEAD);
+    let during = run.run_other_customers("during")?;
+    let rss_during_kib = memory_kib(id)?;
+    let refused_at_door = control::read_metric(run.fleet.admin(0), "chalkdeck_door_refused_total")?;
     load.wait();
-    let flood: LoadSummary = serde_json::from_str(&std::fs::read_to_string(out)?)?;
+    let flood: LoadSummary = serde_json::from_str(&std::fs::read_to_string(summary_file)?)?;
     let ms = |us: u64| us as f64 / 1e3;
     println!(
-        "| {connections} | {} | {:.0} ({refused} at the door) | {:.3}, {:.3} | {:.1}, {:.1} | {:.1}, {:.1} | {:.1}, {:.1} |",
-        if door { "on" } else { "off" },
+        "| {connections} | {} | {:.0} ({refused_at_door} at the door) | {:.3}, {:.3} | {:.1}, {:.1} | {:.1}, {:.1} | {:.1}, {:.1} |",
+        if has_door { "on" } else { "off" },
         flood.sent as f64 / flood.seconds,
-        share(&before),
-        share(&during),
+        served_share(&before),
+        served_share(&during),
         ms(before.p50_us),
         ms(before.p99_us),
         ms(during.p50_us),
         ms(during.p99_us),
-        rss as f64 / 1024.0,
-        grown as f64 / 1024.0
+        rss_before_kib as f64 / 1024.0,
+        rss_during_kib as f64 / 1024.0
     );
     Ok(())
 }
--- a/crates/testbed/src/measure/mod.rs
+++ b/crates/testbed/src/measure/mod.rs
@@ -1,9 +1,9 @@
-//! Measurement side by side, one tool a file.
+//! Measurements that compare variants side by side, one subcommand in each file.
 
-pub mod adds;
-pub mod asks;
+pub mod counter_throughput;
 pub mod flood;
-pub mod gateway;
+pub mod gateway_overhead;
+pub mod quota_retries;
 pub mod reconnect;
-pub mod returns;
-pub mod sites;
+pub mod resp_throughput;
+pub mod site_loss;
--- a/crates/testbed/src/measure/returns.rs
+++ b/crates/testbed/src/measure/quota_retries.rs
@@ -1,5 +1,5 @@
-//! Callers that ask for more than their quota and come back exactly when they were told to: how many are served then, and how
-//! evenly customers fare. Over RESP, through one gateway.
+//! Measures callers that request more than their quota and retry exactly after the delay that they are given: how many of
+//! these retries are granted, and how evenly customers of the same plan are treated. Uses RESP and a single gateway.
 
 use crate::common::process::Program;
 use crate::rig::demo;
@@ -15,17 +15,17 @@
 pub struct ReturnsArgs {
     #[arg(long, default_value_t = 12.0)]
     pub seconds: f64,
-    /// Callers of each of eight customers
+    /// Number of callers for each of eight customers
     #[arg(long, default_value_t = 4)]
     pub callers: usize,
-    /// Asks a second of each caller while it is granted
+    /// Requests per second of each caller while its requests are granted
     #[arg(long, default_value_t = 40.0)]
     pub rate: f64,
     #[arg(long, default_value = "lab-out")]
     pub dir: PathBuf,
 }
 
-/// Of the demo's customers, by plan.
+/// Customers of the demo, by plan.
 const CUSTOMERS: [&str; 8] = [
     "seed-0",
     "seed-1",
@@ -38,17 +38,17 @@
 ];
 
 #[derive(Default, Clone, Copy)]
-struct Seen {
-    asked: u64,
+struct CallerStats {
+    requests: u64,
     granted: u64,
-    returns: u64,
-    granted_on_return: u64,
+    retries: u64,
+    granted_retries: u64,
 }
 
-/// One answer to `CHALK.TAKE`.
-enum Answer {
-    Ticket(String),
-    Back(Duration),
+/// The reply to `CHALK.TAKE`: a ticket, or the delay after which to retry.
+enum TakeReply {
+    Granted(String),
+    RetryAfter(Duration),
 }
 
 struct Caller {
@@ -66,65 +66,69 @@
             customer,
         })
     }
-    fn line(&mut self) -> anyhow::Result<String> {
+    fn read_line(&mut self) -> anyhow::Result<String> {
         let mut line = String::new();
         if self.reader.read_line(&mut line)? == 0 {
             bail!("the gateway closed the connection");
         }
         Ok(line.trim_end().to_string())
     }
-    fn take(&mut self) -> anyhow::Result<Answer> {
-        let ask = format!("CHALK.TAKE {}\r\n", self.customer);
-        self.reader.get_mut().write_all(ask.as_bytes())?;
-        let head = self.line()?;
+    fn take(&mut self) -> anyhow::Result<TakeReply> {
+        let command = format!("CHALK.TAKE {}\r\n", self.customer);
+        self.reader.get_mut().write_all(command.as_bytes())?;
+        let head = self.read_line()?;
         if head != "*3" {
             bail!("unexpected answer: {head}");
         }
-        let granted = self.line()? == ":1";
-        let second = self.line()?;
-        let ticket = if granted { self.line()? } else { second };
-        let last = self.line()?;
-        if granted {
-            return Ok(Answer::Ticket(ticket));
+        let is_granted = self.read_line()? == ":1";
+        let second_line = self.read_line()?;
+        let ticket = if is_granted {
+            self.read_line()?
+        } else {
+            second_line
+        };
+        let last_line = self.read_line()?;
+        if is_granted {
+            return Ok(TakeReply::Granted(ticket));
         }
-        let ms = last
+        let ms = last_line
             .trim_start_matches(':')
             .parse()
             .context("expected milliseconds")?;
-        Ok(Answer::Back(Duration::from_millis(ms)))
+        Ok(TakeReply::RetryAfter(Duration::from_millis(ms)))
     }
     fn give(&mut self, ticket: &str) -> anyhow::Result<()> {
         self.reader
             .get_mut()
             .write_all(format!("CHALK.GIVE {ticket}\r\n").as_bytes())?;
-        self.line().map(drop)
+        self.read_line().map(drop)
     }
 
-    fn run(mut self, seconds: f64, pause: Duration) -> anyhow::Result<Seen> {
+    fn run(mut self, seconds: f64, interval: Duration) -> anyhow::Result<CallerStats> {
         let end = Instant::now() + Duration::from_secs_f64(seconds);
-        let (mut seen, mut returning) = (Seen::default(), false);
+        let (mut stats, mut is_retry) = (CallerStats::default(), false);
         while Instant::now() < end {
-            seen.asked += 1;
-            seen.returns += u64::from(returning);
+            stats.requests += 1;
+            stats.retries += u64::from(is_retry);
             match self.take()? {
-                Answer::Ticket(ticket) => {
-                    seen.granted += 1;
-                    seen.granted_on_return += u64::from(returning);
-                    returning = false;
+                TakeReply::Granted(ticket) => {
+                    stats.granted += 1;
+                    stats.granted_retries += u64::from(is_retry);
+                    is_retry = false;
                     self.give(&ticket)?;
-                    std::thread::sleep(pause);
+                    std::thread::sleep(interval);
                 }
-                Answer::Back(back) => {
-                    returning = true;
-                    std::thread::sleep(back);
+                TakeReply::RetryAfter(delay) => {
+                    is_retry = true;
+                    std::thread::sleep(delay);
                 }
             }
         }
-        Ok(seen)
+        Ok(stats)
     }
 }
 
-/// Runs all callers and prints what became of them.
+/// Runs all callers and prints the results.
 pub fn run(program: Program, args: &ReturnsArgs) -> anyhow::Result<()> {
     let mut day = demo::fleet()?;
     day.gateways = 1;
@@ -133,7 +137,7 @@
         .gateway_process(0)
         .context("expected a gateway")?
         .address("resp")?;
-    let pause = Duration::from_secs_f64(1.0 / args.rate);
+    let interval = Duration::from_secs_f64(1.0 / args.rate);
     let mut by_customer = Vec::new();
     let threads: Vec<_> = CUSTOMERS
         .iter()
@@ -143,46 +147,49 @@
             let seconds = args.seconds;
             Ok((
                 customer,
-                std::thread::spawn(move || caller.run(seconds, pause).map_err(|e| e.to_string())),
+                std::thread::spawn(move || {
+                    caller.run(seconds, interval).map_err(|e| e.to_string())
+                }),
             ))
         })
         .collect::<anyhow::Result<_>>()?;
     for (customer, thread) in threads {
-        let seen = thread
+        let stats = thread
             .join()
             .map_err(|_| anyhow::anyhow!("a caller panicked"))?;
-        by_customer.push((customer, seen.map_err(|e| anyhow::anyhow!(e))?));
+        by_customer.push((customer, stats.map_err(|e| anyhow::anyhow!(e))?));
     }
-    let sum = |of: fn(&Seen) -> u64| by_customer.iter().map(|c| of(&c.1)).sum::<u64>();
+    let sum = |value: fn(&CallerStats) -> u64| by_customer.iter().map(|c| value(&c.1)).sum::<u64>();
     println!(
         "{} callers, each {} times a second, {} s: {} of {} asks granted; of {} that came back when told {} were granted ({:.3})",
         by_customer.len(),
         args.rate,
         args.seconds,
         sum(|s| s.granted),
-        sum(|s| s.asked),
-        sum(|s| s.returns),
-        sum(|s| s.granted_on_return),
-        sum(|s| s.granted_on_return) as f64 / sum(|s| s.returns).max(1) as f64
+        sum(|s| s.requests),
+        sum(|s| s.retries),
+        sum(|s| s.granted_retries),
+        sum(|s| s.granted_retries) as f64 / sum(|s| s.retries).max(1) as f64
     );
     for plan in ["seed", "harvest"] {
-        let of = |name: &str| {
+        let granted_to = |name: &str| {
             by_customer
                 .iter()
                 .filter(|c| c.0 == name)
                 .map(|c| c.1.granted)
                 .sum::<u64>() as f64
         };
-        let shares: Vec<f64> = CUSTOMERS
+        let granted: Vec<f64> = CUSTOMERS
             .iter()
             .filter(|c| c.starts_with(plan))
-            .map(|c| of(c))
+            .map(|c| granted_to(c))
             .collect();
-        let squares: f64 = shares.iter().map(|s| s * s).sum();
-        let jain = shares.iter().sum::<f64>().powi(2) / (shares.len() as f64 * squares.max(1e-9));
+        let sum_of_squares: f64 = granted.iter().map(|s| s * s).sum();
+        let jain_index =
+            granted.iter().sum::<f64>().powi(2) / (granted.len() as f64 * sum_of_squares.max(1e-9));
         println!(
-            "  {plan}: granted a second and customer {:.1}, Jain's index {jain:.4}",
-            shares.iter().sum::<f64>() / shares.len() as f64 / args.seconds
+            "  {plan}: granted a second and customer {:.1}, Jain's index {jain_index:.4}",
+            granted.iter().sum::<f64>() / granted.len() as f64 / args.seconds
         );
     }
     Ok(())
--- a/crates/testbed/src/measure/sites.rs
+++ b/crates/testbed/src/measure/site_loss.rs
@@ -1,5 +1,5 @@
-//! The loss of a site at several loads, played in turns with the site core, with failover alone and with neither, by the
-//! same calls, each against the optimum of the sites left.
+//! Measures the loss of a site at several loads, each compared with the optimum for the remaining sites. Three variants get
+//! the same calls: the site core, which fails over and rejects calls by worth; failover alone; and neither.
 
 use crate::audit::rules::{audit, Record};
 use crate::audit::site_loss::{mean_work_s, zone_capacity, SiteLossMetrics, SiteLossRun};
@@ -15,39 +15,39 @@
 
 #[derive(Args)]
 pub struct SitesArgs {
-    /// A day with a trouble of a whole site
+    /// File of a day on which a whole site fails
     pub day: PathBuf,
-    /// Loads, as parts of the capacity of all sites
+    /// Loads, as shares of the capacity of all sites
     #[arg(long = "use", value_delimiter = ',', default_values_t = [0.5, 0.75, 0.95])]
     pub uses: Vec<f64>,
-    /// How often the ways take turns, each round with another seed
+    /// Number of rounds; each round runs all variants in turn, with a seed of its own
     #[arg(long, default_value_t = 1)]
     pub rounds: u64,
-    /// The site core alone
+    /// Measure the site core only
     #[arg(long)]
     pub only: bool,
-    /// Draw the last run of the site core
+    /// File for a chart of the last run of the site core, as SVG
     #[arg(long)]
     pub svg: Option<PathBuf>,
     #[arg(long, default_value = "lab-out")]
     pub dir: PathBuf,
 }
 
-/// Calls a second that use that part of the capacity.
-pub fn rate(day: &Day, part: f64) -> f64 {
+/// The rate, in calls per second, that uses this share of the capacity of all sites.
+pub fn rate_for_utilization(day: &Day, utilization: f64) -> f64 {
     let mix = day.load.iter().flat_map(|l| &l.mix);
-    let shares: f64 = mix.clone().map(|m| m.share).sum();
-    let mean: f64 = mix
-        .map(|m| m.share / shares * mean_work_s(day, &m.path))
+    let total_share: f64 = mix.clone().map(|m| m.share).sum();
+    let mean_work: f64 = mix
+        .map(|m| m.share / total_share * mean_work_s(day, &m.path))
         .sum();
     let capacity: f64 = (0..day.zones.len())
         .map(|zone| zone_capacity(day, zone))
         .sum();
-    part * capacity / mean
+    utilization * capacity / mean_work
 }
 
-/// Plays a day and takes it apart. Errors: it could not be played, or a rule was broken.
-pub fn play(program: &Program, day: Day, dir: &Path) -> anyhow::Result<SiteLossRun> {
+/// Plays a day and evaluates its run. Fails if it can't be played or the audit finds a breach.
+pub fn play_and_evaluate(program: &Program, day: Day, dir: &Path) -> anyhow::Result<SiteLossRun> {
     day::clear(dir)?;
     day::run(program.clone(), day, dir, &Ways::default())?;
     let record = Record::read(dir)?;
@@ -63,24 +63,30 @@
     SiteLossRun::from_record(&record)
 }
 
-/// Measures what the arguments name.
+/// Measures all loads, rounds and variants, and prints their metrics.
 pub fn run(program: &Program, args: &SitesArgs) -> anyhow::Result<()> {
-    let base = script::read(&args.day)?;
-    let all = [
+    let base_day = script::read(&args.day)?;
+    let all_variants = [
         ("site core", true, false),
         ("failover alone", true, true),
         ("neither", false, false),
     ];
-    let ways = if args.only { &all[..1] } else { &all[..] };
-    for &part in &args.uses {
+    let variants = if args.only {
+        &all_variants[..1]
+    } else {
+        &all_variants[..]
+    };
+    for &utilization in &args.uses {
         for round in 0..args.rounds {
-            for (name, on, failover_only) in ways {
-                let mut day = base.clone();
+            for (name, is_on, failover_only) in variants {
+                let mut day = base_day.clone();
                 day.seed += round;
-                day.load.iter_mut().for_each(|l| l.rate = rate(&base, part));
+                day.load
+                    .iter_mut()
+                    .for_each(|l| l.rate = rate_for_utilization(&base_day, utilization));
                 day.gateway.iter_mut().for_each(|g| {
                     g.sites = Some(Sites {
-                        on: *on,
+                        on: *is_on,
                         failover_only: *failover_only,
                         ..Sites::default()
                     })
@@ -88,15 +94,19 @@
                 let dir = args.dir.join(format!(
                     "{}-{:.0}-{round}",
                     name.replace(' ', "-"),
-                    part * 100.0
+                    utilization * 100.0
                 ));
-                let played = play(program, day, &dir)?;
-                print(
-                    &format!("{:.0}% seed {} {name}", part * 100.0, base.seed + round),
-                    &played.metrics()?,
+                let evaluated = play_and_evaluate(program, day, &dir)?;
+                print_metrics(
+                    &format!(
+                        "{:.0}% seed {} {name}",
+                        utilization * 100.0,
+                        base_day.seed + round
+                    ),
+                    &evaluated.metrics()?,
                 );
                 if let Some(svg) = args.svg.as_ref().filter(|_| *name == "site core") {
-                    site_loss_chart::write_chart(svg, &played)?;
+                    site_loss_chart::write_chart(svg, &evaluated)?;
                 }
             }
         }
@@ -104,21 +114,21 @@
     Ok(())
 }
 
-fn print(title: &str, f: &SiteLossMetrics) {
+fn print_metrics(title: &str, metrics: &SiteLossMetrics) {
     println!("{title}");
-    for (name, p) in &f.phases {
+    for (name, p) in &metrics.phases {
         println!(
             "  {name:<16} worth {:.3} of offered, {:.3} of the optimum; {} calls: {} served, {} refused, {} failed or lost; p99 {:.0} ms",
             p.worth, p.of_optimum, p.calls, p.served, p.refused, p.failed, p.p99_ms
         );
     }
-    let or = |s: Option<f64>| s.map_or("not".to_string(), |s| format!("after {s:.1} s"));
+    let or_never = |s: Option<f64>| s.map_or("not".to_string(), |s| format!("after {s:.1} s"));
     println!(
         "  inversions {:.1}%; noticed {}, steady {}, returned {}; overshoot {:.2}",
-        100.0 * f.inversions,
-        or(f.noticed),
-        or(f.steady),
-        or(f.returned),
-        f.overshoot
+        100.0 * metrics.inversions,
+        or_never(metrics.noticed),
+        or_never(metrics.steady),
+        or_never(metrics.returned),
+        metrics.overshoot
     );
 }
