--- a/crates/testbed/src/audit/rules.rs
+++ b/crates/testbed/src/audit/rules.rs
@@ -74,12 +74,14 @@
     }
 }
 
+/// An attempt of a call, as the server that it reached recorded it. Times here and below are in microseconds.
 struct Attempt {
     arrived_at: u64,
     server: String,
     is_unprocessed: bool,
 }
 
+/// A call with all that clients and servers recorded about it.
 #[derive(Default)]
 struct Call {
     sent_at: u64,
@@ -89,12 +91,13 @@
     key: String,
     customer: String,
     units: f64,
+    /// The ends that its client recorded, with their times. There should be exactly one.
     outcomes: Vec<(u64, CallOutcome)>,
     attempts: Vec<Attempt>,
 }
 
-/// Periods of a run in which some rules are relaxed, each with its start and end. The time of an event that never came is
-/// `u64::MAX`.
+/// Periods of a run in which some rules are relaxed, each with its start and end, and with its gateway where there is one.
+/// The end of a period that outlasts the run is `u64::MAX`.
 struct Disruptions {
     /// Gateways that were killed or stopped by SIGSTOP.
     gateway_outages: Vec<(usize, u64, u64)>,
@@ -286,7 +289,7 @@
 }
 
 fn check_single_outcome(id: &str, call: &Call, disruptions: &Disruptions, verdict: &mut Verdict) {
-    let Some(&(at, end)) = call.outcomes.first() else {
+    let Some(&(ended_at, outcome)) = call.outcomes.first() else {
         let is_cut_off =
             disruptions.has_client_link_fault(call.sent_at, u64::MAX - TIMESTAMP_SLACK_US);
         if !disruptions.is_gateway_down(call.gateway, call.sent_at, u64::MAX - TIMESTAMP_SLACK_US)
@@ -299,33 +302,35 @@
     if call.outcomes.len() > 1 {
         verdict.add_breach(1, format!("call {id} has {} answers", call.outcomes.len()));
     }
-    let is_disrupted = disruptions.is_gateway_down(call.gateway, call.sent_at, at)
-        || disruptions.has_client_link_fault(call.sent_at, at);
-    match end {
+    let is_disrupted = disruptions.is_gateway_down(call.gateway, call.sent_at, ended_at)
+        || disruptions.has_client_link_fault(call.sent_at, ended_at);
+    match outcome {
         CallOutcome::Silent if !is_disrupted => {
             verdict.add_breach(1, format!("call {id} had no answer in time"))
         }
-        CallOutcome::Lost if !is_disrupted && !disruptions.has_reconnect(call.sent_at, at) => {
+        CallOutcome::Lost
+            if !is_disrupted && !disruptions.has_reconnect(call.sent_at, ended_at) =>
+        {
             verdict.add_breach(1, format!("call {id} was cut off by a gateway that ran"));
         }
-        _ if at > call.deadline.saturating_add(TIMESTAMP_SLACK_US)
+        _ if ended_at > call.deadline.saturating_add(TIMESTAMP_SLACK_US)
             && !is_disrupted
-            && end != CallOutcome::Silent =>
+            && outcome != CallOutcome::Silent =>
         {
             verdict.add_breach(
                 1,
                 format!(
                     "call {id} was answered {} us after its deadline",
-                    at - call.deadline
+                    ended_at - call.deadline
                 ),
             );
         }
         _ => {}
     }
     let sent_late = call.attempts.iter().find(|a| {
-        a.arrived_at > at + TIMESTAMP_SLACK_US
+        a.arrived_at > ended_at + TIMESTAMP_SLACK_US
             && !is_disrupted
-            && !disruptions.is_delivery_delayed(at, a.arrived_at)
+            && !disruptions.is_delivery_delayed(ended_at, a.arrived_at)
     });
     if let Some(a) = sent_late {
         verdict.add_breach(
@@ -333,7 +338,7 @@
             format!(
                 "call {id} was sent to {} {} us after its answer",
                 a.server,
-                a.arrived_at - at
+                a.arrived_at - ended_at
             ),
         );
     }
--- a/crates/testbed/src/audit/site_loss.rs
+++ b/crates/testbed/src/audit/site_loss.rs
@@ -114,8 +114,8 @@
             f64::from(loss.at_ms) / 1e3,
             f64::from(loss.at_ms + loss.for_ms) / 1e3,
         );
-        let first_call = record.events.iter().find_map(|l| {
-            if let Entry::Call { t, .. } = l {
+        let first_call = record.events.iter().find_map(|event| {
+            if let Entry::Call { t, .. } = event {
                 Some(*t)
             } else {
                 None
--- a/crates/testbed/src/audit/timeline.rs
+++ b/crates/testbed/src/audit/timeline.rs
@@ -30,8 +30,8 @@
 
 impl Timeline {
     pub fn from_events(events: &[Entry]) -> Timeline {
-        let first_call = events.iter().find_map(|l| {
-            if let Entry::Call { t, .. } = l {
+        let first_call = events.iter().find_map(|event| {
+            if let Entry::Call { t, .. } = event {
                 Some(*t)
             } else {
                 None
--- a/crates/testbed/src/load/library.rs
+++ b/crates/testbed/src/load/library.rs
@@ -27,7 +27,7 @@
     pub prefix: String,
 }
 
-/// A call that has ended.
+/// A call that has ended. Times are in microseconds.
 struct EndedCall {
     id: String,
     plan: String,
--- a/crates/testbed/src/load/plain.rs
+++ b/crates/testbed/src/load/plain.rs
@@ -45,6 +45,7 @@
     pub(crate) cumulative_share: f64,
 }
 
+/// A call that has not ended. Times are in microseconds.
 struct OpenCall {
     id: String,
     customer: usize,
@@ -352,14 +353,7 @@
         format!("{:016x}{:016x}", self.rng.u64(..), self.rng.u64(..))
     }
 
-    fn attempt(
-        &mut self,
-        customer: usize,
-        kind: usize,
-        key: String,
-        retry: u32,
-        due_at: u64,
-    ) -> bool {
+    fn attempt(&mut self, customer: usize, kind: usize, key: String, retry: u32, due: u64) -> bool {
         let Some(conn) = self.choose_conn(customer) else {
             self.stats.unsent += 1;
             return false;
@@ -424,7 +418,7 @@
                 Timer::GiveUp(stream),
             );
         }
-        let due_at = due_at.min(self.engine.now());
+        let due_at = due.min(self.engine.now());
         self.open_calls.insert(
             stream,
             OpenCall {
--- a/crates/testbed/tests/sites.rs
+++ b/crates/testbed/tests/sites.rs
@@ -20,7 +20,8 @@
 struct SiteReports(Vec<(u64, usize, SitesStatus)>);
 
 impl SiteReports {
-    /// Whether a gateway in one of these zones ever reported this state of the site; without zones, any gateway.
+    /// Whether a gateway in one of these zones ever reported this state of the site; without zones, any gateway. The day has
+    /// six gateways, spread over three zones in turn.
     fn contain(&self, site: &str, state: &str, zones: &[usize]) -> bool {
         let has_state =
             |s: &SitesStatus| s.sites.iter().any(|v| v.site == site && v.state == state);
@@ -115,6 +116,7 @@
 
 #[test]
 fn unlisted_loss_of_a_site_with_its_gateways_and_the_counter_is_detected() {
+    // The negative factor keeps the lost site on the endpoint list.
     let loss = trouble("site_loss", "north", -1.0, 2_000, 4_500);
     let played = play(
         "loss",
