--- a/crates/cli/src/contract.rs
+++ b/crates/cli/src/contract.rs
@@ -1,4 +1,4 @@
-//! `chalkdeck contract`: versions of services, which customers use them, and whether a new version is incompatible with them.
+//! `chalkdeck contract`: proposes, subscribes to and retires versions of services, and shows which customers use them.
 
 use crate::errors::ProposedContractError;
 use crate::failure::Failure;
@@ -20,34 +20,34 @@
 pub enum Command {
     /// Propose a version; it is admitted if it is compatible with all versions in use
     Propose {
-        /// Protobuf text of chalkdeck.keeper.v1.Contract: service, version, promises of each method
+        /// Protobuf text of chalkdeck.keeper.v1.Contract: service, version and the promises of each method
         file: PathBuf,
-        /// The schema; in place of descriptors in the file
+        /// The schema, a .proto file; it replaces descriptors in the contract file
         #[arg(long)]
         proto: Option<PathBuf>,
-        /// Where imports of the schema start; its own folder if none is given
+        /// Root folder of the schema's imports, may be repeated; the schema's own folder if omitted
         #[arg(long)]
         include: Vec<PathBuf>,
         #[command(flatten)]
-        to: ReplicaArgs,
+        replicas: ReplicaArgs,
     },
-    /// Declare that a customer uses a version, whether or not it calls now
+    /// Declare that a customer uses a version, whether or not it makes calls at present
     Subscribe(SubscribeArgs),
-    /// Declare that a version is no longer in use, whoever called it until now
+    /// Declare that a version is no longer in use, even if customers have called it until now
     Retire {
         /// The service, with its package
         service: String,
         /// The version
         version: String,
         #[command(flatten)]
-        to: ReplicaArgs,
+        replicas: ReplicaArgs,
     },
-    /// Show the versions of a service, and which customers use them
+    /// Show the versions of services, and which customers use them
     Spoken {
-        /// The service; all if none is given
+        /// The service, with its package; all services if omitted
         service: Option<String>,
         #[command(flatten)]
-        to: ReplicaArgs,
+        replicas: ReplicaArgs,
     },
 }
 
@@ -60,14 +60,14 @@
     service: String,
     /// The version
     version: String,
-    /// How long it goes on retrying a call, in milliseconds
+    /// How long the customer retries a call, in milliseconds
     #[arg(long, default_value_t = 0)]
     repeats_ms: u64,
-    /// It no longer does
+    /// Cancel the subscription
     #[arg(long)]
     gone: bool,
     #[command(flatten)]
-    to: ReplicaArgs,
+    replicas: ReplicaArgs,
 }
 
 /// Runs a subcommand.
@@ -77,26 +77,26 @@
             file,
             proto,
             include,
-            to,
-        } => propose(&read_contract(file, proto.as_deref(), include)?, to),
+            replicas,
+        } => propose(&read_contract(file, proto.as_deref(), include)?, replicas),
         Command::Subscribe(args) => subscribe(args),
         Command::Retire {
             service,
             version,
-            to,
-        } => retire(service, version, to),
-        Command::Spoken { service, to } => {
-            print_versions_in_use(service.as_deref().unwrap_or(""), to)
+            replicas,
+        } => retire(service, version, replicas),
+        Command::Spoken { service, replicas } => {
+            print_versions_in_use(service.as_deref().unwrap_or(""), replicas)
         }
     }
 }
 
-fn propose(contract: &wire::Contract, to: &ReplicaArgs) -> Result<(), Failure> {
+fn propose(contract: &wire::Contract, replicas: &ReplicaArgs) -> Result<(), Failure> {
     let propose = wire::Propose {
         proposed: Some(wire::propose::Proposed::Contract(contract.clone())),
         force: false,
     };
-    proposal::submit(to, propose)
+    proposal::submit(replicas, propose)
 }
 
 fn subscribe(args: &SubscribeArgs) -> Result<(), Failure> {
@@ -107,24 +107,24 @@
         cancelled: args.gone,
         repeats_ms: args.repeats_ms,
     };
-    let mut client = args.to.client()?;
-    client.submit(CommandKind::Subscribe(subscribe), args.to.timeout())?;
+    let mut client = args.replicas.client()?;
+    client.submit(CommandKind::Subscribe(subscribe), args.replicas.timeout())?;
     println!("taken");
     Ok(())
 }
 
-fn retire(service: &str, version: &str, to: &ReplicaArgs) -> Result<(), Failure> {
+fn retire(service: &str, version: &str, replicas: &ReplicaArgs) -> Result<(), Failure> {
     let retire = wire::RetireVersion {
         service: service.to_string(),
         version: version.to_string(),
     };
-    let mut client = to.client()?;
-    client.submit(CommandKind::RetireVersion(retire), to.timeout())?;
+    let mut client = replicas.client()?;
+    client.submit(CommandKind::RetireVersion(retire), replicas.timeout())?;
     println!("retired; calls that still come are shown as 'retired and called again'");
     Ok(())
 }
 
-/// Reads a contract, with the descriptors of a schema if one is given.
+/// Reads a contract from a file and sets its descriptors to those of the schema, if one is given.
 fn read_contract(
     path: &Path,
     schema: Option<&Path>,
@@ -132,7 +132,7 @@
 ) -> Result<wire::Contract, Failure> {
     let mut contract: wire::Contract = proposal::read_text(CONTRACT_MESSAGE, path)?;
     if let Some(schema) = schema {
-        contract.descriptors = compile(schema, include)?;
+        contract.descriptors = compile_schema(schema, include)?;
     }
     match contract_version(&contract) {
         Ok(_) => Ok(contract),
@@ -144,8 +144,8 @@
     }
 }
 
-/// The encoded descriptors of a schema and its imports.
-fn compile(schema: &Path, include: &[PathBuf]) -> Result<Vec<u8>, ProposedContractError> {
+/// Compiles a schema; returns the encoded descriptors of the schema and its imports.
+fn compile_schema(schema: &Path, include: &[PathBuf]) -> Result<Vec<u8>, ProposedContractError> {
     let own_folder = [schema.parent().unwrap_or(Path::new(".")).to_path_buf()];
     let include = if include.is_empty() {
         &own_folder[..]
@@ -160,13 +160,13 @@
     Ok(descriptors.encode_to_vec())
 }
 
-fn print_versions_in_use(service: &str, to: &ReplicaArgs) -> Result<(), Failure> {
+fn print_versions_in_use(service: &str, replicas: &ReplicaArgs) -> Result<(), Failure> {
     let request = wire::ReadRequest {
         kind: ReadKind::Spoken as i32,
         service: service.into(),
         ..wire::ReadRequest::default()
     };
-    let response = to.client()?.read(&request, to.timeout())?;
+    let response = replicas.client()?.read(&request, replicas.timeout())?;
     for admitted in &response.contracts {
         let contract = admitted.contract.clone().unwrap_or_default();
         let state = if admitted.retired {
@@ -185,7 +185,7 @@
     Ok(())
 }
 
-/// The customer that uses a version, since when and how much.
+/// One line about a customer's use of a version: whether it subscribes, its number of calls and its last call.
 fn describe_use(usage: &wire::VersionUse, now_ms: u64) -> String {
     let kind = if usage.declared { "subscribes" } else { "seen" };
     let last_call = if usage.last_ms > 0 {
--- a/crates/cli/src/coordinator.rs
+++ b/crates/cli/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! `chalkdeck coordinator`: a replica of the fleet's coordinator, the status of all, and operators' overrides of sites.
+//! `chalkdeck coordinator`: runs a replica of the fleet's coordinator, shows the status of all replicas, and overrides sites.
 
 use crate::failure::Failure;
 use crate::replica_args::ReplicaArgs;
@@ -14,7 +14,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// How long each replica has to tell its status.
+/// The timeout of a status request to one replica.
 const STATUS_TIMEOUT: TimeDelta = TimeDelta::from_secs(2);
 
 /// Subcommands of `chalkdeck coordinator`.
@@ -22,30 +22,31 @@
 pub enum Command {
     /// Run a replica
     Run {
-        /// Settings, protobuf text of chalkdeck.keeper.v1.Settings
+        /// Settings file, protobuf text of chalkdeck.keeper.v1.Settings
         config: PathBuf,
-        /// All replicas start for the first time: their folders are empty, and were not lost
+        /// Start a new cluster: the folders of all replicas are empty because they are new, not because data was lost
         #[arg(long)]
         first: bool,
+        /// End when the parent process ends
         #[arg(long, hide = true)]
         with_parent: bool,
     },
-    /// Check settings without starting
+    /// Check settings without starting a replica
     Check {
-        /// The settings
+        /// Settings file, protobuf text of chalkdeck.keeper.v1.Settings
         config: PathBuf,
     },
-    /// Show the leader, gateways' sessions, and elections with their leaders
+    /// Show the leader, the sessions of gateways, and the elections with their leaders
     Status(ReplicaArgs),
-    /// Override the state of a site at every gateway of the fleet, also those that are down now
+    /// Override the state of a site at every gateway of the fleet, including those that are down now
     #[command(alias = "word")]
     OverrideSite {
-        /// The zone, as the server list names it
+        /// The zone, as the endpoint list names it
         site: String,
         /// drain, hold or let-back
         action: String,
         #[command(flatten)]
-        to: ReplicaArgs,
+        replicas: ReplicaArgs,
     },
 }
 
@@ -62,7 +63,7 @@
             } else {
                 StartMode::Join
             };
-            serve(config, start_mode, *with_parent)
+            run_replica(config, start_mode, *with_parent)
         }
         Command::Check { config } => {
             Settings::load(config)?;
@@ -70,11 +71,15 @@
             Ok(())
         }
         Command::Status(replicas) => print_status(replicas),
-        Command::OverrideSite { site, action, to } => override_site(site, action, to),
+        Command::OverrideSite {
+            site,
+            action,
+            replicas,
+        } => override_site(site, action, replicas),
     }
 }
 
-fn serve(config: &Path, start_mode: StartMode, with_parent: bool) -> Result<(), Failure> {
+fn run_replica(config: &Path, start_mode: StartMode, with_parent: bool) -> Result<(), Failure> {
     let settings = Settings::load(config)?;
     logs::start("info", false);
     if with_parent {
@@ -84,47 +89,48 @@
     let server = ReplicaServer::start(&settings, start_mode)?;
     let admin = server
         .admin_address()
-        .map_or("-".to_string(), |a| a.to_string());
+        .map_or("-".to_string(), |address| address.to_string());
     println!("ready grpc={} admin={admin}", server.listen_address());
     Ok(server.run(&signals)?)
 }
 
-fn override_site(site: &str, action: &str, to: &ReplicaArgs) -> Result<(), Failure> {
+fn override_site(site: &str, action: &str, replicas: &ReplicaArgs) -> Result<(), Failure> {
     let request = wire::OverrideSite {
         site: site.to_string(),
         action: action.to_string(),
     };
-    to.client()?
-        .submit(CommandKind::OverrideSite(request), to.timeout())?;
+    replicas
+        .client()?
+        .submit(CommandKind::OverrideSite(request), replicas.timeout())?;
     println!(
-        "{action} {site}: taken; it reaches each gateway with its session, or at its next start"
+        "{action} {site}: taken; each gateway receives it over its session, or at its next start"
     );
     Ok(())
 }
 
-/// Prints a line for each replica, and then the state of the one that knows most.
+/// Prints a line for each replica, and then the state of the most up-to-date one.
 fn print_status(replicas: &ReplicaArgs) -> Result<(), Failure> {
     let mut client = replicas.client()?;
     let request = ReadRequest {
         kind: ReadKind::Status as i32,
         ..ReadRequest::default()
     };
-    let knowledge = |response: &ReadResponse| (response.has_quorum, response.version);
-    let mut best: Option<ReadResponse> = None;
+    let recency = |response: &ReadResponse| (response.has_quorum, response.version);
+    let mut latest: Option<ReadResponse> = None;
     for (index, address) in replicas.replicas.iter().enumerate() {
         let Some(response) = client.read_replica(index, &request, STATUS_TIMEOUT)? else {
             println!("{address}  no answer");
             continue;
         };
         print_replica(*address, &response);
-        if best
+        if latest
             .as_ref()
-            .is_none_or(|best| knowledge(best) < knowledge(&response))
+            .is_none_or(|latest| recency(latest) < recency(&response))
         {
-            best = Some(response);
+            latest = Some(response);
         }
     }
-    if let Some(response) = best {
+    if let Some(response) = latest {
         print_state(&response);
     }
     Ok(())
@@ -169,7 +175,7 @@
     for election in &response.elections {
         let leader = leader_name(response, election.leader);
         println!(
-            "duty {:<16} {leader}, token {}",
+            "election {:<16} {leader}, token {}",
             election.name, election.token
         );
     }
@@ -178,11 +184,12 @@
     }
 }
 
-/// The gateway with a session. Without a quorum no leader's session can be renewed: it has stopped by itself, or is about to.
+/// The gateway whose session leads an election. Without a quorum, sessions cannot be renewed, so a leader has stepped down or will do
+/// so when its lease expires.
 fn leader_name(response: &ReadResponse, session: u64) -> &str {
     if !response.has_quorum {
         return "not held for sure";
     }
     let leader = response.sessions.iter().find(|s| s.id == session);
-    leader.map_or("nobody", |s| &s.gateway)
+    leader.map_or("nobody", |session| &session.gateway)
 }
--- a/crates/cli/src/errors.rs
+++ b/crates/cli/src/errors.rs
@@ -1,8 +1,8 @@
-//! Errors of the commands themselves. Errors of the packages that commands use stand there.
+//! Errors of the commands. The packages that the commands use define their own errors.
 
 use std::io;
 
-/// Why a proposal was not made, or has not come into force.
+/// Why a proposal was not submitted, was rejected, or is not in force yet.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum ProposalError {
     /// The file cannot be read.
@@ -12,23 +12,23 @@
         help("see the path, and whether it may be read")
     )]
     File {
-        /// Path of the file.
+        /// The path of the file.
         file: String,
         /// The system's error.
         source: io::Error,
     },
-    /// The file is not the text form of the message.
+    /// The file is not valid protobuf text of the message.
     #[error("{file}:{line}: {what}")]
     #[diagnostic(
         code(chalkdeck::rules::form),
         help("docs/access.md and docs/contracts.md show each field")
     )]
     Form {
-        /// Path of the file.
+        /// The path of the file.
         file: String,
-        /// Line of the file, from 1.
+        /// The line in the file, counted from 1.
         line: usize,
-        /// What was expected there, and what was found.
+        /// What the parser expected on that line, and what it found.
         what: String,
     },
     /// A field of the rule set is invalid.
@@ -38,45 +38,45 @@
         help("docs/access.md has the meaning and bounds of each field")
     )]
     Wrong {
-        /// Path of the file.
+        /// The path of the file.
         file: String,
-        /// The field and what was expected.
+        /// The field and its expected value.
         what: String,
     },
     /// The registrar rejected the proposal.
-    #[error("not admitted:\n  {}", breaks.join("\n  "))]
+    #[error("not admitted:\n  {}", reasons.join("\n  "))]
     #[diagnostic(
         code(chalkdeck::rules::rejected),
         help("nothing was changed; each line says what would break, and what can be done")
     )]
     Rejected {
-        /// One line for each incompatibility.
-        breaks: Vec<String>,
+        /// One reason per line.
+        reasons: Vec<String>,
     },
-    /// Some gateways did not acknowledge the rule set before the time-out.
+    /// Some gateways did not acknowledge the rule set before the timeout.
     #[error("version {version} is admitted and not in force after {seconds} s: {} gateways have not said that they apply it: {}", missing.len(), missing.join(", "))]
     #[diagnostic(
         code(chalkdeck::rules::not_in_force),
         help("it comes into force when they apply it or their sessions lapse; `chalkdeck rules wait` asks again, and the same `apply` is harmless")
     )]
     NotInForce {
-        /// Version of the rule set.
+        /// The version of the rule set.
         version: u64,
-        /// The time-out.
+        /// The timeout, in seconds.
         seconds: u64,
-        /// Names of these gateways.
+        /// Names of the gateways that did not acknowledge it.
         missing: Vec<String>,
     },
-    /// No registrar judged the proposal before the time-out.
+    /// The registrar did not admit or reject the proposal before the timeout.
     #[error("proposal {proposal} waits for a registrar after {seconds} s")]
     #[diagnostic(
         code(chalkdeck::rules::not_judged),
         help("see `chalkdeck coordinator status`: the election 'registrar' needs a gateway with a session; the proposal stays")
     )]
     NotJudged {
-        /// Number of the proposal.
+        /// The proposal's number.
         proposal: u64,
-        /// The time-out.
+        /// The timeout, in seconds.
         seconds: u64,
     },
 }
@@ -91,21 +91,21 @@
         help("see the named file and line; --include names the folders that imports start at")
     )]
     Schema {
-        /// Path of the file.
+        /// The path of the file.
         file: String,
         /// The compiler's message.
         what: String,
     },
-    /// The contract is invalid by itself.
+    /// The contract is invalid, independent of other versions.
     #[error("{file}: {source}")]
     #[diagnostic(
         code(chalkdeck::contract::wrong),
         help("docs/contracts.md has each field; every method wants a promise")
     )]
     Wrong {
-        /// Path of the file.
+        /// The path of the file.
         file: String,
-        /// The compiler's or checker's error.
+        /// The error found in the contract.
         source: chalkdeck_coordinator::registrar::ContractError,
     },
 }
--- a/crates/cli/src/failure.rs
+++ b/crates/cli/src/failure.rs
@@ -1,4 +1,4 @@
-//! How the program prints an error: the message, its code, and what an operator can do.
+//! Prints an error of a command: the message, its code, and a help text for the operator.
 
 use crate::errors::{ProposalError, ProposedContractError};
 use chalkdeck_coordinator::client::ClientError;
@@ -20,7 +20,7 @@
 impl From<anyhow::Error> for Failure {
     fn from(error: anyhow::Error) -> Failure {
         match error.downcast::<chalkdeck_grpc_gateway::StartError>() {
-            Ok(start) => Failure::Diagnostic(Box::new(start)),
+            Ok(start_error) => Failure::Diagnostic(Box::new(start_error)),
             Err(error) => Failure::Other(error),
         }
     }
@@ -49,10 +49,10 @@
     ProposedContractError
 );
 
-/// The outermost error of the chain that has a code; the last one if none has.
-fn first_with_code(error: &dyn Diagnostic) -> &dyn Diagnostic {
+/// The outermost error in the chain that has a code, or the innermost error if none has one.
+fn outermost_error_with_code(error: &dyn Diagnostic) -> &dyn Diagnostic {
     match error.diagnostic_source() {
-        Some(source) if error.code().is_none() => first_with_code(source),
+        Some(source) if error.code().is_none() => outermost_error_with_code(source),
         _ => error,
     }
 }
@@ -63,11 +63,11 @@
             Failure::Other(error) => write!(f, "error: {error:#}"),
             Failure::Diagnostic(error) => {
                 write!(f, "error: {error}")?;
-                let described = first_with_code(error.as_ref());
-                if let Some(code) = described.code() {
+                let coded_error = outermost_error_with_code(error.as_ref());
+                if let Some(code) = coded_error.code() {
                     write!(f, "\n  code: {code}")?;
                 }
-                if let Some(help) = described.help() {
+                if let Some(help) = coded_error.help() {
                     write!(f, "\n  help: {help}")?;
                 }
                 Ok(())
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `chalkdeck`: the gateway, its checks and its demo.
+//! The program `chalkdeck`: runs gateways, the counter and the coordinator, and has the commands to operate and test them.
 #![forbid(unsafe_code)]
 
 mod contract;
@@ -33,36 +33,36 @@
 enum Command {
     /// Run a gateway
     Serve(ServeArgs),
-    /// Run a gateway of the platform, as ROUTER_CONFIG tells
+    /// Run a gateway of the platform with the configuration file that ROUTER_CONFIG names
     Platform,
-    /// Check settings without starting
+    /// Check settings without starting a gateway
     Check { config: PathBuf },
-    /// Run gateways, counter, endpoints and a small load with no settings
+    /// Run gateways, a counter, stand-in endpoints and a small load; needs no settings
     Demo(DemoArgs),
-    /// Run the counter, or look at its log
+    /// Run the counter, or inspect it and its log
     #[command(subcommand)]
     Counter(chalkdeck_counter::cli::Command),
-    /// Run a replica of the coordinator, or ask the replicas
+    /// Run a replica of the coordinator, show the status of all replicas, or override a site
     #[command(subcommand, alias = "keeper")]
     Coordinator(coordinator::Command),
-    /// Customers' access rules
+    /// Apply, check and show customers' access rules
     #[command(subcommand)]
     Rules(rules::Command),
-    /// Versions of services, and which customers use them
+    /// Propose and retire versions of services, and show which customers use them
     #[command(subcommand)]
     Contract(contract::Command),
-    /// States of sites as gateways see them, and operators' overrides
+    /// Show the states of sites as gateways see them, or override them
     #[command(subcommand)]
     Site(site::Command),
-    /// The best that remaining sites can do, from a file of capacities and demand
+    /// Plan for site loss: the load that the remaining sites can serve, from a file of capacities and demand
     #[command(subcommand)]
     Plan(chalkdeck_capacity_planner::command::Command),
-    /// Stand-ins, load, faults, audits and measurements on this machine
+    /// Run stand-in servers, load, fault injection, audits and measurements on this machine
     #[command(subcommand, alias = "lab")]
     Testbed(Testbed),
 }
 
-/// Runs a gateway with the configuration that the environment names.
+/// Runs a gateway of the platform with the configuration file that the environment variable `ROUTER_CONFIG` names.
 fn run_platform_gateway() -> Result<(), Failure> {
     logs::start("info", false);
     let config = Config::from_env()?;
--- a/crates/cli/src/proposal.rs
+++ b/crates/cli/src/proposal.rs
@@ -1,4 +1,4 @@
-//! Proposals to the coordinator: read from a file in text form, submitted, and followed until they are in force.
+//! Proposals to the coordinator: reads them from a file, submits them, and polls their progress until they are in force.
 
 use crate::errors::ProposalError;
 use crate::failure::Failure;
@@ -12,10 +12,10 @@
 use wire::command::Kind as CommandKind;
 use wire::read_request::Kind as ReadKind;
 
-/// Pause between two reads of a proposal's progress.
+/// The pause between two reads of a proposal's progress.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Reads a message in text form. Errors: a file that cannot be read or is not that message.
+/// Reads a file in protobuf text format. `message` is the message's full name. Errors: the file cannot be read, or is not that message.
 pub fn read_text<M: prost::Message + Default>(
     message: &str,
     path: &Path,
@@ -32,7 +32,7 @@
     })
 }
 
-/// A read of the replicated state about one customer; all customers if the name is empty.
+/// A read of the replicated state for one customer, or for all customers if the name is empty.
 pub fn read_request(kind: ReadKind, customer: &str) -> wire::ReadRequest {
     wire::ReadRequest {
         kind: kind as i32,
@@ -41,30 +41,33 @@
     }
 }
 
-/// Submits a proposal and waits until it is admitted, in force or rejected.
-pub fn submit(to: &ReplicaArgs, propose: wire::Propose) -> Result<(), Failure> {
-    let mut client = to.client()?;
-    let answer = client.submit(CommandKind::Propose(propose), to.timeout())?;
+/// Submits a proposal and waits until it is rejected, admitted (a contract) or in force (a rule set).
+pub fn submit(replicas: &ReplicaArgs, propose: wire::Propose) -> Result<(), Failure> {
+    let mut client = replicas.client()?;
+    let response = client.submit(CommandKind::Propose(propose), replicas.timeout())?;
     let request = wire::ReadRequest {
-        proposal: answer.id,
+        proposal: response.id,
         ..read_request(ReadKind::Verdict, "")
     };
-    Follow {
+    ProposalWatch {
         request,
         known_verdict: None,
-        proposal: answer.id,
+        proposal: response.id,
     }
-    .until_done(&mut client, to)
+    .until_done(&mut client, replicas)
 }
 
-/// Waits until the present rule set of a customer is in force.
-pub fn wait_for_rule_set(to: &ReplicaArgs, customer: &str) -> Result<(), Failure> {
-    let mut client = to.client()?;
+/// Waits until the current rule set of a customer is in force.
+pub fn wait_for_rule_set(replicas: &ReplicaArgs, customer: &str) -> Result<(), Failure> {
+    let mut client = replicas.client()?;
     let request = read_request(ReadKind::Verdict, customer);
-    let answer = client.read(&request, to.timeout())?;
-    let version = answer.in_force.as_ref().map_or(0, |f| f.version);
+    let response = client.read(&request, replicas.timeout())?;
+    let version = response
+        .in_force
+        .as_ref()
+        .map_or(0, |in_force| in_force.version);
     if version == 0 {
-        println!("{customer} has no set");
+        println!("{customer} has no rule set");
         return Ok(());
     }
     let verdict = wire::Verdict {
@@ -73,36 +76,42 @@
         customer: customer.to_string(),
         ..wire::Verdict::default()
     };
-    Follow {
+    ProposalWatch {
         request,
         known_verdict: Some(verdict),
         proposal: 0,
     }
-    .until_done(&mut client, to)
+    .until_done(&mut client, replicas)
 }
 
 /// A proposal whose progress is polled.
-struct Follow {
+struct ProposalWatch {
     request: wire::ReadRequest,
-    /// The verdict, where it is known without the proposal.
+    /// The verdict to assume if the response has none, as there is no proposal to look up.
     known_verdict: Option<wire::Verdict>,
-    /// Number of the proposal; 0 if only a rule set is waited for.
+    /// The proposal's number; 0 when waiting for a rule set without a proposal.
     proposal: u64,
 }
 
-impl Follow {
-    fn until_done(&self, client: &mut CoordinatorClient, to: &ReplicaArgs) -> Result<(), Failure> {
-        let deadline = Instant::now() + Duration::from_secs(to.wait);
+impl ProposalWatch {
+    fn until_done(
+        &self,
+        client: &mut CoordinatorClient,
+        replicas: &ReplicaArgs,
+    ) -> Result<(), Failure> {
+        let deadline = Instant::now() + Duration::from_secs(replicas.wait);
         loop {
-            let mut answer = client.read(&self.request, to.timeout())?;
-            answer.verdict = answer.verdict.or_else(|| self.known_verdict.clone());
-            let is_late = Instant::now() >= deadline;
-            match progress(&answer) {
-                ProposalProgress::Pending if is_late => return Err(self.not_judged(to).into()),
-                ProposalProgress::Unacknowledged { version, gateways } if is_late => {
+            let mut response = client.read(&self.request, replicas.timeout())?;
+            response.verdict = response.verdict.or_else(|| self.known_verdict.clone());
+            let is_timed_out = Instant::now() >= deadline;
+            match progress(&response) {
+                ProposalProgress::Pending if is_timed_out => {
+                    return Err(self.not_judged(replicas).into())
+                }
+                ProposalProgress::Unacknowledged { version, gateways } if is_timed_out => {
                     let error = ProposalError::NotInForce {
                         version,
-                        seconds: to.wait,
+                        seconds: replicas.wait,
                         missing: gateways,
                     };
                     return Err(error.into());
@@ -110,36 +119,38 @@
                 ProposalProgress::Pending | ProposalProgress::Unacknowledged { .. } => {
                     std::thread::sleep(POLL_INTERVAL);
                 }
-                finished => return print_result(finished),
+                outcome => return print_outcome(outcome),
             }
         }
     }
 
-    fn not_judged(&self, to: &ReplicaArgs) -> ProposalError {
+    fn not_judged(&self, replicas: &ReplicaArgs) -> ProposalError {
         ProposalError::NotJudged {
             proposal: self.proposal,
-            seconds: to.wait,
+            seconds: replicas.wait,
         }
     }
 }
 
-/// Prints how a proposal ended. Errors: it was rejected.
-fn print_result(progress: ProposalProgress) -> Result<(), Failure> {
-    match progress {
-        ProposalProgress::Rejected(breaks) => return Err(ProposalError::Rejected { breaks }.into()),
+/// Prints the outcome of a proposal. Errors: it was rejected.
+fn print_outcome(outcome: ProposalProgress) -> Result<(), Failure> {
+    match outcome {
+        ProposalProgress::Rejected(reasons) => {
+            return Err(ProposalError::Rejected { reasons }.into())
+        }
         ProposalProgress::Admitted => println!("admitted"),
         ProposalProgress::InForce { version, unknown } => {
             println!("version {version} is in force");
             if !unknown.is_empty() {
                 println!(
-                    "but for {} gateways that are cut off and go by what they last heard: {}",
+                    "except for {} gateways that are cut off and apply the rule set that they last received: {}",
                     unknown.len(),
                     unknown.join(", ")
                 );
             }
         }
         ProposalProgress::Superseded { version, by } => {
-            println!("version {version} was followed by version {by} before it was in force");
+            println!("version {version} was replaced by version {by} before it was in force");
         }
         ProposalProgress::Pending | ProposalProgress::Unacknowledged { .. } => {}
     }
--- a/crates/cli/src/replica_args.rs
+++ b/crates/cli/src/replica_args.rs
@@ -6,7 +6,7 @@
 use clap::Args;
 use std::net::SocketAddr;
 
-/// Replicas to ask.
+/// Replicas of the coordinator, and the timeout of requests to them.
 #[derive(Args)]
 pub struct ReplicaArgs {
     /// Addresses of the replicas, as ip:port
@@ -23,7 +23,7 @@
         Ok(CoordinatorClient::new(self.replicas.clone())?)
     }
 
-    /// How long a response is waited for.
+    /// The timeout of a request.
     pub fn timeout(&self) -> TimeDelta {
         TimeDelta::from_secs(self.wait)
     }
--- a/crates/cli/src/rules.rs
+++ b/crates/cli/src/rules.rs
@@ -1,4 +1,4 @@
-//! `chalkdeck rules`: customers' access rules.
+//! `chalkdeck rules`: applies, checks and shows customers' access rules.
 
 use crate::errors::ProposalError;
 use crate::failure::Failure;
@@ -21,50 +21,58 @@
     Apply {
         /// Protobuf text of chalkdeck.keeper.v1.RuleSet
         file: PathBuf,
-        /// Also where it denies everything that the customer sends
+        /// Apply it even if it would deny all calls of the customer
         #[arg(long)]
         force: bool,
         #[command(flatten)]
-        to: ReplicaArgs,
+        replicas: ReplicaArgs,
     },
-    /// Show what a rule set would have done to the calls of the last minutes; changes nothing
+    /// Show how many calls of the last minutes a rule set would have denied; changes nothing
     Check {
         /// Protobuf text of chalkdeck.keeper.v1.RuleSet
         file: PathBuf,
         #[command(flatten)]
-        to: ReplicaArgs,
+        replicas: ReplicaArgs,
     },
     /// Wait until the rule set of a customer is in force
     Wait {
         /// The customer
         customer: String,
         #[command(flatten)]
-        to: ReplicaArgs,
+        replicas: ReplicaArgs,
     },
     /// Print rule sets
     Show {
-        /// Of one customer; of all if none is given
+        /// The customer; all customers if omitted
         customer: Option<String>,
         #[command(flatten)]
-        to: ReplicaArgs,
+        replicas: ReplicaArgs,
     },
-    /// Print hits over the whole fleet by customer, rule set version and rule
+    /// Print how many calls of the whole fleet matched each rule, by customer and rule set version
     Hits {
-        /// Of one customer; of all if none is given
+        /// The customer; all customers if omitted
         customer: Option<String>,
         #[command(flatten)]
-        to: ReplicaArgs,
+        replicas: ReplicaArgs,
     },
 }
 
 /// Runs a subcommand.
 pub fn run(command: &Command) -> Result<(), Failure> {
     match command {
-        Command::Apply { file, force, to } => apply(file, *force, to),
-        Command::Check { file, to } => check(&read_rule_set(file)?, to),
-        Command::Wait { customer, to } => proposal::wait_for_rule_set(to, customer),
-        Command::Show { customer, to } => show(customer.as_deref().unwrap_or(""), to),
-        Command::Hits { customer, to } => print_hits(customer.as_deref().unwrap_or(""), to),
+        Command::Apply {
+            file,
+            force,
+            replicas,
+        } => apply(file, *force, replicas),
+        Command::Check { file, replicas } => print_dry_run(&read_rule_set(file)?, replicas),
+        Command::Wait { customer, replicas } => proposal::wait_for_rule_set(replicas, customer),
+        Command::Show { customer, replicas } => {
+            print_rule_sets(customer.as_deref().unwrap_or(""), replicas)
+        }
+        Command::Hits { customer, replicas } => {
+            print_hits(customer.as_deref().unwrap_or(""), replicas)
+        }
     }
 }
 
@@ -79,38 +87,38 @@
     }
 }
 
-fn apply(file: &Path, force: bool, to: &ReplicaArgs) -> Result<(), Failure> {
+fn apply(file: &Path, force: bool, replicas: &ReplicaArgs) -> Result<(), Failure> {
     let rule_set = read_rule_set(file)?;
     let propose = wire::Propose {
         proposed: Some(wire::propose::Proposed::Rules(rule_set)),
         force,
     };
-    proposal::submit(to, propose)
+    proposal::submit(replicas, propose)
 }
 
-fn check(rule_set: &wire::RuleSet, to: &ReplicaArgs) -> Result<(), Failure> {
+fn print_dry_run(rule_set: &wire::RuleSet, replicas: &ReplicaArgs) -> Result<(), Failure> {
     let request = wire::ReadRequest {
         rule_set: Some(rule_set.clone()),
         ..read_request(ReadKind::Try, &rule_set.customer)
     };
-    let response = to.client()?.read(&request, to.timeout())?;
+    let response = replicas.client()?.read(&request, replicas.timeout())?;
     let dry_run = response.dry_run.unwrap_or_default();
     println!(
         "{}: {} of {} calls of the last minutes would be denied",
         rule_set.customer, dry_run.denied, dry_run.calls
     );
-    for line in &dry_run.by_rule {
-        println!("  {:<24} {}", line.rule, line.count);
+    for denials in &dry_run.by_rule {
+        println!("  {:<24} {}", denials.rule, denials.count);
     }
     if dry_run.locks_out {
-        println!("it would lock the customer out: `apply` wants --force");
+        println!("it would lock the customer out: `apply` requires --force");
     }
     Ok(())
 }
 
-fn show(customer: &str, to: &ReplicaArgs) -> Result<(), Failure> {
+fn print_rule_sets(customer: &str, replicas: &ReplicaArgs) -> Result<(), Failure> {
     let request = read_request(ReadKind::Rules, customer);
-    for rule_set in to.client()?.read(&request, to.timeout())?.rules {
+    for rule_set in replicas.client()?.read(&request, replicas.timeout())?.rules {
         print!(
             "{}",
             text::print(RULE_SET_MESSAGE, &rule_set).unwrap_or_default()
@@ -120,12 +128,12 @@
     Ok(())
 }
 
-fn print_hits(customer: &str, to: &ReplicaArgs) -> Result<(), Failure> {
+fn print_hits(customer: &str, replicas: &ReplicaArgs) -> Result<(), Failure> {
     let request = read_request(ReadKind::Hits, customer);
-    for line in to.client()?.read(&request, to.timeout())?.hits {
+    for hits in replicas.client()?.read(&request, replicas.timeout())?.hits {
         println!(
             "{} {} {} {}",
-            line.customer, line.version, line.rule, line.count
+            hits.customer, hits.version, hits.rule, hits.count
         );
     }
     Ok(())
--- a/crates/cli/src/site.rs
+++ b/crates/cli/src/site.rs
@@ -1,4 +1,4 @@
-//! `chalkdeck site`: states of sites as gateways see them, and operators' overrides.
+//! `chalkdeck site`: shows the states of sites as gateways see them, and overrides them.
 
 use anyhow::{bail, Context};
 use chalkdeck_grpc_gateway::sites::SitesStatus;
@@ -7,10 +7,10 @@
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// Gateways to ask or tell.
+/// Gateways that a subcommand sends its request to.
 #[derive(Args)]
 pub struct GatewayArgs {
-    /// Admin ports, as ip:port
+    /// Admin addresses of the gateways, as ip:port
     #[arg(long, value_delimiter = ',', required = true)]
     pub admin: Vec<SocketAddr>,
 }
@@ -20,11 +20,11 @@
 pub enum Command {
     /// Show the states of sites and the evidence for them
     Status(GatewayArgs),
-    /// Send nothing new to a site; its part goes to the others
+    /// Send no new requests to a site; its share goes to the other sites
     Drain(OverrideArgs),
-    /// The same for a site in trouble: it stays out whatever it answers
+    /// Do the same for a faulty site: it stays out even if it responds well
     Hold(OverrideArgs),
-    /// Let the site come back, step by step
+    /// Return the site to service, step by step
     LetBack(OverrideArgs),
 }
 
@@ -34,18 +34,18 @@
     /// The zone, as the endpoint list names it
     pub site: String,
     #[command(flatten)]
-    pub to: GatewayArgs,
+    pub gateways: GatewayArgs,
 }
 
 impl Command {
     fn gateways(&self) -> &GatewayArgs {
         match self {
             Command::Status(gateways) => gateways,
-            Command::Drain(args) | Command::Hold(args) | Command::LetBack(args) => &args.to,
+            Command::Drain(args) | Command::Hold(args) | Command::LetBack(args) => &args.gateways,
         }
     }
 
-    /// The path on the admin port that carries out the subcommand.
+    /// The path of the subcommand's request on the admin port.
     fn admin_path(&self) -> String {
         match self {
             Command::Status(_) => "/sites".to_string(),
@@ -56,51 +56,52 @@
     }
 }
 
-/// Runs a subcommand at every gateway, also after one of them failed. Errors: one did not take it.
+/// Runs a subcommand at every gateway, also after one of them failed. Errors: the request failed at one or more of them.
 pub fn run(command: &Command) -> anyhow::Result<()> {
     let path = command.admin_path();
-    let gateways = &command.gateways().admin;
-    let mut failed = 0;
-    for admin in gateways {
-        match request_status(*admin, &path) {
+    let addresses = &command.gateways().admin;
+    let mut failure_count = 0;
+    for admin in addresses {
+        match send_request(*admin, &path) {
             Ok(status) => print!("{}", describe(*admin, &status)),
             Err(error) => {
-                failed += 1;
+                failure_count += 1;
                 eprintln!("{admin}: {error:#}");
             }
         }
     }
-    if failed > 0 {
-        bail!("{failed} of {} gateways did not take it", gateways.len());
+    if failure_count > 0 {
+        bail!("{failure_count} of {} gateways failed", addresses.len());
     }
     Ok(())
 }
 
-fn request_status(admin: SocketAddr, path: &str) -> anyhow::Result<SitesStatus> {
+/// Sends a request to the admin port; its response is the status of the sites.
+fn send_request(admin: SocketAddr, path: &str) -> anyhow::Result<SitesStatus> {
     let text = control::get(admin, path)?;
-    serde_json::from_str(&text).context("expected what a gateway says of sites")
+    serde_json::from_str(&text).context("the response is not a status of sites")
 }
 
 fn describe(admin: SocketAddr, status: &SitesStatus) -> String {
     let mut text = format!(
-        "{admin}  in {}  lets in {:.0}% of the work offered\n",
+        "{admin}  in {}  admits {:.0}% of the offered load\n",
         status.own_site,
         100.0 * status.admission
     );
     for site in &status.sites {
         let capacity = match site.capacity {
-            None => "no bound met".to_string(),
-            Some(capacity) => format!("room {capacity:.1} units/s"),
+            None => "no limit met".to_string(),
+            Some(capacity) => format!("capacity {capacity:.1} units/s"),
         };
         let ramp = if site.ramp < 1.0 {
-            format!(", pace {:.0}%", 100.0 * site.ramp)
+            format!(", ramp {:.0}%", 100.0 * site.ramp)
         } else {
             String::new()
         };
         // Writing to a String cannot fail.
         let _ = writeln!(
             text,
-            "  {:<16} {:<18} {:>5.1}% of the load, {:.0} of {:.0} places taken, {capacity}{ramp}; for {:.1} s: {}",
+            "  {:<16} {:<18} {:>5.1}% of the load, {:.0} of {:.0} attempts in flight, {capacity}{ramp}; for {:.1} s: {}",
             site.site,
             site.state,
             100.0 * site.share,
