--- a/crates/cli/tests/contracts.rs
+++ b/crates/cli/tests/contracts.rs
@@ -3,7 +3,7 @@
 mod fleet;
 
 use chalkdeck_net::grpc::Code;
-use fleet::{until, Caller, Fleet};
+use fleet::{wait_for, Caller, Fleet};
 
 const SERVICE: &str = "farm.v1.Farm";
 
@@ -18,8 +18,8 @@
     );
     let contract = format!("service: '{SERVICE}' version: '{name}' promises {{ {promise} }}");
     [
-        fleet.write(&format!("v{name}.txtpb"), &contract),
-        fleet.write(&format!("v{name}.proto"), &proto),
+        fleet.write_file(&format!("v{name}.txtpb"), &contract),
+        fleet.write_file(&format!("v{name}.proto"), &proto),
     ]
 }
 
@@ -41,9 +41,9 @@
         "KEYED",
     );
     let unkeyed = version(&fleet, "4", "string field = 1; int32 acres = 2;", "UNSAFE");
-    assert!(fleet.does(&propose(&one)).contains("admitted"));
+    assert!(fleet.expect_success(&propose(&one)).contains("admitted"));
     // Nobody speaks it yet but one customer's word.
-    fleet.does(&[
+    fleet.expect_success(&[
         "contract",
         "subscribe",
         "estate-1",
@@ -52,7 +52,7 @@
         "--repeats-ms",
         "2000",
     ]);
-    let rejected = fleet.fails(&propose(&moved));
+    let rejected = fleet.expect_failure(&propose(&moved));
     assert!(
         rejected.contains("rejected") && rejected.contains("estate-1"),
         "{rejected}"
@@ -62,31 +62,31 @@
         "{rejected}"
     );
     assert!(
-        fleet.does(&propose(&more)).contains("admitted"),
+        fleet.expect_success(&propose(&more)).contains("admitted"),
         "a field more breaks nobody"
     );
-    let repeats = fleet.fails(&propose(&unkeyed));
+    let repeats = fleet.expect_failure(&propose(&unkeyed));
     assert!(
         repeats.contains("View") && repeats.contains("estate-1"),
         "subscribers repeat: {repeats}"
     );
 
-    let mut caller = Caller::new(fleet.grpc(1));
+    let mut caller = Caller::new(fleet.grpc_address(1));
     calls_seen_by_gateways_count_as_use(&fleet, &mut caller, &moved);
     retired_version_that_is_called_again_counts_as_used(&fleet, &mut caller, &moved);
 }
 
 /// What gateways see counts as well as subscriptions, by customer, with its age.
 fn calls_seen_by_gateways_count_as_use(fleet: &Fleet, caller: &mut Caller, moved: &[String; 2]) {
-    fleet.does(&["contract", "subscribe", "estate-1", SERVICE, "1", "--gone"]);
+    fleet.expect_success(&["contract", "subscribe", "estate-1", SERVICE, "1", "--gone"]);
     caller.call(&[("x-customer", "seed-7"), ("x-protocol-version", "1")]);
-    until("the call was reported", || {
+    wait_for("the call was reported", || {
         fleet
-            .does(&["contract", "spoken", SERVICE])
+            .expect_success(&["contract", "spoken", SERVICE])
             .contains("1 seed-7: seen, 1 calls")
             .then_some(())
     });
-    let rejected = fleet.fails(&propose(moved));
+    let rejected = fleet.expect_failure(&propose(moved));
     assert!(
         rejected.contains("seed-7 (1 calls") && !rejected.contains("estate-1"),
         "{rejected}"
@@ -99,13 +99,13 @@
     caller: &mut Caller,
     moved: &[String; 2],
 ) {
-    fleet.does(&["contract", "retire", SERVICE, "1"]);
-    fleet.does(&["contract", "retire", SERVICE, "3"]);
-    assert!(fleet.does(&propose(moved)).contains("admitted"));
+    fleet.expect_success(&["contract", "retire", SERVICE, "1"]);
+    fleet.expect_success(&["contract", "retire", SERVICE, "3"]);
+    assert!(fleet.expect_success(&propose(moved)).contains("admitted"));
     caller.call(&[("x-customer", "seed-7"), ("x-protocol-version", "1")]);
-    until("it is told to be back", || {
+    wait_for("it is told to be back", || {
         fleet
-            .does(&["keeper", "status"])
+            .expect_success(&["keeper", "status"])
             .contains("retired and called again: farm.v1.Farm 1")
             .then_some(())
     });
@@ -116,7 +116,7 @@
         "KEYED",
     );
     assert!(
-        fleet.fails(&propose(&third)).contains("seed-7"),
+        fleet.expect_failure(&propose(&third)).contains("seed-7"),
         "and counts as spoken again"
     );
 }
@@ -125,7 +125,7 @@
 fn the_examples_are_taken() {
     let fleet = Fleet::start(1, 1);
     let example = |name: &str| format!("{}/../../examples/{name}", env!("CARGO_MANIFEST_DIR"));
-    let said = fleet.does(&[
+    let said = fleet.expect_success(&[
         "contract",
         "propose",
         &example("farm-1.txtpb"),
@@ -136,20 +136,20 @@
     ]);
     assert!(said.contains("admitted"), "{said}");
     assert!(fleet
-        .does(&["rules", "apply", &example("rules.txtpb"), "--wait", "30"])
+        .expect_success(&["rules", "apply", &example("rules.txtpb"), "--wait", "30"])
         .contains("in force"));
 }
 
 #[test]
 fn of_two_texts_of_one_version_sound_alone_one_is_admitted() {
     let fleet = Fleet::start(3, 3);
-    fleet.does(&propose(&version(
+    fleet.expect_success(&propose(&version(
         &fleet,
         "1",
         "string field = 1;",
         "KEYED",
     )));
-    fleet.does(&["contract", "subscribe", "a", SERVICE, "1"]);
+    fleet.expect_success(&["contract", "subscribe", "a", SERVICE, "1"]);
     for round in 2..6 {
         let name = round.to_string();
         let first = version(&fleet, &name, "string field = 1; int32 acres = 2;", "KEYED");
@@ -166,18 +166,21 @@
                 .expect("there")
                 .replace("string acres", fields)
         };
-        fleet.write(&apart[0], &of("int32 acres"));
-        fleet.write(&apart[1], &of("string acres"));
+        fleet.write_file(&apart[0], &of("int32 acres"));
+        fleet.write_file(&apart[1], &of("string acres"));
         // Given to two keepers at once that do not hear each other at first.
-        fleet.links("from=k0&to=k1&both=1&cut=1");
+        fleet.set_link_faults("from=k0&to=k1&both=1&cut=1");
         let mut children = [0, 1].map(|k| {
             let words = [
                 "contract", "propose", &second[0], "--proto", &apart[k], "--wait", "30",
             ];
-            fleet.command_at(&[k], &words).spawn().expect("it runs")
+            fleet
+                .command_to_replicas(&[k], &words)
+                .spawn()
+                .expect("it runs")
         });
         std::thread::sleep(std::time::Duration::from_millis(100));
-        fleet.links("heal=1");
+        fleet.set_link_faults("heal=1");
         let ends: Vec<bool> = children
             .iter_mut()
             .map(|c| c.wait().expect("it ends").success())
@@ -193,31 +196,31 @@
 #[test]
 fn a_server_of_a_version_that_was_not_admitted_is_held_back_unless_there_is_no_other() {
     let mut fleet = Fleet::start(3, 1);
-    fleet.does(&propose(&version(
+    fleet.expect_success(&propose(&version(
         &fleet,
         "1",
         "string field = 1;",
         "KEYED",
     )));
-    let good = fleet.add_server("farm.v1.Farm 1");
-    let early = fleet.add_server("farm.v1.Farm 2");
-    until("it is held back", || {
+    let good = fleet.add_endpoint("farm.v1.Farm 1");
+    let early = fleet.add_endpoint("farm.v1.Farm 2");
+    wait_for("it is held back", || {
         fleet
-            .status(0)
+            .coordinator_status(0)
             .filter(|s| s.held_back == [early.to_string()] && !s.is_last_resort)
     });
-    let mut caller = Caller::new(fleet.grpc(0));
-    until("the other serves", || {
+    let mut caller = Caller::new(fleet.grpc_address(0));
+    wait_for("the other serves", || {
         (caller.call(&[("x-customer", "a")]).0 == Some(Code::Ok)).then_some(())
     });
     // Retired, the good one is not in service any more either: both are used.
-    fleet.does(&["contract", "retire", SERVICE, "1"]);
-    fleet.does(&["contract", "subscribe", "a", SERVICE, "9"]);
+    fleet.expect_success(&["contract", "retire", SERVICE, "1"]);
+    fleet.expect_success(&["contract", "subscribe", "a", SERVICE, "9"]);
     let other = version(&fleet, "9", "string field = 1;", "KEYED");
-    fleet.does(&propose(&other));
-    until("the last resort", || {
+    fleet.expect_success(&propose(&other));
+    wait_for("the last resort", || {
         fleet
-            .status(0)
+            .coordinator_status(0)
             .filter(|s| s.is_last_resort && s.held_back.is_empty())
     });
     assert_eq!(
@@ -226,15 +229,15 @@
         "{good} and {early} serve"
     );
     // Admitted later, it is put in service and the other is not.
-    fleet.does(&propose(&version(
+    fleet.expect_success(&propose(&version(
         &fleet,
         "2",
         "string field = 1; int32 acres = 2;",
         "KEYED",
     )));
-    until("the admitted one alone serves", || {
+    wait_for("the admitted one alone serves", || {
         fleet
-            .status(0)
+            .coordinator_status(0)
             .filter(|s| s.held_back == [good.to_string()] && !s.is_last_resort)
     });
 }
--- a/crates/cli/tests/fleet/mod.rs
+++ b/crates/cli/tests/fleet/mod.rs
@@ -1,5 +1,9 @@
-//! Keepers and gateways as processes of the program, with a relay's links between them, and a server and callers of the test's own.
-#![allow(dead_code, reason = "each test program uses a part of it")]
+//! Test harness: coordinator replicas and gateways as processes of the program, connected through the testbed's relay, which injects
+//! faults into its links. Fake servers and gRPC callers run inside the test.
+//!
+//! Commands are run by their earlier names `keeper`, `word`, `lab` and `--keepers`, which stay accepted. In names of links, `k0` is the
+//! first replica and `g0` the first gateway.
+#![allow(dead_code, reason = "each test program uses only part of the harness")]
 
 use chalkdeck_grpc_gateway::coordinator_link::CoordinatorStatus;
 use chalkdeck_net::grpc::{self, Code};
@@ -18,76 +22,78 @@
 
 pub const VIEW: &str = "/farm.v1.Farm/View";
 pub const WATCH: &str = "/farm.v1.Farm/Watch";
-const PATIENCE: Duration = Duration::from_secs(40);
-/// Sessions last so long, in milliseconds.
+/// The longest wait for a condition.
+const TIMEOUT: Duration = Duration::from_secs(40);
+/// The lease of a session, in milliseconds.
 pub const LEASE_MS: u64 = 1_000;
 
-/// What is asked for comes, or the test ends.
-pub fn until<T>(what: &str, mut get: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + PATIENCE;
+/// Polls until `poll` returns a value. Panics after the timeout.
+pub fn wait_for<T>(condition: &str, mut poll: impl FnMut() -> Option<T>) -> T {
+    let deadline = Instant::now() + TIMEOUT;
     loop {
-        if let Some(got) = get() {
-            return got;
+        if let Some(value) = poll() {
+            return value;
         }
-        assert!(Instant::now() < end, "not in time: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting: {condition}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// A fleet.
+/// The processes of a fleet, their files and the relay between them.
 pub struct Fleet {
     pub dir: PathBuf,
     program: Program,
-    links: Process,
-    control: SocketAddr,
-    /// What each keeper, and each gateway, reaches keepers by.
-    seen_by: BTreeMap<String, Vec<SocketAddr>>,
-    /// Where keepers listen.
-    at: Vec<SocketAddr>,
-    pub keepers: Vec<Option<Process>>,
+    relay: Process,
+    relay_control: SocketAddr,
+    /// For each replica and gateway, by name: the relay's addresses through which it reaches the replicas.
+    link_addresses: BTreeMap<String, Vec<SocketAddr>>,
+    /// The addresses on which replicas listen.
+    replica_addresses: Vec<SocketAddr>,
+    pub replicas: Vec<Option<Process>>,
     pub gateways: Vec<Option<Process>>,
-    servers: Vec<(SocketAddr, String)>,
+    /// The address and the contract version of each endpoint.
+    endpoints: Vec<(SocketAddr, String)>,
 }
 
-fn sites(i: usize) -> &'static str {
-    ["north", "middle", "south"][i % 3]
+fn site_of(gateway: usize) -> &'static str {
+    ["north", "middle", "south"][gateway % 3]
 }
 
 impl Fleet {
-    /// Starts keepers for the first time and gateways, and waits until every built-in duty is held.
-    pub fn start(keepers: usize, gateways: usize) -> Fleet {
-        let mut fleet = Fleet::without_gateways(keepers, gateways);
+    /// Starts a new cluster of replicas, and gateways, and waits until every built-in election has a leader.
+    pub fn start(replicas: usize, gateways: usize) -> Fleet {
+        let mut fleet = Fleet::start_without_gateways(replicas, gateways);
         (0..gateways).for_each(|g| fleet.start_gateway(g));
-        // One that has heard nothing yet takes no calls.
-        let stands = |g| {
+        // A gateway without a copy of the shared state admits no calls.
+        let is_ready = |g| {
             fleet
-                .status(g)
+                .coordinator_status(g)
                 .is_some_and(|s| s.is_session_valid && s.has_state)
         };
-        until("all have sessions", || {
-            (0..gateways).all(stands).then_some(())
+        wait_for("all gateways have sessions", || {
+            (0..gateways).all(is_ready).then_some(())
         });
-        until("all duties are held", || {
-            (fleet.held().len() == 3).then_some(())
+        wait_for("all elections have leaders", || {
+            (fleet.leaders().len() == 3).then_some(())
         });
         fleet
     }
 
-    /// The same with keepers alone; gateways have their links.
-    pub fn without_gateways(keepers: usize, gateways: usize) -> Fleet {
-        let mut fleet = Fleet::prepare(keepers, gateways);
-        (0..keepers).for_each(|k| fleet.start_keeper(k, true));
+    /// Starts only the replicas; links for the gateways exist.
+    pub fn start_without_gateways(replicas: usize, gateways: usize) -> Fleet {
+        let mut fleet = Fleet::prepare(replicas, gateways);
+        (0..replicas).for_each(|k| fleet.start_replica(k, true));
         fleet
     }
 
-    /// A folder and links for so many processes, none of which is started.
-    pub fn prepare(keepers: usize, gateways: usize) -> Fleet {
-        static NEXT: AtomicU32 = AtomicU32::new(0);
-        let number = NEXT.fetch_add(1, Ordering::Relaxed);
+    /// Creates the folder and the links for these numbers of processes without starting any of them.
+    pub fn prepare(replicas: usize, gateways: usize) -> Fleet {
+        static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
         let id = std::process::id();
         let dir = std::env::temp_dir().join(format!("chalkdeck-fleet-{id}-{number}"));
         std::fs::create_dir_all(&dir).expect("a temporary folder");
-        // Addresses of this test alone: a keeper's has to be known before it starts, and to stay.
+        // Addresses that no other test uses: a replica's address is known before it starts and stays the same over restarts.
         let [_, _, high, low] = id.to_be_bytes();
         let address = |k: usize| {
             SocketAddr::from((
@@ -95,8 +101,8 @@
                 7_100 + number as u16 * 16 + k as u16,
             ))
         };
-        let at: Vec<SocketAddr> = (0..keepers).map(address).collect();
-        let names: Vec<String> = (0..keepers)
+        let replica_addresses: Vec<SocketAddr> = (0..replicas).map(address).collect();
+        let names: Vec<String> = (0..replicas)
             .map(|k| format!("k{k}"))
             .chain((0..gateways).map(|g| format!("g{g}")))
             .collect();
@@ -106,42 +112,48 @@
         };
         let mut args = vec!["lab".to_string(), "links".to_string()];
         for name in &names {
-            for (k, at) in at.iter().enumerate() {
-                args.extend(["--link".to_string(), format!("{name},k{k},tcp,{at}")]);
+            for (k, address) in replica_addresses.iter().enumerate() {
+                args.extend(["--link".to_string(), format!("{name},k{k},tcp,{address}")]);
             }
         }
-        let links =
+        let relay =
             Process::start(&program, &args, &dir.join("links.log")).expect("the relay starts");
-        let addresses = links.addresses("links").expect("its links");
-        let seen_by = names
+        let addresses = relay
+            .addresses("links")
+            .expect("the addresses of its links");
+        let link_addresses = names
             .into_iter()
-            .zip(addresses.chunks(keepers).map(<[SocketAddr]>::to_vec))
+            .zip(addresses.chunks(replicas).map(<[SocketAddr]>::to_vec))
             .collect();
-        let control = links.address("control").expect("its control port");
-        let none = |n: usize| (0..n).map(|_| None).collect::<Vec<Option<Process>>>();
+        let relay_control = relay.address("control").expect("its control address");
+        let not_started = |count: usize| (0..count).map(|_| None).collect::<Vec<Option<Process>>>();
         let fleet = Fleet {
             dir,
             program,
-            links,
-            control,
-            seen_by,
-            at,
-            keepers: none(keepers),
-            gateways: none(gateways),
-            servers: Vec::new(),
+            relay,
+            relay_control,
+            link_addresses,
+            replica_addresses,
+            replicas: not_started(replicas),
+            gateways: not_started(gateways),
+            endpoints: Vec::new(),
         };
-        fleet.write_list();
+        fleet.write_endpoint_list();
         fleet
     }
 
-    pub fn start_keeper(&mut self, k: usize, first: bool) {
-        let reached = &self.seen_by[&format!("k{k}")];
-        let keepers: Vec<String> = reached.iter().map(|a| format!("'{a}'")).collect();
+    /// Starts a replica; `first` starts it as a member of a new cluster.
+    pub fn start_replica(&mut self, k: usize, first: bool) {
+        let link_addresses = &self.link_addresses[&format!("k{k}")];
+        let replicas: Vec<String> = link_addresses
+            .iter()
+            .map(|address| format!("'{address}'"))
+            .collect();
         let text = format!(
             "slot: {} listen: '{}' admin: '127.0.0.1:0' keepers: [{}] folder: 'keeper-{k}' lease_ms: {LEASE_MS} move_ms: 3000",
             k + 1,
-            self.at[k],
-            keepers.join(", ")
+            self.replica_addresses[k],
+            replicas.join(", ")
         );
         let file = self.dir.join(format!("keeper-{k}.txtpb"));
         std::fs::write(&file, text).expect("written");
@@ -152,34 +164,36 @@
         ];
         args.extend(first.then(|| "--first".to_string()));
         let log = self.dir.join(format!("keeper-{k}.log"));
-        self.keepers[k] =
-            Some(Process::start(&self.program, &args, &log).expect("a keeper starts"));
+        self.replicas[k] =
+            Some(Process::start(&self.program, &args, &log).expect("a replica starts"));
     }
-    pub fn kill_keeper(&mut self, k: usize) {
-        self.keepers[k].take().expect("it runs").kill();
+    pub fn kill_replica(&mut self, k: usize) {
+        self.replicas[k].take().expect("it runs").kill();
     }
-    /// Its folder is lost, too.
-    pub fn lose_keeper(&mut self, k: usize) {
-        self.kill_keeper(k);
+    /// Kills a replica and deletes its folder.
+    pub fn kill_replica_and_delete_folder(&mut self, k: usize) {
+        self.kill_replica(k);
         std::fs::remove_dir_all(self.dir.join(format!("keeper-{k}"))).expect("a folder");
     }
 
-    /// A gateway without any shared state, beside the others.
-    pub fn bare_gateway(&self) -> Process {
+    /// Starts another gateway, which has no coordinator and so no shared state.
+    pub fn start_gateway_without_coordinator(&self) -> Process {
         let text = std::fs::read_to_string(self.dir.join("gateway-0.txtpb")).expect("written");
-        let (own, _) = text.split_once("keepers {").expect("it has keepers");
+        let (settings, _) = text
+            .split_once("keepers {")
+            .expect("settings of the coordinator");
         let file = self.dir.join("bare.txtpb");
-        std::fs::write(&file, own.replace("words-0", "words-bare")).expect("written");
+        std::fs::write(&file, settings.replace("words-0", "words-bare")).expect("written");
         let args = ["serve".to_string(), file.display().to_string()];
         Process::start(&self.program, &args, &self.dir.join("bare.log")).expect("a gateway starts")
     }
 
     pub fn start_gateway(&mut self, g: usize) {
-        let keepers: Vec<String> = self.seen_by[&format!("g{g}")]
+        let replicas: Vec<String> = self.link_addresses[&format!("g{g}")]
             .iter()
-            .map(|a| format!("'{a}'"))
+            .map(|address| format!("'{address}'"))
             .collect();
-        let (zone, keepers) = (sites(g), keepers.join(", "));
+        let (zone, replicas) = (site_of(g), replicas.join(", "));
         let text = format!(
             "listen: '127.0.0.1:0' admin: '127.0.0.1:0' fleet: {} number: {g} zone: '{zone}'
              classes {{ name: 'view' deadline_ms: 2000 effect: SAFE }}
@@ -188,7 +202,7 @@
              routes {{ path: '{VIEW}' class: 'view' }} routes {{ path: '{WATCH}' class: 'watch' }}
              customers {{ default_plan: 'p' }} endpoints {{ file: 'list.txtpb' poll_ms: 20 }} logs {{ level: 'warn' }}
              sites {{ on: true words_file: 'words-{g}.txtpb' }}
-             keepers {{ addresses: [{keepers}] name: 'g{g}' region_metadata: 'x-region' state_file: 'state-{g}' report_ms: 100 }}",
+             keepers {{ addresses: [{replicas}] name: 'g{g}' region_metadata: 'x-region' state_file: 'state-{g}' report_ms: 100 }}",
             self.gateways.len()
         );
         let file = self.dir.join(format!("gateway-{g}.txtpb"));
@@ -201,123 +215,138 @@
     pub fn gateway(&self, g: usize) -> &Process {
         self.gateways[g].as_ref().expect("it runs")
     }
-    pub fn signal(&self, g: usize, signal: Signal) {
+    pub fn signal_gateway(&self, g: usize, signal: Signal) {
         self.gateway(g).signal(signal);
     }
     pub fn kill_gateway(&mut self, g: usize) {
         self.gateways[g].take().expect("it runs").kill();
     }
-    /// Asked to end, and ended.
-    pub fn end_gateway(&mut self, g: usize) {
+    /// Sends SIGTERM to a gateway and waits until it has exited.
+    pub fn stop_gateway(&mut self, g: usize) {
         let mut process = self.gateways[g].take().expect("it runs");
         process.signal(Signal::TERM);
-        assert!(process.wait(), "it ends well");
+        assert!(process.wait(), "it exits with success");
     }
-    pub fn admin(&self, g: usize) -> SocketAddr {
-        self.gateway(g).address("admin").expect("told")
+    pub fn admin_address(&self, g: usize) -> SocketAddr {
+        self.gateway(g).address("admin").expect("its admin address")
     }
-    pub fn grpc(&self, g: usize) -> SocketAddr {
-        self.gateway(g).address("grpc").expect("told")
+    pub fn grpc_address(&self, g: usize) -> SocketAddr {
+        self.gateway(g).address("grpc").expect("its gRPC address")
     }
-    /// What a gateway says of the shared state; none: it does not run or does not answer.
-    pub fn status(&self, g: usize) -> Option<CoordinatorStatus> {
+    /// The status of a gateway's coordinator link; `None` if the gateway does not run or does not respond.
+    pub fn coordinator_status(&self, g: usize) -> Option<CoordinatorStatus> {
         let admin = self.gateways[g].as_ref()?.address("admin").ok()?;
-        // One that stands still is not waited for.
+        // The timeout is for a stopped process, which accepts connections and does not respond.
         let mut stream = TcpStream::connect(admin).ok()?;
         stream
             .set_read_timeout(Some(Duration::from_millis(300)))
             .ok()?;
         write!(stream, "GET /keepers HTTP/1.1\r\nhost: x\r\n\r\n").ok()?;
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).ok()?;
-        serde_json::from_str(answer.split_once("\r\n\r\n")?.1).ok()
-    }
-    /// Holders of duties as they say it themselves: gateway and token.
-    pub fn held(&self) -> BTreeMap<String, (usize, u64)> {
-        let all = (0..self.gateways.len()).filter_map(|g| Some((g, self.status(g)?)));
-        all.flat_map(|(g, s)| {
-            s.leaderships
-                .into_iter()
-                .map(move |leadership| (leadership.election, (g, leadership.token)))
-        })
-        .collect()
-    }
-    pub fn holder(&self, duty: &str) -> Option<(usize, u64)> {
-        self.held().get(duty).copied()
+        let mut response = String::new();
+        stream.read_to_string(&mut response).ok()?;
+        serde_json::from_str(response.split_once("\r\n\r\n")?.1).ok()
+    }
+    /// For each election the gateway that reports itself as its leader, and its fencing token.
+    pub fn leaders(&self) -> BTreeMap<String, (usize, u64)> {
+        let statuses =
+            (0..self.gateways.len()).filter_map(|g| Some((g, self.coordinator_status(g)?)));
+        statuses
+            .flat_map(|(g, status)| {
+                status
+                    .leaderships
+                    .into_iter()
+                    .map(move |leadership| (leadership.election, (g, leadership.token)))
+            })
+            .collect()
+    }
+    pub fn leader_of(&self, election: &str) -> Option<(usize, u64)> {
+        self.leaders().get(election).copied()
     }
 
-    /// Sets faults of links, as `from=k0&to=k1&cut=1`.
-    pub fn links(&self, word: &str) {
-        control::get(self.control, &format!("/set?{word}")).expect("the relay takes it");
+    /// Sets faults of the relay's links with a query such as `from=k0&to=k1&cut=1`.
+    pub fn set_link_faults(&self, query: &str) {
+        control::get(self.relay_control, &format!("/set?{query}"))
+            .expect("the relay accepts the faults");
     }
-    /// Cuts a party off from all keepers, both ways, or heals it.
-    pub fn cut_off(&self, name: &str, cut: bool) {
-        self.links(&format!("from={name}&cut={}", u8::from(cut)));
+    /// Cuts a replica or gateway off from all replicas in both directions, or restores its links.
+    pub fn set_cut_off(&self, name: &str, is_cut: bool) {
+        self.set_link_faults(&format!("from={name}&cut={}", u8::from(is_cut)));
     }
 
-    /// Runs the program with these words and the keepers' addresses.
-    pub fn run(&self, words: &[&str]) -> Output {
-        self.command(words).output().expect("it runs")
-    }
-    pub fn command(&self, words: &[&str]) -> Command {
-        let all: Vec<usize> = (0..self.at.len()).collect();
-        self.command_at(&all, words)
-    }
-    /// The same to some of the keepers.
-    pub fn command_at(&self, keepers: &[usize], words: &[&str]) -> Command {
-        let at: Vec<String> = keepers.iter().map(|k| self.at[*k].to_string()).collect();
+    /// Runs the program with these arguments and the addresses of all replicas.
+    pub fn run(&self, args: &[&str]) -> Output {
+        self.command(args).output().expect("it runs")
+    }
+    /// A command with these arguments and the addresses of all replicas.
+    pub fn command(&self, args: &[&str]) -> Command {
+        let all: Vec<usize> = (0..self.replica_addresses.len()).collect();
+        self.command_to_replicas(&all, args)
+    }
+    /// A command with these arguments and the addresses of some replicas.
+    pub fn command_to_replicas(&self, replicas: &[usize], args: &[&str]) -> Command {
+        let addresses: Vec<String> = replicas
+            .iter()
+            .map(|k| self.replica_addresses[*k].to_string())
+            .collect();
         let mut command = Command::new(env!("CARGO_BIN_EXE_chalkdeck"));
         command
-            .args(words)
-            .args(["--keepers", &at.join(",")])
+            .args(args)
+            .args(["--keepers", &addresses.join(",")])
             .stdin(Stdio::null())
             .current_dir(&self.dir);
         command.stdout(Stdio::piped()).stderr(Stdio::piped());
         command
     }
-    /// The same; it has to end well. Returns what it printed.
-    pub fn does(&self, words: &[&str]) -> String {
-        let out = self.run(words);
+    /// Runs the program, which has to succeed. Returns its standard output.
+    pub fn expect_success(&self, args: &[&str]) -> String {
+        let output = self.run(args);
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
         assert!(
-            out.status.success(),
-            "{words:?}: {}{}",
-            text(&out.stdout),
-            text(&out.stderr)
+            output.status.success(),
+            "{args:?}: {}{}",
+            text(&output.stdout),
+            text(&output.stderr)
         );
-        text(&out.stdout)
+        text(&output.stdout)
     }
-    /// The same; it has to fail. Returns what it said.
-    pub fn fails(&self, words: &[&str]) -> String {
-        let out = self.run(words);
+    /// Runs the program, which has to fail. Returns its standard error.
+    pub fn expect_failure(&self, args: &[&str]) -> String {
+        let output = self.run(args);
         assert!(
-            !out.status.success(),
-            "{words:?}: {}",
-            String::from_utf8_lossy(&out.stdout)
+            !output.status.success(),
+            "{args:?}: {}",
+            String::from_utf8_lossy(&output.stdout)
         );
-        String::from_utf8_lossy(&out.stderr).into_owned()
+        String::from_utf8_lossy(&output.stderr).into_owned()
     }
-    pub fn write(&self, name: &str, text: &str) -> String {
+    /// Writes a file in the fleet's folder, which is the working directory of commands. Returns its name.
+    pub fn write_file(&self, name: &str, text: &str) -> String {
         std::fs::write(self.dir.join(name), text).expect("written");
         name.to_string()
     }
-    /// A customer's set: `stale` is KEEP or DENY, `otherwise` ALLOW or DENY.
-    pub fn set(&self, customer: &str, stale: &str, otherwise: &str, rules: &str) -> String {
+    /// Writes a customer's rule set: `stale` is KEEP or DENY, `otherwise` ALLOW or DENY. Returns the file's name.
+    pub fn write_rule_set(
+        &self,
+        customer: &str,
+        stale: &str,
+        otherwise: &str,
+        rules: &str,
+    ) -> String {
         let text = format!("customer: '{customer}' otherwise: {otherwise} stale: {stale} {rules}");
-        self.write(&format!("{customer}-{otherwise}.txtpb"), &text)
+        self.write_file(&format!("{customer}-{otherwise}.txtpb"), &text)
     }
 
-    /// A further server, which tells that version of a contract, or none.
-    pub fn add_server(&mut self, contract: &str) -> SocketAddr {
-        let address = server();
-        self.servers.push((address, contract.to_string()));
-        self.write_list();
+    /// Starts a fake server and adds it to the endpoint list. The list names the contract version `contract` for it unless that is empty.
+    pub fn add_endpoint(&mut self, contract: &str) -> SocketAddr {
+        let address = start_server();
+        self.endpoints.push((address, contract.to_string()));
+        self.write_endpoint_list();
         address
     }
-    fn write_list(&self) {
+    fn write_endpoint_list(&self) {
         let mut text =
             String::from("cluster_name: 'farm' endpoints { locality { zone: 'north' }\n");
-        for (address, contract) in &self.servers {
+        for (address, contract) in &self.endpoints {
             let metadata = format!(
                 "metadata {{ filter_metadata {{ key: 'chalkdeck' value {{ fields {{ key: 'contract' value {{ string_value: '{contract}' }} }} }} }} }}"
             );
@@ -337,17 +366,17 @@
 impl Drop for Fleet {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            eprintln!("logs are in {}", self.dir.display());
+            eprintln!("the logs of the processes are in {}", self.dir.display());
         } else {
             self.gateways.clear();
-            self.keepers.clear();
+            self.replicas.clear();
             let _ = std::fs::remove_dir_all(&self.dir);
         }
     }
 }
 
-/// A server that answers unary calls and leaves streams open.
-fn server() -> SocketAddr {
+/// Starts a fake server that responds to unary calls and leaves streams open.
+fn start_server() -> SocketAddr {
     let mut engine = Engine::new().expect("a poll handle");
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let (_, address) = engine
@@ -371,14 +400,15 @@
     address
 }
 
-/// A caller with one connection to a gateway.
+/// A gRPC client with one connection to a gateway.
 pub struct Caller {
     engine: Engine,
     conn: ConnId,
     events: Vec<Event>,
-    /// Streams that ended, with what was told.
-    pub ended: BTreeMap<StreamId, (Option<Code>, String)>,
-    pub heads: Vec<StreamId>,
+    /// Code and message of each stream that ended.
+    pub results: BTreeMap<StreamId, (Option<Code>, String)>,
+    /// Streams whose response headers arrived.
+    pub responding_streams: Vec<StreamId>,
 }
 
 impl Caller {
@@ -391,12 +421,15 @@
             engine,
             conn,
             events: Vec::new(),
-            ended: BTreeMap::new(),
-            heads: Vec::new(),
+            results: BTreeMap::new(),
+            responding_streams: Vec::new(),
         }
     }
-    pub fn turn(&mut self) {
-        self.engine.turn(5_000, &mut self.events).expect("it turns");
+    /// Waits up to 5 ms for events and records them.
+    pub fn poll_events(&mut self) {
+        self.engine
+            .turn(5_000, &mut self.events)
+            .expect("the event loop runs");
         for event in self.events.drain(..) {
             match event {
                 Event::Head {
@@ -404,7 +437,7 @@
                     head,
                     ended: true,
                 } => {
-                    self.ended.insert(
+                    self.results.insert(
                         stream,
                         (
                             Code::from_trailers(&head.headers),
@@ -412,77 +445,87 @@
                         ),
                     );
                 }
-                Event::Head { stream, .. } => self.heads.push(stream),
+                Event::Head { stream, .. } => self.responding_streams.push(stream),
                 Event::Data { stream, data } => self.engine.consume(stream, data.len()),
                 Event::End { stream, trailers } => {
                     let trailers = trailers.unwrap_or_default();
-                    self.ended.insert(
+                    self.results.insert(
                         stream,
                         (Code::from_trailers(&trailers), grpc::message_of(&trailers)),
                     );
                 }
                 Event::StreamFailed { stream, .. } => {
-                    drop(self.ended.insert(stream, (None, "broken".into())))
+                    drop(self.results.insert(stream, (None, "stream failed".into())))
                 }
                 _ => {}
             }
         }
     }
-    pub fn open(&mut self, path: &str, metadata: &[(&str, &str)]) -> StreamId {
-        let end = Instant::now() + PATIENCE;
+    /// Sends a request; waits until the connection has room for another stream.
+    pub fn open_stream(&mut self, path: &str, metadata: &[(&str, &str)]) -> StreamId {
+        let deadline = Instant::now() + TIMEOUT;
         loop {
-            let mut head = grpc::request("gateway", path).expect("a head");
+            let mut head = grpc::request("gateway", path).expect("request headers");
             for (name, value) in metadata {
-                let name = HeaderName::from_bytes(name.as_bytes()).expect("a name");
+                let name = HeaderName::from_bytes(name.as_bytes()).expect("a header name");
                 head.headers_mut()
-                    .insert(name, HeaderValue::from_str(value).expect("a value"));
+                    .insert(name, HeaderValue::from_str(value).expect("a header value"));
             }
             if let Some(stream) = self.engine.open(self.conn, head, false) {
                 self.engine.send(stream, grpc::frame(b"ask"));
                 self.engine.finish(stream, None);
                 return stream;
             }
-            assert!(Instant::now() < end, "the connection stands");
-            self.turn();
+            assert!(
+                Instant::now() < deadline,
+                "no stream could be opened in time"
+            );
+            self.poll_events();
         }
     }
-    /// Keeps so many calls under way for a while; how many were served.
-    pub fn load(&mut self, out: usize, span: Duration, metadata: &[(&str, &str)]) -> usize {
-        let (begun, mut under_way, mut served) = (Instant::now(), 0, 0);
-        while begun.elapsed() < span {
-            while under_way < out {
-                self.open(VIEW, metadata);
-                under_way += 1;
+    /// Keeps `concurrency` calls in flight for a while. Returns how many were served during that time.
+    pub fn run_load(
+        &mut self,
+        concurrency: usize,
+        duration: Duration,
+        metadata: &[(&str, &str)],
+    ) -> usize {
+        let (start, mut in_flight, mut served) = (Instant::now(), 0, 0);
+        while start.elapsed() < duration {
+            while in_flight < concurrency {
+                self.open_stream(VIEW, metadata);
+                in_flight += 1;
             }
-            self.turn();
-            under_way -= self.ended.len();
-            served += std::mem::take(&mut self.ended)
+            self.poll_events();
+            in_flight -= self.results.len();
+            served += std::mem::take(&mut self.results)
                 .values()
-                .filter(|e| e.0 == Some(Code::Ok))
+                .filter(|result| result.0 == Some(Code::Ok))
                 .count();
-            self.heads.clear();
+            self.responding_streams.clear();
         }
-        while under_way > 0 {
-            self.turn();
-            under_way -= std::mem::take(&mut self.ended).len();
+        while in_flight > 0 {
+            self.poll_events();
+            in_flight -= std::mem::take(&mut self.results).len();
         }
         served
     }
-    /// Waits for its end: what was told.
-    pub fn end(&mut self, stream: StreamId) -> (Option<Code>, String) {
-        let end = Instant::now() + PATIENCE;
-        while !self.ended.contains_key(&stream) {
-            assert!(Instant::now() < end, "a call ends");
-            self.turn();
+    /// Waits until a stream has ended. Returns its code and message.
+    pub fn wait_for_end(&mut self, stream: StreamId) -> (Option<Code>, String) {
+        let deadline = Instant::now() + TIMEOUT;
+        while !self.results.contains_key(&stream) {
+            assert!(Instant::now() < deadline, "the call did not end in time");
+            self.poll_events();
         }
-        self.ended.remove(&stream).expect("it ended")
+        self.results.remove(&stream).expect("its result")
     }
+    /// Makes a unary call. Returns its code and message.
     pub fn call(&mut self, metadata: &[(&str, &str)]) -> (Option<Code>, String) {
-        let stream = self.open(VIEW, metadata);
-        self.end(stream)
+        let stream = self.open_stream(VIEW, metadata);
+        self.wait_for_end(stream)
     }
-    /// Whether a call of that customer is admitted; whatever becomes of it then.
-    pub fn admits(&mut self, customer: &str) -> bool {
+    /// Whether the access rules admit a call of the customer, whatever its result.
+    pub fn is_admitted(&mut self, customer: &str) -> bool {
         self.call(&[("x-customer", customer)]).0 != Some(Code::PermissionDenied)
     }
 }
--- a/crates/cli/tests/measured.rs
+++ b/crates/cli/tests/measured.rs
@@ -4,7 +4,7 @@
 mod fleet;
 
 use chalkdeck_testbed::parts::process::{cpu_seconds, memory_kib};
-use fleet::{until, Caller, Fleet, LEASE_MS};
+use fleet::{wait_for, Caller, Fleet, LEASE_MS};
 use rustix::process::Signal;
 use std::time::{Duration, Instant};
 
@@ -34,9 +34,9 @@
     let mut fleet = Fleet::start(KEEPERS, GATEWAYS);
     println!("{KEEPERS} keepers, {GATEWAYS} gateways, lease {LEASE_MS} ms");
     let apply = |fleet: &Fleet, i: usize| {
-        let file = fleet.set("c", "DENY", ["ALLOW", "DENY"][i % 2], "");
+        let file = fleet.write_rule_set("c", "DENY", ["ALLOW", "DENY"][i % 2], "");
         let begun = Instant::now();
-        let said = fleet.does(&["rules", "apply", &file, "--force", "--wait", "30"]);
+        let said = fleet.expect_success(&["rules", "apply", &file, "--force", "--wait", "30"]);
         assert!(said.contains("in force"), "{said}");
         begun.elapsed().as_secs_f64()
     };
@@ -50,19 +50,23 @@
                 end: &dyn Fn(&mut Fleet, usize)| {
         let mut seconds = Vec::new();
         for _ in 0..TURNS {
-            let old = until("held", || fleet.holder("registrar"));
+            let old = wait_for("held", || fleet.leader_of("registrar"));
             let begun = Instant::now();
             begin(fleet, old.0);
-            until("handed on", || {
+            wait_for("handed on", || {
                 fleet
-                    .holder("registrar")
+                    .leader_of("registrar")
                     .filter(|h| h.0 != old.0 && h.1 > old.1)
             });
             seconds.push(begun.elapsed().as_secs_f64());
             end(fleet, old.0);
-            until("all have sessions", || {
+            wait_for("all have sessions", || {
                 (0..GATEWAYS)
-                    .all(|g| fleet.status(g).is_some_and(|s| s.is_session_valid))
+                    .all(|g| {
+                        fleet
+                            .coordinator_status(g)
+                            .is_some_and(|s| s.is_session_valid)
+                    })
                     .then_some(())
             });
         }
@@ -71,7 +75,7 @@
     each(
         &mut fleet,
         "SIGTERM",
-        &|f, g| f.signal(g, Signal::TERM),
+        &|f, g| f.signal_gateway(g, Signal::TERM),
         &|f, g| {
             f.gateways[g].take().expect("it ran").wait();
             f.start_gateway(g);
@@ -83,18 +87,18 @@
     each(
         &mut fleet,
         "SIGSTOP",
-        &|f, g| f.signal(g, Signal::STOP),
-        &|f, g| f.signal(g, Signal::CONT),
+        &|f, g| f.signal_gateway(g, Signal::STOP),
+        &|f, g| f.signal_gateway(g, Signal::CONT),
     );
     for way in ["both", "there", "back"] {
         each(
             &mut fleet,
             &format!("cut, way {way}"),
-            &|f, g| f.links(&format!("from=g{g}&way={way}&cut=1")),
-            &|f, g| f.links(&format!("from=g{g}&heal=1")),
+            &|f, g| f.set_link_faults(&format!("from=g{g}&way={way}&cut=1")),
+            &|f, g| f.set_link_faults(&format!("from=g{g}&heal=1")),
         );
     }
-    (0..GATEWAYS / 10).for_each(|g| fleet.cut_off(&format!("g{g}"), true));
+    (0..GATEWAYS / 10).for_each(|g| fleet.set_cut_off(&format!("g{g}"), true));
     tell(
         "apply to in force, a tenth just cut off, the first",
         vec![apply(&fleet, 0)],
@@ -104,17 +108,17 @@
         (1..60).map(|i| apply(&fleet, i)).collect(),
     );
     // A keeper's loss: from its kill to the next command agreed on.
-    fleet.links("heal=1");
+    fleet.set_link_faults("heal=1");
     let mut seconds = Vec::new();
     for turn in 0..TURNS {
-        let status = fleet.does(&["keeper", "status"]);
+        let status = fleet.expect_success(&["keeper", "status"]);
         let leader = status
             .lines()
             .find_map(|l| l.split("leader ").nth(1)?.parse::<usize>().ok())
             .expect("a leader");
         let begun = Instant::now();
-        fleet.kill_keeper(leader - 1);
-        fleet.does(&[
+        fleet.kill_replica(leader - 1);
+        fleet.expect_success(&[
             "keeper",
             "word",
             "north",
@@ -123,9 +127,14 @@
             "30",
         ]);
         seconds.push(begun.elapsed().as_secs_f64());
-        fleet.start_keeper(leader - 1, false);
-        until("it is back", || {
-            (fleet.does(&["keeper", "status"]).matches("agrees").count() == KEEPERS).then_some(())
+        fleet.start_replica(leader - 1, false);
+        wait_for("it is back", || {
+            (fleet
+                .expect_success(&["keeper", "status"])
+                .matches("agrees")
+                .count()
+                == KEEPERS)
+                .then_some(())
         });
     }
     tell("the leader killed to the next command agreed on", seconds);
@@ -139,7 +148,7 @@
 )]
 fn calls_with_two_hundred_thousand_rules_beside_none() {
     let mut fleet = Fleet::start(3, 1);
-    fleet.add_server("");
+    fleet.add_endpoint("");
     let before = memory_kib(fleet.gateway(0).id()).expect("told");
     for customer in 0..10 {
         let rule = |i: usize| {
@@ -148,14 +157,14 @@
                 i % 40
             )
         };
-        let file = fleet.set(
+        let file = fleet.write_rule_set(
             &format!("c{customer}"),
             "KEEP",
             "ALLOW",
             &(0..20_000).map(rule).collect::<String>(),
         );
         let begun = Instant::now();
-        fleet.does(&["rules", "apply", &file, "--force", "--wait", "60"]);
+        fleet.expect_success(&["rules", "apply", &file, "--force", "--wait", "60"]);
         println!(
             "20,000 rules more in force after {:.2} s",
             begun.elapsed().as_secs_f64()
@@ -166,10 +175,10 @@
         "memory a rule: {:.0} bytes",
         (after - before) as f64 * 1024.0 / 200_000.0
     );
-    let bare = fleet.bare_gateway();
+    let bare = fleet.start_gateway_without_coordinator();
     let hot = [("x-customer", "c0"), ("x-region", "eu")];
     let mut callers = [
-        Caller::new(fleet.grpc(0)),
+        Caller::new(fleet.grpc_address(0)),
         Caller::new(bare.address("grpc").expect("told")),
     ];
     let ids = [fleet.gateway(0).id(), bare.id()];
@@ -177,7 +186,7 @@
     for turn in 0..14 {
         for place in [turn % 2, 1 - turn % 2] {
             let cpu = cpu_seconds(ids[place]).expect("told");
-            let served = callers[place].load(64, Duration::from_secs(2), &hot) as f64;
+            let served = callers[place].run_load(64, Duration::from_secs(2), &hot) as f64;
             let core = cpu_seconds(ids[place]).expect("told") - cpu;
             // The first ones warm up.
             if turn > 1 {
--- a/crates/cli/tests/restarts.rs
+++ b/crates/cli/tests/restarts.rs
@@ -1,9 +1,9 @@
 //! Gateways of the platform as processes that are ended and killed in turn, under clients on kept connections that send again
 //! the moment they have an answer.
 
-mod peers;
+mod platform;
 
-use peers::{backend, counter, discovery, Gateway};
+use platform::{backend, counter, discovery, Gateway};
 use rustix::process::{kill_process, Pid, Signal};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -12,7 +12,7 @@
 
 const GATEWAYS: usize = 8;
 const RESTARTS: usize = 200;
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What clients saw, over all of them.
 #[derive(Default)]
@@ -70,7 +70,7 @@
 /// gateway had read them.
 fn is_reset(stream: &TcpStream) -> bool {
     let begun = Instant::now();
-    while begun.elapsed() < PATIENCE {
+    while begun.elapsed() < TIMEOUT {
         if !matches!(stream.take_error(), Ok(None)) {
             return true;
         }
@@ -90,7 +90,7 @@
         };
         let _ = (
             stream.set_nodelay(true),
-            stream.set_read_timeout(Some(PATIENCE)),
+            stream.set_read_timeout(Some(TIMEOUT)),
         );
         let (mut held, mut out) = (Vec::new(), 0);
         // Half of them have two requests out on a connection.
--- a/crates/cli/tests/stored_data.rs
+++ b/crates/cli/tests/stored_data.rs
@@ -6,7 +6,7 @@
 mod fleet;
 
 use chalkdeck_testbed::parts::control;
-use fleet::{until, Caller, Fleet};
+use fleet::{wait_for, Caller, Fleet};
 use std::path::{Path, PathBuf};
 
 const REPLICAS: usize = 3;
@@ -36,22 +36,22 @@
 }
 
 fn start_replicas(fleet: &mut Fleet) {
-    (0..REPLICAS).for_each(|k| fleet.start_keeper(k, false));
-    until("all replicas agree", || {
-        let status = fleet.does(&["keeper", "status"]);
+    (0..REPLICAS).for_each(|k| fleet.start_replica(k, false));
+    wait_for("all replicas agree", || {
+        let status = fleet.expect_success(&["keeper", "status"]);
         (status.matches("agrees, configuration").count() == REPLICAS).then_some(())
     });
 }
 
 fn assert_stored_state(fleet: &Fleet) {
-    let maize = fleet.does(&["rules", "show", "maize"]);
+    let maize = fleet.expect_success(&["rules", "show", "maize"]);
     assert!(
         maize.contains("id: \"r1\"") && maize.contains("\"west\""),
         "{maize}"
     );
-    let beans = fleet.does(&["rules", "show", "beans"]);
+    let beans = fleet.expect_success(&["rules", "show", "beans"]);
     assert!(beans.contains("otherwise: DENY"), "{beans}");
-    let in_use = fleet.does(&["contract", "spoken"]);
+    let in_use = fleet.expect_success(&["contract", "spoken"]);
     assert!(
         in_use.contains("farm.v1.Farm v1 maize: subscribes"),
         "{in_use}"
@@ -59,8 +59,8 @@
 }
 
 fn apply(fleet: &Fleet, customer: &str) {
-    let file = fleet.set(customer, "KEEP", "ALLOW", "");
-    let told = fleet.does(&["rules", "apply", &file, "--force", "--wait", "30"]);
+    let file = fleet.write_rule_set(customer, "KEEP", "ALLOW", "");
+    let told = fleet.expect_success(&["rules", "apply", &file, "--force", "--wait", "30"]);
     assert!(told.contains("in force"), "{told}");
 }
 
@@ -68,7 +68,7 @@
 fn replicas_open_recorded_folders_go_on_and_restart() {
     let mut fleet = fleet_on_stored_data();
     start_replicas(&mut fleet);
-    let status = fleet.does(&["keeper", "status"]);
+    let status = fleet.expect_success(&["keeper", "status"]);
     assert!(
         status.contains("agrees, configuration 2, version "),
         "{status}"
@@ -76,13 +76,13 @@
     assert_stored_state(&fleet);
     (0..GATEWAYS).for_each(|g| fleet.start_gateway(g));
     apply(&fleet, "after-restart");
-    (0..REPLICAS).for_each(|k| fleet.kill_keeper(k));
+    (0..REPLICAS).for_each(|k| fleet.kill_replica(k));
     start_replicas(&mut fleet);
     assert_stored_state(&fleet);
-    let added = fleet.does(&["rules", "show", "after-restart"]);
+    let added = fleet.expect_success(&["rules", "show", "after-restart"]);
     assert!(added.contains("customer: \"after-restart\""), "{added}");
-    until("all duties are held", || {
-        (fleet.held().len() == 3).then_some(())
+    wait_for("all duties are held", || {
+        (fleet.leaders().len() == 3).then_some(())
     });
     apply(&fleet, "after-second-restart");
 }
@@ -90,17 +90,17 @@
 #[test]
 fn a_gateway_without_replicas_goes_by_its_recorded_cache() {
     let mut fleet = fleet_on_stored_data();
-    fleet.add_server("");
+    fleet.add_endpoint("");
     for _start in 0..2 {
         fleet.start_gateway(0);
-        let mut caller = Caller::new(fleet.grpc(0));
-        assert!(!caller.admits("beans"), "denied by the cached set");
-        assert!(caller.admits("c0"), "allowed by the cached set");
-        let sites = control::get(fleet.admin(0), "/sites").expect("sites");
+        let mut caller = Caller::new(fleet.grpc_address(0));
+        assert!(!caller.is_admitted("beans"), "denied by the cached set");
+        assert!(caller.is_admitted("c0"), "allowed by the cached set");
+        let sites = control::get(fleet.admin_address(0), "/sites").expect("sites");
         assert!(
             sites.contains("\"site\":\"north\"") && sites.contains("held out"),
             "{sites}"
         );
-        fleet.end_gateway(0);
+        fleet.stop_gateway(0);
     }
 }
--- a/crates/cli/tests/wire_names.rs
+++ b/crates/cli/tests/wire_names.rs
@@ -57,17 +57,20 @@
 #[test]
 fn scraped_names_are_the_recorded_ones() {
     let mut fleet = Fleet::start(1, 1);
-    fleet.add_server("");
-    let mut caller = Caller::new(fleet.grpc(0));
-    caller.admits("c");
+    fleet.add_endpoint("");
+    let mut caller = Caller::new(fleet.grpc_address(0));
+    caller.is_admitted("c");
     let mut names = BTreeSet::new();
     let get = |address, path: &str| control::get(address, path).expect(path);
-    names.extend(metric_names("gateway", &get(fleet.admin(0), "/metrics")));
-    let keeper = fleet.keepers[0].as_ref().expect("it runs");
+    names.extend(metric_names(
+        "gateway",
+        &get(fleet.admin_address(0), "/metrics"),
+    ));
+    let keeper = fleet.replicas[0].as_ref().expect("it runs");
     let keeper = keeper.address("admin").expect("its admin port");
     names.extend(metric_names("keeper", &get(keeper, "/metrics")));
     for path in ["/keepers", "/sites"] {
-        let text = get(fleet.admin(0), path);
+        let text = get(fleet.admin_address(0), path);
         // One object, or one in each line.
         for line in text
             .lines()
