--- a/crates/cli/tests/fleet/mod.rs
+++ b/crates/cli/tests/fleet/mod.rs
@@ -142,38 +142,38 @@
         fleet
     }
 
-    /// Starts a replica; `first` starts it as a member of a new cluster.
-    pub fn start_replica(&mut self, k: usize, first: bool) {
-        let link_addresses = &self.link_addresses[&format!("k{k}")];
+    /// Starts a replica; `is_new_cluster` is for the first start of all replicas, when their folders are empty.
+    pub fn start_replica(&mut self, replica: usize, is_new_cluster: bool) {
+        let link_addresses = &self.link_addresses[&format!("k{replica}")];
         let replicas: Vec<String> = link_addresses
             .iter()
             .map(|address| format!("'{address}'"))
             .collect();
         let text = format!(
-            "slot: {} listen: '{}' admin: '127.0.0.1:0' keepers: [{}] folder: 'keeper-{k}' lease_ms: {LEASE_MS} move_ms: 3000",
-            k + 1,
-            self.replica_addresses[k],
+            "slot: {} listen: '{}' admin: '127.0.0.1:0' keepers: [{}] folder: 'keeper-{replica}' lease_ms: {LEASE_MS} move_ms: 3000",
+            replica + 1,
+            self.replica_addresses[replica],
             replicas.join(", ")
         );
-        let file = self.dir.join(format!("keeper-{k}.txtpb"));
+        let file = self.dir.join(format!("keeper-{replica}.txtpb"));
         std::fs::write(&file, text).expect("written");
         let mut args = vec![
             "keeper".to_string(),
             "run".to_string(),
             file.display().to_string(),
         ];
-        args.extend(first.then(|| "--first".to_string()));
-        let log = self.dir.join(format!("keeper-{k}.log"));
-        self.replicas[k] =
+        args.extend(is_new_cluster.then(|| "--first".to_string()));
+        let log = self.dir.join(format!("keeper-{replica}.log"));
+        self.replicas[replica] =
             Some(Process::start(&self.program, &args, &log).expect("a replica starts"));
     }
-    pub fn kill_replica(&mut self, k: usize) {
-        self.replicas[k].take().expect("it runs").kill();
+    pub fn kill_replica(&mut self, replica: usize) {
+        self.replicas[replica].take().expect("it runs").kill();
     }
     /// Kills a replica and deletes its folder.
-    pub fn kill_replica_and_delete_folder(&mut self, k: usize) {
-        self.kill_replica(k);
-        std::fs::remove_dir_all(self.dir.join(format!("keeper-{k}"))).expect("a folder");
+    pub fn kill_replica_and_delete_folder(&mut self, replica: usize) {
+        self.kill_replica(replica);
+        std::fs::remove_dir_all(self.dir.join(format!("keeper-{replica}"))).expect("a folder");
     }
 
     /// Starts another gateway, which has no coordinator and so no shared state.
@@ -188,54 +188,58 @@
         Process::start(&self.program, &args, &self.dir.join("bare.log")).expect("a gateway starts")
     }
 
-    pub fn start_gateway(&mut self, g: usize) {
-        let replicas: Vec<String> = self.link_addresses[&format!("g{g}")]
+    pub fn start_gateway(&mut self, gateway: usize) {
+        let replicas: Vec<String> = self.link_addresses[&format!("g{gateway}")]
             .iter()
             .map(|address| format!("'{address}'"))
             .collect();
-        let (zone, replicas) = (site_of(g), replicas.join(", "));
+        let (zone, replicas) = (site_of(gateway), replicas.join(", "));
         let text = format!(
-            "listen: '127.0.0.1:0' admin: '127.0.0.1:0' fleet: {} number: {g} zone: '{zone}'
+            "listen: '127.0.0.1:0' admin: '127.0.0.1:0' fleet: {} number: {gateway} zone: '{zone}'
              classes {{ name: 'view' deadline_ms: 2000 effect: SAFE }}
              classes {{ name: 'watch' deadline_ms: 2000 effect: SAFE stream: true }}
              plans {{ name: 'p' rate: 100000 burst: 100000 }}
              routes {{ path: '{VIEW}' class: 'view' }} routes {{ path: '{WATCH}' class: 'watch' }}
              customers {{ default_plan: 'p' }} endpoints {{ file: 'list.txtpb' poll_ms: 20 }} logs {{ level: 'warn' }}
-             sites {{ on: true words_file: 'words-{g}.txtpb' }}
-             keepers {{ addresses: [{replicas}] name: 'g{g}' region_metadata: 'x-region' state_file: 'state-{g}' report_ms: 100 }}",
+             sites {{ on: true words_file: 'words-{gateway}.txtpb' }}
+             keepers {{ addresses: [{replicas}] name: 'g{gateway}' region_metadata: 'x-region' state_file: 'state-{gateway}' report_ms: 100 }}",
             self.gateways.len()
         );
-        let file = self.dir.join(format!("gateway-{g}.txtpb"));
+        let file = self.dir.join(format!("gateway-{gateway}.txtpb"));
         std::fs::write(&file, text).expect("written");
         let args = ["serve".to_string(), file.display().to_string()];
-        let log = self.dir.join(format!("gateway-{g}.log"));
-        self.gateways[g] =
+        let log = self.dir.join(format!("gateway-{gateway}.log"));
+        self.gateways[gateway] =
             Some(Process::start(&self.program, &args, &log).expect("a gateway starts"));
     }
-    pub fn gateway(&self, g: usize) -> &Process {
-        self.gateways[g].as_ref().expect("it runs")
+    pub fn gateway(&self, gateway: usize) -> &Process {
+        self.gateways[gateway].as_ref().expect("it runs")
     }
-    pub fn signal_gateway(&self, g: usize, signal: Signal) {
-        self.gateway(g).signal(signal);
+    pub fn signal_gateway(&self, gateway: usize, signal: Signal) {
+        self.gateway(gateway).signal(signal);
     }
-    pub fn kill_gateway(&mut self, g: usize) {
-        self.gateways[g].take().expect("it runs").kill();
+    pub fn kill_gateway(&mut self, gateway: usize) {
+        self.gateways[gateway].take().expect("it runs").kill();
     }
     /// Sends SIGTERM to a gateway and waits until it has exited.
-    pub fn stop_gateway(&mut self, g: usize) {
-        let mut process = self.gateways[g].take().expect("it runs");
+    pub fn stop_gateway(&mut self, gateway: usize) {
+        let mut process = self.gateways[gateway].take().expect("it runs");
         process.signal(Signal::TERM);
         assert!(process.wait(), "it exits with success");
     }
-    pub fn admin_address(&self, g: usize) -> SocketAddr {
-        self.gateway(g).address("admin").expect("its admin address")
+    pub fn admin_address(&self, gateway: usize) -> SocketAddr {
+        self.gateway(gateway)
+            .address("admin")
+            .expect("its admin address")
     }
-    pub fn grpc_address(&self, g: usize) -> SocketAddr {
-        self.gateway(g).address("grpc").expect("its gRPC address")
+    pub fn grpc_address(&self, gateway: usize) -> SocketAddr {
+        self.gateway(gateway)
+            .address("grpc")
+            .expect("its gRPC address")
     }
     /// The status of a gateway's coordinator link; `None` if the gateway does not run or does not respond.
-    pub fn coordinator_status(&self, g: usize) -> Option<CoordinatorStatus> {
-        let admin = self.gateways[g].as_ref()?.address("admin").ok()?;
+    pub fn coordinator_status(&self, gateway: usize) -> Option<CoordinatorStatus> {
+        let admin = self.gateways[gateway].as_ref()?.address("admin").ok()?;
         // The timeout is for a stopped process, which accepts connections and does not respond.
         let mut stream = TcpStream::connect(admin).ok()?;
         stream
--- a/crates/cli/tests/leader_election.rs
+++ b/crates/cli/tests/leader_election.rs
@@ -1,4 +1,5 @@
-//! Duties over processes with faults between them: one holder at a time, handed on whatever becomes of it.
+//! Leader election among gateways, as processes with faults on the links between them: an election has at most one leader at a time, and
+//! another gateway takes over when the leader fails.
 
 mod fleet;
 
@@ -7,122 +8,124 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-const DUTY: &str = "registrar";
+/// The election whose leader the tests replace.
+const ELECTION: &str = "registrar";
 
-/// Who held a duty under which token; nobody else ever does.
+/// The gateway that led each election with each fencing token. No other gateway may lead with the same token.
 #[derive(Default)]
-struct Tokens(BTreeMap<(String, u64), usize>);
+struct ObservedLeaders(BTreeMap<(String, u64), usize>);
 
-impl Tokens {
-    fn look(&mut self, fleet: &Fleet) -> Option<(usize, u64)> {
-        let held = fleet.leaders();
-        for (duty, (gateway, token)) in &held {
-            let first = *self.0.entry((duty.clone(), *token)).or_insert(*gateway);
+impl ObservedLeaders {
+    /// Records the leaders of all elections; returns the gateway that leads `ELECTION`, and its token.
+    fn observe(&mut self, fleet: &Fleet) -> Option<(usize, u64)> {
+        let leaders = fleet.leaders();
+        for (election, (gateway, token)) in &leaders {
+            let first = *self.0.entry((election.clone(), *token)).or_insert(*gateway);
             assert_eq!(
                 first, *gateway,
-                "{duty} under token {token} is one gateway's"
+                "two gateways lead {election} with token {token}"
             );
         }
-        held.get(DUTY).copied()
+        leaders.get(ELECTION).copied()
     }
-    /// Waits until another than `old` holds the duty, under a larger token.
-    fn next(&mut self, fleet: &Fleet, old: (usize, u64)) -> (usize, u64) {
-        wait_for("another gateway holds the duty", || {
-            self.look(fleet)
+    /// Waits until another gateway than `old` leads, with a larger token.
+    fn wait_for_successor(&mut self, fleet: &Fleet, old: (usize, u64)) -> (usize, u64) {
+        wait_for("another gateway leads", || {
+            self.observe(fleet)
                 .filter(|(g, token)| *g != old.0 && *token > old.1)
         })
     }
 }
 
-/// A set that needs a registrar's judgement, and all gateways with a session to apply it.
-fn registrar_acts(fleet: &Fleet, customer: &str) {
+/// Applies a rule set, for which the registrar has to admit it and every gateway with a session has to acknowledge it.
+fn apply_rule_set(fleet: &Fleet, customer: &str) {
     let file = fleet.write_rule_set(customer, "DENY", "ALLOW", "");
-    let said = fleet.expect_success(&["rules", "apply", &file, "--force", "--wait", "30"]);
-    assert!(said.contains("in force"), "{said}");
+    let output = fleet.expect_success(&["rules", "apply", &file, "--force", "--wait", "30"]);
+    assert!(output.contains("in force"), "{output}");
 }
 
-/// Failed in 15 of 39 runs beside load until 2026-12-03, at the way `back`: the gateway that was cut off said Hello to one replica after
-/// another without hearing any, and so kept a session that never expired; `rules apply` ended with "1 gateways have not said that they
-/// apply it: g3" (`docs/incidents/2026-12-03-deaf-gateway.md`).
+/// Guards against a session that never expires: with the links from the replicas cut (direction `back`), a gateway sent Hello to one
+/// replica after another without receiving a response, which kept its session alive. `rules apply` then failed with "1 gateways have not
+/// said that they apply it: g3", in 15 of 39 runs under load until 2026-12-03 (`docs/incidents/2026-12-03-deaf-gateway.md`).
 #[test]
-fn a_duty_goes_on_whatever_becomes_of_its_holder() {
+fn another_gateway_leads_after_the_leader_exits_is_killed_stalls_or_is_cut_off() {
     let mut fleet = Fleet::start(3, 4);
-    let mut tokens = Tokens::default();
-    let told = |cause: &str, begun: Instant| {
+    let mut observed = ObservedLeaders::default();
+    let print_takeover = |cause: &str, start: Instant| {
         println!(
-            "{cause}: another held it after {:.2} s, lease {LEASE_MS} ms",
-            begun.elapsed().as_secs_f64()
+            "{cause}: another gateway leads after {:.2} s, lease {LEASE_MS} ms",
+            start.elapsed().as_secs_f64()
         );
     };
 
-    // Asked to end: handed on at once.
-    let old = tokens.look(&fleet).expect("held");
-    let begun = Instant::now();
+    // A leader that gets SIGTERM releases the election at once.
+    let old = observed.observe(&fleet).expect("a leader");
+    let start = Instant::now();
     fleet.signal_gateway(old.0, Signal::TERM);
-    let new = tokens.next(&fleet, old);
-    told("SIGTERM", begun);
+    let new = observed.wait_for_successor(&fleet, old);
+    print_takeover("SIGTERM", start);
     assert!(
         fleet.gateways[old.0].take().expect("it ran").wait(),
-        "it ends well"
+        "it exits with success"
     );
-    registrar_acts(&fleet, "a");
+    apply_rule_set(&fleet, "a");
     fleet.start_gateway(old.0);
 
-    // Killed: after its session lapsed.
-    let begun = Instant::now();
+    // After a leader is killed, another takes over once its session has expired.
+    let start = Instant::now();
     fleet.kill_gateway(new.0);
     let old = new;
-    let new = tokens.next(&fleet, old);
-    told("kill", begun);
-    registrar_acts(&fleet, "b");
+    let new = observed.wait_for_successor(&fleet, old);
+    print_takeover("kill", start);
+    apply_rule_set(&fleet, "b");
     fleet.start_gateway(old.0);
 
-    // Stopped for three leases; when it wakes, what it wanted to do comes too late.
-    let (stalled, begun) = (new, Instant::now());
+    // A leader is stopped for three leases. When it continues, its session has expired and its commands are rejected.
+    let (stalled, start) = (new, Instant::now());
     fleet.signal_gateway(stalled.0, Signal::STOP);
-    let new = tokens.next(&fleet, stalled);
-    told("SIGSTOP", begun);
-    registrar_acts(&fleet, "c");
-    std::thread::sleep(Duration::from_millis(3 * LEASE_MS).saturating_sub(begun.elapsed()));
+    let new = observed.wait_for_successor(&fleet, stalled);
+    print_takeover("SIGSTOP", start);
+    apply_rule_set(&fleet, "c");
+    std::thread::sleep(Duration::from_millis(3 * LEASE_MS).saturating_sub(start.elapsed()));
     fleet.signal_gateway(stalled.0, Signal::CONT);
     wait_for("it has a session again", || {
         fleet
             .coordinator_status(stalled.0)
             .filter(|s| s.is_session_valid)
     });
-    tokens.look(&fleet);
-    registrar_acts(&fleet, "d");
+    observed.observe(&fleet);
+    apply_rule_set(&fleet, "d");
 
-    // Cut off: it stops by itself before another begins. One way, then the other.
-    let mut old = tokens.look(&fleet).unwrap_or(new);
-    for way in ["both", "there", "back"] {
-        let begun = Instant::now();
-        fleet.set_link_faults(&format!("from=g{}&way={way}&cut=1", old.0));
-        let new = tokens.next(&fleet, old);
-        told(&format!("cut, way {way}"), begun);
-        let cut = fleet.coordinator_status(old.0).expect("it answers");
+    // A leader that is cut off, in both directions or in one, steps down before another gateway leads.
+    let mut old = observed.observe(&fleet).unwrap_or(new);
+    for direction in ["both", "there", "back"] {
+        let start = Instant::now();
+        fleet.set_link_faults(&format!("from=g{}&way={direction}&cut=1", old.0));
+        let new = observed.wait_for_successor(&fleet, old);
+        print_takeover(&format!("cut, direction {direction}"), start);
+        let status = fleet.coordinator_status(old.0).expect("its status");
         assert!(
-            !cut.leaderships.iter().any(|l| l.election == DUTY),
-            "cut off, it holds nothing: {cut:?}"
+            !status.leaderships.iter().any(|l| l.election == ELECTION),
+            "a gateway that is cut off still leads: {status:?}"
         );
-        registrar_acts(&fleet, way);
+        apply_rule_set(&fleet, direction);
         fleet.set_link_faults(&format!("from=g{}&heal=1", old.0));
         wait_for("it has a session again", || {
             fleet
                 .coordinator_status(old.0)
                 .filter(|s| s.is_session_valid)
         });
-        old = tokens.look(&fleet).unwrap_or(new);
+        old = observed.observe(&fleet).unwrap_or(new);
     }
 }
 
 #[test]
-fn without_a_majority_nobody_holds_a_duty_and_with_it_all_is_back() {
+fn without_a_quorum_no_gateway_leads_and_with_one_all_elections_and_data_are_back() {
     let mut fleet = Fleet::start(3, 3);
-    registrar_acts(&fleet, "a");
+    apply_rule_set(&fleet, "a");
     fleet.kill_replica(0);
     fleet.kill_replica(1);
-    wait_for("no session stands", || {
+    wait_for("no gateway has a session", || {
         (0..3)
             .all(|g| {
                 fleet
@@ -131,46 +134,46 @@
             })
             .then_some(())
     });
-    wait_for("the status says so", || {
+    wait_for("the status shows the lost quorum", || {
         let status = fleet.expect_success(&["keeper", "status"]);
         (status.contains("NO MAJORITY") && status.contains("not held for sure")).then_some(())
     });
-    let lost = fleet.expect_failure(&["keeper", "word", "north", "hold", "--wait", "1"]);
+    let error = fleet.expect_failure(&["keeper", "word", "north", "hold", "--wait", "1"]);
     assert!(
-        lost.contains("outcome_unknown") && lost.contains("say the same command again"),
-        "{lost}"
+        error.contains("outcome_unknown") && error.contains("say the same command again"),
+        "{error}"
     );
 
-    // Back from their own disks.
+    // The replicas restart from their folders.
     (0..2).for_each(|k| fleet.start_replica(k, false));
-    wait_for("all duties are held", || {
+    wait_for("all elections have leaders", || {
         (fleet.leaders().len() == 3).then_some(())
     });
     assert!(
         fleet
             .expect_success(&["rules", "show", "a"])
             .contains("customer: \"a\""),
-        "what was admitted is there"
+        "the admitted rule set is still there"
     );
-    registrar_acts(&fleet, "b");
+    apply_rule_set(&fleet, "b");
 
-    // One with its disk lost comes back as a new member, and then counts: another may go.
+    // A replica that lost its folder joins as a new member and counts toward the quorum, so that another replica may fail.
     fleet.kill_replica_and_delete_folder(2);
     fleet.start_replica(2, false);
-    wait_for("it is a member again", || {
+    wait_for("the replica is a member again", || {
         let status = fleet.expect_success(&["keeper", "status"]);
         let lines: Vec<&str> = status
             .lines()
             .filter(|l| l.contains("configuration"))
             .collect();
-        let agree = lines.len() == 3
+        let all_agree = lines.len() == 3
             && lines
                 .iter()
                 .all(|l| l.contains("agrees") && !l.contains("version 0,"));
-        agree.then_some(())
+        all_agree.then_some(())
     });
     fleet.kill_replica(0);
-    wait_for("the others agree", || {
+    wait_for("the other two replicas agree", || {
         fleet
             .expect_success(&["keeper", "status"])
             .matches("agrees")
@@ -178,35 +181,35 @@
             .eq(&2)
             .then_some(())
     });
-    registrar_acts(&fleet, "c");
+    apply_rule_set(&fleet, "c");
 }
 
 #[test]
-fn a_word_on_a_site_reaches_gateways_that_were_down_when_it_was_said() {
+fn a_site_override_reaches_gateways_that_were_down_when_it_was_submitted() {
     let mut fleet = Fleet::start(3, 3);
     fleet.add_endpoint("");
     fleet.kill_gateway(2);
     fleet.expect_success(&["keeper", "word", "north", "drain"]);
-    let held_out = |fleet: &Fleet, g: usize| {
+    let is_held_out = |fleet: &Fleet, g: usize| {
         let text = chalkdeck_testbed::parts::control::get(fleet.admin_address(g), "/sites")
             .unwrap_or_default();
         text.contains("\"site\":\"north\"") && text.contains("held out")
     };
-    wait_for("those that run heard it", || {
-        (0..2).all(|g| held_out(&fleet, g)).then_some(())
+    wait_for("the running gateways applied it", || {
+        (0..2).all(|g| is_held_out(&fleet, g)).then_some(())
     });
     fleet.start_gateway(2);
-    wait_for("the one that was down heard it", || {
-        held_out(&fleet, 2).then_some(())
+    wait_for("the restarted gateway applied it", || {
+        is_held_out(&fleet, 2).then_some(())
     });
     fleet.expect_success(&["keeper", "word", "north", "let-back"]);
-    wait_for("it may come back everywhere", || {
-        (0..3).all(|g| !held_out(&fleet, g)).then_some(())
+    wait_for("no gateway holds the site out", || {
+        (0..3).all(|g| !is_held_out(&fleet, g)).then_some(())
     });
 }
 
 #[test]
-fn keepers_go_on_over_a_lost_leader_a_chain_and_links_that_flap() {
+fn replicas_agree_despite_a_lost_leader_partial_partitions_and_flapping_links() {
     let mut fleet = Fleet::start(3, 3);
     let leader = |fleet: &Fleet| {
         let status = fleet.run(&["keeper", "status"]);
@@ -217,29 +220,29 @@
             .find_map(|l| l.rsplit(' ').next()?.parse().ok());
         leader.map(|slot: usize| slot - 1)
     };
-    // The leader killed, stalled, then cut off from the other keepers one way.
+    // The replicas' leader is killed, then stalled, then cut off from the other replicas in one direction.
     let first = wait_for("a leader", || leader(&fleet));
     fleet.kill_replica(first);
-    registrar_acts(&fleet, "killed");
+    apply_rule_set(&fleet, "killed");
     fleet.start_replica(first, false);
     let stalled = wait_for("a leader", || leader(&fleet));
-    let process = |fleet: &Fleet, k: usize, signal| {
+    let signal_replica = |fleet: &Fleet, k: usize, signal| {
         fleet.replicas[k].as_ref().expect("it runs").signal(signal)
     };
-    process(&fleet, stalled, Signal::STOP);
-    registrar_acts(&fleet, "stalled");
-    process(&fleet, stalled, Signal::CONT);
+    signal_replica(&fleet, stalled, Signal::STOP);
+    apply_rule_set(&fleet, "stalled");
+    signal_replica(&fleet, stalled, Signal::CONT);
     let cut = wait_for("a leader", || leader(&fleet));
     for other in (0..3).filter(|k| *k != cut) {
         fleet.set_link_faults(&format!("from=k{cut}&to=k{other}&both=1&way=there&cut=1"));
     }
-    registrar_acts(&fleet, "one-way");
+    apply_rule_set(&fleet, "one-way");
     fleet.set_link_faults("heal=1");
-    // A chain: k0 and k2 do not hear each other, k1 hears both.
+    // k0 and k2 are cut off from each other and connected only through k1.
     fleet.set_link_faults("from=k0&to=k2&both=1&cut=1");
-    registrar_acts(&fleet, "chain");
+    apply_rule_set(&fleet, "chain");
     fleet.set_link_faults("heal=1");
-    // Links that flap faster than an election, all the while a set is applied.
+    // Links go down and up faster than a leader is elected, while a rule set is applied.
     let file = fleet.write_rule_set("flap", "DENY", "ALLOW", "");
     let mut applying = fleet
         .command(&["rules", "apply", &file, "--force", "--wait", "30"])
@@ -251,10 +254,10 @@
         fleet.set_link_faults("heal=1");
         std::thread::sleep(Duration::from_millis(40));
     }
-    assert!(applying.wait().expect("it ends").success());
-    // A third of what is sent between keepers comes late, out of step with the rest.
+    assert!(applying.wait().expect("it exits").success());
+    // Loss of 30% and jitter on the links between replicas delay messages.
     for k in 0..3 {
         fleet.set_link_faults(&format!("from=k{k}&loss=0.3&jitter_ms=20"));
     }
-    registrar_acts(&fleet, "loss");
+    apply_rule_set(&fleet, "loss");
 }
