--- a/crates/cli/tests/access.rs
+++ b/crates/cli/tests/access.rs
@@ -1,4 +1,5 @@
-//! Customers' access rules over processes with faults between them: in force is a promise, and hits are exact.
+//! Customers' access rules, with processes and faults on the links between them: once a rule set is reported as in force, no gateway
+//! applies an earlier one, and hit counts are exact.
 
 mod fleet;
 
@@ -18,90 +19,93 @@
         .sum()
 }
 
-/// Applies a deny while one of three gateways is cut off, with calls all the time; returns what `apply` said, and how many calls were
-/// admitted after it had. Calls at the one that is cut off count where its earlier set says DENY.
-fn deny_under_a_cut(stale: &str, counts: [bool; 3]) -> (String, u64) {
+/// Applies a rule set that denies all calls while one of three gateways is cut off and callers call all gateways. Returns the output of
+/// `rules apply`, and how many calls were admitted after it returned, at the gateways for which `is_counted` is true. A gateway that is cut
+/// off applies what its earlier rule set has for `stale`, so with KEEP it may go on to admit calls.
+fn deny_while_a_gateway_is_cut_off(stale: &str, is_counted: [bool; 3]) -> (String, u64) {
     let fleet = Fleet::start(3, 3);
     apply(&fleet, &fleet.write_rule_set("c", stale, "ALLOW", ""));
     let deny = fleet.write_rule_set("c", stale, "DENY", "");
     fleet.set_cut_off("g2", true);
-    let (said, over) = (AtomicBool::new(false), AtomicBool::new(false));
-    let (words, admitted) = std::thread::scope(|scope| {
+    let (is_in_force, is_over) = (AtomicBool::new(false), AtomicBool::new(false));
+    let (output, admitted) = std::thread::scope(|scope| {
         let callers: Vec<_> = (0..3)
             .map(|g| {
-                let (address, said, over) = (fleet.grpc_address(g), &said, &over);
+                let (address, is_in_force, is_over) =
+                    (fleet.grpc_address(g), &is_in_force, &is_over);
                 scope.spawn(move || {
                     let (mut caller, mut before, mut after) = (Caller::new(address), 0, 0);
-                    while !over.load(Ordering::SeqCst) {
-                        let known = said.load(Ordering::SeqCst);
+                    while !is_over.load(Ordering::SeqCst) {
+                        let must_deny = is_in_force.load(Ordering::SeqCst);
                         if caller.is_admitted("c") {
-                            *(if known { &mut after } else { &mut before }) += 1;
+                            *(if must_deny { &mut after } else { &mut before }) += 1;
                         }
                     }
-                    assert!(before > 0, "g{g} admitted calls before");
+                    assert!(before > 0, "g{g} admitted no calls before the deny");
                     after
                 })
             })
             .collect();
-        let words = apply(&fleet, &deny);
-        said.store(true, Ordering::SeqCst);
+        let output = apply(&fleet, &deny);
+        is_in_force.store(true, Ordering::SeqCst);
         std::thread::sleep(Duration::from_millis(400));
-        over.store(true, Ordering::SeqCst);
+        is_over.store(true, Ordering::SeqCst);
         let after: Vec<u64> = callers
             .into_iter()
-            .map(|c| c.join().expect("it called"))
+            .map(|c| c.join().expect("the caller finishes"))
             .collect();
         (
-            words,
+            output,
             after
                 .iter()
-                .zip(counts)
-                .filter(|(_, counts)| *counts)
-                .map(|(n, _)| n)
+                .zip(is_counted)
+                .filter(|(_, is_counted)| *is_counted)
+                .map(|(count, _)| count)
                 .sum(),
         )
     });
-    // One that restarts in the cut goes by what it kept: as with the set before, and never by an earlier one.
+    // A gateway that restarts while it is cut off applies its cached rule set, as its `stale` demands, and never an
+    // earlier one.
     let mut fleet = fleet;
     fleet.kill_gateway(2);
     fleet.start_gateway(2);
     let mut caller = Caller::new(fleet.grpc_address(2));
-    let (code, why) = caller.call(&[("x-customer", "c")]);
+    let (code, message) = caller.call(&[("x-customer", "c")]);
     assert_eq!(
         code != Some(Code::PermissionDenied),
         stale == "KEEP",
-        "restarted while cut off: {code:?} {why} {:?}",
+        "restarted while cut off: {code:?} {message} {:?}",
         fleet.coordinator_status(2)
     );
     fleet.set_cut_off("g2", false);
-    wait_for("it hears the new set", || {
+    wait_for("the gateway denies by the new rule set", || {
         (!caller.is_admitted("c")).then_some(())
     });
-    (words, admitted)
+    (output, admitted)
 }
 
 #[test]
-fn a_deny_in_force_is_kept_by_all_where_the_set_denies_when_stale() {
-    let (words, admitted) = deny_under_a_cut("DENY", [true, true, true]);
+fn a_deny_in_force_is_applied_by_all_gateways_if_the_stale_rule_set_denies() {
+    let (output, admitted) = deny_while_a_gateway_is_cut_off("DENY", [true, true, true]);
     assert!(
-        words.contains("in force") && !words.contains("cut off"),
-        "{words}"
+        output.contains("in force") && !output.contains("cut off"),
+        "{output}"
     );
-    assert_eq!(admitted, 0, "admitted after it was said to be in force");
+    assert_eq!(admitted, 0, "calls admitted after the deny was in force");
 }
 
 #[test]
-fn a_deny_in_force_names_who_is_cut_off_where_the_set_is_kept() {
-    let (words, admitted) = deny_under_a_cut("KEEP", [true, true, false]);
+fn a_deny_in_force_names_gateways_that_are_cut_off_and_keep_a_stale_rule_set() {
+    let (output, admitted) = deny_while_a_gateway_is_cut_off("KEEP", [true, true, false]);
     assert!(
-        words.contains("in force") && words.contains("cut off") && words.contains("g2"),
-        "{words}"
+        output.contains("in force") && output.contains("cut off") && output.contains("g2"),
+        "{output}"
     );
-    assert_eq!(admitted, 0, "admitted after it was said to be in force");
+    assert_eq!(admitted, 0, "calls admitted after the deny was in force");
 }
 
 #[test]
-fn rules_decide_by_region_path_and_class_before_anything_else_and_end_streams() {
+fn rules_decide_by_region_and_path_and_end_open_streams() {
     let mut fleet = Fleet::start(3, 3);
     fleet.add_endpoint("");
     let rules = format!(
@@ -111,16 +115,20 @@
     let set = fleet.write_rule_set("c", "KEEP", "ALLOW", &rules);
     apply(&fleet, &set);
     let mut callers: Vec<Caller> = (0..3).map(|g| Caller::new(fleet.grpc_address(g))).collect();
-    let served =
-        |c: &mut Caller, region: &str| c.call(&[("x-customer", "c"), ("x-region", region)]);
-    wait_for("the server is known", || {
-        (served(&mut callers[0], "us").0 == Some(Code::Ok)).then_some(())
+    let call = |caller: &mut Caller, region: &str| {
+        caller.call(&[("x-customer", "c"), ("x-region", region)])
+    };
+    wait_for("the endpoint is known", || {
+        (call(&mut callers[0], "us").0 == Some(Code::Ok)).then_some(())
     });
-    let (code, why) = served(&mut callers[0], "eu");
+    let (code, message) = call(&mut callers[0], "eu");
     assert_eq!(code, Some(Code::PermissionDenied));
-    assert!(why.contains("no-eu-view") && why.contains("set 1"), "{why}");
-    assert!(served(&mut callers[2], "us").1.contains("no-south"));
-    // Another customer has no set.
+    assert!(
+        message.contains("no-eu-view") && message.contains("set 1"),
+        "{message}"
+    );
+    assert!(call(&mut callers[2], "us").1.contains("no-south"));
+    // Another customer has no rule set.
     assert_eq!(
         callers[2]
             .call(&[("x-customer", "other"), ("x-region", "eu")])
@@ -128,39 +136,39 @@
         Some(Code::Ok)
     );
 
-    // Streams that are open end when a set turns to deny; those of others go on.
+    // A new rule set that denies calls ends the customer's open streams; streams of other customers stay open.
     let stream = callers[0].open_stream(WATCH, &[("x-customer", "c"), ("x-region", "us")]);
     let other = callers[0].open_stream(WATCH, &[("x-customer", "other")]);
-    wait_for("both streams began", || {
+    wait_for("both streams are open", || {
         callers[0].poll_events();
         (callers[0].responding_streams.contains(&stream)
             && callers[0].responding_streams.contains(&other))
         .then_some(())
     });
-    let begun = Instant::now();
+    let start = Instant::now();
     apply(&fleet, &fleet.write_rule_set("c", "KEEP", "DENY", ""));
     assert_eq!(
         callers[0].wait_for_end(stream).0,
         Some(Code::PermissionDenied)
     );
     println!(
-        "a stream that a new set denies ended {:.3} s after the set was given",
-        begun.elapsed().as_secs_f64()
+        "a stream denied by a new rule set ended {:.3} s after the rule set was submitted",
+        start.elapsed().as_secs_f64()
     );
     assert!(!callers[0].results.contains_key(&other));
 
-    // What came of late would have been denied altogether: only an explicit word puts that into force.
-    let lock = fleet.write_rule_set("other", "KEEP", "DENY", "");
+    // A rule set that would have denied all recent calls of the customer is rejected without --force.
+    let denies_all = fleet.write_rule_set("other", "KEEP", "DENY", "");
     wait_for("the calls were reported", || {
         fleet
-            .expect_success(&["rules", "check", &lock])
+            .expect_success(&["rules", "check", &denies_all])
             .contains("lock the customer out")
             .then_some(())
     });
-    let refused = fleet.expect_failure(&["rules", "apply", &lock]);
+    let error = fleet.expect_failure(&["rules", "apply", &denies_all]);
     assert!(
-        refused.contains("chalkdeck::rules::rejected") && refused.contains("--force"),
-        "{refused}"
+        error.contains("chalkdeck::rules::rejected") && error.contains("--force"),
+        "{error}"
     );
     let broken = fleet.write_file("broken.txtpb", "customer: 'x'\notherwise: MAYBE");
     assert!(fleet
@@ -168,14 +176,14 @@
         .contains("broken.txtpb:2:"));
 }
 
-/// Puts a rule set of customer `c` into force that denies callers of one region, by a rule of the region's name.
+/// Applies a rule set of customer `c` that denies callers of one region, with the region's name as the id of the rule.
 fn deny_region(fleet: &Fleet, region: &str) {
     let rule = format!("rules {{ id: '{region}' action: DENY caller_regions: '{region}' }}");
     apply(fleet, &fleet.write_rule_set("c", "KEEP", "ALLOW", &rule));
 }
 
 #[test]
-fn hits_are_exact_over_lost_links_and_lose_at_most_a_report_where_a_gateway_is_killed() {
+fn hits_are_exact_despite_link_faults_and_a_killed_gateway_loses_at_most_one_report() {
     let mut fleet = Fleet::start(3, 3);
     fleet.add_endpoint("");
     deny_region(&fleet, "eu");
@@ -190,11 +198,11 @@
         }
         calls
     };
-    // Reports that are lost, late, and said again; a session that lapses and comes back in the same life.
+    // Reports are lost, delayed and sent again; a session expires and is reopened without a restart of the gateway.
     fleet.set_link_faults("from=g0&loss=0.3&jitter_ms=30");
     call(&mut callers, 100);
     fleet.set_cut_off("g1", true);
-    wait_for("its session lapsed", || {
+    wait_for("its session expired", || {
         fleet
             .expect_success(&["keeper", "status"])
             .contains("cut off 0 s ago")
@@ -204,16 +212,19 @@
     fleet.set_cut_off("g1", false);
     fleet.set_link_faults("heal=1");
     let sent = call(&mut callers, 10);
-    wait_for("all are told", || (hits(&fleet, "c") == sent).then_some(()));
-    // A new set ends the counts of the one before and keeps them.
+    wait_for("all hits are counted", || {
+        (hits(&fleet, "c") == sent).then_some(())
+    });
+    // A new rule set stops the counts of the previous one, which stay.
     deny_region(&fleet, "us");
     let sent = call(&mut callers, 10);
-    wait_for("both sets' are told", || {
+    wait_for("the hits of both rule sets are counted", || {
         (hits(&fleet, "c") == sent).then_some(())
     });
     let text = fleet.expect_success(&["rules", "hits", "c"]);
     assert!(text.contains("c 1 eu") && text.contains("c 2 us"), "{text}");
-    // Killed right after calls: what came since its last report is lost, and nothing else; a later life counts on.
+    // A gateway is killed right after calls: only the hits since its last report are lost, and after its restart further hits are
+    // added to the count.
     let sent = call(&mut callers, 40);
     fleet.kill_gateway(2);
     fleet.start_gateway(2);
@@ -221,25 +232,25 @@
     wait_for("it has a session", || {
         fleet.coordinator_status(2).filter(|s| s.is_session_valid)
     });
-    let more = call(&mut callers, 10) - sent;
-    wait_for("the rest is told", || {
-        (hits(&fleet, "c") >= sent - 40 + more).then_some(())
+    let sent_after_restart = call(&mut callers, 10) - sent;
+    wait_for("the remaining hits are counted", || {
+        (hits(&fleet, "c") >= sent - 40 + sent_after_restart).then_some(())
     });
     std::thread::sleep(Duration::from_millis(500));
-    let told = hits(&fleet, "c");
+    let counted = hits(&fleet, "c");
     assert!(
-        (sent - 40 + more..=sent + more).contains(&told),
-        "{told} of {}",
-        sent + more
+        (sent - 40 + sent_after_restart..=sent + sent_after_restart).contains(&counted),
+        "{counted} of {}",
+        sent + sent_after_restart
     );
     println!(
         "killed right after 40 calls: {} of them lost",
-        sent + more - told
+        sent + sent_after_restart - counted
     );
 }
 
 #[test]
-fn a_gateway_that_never_heard_a_state_takes_no_calls_and_one_that_did_goes_by_it() {
+fn a_gateway_without_state_admits_no_calls_and_one_with_cached_state_applies_it() {
     let mut fleet = Fleet::start_without_gateways(3, 2);
     fleet.start_gateway(0);
     fleet.set_cut_off("g1", true);
@@ -247,23 +258,32 @@
     apply(&fleet, &fleet.write_rule_set("denies", "DENY", "ALLOW", ""));
     fleet.start_gateway(1);
     let mut caller = Caller::new(fleet.grpc_address(1));
-    let (code, why) = caller.call(&[("x-customer", "keeps")]);
-    assert_eq!(code, Some(Code::Unavailable), "{why}");
+    let (code, message) = caller.call(&[("x-customer", "keeps")]);
+    assert_eq!(code, Some(Code::Unavailable), "{message}");
     let health = chalkdeck_testbed::parts::control::get(fleet.admin_address(1), "/healthz");
-    assert!(health.is_err_and(|e| e.to_string().contains("no keeper was heard")));
+    assert!(health.is_err_and(|error| error.to_string().contains("no keeper was heard")));
     fleet.set_cut_off("g1", false);
-    wait_for("it has heard", || {
+    wait_for("the gateway has the shared state", || {
         fleet
             .coordinator_status(1)
             .filter(|s| s.is_session_valid && s.rule_sets.len() == 2)
     });
     assert!(!caller.is_admitted("keeps") && caller.is_admitted("denies"));
-    // All keepers gone, and the gateway started anew: what it kept on disk holds.
+    // With all replicas killed, the restarted gateway applies the state that it cached on disk.
     (0..3).for_each(|k| fleet.kill_replica(k));
     fleet.kill_gateway(1);
     fleet.start_gateway(1);
     let mut caller = Caller::new(fleet.grpc_address(1));
-    assert!(!caller.is_admitted("keeps"), "kept as it was");
-    assert!(!caller.is_admitted("denies"), "denied without a session");
-    assert!(caller.is_admitted("other"), "nobody else is");
+    assert!(
+        !caller.is_admitted("keeps"),
+        "the cached rule set denies all calls"
+    );
+    assert!(
+        !caller.is_admitted("denies"),
+        "without a session the stale rule set denies"
+    );
+    assert!(
+        caller.is_admitted("other"),
+        "customers without a rule set are admitted"
+    );
 }
--- a/crates/cli/tests/command_names.rs
+++ b/crates/cli/tests/command_names.rs
@@ -1,8 +1,8 @@
-//! Commands that were renamed are still accepted by their earlier names.
+//! Renamed commands are also accepted by their earlier names.
 
 use std::process::Command;
 
-fn help_of(command: &str) -> String {
+fn help_text(command: &str) -> String {
     let output = Command::new(env!("CARGO_BIN_EXE_chalkdeck"))
         .args([command, "--help"])
         .output()
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn lab_is_accepted_for_testbed() {
-    assert_eq!(help_of("lab"), help_of("testbed"));
-    assert!(help_of("testbed").contains("Usage: chalkdeck testbed"));
+fn testbed_is_accepted_as_lab() {
+    assert_eq!(help_text("lab"), help_text("testbed"));
+    assert!(help_text("testbed").contains("Usage: chalkdeck testbed"));
 }
--- a/crates/cli/tests/coordinator_command.rs
+++ b/crates/cli/tests/coordinator_command.rs
@@ -1,10 +1,10 @@
-//! `chalkdeck coordinator` and the names under which it was known before, which stay accepted.
+//! `chalkdeck coordinator` and its subcommands and flags are also accepted by their earlier names.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-/// An address where nobody listens.
-const NOBODY: &str = "127.0.0.1:1";
+/// An address at which no replica listens.
+const UNREACHABLE: &str = "127.0.0.1:1";
 
 fn chalkdeck(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_chalkdeck"))
@@ -13,7 +13,7 @@
         .expect("the program runs")
 }
 
-/// A settings file of its own for each test.
+/// Writes a settings file; its name is unique to the test.
 fn write_settings(test: &str) -> PathBuf {
     let name = format!("chalkdeck-{test}-{}.txtpb", std::process::id());
     let path = std::env::temp_dir().join(name);
@@ -45,9 +45,9 @@
 #[test]
 fn replicas_are_accepted_under_both_flags() {
     for flag in ["--replicas", "--keepers"] {
-        let output = chalkdeck(&["coordinator", "status", flag, NOBODY]);
+        let output = chalkdeck(&["coordinator", "status", flag, UNREACHABLE]);
         assert!(output.status.success(), "{flag}: {output:?}");
-        let expected = format!("{NOBODY}  no answer\n");
+        let expected = format!("{UNREACHABLE}  no answer\n");
         assert_eq!(stdout(&output), expected, "{flag}");
     }
 }
@@ -56,7 +56,7 @@
 fn a_site_override_is_accepted_under_both_names_and_its_failure_has_one_code() {
     for subcommand in ["override-site", "word"] {
         let args = ["coordinator", subcommand, "north", "drain"];
-        let to = ["--replicas", NOBODY, "--wait", "1"];
+        let to = ["--replicas", UNREACHABLE, "--wait", "1"];
         let output = chalkdeck(&[&args[..], &to[..]].concat());
         assert!(!output.status.success(), "{subcommand}");
         let error = String::from_utf8_lossy(&output.stderr).into_owned();
@@ -69,7 +69,7 @@
 fn rules_and_contracts_accept_replicas_under_both_flags() {
     for flag in ["--replicas", "--keepers"] {
         for command in [["rules", "show"], ["contract", "spoken"]] {
-            let args = [flag, NOBODY, "--wait", "1"];
+            let args = [flag, UNREACHABLE, "--wait", "1"];
             let output = chalkdeck(&[&command[..], &args[..]].concat());
             let error = String::from_utf8_lossy(&output.stderr).into_owned();
             let code = "chalkdeck::keeper::no_answer";
--- a/crates/cli/tests/error_codes.rs
+++ b/crates/cli/tests/error_codes.rs
@@ -1,25 +1,31 @@
-//! The page of error codes tells of each code that the programs print, and of no other.
+//! `docs/errors.md` lists every error code that the programs print, and no other.
 
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// The codes in a text: `chalkdeck::`, a package and a name.
-fn codes(text: &str, before: &str) -> BTreeSet<String> {
-    let sound = |c: char| c.is_ascii_alphanumeric() || c == '_' || c == ':';
-    let after = text.split(before).skip(1);
-    after
-        .map(|rest| rest.split(|c| !sound(c)).next().unwrap_or("").to_string())
+/// The error codes in a text, without `chalkdeck::`, which is the end of `prefix`.
+fn codes(text: &str, prefix: &str) -> BTreeSet<String> {
+    let is_code_character = |c: char| c.is_ascii_alphanumeric() || c == '_' || c == ':';
+    let after_prefix = text.split(prefix).skip(1);
+    after_prefix
+        .map(|rest| {
+            rest.split(|c| !is_code_character(c))
+                .next()
+                .unwrap_or("")
+                .to_string()
+        })
         .collect()
 }
 
-fn sources(dir: &Path, found: &mut BTreeSet<String>) {
-    for entry in std::fs::read_dir(dir).expect("a folder").flatten() {
+/// Collects the codes of all source files of a folder and its subfolders.
+fn collect_codes(folder: &Path, found: &mut BTreeSet<String>) {
+    for entry in std::fs::read_dir(folder).expect("a folder").flatten() {
         let path = entry.path();
         if path.is_dir() {
-            sources(&path, found);
+            collect_codes(&path, found);
         } else if path.extension().is_some_and(|e| e == "rs") {
             found.extend(codes(
-                &std::fs::read_to_string(&path).expect("a source"),
+                &std::fs::read_to_string(&path).expect("a source file"),
                 "code(chalkdeck::",
             ));
         }
@@ -34,22 +40,22 @@
         .expect("the packages")
         .flatten()
     {
-        let src = package.path().join("src");
-        if src.is_dir() {
-            sources(&src, &mut found);
+        let source = package.path().join("src");
+        if source.is_dir() {
+            collect_codes(&source, &mut found);
         }
     }
     let page = std::fs::read_to_string(root.join("docs/errors.md")).expect("the page");
-    let told = codes(&page, "`chalkdeck::");
+    let documented = codes(&page, "`chalkdeck::");
     assert!(found.len() > 20, "{found:?}");
     assert_eq!(
-        found.difference(&told).collect::<Vec<_>>(),
+        found.difference(&documented).collect::<Vec<_>>(),
         Vec::<&String>::new(),
         "not on the page"
     );
     assert_eq!(
-        told.difference(&found).collect::<Vec<_>>(),
+        documented.difference(&found).collect::<Vec<_>>(),
         Vec::<&String>::new(),
-        "in no package"
+        "on the page, but in no package"
     );
 }
--- a/crates/cli/tests/leader_election.rs
+++ b/crates/cli/tests/leader_election.rs
@@ -211,7 +211,7 @@
 #[test]
 fn replicas_agree_despite_a_lost_leader_partial_partitions_and_flapping_links() {
     let mut fleet = Fleet::start(3, 3);
-    let leader = |fleet: &Fleet| {
+    let leading_replica = |fleet: &Fleet| {
         let status = fleet.run(&["keeper", "status"]);
         let text = String::from_utf8_lossy(&status.stdout).into_owned();
         let leader = text
@@ -221,18 +221,18 @@
         leader.map(|slot: usize| slot - 1)
     };
     // The replicas' leader is killed, then stalled, then cut off from the other replicas in one direction.
-    let first = wait_for("a leader", || leader(&fleet));
+    let first = wait_for("a leading replica", || leading_replica(&fleet));
     fleet.kill_replica(first);
     apply_rule_set(&fleet, "killed");
     fleet.start_replica(first, false);
-    let stalled = wait_for("a leader", || leader(&fleet));
+    let stalled = wait_for("a leading replica", || leading_replica(&fleet));
     let signal_replica = |fleet: &Fleet, k: usize, signal| {
         fleet.replicas[k].as_ref().expect("it runs").signal(signal)
     };
     signal_replica(&fleet, stalled, Signal::STOP);
     apply_rule_set(&fleet, "stalled");
     signal_replica(&fleet, stalled, Signal::CONT);
-    let cut = wait_for("a leader", || leader(&fleet));
+    let cut = wait_for("a leading replica", || leading_replica(&fleet));
     for other in (0..3).filter(|k| *k != cut) {
         fleet.set_link_faults(&format!("from=k{cut}&to=k{other}&both=1&way=there&cut=1"));
     }
--- a/crates/cli/tests/log_lines.rs
+++ b/crates/cli/tests/log_lines.rs
@@ -1,4 +1,4 @@
-//! `docs/on-call.md` has every log line at warn or above by its text, and no text that no program writes.
+//! `docs/on-call.md` lists the message of every log line at warn or above, and no message that no program writes.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -17,16 +17,16 @@
     }
 }
 
-/// The text up to the parenthesis that closes a macro call, without looking into string literals.
+/// The arguments of a macro call: the text up to its closing parenthesis. Parentheses in string literals are ignored.
 fn arguments(call: &str) -> &str {
-    let (mut depth, mut in_text, mut escaped) = (1, false, false);
+    let (mut depth, mut in_string, mut is_escaped) = (1, false, false);
     for (at, character) in call.char_indices() {
         match character {
-            _ if escaped => escaped = false,
-            '\\' if in_text => escaped = true,
-            '"' => in_text = !in_text,
-            '(' if !in_text => depth += 1,
-            ')' if !in_text => depth -= 1,
+            _ if is_escaped => is_escaped = false,
+            '\\' if in_string => is_escaped = true,
+            '"' => in_string = !in_string,
+            '(' if !in_string => depth += 1,
+            ')' if !in_string => depth -= 1,
             _ => {}
         }
         if depth == 0 {
@@ -43,7 +43,7 @@
     Some(&arguments[begin + 1..end])
 }
 
-fn logged_texts(root: &Path) -> BTreeSet<String> {
+fn logged_messages(root: &Path) -> BTreeSet<String> {
     let mut texts = BTreeSet::new();
     let mut files = Vec::new();
     for package in std::fs::read_dir(root.join("crates"))
@@ -61,10 +61,10 @@
             for call in source.split(name).skip(1) {
                 let found = message(arguments(call));
                 let place = file.display();
-                let text = found.unwrap_or_else(|| panic!("{place}: a log line without a text"));
+                let text = found.unwrap_or_else(|| panic!("{place}: a log line without a message"));
                 assert!(
                     !text.contains('{'),
-                    "{place}: '{text}': the subject of a log line stands in its fields"
+                    "{place}: '{text}': a log message has no values; they belong in fields"
                 );
                 texts.insert(text.to_string());
             }
@@ -73,7 +73,7 @@
     texts
 }
 
-fn documented_texts(root: &Path) -> BTreeSet<String> {
+fn documented_messages(root: &Path) -> BTreeSet<String> {
     let page = std::fs::read_to_string(root.join("docs/on-call.md")).expect("the page");
     let (_, section) = page.split_once(SECTION).expect("the section");
     let rows = section.lines().filter_map(|line| line.strip_prefix("| \""));
@@ -85,10 +85,13 @@
 #[test]
 fn each_warning_and_error_has_its_row_on_the_on_call_page() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
-    let (logged, documented) = (logged_texts(&root), documented_texts(&root));
+    let (logged, documented) = (logged_messages(&root), documented_messages(&root));
     assert!(logged.len() > 20, "{logged:?}");
     let missing: Vec<_> = logged.difference(&documented).collect();
     assert!(missing.is_empty(), "not on the page: {missing:#?}");
     let stale: Vec<_> = documented.difference(&logged).collect();
-    assert!(stale.is_empty(), "no program writes: {stale:#?}");
+    assert!(
+        stale.is_empty(),
+        "on the page, but no program writes: {stale:#?}"
+    );
 }
--- a/crates/cli/tests/stored_data.rs
+++ b/crates/cli/tests/stored_data.rs
@@ -1,7 +1,7 @@
-//! Folders and files that programs of commit d5a4349 left behind are opened by today's, go on and can be stopped and started again.
+//! Compatibility of stored data: the programs open folders and files written by commit d5a4349, work with them, and can be restarted.
 //!
-//! Three replicas of the shared state, in their second configuration, and two gateways' cached state wrote them: sets of rules for
-//! `maize` and `beans` and six more, a subscription, and an override that drains the site `north`.
+//! The recorded data are those of three coordinator replicas in their second configuration and of two gateways' caches: rule sets for
+//! `maize`, `beans` and six more customers, a subscription, and an override that drains the site `north`.
 
 mod fleet;
 
@@ -12,7 +12,7 @@
 const REPLICAS: usize = 3;
 const GATEWAYS: usize = 2;
 
-fn stored() -> PathBuf {
+fn stored_data_folder() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/stored-d5a4349")
 }
 
@@ -31,7 +31,7 @@
 
 fn fleet_on_stored_data() -> Fleet {
     let fleet = Fleet::prepare(REPLICAS, GATEWAYS);
-    copy_folder(&stored(), &fleet.dir);
+    copy_folder(&stored_data_folder(), &fleet.dir);
     fleet
 }
 
@@ -60,12 +60,12 @@
 
 fn apply(fleet: &Fleet, customer: &str) {
     let file = fleet.write_rule_set(customer, "KEEP", "ALLOW", "");
-    let told = fleet.expect_success(&["rules", "apply", &file, "--force", "--wait", "30"]);
-    assert!(told.contains("in force"), "{told}");
+    let output = fleet.expect_success(&["rules", "apply", &file, "--force", "--wait", "30"]);
+    assert!(output.contains("in force"), "{output}");
 }
 
 #[test]
-fn replicas_open_recorded_folders_go_on_and_restart() {
+fn replicas_open_recorded_folders_accept_commands_and_restart() {
     let mut fleet = fleet_on_stored_data();
     start_replicas(&mut fleet);
     let status = fleet.expect_success(&["keeper", "status"]);
@@ -81,14 +81,14 @@
     assert_stored_state(&fleet);
     let added = fleet.expect_success(&["rules", "show", "after-restart"]);
     assert!(added.contains("customer: \"after-restart\""), "{added}");
-    wait_for("all duties are held", || {
+    wait_for("all elections have leaders", || {
         (fleet.leaders().len() == 3).then_some(())
     });
     apply(&fleet, "after-second-restart");
 }
 
 #[test]
-fn a_gateway_without_replicas_goes_by_its_recorded_cache() {
+fn a_gateway_without_replicas_applies_its_recorded_cache() {
     let mut fleet = fleet_on_stored_data();
     fleet.add_endpoint("");
     for _start in 0..2 {
--- a/crates/cli/tests/wire_names.rs
+++ b/crates/cli/tests/wire_names.rs
@@ -1,5 +1,5 @@
-//! Names that others rely on are those of commit d5a4349: metrics with their labels, HTTP paths, JSON fields, RESP commands and error
-//! texts, gRPC paths, error codes.
+//! Names that clients, scrapers and operators' tools rely on are still those of commit d5a4349: metrics with their labels, HTTP paths,
+//! JSON fields, RESP commands and error texts, gRPC paths, error codes.
 
 mod fleet;
 
@@ -8,10 +8,12 @@
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
+/// Metric names and JSON fields of a gateway and a replica.
 const SCRAPED: &str = include_str!("wire_names/scraped.txt");
+/// Literals of the source files, one a line.
 const LITERALS: &str = include_str!("wire_names/literals.txt");
 
-/// `name{label,label}` of each metric; values of `kind` are names, too.
+/// The name of each metric with its labels. For the labels `kind` and `end` the values are included.
 fn metric_names(program: &str, text: &str) -> BTreeSet<String> {
     let mut names = BTreeSet::new();
     for line in text.lines().filter(|l| !l.starts_with('#')) {
@@ -36,6 +38,7 @@
     names
 }
 
+/// Collects the paths of all fields of a JSON value.
 fn json_fields(path: &str, value: &serde_json::Value, fields: &mut BTreeSet<String>) {
     match value {
         serde_json::Value::Object(object) => {
@@ -66,12 +69,12 @@
         "gateway",
         &get(fleet.admin_address(0), "/metrics"),
     ));
-    let keeper = fleet.replicas[0].as_ref().expect("it runs");
-    let keeper = keeper.address("admin").expect("its admin port");
-    names.extend(metric_names("keeper", &get(keeper, "/metrics")));
+    let replica = fleet.replicas[0].as_ref().expect("it runs");
+    let replica_admin = replica.address("admin").expect("its admin address");
+    names.extend(metric_names("keeper", &get(replica_admin, "/metrics")));
     for path in ["/keepers", "/sites"] {
         let text = get(fleet.admin_address(0), path);
-        // One object, or one in each line.
+        // The response is one JSON object, or one in each line.
         for line in text
             .lines()
             .filter(|l| l.starts_with('{') || l.starts_with('['))
@@ -80,27 +83,28 @@
             json_fields(path, &value, &mut names);
         }
     }
-    let text: Vec<&String> = names.iter().collect();
-    let played = text
+    let names: Vec<&String> = names.iter().collect();
+    let scraped = names
         .iter()
         .map(|n| n.as_str())
         .collect::<Vec<_>>()
         .join("\n");
-    assert_eq!(played, SCRAPED.trim_end(), "played:\n{played}\n");
+    assert_eq!(scraped, SCRAPED.trim_end(), "scraped:\n{scraped}\n");
 }
 
-fn sources(folder: &Path, files: &mut Vec<PathBuf>) {
+/// Collects the Rust source files of a folder and its subfolders.
+fn source_files(folder: &Path, files: &mut Vec<PathBuf>) {
     for entry in std::fs::read_dir(folder).expect("a folder").flatten() {
         let path = entry.path();
         if path.is_dir() {
-            sources(&path, files);
+            source_files(&path, files);
         } else if path.extension().is_some_and(|e| e == "rs") {
             files.push(path);
         }
     }
 }
 
-/// Texts that cross the wire are literals of the shipped packages; each of the recorded ones still stands in one.
+/// Texts on the wire are literals in the sources of the packages; every recorded literal is still in some source file.
 #[test]
 fn recorded_literals_are_still_in_the_sources() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
@@ -109,13 +113,13 @@
         let source = package.path().join("src");
         if source.is_dir() {
             let mut files = Vec::new();
-            sources(&source, &mut files);
+            source_files(&source, &mut files);
             for file in files {
                 text += &std::fs::read_to_string(file).expect("a source file");
             }
         }
     }
-    let lost: Vec<&str> = LITERALS.lines().filter(|l| !text.contains(*l)).collect();
+    let missing: Vec<&str> = LITERALS.lines().filter(|l| !text.contains(*l)).collect();
     assert!(LITERALS.lines().count() > 100);
-    assert!(lost.is_empty(), "no longer in the sources: {lost:#?}");
+    assert!(missing.is_empty(), "no longer in the sources: {missing:#?}");
 }
