--- a/crates/cli/tests/platform/mod.rs
+++ b/crates/cli/tests/platform/mod.rs
@@ -1,4 +1,5 @@
-//! What stands round gateways of the platform: backends, counter and discovery, a thread a connection, on loopback sockets.
+//! Test harness of the platform: gateways as processes, and fake backends, a counter and a discovery agent on loopback sockets, with one
+//! thread for each connection.
 
 use bytes::{Bytes, BytesMut};
 use chalkdeck_net::ReservedPort;
@@ -11,6 +12,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
+/// Limits of the commands that the fake servers read.
 pub const LIMITS: MessageLimits = MessageLimits {
     max_elements: 16,
     max_element_bytes: 1 << 20,
@@ -19,56 +21,56 @@
     accepts_inline: true,
 };
 
-/// Serves connections, each in a thread of its own, until the test ends.
-fn serve(each: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
+/// Starts a server that handles each connection in a thread, until the test ends. Returns its address.
+fn start_server(handle: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("its address");
-    let each = Arc::new(each);
+    let handle = Arc::new(handle);
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let each = each.clone();
+            let handle = handle.clone();
             let _ = stream.set_nodelay(true);
-            std::thread::spawn(move || each(stream));
+            std::thread::spawn(move || handle(stream));
         }
     });
     address
 }
 
-/// Answers commands one after another.
-fn commands(mut stream: TcpStream, mut answer: impl FnMut(Vec<Bytes>) -> String) {
-    let (mut held, mut some) = (BytesMut::new(), [0; 4096]);
+/// Reads RESP commands and responds to each in order, until the connection is closed.
+fn respond_to_commands(mut stream: TcpStream, mut respond: impl FnMut(Vec<Bytes>) -> String) {
+    let (mut buffer, mut chunk) = (BytesMut::new(), [0; 4096]);
     loop {
-        while let ParsedCommand::Complete(words) = take_command(&mut held, &LIMITS) {
-            if stream.write_all(answer(words).as_bytes()).is_err() {
+        while let ParsedCommand::Complete(command) = take_command(&mut buffer, &LIMITS) {
+            if stream.write_all(respond(command).as_bytes()).is_err() {
                 return;
             }
         }
-        match stream.read(&mut some) {
-            Ok(n) if n > 0 => held.extend_from_slice(&some[..n]),
+        match stream.read(&mut chunk) {
+            Ok(n) if n > 0 => buffer.extend_from_slice(&chunk[..n]),
             _ => return,
         }
     }
 }
 
-/// A backend that answers with the request's id after up to 3 ms.
-pub fn backend() -> SocketAddr {
-    serve(|stream| {
-        commands(stream, |words| {
+/// Starts a fake backend, which responds with the id of the request after up to 3 ms.
+pub fn start_backend() -> SocketAddr {
+    start_server(|stream| {
+        respond_to_commands(stream, |command| {
             std::thread::sleep(Duration::from_micros(fastrand::u64(0..3_000)));
-            let id = String::from_utf8_lossy(&words[2]);
+            let id = String::from_utf8_lossy(&command[2]);
             format!("*3\r\n${}\r\n{id}\r\n$-1\r\n$-1\r\n", id.len())
         });
     })
 }
 
-/// A counter that keeps its totals.
-pub fn counter() -> SocketAddr {
+/// Starts a fake counter, which adds up the amounts of each name in memory.
+pub fn start_counter() -> SocketAddr {
     let totals = Arc::<Mutex<HashMap<Bytes, f64>>>::default();
-    serve(move |stream| {
-        commands(stream, |words| {
-            let amount = String::from_utf8_lossy(&words[2]).parse().unwrap_or(0.0);
-            let mut totals = totals.lock().expect("it is whole");
-            let total = totals.entry(words[1].clone()).or_insert(0.0);
+    start_server(move |stream| {
+        respond_to_commands(stream, |command| {
+            let amount = String::from_utf8_lossy(&command[2]).parse().unwrap_or(0.0);
+            let mut totals = totals.lock().expect("the lock is not poisoned");
+            let total = totals.entry(command[1].clone()).or_insert(0.0);
             *total += amount;
             let text = total.to_string();
             format!("${}\r\n{text}\r\n", text.len())
@@ -76,57 +78,61 @@
     })
 }
 
-/// An agent of discovery with a list that stays.
-pub fn discovery(backends: &[SocketAddr]) -> SocketAddr {
-    let entry = |(i, a): (usize, &SocketAddr)| {
+/// Starts a fake discovery agent, whose endpoint list never changes.
+pub fn start_discovery(backends: &[SocketAddr]) -> SocketAddr {
+    let entry = |(i, address): (usize, &SocketAddr)| {
         format!(
-            r#"{{"name":"s-{i}","address":"{a}","zone":"a","type":"m","group":0,"status":"ready"}}"#
+            r#"{{"name":"s-{i}","address":"{address}","zone":"a","type":"m","group":0,"status":"ready"}}"#
         )
     };
     let entries: Vec<String> = backends.iter().enumerate().map(entry).collect();
-    let whole = format!(
+    let full_list = format!(
         r#"{{"index":1,"snapshot":true,"endpoints":[{}]}}"#,
         entries.join(",")
     );
-    serve(move |mut stream| {
-        let (mut held, mut some) = (Vec::new(), [0; 4096]);
-        while let Ok(n @ 1..) = stream.read(&mut some) {
-            held.extend_from_slice(&some[..n]);
-            if !held.ends_with(b"\r\n\r\n") {
+    start_server(move |mut stream| {
+        let (mut buffer, mut chunk) = (Vec::new(), [0; 4096]);
+        while let Ok(n @ 1..) = stream.read(&mut chunk) {
+            buffer.extend_from_slice(&chunk[..n]);
+            if !buffer.ends_with(b"\r\n\r\n") {
                 continue;
             }
-            let asked = String::from_utf8_lossy(&held).into_owned();
-            held.clear();
-            let wait = asked
+            let request = String::from_utf8_lossy(&buffer).into_owned();
+            buffer.clear();
+            let poll_ms = request
                 .split_once("timeout_ms=")
-                .and_then(|(_, t)| t.split(' ').next()?.parse().ok());
-            std::thread::sleep(Duration::from_millis(wait.unwrap_or(0)));
-            let none = r#"{"index":1,"snapshot":false,"endpoints":[]}"#;
-            let body = if wait.is_some() { none } else { &whole };
-            let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-            if stream.write_all((head + body).as_bytes()).is_err() {
+                .and_then(|(_, rest)| rest.split(' ').next()?.parse().ok());
+            std::thread::sleep(Duration::from_millis(poll_ms.unwrap_or(0)));
+            let no_changes = r#"{"index":1,"snapshot":false,"endpoints":[]}"#;
+            let body = if poll_ms.is_some() {
+                no_changes
+            } else {
+                &full_list
+            };
+            let headers = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
+            if stream.write_all((headers + body).as_bytes()).is_err() {
                 return;
             }
         }
     })
 }
 
-/// A gateway of the platform: its configuration, and the process that runs now.
+/// A gateway of the platform: its address, its configuration file and its current process.
 pub struct Gateway {
     pub listen: SocketAddr,
     _port: ReservedPort,
-    file: PathBuf,
+    config_file: PathBuf,
     pub child: Child,
 }
 
 impl Gateway {
-    /// Starts one and waits until it answers.
+    /// Starts a gateway and waits until it responds.
     pub fn start(number: usize, discovery: SocketAddr, counter: SocketAddr) -> Gateway {
-        // The port has to be the same after a restart.
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let port = ReservedPort::reserve(any).expect("a free port");
+        // The port is reserved because it has to stay the same over restarts.
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+        let port = ReservedPort::reserve(any_port).expect("a free port");
         let listen = port.address();
-        let file = std::env::temp_dir().join(format!(
+        let config_file = std::env::temp_dir().join(format!(
             "chalkdeck-restarts-{}-{number}",
             std::process::id()
         ));
@@ -141,34 +147,34 @@
             "stop_sending_within":2000000}},
             "specifics":{{"counter":true,"count_limit":80000,"units_top":4}}}}}}"#
         );
-        std::fs::write(&file, text).expect("a temporary file");
-        let child = Gateway::spawn(&file);
+        std::fs::write(&config_file, text).expect("a temporary file");
+        let child = Gateway::spawn(&config_file);
         let gateway = Gateway {
             listen,
             _port: port,
-            file,
+            config_file,
             child,
         };
-        gateway.ready();
+        gateway.wait_until_ready();
         gateway
     }
 
-    fn spawn(file: &PathBuf) -> Child {
+    fn spawn(config_file: &PathBuf) -> Child {
         let mut command = Command::new(env!("CARGO_BIN_EXE_chalkdeck"));
         command
             .arg("platform")
-            .env("ROUTER_CONFIG", file)
+            .env("ROUTER_CONFIG", config_file)
             .stdout(Stdio::null())
             .stderr(Stdio::null());
         command.spawn().expect("the program starts")
     }
 
-    fn ready(&self) {
-        let mut some = [0; 7];
+    fn wait_until_ready(&self) {
+        let mut pong = [0; 7];
         while TcpStream::connect(self.listen)
             .and_then(|mut s| {
                 s.write_all(b"*1\r\n$4\r\nPING\r\n")
-                    .and_then(|()| s.read_exact(&mut some))
+                    .and_then(|()| s.read_exact(&mut pong))
             })
             .is_err()
         {
@@ -176,10 +182,10 @@
         }
     }
 
-    /// Starts it anew under its name and address.
-    pub fn again(&mut self) {
-        self.child = Gateway::spawn(&self.file);
-        self.ready();
+    /// Starts the gateway again with the same configuration and address, and waits until it responds.
+    pub fn start_again(&mut self) {
+        self.child = Gateway::spawn(&self.config_file);
+        self.wait_until_ready();
     }
 }
 
@@ -187,6 +193,6 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.file);
+        let _ = std::fs::remove_file(&self.config_file);
     }
 }
