--- a/crates/cli/src/contract.rs
+++ b/crates/cli/src/contract.rs
@@ -120,7 +120,7 @@
     };
     let mut client = replicas.client()?;
     client.submit(CommandKind::RetireVersion(retire), replicas.timeout())?;
-    println!("retired; calls that still come are shown as 'retired and called again'");
+    println!("retired; later calls are shown as 'retired and called again'");
     Ok(())
 }
 
--- a/crates/cli/src/proposal.rs
+++ b/crates/cli/src/proposal.rs
@@ -15,7 +15,8 @@
 /// The pause between two reads of a proposal's progress.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Reads a file in protobuf text format. `message` is the message's full name. Errors: the file cannot be read, or is not that message.
+/// Reads a file in protobuf text format. `message` is the message's full name. Errors: the file cannot be read, or is
+/// not valid text of the message.
 pub fn read_text<M: prost::Message + Default>(
     message: &str,
     path: &Path,
@@ -54,7 +55,7 @@
         known_verdict: None,
         proposal: response.id,
     }
-    .until_done(&mut client, replicas)
+    .wait_until_done(&mut client, replicas)
 }
 
 /// Waits until the current rule set of a customer is in force.
@@ -81,20 +82,20 @@
         known_verdict: Some(verdict),
         proposal: 0,
     }
-    .until_done(&mut client, replicas)
+    .wait_until_done(&mut client, replicas)
 }
 
 /// A proposal whose progress is polled.
 struct ProposalWatch {
     request: wire::ReadRequest,
-    /// The verdict to assume if the response has none, as there is no proposal to look up.
+    /// The verdict to use if a response has none, which is so when waiting for a rule set without a proposal.
     known_verdict: Option<wire::Verdict>,
     /// The proposal's number; 0 when waiting for a rule set without a proposal.
     proposal: u64,
 }
 
 impl ProposalWatch {
-    fn until_done(
+    fn wait_until_done(
         &self,
         client: &mut CoordinatorClient,
         replicas: &ReplicaArgs,
--- a/crates/cli/src/replica_args.rs
+++ b/crates/cli/src/replica_args.rs
@@ -12,7 +12,7 @@
     /// Addresses of the replicas, as ip:port
     #[arg(long, alias = "keepers", value_delimiter = ',', required = true)]
     pub replicas: Vec<SocketAddr>,
-    /// Seconds to wait for a response
+    /// Seconds to wait for a response, and for a proposal to be in force
     #[arg(long, default_value_t = 10)]
     pub wait: u64,
 }
--- a/crates/cli/src/site.rs
+++ b/crates/cli/src/site.rs
@@ -22,7 +22,7 @@
     Status(GatewayArgs),
     /// Send no new requests to a site; its share goes to the other sites
     Drain(OverrideArgs),
-    /// Do the same for a faulty site: it stays out even if it responds well
+    /// Take a faulty site out of service: as drain, and it stays out even if it responds well
     Hold(OverrideArgs),
     /// Return the site to service, step by step
     LetBack(OverrideArgs),
@@ -90,7 +90,7 @@
     );
     for site in &status.sites {
         let capacity = match site.capacity {
-            None => "no limit met".to_string(),
+            None => "no capacity limit met".to_string(),
             Some(capacity) => format!("capacity {capacity:.1} units/s"),
         };
         let ramp = if site.ramp < 1.0 {
--- a/crates/cli/tests/access.rs
+++ b/crates/cli/tests/access.rs
@@ -12,7 +12,7 @@
     fleet.expect_success(&["rules", "apply", file, "--force", "--wait", "30"])
 }
 
-fn hits(fleet: &Fleet, customer: &str) -> u64 {
+fn hit_count(fleet: &Fleet, customer: &str) -> u64 {
     let text = fleet.expect_success(&["rules", "hits", customer]);
     text.lines()
         .filter_map(|l| l.rsplit(' ').next()?.parse::<u64>().ok())
@@ -64,8 +64,7 @@
                 .sum(),
         )
     });
-    // A gateway that restarts while it is cut off applies its cached rule set, as its `stale` demands, and never an
-    // earlier one.
+    // A gateway that restarts while it is cut off applies its cached rule set, as its `stale` demands, and never an earlier one.
     let mut fleet = fleet;
     fleet.kill_gateway(2);
     fleet.start_gateway(2);
@@ -121,12 +120,9 @@
     wait_for("the endpoint is known", || {
         (call(&mut callers[0], "us").0 == Some(Code::Ok)).then_some(())
     });
-    let (code, message) = call(&mut callers[0], "eu");
+    let (code, why) = call(&mut callers[0], "eu");
     assert_eq!(code, Some(Code::PermissionDenied));
-    assert!(
-        message.contains("no-eu-view") && message.contains("set 1"),
-        "{message}"
-    );
+    assert!(why.contains("no-eu-view") && why.contains("set 1"), "{why}");
     assert!(call(&mut callers[2], "us").1.contains("no-south"));
     // Another customer has no rule set.
     assert_eq!(
@@ -147,10 +143,7 @@
     });
     let start = Instant::now();
     apply(&fleet, &fleet.write_rule_set("c", "KEEP", "DENY", ""));
-    assert_eq!(
-        callers[0].wait_for_end(stream).0,
-        Some(Code::PermissionDenied)
-    );
+    assert_eq!(callers[0].result_of(stream).0, Some(Code::PermissionDenied));
     println!(
         "a stream denied by a new rule set ended {:.3} s after the rule set was submitted",
         start.elapsed().as_secs_f64()
@@ -213,13 +206,13 @@
     fleet.set_link_faults("heal=1");
     let sent = call(&mut callers, 10);
     wait_for("all hits are counted", || {
-        (hits(&fleet, "c") == sent).then_some(())
+        (hit_count(&fleet, "c") == sent).then_some(())
     });
     // A new rule set stops the counts of the previous one, which stay.
     deny_region(&fleet, "us");
     let sent = call(&mut callers, 10);
     wait_for("the hits of both rule sets are counted", || {
-        (hits(&fleet, "c") == sent).then_some(())
+        (hit_count(&fleet, "c") == sent).then_some(())
     });
     let text = fleet.expect_success(&["rules", "hits", "c"]);
     assert!(text.contains("c 1 eu") && text.contains("c 2 us"), "{text}");
@@ -234,10 +227,10 @@
     });
     let sent_after_restart = call(&mut callers, 10) - sent;
     wait_for("the remaining hits are counted", || {
-        (hits(&fleet, "c") >= sent - 40 + sent_after_restart).then_some(())
+        (hit_count(&fleet, "c") >= sent - 40 + sent_after_restart).then_some(())
     });
     std::thread::sleep(Duration::from_millis(500));
-    let counted = hits(&fleet, "c");
+    let counted = hit_count(&fleet, "c");
     assert!(
         (sent - 40 + sent_after_restart..=sent + sent_after_restart).contains(&counted),
         "{counted} of {}",
--- a/crates/cli/tests/fleet/mod.rs
+++ b/crates/cli/tests/fleet/mod.rs
@@ -340,7 +340,7 @@
         self.write_file(&format!("{customer}-{otherwise}.txtpb"), &text)
     }
 
-    /// Starts a fake server and adds it to the endpoint list. The list names the contract version `contract` for it unless that is empty.
+    /// Starts a fake server and adds it to the endpoint list, with the contract version `contract` unless that is empty.
     pub fn add_endpoint(&mut self, contract: &str) -> SocketAddr {
         let address = start_server();
         self.endpoints.push((address, contract.to_string()));
@@ -515,7 +515,7 @@
         served
     }
     /// Waits until a stream has ended. Returns its code and message.
-    pub fn wait_for_end(&mut self, stream: StreamId) -> (Option<Code>, String) {
+    pub fn result_of(&mut self, stream: StreamId) -> (Option<Code>, String) {
         let deadline = Instant::now() + TIMEOUT;
         while !self.results.contains_key(&stream) {
             assert!(Instant::now() < deadline, "the call did not end in time");
@@ -526,7 +526,7 @@
     /// Makes a unary call. Returns its code and message.
     pub fn call(&mut self, metadata: &[(&str, &str)]) -> (Option<Code>, String) {
         let stream = self.open_stream(VIEW, metadata);
-        self.wait_for_end(stream)
+        self.result_of(stream)
     }
     /// Whether the access rules admit a call of the customer, whatever its result.
     pub fn is_admitted(&mut self, customer: &str) -> bool {
