--- a/crates/cli/src/coordinator.rs
+++ b/crates/cli/src/coordinator.rs
@@ -153,6 +153,7 @@
     );
 }
 
+/// Prints sessions, departed gateways, elections (as `duty`) and retired versions that were called again.
 fn print_state(response: &ReadResponse) {
     println!(
         "{} sessions, {} gateways cut off",
@@ -175,7 +176,7 @@
     for election in &response.elections {
         let leader = leader_name(response, election.leader);
         println!(
-            "election {:<16} {leader}, token {}",
+            "duty {:<16} {leader}, token {}",
             election.name, election.token
         );
     }
--- a/crates/cli/src/site.rs
+++ b/crates/cli/src/site.rs
@@ -82,26 +82,28 @@
     serde_json::from_str(&text).context("the response is not a status of sites")
 }
 
+/// The status of the sites at one gateway as text. Its labels are those of the JSON under `/sites`: `room` is the learned capacity, `pace`
+/// the part of it that a recovering site is given, and `places` is the most attempts in flight.
 fn describe(admin: SocketAddr, status: &SitesStatus) -> String {
     let mut text = format!(
-        "{admin}  in {}  admits {:.0}% of the offered load\n",
+        "{admin}  in {}  lets in {:.0}% of the work offered\n",
         status.own_site,
         100.0 * status.admission
     );
     for site in &status.sites {
         let capacity = match site.capacity {
-            None => "no capacity limit met".to_string(),
-            Some(capacity) => format!("capacity {capacity:.1} units/s"),
+            None => "no bound met".to_string(),
+            Some(capacity) => format!("room {capacity:.1} units/s"),
         };
         let ramp = if site.ramp < 1.0 {
-            format!(", ramp {:.0}%", 100.0 * site.ramp)
+            format!(", pace {:.0}%", 100.0 * site.ramp)
         } else {
             String::new()
         };
         // Writing to a String cannot fail.
         let _ = writeln!(
             text,
-            "  {:<16} {:<18} {:>5.1}% of the load, {:.0} of {:.0} attempts in flight, {capacity}{ramp}; for {:.1} s: {}",
+            "  {:<16} {:<18} {:>5.1}% of the load, {:.0} of {:.0} places taken, {capacity}{ramp}; for {:.1} s: {}",
             site.site,
             site.state,
             100.0 * site.share,
