--- a/crates/cli/src/coordinator.rs
+++ b/crates/cli/src/coordinator.rs
@@ -8,7 +8,7 @@
 use chalkdeck_coordinator::settings::Settings;
 use chalkdeck_grpc_gateway::logs;
 use chalkdeck_net::signals::Signals;
-use chalkdeck_testbed::parts::process::end_with_parent;
+use chalkdeck_testbed::common::process::exit_with_parent;
 use chalkdeck_time::TimeDelta;
 use clap::Subcommand;
 use std::net::SocketAddr;
@@ -83,9 +83,9 @@
     let settings = Settings::load(config)?;
     logs::start("info", false);
     if with_parent {
-        end_with_parent();
+        exit_with_parent();
     }
-    let signals = Signals::take()?;
+    let signals = Signals::install()?;
     let server = ReplicaServer::start(&settings, start_mode)?;
     let admin = server
         .admin_address()
--- a/crates/cli/tests/access.rs
+++ b/crates/cli/tests/access.rs
@@ -253,7 +253,7 @@
     let mut caller = Caller::new(fleet.grpc_address(1));
     let (code, message) = caller.call(&[("x-customer", "keeps")]);
     assert_eq!(code, Some(Code::Unavailable), "{message}");
-    let health = chalkdeck_testbed::parts::control::get(fleet.admin_address(1), "/healthz");
+    let health = chalkdeck_testbed::common::control::get(fleet.admin_address(1), "/healthz");
     assert!(health.is_err_and(|error| error.to_string().contains("no keeper was heard")));
     fleet.set_cut_off("g1", false);
     wait_for("the gateway has the shared state", || {
--- a/crates/cli/tests/duties.rs
+++ b/crates/cli/tests/duties.rs
@@ -191,7 +191,7 @@
     fleet.kill_gateway(2);
     fleet.expect_success(&["keeper", "word", "north", "drain"]);
     let is_held_out = |fleet: &Fleet, g: usize| {
-        let text = chalkdeck_testbed::parts::control::get(fleet.admin_address(g), "/sites")
+        let text = chalkdeck_testbed::common::control::get(fleet.admin_address(g), "/sites")
             .unwrap_or_default();
         text.contains("\"site\":\"north\"") && text.contains("held out")
     };
--- a/crates/cli/tests/fleet/mod.rs
+++ b/crates/cli/tests/fleet/mod.rs
@@ -8,8 +8,8 @@
 use chalkdeck_grpc_gateway::coordinator_link::CoordinatorStatus;
 use chalkdeck_net::grpc::{self, Code};
 use chalkdeck_net::{ConnId, Engine, Event, Limits, StreamId};
-use chalkdeck_testbed::parts::control;
-use chalkdeck_testbed::parts::process::{Process, Program};
+use chalkdeck_testbed::common::control;
+use chalkdeck_testbed::common::process::{Process, Program};
 use http::{HeaderName, HeaderValue};
 use rustix::process::Signal;
 use std::collections::BTreeMap;
@@ -108,7 +108,7 @@
             .collect();
         let program = Program {
             exe: env!("CARGO_BIN_EXE_chalkdeck").into(),
-            before: Vec::new(),
+            leading_args: Vec::new(),
         };
         let mut args = vec!["lab".to_string(), "links".to_string()];
         for name in &names {
@@ -390,10 +390,10 @@
         let mut events = Vec::new();
         while engine.turn(1_000_000, &mut events).is_ok() {
             for event in events.drain(..) {
-                let Event::Opened { stream, head, .. } = event else {
+                let Event::StreamOpened { stream, head, .. } = event else {
                     continue;
                 };
-                engine.respond(stream, grpc::head(), false);
+                engine.respond(stream, grpc::response_head(), false);
                 engine.send(stream, grpc::frame(b"answer"));
                 if head.uri.path() != WATCH {
                     engine.finish(stream, Some(grpc::trailers(Code::Ok, "")));
@@ -436,26 +436,29 @@
             .expect("the event loop runs");
         for event in self.events.drain(..) {
             match event {
-                Event::Head {
+                Event::ResponseHead {
                     stream,
                     head,
-                    ended: true,
+                    is_end_stream: true,
                 } => {
                     self.results.insert(
                         stream,
                         (
                             Code::from_trailers(&head.headers),
-                            grpc::message_of(&head.headers),
+                            grpc::decode_message(&head.headers),
                         ),
                     );
                 }
-                Event::Head { stream, .. } => self.responding_streams.push(stream),
+                Event::ResponseHead { stream, .. } => self.responding_streams.push(stream),
                 Event::Data { stream, data } => self.engine.consume(stream, data.len()),
-                Event::End { stream, trailers } => {
+                Event::StreamEnded { stream, trailers } => {
                     let trailers = trailers.unwrap_or_default();
                     self.results.insert(
                         stream,
-                        (Code::from_trailers(&trailers), grpc::message_of(&trailers)),
+                        (
+                            Code::from_trailers(&trailers),
+                            grpc::decode_message(&trailers),
+                        ),
                     );
                 }
                 Event::StreamFailed { stream, .. } => {
@@ -469,13 +472,13 @@
     pub fn open_stream(&mut self, path: &str, metadata: &[(&str, &str)]) -> StreamId {
         let deadline = Instant::now() + TIMEOUT;
         loop {
-            let mut head = grpc::request("gateway", path).expect("request headers");
+            let mut head = grpc::request_head("gateway", path).expect("request headers");
             for (name, value) in metadata {
                 let name = HeaderName::from_bytes(name.as_bytes()).expect("a header name");
                 head.headers_mut()
                     .insert(name, HeaderValue::from_str(value).expect("a header value"));
             }
-            if let Some(stream) = self.engine.open(self.conn, head, false) {
+            if let Some(stream) = self.engine.open_stream(self.conn, head, false) {
                 self.engine.send(stream, grpc::frame(b"ask"));
                 self.engine.finish(stream, None);
                 return stream;
--- a/crates/cli/tests/stored_data.rs
+++ b/crates/cli/tests/stored_data.rs
@@ -5,7 +5,7 @@
 
 mod fleet;
 
-use chalkdeck_testbed::parts::control;
+use chalkdeck_testbed::common::control;
 use fleet::{wait_for, Caller, Fleet};
 use std::path::{Path, PathBuf};
 
--- a/crates/coordinator/src/client.rs
+++ b/crates/coordinator/src/client.rs
@@ -6,7 +6,7 @@
     wire, CommandKind, CommandResponse, ReadRequest, ReadResponse, ResponseCode,
 };
 use crate::server::{connection_limits, MAX_STATE_MESSAGE_BYTES, READ_PATH, SUBMIT_PATH};
-use chalkdeck_net::clock::incarnation;
+use chalkdeck_net::clock::generate_incarnation;
 use chalkdeck_net::grpc::{self, Code};
 use chalkdeck_net::unary::UnaryMessage;
 use chalkdeck_net::{ConnId, Engine, Event, StreamId};
@@ -87,7 +87,7 @@
     /// The operating system has not provided a poll handle.
     pub fn new(replicas: Vec<SocketAddr>) -> Result<CoordinatorClient, ClientError> {
         let engine = Engine::new().map_err(ClientError::Poll)?;
-        let caller = incarnation(engine.now());
+        let caller = generate_incarnation(engine.now());
         let replica_index = fastrand::usize(..replicas.len().max(1));
         Ok(CoordinatorClient {
             engine,
@@ -275,8 +275,8 @@
 
 impl UnaryCall<'_> {
     fn send_request(&mut self, engine: &mut Engine) {
-        let head = grpc::request(&self.address.to_string(), self.path);
-        self.stream = head.and_then(|head| engine.open(self.connection, head, false));
+        let head = grpc::request_head(&self.address.to_string(), self.path);
+        self.stream = head.and_then(|head| engine.open_stream(self.connection, head, false));
         if let Some(stream) = self.stream {
             engine.send(stream, grpc::frame(&self.request));
             engine.finish(stream, None);
@@ -301,7 +301,7 @@
                     Err(_) => CallState::Failed,
                 }
             }
-            Event::End { stream, trailers } if self.is_own_stream(stream) => {
+            Event::StreamEnded { stream, trailers } if self.is_own_stream(stream) => {
                 let status = trailers.as_ref().and_then(Code::from_trailers);
                 match self.response.message() {
                     Some(body) if status == Some(Code::Ok) => CallState::Answered(body.to_vec()),
@@ -309,9 +309,9 @@
                 }
             }
             Event::StreamFailed { stream, .. }
-            | Event::Head {
+            | Event::ResponseHead {
                 stream,
-                ended: true,
+                is_end_stream: true,
                 ..
             } if self.is_own_stream(stream) => CallState::Failed,
             _ => CallState::Pending,
--- a/crates/coordinator/src/server/mod.rs
+++ b/crates/coordinator/src/server/mod.rs
@@ -13,7 +13,7 @@
 use crate::log::{OpenedLog, ReplicaLog};
 use crate::replica::{Output, Replica, ReplicaSettings, StartMode};
 use crate::settings::Settings;
-use chalkdeck_net::clock::incarnation;
+use chalkdeck_net::clock::generate_incarnation;
 use chalkdeck_net::grpc::{self, Code};
 use chalkdeck_net::signals::Signals;
 use chalkdeck_net::{ConnId, Engine, Event, Limits, ListenerId, StreamId};
@@ -53,10 +53,10 @@
 /// Limits of a replica's connections.
 pub fn connection_limits() -> Limits {
     Limits {
-        streams: 4_096,
+        max_streams: 4_096,
         stream_window: 1 << 20,
         connection_window: 64 << 20,
-        keepalive: KEEPALIVE_INTERVAL.as_micros(),
+        keepalive_interval: KEEPALIVE_INTERVAL.as_micros(),
         ..Limits::default()
     }
 }
@@ -82,7 +82,7 @@
     /// See [`ServerError`].
     pub fn start(settings: &Settings, start_mode: StartMode) -> Result<ReplicaServer, ServerError> {
         let mut engine = Engine::new().map_err(ServerError::Poll)?;
-        let incarnation = incarnation(engine.now());
+        let incarnation = generate_incarnation(engine.now());
         let opened = open_log(settings, incarnation)?;
         let replica = Replica::new(
             replica_settings(settings, &opened, incarnation),
@@ -96,7 +96,7 @@
             Some(address) => Some(bind(&mut engine, address, Protocol::Http1)?.1),
             None => None,
         };
-        engine.timer(engine.now(), TICK_TIMER_TOKEN);
+        engine.set_timer(engine.now(), TICK_TIMER_TOKEN);
         Ok(ReplicaServer {
             engine,
             listener,
@@ -128,7 +128,7 @@
     pub fn run(mut self, signals: &Signals) -> Result<(), ServerError> {
         let mut events = Vec::new();
         self.end_turn()?;
-        while !signals.stop() {
+        while !signals.is_stop_requested() {
             self.engine
                 .turn(MAX_POLL_WAIT.as_micros(), &mut events)
                 .map_err(ServerError::Poll)?;
@@ -178,7 +178,7 @@
         if self.incoming_streams.remove(&stream).is_none() {
             return;
         }
-        self.engine.respond(stream, grpc::head(), false);
+        self.engine.respond(stream, grpc::response_head(), false);
         self.engine
             .send(stream, grpc::frame(&message.encode_to_vec()));
         self.engine
@@ -187,7 +187,7 @@
 
     fn send_to_gateway(&mut self, requester: RequesterId, message: &impl Message) {
         let stream = StreamId(requester.0);
-        if self.engine.queued(stream) > MAX_GATEWAY_SEND_QUEUE_BYTES {
+        if self.engine.queued_bytes(stream) > MAX_GATEWAY_SEND_QUEUE_BYTES {
             self.remove_incoming(stream);
             self.engine.reset(stream, h2::Reason::ENHANCE_YOUR_CALM);
             return;
@@ -199,12 +199,14 @@
     fn on_event(&mut self, event: Event) {
         match event {
             Event::Timer(TICK_TIMER_TOKEN) => self.on_tick(),
-            Event::Opened { stream, head, .. } => self.on_stream_opened(stream, head.uri.path()),
+            Event::StreamOpened { stream, head, .. } => {
+                self.on_stream_opened(stream, head.uri.path())
+            }
             Event::Data { stream, data } => {
                 self.engine.consume(stream, data.len());
                 self.on_data(stream, &data);
             }
-            Event::End { stream, .. } => self.on_remote_end(stream),
+            Event::StreamEnded { stream, .. } => self.on_remote_end(stream),
             Event::StreamFailed { stream, .. } => {
                 self.remove_incoming(stream);
                 self.peers.on_stream_closed(stream);
@@ -219,7 +221,7 @@
     fn on_tick(&mut self) {
         self.replica.tick();
         let next = Timestamp::from_micros(self.engine.now()) + self.tick_interval;
-        self.engine.timer(next.as_micros(), TICK_TIMER_TOKEN);
+        self.engine.set_timer(next.as_micros(), TICK_TIMER_TOKEN);
         self.peers.tick(&mut self.engine);
     }
 
@@ -230,7 +232,7 @@
             return self.engine.respond(stream, head, true);
         };
         if method.is_streaming() {
-            self.engine.respond(stream, grpc::head(), false);
+            self.engine.respond(stream, grpc::response_head(), false);
         }
         self.incoming_streams
             .insert(stream, IncomingStream::new(method));
--- a/crates/coordinator/src/server/peers.rs
+++ b/crates/coordinator/src/server/peers.rs
@@ -82,8 +82,8 @@
     address: SocketAddr,
     path: &str,
 ) -> Option<StreamId> {
-    let head = grpc::request(&address.to_string(), path)?;
-    engine.open(connection, head, false)
+    let head = grpc::request_head(&address.to_string(), path)?;
+    engine.open_stream(connection, head, false)
 }
 
 /// Connections to all other replicas.
@@ -123,7 +123,7 @@
         let Some(stream) = peer.open_stream_if_needed(engine, connection) else {
             return;
         };
-        if engine.queued(stream) > MAX_PEER_SEND_QUEUE_BYTES {
+        if engine.queued_bytes(stream) > MAX_PEER_SEND_QUEUE_BYTES {
             engine.close(connection);
             peer.on_connection_lost(Timestamp::from_micros(engine.now()));
             return;
--- a/crates/coordinator/src/settings.rs
+++ b/crates/coordinator/src/settings.rs
@@ -122,7 +122,7 @@
             text::parse(MESSAGE_NAME, source).map_err(|error| SettingsError::Form {
                 file: file.into(),
                 line: error.line,
-                what: error.what,
+                what: error.message,
             })?;
         let validator = FieldValidator { file, wire: &wire };
         let replicas = validator.replicas()?;
--- a/crates/counter/src/server.rs
+++ b/crates/counter/src/server.rs
@@ -77,7 +77,7 @@
     /// Serves until a signal requests the stop, then drains pending increments and writes a snapshot.
     pub fn run(mut self, signals: &Signals) -> Result<(), ServerError> {
         let mut events = Vec::new();
-        while !signals.stop() {
+        while !signals.is_stop_requested() {
             self.turn(MAX_TURN_WAIT_US, &mut events)?;
         }
         self.drain(&mut events)?;
@@ -115,14 +115,14 @@
 
     fn on_event(&mut self, event: Event) {
         match event {
-            Event::Opened {
+            Event::StreamOpened {
                 conn, stream, head, ..
             } => self.on_stream_opened(conn, stream, head.uri.path()),
             Event::Data { stream, data } => {
                 self.engine.consume(stream, data.len());
                 self.on_data(stream, &data);
             }
-            Event::End { stream, .. } => self.on_stream_ended(stream),
+            Event::StreamEnded { stream, .. } => self.on_stream_ended(stream),
             Event::StreamFailed { stream, .. } => {
                 self.streams.remove(&stream);
             }
--- a/crates/grpc-gateway/src/call_flow/responses.rs
+++ b/crates/grpc-gateway/src/call_flow/responses.rs
@@ -31,7 +31,7 @@
 impl GatewayServer {
     /// Answers a call that the decisions reject. `retry_after`: the time in microseconds after which the client may retry.
     pub(crate) fn reject_call(&mut self, id: RequestId, retry_after: Option<u64>) {
-        if self.resp_refused(id, retry_after) {
+        if self.reject_resp_request(id, retry_after) {
             return;
         }
         if self.fault == Some(Fault::Ceiling) && self.send_rejected(id) {
@@ -143,7 +143,7 @@
             return;
         };
         if !is_answer && !call.is_streaming() {
-            return self.end_without_answer(id, outcome, grpc::message_of(&trailers));
+            return self.end_without_answer(id, outcome, grpc::decode_message(&trailers));
         }
         if call.is_complete() {
             return self.end_attempt(id, outcome, true);
--- a/crates/grpc-gateway/src/gateway_server/event_loop.rs
+++ b/crates/grpc-gateway/src/gateway_server/event_loop.rs
@@ -18,10 +18,10 @@
     pub fn run(&mut self, signals: &Signals) -> io::Result<()> {
         loop {
             self.turn(MAX_WAIT_MICROS)?;
-            if signals.reload() {
+            if signals.take_reload_request() {
                 self.reload();
             }
-            if signals.stop() {
+            if signals.is_stop_requested() {
                 self.shut_down();
             }
             if self.is_shut_down() {
@@ -45,7 +45,7 @@
         self.events = events;
         self.admit_queued_requests();
         self.run_decisions();
-        self.resp_let_go();
+        self.close_idle_resp_connections();
         if let Some(counter) = &mut self.counter {
             counter.flush(&mut self.engine);
         }
@@ -54,26 +54,26 @@
 
     fn on_event(&mut self, event: NetEvent) {
         match event {
-            NetEvent::Accepted { listener, conn } => self.resp_accepted(listener, conn),
-            NetEvent::Bytes { conn, data } => self.resp_bytes(conn, &data),
-            NetEvent::Opened {
+            NetEvent::Accepted { listener, conn } => self.on_resp_accepted(listener, conn),
+            NetEvent::Bytes { conn, data } => self.on_resp_bytes(conn, &data),
+            NetEvent::StreamOpened {
                 stream,
                 conn,
                 head,
-                ended,
+                is_end_stream: ended,
             } => self.on_call(stream, conn, &head, ended),
             NetEvent::Connected { conn } => self.on_connected(conn),
             NetEvent::Closed { conn, reason, .. } => {
-                self.resp_closed(conn);
+                self.on_resp_closed(conn);
                 self.on_closed(conn, &reason.to_string());
             }
-            NetEvent::Head {
+            NetEvent::ResponseHead {
                 stream,
                 head,
-                ended,
+                is_end_stream: ended,
             } => self.on_head(stream, head, ended),
             NetEvent::Data { stream, data } => self.on_data(stream, data),
-            NetEvent::End { stream, trailers } => self.on_stream_ended(stream, trailers),
+            NetEvent::StreamEnded { stream, trailers } => self.on_stream_ended(stream, trailers),
             NetEvent::Sent { stream, bytes } => self.on_bytes_sent(stream, bytes),
             NetEvent::StreamFailed { stream, error } => self.on_stream_failed(stream, error),
             NetEvent::Timer(token) => self.on_timer(token),
@@ -99,7 +99,7 @@
                 request,
                 retry_after,
             } => self.reject_call(request, retry_after.map(|after| after.as_micros())),
-            Action::Grant(request) => self.granted(request),
+            Action::Grant(request) => self.grant_resp_request(request),
             Action::Fail(request) => self.fail_call(request),
             Action::CancelAttempt {
                 request: call,
--- a/crates/grpc-gateway/src/gateway_server/shutdown.rs
+++ b/crates/grpc-gateway/src/gateway_server/shutdown.rs
@@ -18,9 +18,9 @@
             return;
         }
         self.shutdown_deadline = Some(self.engine.now() + self.longest_call_deadline());
-        self.engine.unlisten(self.listener);
+        self.engine.close_listener(self.listener);
         self.engine.drain(self.listener);
-        self.resp_stop();
+        self.shut_down_resp();
         self.resign_leaderships();
         tracing::info!(
             open = self.calls.open_count,
@@ -40,8 +40,8 @@
 
     fn has_no_clients(&self) -> bool {
         self.calls.open_count == 0
-            && self.engine.connections_of(self.listener) == 0
-            && self.resp_is_alone()
+            && self.engine.listener_connection_count(self.listener) == 0
+            && self.has_no_resp_clients()
     }
 
     /// The longest deadline of a class, in microseconds.
--- a/crates/net/src/engine/listeners.rs
+++ b/crates/net/src/engine/listeners.rs
@@ -1,23 +1,23 @@
-//! Listeners and the connections that they accept.
+//! Opens and closes listeners, and accepts their connections.
 
 use super::Engine;
 use crate::connection::{Connection, Protocol};
 use crate::event::Event;
 use crate::ids::{ConnId, ListenerId};
 use crate::limits::Limits;
-use crate::listener::{Accepted, Listener, PortSharing};
+use crate::listener::{AcceptResult, Listener, PortSharing};
 use crate::ready_queue::Priority;
 use mio::net::TcpStream;
 use mio::{Interest, Token};
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 
-/// Connections that a listener accepts in one turn. Open connections are not delayed while thousands of clients reconnect.
+/// Connections that a listener accepts in one turn, so that open connections are not delayed while thousands of clients reconnect.
 pub(super) const ACCEPTS_PER_TURN: usize = 32;
 
 impl Engine {
-    /// Listens at `address` for HTTP/2 or, with `http1`, for GETs over HTTP/1.1; port 0 takes a free one. `shared`: other threads
-    /// listen there, too.
+    /// Listens at `address` for HTTP/2, or for HTTP/1.1 GET requests if `is_http1`. Port 0 selects a free port. With
+    /// `is_port_shared`, other threads can listen at the same address.
     ///
     /// # Errors
     /// The address cannot be bound.
@@ -25,15 +25,15 @@
         &mut self,
         address: SocketAddr,
         limits: Limits,
-        shared: bool,
-        http1: bool,
+        is_port_shared: bool,
+        is_http1: bool,
     ) -> io::Result<(ListenerId, SocketAddr)> {
-        let sharing = if shared {
+        let sharing = if is_port_shared {
             PortSharing::Shared
         } else {
             PortSharing::Exclusive
         };
-        let protocol = if http1 {
+        let protocol = if is_http1 {
             Protocol::Http1
         } else {
             Protocol::Http2
@@ -41,11 +41,11 @@
         self.add_listener(Listener::bind(address, limits, sharing, protocol)?)
     }
 
-    /// Listens at `address` for plain connections.
+    /// Listens at `address` for plain connections. Port 0 selects a free port.
     ///
     /// # Errors
     /// The address cannot be bound.
-    pub fn listen_raw(
+    pub fn listen_plain(
         &mut self,
         address: SocketAddr,
         limits: Limits,
@@ -66,29 +66,30 @@
         Ok((ListenerId(key), local_address))
     }
 
-    /// Stops to listen; open connections stay. What waits is accepted first, up to the listener's limit: the system has completed
-    /// these connections, so their clients may have sent on them already.
-    pub fn unlisten(&mut self, listener: ListenerId) {
+    /// Stops listening; open connections stay. Connections in the kernel's backlog are accepted first, up to the listener's limit:
+    /// they are established, so their clients may have sent requests already.
+    pub fn close_listener(&mut self, listener: ListenerId) {
         self.accept(listener.0, usize::MAX);
         self.listeners.remove(&listener.0);
     }
 
-    /// Stops to listen once there is room and nothing waits; returns whether it does not listen any more. A listener that holds as
-    /// many connections as it may goes on until those that the system has completed were accepted: an end would reset them with
-    /// what their clients sent.
-    pub fn unlisten_if_empty(&mut self, listener: ListenerId) -> bool {
+    /// Stops listening if the kernel's backlog is empty, and returns whether the listener is closed. A full listener stays open
+    /// until the established connections in its backlog are accepted: closing it would reset them and lose what their clients
+    /// sent.
+    pub fn close_listener_if_backlog_empty(&mut self, listener: ListenerId) -> bool {
         self.accept(listener.0, usize::MAX);
-        let may_have_waiting = self
+        let may_have_backlog = self
             .listeners
             .get(&listener.0)
-            .is_some_and(Listener::may_have_waiting);
-        if !may_have_waiting {
+            .is_some_and(Listener::may_have_backlog);
+        if !may_have_backlog {
             self.listeners.remove(&listener.0);
         }
-        !may_have_waiting
+        !may_have_backlog
     }
 
-    /// Retries to accept where that failed: a listener may have no connection whose end would wake it.
+    /// Accepts again on listeners where that failed, since a listener without open connections has no other event that would
+    /// wake it.
     pub(super) fn retry_accepts(&mut self) {
         let now = self.now();
         let keys: Vec<u64> = self
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Accepts at most so many of the connections that wait.
+    /// Accepts at most `max` waiting connections.
     pub(super) fn accept(&mut self, key: u64, max: usize) {
         for _ in 0..max {
             let now = self.now();
@@ -110,15 +111,17 @@
                 return;
             };
             match listener.accept(now) {
-                Accepted::Connection(stream, peer_ip) => self.add_accepted(key, stream, peer_ip),
-                Accepted::Failed(error) => {
+                AcceptResult::Connection(stream, peer_ip) => {
+                    self.add_accepted(key, stream, peer_ip)
+                }
+                AcceptResult::Failed(error) => {
                     tracing::warn!(%error, "accept failed: retrying");
                     return;
                 }
-                Accepted::NoneWaiting | Accepted::Full => return,
+                AcceptResult::NoneWaiting | AcceptResult::Full => return,
             }
         }
-        self.accepting.push(key);
+        self.accepting_listeners.push(key);
     }
 
     fn add_accepted(&mut self, listener_key: u64, mut stream: TcpStream, peer_ip: IpAddr) {
@@ -135,7 +138,7 @@
         let Some(listener) = self.listeners.get_mut(&listener_key) else {
             return;
         };
-        listener.open_connections += 1;
+        listener.open_connection_count += 1;
         let waker = self.ready.waker(key, Priority::Low);
         waker.wake_by_ref();
         let connection = Connection::accepted(
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -6,43 +6,44 @@
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 
-/// After a failure to accept, which mostly means that no descriptor is left, a listener retries after this, in microseconds.
-const ACCEPT_RETRY_DELAY: u64 = 50_000;
-/// The longest queue of connections that the kernel has completed and that are not accepted yet.
+/// The delay before a listener retries a failed accept, in microseconds. Most failures mean that no file descriptor is left.
+const ACCEPT_RETRY_DELAY_MICROS: u64 = 50_000;
+/// The most established connections that wait in the kernel to be accepted.
 const BACKLOG: i32 = 1_024;
 
-/// Whether other threads listen at the same address.
+/// Whether other threads can listen at the same address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PortSharing {
     Exclusive,
     Shared,
 }
 
+/// A listening socket with its limits and its state.
 pub(crate) struct Listener {
     pub(crate) socket: TcpListener,
     pub(crate) limits: Limits,
     pub(crate) protocol: Protocol,
-    /// Connections that are open now.
-    pub(crate) open_connections: usize,
-    /// It holds as many as it may; the next one is accepted when one of them ends.
+    /// The number of its connections that are open now.
+    pub(crate) open_connection_count: usize,
+    /// It has as many open connections as its limit. The next one is accepted when one of them closes.
     pub(crate) is_full: bool,
-    /// When accepting is retried after a failure.
+    /// When a failed accept is retried.
     retry_at: Option<u64>,
 }
 
 /// The result of an attempt to accept a connection.
-pub(crate) enum Accepted {
+pub(crate) enum AcceptResult {
     Connection(TcpStream, IpAddr),
     /// No connection is waiting.
     NoneWaiting,
-    /// The listener holds as many connections as it may.
+    /// The listener has reached its limit of connections.
     Full,
-    /// The system refuses, mostly as no descriptor is left.
+    /// The operating system failed to accept, mostly because no file descriptor is left.
     Failed(io::Error),
 }
 
 impl Listener {
-    /// Binds a socket; port 0 takes a free one.
+    /// Binds a listening socket. Port 0 selects a free port.
     pub(crate) fn bind(
         address: SocketAddr,
         limits: Limits,
@@ -62,42 +63,43 @@
             socket: TcpListener::from_std(socket.into()),
             limits,
             protocol,
-            open_connections: 0,
+            open_connection_count: 0,
             is_full: false,
             retry_at: None,
         })
     }
 
-    /// Accepts the next connection, and notes why there is none.
-    pub(crate) fn accept(&mut self, now: u64) -> Accepted {
+    /// Accepts the next connection, and records why there is none.
+    pub(crate) fn accept(&mut self, now: u64) -> AcceptResult {
         let accepted = self.try_accept();
-        self.is_full = matches!(accepted, Accepted::Full);
-        self.retry_at = matches!(accepted, Accepted::Failed(_)).then_some(now + ACCEPT_RETRY_DELAY);
+        self.is_full = matches!(accepted, AcceptResult::Full);
+        self.retry_at =
+            matches!(accepted, AcceptResult::Failed(_)).then_some(now + ACCEPT_RETRY_DELAY_MICROS);
         accepted
     }
 
-    fn try_accept(&mut self) -> Accepted {
-        if self.open_connections >= self.limits.connections {
-            return Accepted::Full;
+    fn try_accept(&mut self) -> AcceptResult {
+        if self.open_connection_count >= self.limits.max_connections {
+            return AcceptResult::Full;
         }
         loop {
             match self.socket.accept() {
-                Ok((stream, peer)) => return Accepted::Connection(stream, peer.ip()),
+                Ok((stream, peer)) => return AcceptResult::Connection(stream, peer.ip()),
                 Err(error) => match error.kind() {
                     io::ErrorKind::Interrupted | io::ErrorKind::ConnectionAborted => {}
-                    io::ErrorKind::WouldBlock => return Accepted::NoneWaiting,
-                    _ => return Accepted::Failed(error),
+                    io::ErrorKind::WouldBlock => return AcceptResult::NoneWaiting,
+                    _ => return AcceptResult::Failed(error),
                 },
             }
         }
     }
 
-    /// Whether connections may be waiting that could not be accepted.
-    pub(crate) fn may_have_waiting(&self) -> bool {
+    /// Whether connections may wait in the kernel's backlog because they could not be accepted.
+    pub(crate) fn may_have_backlog(&self) -> bool {
         self.is_full || self.retry_at.is_some()
     }
 
-    /// Whether accepting is to be retried by now.
+    /// Whether a failed accept is due for a retry.
     pub(crate) fn is_retry_due(&self, now: u64) -> bool {
         self.retry_at.is_some_and(|at| at <= now)
     }
--- a/crates/net/src/plain_connection.rs
+++ b/crates/net/src/plain_connection.rs
@@ -1,4 +1,4 @@
-//! Plain bytes both ways, for protocols other than HTTP.
+//! Plain TCP connections, for protocols other than HTTP.
 
 use crate::close_reason::CloseReason;
 use bytes::{Buf, Bytes, BytesMut};
@@ -6,43 +6,45 @@
 use std::io::{self, Read, Write};
 use std::net::Shutdown;
 
-/// Bytes that one read takes at the most.
-const READ_BYTES: usize = 16 << 10;
-/// Reads of bytes that are discarded, before others have their turn.
-const MAX_DISCARDING_READS: usize = 16;
+/// The most bytes of one read.
+const MAX_READ_BYTES: usize = 16 << 10;
+/// The most reads of discarded input in one poll, so that other connections are not delayed.
+const MAX_DISCARD_READS_PER_POLL: usize = 16;
 
-/// How our direction ends, once the queued bytes are written.
+/// What happens once the queued bytes are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Ending {
-    /// It does not.
+    /// The connection stays open.
     Open,
-    /// With the connection.
+    /// The connection is closed.
     Close,
-    /// Alone: what is received is discarded until the peer ends its direction, too.
+    /// The write side is shut down, and input is discarded until the peer shuts down its side.
     Linger,
 }
 
+/// A plain connection with its queued bytes.
 pub(crate) struct PlainConnection {
     stream: TcpStream,
-    out: BytesMut,
-    /// Bytes that were written in all.
+    write_buffer: BytesMut,
+    /// The total number of bytes written to the socket.
     pub(crate) written_bytes: u64,
-    pub(crate) is_paused: bool,
+    pub(crate) is_read_paused: bool,
     pub(crate) ending: Ending,
-    /// Our direction was ended.
-    is_write_shut: bool,
-    /// Bytes are queued, and no write was tried since.
-    pub(crate) has_unflushed: bool,
-    /// The end of the peer, or an error, was reported: a short read is not the last one.
+    /// The write side was shut down.
+    is_write_shut_down: bool,
+    /// Bytes were queued since the last flush.
+    pub(crate) has_unflushed_bytes: bool,
+    /// The poll reported that the peer closed its side, or an error. No further readiness event follows, so a short read does
+    /// not mean that the socket is empty.
     pub(crate) has_peer_ended: bool,
 }
 
-/// What polling a plain connection led to.
+/// The result of polling a plain connection.
 pub(crate) enum PlainProgress {
     Wait,
     Bytes {
         data: Bytes,
-        /// There may be more to read at once.
+        /// Whether there may be more to read without waiting.
         may_have_more: bool,
     },
     Closed(CloseReason),
@@ -52,28 +54,28 @@
     pub(crate) fn new(stream: TcpStream) -> PlainConnection {
         PlainConnection {
             stream,
-            out: BytesMut::new(),
+            write_buffer: BytesMut::new(),
             written_bytes: 0,
-            is_paused: false,
+            is_read_paused: false,
             ending: Ending::Open,
-            is_write_shut: false,
-            has_unflushed: false,
+            is_write_shut_down: false,
+            has_unflushed_bytes: false,
             has_peer_ended: false,
         }
     }
 
     /// Queues bytes; returns whether a flush has to be scheduled for them.
     pub(crate) fn write(&mut self, bytes: &[u8]) -> bool {
-        self.out.extend_from_slice(bytes);
-        !std::mem::replace(&mut self.has_unflushed, true)
+        self.write_buffer.extend_from_slice(bytes);
+        !std::mem::replace(&mut self.has_unflushed_bytes, true)
     }
 
-    pub(crate) fn unsent(&self) -> usize {
-        self.out.len()
+    pub(crate) fn unsent_bytes(&self) -> usize {
+        self.write_buffer.len()
     }
 
-    /// Whether nothing waits in the socket: no byte, no end, no error.
-    pub(crate) fn is_quiet(&self) -> bool {
+    /// Whether the socket has nothing to read: no bytes, no end of input and no error.
+    pub(crate) fn is_idle(&self) -> bool {
         matches!(self.stream.peek(&mut [0]), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
@@ -82,19 +84,20 @@
             return PlainProgress::Closed(error.into());
         }
         match self.ending {
-            Ending::Open if self.is_paused && self.has_peer_ended => {
-                PlainProgress::Closed(self.end_reason())
+            Ending::Open if self.is_read_paused && self.has_peer_ended => {
+                PlainProgress::Closed(self.peer_end_reason())
             }
-            Ending::Open if self.is_paused => PlainProgress::Wait,
+            Ending::Open if self.is_read_paused => PlainProgress::Wait,
             Ending::Open => self.read(),
-            _ if !self.out.is_empty() => PlainProgress::Wait,
-            Ending::Close => PlainProgress::Closed(CloseReason::Local),
+            _ if !self.write_buffer.is_empty() => PlainProgress::Wait,
+            Ending::Close => PlainProgress::Closed(CloseReason::ClosedLocally),
             Ending::Linger => self.discard_input(),
         }
     }
 
-    /// Why the end of the peer was reported while reading is paused: it stands behind bytes that stay unread.
-    fn end_reason(&self) -> CloseReason {
+    /// Why the connection closes when the peer ended it while reading is paused. Unread bytes may precede the end of input, so this
+    /// checks the socket for an error instead of reading it.
+    fn peer_end_reason(&self) -> CloseReason {
         match self.stream.take_error() {
             Ok(Some(error)) | Err(error) => error.into(),
             Ok(None) => CloseReason::PeerEnded,
@@ -102,15 +105,15 @@
     }
 
     fn read(&mut self) -> PlainProgress {
-        let mut buffer = [0; READ_BYTES];
+        let mut buffer = [0; MAX_READ_BYTES];
         loop {
             match self.stream.read(&mut buffer) {
                 Ok(0) => return PlainProgress::Closed(CloseReason::PeerEnded),
-                // Readiness is reported once: a short read has emptied the socket, and later bytes are reported anew.
+                // Readiness is edge-triggered: after a short read the socket is empty, and further bytes cause a new event.
                 Ok(length) => {
                     return PlainProgress::Bytes {
                         data: Bytes::copy_from_slice(&buffer[..length]),
-                        may_have_more: length == READ_BYTES || self.has_peer_ended,
+                        may_have_more: length == MAX_READ_BYTES || self.has_peer_ended,
                     }
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
@@ -122,17 +125,18 @@
         }
     }
 
-    /// Ends our direction once; returns whether the connection is still open.
-    fn shut_write(&mut self) -> bool {
-        let was_shut = std::mem::replace(&mut self.is_write_shut, true);
-        was_shut || self.stream.shutdown(Shutdown::Write).is_ok()
+    /// Shuts down the write side if it is open; returns whether the connection is still usable.
+    fn shut_down_write(&mut self) -> bool {
+        let was_shut_down = std::mem::replace(&mut self.is_write_shut_down, true);
+        was_shut_down || self.stream.shutdown(Shutdown::Write).is_ok()
     }
 
+    /// Reads and discards input after the write side is shut down. Empty `Bytes` ask for another poll.
     fn discard_input(&mut self) -> PlainProgress {
-        if !self.shut_write() {
+        if !self.shut_down_write() {
             return PlainProgress::Closed(CloseReason::PeerEnded);
         }
-        for _ in 0..MAX_DISCARDING_READS {
+        for _ in 0..MAX_DISCARD_READS_PER_POLL {
             match self.read() {
                 PlainProgress::Bytes { .. } => {}
                 progress => return progress,
@@ -144,13 +148,13 @@
         }
     }
 
-    /// Writes queued bytes as far as the socket takes them.
+    /// Writes as many queued bytes as the socket accepts.
     pub(crate) fn flush(&mut self) -> io::Result<()> {
-        while !self.out.is_empty() {
-            match self.stream.write(&self.out) {
+        while !self.write_buffer.is_empty() {
+            match self.stream.write(&self.write_buffer) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(length) => {
-                    self.out.advance(length);
+                    self.write_buffer.advance(length);
                     self.written_bytes += length as u64;
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -1,4 +1,5 @@
-//! One HTTP/2 stream of either side: what is received is handed on, what is sent waits here for the peer's window.
+//! One client-side or server-side HTTP/2 stream. It reports received data as events, and queues data to be sent until the peer's
+//! flow-control window admits it.
 
 use crate::event::{Event, StreamError};
 use crate::ids::{ConnId, StreamId};
@@ -12,10 +13,10 @@
 use std::pin::Pin;
 use std::task::{Context, Poll, Waker};
 
-/// The most window that is asked for at once.
+/// The most send capacity that is reserved at once.
 const MAX_RESERVED_BYTES: usize = 1 << 20;
 
-/// The direction from the peer.
+/// The state of the receiving side.
 enum Incoming {
     /// The head of the response is not received yet.
     Head(ResponseFuture),
@@ -23,7 +24,7 @@
     Done,
 }
 
-/// The direction to the peer.
+/// The state of the sending side.
 pub(crate) enum Outgoing {
     /// The head of the response is not sent yet.
     Head(SendResponse<Bytes>),
@@ -31,14 +32,15 @@
     Done,
 }
 
-/// How our direction ends, once the queued bytes are sent.
-enum End {
-    /// It does not end yet.
+/// How the sending side ends once the queued bytes are sent.
+enum OutgoingEnd {
+    /// It stays open.
     Open,
     WithoutTrailers,
     Trailers(HeaderMap),
 }
 
+/// A stream with its queue.
 pub(crate) struct Stream {
     id: StreamId,
     pub(crate) conn: ConnId,
@@ -49,11 +51,12 @@
     flow: Option<h2::FlowControl>,
     queue: VecDeque<Bytes>,
     queued_bytes: usize,
-    end: End,
+    end: OutgoingEnd,
     has_failed: bool,
     is_cancelled: bool,
 }
 
+/// Classifies an error by whether the peer may have processed the stream.
 fn stream_error(error: &h2::Error) -> StreamError {
     let remote_goaway = error.is_go_away() && error.is_remote();
     match error.reason() {
@@ -62,12 +65,13 @@
         }
         _ if remote_goaway => StreamError::GoneAway,
         Some(reason) if error.is_reset() => StreamError::Reset(reason),
-        _ => StreamError::Lost,
+        _ => StreamError::ConnectionLost,
     }
 }
 
 impl Stream {
-    pub(crate) fn opened(
+    /// A stream that a client opened.
+    pub(crate) fn server_side(
         id: StreamId,
         conn: ConnId,
         waker: Waker,
@@ -84,7 +88,8 @@
             flow,
         )
     }
-    pub(crate) fn sent(
+    /// A stream that this process opened.
+    pub(crate) fn client_side(
         id: StreamId,
         conn: ConnId,
         waker: Waker,
@@ -113,29 +118,29 @@
             flow,
             queue,
             queued_bytes: 0,
-            end: End::Open,
+            end: OutgoingEnd::Open,
             has_failed: false,
             is_cancelled: false,
         }
     }
 
-    /// Whether it can make no more progress.
-    pub(crate) fn is_over(&self) -> bool {
+    /// Whether it has failed or its response is complete.
+    pub(crate) fn is_finished(&self) -> bool {
         let sent = matches!(self.outgoing, Outgoing::Done);
         let received = matches!(self.incoming, Incoming::Done);
         self.has_failed || if self.is_server_side { sent } else { received }
     }
 
-    /// Whether its client has reset it.
+    /// Whether the client reset it.
     pub(crate) fn was_reset(&self) -> bool {
         self.is_server_side && self.is_cancelled
     }
 
-    /// Sends the head of the response. Nothing happens when it was sent before.
-    pub(crate) fn respond(&mut self, head: Response<()>, end: bool) {
+    /// Sends the head of the response. Does nothing if it was sent before.
+    pub(crate) fn respond(&mut self, head: Response<()>, is_end_stream: bool) {
         if let Outgoing::Head(out) = &mut self.outgoing {
-            self.outgoing = match out.send_response(head, end) {
-                Ok(_) if end => Outgoing::Done,
+            self.outgoing = match out.send_response(head, is_end_stream) {
+                Ok(_) if is_end_stream => Outgoing::Done,
                 Ok(body) => Outgoing::Body(body),
                 Err(_) => Outgoing::Done,
             };
@@ -150,7 +155,7 @@
         }
     }
     pub(crate) fn finish(&mut self, trailers: Option<HeaderMap>) {
-        self.end = trailers.map_or(End::WithoutTrailers, End::Trailers);
+        self.end = trailers.map_or(OutgoingEnd::WithoutTrailers, OutgoingEnd::Trailers);
         self.waker.wake_by_ref();
     }
     pub(crate) fn reset(&mut self, reason: h2::Reason) {
@@ -162,37 +167,37 @@
         self.has_failed = true;
     }
     pub(crate) fn consume(&mut self, bytes: usize) {
-        // Fails only when more is given back than was received, or the stream is over.
+        // Fails only if more is released than was received, or the stream is closed.
         let _ = self.flow.as_mut().map(|flow| flow.release_capacity(bytes));
     }
     pub(crate) fn queued_bytes(&self) -> usize {
         self.queued_bytes
     }
 
-    /// Makes progress in both directions as far as possible.
-    pub(crate) fn poll(&mut self, out: &mut VecDeque<Event>) {
+    /// Makes as much progress as possible in both directions.
+    pub(crate) fn poll(&mut self, events: &mut VecDeque<Event>) {
         if self.has_failed {
             return;
         }
         let waker = self.waker.clone();
         let mut context = Context::from_waker(&waker);
         let result = self
-            .poll_in(&mut context, out)
-            .and_then(|()| self.poll_out(&mut context, out));
+            .poll_incoming(&mut context, events)
+            .and_then(|()| self.poll_outgoing(&mut context, events));
         if let Err(error) = result {
             self.has_failed = true;
             self.is_cancelled = matches!(error, StreamError::Reset(_));
-            out.push_back(Event::StreamFailed {
+            events.push_back(Event::StreamFailed {
                 stream: self.id,
                 error,
             });
         }
     }
 
-    fn poll_in(
+    fn poll_incoming(
         &mut self,
         context: &mut Context<'_>,
-        out: &mut VecDeque<Event>,
+        events: &mut VecDeque<Event>,
     ) -> Result<(), StreamError> {
         if let Incoming::Head(head) = &mut self.incoming {
             let Poll::Ready(head) = Pin::new(head).poll(context) else {
@@ -200,13 +205,13 @@
             };
             let (head, mut body) = head.map_err(|error| stream_error(&error))?.into_parts();
             self.flow = Some(body.flow_control().clone());
-            let ended = body.is_end_stream();
-            out.push_back(Event::Head {
+            let is_end_stream = body.is_end_stream();
+            events.push_back(Event::ResponseHead {
                 stream: self.id,
                 head: Box::new(head),
-                ended,
+                is_end_stream,
             });
-            self.incoming = if ended {
+            self.incoming = if is_end_stream {
                 Incoming::Done
             } else {
                 Incoming::Body(body)
@@ -220,7 +225,7 @@
                 Poll::Pending => return Ok(()),
                 Poll::Ready(Some(Ok(data))) => {
                     if !data.is_empty() {
-                        out.push_back(Event::Data {
+                        events.push_back(Event::Data {
                             stream: self.id,
                             data,
                         });
@@ -232,7 +237,7 @@
                         return Ok(());
                     };
                     let trailers = trailers.map_err(|error| stream_error(&error))?;
-                    out.push_back(Event::End {
+                    events.push_back(Event::StreamEnded {
                         stream: self.id,
                         trailers,
                     });
@@ -242,10 +247,10 @@
         }
     }
 
-    fn poll_out(
+    fn poll_outgoing(
         &mut self,
         context: &mut Context<'_>,
-        out: &mut VecDeque<Event>,
+        events: &mut VecDeque<Event>,
     ) -> Result<(), StreamError> {
         if self.is_server_side {
             let reset = match &mut self.outgoing {
@@ -262,7 +267,7 @@
         let before = self.queued_bytes;
         let result = self.flush(context);
         if before > self.queued_bytes {
-            out.push_back(Event::Sent {
+            events.push_back(Event::Sent {
                 stream: self.id,
                 bytes: before - self.queued_bytes,
             });
@@ -282,7 +287,7 @@
                     Poll::Ready(Some(Ok(_))) if body.capacity() > 0 => {}
                     Poll::Ready(Some(Ok(_))) => continue,
                     Poll::Ready(Some(Err(error))) => return Err(stream_error(&error)),
-                    Poll::Ready(None) => return self.out_closed(),
+                    Poll::Ready(None) => return self.on_outgoing_closed(),
                 }
             }
             let part = chunk.split_to(body.capacity().min(chunk.len()));
@@ -290,32 +295,33 @@
             if chunk.is_empty() {
                 self.queue.pop_front();
             }
-            let last = self.queue.is_empty() && matches!(self.end, End::WithoutTrailers);
-            if body.send_data(part, last).is_err() {
-                return self.out_closed();
+            let is_last = self.queue.is_empty() && matches!(self.end, OutgoingEnd::WithoutTrailers);
+            if body.send_data(part, is_last).is_err() {
+                return self.on_outgoing_closed();
             }
-            if last {
+            if is_last {
                 self.outgoing = Outgoing::Done;
                 return Ok(());
             }
         }
-        let sent = match std::mem::replace(&mut self.end, End::Open) {
-            End::Open => return Ok(()),
-            End::WithoutTrailers => body.send_data(Bytes::new(), true),
-            End::Trailers(trailers) => body.send_trailers(trailers),
+        let sent = match std::mem::replace(&mut self.end, OutgoingEnd::Open) {
+            OutgoingEnd::Open => return Ok(()),
+            OutgoingEnd::WithoutTrailers => body.send_data(Bytes::new(), true),
+            OutgoingEnd::Trailers(trailers) => body.send_trailers(trailers),
         };
         self.outgoing = Outgoing::Done;
-        // A peer that takes no more of our direction is reported by the other direction.
+        // If the peer accepts no more data, the receiving side reports why.
         sent.or(Ok(()))
     }
 
-    /// The peer takes no more of our direction. A client still receives the response; a server has lost its client.
-    fn out_closed(&mut self) -> Result<(), StreamError> {
+    /// Handles that the peer accepts no more data. The client side can still receive the response; on the server side the client is
+    /// lost.
+    fn on_outgoing_closed(&mut self) -> Result<(), StreamError> {
         self.queue.clear();
         self.queued_bytes = 0;
         self.outgoing = Outgoing::Done;
         if self.is_server_side {
-            return Err(StreamError::Lost);
+            return Err(StreamError::ConnectionLost);
         }
         Ok(())
     }
--- a/crates/testbed/src/load/calls.rs
+++ b/crates/testbed/src/load/calls.rs
@@ -1,10 +1,10 @@
 //! Open-loop gRPC load from many customers. Latencies count from the time at which a call was due, so that a load tool
 //! that falls behind does not hide it (coordinated omission).
 
-use crate::parts::control;
-use crate::parts::log::{End, Line, Log};
-use crate::parts::report::Figures;
-use chalkdeck_net::clock::monotonic;
+use crate::common::control;
+use crate::common::event_log::{CallOutcome, Entry, EventLog};
+use crate::common::load_stats::LoadStats;
+use chalkdeck_net::clock::monotonic_micros;
 use chalkdeck_net::grpc::{self, Code};
 use chalkdeck_net::signals::Signals;
 use chalkdeck_net::{ConnId, Engine, Event, Limits, StreamId};
@@ -94,16 +94,16 @@
     naive_retries: u32,
     /// Failed calls are repeated as their class allows, not whatever it is.
     repeats_by_class: bool,
-    log: Log,
+    log: EventLog,
     rng: fastrand::Rng,
-    pub figures: Figures,
+    pub figures: LoadStats,
     stop_sending: bool,
     mix_total: f64,
     control: Option<SocketAddr>,
 }
 
 impl Load {
-    pub fn start(plan: Plan, log: Log) -> std::io::Result<Load> {
+    pub fn start(plan: Plan, log: EventLog) -> std::io::Result<Load> {
         let mut engine = Engine::new()?;
         let control = match plan.control {
             Some(address) => Some(engine.listen(address, Limits::default(), false, true)?.1),
@@ -129,7 +129,7 @@
             repeats_by_class: false,
             log,
             rng: fastrand::Rng::with_seed(plan.seed),
-            figures: Figures::default(),
+            figures: LoadStats::default(),
             stop_sending: false,
             mix_total,
             control,
@@ -158,7 +158,7 @@
         self.next_at = begin;
         self.due_at(begin, Due::Next);
         self.due_at(begin + 1_000_000, Due::Second);
-        while !signals.stop() && self.engine.now() < until {
+        while !signals.is_stop_requested() && self.engine.now() < until {
             self.turn(&mut events)?;
         }
         self.figures.seconds = (self.engine.now() - begin) as f64 / 1e6;
@@ -184,7 +184,7 @@
     pub fn idle(&mut self, signals: &Signals) -> std::io::Result<()> {
         let mut events = Vec::new();
         let until = self.engine.now() + (self.plan.seconds * 1e6) as u64;
-        while !signals.stop() && self.engine.now() < until {
+        while !signals.is_stop_requested() && self.engine.now() < until {
             self.turn(&mut events)?;
         }
         Ok(())
@@ -201,12 +201,12 @@
     fn due_at(&mut self, at: u64, due: Due) {
         self.next += 1;
         self.due.insert(self.next, due);
-        self.engine.timer(at, self.next);
+        self.engine.set_timer(at, self.next);
     }
 
     fn connect(&mut self, gateway: usize) {
         let limits = Limits {
-            streams: 10_000,
+            max_streams: 10_000,
             ..Limits::default()
         };
         match self.engine.connect(self.plan.gateways[gateway], limits) {
@@ -234,10 +234,10 @@
                 self.by_gateway[link.gateway].retain(|c| *c != conn);
                 self.due_at(self.engine.now() + RECONNECT, Due::Connect(link.gateway));
             }
-            Event::Head {
+            Event::ResponseHead {
                 stream,
                 head,
-                ended,
+                is_end_stream: ended,
             } => {
                 if let Some(open) = self.open.get_mut(&stream) {
                     open.heard = true;
@@ -250,17 +250,19 @@
                 self.engine.consume(stream, data.len());
                 self.figures.bytes += data.len() as u64;
             }
-            Event::End { stream, trailers } => self.on_end(stream, &trailers.unwrap_or_default()),
-            Event::StreamFailed { stream, .. } => self.ended(stream, End::Lost, -1, None),
+            Event::StreamEnded { stream, trailers } => {
+                self.on_end(stream, &trailers.unwrap_or_default())
+            }
+            Event::StreamFailed { stream, .. } => self.ended(stream, CallOutcome::Lost, -1, None),
             Event::Timer(token) => {
                 if let Some(due) = self.due.remove(&token) {
                     self.on_due(due);
                 }
             }
             Event::Get { conn, path } => {
-                let (_, pairs) = control::parse(&path);
+                let (_, pairs) = control::parse_target(&path);
                 let done = self.set(&pairs);
-                control::answer(&mut self.engine, conn, done);
+                control::respond(&mut self.engine, conn, done);
             }
             _ => {}
         }
@@ -274,12 +276,12 @@
             Due::Give(stream) => {
                 if self.open.contains_key(&stream) {
                     self.engine.reset(stream, h2::Reason::CANCEL);
-                    self.ended(stream, End::Silent, -1, None);
+                    self.ended(stream, CallOutcome::Silent, -1, None);
                 }
             }
             Due::Second => {
                 if self.plan.lines {
-                    println!("{}", self.figures.line());
+                    println!("{}", self.figures.to_line());
                 }
                 if !self.stop_sending {
                     self.due_at(self.engine.now() + 1_000_000, Due::Second);
@@ -349,7 +351,8 @@
         };
         let shape: &Mix = &self.plan.shape.mix[mix];
         let gateway = self.conns[&conn].gateway;
-        let Some(mut head) = grpc::request(&self.plan.gateways[gateway].to_string(), &shape.path)
+        let Some(mut head) =
+            grpc::request_head(&self.plan.gateways[gateway].to_string(), &shape.path)
         else {
             return false;
         };
@@ -360,7 +363,7 @@
         for (name, value) in [
             ("x-call-id", &id),
             ("x-customer", &self.customers[customer].name),
-            (grpc::KEY, &key),
+            (grpc::IDEMPOTENCY_KEY, &key),
         ] {
             if let Ok(value) = HeaderValue::from_str(value) {
                 if !value.is_empty() {
@@ -369,27 +372,27 @@
             }
         }
         if tries > 0 {
-            headers.insert(grpc::ATTEMPTS, HeaderValue::from(tries));
+            headers.insert(grpc::PREVIOUS_ATTEMPTS, HeaderValue::from(tries));
         }
         if deadline > 0 {
-            headers.insert(grpc::TIMEOUT, grpc::timeout(deadline));
+            headers.insert(grpc::TIMEOUT, grpc::encode_timeout(deadline));
         }
         let path = shape.path.clone();
-        let Some(stream) = self.engine.open(conn, head, false) else {
+        let Some(stream) = self.engine.open_stream(conn, head, false) else {
             self.figures.unsent += 1;
             return false;
         };
         let body = vec![b'c'; self.plan.shape.body_bytes as usize];
         self.engine.send(stream, grpc::frame(&body));
         self.engine.finish(stream, None);
-        let t = monotonic();
+        let t = monotonic_micros();
         let until = if deadline == 0 {
             u64::MAX
         } else {
             t + deadline
         };
         let name = self.customers[customer].name.clone();
-        let line = Line::Call {
+        let line = Entry::Call {
             t,
             id: id.clone(),
             customer: name,
@@ -399,7 +402,7 @@
             deadline: until,
             gateway,
         };
-        self.log.line(&line);
+        self.log.append(&line);
         if deadline > 0 {
             self.due_at(self.engine.now() + deadline + LISTEN_ON, Due::Give(stream));
         }
@@ -418,9 +421,9 @@
                 heard: false,
             },
         );
-        self.figures.sent(&self.customers[customer].plan);
-        self.figures.tries += 1;
-        self.figures.firsts += u64::from(tries == 0);
+        self.figures.record_sent(&self.customers[customer].plan);
+        self.figures.attempts += 1;
+        self.figures.calls += u64::from(tries == 0);
         true
     }
 
@@ -442,24 +445,24 @@
     fn on_end(&mut self, stream: StreamId, trailers: &HeaderMap) {
         let code = Code::from_trailers(trailers);
         let pushback = trailers
-            .get(grpc::PUSHBACK)
+            .get(grpc::RETRY_PUSHBACK)
             .and_then(|v| v.to_str().ok())
             .and_then(|v| v.parse::<i64>().ok());
         let end = match code {
-            Some(Code::ResourceExhausted) if pushback.is_some() => End::Refused,
-            Some(Code::Unavailable | Code::DeadlineExceeded) => End::Failed,
-            Some(Code::Ok | Code::Internal | Code::NotFound) => End::Served,
-            _ => End::Other,
+            Some(Code::ResourceExhausted) if pushback.is_some() => CallOutcome::Refused,
+            Some(Code::Unavailable | Code::DeadlineExceeded) => CallOutcome::Failed,
+            Some(Code::Ok | Code::Internal | Code::NotFound) => CallOutcome::Served,
+            _ => CallOutcome::Other,
         };
         self.ended(stream, end, code.map_or(-1, |c| c as i32), pushback);
     }
 
-    fn ended(&mut self, stream: StreamId, end: End, status: i32, pushback: Option<i64>) {
+    fn ended(&mut self, stream: StreamId, end: CallOutcome, status: i32, pushback: Option<i64>) {
         let Some(open) = self.open.remove(&stream) else {
             return;
         };
-        let t = monotonic();
-        self.log.line(&Line::Answer {
+        let t = monotonic_micros();
+        self.log.append(&Entry::Answer {
             t,
             id: open.id.clone(),
             end,
@@ -469,7 +472,7 @@
         let took = self.engine.now().saturating_sub(open.due);
         let late = t > open.deadline;
         self.figures
-            .ended(&self.customers[open.customer].plan, end, took, late);
+            .record_end(&self.customers[open.customer].plan, end, took, late);
         let again = self.repeats(end, open.mix) && open.tries < self.naive_retries;
         if again && !self.stop_sending {
             self.try_call(
@@ -490,10 +493,12 @@
     }
 
     /// Whether a call that ended so is made again.
-    fn repeats(&self, end: End, mix: usize) -> bool {
+    fn repeats(&self, end: CallOutcome, mix: usize) -> bool {
         match end {
-            End::Refused => true,
-            End::Failed | End::Lost => !self.repeats_by_class || self.plan.may_repeat[mix],
+            CallOutcome::Refused => true,
+            CallOutcome::Failed | CallOutcome::Lost => {
+                !self.repeats_by_class || self.plan.may_repeat[mix]
+            }
             _ => false,
         }
     }
--- a/crates/testbed/src/measure/reconnect.rs
+++ b/crates/testbed/src/measure/reconnect.rs
@@ -1,9 +1,9 @@
 //! Many clients lose their gateway at once. Each is a core of the client library of its own, or a naive one that connects
 //! again every 10 ms; all of them share one loop, so that thousands fit into one process. Those that are back call on.
 
-use crate::parts::plot::{self, Curve};
-use crate::parts::process::Program;
-use crate::parts::script::Act;
+use crate::common::plot::{self, Curve};
+use crate::common::process::Program;
+use crate::common::script::ScriptAction;
 use crate::rig::demo;
 use crate::rig::fleet::{any, Fleet};
 use anyhow::{bail, Context};
@@ -130,7 +130,7 @@
     fn wake_at(&mut self, at: u64, i: usize) {
         self.next += 1;
         self.due.insert(self.next, i);
-        self.engine.timer(at, self.next);
+        self.engine.set_timer(at, self.next);
     }
 
     fn connect(&mut self, i: usize) {
@@ -176,7 +176,11 @@
                         );
                     }
                 }
-                NetEvent::Closed { conn, reached, .. } => {
+                NetEvent::Closed {
+                    conn,
+                    was_established: reached,
+                    ..
+                } => {
                     let Some(i) = self.conns.remove(&conn) else {
                         continue;
                     };
@@ -192,12 +196,12 @@
                     None => {}
                 },
                 NetEvent::Data { stream, data } => self.engine.consume(stream, data.len()),
-                NetEvent::Head {
+                NetEvent::ResponseHead {
                     stream,
                     head,
-                    ended: true,
+                    is_end_stream: true,
                 } => self.answered(stream, &head.headers),
-                NetEvent::End { stream, trailers } => {
+                NetEvent::StreamEnded { stream, trailers } => {
                     self.answered(stream, &trailers.unwrap_or_default())
                 }
                 _ => {}
@@ -217,13 +221,13 @@
             return Ok(());
         };
         calls.due = now + CALLS;
-        let mut head =
-            grpc::request(&self.address.to_string(), "/farm.v1.Farm/View").context("a head")?;
+        let mut head = grpc::request_head(&self.address.to_string(), "/farm.v1.Farm/View")
+            .context("a head")?;
         head.headers_mut()
             .insert("x-customer", http::HeaderValue::from_str(&customer)?);
         head.headers_mut()
-            .insert(grpc::TIMEOUT, grpc::timeout(2_000_000));
-        let Some(stream) = self.engine.open(*conn, head, false) else {
+            .insert(grpc::TIMEOUT, grpc::encode_timeout(2_000_000));
+        let Some(stream) = self.engine.open_stream(*conn, head, false) else {
             return Ok(());
         };
         self.engine.send(stream, grpc::frame(b"a field"));
@@ -288,7 +292,7 @@
         curve("library", play(program, args, false)?),
         curve("naive, every 10 ms", play(program, args, true)?),
     ];
-    plot::curves(svg, "connects begun in 100 ms after the loss", &curves)
+    plot::write_chart(svg, "connects begun in 100 ms after the loss", &curves)
 }
 
 fn play(program: &Program, args: &ReconnectArgs, naive: bool) -> anyhow::Result<Begun> {
@@ -299,14 +303,14 @@
     let mut crowd = Crowd::new(args, address, naive)?;
     crowd.start();
     crowd.until("the first connections", 60.0, |c| c.up == c.cores.len())?;
-    fleet.act(&Act::KillGateway(0), None)?;
+    fleet.act(&ScriptAction::KillGateway(0), None)?;
     let lost = crowd.engine.now();
     crowd.lost_at = Some(lost);
     let back = lost + (args.away * 1e6) as u64;
     while crowd.engine.now() < back {
         crowd.turn()?;
     }
-    fleet.act(&Act::StartGateway(0), None)?;
+    fleet.act(&ScriptAction::StartGateway(0), None)?;
     let started = crowd.engine.now();
     crowd.calls = Some(Calls {
         due: 0,
--- a/crates/testbed/src/rig/links/command.rs
+++ b/crates/testbed/src/rig/links/command.rs
@@ -1,7 +1,7 @@
 //! The relay as a part of a day, with its control port.
 
-use crate::parts::control;
-use crate::parts::process::begin;
+use crate::common::control;
+use crate::common::process::init_process;
 use crate::rig::links::faults::Word;
 use crate::rig::links::relay::{Link, Relay, Wire};
 use anyhow::{bail, Context};
@@ -53,8 +53,8 @@
 
 /// Runs a relay until it is stopped.
 pub fn command(args: &LinksArgs) -> anyhow::Result<()> {
-    begin(args.with_parent);
-    let signals = Signals::take()?;
+    init_process(args.with_parent);
+    let signals = Signals::install()?;
     let links = args
         .links
         .iter()
@@ -76,7 +76,7 @@
 
 fn run(relay: &mut Relay, words: &Receiver<Asked>, signals: &Signals) -> anyhow::Result<()> {
     let mut events = mio::Events::with_capacity(1_024);
-    while !signals.stop() {
+    while !signals.is_stop_requested() {
         relay.turn(&mut events, Duration::from_millis(100))?;
         for (word, answer) in words.try_iter() {
             // Who asked may have gone away.
@@ -104,7 +104,7 @@
         .is_some_and(|line| !line.is_empty())
     {}
     let target = first.split_whitespace().nth(1).unwrap_or("/");
-    let (status, body) = match Word::read(&control::parse(target).1) {
+    let (status, body) = match Word::read(&control::parse_target(target).1) {
         Err(what) => ("400 Bad Request", what),
         Ok(word) => {
             let (sender, done) = channel();
