--- a/crates/testbed/src/common/script.rs
+++ b/crates/testbed/src/common/script.rs
@@ -111,9 +111,9 @@
 /// Moves actions that are due after the end of the load to its end, so that every fault is reverted. Drops commands to the
 /// load from 100 ms before its end on, when the load no longer takes them.
 pub fn clip_to_duration(actions: Vec<TimedAction>, end_ms: u32) -> Vec<TimedAction> {
-    let late_for_load =
+    let is_too_late_for_load =
         |a: &TimedAction| a.at_ms + 100 >= end_ms && matches!(a.action, ScriptAction::Load(_));
-    let kept = actions.into_iter().filter(|a| !late_for_load(a));
+    let kept = actions.into_iter().filter(|a| !is_too_late_for_load(a));
     kept.map(|a| TimedAction {
         at_ms: a.at_ms.min(end_ms),
         action: a.action,
@@ -152,7 +152,7 @@
             .map(move |k| k * servers / count)
             .collect::<Vec<_>>()
     };
-    let on_affected = |on: &str, off: &str| {
+    let on_affected_servers = |on: &str, off: &str| {
         let each = |i: usize| {
             both(
                 ScriptAction::Server(i, on.to_string()),
@@ -231,11 +231,11 @@
                 ScriptAction::Server(server, "silent=0".into()),
             )
         }
-        "fast_errors" => on_affected(
+        "fast_errors" => on_affected_servers(
             &format!("errors=0.5&errors_path={}", t.target),
             "errors=0&errors_path=",
         ),
-        "class_fail" => on_affected(
+        "class_fail" => on_affected_servers(
             &format!("errors=1&errors_path={}", t.target),
             "errors=0&errors_path=",
         ),
