--- a/crates/testbed/src/stand_ins/farm.rs
+++ b/crates/testbed/src/stand_ins/farm.rs
@@ -1,5 +1,4 @@
-//! Stand-ins for the endpoints (farm servers) of one cell: several servers in one process, which share the idempotency
-//! keys that they have seen.
+//! Stand-ins for the endpoints (farm servers) of one cell, in one process with a common set of idempotency keys.
 
 use crate::common::control;
 use crate::common::event_log::{Entry, EventLog};
@@ -49,7 +48,6 @@
     pub spec: ServerSpec,
     /// What calls cost, by path.
     pub work: Vec<Work>,
-    /// The most connections to a server.
     pub connections: usize,
     /// How long a repeated key counts as a duplicate, in microseconds.
     pub key_window_us: u64,
@@ -84,14 +82,13 @@
     key: String,
     work: Work,
     /// Identifies the call in the server's model.
-    model_id: u64,
+    job_id: u64,
     /// Messages of a streamed response that are still to be sent.
     messages_left: u32,
     is_running: bool,
 }
 
 enum TimerEvent {
-    /// The call's work is done.
     Done(StreamId),
     /// The next message of a streamed response is due.
     Message(StreamId),
@@ -108,7 +105,7 @@
     listener_of: HashMap<ListenerId, usize>,
     conns: HashMap<ConnId, usize>,
     calls: HashMap<StreamId, Call>,
-    stream_by_model_id: HashMap<u64, StreamId>,
+    stream_by_job: HashMap<u64, StreamId>,
     timers: HashMap<u64, TimerEvent>,
     /// The last id that was assigned to a timer or to a call in a model.
     last_id: u64,
@@ -165,7 +162,7 @@
             listener_of,
             conns: HashMap::new(),
             calls: HashMap::new(),
-            stream_by_model_id: HashMap::new(),
+            stream_by_job: HashMap::new(),
             timers: HashMap::new(),
             last_id: 0,
             seen_keys: HashMap::new(),
@@ -272,11 +269,11 @@
             return self.reply(server, &id, stream, Code::Unavailable, false);
         }
         self.last_id += 1;
-        let model_id = self.last_id;
+        let job_id = self.last_id;
         let duration_ms = work.min_ms + (work.max_ms - work.min_ms).max(0.0) * self.rng.f64();
         let admission = self.servers[server]
             .model
-            .arrive(t, model_id, (duration_ms * 1e3) as u64);
+            .arrive(t, job_id, (duration_ms * 1e3) as u64);
         match admission {
             Admission::QueueFull => return self.reject_unprocessed(server, &id, stream),
             Admission::Collapsed => return self.on_collapse(server),
@@ -290,12 +287,12 @@
                 id,
                 key,
                 work,
-                model_id,
+                job_id,
                 messages_left,
                 is_running: false,
             },
         );
-        self.stream_by_model_id.insert(model_id, stream);
+        self.stream_by_job.insert(job_id, stream);
         if let Admission::Started(duration_us) = admission {
             self.start_work(stream, duration_us);
         }
@@ -329,14 +326,14 @@
         self.schedule(duration_us, TimerEvent::Done(stream));
     }
 
-    fn finish_work(&mut self, server: usize, model_id: u64, is_cancelled: bool) {
-        self.stream_by_model_id.remove(&model_id);
+    fn finish_work(&mut self, server: usize, job_id: u64, is_cancelled: bool) {
+        self.stream_by_job.remove(&job_id);
         if let Some((next, duration_us)) =
             self.servers[server]
                 .model
-                .finish(monotonic(), model_id, is_cancelled)
+                .finish(monotonic(), job_id, is_cancelled)
         {
-            if let Some(&stream) = self.stream_by_model_id.get(&next) {
+            if let Some(&stream) = self.stream_by_job.get(&next) {
                 self.start_work(stream, duration_us);
             }
         }
@@ -347,12 +344,8 @@
         let Some(call) = self.calls.get(&stream) else {
             return;
         };
-        let (server, model_id, id, key) = (
-            call.server,
-            call.model_id,
-            call.id.clone(),
-            call.key.clone(),
-        );
+        let (server, job_id, id, key) =
+            (call.server, call.job_id, call.id.clone(), call.key.clone());
         let name = self.servers[server].name.clone();
         if self.seen_keys.len() >= KEY_CLEANUP_THRESHOLD {
             let window = self.config.key_window_us;
@@ -373,7 +366,7 @@
             key,
             effect: !is_duplicate,
         });
-        self.finish_work(server, model_id, false);
+        self.finish_work(server, job_id, false);
         if self.servers[server].has_collapsed
             || self.servers[server].faults.silent
             || !self.engine.is_open(stream)
@@ -420,22 +413,20 @@
         let Some(call) = self.calls.get(&stream) else {
             return;
         };
-        let (server, model_id, id, is_running) =
-            (call.server, call.model_id, call.id.clone(), call.is_running);
+        let (server, job_id, id, is_running) =
+            (call.server, call.job_id, call.id.clone(), call.is_running);
         self.log.append(&Entry::Cancel {
             t: monotonic(),
             server: self.servers[server].name.clone(),
             id,
         });
         // A call that runs to its end is removed when its timer fires.
-        if is_running
-            && self.config.spec.finishes_cancelled
-            && call.messages_left == call.work.messages
+        if is_running && self.config.spec.ignores_cancel && call.messages_left == call.work.messages
         {
             return;
         }
         self.calls.remove(&stream);
-        self.finish_work(server, model_id, true);
+        self.finish_work(server, job_id, true);
     }
 
     fn reject_unprocessed(&mut self, server: usize, id: &str, stream: StreamId) {
@@ -570,7 +561,7 @@
         },
         overload_multiple: start.fall_multiple,
         overload_duration_us: u64::from(start.tip_after_ms) * 1_000,
-        finishes_cancelled: farm.runs_on,
+        ignores_cancel: farm.runs_on,
     };
     let connections = if farm.connections == 0 {
         1024
--- a/crates/testbed/src/stand_ins/server_model.rs
+++ b/crates/testbed/src/stand_ins/server_model.rs
@@ -19,7 +19,7 @@
     /// Length of that window, in microseconds.
     pub overload_duration_us: u64,
     /// Calls that have started run to their end although they are cancelled.
-    pub finishes_cancelled: bool,
+    pub ignores_cancel: bool,
 }
 
 /// Result of the arrival of a call.
@@ -98,7 +98,7 @@
             return None;
         }
         let index = self.running.iter().position(|r| *r == id)?;
-        if is_cancelled && self.spec.finishes_cancelled {
+        if is_cancelled && self.spec.ignores_cancel {
             return None;
         }
         self.running.swap_remove(index);
--- a/crates/testbed/src/stand_ins/server_model/tests.rs
+++ b/crates/testbed/src/stand_ins/server_model/tests.rs
@@ -10,7 +10,7 @@
         slow_start_us: 10_000_000,
         overload_multiple: 2.0,
         overload_duration_us: 1_000_000,
-        finishes_cancelled: false,
+        ignores_cancel: false,
     }
 }
 
