--- a/crates/grpc-gateway/src/attempt_outcome.rs
+++ b/crates/grpc-gateway/src/attempt_outcome.rs
@@ -1,4 +1,4 @@
-//! Translates the end of an attempt on the wire into an [`Outcome`] for the decisions.
+//! Translates the end of an attempt on the wire into an [`Outcome`] for the decision engine.
 
 use chalkdeck::api::Outcome;
 use chalkdeck_net::grpc::{Code, UNPROCESSED};
--- a/crates/grpc-gateway/src/base/errors.rs
+++ b/crates/grpc-gateway/src/base/errors.rs
@@ -30,7 +30,7 @@
         /// The error of the operating system.
         source: io::Error,
     },
-    /// The settings violate a bound of the decisions.
+    /// The settings violate a bound of the decision engine.
     #[error("{0}")]
     #[diagnostic(
         code(chalkdeck::gateway::decisions),
--- a/crates/grpc-gateway/src/base/listed_endpoint.rs
+++ b/crates/grpc-gateway/src/base/listed_endpoint.rs
@@ -3,7 +3,7 @@
 use chalkdeck::api::{EndpointEntry, ZoneId};
 use std::net::SocketAddr;
 
-/// One endpoint: where this gateway reaches it, and its entry for the decisions.
+/// One endpoint: where this gateway reaches it, and its entry for the decision engine.
 #[derive(Debug, Clone)]
 pub struct ListedEndpoint {
     /// The address that the gateway connects to.
@@ -12,7 +12,7 @@
     pub zone_name: String,
     /// The service and version that it serves, separated by a space; `None`: the list names none.
     pub contract: Option<String>,
-    /// The entry that the decisions receive.
+    /// The entry that the decision engine receives.
     pub entry: EndpointEntry,
 }
 
--- a/crates/grpc-gateway/src/base/settings.rs
+++ b/crates/grpc-gateway/src/base/settings.rs
@@ -44,7 +44,7 @@
     pub class: usize,
     /// The lease of an admitted request that names none, in microseconds.
     pub default_lease: u64,
-    /// The most open connections.
+    /// The maximum number of open connections.
     pub max_connections: usize,
 }
 
@@ -74,7 +74,7 @@
 /// The validated settings of a gateway.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// The settings of the decisions.
+    /// The settings of the decision engine.
     pub policy: api::Settings,
     /// The address that accepts calls.
     pub listen: SocketAddr,
@@ -98,7 +98,7 @@
     pub customer_gateways: u32,
     /// The RESP port; `None`: there is none.
     pub resp: Option<RespSettings>,
-    /// The fair admission queue; `None`: requests reach the decisions in order of arrival.
+    /// The fair admission queue; `None`: requests reach the decision engine in order of arrival.
     pub admission_queue: Option<chalkdeck_admission_queue::Settings>,
     /// Whether zones are monitored as sites, and load of a lost one fails over to the others.
     pub is_site_failover_enabled: bool,
@@ -118,13 +118,13 @@
     pub endpoint_poll_interval: u64,
     /// The time-out of establishing a connection to an endpoint, in microseconds.
     pub connect_timeout: u64,
-    /// The most connections to one endpoint.
+    /// The maximum number of connections to one endpoint.
     pub max_connections_per_endpoint: usize,
-    /// The most concurrent calls on one connection to an endpoint.
+    /// The maximum number of concurrent calls on one connection to an endpoint.
     pub max_streams_per_connection: u32,
     /// The interval of HTTP/2 pings on connections to endpoints, in microseconds.
     pub keepalive_interval: u64,
-    /// The most bytes that are buffered of a request, for a retry, and of a unary response, until it ends.
+    /// The maximum number of bytes that are buffered of a request, for retries, and of a unary response, until it ends.
     pub max_buffered_bytes: usize,
     /// The limits of clients' connections.
     pub client_limits: Limits,
--- a/crates/grpc-gateway/src/call_flow/accept.rs
+++ b/crates/grpc-gateway/src/call_flow/accept.rs
@@ -51,7 +51,7 @@
         self.enqueue_request(request);
     }
 
-    /// Answers an invalid call without passing it to the decisions.
+    /// Answers an invalid call without passing it to the decision engine.
     fn reject_invalid(&mut self, stream: StreamId, id: RequestId, invalid: &InvalidCall) {
         tracing::info!(call = id.0, kind = invalid.kind, reason = %invalid.reason, "call rejected as invalid");
         self.metrics.input_rejected(invalid.kind);
--- a/crates/grpc-gateway/src/call_flow/attempts.rs
+++ b/crates/grpc-gateway/src/call_flow/attempts.rs
@@ -35,7 +35,7 @@
         call.response = ResponseState::Pending;
         let call_deadline = call.request.deadline.as_micros();
         tracing::debug!(call = id.0, attempt = attempt.number, endpoint = ?self.endpoint_connections.address(endpoint), "attempt forwarded");
-        // At the call's deadline the decisions end the call and its attempt.
+        // At the call's deadline the decision engine ends the call and its attempt.
         if deadline < call_deadline {
             self.set_timer(
                 deadline.saturating_sub(now),
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Injected fault: forwards a rejected call, in violation of the fifth safety rule. The decisions no longer know the call; any
-    /// answer of the endpoint is forwarded to the client. Returns false if the call cannot be forwarded.
+    /// Injected fault: forwards a rejected call, in violation of the fifth safety rule. The decision engine no longer knows the
+    /// call; any answer of the endpoint is forwarded to the client. Returns false if the call cannot be forwarded.
     pub(super) fn send_rejected(&mut self, id: RequestId) -> bool {
         let Some(endpoint) = self.endpoint_connections.first_endpoint() else {
             return false;
--- a/crates/grpc-gateway/src/call_flow/cancellation.rs
+++ b/crates/grpc-gateway/src/call_flow/cancellation.rs
@@ -51,8 +51,8 @@
         self.complete_for_client(id, CallEnd::Cancelled, streaming_attempt);
     }
 
-    /// Completes a call on the client's side. The decisions cancel the attempts of a call whose response has not started; the attempt
-    /// of one that streams is cancelled here.
+    /// Completes a call on the client's side. The decision engine cancels the attempts of a call whose response has not started;
+    /// the attempt of a call whose response is streaming is cancelled here.
     fn complete_for_client(
         &mut self,
         id: RequestId,
--- a/crates/grpc-gateway/src/call_flow/events.rs
+++ b/crates/grpc-gateway/src/call_flow/events.rs
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Handles bytes that were sent on a stream: returns the window of the stream that they were received on.
+    /// Handles bytes that were sent on a stream: returns their flow-control window to the stream on which they were received.
     pub(crate) fn on_bytes_sent(&mut self, stream: StreamId, bytes: usize) {
         if let Some(id) = self.calls.id_of_attempt_stream(stream) {
             return self.on_request_sent(id, bytes);
--- a/crates/grpc-gateway/src/call_flow/responses.rs
+++ b/crates/grpc-gateway/src/call_flow/responses.rs
@@ -29,7 +29,7 @@
 }
 
 impl GatewayServer {
-    /// Answers a call that the decisions reject. `retry_after`: the time in microseconds after which the client may retry.
+    /// Answers a call that the decision engine rejects. `retry_after`: the time in microseconds after which the client may retry.
     pub(crate) fn reject_call(&mut self, id: RequestId, retry_after: Option<u64>) {
         if self.reject_resp_request(id, retry_after) {
             return;
@@ -46,7 +46,7 @@
         self.answer(id, grpc::trailers_only(trailers), CallEnd::Rejected);
     }
 
-    /// Answers a call that the decisions fail.
+    /// Answers a call that the decision engine fails.
     pub(crate) fn fail_call(&mut self, id: RequestId) {
         let now = self.engine.now();
         let tolerance =
@@ -118,7 +118,7 @@
         self.decisions.push(Event::ResponseStarted(id));
         // The admission queue limits calls that end soon; a stream may last long and is not counted.
         self.release_from_queue(id);
-        // The decisions track no deadline for a started response; only the client's own applies.
+        // The decision engine tracks no deadline for a started response; only the client's own applies.
         let remaining = call_deadline.saturating_sub(self.engine.now());
         self.set_timer(remaining, TimerPurpose::ClientDeadline(id));
     }
@@ -163,7 +163,7 @@
         self.end_attempt(id, outcome, true);
     }
 
-    /// Ends an attempt without an answer for the client. The decisions choose whether to retry, reject or fail the call.
+    /// Ends an attempt without an answer for the client. The decision engine decides whether to retry, reject or fail the call.
     pub(super) fn end_without_answer(&mut self, id: AttemptId, outcome: Outcome, message: String) {
         if let Some(call) = self.calls.get(id.call) {
             call.endpoint_message = Some(message).filter(|message| !message.is_empty());
--- a/crates/grpc-gateway/src/coordinator_link/mod.rs
+++ b/crates/grpc-gateway/src/coordinator_link/mod.rs
@@ -42,7 +42,7 @@
     listed_endpoints: Vec<ListedEndpoint>,
     /// Addresses of endpoints whose contract version was not admitted.
     held_back_addresses: Vec<String>,
-    /// No endpoint in service has an admitted contract version, so all are used.
+    /// Whether no endpoint in service has an admitted contract version, so that all are used.
     is_last_resort: bool,
 }
 
--- a/crates/grpc-gateway/src/coordinator_link/status.rs
+++ b/crates/grpc-gateway/src/coordinator_link/status.rs
@@ -6,7 +6,7 @@
 use chalkdeck_time::Timestamp;
 use serde::{Deserialize, Serialize};
 
-/// The most rule sets that a status lists.
+/// The maximum number of rule sets that a status lists.
 const MAX_LISTED_RULE_SETS: usize = 1_000;
 
 /// The status of a gateway's link to the coordinator.
--- a/crates/grpc-gateway/src/counter_client/partition.rs
+++ b/crates/grpc-gateway/src/counter_client/partition.rs
@@ -17,7 +17,7 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// The most calls that may be open at once; further ones end as never sent.
+/// The maximum number of open calls; further ones end as never sent.
 const MAX_OPEN_CALLS: usize = 10_000;
 /// The longest response that is accepted.
 const MAX_RESPONSE_BYTES: usize = 1_024;
--- a/crates/grpc-gateway/src/endpoint_connections.rs
+++ b/crates/grpc-gateway/src/endpoint_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to the endpoints. The decisions choose the endpoint; this module finds or starts a connection to it.
+//! Connections to the endpoints. The decision engine chooses the endpoint; this module finds or starts a connection to it.
 //!
 //! Limits: `max_connections_per_endpoint` connections to each endpoint, `max_streams_per_connection` calls on each connection, and
 //! as many that wait for a connection to be established.
--- a/crates/grpc-gateway/src/endpoints.rs
+++ b/crates/grpc-gateway/src/endpoints.rs
@@ -24,11 +24,11 @@
 
 /// The full name of the protobuf message.
 pub const MESSAGE: &str = "envoy.config.endpoint.v3.ClusterLoadAssignment";
-/// The most endpoints on a list.
+/// The maximum number of endpoints on a list.
 const MAX_ENDPOINTS: usize = 10_000;
 /// The key of chalkdeck's metadata.
 const METADATA_KEY: &str = "chalkdeck";
-/// Later times (this one is in the year 33658) are taken for a wrong unit and rejected.
+/// Later times are rejected, as they are probably in another unit than milliseconds; this one is in the year 33658.
 const MAX_UNIX_MILLIS: f64 = 1e15;
 const MICROS_PER_MILLI: f64 = 1e3;
 /// File name extensions of the text format; other files are binary.
--- a/crates/grpc-gateway/src/gateway_server/counter_calls.rs
+++ b/crates/grpc-gateway/src/gateway_server/counter_calls.rs
@@ -1,4 +1,4 @@
-//! Sends the decisions' increments to the shared counter and passes the results back.
+//! Sends the decision engine's increments to the shared counter and passes the results back.
 
 use super::{GatewayServer, TimerPurpose};
 use crate::counter_client::{CounterClient, CounterResult, Increment, StateChange};
@@ -45,7 +45,7 @@
         self.on_counter_results(results);
     }
 
-    /// Passes the results of counter calls to the metrics, the sites and the decisions.
+    /// Passes the results of counter calls to the metrics, the sites and the decision engine.
     pub(crate) fn on_counter_results(&mut self, results: Vec<CounterResult>) {
         self.report_counter_state_changes();
         self.report_counter_results(&results);
--- a/crates/grpc-gateway/src/gateway_server/endpoint_list.rs
+++ b/crates/grpc-gateway/src/gateway_server/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Reads the endpoint list when its file changes and passes it to the connections, the sites and the decisions.
+//! Reads the endpoint list when its file changes and passes it to the connections, the sites and the decision engine.
 
 use super::{GatewayServer, TimerPurpose};
 use crate::endpoints::{self, EndpointListError, ListedEndpoint};
--- a/crates/grpc-gateway/src/gateway_server/event_loop.rs
+++ b/crates/grpc-gateway/src/gateway_server/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: waits for socket events, dispatches them to their handlers, and executes the actions of the decisions.
+//! The event loop: waits for socket events, dispatches them to their handlers, and executes the actions of the decision engine.
 
 use super::{GatewayServer, TimerPurpose};
 use crate::endpoint_connections::AttemptId;
@@ -11,7 +11,8 @@
 pub(super) const MAX_WAIT_MICROS: u64 = 100_000;
 
 impl GatewayServer {
-    /// Serves calls until a signal requests a shutdown and the shutdown is complete. It takes at most the longest deadline of a class.
+    /// Serves calls until a signal requests a shutdown and the shutdown is complete. A shutdown takes at most the longest deadline
+    /// of a class.
     ///
     /// # Errors
     /// The system call that waits for events failed.
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Passes pending events to the decisions and executes their actions until there are no more.
+    /// Passes pending events to the decision engine and executes its actions until there are no more.
     pub(super) fn run_decisions(&mut self) {
         while let Some(action) = self.decisions.next_action(self.now()) {
             self.run_action(&action);
--- a/crates/grpc-gateway/src/gateway_server/mod.rs
+++ b/crates/grpc-gateway/src/gateway_server/mod.rs
@@ -1,6 +1,8 @@
-//! A gateway on real sockets: it passes events to the decisions and executes the resulting actions. All sending, rejecting, failing,
-//! retrying and cancelling of calls is decided there, with one exception: when the client's own deadline passes after a response
-//! has started, the gateway treats it as a cancellation by the client.
+//! A gateway on real sockets: it passes events to the decision engine and executes the resulting actions. The engine decides
+//! whether a call is sent, retried, rejected, failed or cancelled. The gateway itself rejects only invalid calls, calls that access
+//! rules deny and calls that the admission queue rejects. It aborts open calls if the client's own deadline passes after the
+//! response has started, if a change of the access rules denies a stream, or at the end of a shutdown, and reports these to the
+//! engine as cancelled by the client.
 
 mod admin;
 mod counter_calls;
--- a/crates/grpc-gateway/src/gateway_server/reload.rs
+++ b/crates/grpc-gateway/src/gateway_server/reload.rs
@@ -37,7 +37,7 @@
 
 /// Whether the settings differ in a field that can't change without a restart.
 fn needs_restart(old: &Settings, new: &Settings) -> bool {
-    // The settings of the decisions don't implement `PartialEq`; their debug output contains every field.
+    // The settings of the decision engine don't implement `PartialEq`; their debug output contains every field.
     format!("{:?}", old.policy) != format!("{:?}", new.policy)
         || old.listen != new.listen
         || old.admin != new.admin
--- a/crates/grpc-gateway/src/gateway_server/startup.rs
+++ b/crates/grpc-gateway/src/gateway_server/startup.rs
@@ -19,8 +19,8 @@
 use std::path::PathBuf;
 
 impl GatewayServer {
-    /// Binds the sockets and reads the endpoint list. `settings_file`: the file that a reload reads. `seed`: seeds the random choices
-    /// of the decisions. `shared`: other instances listen at the same addresses.
+    /// Binds the sockets and reads the endpoint list. `settings_file`: the file that a reload reads. `seed`: the seed of the
+    /// decision engine's random numbers. `shared`: other instances listen at the same addresses.
     ///
     /// # Errors
     /// See [`StartError`].
--- a/crates/grpc-gateway/src/gateway_server/timers.rs
+++ b/crates/grpc-gateway/src/gateway_server/timers.rs
@@ -8,7 +8,7 @@
 /// The purpose of a timer.
 #[derive(Clone, Copy)]
 pub(crate) enum TimerPurpose {
-    /// A timer that the decisions have set.
+    /// A timer that the decision engine has set.
     Decision(TimerId),
     AttemptTimeout(AttemptId),
     /// The lease of a RESP client on an admitted request expires.
@@ -27,7 +27,7 @@
 }
 
 impl GatewayServer {
-    /// The time of the loop's clock, in the type that the decisions use.
+    /// The time of the loop's clock, in the type that the decision engine uses.
     pub(crate) fn now(&self) -> Timestamp {
         Timestamp::from_micros(self.engine.now())
     }
--- a/crates/grpc-gateway/src/lib.rs
+++ b/crates/grpc-gateway/src/lib.rs
@@ -1,7 +1,7 @@
 //! The gRPC gateway as a library: its settings, the server that forwards calls, and its RESP port.
 //!
-//! The package `chalkdeck` makes the decisions. This package translates what happens on sockets into its events and executes its
-//! actions.
+//! The decision engine of the package `chalkdeck` decides what happens to each call. This package translates socket events into
+//! events of the engine and executes the engine's actions.
 #![forbid(unsafe_code)]
 
 mod attempt_outcome;
--- a/crates/grpc-gateway/src/relay.rs
+++ b/crates/grpc-gateway/src/relay.rs
@@ -1,4 +1,4 @@
-//! A plain gRPC proxy on the same event loop, without the decisions: the baseline for measuring their cost.
+//! A plain gRPC proxy on the same event loop, without the decision engine: the baseline for measuring the engine's cost.
 
 use bytes::Bytes;
 use chalkdeck_net::grpc::{self, Code};
--- a/crates/grpc-gateway/src/request_queue.rs
+++ b/crates/grpc-gateway/src/request_queue.rs
@@ -1,4 +1,4 @@
-//! Passes requests through the fair admission queue to the decisions.
+//! Passes requests through the fair admission queue to the decision engine.
 
 use crate::gateway_server::GatewayServer;
 use chalkdeck::api::{Event, IncomingRequest, RequestId, TimeDelta, Timestamp};
@@ -25,7 +25,7 @@
 }
 
 impl GatewayServer {
-    /// Adds a request to the queue; without a queue it goes to the decisions at once.
+    /// Adds a request to the queue; without a queue it goes to the decision engine at once.
     pub(crate) fn enqueue_request(&mut self, request: IncomingRequest) {
         self.report_request_offered(&request);
         if self.request_queue.is_none() {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The request in the form that the queue takes.
+    /// The form of the request that the queue accepts.
     fn queue_request(&self, now: Timestamp, request: &IncomingRequest) -> admission_queue::Request {
         let quota = self
             .decisions
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Passes the requests that the queue admits in this turn to the decisions.
+    /// Passes the requests that the queue admits in this turn to the decision engine.
     pub(crate) fn admit_queued_requests(&mut self) {
         let now = self.now();
         let Some(requests) = &mut self.request_queue else {
--- a/crates/grpc-gateway/src/resp/mod.rs
+++ b/crates/grpc-gateway/src/resp/mod.rs
@@ -1,5 +1,6 @@
-//! The RESP port: programs that are not gRPC clients request admission over the Redis protocol. The decisions admit or reject such
-//! a request like a call, but the caller does the admitted work itself. A customer has one quota for RESP and gRPC together.
+//! The RESP port: programs that are not gRPC clients request admission over the Redis protocol. The decision engine admits or
+//! rejects such a request like a call, but the caller does the admitted work itself. A customer has one quota for RESP and gRPC
+//! together.
 
 mod command;
 mod reply;
@@ -18,29 +19,29 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Commands of one connection whose replies are pending; at this number reading is paused.
+/// The number of commands with pending replies on one connection at which reading is paused.
 const MAX_PENDING_COMMANDS: usize = 1_024;
-/// Reply bytes that a client may leave unread; beyond this reading is paused.
+/// The number of reply bytes not accepted by a client above which reading from it is paused.
 const MAX_UNSENT_BYTES: usize = 256 << 10;
-/// A client that sends nothing for so long within a command, or while it leaves too many replies unread, is closed.
+/// A connection is closed if its client sends nothing for this time within a command, or while too many of its replies are unread.
 const STALL_TIMEOUT_MICROS: u64 = 30_000_000;
-/// The most tickets that one connection may hold.
+/// The maximum number of tickets that one connection may hold.
 const MAX_TICKETS_PER_CONNECTION: usize = 10_000;
 
-/// A request that was passed to the decisions and is not decided yet.
+/// A request that was passed to the decision engine, which has not decided it yet.
 struct PendingRequest {
     conn: ConnId,
     slot: ReplySlot,
     customer: CustomerId,
     plan: PlanId,
-    /// For how long it gets a ticket if it is admitted, in microseconds; `None`: it gets no ticket.
+    /// The lease of its ticket if it is admitted, in microseconds; `None`: it gets no ticket.
     lease: Option<u64>,
 }
 
-/// The right of a caller to an admitted request, until it is returned or its lease expires.
+/// An admitted request that its caller holds until it returns the ticket or the lease expires.
 struct Ticket {
     conn: ConnId,
-    /// A random part of the ticket's text, against guessed tickets.
+    /// A random part of the ticket's text, so that tickets cannot be guessed.
     secret: u32,
 }
 
@@ -110,7 +111,7 @@
         self.resp.as_ref().map(|resp| resp.address)
     }
 
-    /// A connection was accepted. One of the RESP port gets a session.
+    /// A connection was accepted. It gets a session if it is one to the RESP port.
     pub(crate) fn on_resp_accepted(&mut self, listener: ListenerId, conn: ConnId) {
         if let Some(resp) = self.resp.as_mut().filter(|resp| resp.listener == listener) {
             resp.sessions.insert(conn, Session::default());
@@ -226,8 +227,8 @@
         }
     }
 
-    /// Passes a request for admission to the queue and the decisions, or replies with an error at once. A `lease`, in microseconds,
-    /// requests a ticket. Access rules apply to the command by its `path`.
+    /// Passes a request for admission to the queue and the decision engine, or replies with an error at once. A `lease`, in
+    /// microseconds, requests a ticket. Access rules apply to the command by its `path`.
     fn submit_resp_request(
         &mut self,
         conn: ConnId,
@@ -296,7 +297,7 @@
         });
     }
 
-    /// Answers a request that the decisions admit.
+    /// Answers a request that the decision engine admits.
     pub(crate) fn grant_resp_request(&mut self, id: RequestId) {
         let now = Timestamp::from_micros(self.engine.now());
         self.release_from_queue(id);
@@ -344,8 +345,8 @@
         self.fill_resp_reply(&request, Reply::Array(reply));
     }
 
-    /// Answers a request that the decisions reject; returns whether it came over RESP. `retry_after` is in microseconds; `None`:
-    /// the time until the quota is fully available again.
+    /// Answers a request that the decision engine rejects; returns whether it came over RESP. `retry_after` is in microseconds;
+    /// `None`: the time until the quota is fully available again.
     pub(crate) fn reject_resp_request(&mut self, id: RequestId, retry_after: Option<u64>) -> bool {
         let now = Timestamp::from_micros(self.engine.now());
         let Some(request) = self
--- a/crates/grpc-gateway/src/resp/session.rs
+++ b/crates/grpc-gateway/src/resp/session.rs
@@ -11,15 +11,15 @@
 pub(crate) struct Session {
     /// Bytes received and not parsed yet.
     pub(crate) bytes: BytesMut,
-    /// Reading is paused; `bytes` may still hold whole commands.
+    /// Whether reading is paused; `bytes` may still contain complete commands.
     pub(crate) is_paused: bool,
-    /// A timer is set that resumes it in the loop's next turn.
+    /// Whether a timer is set that resumes it in the loop's next turn.
     pub(crate) is_resume_scheduled: bool,
-    /// A timer is set that checks whether the client has stalled.
+    /// Whether a timer is set that checks whether the client has stalled.
     pub(crate) is_stall_check_scheduled: bool,
     /// When bytes were last received, by the loop's clock in microseconds.
     pub(crate) last_received: u64,
-    /// No further command is read: a protocol error was reported, or the client sent `QUIT`.
+    /// Whether no more commands are read, because of a protocol error or `QUIT`.
     pub(crate) is_read_closed: bool,
     /// The number of tickets that it holds.
     pub(crate) ticket_count: usize,
--- a/crates/grpc-gateway/src/settings.rs
+++ b/crates/grpc-gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! Loads the settings of a gateway from protobuf text, validates them and converts them to the settings of the decisions.
+//! Loads the settings of a gateway from protobuf text, validates them and converts them to the settings of the decision engine.
 
 use crate::base::listed_endpoint::zone_id_of;
 pub use crate::base::settings::{
@@ -494,7 +494,7 @@
     }
 }
 
-/// The settings of the decisions.
+/// The settings of the decision engine.
 fn policy_settings(
     wire: &wire::Gateway,
     classes: Vec<api::Class>,
--- a/crates/grpc-gateway/src/site_overrides.rs
+++ b/crates/grpc-gateway/src/site_overrides.rs
@@ -9,7 +9,7 @@
 
 /// The name of the message type in the file.
 const MESSAGE_NAME: &str = "chalkdeck.config.v1.HeldSites";
-/// The most sites that may be out of service by override.
+/// The maximum number of sites that may be out of service by override.
 const MAX_OUT_OF_SERVICE_SITES: usize = 256;
 /// The extension of the new file before it is renamed to the final one.
 const NEW_FILE_EXTENSION: &str = "new";
--- a/crates/grpc-gateway/src/sites/mod.rs
+++ b/crates/grpc-gateway/src/sites/mod.rs
@@ -1,5 +1,5 @@
-//! Site failover in a gateway: events of the sockets are reported to the failover core, its plan is passed to the decisions, and
-//! operators read the state of sites and override it.
+//! Site failover in a gateway: events of the sockets are reported to the failover core, its plan is passed to the decision engine,
+//! and operators read the state of sites and override it.
 
 mod admin;
 mod events;
--- a/crates/grpc-gateway/src/sites/monitor.rs
+++ b/crates/grpc-gateway/src/sites/monitor.rs
@@ -16,7 +16,7 @@
 pub(crate) struct SiteMonitor {
     core: FailoverCore,
     pub(super) site_names: BTreeMap<SiteId, String>,
-    /// The plan that was last passed to the decisions; `None`: none was.
+    /// The plan that was last passed to the decision engine; `None`: none was.
     pub(super) applied_plan: Option<FailoverPlan>,
     pub(super) overrides: SiteOverrides,
 }
--- a/crates/grpc-gateway/src/sites/plan.rs
+++ b/crates/grpc-gateway/src/sites/plan.rs
@@ -1,4 +1,4 @@
-//! Computes the failover plan at an interval and passes it to the decisions if it has changed.
+//! Computes the failover plan at an interval and passes it to the decision engine if it has changed.
 
 use super::SiteMonitor;
 use crate::gateway_server::{GatewayServer, TimerPurpose};
@@ -34,7 +34,7 @@
         self.apply_site_plan();
     }
 
-    /// Computes the plan and passes it to the decisions if it has changed.
+    /// Computes the plan and passes it to the decision engine if it has changed.
     pub(super) fn apply_site_plan(&mut self) {
         let now = self.now();
         let Some(sites) = &mut self.sites else { return };
@@ -83,7 +83,7 @@
     }
 }
 
-/// The event by which the decisions receive a plan.
+/// The event by which the decision engine receives a plan.
 fn zone_shares_changed(plan: &FailoverPlan) -> api::Event {
     let zone_share = |site_plan: &SitePlan| ZoneShare {
         zone: ZoneId(site_plan.site.0),
@@ -100,7 +100,7 @@
     }
 }
 
-/// Whether the plans differ too little for the new one to be passed to the decisions.
+/// Whether the plans differ too little for the new one to be passed to the decision engine.
 fn is_unchanged(old: &FailoverPlan, new: &FailoverPlan) -> bool {
     old.sites.len() == new.sites.len()
         && old
--- a/crates/grpc-gateway/src/sites/status.rs
+++ b/crates/grpc-gateway/src/sites/status.rs
@@ -28,10 +28,10 @@
     /// The fraction of its capacity that it is given while it recovers; 1 otherwise.
     #[serde(rename = "pace")]
     pub ramp_fraction: f64,
-    /// The attempts in flight to it.
+    /// The number of attempts in flight to it.
     #[serde(rename = "out")]
     pub in_flight: f64,
-    /// The most attempts that may be in flight to it.
+    /// The maximum number of attempts in flight to it.
     #[serde(rename = "places")]
     pub concurrency_limit: f64,
 }
--- a/crates/grpc-gateway/tests/flow.rs
+++ b/crates/grpc-gateway/tests/flow.rs
@@ -6,7 +6,7 @@
 use std::net::TcpStream;
 
 const LARGE_BODY_BYTES: usize = 50 << 20;
-/// The most that a gateway may buffer of one call: a flow-control window and a buffer on either side, and socket buffers.
+/// The maximum size that a gateway may buffer of one call: a flow-control window and a buffer on either side, and socket buffers.
 const MAX_BUFFERED_BYTES: usize = 16 << 20;
 
 /// Sends another call and checks that it is served.
--- a/crates/resp-gateway/src/attempt.rs
+++ b/crates/resp-gateway/src/attempt.rs
@@ -48,6 +48,6 @@
 pub(crate) enum AbortReason {
     /// It has received no reply by its deadline.
     DeadlineExceeded,
-    /// The decision module cancelled it.
+    /// The decision engine cancelled it.
     Cancelled,
 }
--- a/crates/resp-gateway/src/config.rs
+++ b/crates/resp-gateway/src/config.rs
@@ -76,13 +76,13 @@
     pub discovery: SocketAddr,
     /// The address of the counter, if there is one.
     pub counter: Option<SocketAddr>,
-    /// The seed of the decision module's random numbers.
+    /// The seed of the decision engine's random numbers.
     pub seed: u64,
     /// The resources that the platform grants.
     pub limits: ResourceLimits,
     /// The endpoint list to start with, as this gateway last held it; `None` if the file states none or an invalid one.
     pub initial_endpoints: Option<EndpointList>,
-    /// The settings of the decision module, and the names in them.
+    /// The settings of the decision engine, and the names in them.
     pub named_settings: NamedSettings,
     /// The time within which a connection to an endpoint or the counter must be established.
     pub dial_timeout: TimeDelta,
@@ -155,7 +155,7 @@
         })
     }
 
-    /// The settings of the decision module.
+    /// The settings of the decision engine.
     pub fn settings(&self) -> &Settings {
         &self.named_settings.settings
     }
--- a/crates/resp-gateway/src/endpoint_list.rs
+++ b/crates/resp-gateway/src/endpoint_list.rs
@@ -18,7 +18,7 @@
 pub struct ListedEndpoint {
     /// The address that the endpoint listens at.
     pub address: SocketAddr,
-    /// What is reported of it to the decision module.
+    /// The entry that the decision engine receives.
     pub entry: EndpointEntry,
 }
 
--- a/crates/resp-gateway/src/request.rs
+++ b/crates/resp-gateway/src/request.rs
@@ -1,5 +1,5 @@
 //! Parses clients' commands into requests. This only validates: an invalid command gets an error reply, and whether a valid request is
-//! admitted is left to the decision module.
+//! admitted is left to the decision engine.
 
 mod error;
 mod fields;
@@ -66,7 +66,7 @@
 pub struct ParsedRequest {
     /// The command to forward to an endpoint.
     pub command: ApiCommand,
-    /// The request to report to the decision module.
+    /// The request to report to the decision engine.
     pub request: IncomingRequest,
 }
 
--- a/crates/resp-gateway/src/server.rs
+++ b/crates/resp-gateway/src/server.rs
@@ -1,5 +1,5 @@
-//! The gateway server: turns socket and timer events into events of the decision module and carries out the module's actions. Only the
-//! module decides what is sent, rejected, failed, retried or cancelled.
+//! The gateway server: turns socket and timer events into events of the decision engine and executes the engine's actions. Only the engine
+//! decides what is sent, rejected, failed, retried or cancelled.
 
 mod actions;
 mod counter_calls;
@@ -30,7 +30,7 @@
 
 /// What happens when a timer of the event loop fires.
 enum TimerPurpose {
-    /// The decision module is notified of its timer.
+    /// The decision engine is notified of its timer.
     Decision(TimerId),
     /// The attempt is aborted if it is still open.
     AttemptDeadline(AttemptId),
--- a/crates/resp-gateway/src/server/actions.rs
+++ b/crates/resp-gateway/src/server/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out the actions of the decision module, and reports the ends of attempts to it.
+//! Executes the actions of the decision engine, and reports the ends of attempts to it.
 
 use super::{GatewayServer, TimerPurpose};
 use crate::attempt::{AbortReason, AttemptEnd, AttemptId};
@@ -11,7 +11,7 @@
 use chalkdeck_time::Timestamp;
 
 impl GatewayServer {
-    /// Lets the decision module process the queued events and carries out its actions, until no event or action is left.
+    /// Passes the queued events to the decision engine and executes its actions, until no event or action is left.
     pub(super) fn carry_out_actions(&mut self) {
         while let Some(action) = self.decisions.next_action(clock::now(&self.engine)) {
             self.carry_out(&action);
@@ -104,7 +104,7 @@
         self.on_attempt_ended(end);
     }
 
-    /// Reports the end of an attempt, if there is one, to the decision module. A value is sent to the client at once; the module decides
+    /// Reports the end of an attempt, if there is one, to the decision engine. A value is sent to the client at once; the engine decides
     /// what follows any other outcome.
     pub(super) fn on_attempt_ended(&mut self, end: Option<AttemptEnd>) {
         let Some(end) = end else {
--- a/crates/resp-gateway/src/server/counter_calls.rs
+++ b/crates/resp-gateway/src/server/counter_calls.rs
@@ -1,4 +1,4 @@
-//! Calls the counter and reports the results to the decision module. Without a counter, all of this does nothing.
+//! Calls the counter and reports the results to the decision engine. Without a counter, all of this does nothing.
 
 use super::{GatewayServer, TimerPurpose};
 use crate::clock;
--- a/crates/resp-gateway/src/server/endpoint_updates.rs
+++ b/crates/resp-gateway/src/server/endpoint_updates.rs
@@ -15,7 +15,7 @@
         }
     }
 
-    /// Applies an update to the connections and reports it to the decision module, unless it is an incremental update without endpoints,
+    /// Applies an update to the connections and reports it to the decision engine, unless it is an incremental update without endpoints,
     /// which changes nothing.
     pub(super) fn apply_endpoint_update(&mut self, list: EndpointList) {
         self.endpoints.apply_update(&mut self.engine, &list);
--- a/crates/resp-gateway/src/server/event_loop.rs
+++ b/crates/resp-gateway/src/server/event_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop: waits for socket and timer events and dispatches each to the component that owns it. The actions that the decision
-//! module takes on one event are carried out before the next event is handled.
+//! The event loop: waits for socket and timer events and dispatches each to the component that owns it. The actions by which the decision
+//! engine responds to one event are executed before the next event is handled.
 
 use super::{GatewayServer, TimerPurpose};
 use crate::attempt::AbortReason;
--- a/crates/resp-gateway/src/server/lifecycle.rs
+++ b/crates/resp-gateway/src/server/lifecycle.rs
@@ -10,7 +10,8 @@
 
 /// The longest wait of the event loop, and so the longest delay until a signal is noticed.
 const MAX_EVENT_WAIT: TimeDelta = TimeDelta::from_millis(100);
-/// How long after SIGTERM new connections still arrive and are served; after that, connections are closed one after another.
+/// The time after SIGTERM during which new connections are expected. After it, the listener is closed once its backlog is empty, and idle
+/// connections are closed one after another.
 const SHUTDOWN_ACCEPT_TIME: TimeDelta = TimeDelta::from_millis(420);
 /// The interval at which a gateway that shuts down checks whether its listener and idle connections can be closed.
 const SHUTDOWN_INTERVAL: TimeDelta = TimeDelta::from_millis(5);
--- a/crates/resp-gateway/src/server/requests.rs
+++ b/crates/resp-gateway/src/server/requests.rs
@@ -62,7 +62,7 @@
         Ok(())
     }
 
-    /// Closes the open requests of a client whose connection has ended, and reports them to the decision module.
+    /// Closes the open requests of a client whose connection has ended, and reports them to the decision engine.
     pub(super) fn on_client_closed(&mut self, conn: ConnId) {
         for id in self.sessions.on_closed(conn) {
             self.close_request(id);
--- a/crates/resp-gateway/src/sessions/closing.rs
+++ b/crates/resp-gateway/src/sessions/closing.rs
@@ -30,7 +30,7 @@
             .find(|conn| engine.is_idle(*conn))
     }
 
-    /// Shuts down our direction of a connection that is not read any more, once all its replies are queued.
+    /// Shuts down the gateway's direction of a connection that is not read any more, once all its replies are queued.
     pub(super) fn linger_once_answered(&mut self, engine: &mut Engine, conn: ConnId) {
         let Some(session) = self.by_conn.get_mut(&conn) else {
             return;
--- a/crates/resp-gateway/src/sessions/session.rs
+++ b/crates/resp-gateway/src/sessions/session.rs
@@ -58,7 +58,7 @@
     pub(super) is_queued_to_resume: bool,
     /// Whether no more commands are read, because of a protocol error or `QUIT`.
     pub(super) is_read_closed: bool,
-    /// When our direction was shut down after a protocol error or `QUIT`.
+    /// When the gateway's direction was shut down after a protocol error or `QUIT`.
     pub(super) lingering_since: Option<Timestamp>,
     /// Whether the client has sent at least one complete command.
     pub(super) has_sent_command: bool,
