--- a/crates/grpc-gateway/src/coordinator_link/events.rs
+++ b/crates/grpc-gateway/src/coordinator_link/events.rs
@@ -40,23 +40,23 @@
         link.retry_persist(now);
         link.agent.tick(now);
         self.set_timer(TICK_INTERVAL_MICROS, TimerPurpose::CoordinatorTick);
-        self.run_coordinator_actions();
+        self.execute_coordinator_actions();
     }
 
     /// Executes the agent's actions until there are no more.
-    fn run_coordinator_actions(&mut self) {
+    fn execute_coordinator_actions(&mut self) {
         while let Some(link) = &mut self.coordinator {
             let actions = link.agent.take_actions();
             if actions.is_empty() {
                 return;
             }
             for action in actions {
-                self.run_coordinator_action(action);
+                self.execute_coordinator_action(action);
             }
         }
     }
 
-    fn run_coordinator_action(&mut self, action: AgentAction) {
+    fn execute_coordinator_action(&mut self, action: AgentAction) {
         let Some(link) = &mut self.coordinator else {
             return;
         };
@@ -102,7 +102,7 @@
             return false;
         }
         link.open_session_stream(&mut self.engine, conn);
-        self.run_coordinator_actions();
+        self.execute_coordinator_actions();
         true
     }
 
@@ -115,7 +115,7 @@
             return false;
         }
         link.abandon_connection(&mut self.engine);
-        self.run_coordinator_actions();
+        self.execute_coordinator_actions();
         true
     }
 
@@ -135,7 +135,7 @@
             StreamProgress::Open => link.agent.on_stream_accepted(loop_time(&self.engine)),
             StreamProgress::Ended => link.abandon_connection(&mut self.engine),
         }
-        self.run_coordinator_actions();
+        self.execute_coordinator_actions();
         true
     }
 
@@ -157,7 +157,7 @@
         if progress == StreamProgress::Ended && link.stream == Some(stream) {
             link.abandon_connection(&mut self.engine);
         }
-        self.run_coordinator_actions();
+        self.execute_coordinator_actions();
         true
     }
 
@@ -167,7 +167,7 @@
         if let Some(link) = &mut self.coordinator {
             link.agent.resign();
         }
-        self.run_coordinator_actions();
+        self.execute_coordinator_actions();
     }
 
     /// Closes the session when the shutdown is complete.
@@ -175,7 +175,7 @@
         if let Some(link) = &mut self.coordinator {
             link.agent.close();
         }
-        self.run_coordinator_actions();
+        self.execute_coordinator_actions();
     }
 
     /// Whether the gateway has the shared state, without which it admits no call. Always true if there is no coordinator.
--- a/crates/grpc-gateway/src/counter_client/mod.rs
+++ b/crates/grpc-gateway/src/counter_client/mod.rs
@@ -46,10 +46,10 @@
     }
 
     /// Ends the calls whose deadline has passed.
-    pub(crate) fn time_out_calls(&mut self, engine: &mut Engine) -> Vec<CounterResult> {
+    pub(crate) fn expire_calls(&mut self, engine: &mut Engine) -> Vec<CounterResult> {
         self.partitions
             .iter_mut()
-            .flat_map(|partition| partition.time_out_calls(engine))
+            .flat_map(|partition| partition.expire_calls(engine))
             .collect()
     }
 
--- a/crates/grpc-gateway/src/counter_client/partition.rs
+++ b/crates/grpc-gateway/src/counter_client/partition.rs
@@ -66,7 +66,7 @@
     address: SocketAddr,
     connection: Connection,
     /// When the connection was established or last received bytes, by the event loop's clock in microseconds.
-    last_received: u64,
+    last_received_at: u64,
     open_calls: FxHashMap<CallNumber, OpenCall>,
     order: ResultOrder,
     /// Deadlines in the order of the calls. Those of ended calls are removed when they come first.
@@ -90,7 +90,7 @@
         PartitionClient {
             address,
             connection: Connection::Closed,
-            last_received: 0,
+            last_received_at: 0,
             open_calls: FxHashMap::default(),
             order: ResultOrder::default(),
             deadlines: VecDeque::new(),
@@ -189,7 +189,7 @@
     }
 
     /// Ends the calls whose deadline has passed. Those that waited for a connection are known not to have been sent.
-    pub(crate) fn time_out_calls(&mut self, engine: &mut Engine) -> Vec<CounterResult> {
+    pub(crate) fn expire_calls(&mut self, engine: &mut Engine) -> Vec<CounterResult> {
         let now = engine.now();
         let mut results = Vec::new();
         while self.next_deadline().is_some_and(|at| at <= now) {
@@ -203,7 +203,7 @@
                 Connection::Closed | Connection::Connecting { .. } => Outcome::ConnectFailed,
             };
             results.extend(self.end_call(call, outcome, 0.0));
-            if self.last_received < started_at {
+            if self.last_received_at < started_at {
                 results.extend(self.drop_connection(engine));
             }
         }
@@ -251,7 +251,7 @@
         let Some(stream) = engine.open_stream(established, self.request_head.clone(), false) else {
             return Some(self.drop_connection(engine));
         };
-        self.last_received = engine.now();
+        self.last_received_at = engine.now();
         self.connection = Connection::Open {
             conn: established,
             stream,
@@ -291,7 +291,7 @@
         data: &[u8],
     ) -> Vec<CounterResult> {
         engine.consume(stream, data.len());
-        self.last_received = engine.now();
+        self.last_received_at = engine.now();
         if let Connection::Open { deframer, .. } = &mut self.connection {
             deframer.push(data);
         }
--- a/crates/grpc-gateway/src/gateway_server/counter_calls.rs
+++ b/crates/grpc-gateway/src/gateway_server/counter_calls.rs
@@ -40,7 +40,7 @@
         let Some(counter) = &mut self.counter else {
             return;
         };
-        let results = counter.time_out_calls(&mut self.engine);
+        let results = counter.expire_calls(&mut self.engine);
         self.set_counter_timer();
         self.on_counter_results(results);
     }
--- a/crates/grpc-gateway/src/gateway_server/endpoint_list.rs
+++ b/crates/grpc-gateway/src/gateway_server/endpoint_list.rs
@@ -32,7 +32,7 @@
                 );
             }
         }
-        self.run_decisions();
+        self.execute_actions();
     }
 
     fn parse_endpoint_list(
--- a/crates/grpc-gateway/src/gateway_server/event_loop.rs
+++ b/crates/grpc-gateway/src/gateway_server/event_loop.rs
@@ -38,14 +38,14 @@
     pub fn turn(&mut self, max_wait: u64) -> io::Result<()> {
         let mut events = std::mem::take(&mut self.events);
         self.engine
-            .turn(self.wait_until_queue_wakes(max_wait), &mut events)?;
+            .turn(self.next_turn_wait(max_wait), &mut events)?;
         for event in events.drain(..) {
             self.on_event(event);
-            self.run_decisions();
+            self.execute_actions();
         }
         self.events = events;
         self.admit_queued_requests();
-        self.run_decisions();
+        self.execute_actions();
         self.close_idle_resp_connections();
         if let Some(counter) = &mut self.counter {
             counter.flush(&mut self.engine);
@@ -83,13 +83,13 @@
     }
 
     /// Passes pending events to the decision engine and executes its actions until there are no more.
-    pub(super) fn run_decisions(&mut self) {
+    pub(super) fn execute_actions(&mut self) {
         while let Some(action) = self.decisions.next_action(self.now()) {
-            self.run_action(&action);
+            self.execute_action(&action);
         }
     }
 
-    fn run_action(&mut self, action: &Action) {
+    fn execute_action(&mut self, action: &Action) {
         match *action {
             Action::SendAttempt {
                 request,
--- a/crates/grpc-gateway/src/gateway_server/shutdown.rs
+++ b/crates/grpc-gateway/src/gateway_server/shutdown.rs
@@ -59,7 +59,7 @@
         for id in self.calls.open_ids() {
             self.abort_call(id, Code::Unavailable, "the gateway stops");
         }
-        self.run_decisions();
+        self.execute_actions();
         self.close_coordinator_session();
         let flush_deadline = self.engine.now() + MAX_WAIT_MICROS;
         while self.engine.stream_count() > 0 && self.engine.now() < flush_deadline {
--- a/crates/grpc-gateway/src/gateway_server/startup.rs
+++ b/crates/grpc-gateway/src/gateway_server/startup.rs
@@ -88,7 +88,7 @@
         self.poll_endpoint_list();
         if self.sites.is_some() {
             self.refresh_site_plan();
-            self.run_decisions();
+            self.execute_actions();
         }
         self.tick_coordinator();
     }
--- a/crates/grpc-gateway/src/request_queue.rs
+++ b/crates/grpc-gateway/src/request_queue.rs
@@ -32,18 +32,22 @@
             return self.decisions.push(Event::RequestArrived(request));
         }
         let now = self.now();
-        let queue_request = self.queue_request(now, &request);
+        let admission_request = self.admission_request(now, &request);
         let Some(requests) = &mut self.request_queue else {
             return;
         };
         requests.waiting.insert(request.id, request);
-        if let Some(verdict) = requests.queue.offer(now, queue_request) {
+        if let Some(verdict) = requests.queue.offer(now, admission_request) {
             self.apply_verdict(verdict);
         }
     }
 
     /// The form of the request that the queue accepts.
-    fn queue_request(&self, now: Timestamp, request: &IncomingRequest) -> admission_queue::Request {
+    fn admission_request(
+        &self,
+        now: Timestamp,
+        request: &IncomingRequest,
+    ) -> admission_queue::Request {
         let quota = self
             .decisions
             .engine
@@ -108,7 +112,7 @@
     }
 
     /// How long the next turn may wait for events, in microseconds: at most `max_wait`, and not beyond the queue's next admission.
-    pub(crate) fn wait_until_queue_wakes(&self, max_wait: u64) -> u64 {
+    pub(crate) fn next_turn_wait(&self, max_wait: u64) -> u64 {
         let now = self.now();
         let next_wake = self
             .request_queue
--- a/crates/grpc-gateway/src/resp/mod.rs
+++ b/crates/grpc-gateway/src/resp/mod.rs
@@ -126,7 +126,7 @@
             return;
         };
         session.bytes.extend_from_slice(data);
-        session.last_received = now;
+        session.last_received_at = now;
         self.process_resp_commands(conn);
     }
 
@@ -492,7 +492,7 @@
         session.is_stall_check_scheduled = false;
         // Names of log fields. `half`: a command was received in part; `unread`: bytes of replies that the client has not read.
         let half = !session.bytes.is_empty() && !session.is_paused;
-        let has_timed_out = session.last_received + STALL_TIMEOUT_MICROS <= now;
+        let has_timed_out = session.last_received_at + STALL_TIMEOUT_MICROS <= now;
         if has_timed_out && (half || unread > MAX_UNSENT_BYTES) {
             tracing::info!(
                 ?conn,
--- a/crates/grpc-gateway/src/resp/session.rs
+++ b/crates/grpc-gateway/src/resp/session.rs
@@ -18,7 +18,7 @@
     /// Whether a timer is set that checks whether the client has stalled.
     pub(crate) is_stall_check_scheduled: bool,
     /// When bytes were last received, by the loop's clock in microseconds.
-    pub(crate) last_received: u64,
+    pub(crate) last_received_at: u64,
     /// Whether no more commands are read, because of a protocol error or `QUIT`.
     pub(crate) is_read_closed: bool,
     /// The number of tickets that it holds.
--- a/crates/grpc-gateway/src/sites/admin.rs
+++ b/crates/grpc-gateway/src/sites/admin.rs
@@ -50,7 +50,7 @@
             .strip_prefix(OVERRIDE_PREFIX)
             .and_then(|rest| rest.split_once('/'));
         if let Some((action, site_name)) = override_request {
-            sites.override_by_operator(now, action, site_name)?;
+            sites.apply_operator_override(now, action, site_name)?;
         } else if path != STATUS_PATH {
             return Err(SiteRequestError::UnknownPath);
         }
@@ -62,7 +62,7 @@
 }
 
 impl SiteMonitor {
-    fn override_by_operator(
+    fn apply_operator_override(
         &mut self,
         now: Timestamp,
         action: &str,
--- a/crates/grpc-gateway/tests/calls.rs
+++ b/crates/grpc-gateway/tests/calls.rs
@@ -9,7 +9,7 @@
     let mut harness = Harness::new(2);
     let call = harness.call(VIEW, &[("x-trace", "t1"), ("grpc-timeout", "900m")]);
     let stream = harness.wait_for_server_call(1);
-    harness.turn_until("the request's end", |r| r.servers.streams[&stream].is_ended);
+    harness.turn_until("the request's end", |h| h.servers.streams[&stream].is_ended);
     let received = &harness.servers.streams[&stream];
     assert_eq!(
         (
@@ -86,8 +86,8 @@
         .respond(stream, grpc::response_head(), false);
     for sent in 1..=3 {
         harness.servers.engine.send(stream, grpc::frame(b"tick"));
-        harness.turn_until("a message", |r| {
-            r.client_stream(call)
+        harness.turn_until("a message", |h| {
+            h.client_stream(call)
                 .is_some_and(|s| s.received_bytes == sent * 9)
         });
     }
@@ -114,8 +114,8 @@
         .respond(stream, grpc::response_head(), false);
     harness.servers.engine.send(stream, grpc::frame(b"tick"));
     assert_eq!(harness.wait_for_status(call), Code::DeadlineExceeded);
-    harness.turn_until("the reset at the server", |r| {
-        r.servers.streams[&stream].error.is_some()
+    harness.turn_until("the reset at the server", |h| {
+        h.servers.streams[&stream].error.is_some()
     });
 }
 
@@ -130,17 +130,17 @@
         .respond(stream, grpc::response_head(), false);
     for round in 1..=5 {
         harness.client.engine.send(call, grpc::frame(b"ping"));
-        harness.turn_until("the client's message", |r| {
-            r.servers.streams[&stream].received_bytes == round * 9
+        harness.turn_until("the client's message", |h| {
+            h.servers.streams[&stream].received_bytes == round * 9
         });
         harness.servers.engine.send(stream, grpc::frame(b"pong"));
-        harness.turn_until("the server's message", |r| {
-            r.client_stream(call)
+        harness.turn_until("the server's message", |h| {
+            h.client_stream(call)
                 .is_some_and(|s| s.received_bytes == round * 9)
         });
     }
     harness.client.engine.finish(call, None);
-    harness.turn_until("the client's end", |r| r.servers.streams[&stream].is_ended);
+    harness.turn_until("the client's end", |h| h.servers.streams[&stream].is_ended);
     harness
         .servers
         .engine
@@ -156,11 +156,11 @@
     for _ in 0..10 {
         harness.client.engine.send(call, grpc::frame(b"part"));
     }
-    harness.turn_until("all messages", |r| {
-        r.servers.streams[&stream].received_bytes == 90
+    harness.turn_until("all messages", |h| {
+        h.servers.streams[&stream].received_bytes == 90
     });
     harness.client.engine.finish(call, None);
-    harness.turn_until("the end", |r| r.servers.streams[&stream].is_ended);
+    harness.turn_until("the end", |h| h.servers.streams[&stream].is_ended);
     harness.servers.answer(stream, b"sum");
     assert_eq!(harness.wait_for_status(call), Code::Ok);
 }
@@ -171,9 +171,9 @@
     let mut rejected = None;
     for i in 0..8 {
         let call = harness.call(VIEW, &[("x-customer", "small")]);
-        harness.turn_until("a server or an answer", |r| {
-            r.servers.incoming_streams.len() > i
-                || r.client_stream(call).is_some_and(|s| s.is_ended)
+        harness.turn_until("a server or an answer", |h| {
+            h.servers.incoming_streams.len() > i
+                || h.client_stream(call).is_some_and(|s| s.is_ended)
         });
         if harness.servers.incoming_streams.len() <= i {
             rejected = Some(call);
@@ -235,8 +235,8 @@
         assert_eq!(harness.wait_for_status(call), code, "{path} {metadata:?}");
     }
     let call = harness.call(VIEW, &[("content-type", "application/json")]);
-    harness.turn_until("an HTTP response", |r| {
-        r.client_stream(call)
+    harness.turn_until("an HTTP response", |h| {
+        h.client_stream(call)
             .is_some_and(|s| s.http_status.is_some())
     });
     assert_eq!(
@@ -257,12 +257,12 @@
 fn thousand_calls_on_one_connection_are_served_or_rejected() {
     let mut harness = Harness::new(2);
     let calls: Vec<_> = (0..1000).map(|_| harness.call(WATCH, &[])).collect();
-    harness.turn_until("calls at the servers or rejected", |r| {
+    harness.turn_until("calls at the servers or rejected", |h| {
         let rejected = calls
             .iter()
-            .filter(|c| r.client_stream(**c).is_some_and(|s| s.is_ended))
+            .filter(|c| h.client_stream(**c).is_some_and(|s| s.is_ended))
             .count();
-        r.servers.incoming_streams.len() + rejected >= 1000
+        h.servers.incoming_streams.len() + rejected >= 1000
     });
     for stream in harness.servers.incoming_streams.clone() {
         harness.servers.answer(stream, b"fine");
@@ -288,13 +288,13 @@
                 .engine
                 .respond(stream, grpc::response_head(), false);
             harness.servers.engine.send(stream, grpc::frame(b"tick"));
-            harness.turn_until("the first message", |r| {
-                r.client_stream(call).is_some_and(|s| s.received_bytes > 0)
+            harness.turn_until("the first message", |h| {
+                h.client_stream(call).is_some_and(|s| s.received_bytes > 0)
             });
         }
         harness.client.engine.reset(call, h2::Reason::CANCEL);
-        harness.turn_until("the reset at the server", |r| {
-            r.servers.streams[&stream].error.is_some()
+        harness.turn_until("the reset at the server", |h| {
+            h.servers.streams[&stream].error.is_some()
         });
         assert_eq!(
             harness.servers.streams[&stream].error,
@@ -318,16 +318,16 @@
     for _ in 0..20 {
         harness.call(WATCH, &[]);
     }
-    harness.turn_until("calls at the server", |r| {
-        !r.servers.incoming_streams.is_empty()
+    harness.turn_until("calls at the server", |h| {
+        !h.servers.incoming_streams.is_empty()
     });
     harness.turn_for(50);
     harness.client.engine.close(harness.connection);
-    harness.turn_until("resets at the server", |r| {
-        r.servers
+    harness.turn_until("resets at the server", |h| {
+        h.servers
             .incoming_streams
             .iter()
-            .all(|s| r.servers.streams[s].error.is_some())
+            .all(|s| h.servers.streams[s].error.is_some())
     });
-    harness.turn_until("no open call", |r| r.gateway.open_call_count() == 0);
+    harness.turn_until("no open call", |h| h.gateway.open_call_count() == 0);
 }
--- a/crates/grpc-gateway/tests/common/mod.rs
+++ b/crates/grpc-gateway/tests/common/mod.rs
@@ -312,8 +312,8 @@
             server_addresses,
             dir,
         };
-        harness.turn_until("the client's connection", |r| {
-            r.client.established_connections.contains(&r.connection)
+        harness.turn_until("the client's connection", |h| {
+            h.client.established_connections.contains(&h.connection)
         });
         harness
     }
@@ -408,15 +408,15 @@
     }
     /// Waits until the servers have received `count` calls in total; returns the stream of the last of these.
     pub fn wait_for_server_call(&mut self, count: usize) -> StreamId {
-        self.turn_until("a call at a server", |r| {
-            r.servers.incoming_streams.len() >= count
+        self.turn_until("a call at a server", |h| {
+            h.servers.incoming_streams.len() >= count
         });
         self.servers.incoming_streams[count - 1]
     }
     /// Waits until a call has ended at the client; returns its status.
     pub fn wait_for_status(&mut self, call: StreamId) -> Code {
-        self.turn_until("the call's end", |r| {
-            r.client
+        self.turn_until("the call's end", |h| {
+            h.client
                 .streams
                 .get(&call)
                 .is_some_and(|s| s.is_ended || s.error.is_some())
--- a/crates/grpc-gateway/tests/flow.rs
+++ b/crates/grpc-gateway/tests/flow.rs
@@ -36,8 +36,8 @@
         .servers
         .engine
         .finish(stream, Some(grpc::trailers(Code::Ok, "")));
-    harness.turn_until("the first bytes", |r| {
-        r.client_stream(call).is_some_and(|s| s.received_bytes > 0)
+    harness.turn_until("the first bytes", |h| {
+        h.client_stream(call).is_some_and(|s| s.received_bytes > 0)
     });
     harness.turn_for(200);
     let unsent = harness.servers.engine.queued_bytes(stream);
@@ -75,8 +75,8 @@
     harness.client.engine.send(call, payload(LARGE_BODY_BYTES));
     harness.client.engine.finish(call, None);
     let stream = harness.wait_for_server_call(1);
-    harness.turn_until("the first bytes", |r| {
-        r.servers.streams[&stream].received_bytes > 0
+    harness.turn_until("the first bytes", |h| {
+        h.servers.streams[&stream].received_bytes > 0
     });
     harness.turn_for(200);
     let unsent = harness.client.engine.queued_bytes(call);
@@ -88,8 +88,8 @@
     harness.servers.withholds_window = false;
     let received = harness.servers.streams[&stream].received_bytes;
     harness.servers.engine.consume(stream, received);
-    harness.turn_until("the whole body", |r| {
-        r.servers.streams[&stream].received_bytes == LARGE_BODY_BYTES + 5
+    harness.turn_until("the whole body", |h| {
+        h.servers.streams[&stream].received_bytes == LARGE_BODY_BYTES + 5
     });
     harness.servers.answer(stream, b"fine");
     assert_eq!(harness.wait_for_status(call), Code::Ok);
@@ -103,16 +103,16 @@
         harness.client.engine.send(call, payload(bytes));
         harness.client.engine.finish(call, None);
         let stream = harness.wait_for_server_call(1);
-        harness.turn_until("the whole body", |r| {
-            r.servers.streams[&stream].received_bytes == bytes + 5
+        harness.turn_until("the whole body", |h| {
+            h.servers.streams[&stream].received_bytes == bytes + 5
         });
         harness
             .servers
             .engine
             .reset(stream, h2::Reason::INTERNAL_ERROR);
-        harness.turn_until("a second attempt or an end", |r| {
-            r.servers.incoming_streams.len() > 1
-                || r.client_stream(call).is_some_and(|s| s.is_ended)
+        harness.turn_until("a second attempt or an end", |h| {
+            h.servers.incoming_streams.len() > 1
+                || h.client_stream(call).is_some_and(|s| s.is_ended)
         });
         assert_eq!(
             harness.servers.incoming_streams.len(),
@@ -128,8 +128,8 @@
             continue;
         }
         let second_stream = harness.servers.incoming_streams[1];
-        harness.turn_until("the whole body in the second attempt", |r| {
-            r.servers.streams[&second_stream].received_bytes == bytes + 5
+        harness.turn_until("the whole body in the second attempt", |h| {
+            h.servers.streams[&second_stream].received_bytes == bytes + 5
         });
         harness.servers.answer(second_stream, b"fine");
         assert_eq!(harness.wait_for_status(call), Code::Ok);
@@ -141,8 +141,8 @@
     let mut harness = Harness::new(1);
     let long = "x".repeat(40_000);
     let call = harness.call(BUY, &[("x-long", &long)]);
-    harness.turn_until("the end of the call", |r| {
-        r.client_stream(call)
+    harness.turn_until("the end of the call", |h| {
+        h.client_stream(call)
             .is_some_and(|s| s.http_status.is_some() || s.error.is_some())
     });
     let received = &harness.client.streams[&call];
@@ -157,8 +157,8 @@
 fn reset_flood_closes_only_its_own_connection() {
     let mut harness = Harness::new(1);
     let flooding = harness.client.connect(harness.gateway.listen_address());
-    harness.turn_until("a second connection", |r| {
-        r.client.established_connections.contains(&flooding)
+    harness.turn_until("a second connection", |h| {
+        h.client.established_connections.contains(&flooding)
     });
     let mut sent = 0;
     while !harness.client.closed_connections.contains(&flooding) && sent < 20_000 {
@@ -177,7 +177,7 @@
         "open after {sent} resets"
     );
     assert_others_are_served(&mut harness);
-    harness.turn_until("no open call", |r| r.gateway.open_call_count() == 0);
+    harness.turn_until("no open call", |h| h.gateway.open_call_count() == 0);
 }
 
 #[test]
--- a/crates/grpc-gateway/tests/resp.rs
+++ b/crates/grpc-gateway/tests/resp.rs
@@ -94,7 +94,7 @@
 }
 
 /// Requests single units until one is rejected; returns how many were granted, and the rejection.
-fn use_up(conn: &mut redis::Connection, customer: &str) -> (u32, [i64; 5]) {
+fn exhaust_quota(conn: &mut redis::Connection, customer: &str) -> (u32, [i64; 5]) {
     for granted in 0..100 {
         let reply = throttle(conn, customer, 1);
         if reply[0] == 1 {
@@ -117,7 +117,7 @@
     );
     // The full burst is available, and perhaps units that refilled since the quota's window began. On a busy machine a call to the
     // counter may time out; the gateway's local share of the quota then decides, which may grant one less.
-    let (granted, rejected) = use_up(&mut conn, "slow");
+    let (granted, rejected) = exhaust_quota(&mut conn, "slow");
     assert!((2..=7).contains(&granted), "{granted}");
     assert_eq!((rejected[1], rejected[2]), (4, 0), "{rejected:?}");
     assert!(
@@ -222,7 +222,7 @@
         .query(&mut conn)
         .expect("a ticket");
     assert_eq!(take.0, 1);
-    use_up(&mut conn, "slow");
+    exhaust_quota(&mut conn, "slow");
     let returned: i64 = redis::cmd("CHALK.GIVE")
         .arg(&take.1)
         .arg("UNITS")
@@ -231,7 +231,7 @@
         .expect("a number");
     assert_eq!(returned, 1);
     assert_eq!(
-        use_up(&mut conn, "slow").0,
+        exhaust_quota(&mut conn, "slow").0,
         3,
         "three of four units are free again"
     );
--- a/crates/grpc-gateway/tests/servers.rs
+++ b/crates/grpc-gateway/tests/servers.rs
@@ -31,10 +31,10 @@
     let mut harness = Harness::new(3);
     let call = harness.call(path, metadata);
     let first = harness.wait_for_server_call(1);
-    harness.turn_until("the request's end", |r| r.servers.streams[&first].is_ended);
+    harness.turn_until("the request's end", |h| h.servers.streams[&first].is_ended);
     end_attempt(&mut harness, first);
-    harness.turn_until("a second attempt or an answer", |r| {
-        r.servers.incoming_streams.len() > 1 || r.client_stream(call).is_some_and(|s| s.is_ended)
+    harness.turn_until("a second attempt or an answer", |h| {
+        h.servers.incoming_streams.len() > 1 || h.client_stream(call).is_some_and(|s| s.is_ended)
     });
     let second = harness.servers.incoming_streams.get(1).copied();
     (harness, call, second)
@@ -42,11 +42,11 @@
 
 #[test]
 fn refused_stream_is_retried_even_for_non_idempotent_calls() {
-    let (mut harness, call, second) = fail_first_attempt(BUY, &[], |r, stream| {
-        r.servers.engine.reset(stream, h2::Reason::REFUSED_STREAM)
+    let (mut harness, call, second) = fail_first_attempt(BUY, &[], |h, stream| {
+        h.servers.engine.reset(stream, h2::Reason::REFUSED_STREAM)
     });
     let second = second.expect("a retry");
-    harness.turn_until("the request's end", |r| r.servers.streams[&second].is_ended);
+    harness.turn_until("the request's end", |h| h.servers.streams[&second].is_ended);
     assert_eq!(
         harness.servers.streams[&second].headers["grpc-previous-rpc-attempts"],
         "1"
@@ -57,16 +57,16 @@
 
 #[test]
 fn non_idempotent_call_is_retried_only_if_its_server_did_not_process_it() {
-    let (mut harness, call, second) = fail_first_attempt(BUY, &[], |r, stream| {
-        r.servers
+    let (mut harness, call, second) = fail_first_attempt(BUY, &[], |h, stream| {
+        h.servers
             .answer_with_status(stream, Code::Unavailable, true)
     });
     let second = second.expect("a retry");
     harness.servers.answer(second, b"fine");
     assert_eq!(harness.wait_for_status(call), Code::Ok);
 
-    let (mut harness, call, second) = fail_first_attempt(BUY, &[], |r, stream| {
-        r.servers
+    let (mut harness, call, second) = fail_first_attempt(BUY, &[], |h, stream| {
+        h.servers
             .answer_with_status(stream, Code::Unavailable, false)
     });
     assert_eq!(second, None, "no retry, as it may have run");
@@ -83,12 +83,12 @@
 
 #[test]
 fn lost_connection_is_retried_only_for_idempotent_calls() {
-    let close_connections = |r: &mut Harness, _: StreamId| {
-        r.servers
+    let close_connections = |h: &mut Harness, _: StreamId| {
+        h.servers
             .accepted_connections
             .clone()
             .into_iter()
-            .for_each(|conn| r.servers.engine.close(conn))
+            .for_each(|conn| h.servers.engine.close(conn))
     };
     let (mut harness, call, second) = fail_first_attempt(BUY, &[], close_connections);
     assert_eq!(second, None);
@@ -125,8 +125,8 @@
             health: "HEALTHY",
         },
     ]));
-    harness.turn_until("the new list", |r| {
-        r.gateway.metrics_text().contains("chalkdeck_servers 2")
+    harness.turn_until("the new list", |h| {
+        h.gateway.metrics_text().contains("chalkdeck_servers 2")
     });
     harness.turn_for(50);
     for i in 0..6 {
@@ -172,8 +172,8 @@
         address,
         health: "HEALTHY",
     }]));
-    harness.turn_until("the list", |r| {
-        r.gateway.metrics_text().contains("chalkdeck_servers 1")
+    harness.turn_until("the list", |h| {
+        h.gateway.metrics_text().contains("chalkdeck_servers 1")
     });
     let (start, call) = (
         Instant::now(),
@@ -197,8 +197,8 @@
     let call = harness.call(BUY, &[("grpc-timeout", "200m")]);
     let stream = harness.wait_for_server_call(1);
     assert_eq!(harness.wait_for_status(call), Code::DeadlineExceeded);
-    harness.turn_until("the reset at the server", |r| {
-        r.servers.streams[&stream].error.is_some()
+    harness.turn_until("the reset at the server", |h| {
+        h.servers.streams[&stream].error.is_some()
     });
     harness.servers.answer(stream, b"late");
     harness.turn_for(50);
@@ -213,9 +213,9 @@
         let start = Instant::now();
         let call = harness.call(VIEW, &[("grpc-timeout", "60m")]);
         let count = round as usize + 1;
-        harness.turn_until("a call at the server, or its end", |r| {
-            r.servers.incoming_streams.len() >= count
-                || r.client_stream(call).is_some_and(|s| s.is_ended)
+        harness.turn_until("a call at the server, or its end", |h| {
+            h.servers.incoming_streams.len() >= count
+                || h.client_stream(call).is_some_and(|s| s.is_ended)
         });
         let answer_after = Duration::from_micros(55_000 + round * 250);
         while start.elapsed() < answer_after {
@@ -247,8 +247,8 @@
         .engine
         .respond(stream, grpc::response_head(), false);
     harness.servers.engine.send(stream, grpc::frame(b"tick"));
-    harness.turn_until("the first message", |r| {
-        r.client_stream(call).is_some_and(|s| s.received_bytes > 0)
+    harness.turn_until("the first message", |h| {
+        h.client_stream(call).is_some_and(|s| s.received_bytes > 0)
     });
     harness
         .servers
@@ -300,8 +300,8 @@
         address,
         health: "HEALTHY",
     }]));
-    harness.turn_until("the list", |r| {
-        r.gateway.metrics_text().contains("chalkdeck_servers 1")
+    harness.turn_until("the list", |h| {
+        h.gateway.metrics_text().contains("chalkdeck_servers 1")
     });
     let call = harness.call(BUY, &[]);
     let stream = harness.wait_for_server_call(1);
@@ -313,8 +313,8 @@
 fn invalid_endpoint_list_is_ignored_and_draining_endpoint_gets_no_calls() {
     let mut harness = Harness::new(2);
     harness.replace_endpoint_list("cluster_name: 7 endpoints {");
-    harness.turn_until("the invalid list was read", |r| {
-        r.gateway
+    harness.turn_until("the invalid list was read", |h| {
+        h.gateway
             .metrics_text()
             .contains("chalkdeck_server_list_failures_total 1")
     });
@@ -355,9 +355,9 @@
     for _ in 0..12 {
         let call = harness.call(VIEW, &[("x-customer", "small")]);
         let seen_streams = harness.servers.incoming_streams.len();
-        harness.turn_until("a call at the server, or its end", |r| {
-            r.servers.incoming_streams.len() > seen_streams
-                || r.client_stream(call).is_some_and(|s| s.is_ended)
+        harness.turn_until("a call at the server, or its end", |h| {
+            h.servers.incoming_streams.len() > seen_streams
+                || h.client_stream(call).is_some_and(|s| s.is_ended)
         });
         if let Some(&stream) = harness.servers.incoming_streams.get(seen_streams) {
             harness.servers.answer(stream, b"fine");
@@ -411,16 +411,16 @@
         health: "HEALTHY",
     });
     harness.replace_endpoint_list(&endpoint_list(&entries));
-    harness.turn_until("the list", |r| {
-        r.gateway.metrics_text().contains("chalkdeck_servers 2")
+    harness.turn_until("the list", |h| {
+        h.gateway.metrics_text().contains("chalkdeck_servers 2")
     });
     harness.turn_for(50);
     let mut answered = 0;
     for _ in 0..50 {
         let call = harness.call(BUY, &[]);
-        harness.turn_until("a call at the other server, or its end", |r| {
-            r.servers.incoming_streams.len() > answered
-                || r.client_stream(call).is_some_and(|s| s.is_ended)
+        harness.turn_until("a call at the other server, or its end", |h| {
+            h.servers.incoming_streams.len() > answered
+                || h.client_stream(call).is_some_and(|s| s.is_ended)
         });
         if let Some(&stream) = harness.servers.incoming_streams.get(answered) {
             harness.servers.answer(stream, b"fine");
@@ -483,8 +483,8 @@
     let stream = harness.wait_for_server_call(1);
     let code = harness.wait_for_status(call);
     assert!([Code::ResourceExhausted, Code::DeadlineExceeded].contains(&code));
-    harness.turn_until("the reset", |r| {
-        r.servers.streams[&stream].error == Some(StreamError::Reset(h2::Reason::CANCEL))
+    harness.turn_until("the reset", |h| {
+        h.servers.streams[&stream].error == Some(StreamError::Reset(h2::Reason::CANCEL))
     });
 }
 
@@ -551,8 +551,8 @@
     let call = harness.call(BUY, &[]);
     let stream = harness.wait_for_server_call(1);
     harness.replace_endpoint_list("cluster_name: \"farm\"");
-    harness.turn_until("the empty list", |r| {
-        r.gateway.metrics_text().contains("chalkdeck_servers 0")
+    harness.turn_until("the empty list", |h| {
+        h.gateway.metrics_text().contains("chalkdeck_servers 0")
     });
     harness.turn_for(50);
     assert!(
@@ -561,7 +561,7 @@
     );
     harness.servers.answer(stream, b"fine");
     assert_eq!(harness.wait_for_status(call), Code::Ok);
-    harness.turn_until("the end of the connection", |r| {
-        r.servers.closed_connections.len() == 1
+    harness.turn_until("the end of the connection", |h| {
+        h.servers.closed_connections.len() == 1
     });
 }
--- a/crates/grpc-gateway/tests/shutdown.rs
+++ b/crates/grpc-gateway/tests/shutdown.rs
@@ -63,9 +63,9 @@
     let mut harness = Harness::new(1);
     let connecting = harness.client.connect(harness.gateway.listen_address());
     harness.gateway.shut_down();
-    harness.turn_until("the shutdown", |r| r.gateway.is_shut_down());
-    harness.turn_until("the end of the connection", |r| {
-        r.client.closed_connections.contains(&connecting)
+    harness.turn_until("the shutdown", |h| h.gateway.is_shut_down());
+    harness.turn_until("the end of the connection", |h| {
+        h.client.closed_connections.contains(&connecting)
     });
 }
 
--- a/crates/resp-gateway/src/discovery/tests.rs
+++ b/crates/resp-gateway/src/discovery/tests.rs
@@ -1,5 +1,5 @@
 //! Tests of the discovery client against a fake agent that fails in several ways, on a controlled clock. They measure the delay from
-//! publishing a change of the list to applying it, in microseconds.
+//! publishing a change of the list to applying it. All times are in microseconds.
 
 use super::*;
 use chalkdeck_net::clock::{Clock, ClockJumps};
@@ -98,11 +98,11 @@
             zones: HashMap::new(),
         };
         let action = setup.discovery.connect(&mut setup.engine);
-        setup.carry_out([action]);
+        setup.execute([action]);
         setup
     }
 
-    fn carry_out(&mut self, actions: impl IntoIterator<Item = DiscoveryAction>) {
+    fn execute(&mut self, actions: impl IntoIterator<Item = DiscoveryAction>) {
         for action in actions {
             match action {
                 DiscoveryAction::UpdateEndpoints(list) => {
@@ -124,7 +124,7 @@
             Event::Accepted { conn, .. } => self.agent_conns.push(conn),
             Event::Connected { conn } => {
                 let action = self.discovery.on_connected(&mut self.engine, conn);
-                self.carry_out(action);
+                self.execute(action);
             }
             Event::Bytes { conn, data } if self.agent_conns.contains(&conn) => {
                 self.received
@@ -141,7 +141,7 @@
                     ..
                 } = self;
                 let actions = discovery.on_bytes(engine, conn, &data, zones);
-                self.carry_out(actions);
+                self.execute(actions);
             }
             Event::Closed { conn, reason, .. } => {
                 let Setup {
@@ -151,7 +151,7 @@
                     ..
                 } = self;
                 let actions = discovery.on_closed(engine, conn, &reason, zones);
-                self.carry_out(actions);
+                self.execute(actions);
             }
             _ => {}
         }
@@ -223,7 +223,7 @@
         self.call_timers = waiting;
         for timer in fired {
             let action = self.discovery.on_call_timeout(&mut self.engine, timer.call);
-            self.carry_out(action);
+            self.execute(action);
         }
         for _ in 0..8 {
             let mut events = Vec::new();
@@ -399,7 +399,7 @@
     let mut setup = Setup::new(AgentMode::Responds, with_length);
     setup.advance(100_000);
     let action = setup.discovery.set_address(&mut setup.engine, address);
-    setup.carry_out(action);
+    setup.execute(action);
     setup.advance(call_timeout() / 2);
     // The address is set back to the agent that responds; its complete list is requested by the next call.
     let (applied_before, agent_address) = (setup.list_count, setup.address);
@@ -433,7 +433,7 @@
     setup.address = address;
     setup.mode = AgentMode::Silent;
     let action = setup.discovery.set_address(&mut setup.engine, address);
-    setup.carry_out(action);
+    setup.execute(action);
     setup.advance(20_000);
     setup.set_mode(AgentMode::Responds);
     setup.published = 40;
@@ -573,7 +573,7 @@
         setup.advance(300_000);
         let applied_before = setup.list_count;
         let action = setup.discovery.set_address(&mut setup.engine, address);
-        setup.carry_out(action);
+        setup.execute(action);
         respond_and_close(&mut setup, &agent, response.as_bytes(), close);
         assert_eq!(
             setup.list_count > applied_before,
--- a/crates/resp-gateway/src/endpoint_connections/keep_alive.rs
+++ b/crates/resp-gateway/src/endpoint_connections/keep_alive.rs
@@ -12,9 +12,9 @@
 /// A request that is reset within this time after it was written was sent on a connection that its endpoint had already closed.
 const MAX_STALE_RESET_DELAY: TimeDelta = TimeDelta::from_millis(5);
 /// After such a reset, the keep-alive time is this fraction of the time that the connection had been idle.
-const RESET_DECREASE: f64 = 0.5;
+const RESET_DECREASE_FACTOR: f64 = 0.5;
 /// Each reply on a connection that was idle for at least half of the keep-alive time lengthens that time by this factor.
-const REPLY_INCREASE: f64 = 1.02;
+const REPLY_INCREASE_FACTOR: f64 = 1.02;
 
 /// The current keep-alive time of idle connections, for all endpoints together.
 pub(super) struct KeepAlive {
@@ -39,7 +39,7 @@
     /// Records a reply on a connection that had been idle for `idle_time` before the request.
     pub(super) fn on_reply(&mut self, idle_time: TimeDelta) {
         if idle_time.as_micros() >= self.current.as_micros() / 2 {
-            self.current = self.current.mul_f64(REPLY_INCREASE).min(self.max);
+            self.current = self.current.mul_f64(REPLY_INCREASE_FACTOR).min(self.max);
         }
     }
 
@@ -47,7 +47,7 @@
     pub(super) fn on_reset(&mut self, idle_time: TimeDelta, elapsed: TimeDelta) {
         if elapsed < MAX_STALE_RESET_DELAY {
             self.current = idle_time
-                .mul_f64(RESET_DECREASE)
+                .mul_f64(RESET_DECREASE_FACTOR)
                 .max(MIN_KEEP_ALIVE)
                 .min(self.current);
         }
--- a/crates/resp-gateway/src/server.rs
+++ b/crates/resp-gateway/src/server.rs
@@ -66,7 +66,7 @@
     listener: ListenerId,
     /// Whether the listener still accepts connections.
     is_listening: bool,
-    local_address: SocketAddr,
+    listen_address: SocketAddr,
     timers: TimerQueue<TimerPurpose>,
     sessions: Sessions,
     requests: FxHashMap<RequestId, OpenRequest>,
@@ -77,7 +77,7 @@
     endpoints: EndpointConnections,
     counter: Option<CounterClient>,
     /// Whether a timer for the next deadline of a counter call is set.
-    has_counter_timer: bool,
+    is_counter_timer_set: bool,
     discovery: Discovery,
     /// The buffer for the socket events of one turn, kept to reuse its allocation.
     net_events: Vec<NetEvent>,
@@ -87,7 +87,7 @@
 
 impl GatewayServer {
     /// The address that the gateway listens at.
-    pub fn local_address(&self) -> SocketAddr {
-        self.local_address
+    pub fn listen_address(&self) -> SocketAddr {
+        self.listen_address
     }
 }
--- a/crates/resp-gateway/src/server/actions.rs
+++ b/crates/resp-gateway/src/server/actions.rs
@@ -12,13 +12,13 @@
 
 impl GatewayServer {
     /// Passes the queued events to the decision engine and executes its actions, until no event or action is left.
-    pub(super) fn carry_out_actions(&mut self) {
+    pub(super) fn execute_actions(&mut self) {
         while let Some(action) = self.decisions.next_action(clock::now(&self.engine)) {
-            self.carry_out(&action);
+            self.execute_action(&action);
         }
     }
 
-    fn carry_out(&mut self, action: &Action) {
+    fn execute_action(&mut self, action: &Action) {
         match *action {
             Action::SendAttempt {
                 request,
--- a/crates/resp-gateway/src/server/counter_calls.rs
+++ b/crates/resp-gateway/src/server/counter_calls.rs
@@ -27,16 +27,16 @@
     /// were made, and one timer is enough.
     fn set_counter_timer(&mut self) {
         let next_deadline = self.counter.as_ref().and_then(CounterClient::next_deadline);
-        let Some(deadline) = next_deadline.filter(|_| !self.has_counter_timer) else {
+        let Some(deadline) = next_deadline.filter(|_| !self.is_counter_timer_set) else {
             return;
         };
-        self.has_counter_timer = true;
+        self.is_counter_timer_set = true;
         let remaining = deadline - clock::now(&self.engine);
         self.set_timer(remaining, TimerPurpose::CounterTimeout);
     }
 
     pub(super) fn on_counter_timeout(&mut self) {
-        self.has_counter_timer = false;
+        self.is_counter_timer_set = false;
         let Some(counter) = &mut self.counter else {
             return;
         };
--- a/crates/resp-gateway/src/server/endpoint_updates.rs
+++ b/crates/resp-gateway/src/server/endpoint_updates.rs
@@ -6,7 +6,7 @@
 use chalkdeck::api::{EndpointEntry, Event, UpdateScope};
 
 impl GatewayServer {
-    pub(super) fn carry_out_discovery_action(&mut self, action: DiscoveryAction) {
+    pub(super) fn execute_discovery_action(&mut self, action: DiscoveryAction) {
         match action {
             DiscoveryAction::UpdateEndpoints(list) => self.apply_endpoint_update(list),
             DiscoveryAction::CheckCall { after, call } => {
--- a/crates/resp-gateway/src/server/event_loop.rs
+++ b/crates/resp-gateway/src/server/event_loop.rs
@@ -27,13 +27,13 @@
         self.engine.turn(max_wait, &mut events)?;
         for event in events.drain(..) {
             self.on_event(event);
-            self.carry_out_actions();
+            self.execute_actions();
         }
         self.net_events = events;
         // Each resumed connection is handled once per turn, so that a long pipeline does not starve other clients.
         for conn in self.sessions.take_connections_to_resume() {
             self.handle_commands(conn);
-            self.carry_out_actions();
+            self.execute_actions();
         }
         self.sessions.close_idle(&mut self.engine);
         Ok(())
@@ -62,7 +62,7 @@
         } else if self.discovery.owns(conn) {
             let action = self.discovery.on_connected(&mut self.engine, conn);
             if let Some(action) = action {
-                self.carry_out_discovery_action(action);
+                self.execute_discovery_action(action);
             }
         } else if let Some(counter) = &mut self.counter {
             counter.on_connected(&mut self.engine, conn);
@@ -83,7 +83,7 @@
             let zones = &mut self.config.named_settings.zone_numbers;
             let actions = self.discovery.on_bytes(&mut self.engine, conn, data, zones);
             for action in actions {
-                self.carry_out_discovery_action(action);
+                self.execute_discovery_action(action);
             }
         }
     }
@@ -103,7 +103,7 @@
                 .discovery
                 .on_closed(&mut self.engine, conn, reason, zones);
             for action in actions {
-                self.carry_out_discovery_action(action);
+                self.execute_discovery_action(action);
             }
         }
     }
@@ -135,7 +135,7 @@
             TimerPurpose::DiscoveryTimeout(call) => {
                 let action = self.discovery.on_call_timeout(&mut self.engine, call);
                 if let Some(action) = action {
-                    self.carry_out_discovery_action(action);
+                    self.execute_discovery_action(action);
                 }
             }
             TimerPurpose::Shutdown => self.continue_shutdown(),
--- a/crates/resp-gateway/src/server/lifecycle.rs
+++ b/crates/resp-gateway/src/server/lifecycle.rs
@@ -107,13 +107,13 @@
         }
         self.config.discovery = config.discovery;
         self.config.counter = config.counter;
-        self.carry_out_actions();
+        self.execute_actions();
     }
 
     fn set_discovery_address(&mut self, address: SocketAddr) {
         let action = self.discovery.set_address(&mut self.engine, address);
         if let Some(action) = action {
-            self.carry_out_discovery_action(action);
+            self.execute_discovery_action(action);
         }
     }
 }
--- a/crates/resp-gateway/src/server/start.rs
+++ b/crates/resp-gateway/src/server/start.rs
@@ -100,9 +100,9 @@
             server.apply_endpoint_update(list);
         }
         let action = server.discovery.connect(&mut server.engine);
-        server.carry_out_discovery_action(action);
+        server.execute_discovery_action(action);
         server.set_sweep_timer();
-        server.carry_out_actions();
+        server.execute_actions();
         Ok(server)
     }
 
@@ -114,7 +114,7 @@
             ..Limits::default()
         };
         let address = config.listen;
-        let (listener, local_address) = engine
+        let (listener, listen_address) = engine
             .listen_plain(address, listen_limits)
             .map_err(|source| StartError::Listen { address, source })?;
         let decision_engine = DecisionEngine::new(config.seed, config.settings().clone())?;
@@ -126,7 +126,7 @@
             decisions: DecisionQueue::new(decision_engine),
             listener,
             is_listening: true,
-            local_address,
+            listen_address,
             timers: TimerQueue::<TimerPurpose>::default(),
             sessions: Sessions::new(limits.clients, max_command_bytes),
             requests: FxHashMap::default(),
@@ -140,7 +140,7 @@
             counter: config
                 .counter
                 .map(|address| CounterClient::new(address, counter_timeout)),
-            has_counter_timer: false,
+            is_counter_timer_set: false,
             discovery: Discovery::new(config.discovery, Timing::new(config.drain_grace)),
             net_events: Vec::new(),
             shutdown_requested_at: None,
--- a/crates/resp-gateway/src/sessions/tests.rs
+++ b/crates/resp-gateway/src/sessions/tests.rs
@@ -7,7 +7,7 @@
 use std::net::TcpStream;
 
 /// One second, in microseconds.
-const SECOND: i64 = 1_000_000;
+const SECOND_MICROS: i64 = 1_000_000;
 const PING: &[u8] = b"*1\r\n$4\r\nPING\r\n";
 
 /// The sessions of a gateway with one client, on a controlled clock.
@@ -97,16 +97,16 @@
 fn client_accepts_no_bytes_then_write_timeout_counts_from_the_last_one_accepted() {
     let mut fixture = Fixture::new();
     assert!(!fixture.is_closed_by_sweep_after(0));
-    fixture.test_loop.jumps.jump(9 * SECOND);
+    fixture.test_loop.jumps.jump(9 * SECOND_MICROS);
     fixture.receive_and_reply(32 << 20);
     fixture.turn();
     assert!(
-        !fixture.is_closed_by_sweep_after(2 * SECOND),
+        !fixture.is_closed_by_sweep_after(2 * SECOND_MICROS),
         "closed although the reply was queued only 2 s ago, because the previous sweep was long ago"
     );
-    assert!(!fixture.is_closed_by_sweep_after(9 * SECOND));
+    assert!(!fixture.is_closed_by_sweep_after(9 * SECOND_MICROS));
     assert!(
-        fixture.is_closed_by_sweep_after(2 * SECOND),
+        fixture.is_closed_by_sweep_after(2 * SECOND_MICROS),
         "open although the client has accepted no byte within the write time-out"
     );
 }
@@ -129,7 +129,7 @@
             read += fixture.client.read(&mut buffer).unwrap_or(0);
         }
         assert!(
-            !fixture.is_closed_by_sweep_after(4 * SECOND),
+            !fixture.is_closed_by_sweep_after(4 * SECOND_MICROS),
             "closed although the client read {read} bytes since the previous sweep"
         );
     }
@@ -141,12 +141,12 @@
     fixture.client.write_all(PING).expect("the command is sent");
     while fixture.test_loop.engine.is_idle(fixture.conn) {}
     assert!(
-        !fixture.is_closed_by_sweep_after(3 * SECOND),
+        !fixture.is_closed_by_sweep_after(3 * SECOND_MICROS),
         "closed with an unread command in the socket"
     );
     let mut silent = Fixture::new();
     assert!(
-        silent.is_closed_by_sweep_after(3 * SECOND),
+        silent.is_closed_by_sweep_after(3 * SECOND_MICROS),
         "open although the client never sent a byte"
     );
 }
--- a/crates/resp-gateway/tests/clients.rs
+++ b/crates/resp-gateway/tests/clients.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Harness, LARGE_LIMITS, SECOND, SMALL_LIMITS};
+use common::{Harness, LARGE_LIMITS, SECOND_MICROS, SMALL_LIMITS};
 
 const VIEW: &str = "c=view,t=team,d=2000,units=1,spread=3,first=1";
 
@@ -213,7 +213,7 @@
     assert!(!harness.closed.contains(&idle) && !harness.closed.contains(&waiting));
     harness.reply_served(endpoint, "done");
     harness.expect_received(waiting, "$4\r\ndone\r\n");
-    harness.jumps.jump(11 * SECOND);
+    harness.jumps.jump(11 * SECOND_MICROS);
     harness.wait_for("the idle one is closed after the idle time-out", |h| {
         h.closed.contains(&idle).then_some(())
     });
--- a/crates/resp-gateway/tests/common/mod.rs
+++ b/crates/resp-gateway/tests/common/mod.rs
@@ -29,7 +29,7 @@
     accepts_inline: true,
 };
 /// One second, in microseconds.
-pub const SECOND: i64 = 1_000_000;
+pub const SECOND_MICROS: i64 = 1_000_000;
 
 /// An endpoint in the list of the discovery agent.
 #[derive(Clone)]
@@ -63,9 +63,9 @@
     /// The totals of the counter by key.
     pub totals: HashMap<Bytes, f64>,
     /// Whether the counter does not respond.
-    pub counter_is_silent: bool,
+    pub is_counter_silent: bool,
     /// Whether the discovery agent does not respond.
-    pub discovery_is_silent: bool,
+    pub is_discovery_silent: bool,
     pub counter_call_count: usize,
 }
 
@@ -143,8 +143,8 @@
             list_version: 1,
             sent_versions: HashMap::new(),
             totals: HashMap::new(),
-            counter_is_silent: false,
-            discovery_is_silent: false,
+            is_counter_silent: false,
+            is_discovery_silent: false,
             counter_call_count: 0,
         };
         harness.wait_for("the list is sent", |h| {
@@ -239,7 +239,7 @@
 
     fn run_counter(&mut self) {
         for conn in self.conns_of(self.counter.0) {
-            while let Some(words) = (!self.counter_is_silent)
+            while let Some(words) = (!self.is_counter_silent)
                 .then(|| self.next_command(conn))
                 .flatten()
             {
@@ -265,7 +265,7 @@
                 .get(&conn)
                 .is_some_and(|bytes| bytes.ends_with(b"\r\n\r\n"));
             let is_newer = self.sent_versions.get(&conn) != Some(&self.list_version);
-            if self.discovery_is_silent || !has_request || !is_newer || self.closed.contains(&conn)
+            if self.is_discovery_silent || !has_request || !is_newer || self.closed.contains(&conn)
             {
                 continue;
             }
@@ -313,7 +313,7 @@
     pub fn connect_client(&mut self) -> ConnId {
         let conn = self
             .engine
-            .connect_plain(self.gateway.local_address())
+            .connect_plain(self.gateway.listen_address())
             .expect("a socket");
         self.wait_for("a client connects", |h| {
             h.connected.contains(&conn).then_some(())
--- a/crates/resp-gateway/tests/event_races.rs
+++ b/crates/resp-gateway/tests/event_races.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use chalkdeck_net::ConnId;
-use common::{Harness, LARGE_LIMITS, SECOND, SMALL_LIMITS};
+use common::{Harness, LARGE_LIMITS, SECOND_MICROS, SMALL_LIMITS};
 
 const VIEW: &str = "c=view,t=team,d=2000,units=1,spread=3,first=1";
 const SALE: &str = "c=sale,t=team,d=2000,units=1,spread=3,first=1";
@@ -74,7 +74,7 @@
     let client = connect_active_client(&mut harness);
     harness.send_request(client, "b1", VIEW);
     harness.run_peers_only();
-    harness.jumps.jump(11 * SECOND);
+    harness.jumps.jump(11 * SECOND_MICROS);
     let (endpoint, _) = harness.next_attempt();
     harness.reply_served(endpoint, "kept");
     harness.expect_received(client, "$4\r\nkept\r\n");
@@ -90,7 +90,7 @@
     harness.send_request(clients[0], "c1", VIEW);
     let new = harness
         .engine
-        .connect_plain(harness.gateway.local_address())
+        .connect_plain(harness.gateway.listen_address())
         .expect("a socket");
     harness.run_peers_only();
     let (endpoint, _) = harness.next_attempt();
@@ -143,8 +143,8 @@
     let mut harness = Harness::new(1, LARGE_LIMITS);
     let client = harness.connect_client();
     let used = harness.serve_request(client, "e1", VIEW, "one");
-    harness.jumps.jump(SECOND);
-    harness.counter_is_silent = true;
+    harness.jumps.jump(SECOND_MICROS);
+    harness.is_counter_silent = true;
     harness.send_request(client, "e2", VIEW);
     let counter = harness.wait_for_counter_call();
     // The gateway reads both replies in one turn. The counter's reply comes first and lets the gateway forward the request.
@@ -185,7 +185,7 @@
         harness.send_request(client, &format!("f{i}"), VIEW);
     }
     let first_attempts = next_attempts(&mut harness, 64);
-    harness.jumps.jump(SECOND);
+    harness.jumps.jump(SECOND_MICROS);
     first_attempts
         .iter()
         .for_each(|(endpoint, _)| harness.reply_served(*endpoint, "done"));
@@ -209,7 +209,7 @@
             .map_or(0, |b| b.iter().filter(|c| **c == b'$').count());
         (reply_count == 70).then_some(())
     });
-    harness.jumps.jump(SECOND);
+    harness.jumps.jump(SECOND_MICROS);
     harness.send_request(client, "f99", VIEW);
     let (_, words) = harness.next_attempt();
     assert!(
@@ -251,7 +251,7 @@
     let lengthen_counter_timeout =
         |text: String| text.replace(r#""count_limit":80000"#, r#""count_limit":60000000"#);
     let mut harness = Harness::with_config(4, SMALL_LIMITS, lengthen_counter_timeout);
-    harness.counter_is_silent = true;
+    harness.is_counter_silent = true;
     for i in 0..MAX_CLIENTS + EXTRA_CLIENTS {
         let client = harness.connect_client();
         harness.send_request(client, &format!("g{i}"), VIEW);
@@ -260,7 +260,7 @@
     // The operating system establishes this connection, but the gateway is at its limit and cannot accept it before the shutdown.
     let waiting = harness
         .engine
-        .connect_plain(harness.gateway.local_address())
+        .connect_plain(harness.gateway.listen_address())
         .expect("a socket");
     harness.settle();
     harness.send_request(waiting, "g99", VIEW);
@@ -268,7 +268,7 @@
     harness.gateway.shut_down();
     harness.jumps.jump(430_000);
     harness.settle();
-    harness.counter_is_silent = false;
+    harness.is_counter_silent = false;
     let received = harness.wait_for("it is answered or closed", |h| {
         while let Some((endpoint, _)) = h.try_next_attempt() {
             h.reply_served(endpoint, "done");
--- a/crates/resp-gateway/tests/peers.rs
+++ b/crates/resp-gateway/tests/peers.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{config, Entry, Harness, LARGE_LIMITS, SECOND};
+use common::{config, Entry, Harness, LARGE_LIMITS, SECOND_MICROS};
 
 const VIEW: &str = "c=view,t=team,d=2000,units=1,spread=3,first=1";
 const SALE: &str = "c=sale,t=team,d=2000,units=1,spread=3,first=1";
@@ -179,7 +179,7 @@
     // The endpoint refuses connections, so the request never ran and may be rejected although it is not idempotent.
     let listener = harness.endpoints[0].0;
     harness.engine.close_listener(listener);
-    harness.jumps.jump(2 * SECOND);
+    harness.jumps.jump(2 * SECOND_MICROS);
     harness.send_request(client, "e2", SALE);
     harness.expect_received(client, "-BUSY");
 }
@@ -224,7 +224,7 @@
     harness.send_request(client, "h2", tiny);
     harness.expect_received(client, "-BUSY ");
     // The first request of another customer, with an invalid reply of the counter, is admitted by the gateway's local share.
-    harness.counter_is_silent = true;
+    harness.is_counter_silent = true;
     let command = "*4\r\n$8\r\nAPI.READ\r\n$16\r\n0000000000000007\r\n$2\r\nh3\r\n$45\r\nc=view,t=team,d=2000,units=1,spread=3,first=1\r\n";
     harness.write(client, command.as_bytes());
     let conn = harness.wait_for_counter_call();
@@ -242,7 +242,7 @@
 fn counter_connection_silent_then_next_call_takes_a_new_one() {
     let mut harness = Harness::new(1, LARGE_LIMITS);
     let client = harness.connect_client();
-    harness.counter_is_silent = true;
+    harness.is_counter_silent = true;
     harness.send_request(client, "i1", VIEW);
     harness.wait_for("the counter is called", |h| {
         let counter = h.counter.0;
@@ -268,7 +268,7 @@
         silent.iter().all(|c| h.closed.contains(c)).then_some(())
     });
     // The next call takes a new connection and is answered there.
-    harness.counter_is_silent = false;
+    harness.is_counter_silent = false;
     silent.iter().for_each(|c| drop(harness.received.remove(c)));
     harness.serve_request(client, "i2", VIEW, "next");
     assert!(
@@ -281,7 +281,7 @@
 fn incomplete_counter_reply_then_next_call_takes_a_new_connection() {
     let mut harness = Harness::new(1, LARGE_LIMITS);
     let client = harness.connect_client();
-    harness.counter_is_silent = true;
+    harness.is_counter_silent = true;
     harness.send_request(client, "p1", VIEW);
     let conn = harness.wait_for_counter_call();
     // The reply states a length of which only a part is sent.
@@ -291,7 +291,7 @@
     let (endpoint, _) = harness.next_attempt();
     harness.reply_served(endpoint, "own");
     harness.expect_received(client, "$3\r\nown\r\n");
-    harness.counter_is_silent = false;
+    harness.is_counter_silent = false;
     let calls_before = harness.counter_call_count;
     harness.send_request(client, "p2", VIEW);
     harness.wait_for("the next call takes another connection", |h| {
@@ -375,7 +375,7 @@
     let conn = harness.wait_for("a long poll arrives", |h| {
         discovery_conn(h).filter(|c| h.received.get(c).is_some_and(|b| !b.is_empty()))
     });
-    harness.jumps.jump(3 * SECOND);
+    harness.jumps.jump(3 * SECOND_MICROS);
     harness.wait_for("the connection to the silent agent is closed", |h| {
         h.closed.contains(&conn).then_some(())
     });
@@ -529,7 +529,7 @@
             .filter(|c| h.received.get(c).is_some_and(|b| !b.is_empty()))
     };
     let conn = harness.wait_for("a long poll arrives", |h| discovery_conn(h));
-    harness.discovery_is_silent = true;
+    harness.is_discovery_silent = true;
     // Changes to an older version are not applied; the complete list is requested instead.
     let body = r#"{"index":3,"snapshot":false,"endpoints":[{"name":"s-0","address":"127.0.0.1:1","status":"gone"}]}"#;
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
--- a/crates/resp-gateway/tests/simulation/mod.rs
+++ b/crates/resp-gateway/tests/simulation/mod.rs
@@ -169,7 +169,7 @@
             self.last_number += 1;
             self.clients.insert(
                 self.last_number,
-                Client::connect(self.gateway.local_address()),
+                Client::connect(self.gateway.listen_address()),
             );
         }
     }
