--- a/crates/grpc-gateway/src/call_flow/attempts.rs
+++ b/crates/grpc-gateway/src/call_flow/attempts.rs
@@ -11,7 +11,7 @@
 use http::uri::{Authority, PathAndQuery, Scheme};
 use http::{HeaderName, HeaderValue};
 
-/// An attempt with this deadline has no time-out of its own.
+/// The deadline of an attempt that has no time-out of its own.
 const NO_ATTEMPT_DEADLINE: u64 = u64::MAX;
 
 impl GatewayServer {
--- a/crates/grpc-gateway/src/call_flow/events.rs
+++ b/crates/grpc-gateway/src/call_flow/events.rs
@@ -128,8 +128,8 @@
         let client_stream = call.client_stream;
         let attempt_stream = call.attempt_stream();
         let appended = call.request_buffer.append(&data, attempt_stream.is_some());
-        if appended.window > 0 {
-            self.engine.consume(client_stream, appended.window);
+        if appended.window_bytes > 0 {
+            self.engine.consume(client_stream, appended.window_bytes);
         }
         if let Some(stream) = attempt_stream {
             self.engine.send(stream, data);
@@ -182,8 +182,8 @@
             return;
         };
         let returned_bytes = &mut call.attempts[id.number].returned_bytes;
-        let window = call.request_buffer.record_sent(returned_bytes, bytes);
-        self.engine.consume(call.client_stream, window);
+        let window_bytes = call.request_buffer.record_sent(returned_bytes, bytes);
+        self.engine.consume(call.client_stream, window_bytes);
     }
 
     /// Handles the end of what the peer sends on a stream.
--- a/crates/grpc-gateway/src/gateway_server/event_loop.rs
+++ b/crates/grpc-gateway/src/gateway_server/event_loop.rs
@@ -61,8 +61,8 @@
                 stream,
                 conn,
                 head,
-                is_end_stream: ended,
-            } => self.on_call(stream, conn, &head, ended),
+                is_end_stream: is_ended,
+            } => self.on_call(stream, conn, &head, is_ended),
             NetEvent::Connected { conn } => self.on_connected(conn),
             NetEvent::Closed { conn, reason, .. } => {
                 self.on_resp_closed(conn);
@@ -71,8 +71,8 @@
             NetEvent::ResponseHead {
                 stream,
                 head,
-                is_end_stream: ended,
-            } => self.on_head(stream, head, ended),
+                is_end_stream: is_ended,
+            } => self.on_head(stream, head, is_ended),
             NetEvent::Data { stream, data } => self.on_data(stream, data),
             NetEvent::StreamEnded { stream, trailers } => self.on_stream_ended(stream, trailers),
             NetEvent::Sent { stream, bytes } => self.on_bytes_sent(stream, bytes),
--- a/crates/grpc-gateway/src/relay.rs
+++ b/crates/grpc-gateway/src/relay.rs
@@ -74,14 +74,17 @@
             Event::ResponseHead {
                 stream,
                 head,
-                is_end_stream: ended,
+                is_end_stream: is_ended,
             } => {
                 let Some(&client_stream) = self.peer_stream.get(&stream) else {
                     return;
                 };
-                self.engine
-                    .respond(client_stream, http::Response::from_parts(*head, ()), ended);
-                if ended {
+                self.engine.respond(
+                    client_stream,
+                    http::Response::from_parts(*head, ()),
+                    is_ended,
+                );
+                if is_ended {
                     self.remove_streams(client_stream, stream);
                 }
             }
--- a/crates/grpc-gateway/src/request_buffer.rs
+++ b/crates/grpc-gateway/src/request_buffer.rs
@@ -22,8 +22,8 @@
 /// The result of [`RequestBuffer::append`].
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(crate) struct Appended {
-    /// Bytes of window to return to the client now.
-    pub(crate) window: usize,
+    /// The number of bytes of flow-control window to return to the client now.
+    pub(crate) window_bytes: usize,
     /// Whether the body became too long and was discarded now.
     pub(crate) is_discarded: bool,
 }
@@ -57,14 +57,14 @@
         let has_room = self.buffered_bytes <= self.limit;
         if is_forwarded {
             return Appended {
-                window: 0,
+                window_bytes: 0,
                 is_discarded: self.discard_if(!has_room),
             };
         }
-        let window = if has_room { data.len() } else { 0 };
-        self.returned_bytes += window;
+        let window_bytes = if has_room { data.len() } else { 0 };
+        self.returned_bytes += window_bytes;
         Appended {
-            window,
+            window_bytes,
             is_discarded: false,
         }
     }
@@ -82,15 +82,15 @@
         }
     }
 
-    /// Records that an attempt sent bytes; the window of its next `returned_bytes` was already returned. Returns the bytes of window
-    /// to return to the client.
+    /// Records that an attempt sent bytes; the window of its next `returned_bytes` was already returned. Returns the number of
+    /// bytes of window to return to the client.
     pub(crate) fn record_sent(&mut self, returned_bytes: &mut usize, bytes: usize) -> usize {
         let already_returned = bytes.min(*returned_bytes);
         *returned_bytes -= already_returned;
         let unreturned = self.received_bytes - self.returned_bytes;
-        let window = (bytes - already_returned).min(unreturned);
-        self.returned_bytes += window;
-        window
+        let window_bytes = (bytes - already_returned).min(unreturned);
+        self.returned_bytes += window_bytes;
+        window_bytes
     }
 
     /// Frees the body of a completed call.
--- a/crates/grpc-gateway/src/request_buffer/tests.rs
+++ b/crates/grpc-gateway/src/request_buffer/tests.rs
@@ -13,7 +13,7 @@
     assert_eq!(
         buffer.append(&bytes(6), false),
         Appended {
-            window: 6,
+            window_bytes: 6,
             is_discarded: false
         }
     );
@@ -38,11 +38,11 @@
 #[test]
 fn long_body_withholds_window_and_is_sent_once() {
     let mut buffer = RequestBuffer::new(10, false);
-    assert_eq!(buffer.append(&bytes(8), false).window, 8);
+    assert_eq!(buffer.append(&bytes(8), false).window_bytes, 8);
     assert_eq!(
         buffer.append(&bytes(8), false),
         Appended {
-            window: 0,
+            window_bytes: 0,
             is_discarded: false
         },
         "no window is returned beyond the limit"
--- a/crates/grpc-gateway/tests/common/mod.rs
+++ b/crates/grpc-gateway/tests/common/mod.rs
@@ -120,22 +120,22 @@
                 stream,
                 conn,
                 head,
-                is_end_stream: ended,
+                is_end_stream: is_ended,
             } => {
                 self.connection_of.insert(stream, conn);
                 self.incoming_streams.push(stream);
                 let record = self.streams.entry(stream).or_default();
                 (record.path, record.headers, record.is_ended) =
-                    (head.uri.path().to_string(), head.headers, ended);
+                    (head.uri.path().to_string(), head.headers, is_ended);
             }
             Event::ResponseHead {
                 stream,
                 head,
-                is_end_stream: ended,
+                is_end_stream: is_ended,
             } => {
                 let record = self.streams.entry(stream).or_default();
                 record.http_status = Some(head.status);
-                if ended {
+                if is_ended {
                     (record.trailers, record.is_ended) = (Some(head.headers), true);
                 } else {
                     record.headers = head.headers;
--- a/crates/grpc-gateway/tests/flow.rs
+++ b/crates/grpc-gateway/tests/flow.rs
@@ -123,7 +123,7 @@
             assert_eq!(
                 harness.wait_for_status(call),
                 Code::ResourceExhausted,
-                "a safe call is rejected rather than failed"
+                "an idempotent call is rejected rather than failed"
             );
             continue;
         }
--- a/crates/grpc-gateway/tests/servers.rs
+++ b/crates/grpc-gateway/tests/servers.rs
@@ -101,7 +101,7 @@
 
     let (mut harness, call, second) =
         fail_first_attempt(SELL, &idempotency_key(), close_connections);
-    let second = second.expect("a retry inside its group, as the call has an idempotency key");
+    let second = second.expect("a retry within its key scope, as the call has an idempotency key");
     harness.servers.answer(second, b"fine");
     assert_eq!(harness.wait_for_status(call), Code::Ok);
 
@@ -488,8 +488,8 @@
     });
 }
 
-/// A server that failed before gets a trial request, and the attempt there is abandoned early for a retry elsewhere. The client must get
-/// the response of the retry, and not the late response of the abandoned attempt.
+/// A server that failed before gets a trial request, and the attempt there is abandoned early for a retry elsewhere. The client
+/// must get the response of the retry, and not the late response of the abandoned attempt.
 #[test]
 fn late_response_of_an_abandoned_attempt_is_discarded() {
     let mut harness = Harness::new(3);
--- a/crates/resp-gateway/src/config.rs
+++ b/crates/resp-gateway/src/config.rs
@@ -131,12 +131,13 @@
 
     fn parse(file: &Path, text: &[u8]) -> Result<Config, ConfigErrorKind> {
         let content: ConfigFile = serde_json::from_slice(text)?;
-        let paths = setting_paths::flatten(&content.settings);
-        let mut named_settings = settings::parse_values_by_path(&paths)?;
+        let values_by_path = setting_paths::flatten(&content.settings);
+        let mut named_settings = settings::parse_values_by_path(&values_by_path)?;
         named_settings.settings.check()?;
         let initial_endpoints = parse_initial_endpoints(&content, &mut named_settings);
         let counter = content.counter.as_deref();
-        let endpoint_idle_timeout = parse_time(&paths, "bounds.conn_idle", TimeDelta::ZERO);
+        let endpoint_idle_timeout =
+            parse_duration(&values_by_path, "bounds.conn_idle", TimeDelta::ZERO);
         Ok(Config {
             file: file.to_path_buf(),
             listen: parse_address("listen", &content.listen)?,
@@ -147,9 +148,17 @@
             seed: parse_seed(&content.seed)?,
             limits: content.limits,
             initial_endpoints,
-            dial_timeout: parse_time(&paths, "bounds.dial_timeout", DEFAULT_DIAL_TIMEOUT)?,
+            dial_timeout: parse_duration(
+                &values_by_path,
+                "bounds.dial_timeout",
+                DEFAULT_DIAL_TIMEOUT,
+            )?,
             endpoint_idle_timeout: Some(endpoint_idle_timeout?).filter(|time| !time.is_zero()),
-            drain_grace: parse_time(&paths, "rules.stop_sending_within", DEFAULT_DRAIN_GRACE)?,
+            drain_grace: parse_duration(
+                &values_by_path,
+                "rules.stop_sending_within",
+                DEFAULT_DRAIN_GRACE,
+            )?,
             named_settings,
             name: content.name,
         })
@@ -191,12 +200,12 @@
     u64::from_str_radix(text, 16).map_err(|_| ConfigErrorKind::Seed(text.to_string()))
 }
 
-fn parse_time(
-    paths: &HashMap<String, String>,
+fn parse_duration(
+    values_by_path: &HashMap<String, String>,
     path: &'static str,
     default: TimeDelta,
 ) -> Result<TimeDelta, ConfigErrorKind> {
-    let Some(text) = paths.get(path) else {
+    let Some(text) = values_by_path.get(path) else {
         return Ok(default);
     };
     match text.parse() {
--- a/crates/resp-gateway/src/config/setting_paths.rs
+++ b/crates/resp-gateway/src/config/setting_paths.rs
@@ -6,31 +6,31 @@
 /// Flattens nested settings. The length of a list of objects is stored under `.count`, the items of other lists are joined with commas,
 /// and spaces and commas in texts are replaced by `_`.
 pub(super) fn flatten(settings: &Value) -> HashMap<String, String> {
-    let mut paths = HashMap::new();
-    insert(&mut paths, String::new(), settings);
-    paths
+    let mut values_by_path = HashMap::new();
+    insert(&mut values_by_path, String::new(), settings);
+    values_by_path
 }
 
-fn insert(paths: &mut HashMap<String, String>, path: String, value: &Value) {
+fn insert(values_by_path: &mut HashMap<String, String>, path: String, value: &Value) {
     match value {
         Value::Object(fields) => {
             for (name, field) in fields {
-                insert(paths, child_path(&path, name), field);
+                insert(values_by_path, child_path(&path, name), field);
             }
         }
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            paths.insert(child_path(&path, "count"), items.len().to_string());
+            values_by_path.insert(child_path(&path, "count"), items.len().to_string());
             for (index, item) in items.iter().enumerate() {
-                insert(paths, child_path(&path, &index.to_string()), item);
+                insert(values_by_path, child_path(&path, &index.to_string()), item);
             }
         }
         Value::Array(items) => {
             let texts: Vec<String> = items.iter().filter_map(scalar_text).collect();
-            paths.insert(path, texts.join(","));
+            values_by_path.insert(path, texts.join(","));
         }
         scalar => {
             if let Some(text) = scalar_text(scalar) {
-                paths.insert(path, text);
+                values_by_path.insert(path, text);
             }
         }
     }
--- a/crates/resp-gateway/src/request.rs
+++ b/crates/resp-gateway/src/request.rs
@@ -195,7 +195,7 @@
 }
 
 fn parse_retry(fields: &Fields) -> Result<bool, RequestError> {
-    match fields.is_retry {
+    match fields.retry_flag {
         None | Some("0") => Ok(false),
         Some("1") => Ok(true),
         _ => Err(RequestError::Retry),
--- a/crates/resp-gateway/src/request/fields.rs
+++ b/crates/resp-gateway/src/request/fields.rs
@@ -15,7 +15,7 @@
     pub(super) units: Option<&'a str>,
     pub(super) customer_gateways: Option<&'a str>,
     pub(super) first_gateway: Option<&'a str>,
-    pub(super) is_retry: Option<&'a str>,
+    pub(super) retry_flag: Option<&'a str>,
 }
 
 impl<'a> Fields<'a> {
@@ -45,7 +45,7 @@
             "units" => ("units", &mut self.units),
             "spread" => ("spread", &mut self.customer_gateways),
             "first" => ("first", &mut self.first_gateway),
-            "r" => ("r", &mut self.is_retry),
+            "r" => ("r", &mut self.retry_flag),
             _ => return Ok(()),
         };
         if field.replace(value).is_some() {
--- a/crates/resp-gateway/src/sessions.rs
+++ b/crates/resp-gateway/src/sessions.rs
@@ -82,7 +82,7 @@
             return;
         };
         session.bytes.extend_from_slice(data);
-        session.active_at = now;
+        session.last_active_at = now;
         session.received_at = session.unread_since.unwrap_or(now);
         flow_control::clear_unread_since_if_quiet(engine, conn, session);
     }
@@ -165,7 +165,7 @@
             encode_reply(&mut out, &reply);
         }
         if !out.is_empty() {
-            session.active_at = clock::now(engine);
+            session.last_active_at = clock::now(engine);
             engine.write(conn, &out);
         }
         self.queue_to_resume(engine, conn);
--- a/crates/resp-gateway/src/sessions/session.rs
+++ b/crates/resp-gateway/src/sessions/session.rs
@@ -12,7 +12,7 @@
 const COMMAND_TIMEOUT: TimeDelta = TimeDelta::from_secs(2);
 /// Keep-alive time-out: the time after which a connection without an open request is closed.
 const IDLE_TIMEOUT: TimeDelta = TimeDelta::from_secs(10);
-/// The time that a client has to read a protocol error before its connection is closed.
+/// The time that a client has to read the last replies after a protocol error or `QUIT`; its connection is closed afterwards.
 const LINGER_TIMEOUT: TimeDelta = TimeDelta::from_secs(2);
 /// The time after which a connection is closed whose client accepts no byte of its replies.
 const WRITE_TIMEOUT: TimeDelta = TimeDelta::from_secs(10);
@@ -40,7 +40,7 @@
     is_within_command: bool,
     /// Whether the client has sent a command or has only just connected.
     is_active_client: bool,
-    active_at: Timestamp,
+    last_active_at: Timestamp,
 }
 
 /// The state of one client connection.
@@ -64,7 +64,7 @@
     pub(super) has_sent_command: bool,
     accepted_at: Timestamp,
     /// When bytes were last received or a reply was last sent.
-    pub(super) active_at: Timestamp,
+    pub(super) last_active_at: Timestamp,
     /// The time from which the deadlines of the commands in `bytes` are counted: when they were received, or when reading was paused
     /// if they may have waited in the socket since then.
     pub(super) received_at: Timestamp,
@@ -78,7 +78,7 @@
     pub(super) fn accepted(now: Timestamp) -> Session {
         Session {
             accepted_at: now,
-            active_at: now,
+            last_active_at: now,
             ..Session::default()
         }
     }
@@ -100,11 +100,11 @@
 
     /// The rank of the connection in the order of eviction.
     pub(super) fn eviction_rank(&self, now: Timestamp) -> EvictionRank {
-        let is_new = now < self.active_at + FIRST_COMMAND_GRACE;
+        let is_new = now < self.last_active_at + FIRST_COMMAND_GRACE;
         EvictionRank {
             is_within_command: !self.is_between_requests(),
             is_active_client: self.has_sent_command || is_new,
-            active_at: self.active_at,
+            last_active_at: self.last_active_at,
         }
     }
 
@@ -125,7 +125,7 @@
         self.blocked_write = (unsent > 0).then_some(blocked);
     }
 
-    /// Whether the client has not accepted its replies within the write time-out, or lingers longer than it may.
+    /// Whether the client has accepted no bytes within the write time-out, or its connection has lingered for the linger time-out.
     pub(super) fn is_write_timed_out(&self, now: Timestamp) -> bool {
         let is_blocked = self
             .blocked_write
@@ -136,7 +136,7 @@
         is_blocked || has_lingered
     }
 
-    /// Whether a client that has all its replies has exceeded the command or idle time-out, judging by the bytes that were read.
+    /// Whether a client that has all its replies has exceeded the command or idle time-out. Only bytes that were read count as received.
     pub(super) fn is_read_timed_out(&self, now: Timestamp) -> bool {
         let has_unread_replies = self.lingering_since.is_some()
             || self.blocked_write.is_some()
@@ -148,9 +148,9 @@
         if !self.has_sent_command {
             now - self.accepted_at >= COMMAND_TIMEOUT
         } else if is_within_command {
-            now - self.active_at >= COMMAND_TIMEOUT
+            now - self.last_active_at >= COMMAND_TIMEOUT
         } else {
-            now - self.active_at >= IDLE_TIMEOUT
+            now - self.last_active_at >= IDLE_TIMEOUT
         }
     }
 }
