--- a/crates/grpc-gateway/src/base/call_head.rs
+++ b/crates/grpc-gateway/src/base/call_head.rs
@@ -24,6 +24,6 @@
     pub(crate) code: Option<Code>,
     /// The message for the client and the log.
     pub(crate) reason: String,
-    /// The value of the metric's label.
+    /// The value of the label `kind` of the metric that counts rejected input.
     pub(crate) kind: &'static str,
 }
--- a/crates/grpc-gateway/src/base/errors.rs
+++ b/crates/grpc-gateway/src/base/errors.rs
@@ -76,7 +76,7 @@
         /// What was expected there.
         what: String,
     },
-    /// The file holds out more sites than allowed.
+    /// The override would take more sites out of service than allowed.
     #[error("expected at most {0} sites kept out")]
     #[diagnostic(
         code(chalkdeck::gateway::words_most),
--- a/crates/grpc-gateway/src/base/settings.rs
+++ b/crates/grpc-gateway/src/base/settings.rs
@@ -84,7 +84,8 @@
     pub class_names: Vec<String>,
     /// The names of the plans, by index.
     pub plan_names: Vec<String>,
-    /// For each class the index of the class that its calls without an idempotency key have: they are non-idempotent.
+    /// For each class the index of the class of its calls without an idempotency key: for a keyed class a non-idempotent copy of
+    /// it, otherwise the class itself.
     pub unkeyed_class: Vec<usize>,
     /// The routes; the first match applies.
     pub routes: Vec<Route>,
--- a/crates/grpc-gateway/src/endpoint_connections.rs
+++ b/crates/grpc-gateway/src/endpoint_connections.rs
@@ -56,7 +56,7 @@
 }
 
 impl EndpointConnections {
-    /// Without connections. `keepalive`: the interval of pings, in microseconds.
+    /// An empty set of connections. `keepalive`: the interval of pings, in microseconds.
     pub(crate) fn new(max_connections: usize, streams: u32, keepalive: u64) -> EndpointConnections {
         let limits = Limits {
             max_streams: streams,
--- a/crates/resp-gateway/src/discovery.rs
+++ b/crates/resp-gateway/src/discovery.rs
@@ -26,8 +26,8 @@
 pub(crate) enum DiscoveryAction {
     /// Apply an endpoint update.
     UpdateEndpoints(EndpointList),
-    /// Call `Discovery::on_call_timeout` with this call after the delay.
-    CheckCall {
+    /// Set a timer that calls `Discovery::on_call_timeout` with this call after the delay.
+    SetCallTimer {
         /// The delay.
         after: TimeDelta,
         /// The call.
@@ -69,9 +69,9 @@
         match engine.connect_plain(self.address) {
             Ok(conn) => {
                 self.conn = Some(conn);
-                self.check_call_after(self.timing.timeout)
+                self.set_call_timer(self.timing.timeout)
             }
-            Err(_) => self.check_call_after(self.timing.retry_delay),
+            Err(_) => self.set_call_timer(self.timing.retry_delay),
         }
     }
 
@@ -82,10 +82,10 @@
         self.exchange.reset();
     }
 
-    /// Begins a new call, which invalidates the timers of earlier ones, and has it checked after the delay.
-    fn check_call_after(&mut self, after: TimeDelta) -> DiscoveryAction {
+    /// Begins a new call, which invalidates the timers of earlier ones, and sets its timer.
+    fn set_call_timer(&mut self, after: TimeDelta) -> DiscoveryAction {
         self.current_call.0 += 1;
-        DiscoveryAction::CheckCall {
+        DiscoveryAction::SetCallTimer {
             after,
             call: self.current_call,
         }
@@ -158,7 +158,7 @@
         self.conn = None;
         let is_close_delimited = self.exchange.end();
         if !is_close_delimited || *reason != CloseReason::PeerEnded {
-            return vec![self.check_call_after(self.timing.retry_delay)];
+            return vec![self.set_call_timer(self.timing.retry_delay)];
         }
         let actions = self.handle_response(engine, conn, ConnectionReuse::Close, zones);
         actions.unwrap_or_else(|error| vec![self.on_call_failed(engine, &error)])
@@ -205,7 +205,7 @@
             ConnectionReuse::Close => self.connect(engine),
             ConnectionReuse::KeepAlive => {
                 self.send_request(engine, conn)?;
-                self.check_call_after(self.timing.timeout)
+                self.set_call_timer(self.timing.timeout)
             }
         };
         Ok(vec![DiscoveryAction::UpdateEndpoints(list), next_call])
@@ -215,7 +215,7 @@
         tracing::warn!(%error, address = %self.address, "discovery call failed: keeping the last good endpoint list");
         self.close(engine);
         self.held_version = None;
-        self.check_call_after(self.timing.retry_delay)
+        self.set_call_timer(self.timing.retry_delay)
     }
 }
 
--- a/crates/resp-gateway/src/discovery/tests.rs
+++ b/crates/resp-gateway/src/discovery/tests.rs
@@ -111,7 +111,7 @@
                         self.list_count += 1;
                     }
                 }
-                DiscoveryAction::CheckCall { after, call } => self.call_timers.push(CallTimer {
+                DiscoveryAction::SetCallTimer { after, call } => self.call_timers.push(CallTimer {
                     fires_at: self.engine.now() + after.as_micros(),
                     call,
                 }),
--- a/crates/resp-gateway/src/server.rs
+++ b/crates/resp-gateway/src/server.rs
@@ -38,7 +38,7 @@
     DialTimeout(ConnId),
     /// Calls to the counter whose deadline has passed are ended.
     CounterTimeout,
-    /// The discovery call fails if it is still open.
+    /// The discovery client reconnects if this call is still the current one.
     DiscoveryTimeout(CallId),
     /// Connections are checked for time-outs.
     Sweep,
--- a/crates/resp-gateway/src/server/endpoint_updates.rs
+++ b/crates/resp-gateway/src/server/endpoint_updates.rs
@@ -9,7 +9,7 @@
     pub(super) fn execute_discovery_action(&mut self, action: DiscoveryAction) {
         match action {
             DiscoveryAction::UpdateEndpoints(list) => self.apply_endpoint_update(list),
-            DiscoveryAction::CheckCall { after, call } => {
+            DiscoveryAction::SetCallTimer { after, call } => {
                 self.set_timer(after, TimerPurpose::DiscoveryTimeout(call));
             }
         }
--- a/crates/resp-gateway/src/sessions.rs
+++ b/crates/resp-gateway/src/sessions.rs
@@ -84,7 +84,7 @@
         session.bytes.extend_from_slice(data);
         session.last_active_at = now;
         session.received_at = session.unread_since.unwrap_or(now);
-        flow_control::clear_unread_since_if_quiet(engine, conn, session);
+        flow_control::clear_unread_since_if_empty(engine, conn, session);
     }
 
     /// Returns the next command of a connection, or pauses the connection if flow control does not allow another one. A protocol error is
@@ -94,17 +94,17 @@
         engine: &mut Engine,
         conn: ConnId,
     ) -> Option<ReceivedCommand> {
-        let is_full = self.is_full();
+        let is_command_memory_full = self.is_command_memory_full();
         let unsent = engine.unsent_bytes(conn);
         let session = self.by_conn.get_mut(&conn).filter(|s| !s.is_read_closed)?;
         let is_limited = flow_control::exceeds_limits(session, unsent);
-        if is_limited || is_full && !session.bytes.is_empty() {
+        if is_limited || is_command_memory_full && !session.bytes.is_empty() {
             flow_control::pause(engine, conn, session);
             return None;
         }
         match take_command(&mut session.bytes, &COMMAND_LIMITS) {
             ParsedCommand::Incomplete => {
-                flow_control::unpause(engine, conn, session);
+                flow_control::resume(engine, conn, session);
                 None
             }
             ParsedCommand::Complete(words) => {
--- a/crates/resp-gateway/src/sessions/flow_control.rs
+++ b/crates/resp-gateway/src/sessions/flow_control.rs
@@ -15,13 +15,13 @@
 
 impl Sessions {
     /// Whether the commands of all clients together have reached their size limit.
-    pub(super) fn is_full(&self) -> bool {
+    pub(super) fn is_command_memory_full(&self) -> bool {
         self.command_bytes >= self.max_command_bytes
     }
 
     /// Queues a paused connection to be resumed, if it and all clients together are within their limits again.
     pub(super) fn queue_to_resume(&mut self, engine: &mut Engine, conn: ConnId) {
-        let is_full = self.is_full();
+        let is_command_memory_full = self.is_command_memory_full();
         let Some(session) = self.by_conn.get_mut(&conn) else {
             return;
         };
@@ -30,7 +30,7 @@
         }
         let has_room = session.replies.pending() < RESUME_PENDING_COMMANDS
             && engine.unsent_bytes(conn) <= MAX_UNSENT_BYTES;
-        if has_room && !is_full {
+        if has_room && !is_command_memory_full {
             session.is_queued_to_resume = true;
             self.resume_queue.push(conn);
         }
@@ -66,16 +66,16 @@
 }
 
 /// Resumes reading from a paused connection.
-pub(super) fn unpause(engine: &mut Engine, conn: ConnId, session: &mut Session) {
+pub(super) fn resume(engine: &mut Engine, conn: ConnId, session: &mut Session) {
     if session.is_paused {
         session.is_paused = false;
         engine.set_read_paused(conn, false);
-        clear_unread_since_if_quiet(engine, conn, session);
+        clear_unread_since_if_empty(engine, conn, session);
     }
 }
 
-/// Clears the time of the last pause once the socket is empty: all that arrived during the pause has been read.
-pub(super) fn clear_unread_since_if_quiet(
+/// Clears `unread_since` once the socket is empty: everything that arrived during the pause has been read.
+pub(super) fn clear_unread_since_if_empty(
     engine: &mut Engine,
     conn: ConnId,
     session: &mut Session,
