--- a/crates/grpc-gateway/src/call_flow/cancellation.rs
+++ b/crates/grpc-gateway/src/call_flow/cancellation.rs
@@ -15,7 +15,7 @@
         };
         let is_streaming_class = self.settings.policy.classes[call.request.class.0].is_streaming;
         match call.client_deadline {
-            // If the client set no deadline, a started stream has none.
+            // A response of a streaming class has no deadline once it has started, unless the client set one.
             None if is_streaming_class => {}
             // The client's deadline is later than the deadline of the class, which applies only until the response starts.
             Some(deadline) if is_streaming_class && deadline > now => {
--- a/crates/grpc-gateway/src/call_flow/responses.rs
+++ b/crates/grpc-gateway/src/call_flow/responses.rs
@@ -118,7 +118,8 @@
         self.decisions.push(Event::ResponseStarted(id));
         // The admission queue limits calls that end soon; a stream may last long and is not counted.
         self.release_from_queue(id);
-        // The decision engine tracks no deadline for a started response; only the client's own applies.
+        // The decision engine tracks no deadline for a started response; `on_client_deadline` applies the one that remains in
+        // force.
         let remaining = call_deadline.saturating_sub(self.engine.now());
         self.set_timer(remaining, TimerPurpose::ClientDeadline(id));
     }
--- a/crates/grpc-gateway/src/gateway_server/mod.rs
+++ b/crates/grpc-gateway/src/gateway_server/mod.rs
@@ -1,8 +1,8 @@
 //! A gateway on real sockets: it passes events to the decision engine and executes the resulting actions. The engine decides
 //! whether a call is sent, retried, rejected, failed or cancelled. The gateway itself rejects only invalid calls, calls that access
-//! rules deny and calls that the admission queue rejects. It aborts open calls if the client's own deadline passes after the
-//! response has started, if a change of the access rules denies a stream, or at the end of a shutdown, and reports these to the
-//! engine as cancelled by the client.
+//! rules deny and calls that the admission queue rejects. It aborts open calls if their deadline passes after the response has
+//! started, if a change of the access rules denies a stream, or at the end of a shutdown, and reports these to the engine as
+//! cancelled by the client.
 
 mod admin;
 mod counter_calls;
