--- a/crates/grpc-gateway/src/relay.rs
+++ b/crates/grpc-gateway/src/relay.rs
@@ -1,4 +1,4 @@
-//! A plain gRPC proxy on the same event loop, without the decisions: the baseline for measuring their cost.
+//! A plain gRPC proxy on the same event loop, without the decision engine: the baseline for measuring the engine's cost.
 
 use bytes::Bytes;
 use chalkdeck_net::grpc::{self, Code};
@@ -74,14 +74,17 @@
             Event::ResponseHead {
                 stream,
                 head,
-                is_end_stream: ended,
+                is_end_stream: is_ended,
             } => {
                 let Some(&client_stream) = self.peer_stream.get(&stream) else {
                     return;
                 };
-                self.engine
-                    .respond(client_stream, http::Response::from_parts(*head, ()), ended);
-                if ended {
+                self.engine.respond(
+                    client_stream,
+                    http::Response::from_parts(*head, ()),
+                    is_ended,
+                );
+                if is_ended {
                     self.remove_streams(client_stream, stream);
                 }
             }
--- a/crates/resp-gateway/src/server.rs
+++ b/crates/resp-gateway/src/server.rs
@@ -1,5 +1,5 @@
-//! The gateway server: turns socket and timer events into events of the decision module and carries out the module's actions. Only the
-//! module decides what is sent, rejected, failed, retried or cancelled.
+//! The gateway server: turns socket and timer events into events of the decision engine and executes the engine's actions. Only the engine
+//! decides what is sent, rejected, failed, retried or cancelled.
 
 mod actions;
 mod counter_calls;
@@ -30,7 +30,7 @@
 
 /// What happens when a timer of the event loop fires.
 enum TimerPurpose {
-    /// The decision module is notified of its timer.
+    /// The decision engine is notified of its timer.
     Decision(TimerId),
     /// The attempt is aborted if it is still open.
     AttemptDeadline(AttemptId),
@@ -38,7 +38,7 @@
     DialTimeout(ConnId),
     /// Calls to the counter whose deadline has passed are ended.
     CounterTimeout,
-    /// The discovery call fails if it is still open.
+    /// The discovery client reconnects if this call is still the current one.
     DiscoveryTimeout(CallId),
     /// Connections are checked for time-outs.
     Sweep,
@@ -66,7 +66,7 @@
     listener: ListenerId,
     /// Whether the listener still accepts connections.
     is_listening: bool,
-    local_address: SocketAddr,
+    listen_address: SocketAddr,
     timers: TimerQueue<TimerPurpose>,
     sessions: Sessions,
     requests: FxHashMap<RequestId, OpenRequest>,
@@ -77,7 +77,7 @@
     endpoints: EndpointConnections,
     counter: Option<CounterClient>,
     /// Whether a timer for the next deadline of a counter call is set.
-    has_counter_timer: bool,
+    is_counter_timer_set: bool,
     discovery: Discovery,
     /// The buffer for the socket events of one turn, kept to reuse its allocation.
     net_events: Vec<NetEvent>,
@@ -87,7 +87,7 @@
 
 impl GatewayServer {
     /// The address that the gateway listens at.
-    pub fn local_address(&self) -> SocketAddr {
-        self.local_address
+    pub fn listen_address(&self) -> SocketAddr {
+        self.listen_address
     }
 }
--- a/crates/resp-gateway/src/server/endpoint_updates.rs
+++ b/crates/resp-gateway/src/server/endpoint_updates.rs
@@ -6,16 +6,16 @@
 use chalkdeck::api::{EndpointEntry, Event, UpdateScope};
 
 impl GatewayServer {
-    pub(super) fn carry_out_discovery_action(&mut self, action: DiscoveryAction) {
+    pub(super) fn execute_discovery_action(&mut self, action: DiscoveryAction) {
         match action {
             DiscoveryAction::UpdateEndpoints(list) => self.apply_endpoint_update(list),
-            DiscoveryAction::CheckCall { after, call } => {
+            DiscoveryAction::SetCallTimer { after, call } => {
                 self.set_timer(after, TimerPurpose::DiscoveryTimeout(call));
             }
         }
     }
 
-    /// Applies an update to the connections and reports it to the decision module, unless it is an incremental update without endpoints,
+    /// Applies an update to the connections and reports it to the decision engine, unless it is an incremental update without endpoints,
     /// which changes nothing.
     pub(super) fn apply_endpoint_update(&mut self, list: EndpointList) {
         self.endpoints.apply_update(&mut self.engine, &list);
