--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -10,10 +10,10 @@
 use crate::measure::reconnect::{self, ReconnectArgs};
 use crate::measure::returns::{self, ReturnsArgs};
 use crate::measure::sites::{self, SitesArgs};
-use crate::rig::counting::{self, OwnCounterArgs};
+use crate::rig::coordinator_process::{self, OwnCoordinatorArgs};
+use crate::rig::counter_process::{self, OwnCounterArgs};
 use crate::rig::day::{self, RunArgs};
 use crate::rig::demo::{self, DemoArgs};
-use crate::rig::keeping::{self, OwnKeeperArgs};
 use crate::rig::links::command::{self as links, LinksArgs};
 use crate::rig::replay::{self, ReplayArgs};
 use crate::rig::serve::{self, RelayArgs, ServeArgs};
@@ -42,7 +42,7 @@
     OwnCounter(OwnCounterArgs),
     /// One keeper, as a part of the demo
     #[command(hide = true)]
-    OwnKeeper(OwnKeeperArgs),
+    OwnKeeper(OwnCoordinatorArgs),
     /// Stand-ins for the servers of one cell
     Farm(FarmArgs),
     /// Open-loop gRPC load
@@ -98,15 +98,15 @@
         let program = Program::this(before)?;
         match self {
             Command::Counter(args) => counter::command(&args),
-            Command::OwnCounter(args) => counting::command(&args),
-            Command::OwnKeeper(args) => keeping::command(&args),
+            Command::OwnCounter(args) => counter_process::command(&args),
+            Command::OwnKeeper(args) => coordinator_process::command(&args),
             Command::Farm(args) => farm::command(&args),
             Command::Load(args) => load::command(args),
             Command::Serve(args) => serve::serve(&args),
             Command::Relay(args) => serve::relay(args),
             Command::Links(args) => links::command(&args),
             Command::Run(args) => day::command(before, args),
-            Command::Audit { dir } => day::report(&dir),
+            Command::Audit { dir } => day::audit_and_print(&dir),
             Command::Replay(args) => replay::command(before, &args),
             Command::Timeline(args) => timeline::run(&args.dirs, args.svg.as_deref()),
             Command::Reconnect(args) => reconnect::run(&program, &args),
--- a/crates/testbed/src/measure/asks.rs
+++ b/crates/testbed/src/measure/asks.rs
@@ -2,7 +2,7 @@
 
 use crate::common::process::{cpu_seconds, Program};
 use crate::measure::gateway;
-use crate::rig::fleet::{any, Fleet};
+use crate::rig::fleet::{any_port, Fleet};
 use anyhow::{bail, Context};
 use chalkdeck_proto::chalkdeck::config::v1::Resp;
 use clap::Args;
@@ -97,7 +97,7 @@
         class,
         ..Resp::default()
     });
-    let fleet = Fleet::start(program, day, &args.dir, any(), None)?;
+    let fleet = Fleet::start(program, day, &args.dir, any_port(), None)?;
     let process = fleet.gateway_process(0).context("expected a gateway")?;
     let (address, id) = (process.address("resp")?, process.id());
     let words = |w: &[&str]| w.iter().map(|w| w.to_string()).collect::<Vec<String>>();
--- a/crates/testbed/src/measure/flood.rs
+++ b/crates/testbed/src/measure/flood.rs
@@ -5,7 +5,7 @@
 use crate::common::process::{memory_kib, Process, Program};
 use crate::common::script::DAY_MESSAGE;
 use crate::rig::demo;
-use crate::rig::fleet::{any, Fleet};
+use crate::rig::fleet::{any_port, Fleet};
 use anyhow::{bail, Context};
 use chalkdeck_proto::chalkdeck::config::v1::Door;
 use chalkdeck_proto::chalkdeck::lab::v1::{Customers, Day};
@@ -52,7 +52,8 @@
         let text = out.display().to_string();
         let own = ["--prefix", name, "--out", &text];
         Ok((
-            self.fleet.load_of(day, seconds, &[&own, more].concat())?,
+            self.fleet
+                .start_load_of_day(day, seconds, &[&own, more].concat())?,
             out,
         ))
     }
@@ -71,7 +72,7 @@
 }
 
 fn fleet(door: bool) -> anyhow::Result<Day> {
-    let mut day = demo::fleet()?;
+    let mut day = demo::day()?;
     day.gateways = 1;
     day.load
         .iter_mut()
@@ -133,7 +134,7 @@
     dir: &Path,
 ) -> anyhow::Result<()> {
     let day = fleet(door)?;
-    let fleet = Fleet::start(program.clone(), day.clone(), dir, any(), None)?;
+    let fleet = Fleet::start(program.clone(), day.clone(), dir, any_port(), None)?;
     let id = fleet.gateway_process(0).context("expected a gateway")?.id();
     let run = Run {
         dir,
@@ -155,7 +156,7 @@
     std::thread::sleep(SETTLE);
     let during = run.others("during")?;
     let grown = memory_kib(id)?;
-    let refused = control::read_metric(run.fleet.admin(0), "chalkdeck_door_refused_total")?;
+    let refused = control::read_metric(run.fleet.admin_address(0), "chalkdeck_door_refused_total")?;
     load.wait();
     let flood: LoadSummary = serde_json::from_str(&std::fs::read_to_string(out)?)?;
     let ms = |us: u64| us as f64 / 1e3;
--- a/crates/testbed/src/measure/gateway.rs
+++ b/crates/testbed/src/measure/gateway.rs
@@ -5,7 +5,7 @@
 use crate::common::load_stats::LoadSummary;
 use crate::common::process::{cpu_seconds, memory_kib, Process, Program};
 use crate::common::script::DAY_MESSAGE;
-use crate::rig::fleet::{any, Fleet};
+use crate::rig::fleet::{any_port, Fleet};
 use anyhow::{bail, Context};
 use chalkdeck_proto::chalkdeck::lab::v1::Day;
 use chalkdeck_proto::text;
@@ -71,8 +71,8 @@
 /// Runs all of it and prints tables.
 pub fn run(program: Program, args: &MeasureArgs) -> anyhow::Result<()> {
     let day = fleet()?;
-    let fleet = Fleet::start(program.clone(), day.clone(), &args.dir, any(), None)?;
-    let servers = fleet.servers();
+    let fleet = Fleet::start(program.clone(), day.clone(), &args.dir, any_port(), None)?;
+    let servers = fleet.server_addresses();
     let list: Vec<String> = servers.iter().map(ToString::to_string).collect();
     let relay_args = ["relay".to_string(), "--servers".to_string(), list.join(",")];
     let relay = Process::start(&program, &relay_args, &args.dir.join("relay.log"))?;
@@ -90,7 +90,7 @@
         },
         Way {
             name: "gateway",
-            targets: fleet.gateways(),
+            targets: fleet.gateway_addresses(),
             process: Some(gateway),
         },
     ];
@@ -125,13 +125,13 @@
         .for_each(|m| m.timeout_ms = 90_000);
     let classes = day.gateway.iter_mut().flat_map(|g| &mut g.classes);
     classes.for_each(|c| (c.aim_ms, c.deadline_ms) = (60_000, 90_000));
-    let fleet = Fleet::start(program.clone(), day, dir, any(), None)?;
+    let fleet = Fleet::start(program.clone(), day, dir, any_port(), None)?;
     let id = fleet.gateway_process(0).context("expected a gateway")?.id();
     let before = memory_kib(id)?;
     let held_text = held.to_string();
-    let _load = fleet.load(30.0, &["--outstanding", &held_text, "--connections", "16"])?;
+    let _load = fleet.start_load(30.0, &["--outstanding", &held_text, "--connections", "16"])?;
     std::thread::sleep(SETTLE);
-    let open = control::get(fleet.admin(0), "/metrics")?;
+    let open = control::get(fleet.admin_address(0), "/metrics")?;
     let open = open
         .lines()
         .find_map(|l| l.strip_prefix("chalkdeck_calls_open "))
--- a/crates/testbed/src/measure/reconnect.rs
+++ b/crates/testbed/src/measure/reconnect.rs
@@ -5,7 +5,7 @@
 use crate::common::process::Program;
 use crate::common::script::ScriptAction;
 use crate::rig::demo;
-use crate::rig::fleet::{any, Fleet};
+use crate::rig::fleet::{any_port, Fleet};
 use anyhow::{bail, Context};
 use chalkdeck_client::core::{Action, ClientCore, Event, GatewayId};
 use chalkdeck_client::{Settings, TimeDelta, Timestamp};
@@ -296,21 +296,24 @@
 }
 
 fn play(program: &Program, args: &ReconnectArgs, naive: bool) -> anyhow::Result<Begun> {
-    let mut day = demo::fleet()?;
+    let mut day = demo::day()?;
     day.gateways = 1;
-    let mut fleet = Fleet::start(program.clone(), day, &args.dir, any(), None)?;
-    let address = *fleet.gateways().first().context("expected a gateway")?;
+    let mut fleet = Fleet::start(program.clone(), day, &args.dir, any_port(), None)?;
+    let address = *fleet
+        .gateway_addresses()
+        .first()
+        .context("expected a gateway")?;
     let mut crowd = Crowd::new(args, address, naive)?;
     crowd.start();
     crowd.until("the first connections", 60.0, |c| c.up == c.cores.len())?;
-    fleet.act(&ScriptAction::KillGateway(0), None)?;
+    fleet.apply(&ScriptAction::KillGateway(0), None)?;
     let lost = crowd.engine.now();
     crowd.lost_at = Some(lost);
     let back = lost + (args.away * 1e6) as u64;
     while crowd.engine.now() < back {
         crowd.turn()?;
     }
-    fleet.act(&ScriptAction::StartGateway(0), None)?;
+    fleet.apply(&ScriptAction::StartGateway(0), None)?;
     let started = crowd.engine.now();
     crowd.calls = Some(Calls {
         due: 0,
--- a/crates/testbed/src/measure/returns.rs
+++ b/crates/testbed/src/measure/returns.rs
@@ -3,7 +3,7 @@
 
 use crate::common::process::Program;
 use crate::rig::demo;
-use crate::rig::fleet::{any, Fleet};
+use crate::rig::fleet::{any_port, Fleet};
 use anyhow::{bail, Context};
 use clap::Args;
 use std::io::{BufRead, BufReader, Write};
@@ -126,9 +126,9 @@
 
 /// Runs all callers and prints what became of them.
 pub fn run(program: Program, args: &ReturnsArgs) -> anyhow::Result<()> {
-    let mut day = demo::fleet()?;
+    let mut day = demo::day()?;
     day.gateways = 1;
-    let fleet = Fleet::start(program, day, &args.dir, any(), None)?;
+    let fleet = Fleet::start(program, day, &args.dir, any_port(), None)?;
     let address = fleet
         .gateway_process(0)
         .context("expected a gateway")?
--- a/crates/testbed/src/measure/sites.rs
+++ b/crates/testbed/src/measure/sites.rs
@@ -6,7 +6,7 @@
 use crate::audit::sites::{capacity_of, work_of, Figures, SiteDay};
 use crate::common::process::Program;
 use crate::common::script;
-use crate::rig::day::{self, Ways};
+use crate::rig::day::{self, RunOptions};
 use anyhow::bail;
 use chalkdeck_proto::chalkdeck::config::v1::Sites;
 use chalkdeck_proto::chalkdeck::lab::v1::Day;
@@ -46,8 +46,8 @@
 
 /// Plays a day and takes it apart. Errors: it could not be played, or a rule was broken.
 pub fn play(program: &Program, day: Day, dir: &Path) -> anyhow::Result<SiteDay> {
-    day::clear(dir)?;
-    day::run(program.clone(), day, dir, &Ways::default())?;
+    day::remove_logs(dir)?;
+    day::run(program.clone(), day, dir, &RunOptions::default())?;
     let record = Record::read(dir)?;
     let verdict = audit(&record);
     if let Some(breach) = verdict.breaches.first() {
--- a/crates/testbed/src/rig/keeping.rs
+++ b/crates/testbed/src/rig/coordinator_process.rs
@@ -1,4 +1,5 @@
-//! One keeper beside a fleet, for the demo: contracts and access rules to try, with nothing that outlasts its loss.
+//! A coordinator with a single replica for the demo, to try contracts and access rules. With one replica, the loss of its disk
+//! loses all of its data.
 
 use crate::common::process::{init_process, Process, Program};
 use chalkdeck_coordinator::replica::StartMode;
@@ -10,41 +11,41 @@
 use std::path::{Path, PathBuf};
 
 #[derive(Args)]
-pub struct OwnKeeperArgs {
+pub struct OwnCoordinatorArgs {
     /// Settings, protobuf text of chalkdeck.keeper.v1.Settings
     pub config: PathBuf,
     #[arg(long, hide = true)]
     pub with_parent: bool,
 }
 
-/// A keeper that runs.
-pub struct KeeperPart {
+/// A running coordinator replica.
+pub struct CoordinatorProcess {
     _process: Process,
     address: SocketAddr,
 }
 
-impl KeeperPart {
-    /// Starts it with an empty folder.
-    pub fn start(program: &Program, dir: &Path) -> anyhow::Result<KeeperPart> {
+impl CoordinatorProcess {
+    /// Starts the replica with an empty folder.
+    pub fn start(program: &Program, dir: &Path) -> anyhow::Result<CoordinatorProcess> {
         let config = dir.join("keeper.txtpb");
-        // Alone it speaks to no other, so its own address among the keepers is never dialled.
+        // A single replica has no peers, so its own entry in `keepers` is never dialled.
         let text = "slot: 1 keepers: '127.0.0.1:1' listen: '127.0.0.1:0' folder: 'keeper'";
         std::fs::write(&config, text)?;
         let args = ["own-keeper".to_string(), config.display().to_string()];
         let process = Process::start(program, &args, &dir.join("keeper.log"))?;
-        Ok(KeeperPart {
+        Ok(CoordinatorProcess {
             address: process.address("grpc")?,
             _process: process,
         })
     }
-    /// Where gateways find it.
+    /// The address that gateways dial.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 }
 
-/// Runs the keeper itself until it is stopped.
-pub fn command(args: &OwnKeeperArgs) -> anyhow::Result<()> {
+/// Runs the coordinator replica until a signal stops it.
+pub fn command(args: &OwnCoordinatorArgs) -> anyhow::Result<()> {
     init_process(args.with_parent);
     let (settings, signals) = (Settings::load(&args.config)?, Signals::install()?);
     let server = ReplicaServer::start(&settings, StartMode::Bootstrap)?;
--- a/crates/testbed/src/rig/counting.rs
+++ b/crates/testbed/src/rig/counter_process.rs
@@ -1,9 +1,9 @@
-//! The counter of a fleet: the project's own, or the stand-in with its faults.
+//! The counter process of a fleet: the project's own counter, or the stand-in, into which faults can be injected.
 
 use crate::common::control;
 use crate::common::process::init_process;
 use crate::common::process::{Process, Program};
-use crate::rig::fleet::{any, reserve};
+use crate::rig::fleet::{any_port, reserve_port};
 use anyhow::{bail, Context};
 use chalkdeck_net::signals::Signals;
 use chalkdeck_net::ReservedPort;
@@ -20,42 +20,47 @@
     pub with_parent: bool,
 }
 
-/// A counter that can be ended and started again at its address.
-pub struct CounterPart {
+/// A counter process that can be killed and restarted at its address.
+pub struct CounterProcess {
     program: Program,
     dir: PathBuf,
-    own: bool,
+    /// The project's own counter, in place of the stand-in.
+    is_own_counter: bool,
     process: Option<Process>,
     listen: ReservedPort,
     control: ReservedPort,
 }
 
-impl CounterPart {
-    /// Starts it; `own`: the one that keeps its counts.
-    pub fn start(program: &Program, dir: &Path, own: bool) -> anyhow::Result<CounterPart> {
+impl CounterProcess {
+    /// Starts the project's own counter, which persists its counts, or the stand-in.
+    pub fn start(
+        program: &Program,
+        dir: &Path,
+        is_own_counter: bool,
+    ) -> anyhow::Result<CounterProcess> {
         let (program, dir) = (program.clone(), dir.to_path_buf());
-        let mut part = CounterPart {
+        let mut counter = CounterProcess {
             program,
             dir,
-            own,
+            is_own_counter,
             process: None,
-            listen: reserve(any())?,
-            control: reserve(any())?,
+            listen: reserve_port(any_port())?,
+            control: reserve_port(any_port())?,
         };
-        part.begin()?;
-        Ok(part)
+        counter.start_process()?;
+        Ok(counter)
     }
 
-    /// Where gateways find it.
+    /// The counter's own address.
     pub fn address(&self) -> SocketAddr {
         self.listen.address()
     }
 
-    /// Starts it, again where it was before.
-    pub fn begin(&mut self) -> anyhow::Result<()> {
+    /// Starts the process, always at the same addresses.
+    pub fn start_process(&mut self) -> anyhow::Result<()> {
         let listen = self.listen.address().to_string();
         let control = self.control.address().to_string();
-        let args = if self.own {
+        let args = if self.is_own_counter {
             let config = self.dir.join("counter.txtpb");
             let text = format!("listen: \"{listen}\"\nadmin: \"{control}\"\nfolder: \"counter\"\n");
             std::fs::write(&config, text)?;
@@ -70,21 +75,22 @@
         Ok(())
     }
 
-    /// Ends it at once, without a word.
+    /// Kills the process by SIGKILL.
     pub fn kill(&mut self) {
         self.process = None;
     }
 
-    /// A fault by the stand-in's commands. The project's own counter can only fall silent, and has its counts after that.
-    pub fn fault(&self, query: &str) -> anyhow::Result<()> {
-        if !self.own {
+    /// Injects a fault, given as a control command of the stand-in. The project's own counter supports only `silent`, by SIGSTOP and
+    /// SIGCONT, and keeps its counts.
+    pub fn inject_fault(&self, query: &str) -> anyhow::Result<()> {
+        if !self.is_own_counter {
             control::get(self.control.address(), &format!("/set?{query}"))?;
             return Ok(());
         }
         let signal = match query.split('&').next() {
             Some("silent=1") => Signal::STOP,
             Some("silent=0") => Signal::CONT,
-            _ => bail!("the own counter has no fault '{query}'; play this day with the stand-in"),
+            _ => bail!("the project's own counter does not support the fault '{query}'; run this day with the stand-in"),
         };
         self.process
             .as_ref()
@@ -94,7 +100,7 @@
     }
 }
 
-/// Runs the counter itself until it is stopped.
+/// Runs the project's own counter until a signal stops it.
 pub fn command(args: &OwnCounterArgs) -> anyhow::Result<()> {
     init_process(args.with_parent);
     let settings = chalkdeck_counter::settings::Settings::load(&args.config)?;
--- a/crates/testbed/src/rig/fleet.rs
+++ b/crates/testbed/src/rig/fleet.rs
@@ -1,11 +1,11 @@
-//! The processes of a day: gateways, counter, cells and load, and the acts that befall them.
+//! The processes of a day: gateways, counter, cells (the servers of a zone) and load, and the actions on them.
 
 use crate::common::event_log::{Entry, EventLog};
 use crate::common::process::{Process, Program};
 use crate::common::script::{ListStatus, DAY_MESSAGE};
-use crate::rig::between::Between;
-use crate::rig::counting::CounterPart;
-use crate::rig::keeping::KeeperPart;
+use crate::rig::coordinator_process::CoordinatorProcess;
+use crate::rig::counter_process::CounterProcess;
+use crate::rig::relay_process::RelayProcess;
 use anyhow::Context;
 use chalkdeck_net::clock::{monotonic_micros, Clock};
 use chalkdeck_net::ReservedPort;
@@ -16,27 +16,31 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-mod acts;
+mod actions;
 
-/// The ports of parts are reserved for the whole run: a part that is down may otherwise lose one to another process of the machine, and
-/// does not start again.
-struct CellPart {
+/// The servers of one zone, which share a process. `None` as the process: it isn't running.
+///
+/// The ports of all processes are reserved for the whole run: while a process is down, another process of the machine could
+/// otherwise bind one of its ports, and the restart would fail.
+struct Cell {
     process: Option<Process>,
     servers: Vec<ReservedPort>,
     control: ReservedPort,
-    lives: u32,
+    /// How often the process has been started; each start has an event log of its own.
+    starts: u32,
 }
 
-struct GatewayPart {
+struct Gateway {
     process: Option<Process>,
     listen: ReservedPort,
     admin: ReservedPort,
 }
 
-struct OnList {
+/// A server and its state in the endpoint list.
+struct ListedServer {
     address: SocketAddr,
     zone: usize,
-    listed: ListStatus,
+    status: ListStatus,
     started_ms: Option<u64>,
 }
 
@@ -47,25 +51,28 @@
     dir: PathBuf,
     day_file: PathBuf,
     clock: Clock,
-    counter: CounterPart,
-    keeper: Option<KeeperPart>,
-    between: Option<Between>,
-    before: Option<Between>,
-    cells: Vec<CellPart>,
-    gateways: Vec<GatewayPart>,
-    list: Vec<OnList>,
-    notes: EventLog,
+    counter: CounterProcess,
+    coordinator: Option<CoordinatorProcess>,
+    /// Relays the connections of gateways to servers and counter, if the day has links.
+    gateway_links: Option<RelayProcess>,
+    /// Relays the connections of clients to gateways, if the day has links.
+    client_links: Option<RelayProcess>,
+    cells: Vec<Cell>,
+    gateways: Vec<Gateway>,
+    list: Vec<ListedServer>,
+    event_log: EventLog,
+    /// A fault to inject into the gateways' own code.
     fault: Option<String>,
 }
 
-/// One entry of the list, reached at `at`.
-fn endpoint(s: &OnList, at: SocketAddr, zone: &str) -> String {
-    let health = if s.listed == ListStatus::Draining {
+/// The entry of a server in the endpoint list. `address` is what gateways dial: the server's own address, or a relay's.
+fn endpoint_entry(server: &ListedServer, address: SocketAddr, zone: &str) -> String {
+    let health = if server.status == ListStatus::Draining {
         "DRAINING"
     } else {
         "HEALTHY"
     };
-    let started = s.started_ms.map_or(String::new(), |ms| {
+    let started = server.started_ms.map_or(String::new(), |ms| {
         format!("fields {{ key: \"started_ms\" value {{ number_value: {ms} }} }}")
     });
     format!(
@@ -73,19 +80,19 @@
          health_status: {health}\n    metadata {{ filter_metadata {{ key: \"chalkdeck\" value {{\n      \
          fields {{ key: \"cell\" value {{ string_value: \"{zone}\" }} }} {started}\n      \
          fields {{ key: \"server\" value {{ string_value: \"{}\" }} }}\n    }} }} }}\n  }}\n",
-        at.ip(),
-        at.port(),
-        s.address
+        address.ip(),
+        address.port(),
+        server.address
     )
 }
 
-/// Any free port on loopback.
-pub fn any() -> SocketAddr {
+/// The loopback address with port 0, so that the system chooses a free port.
+pub fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Reserves a port of a part.
-pub(crate) fn reserve(address: SocketAddr) -> anyhow::Result<ReservedPort> {
+/// Reserves the port of a process for the whole run.
+pub(crate) fn reserve_port(address: SocketAddr) -> anyhow::Result<ReservedPort> {
     ReservedPort::reserve(address).with_context(|| format!("expected to reserve {address}"))
 }
 
@@ -94,7 +101,8 @@
 }
 
 impl Fleet {
-    /// Starts all parts but the load. `dir` is made, and must hold no earlier run. `listen`: of the first gateway.
+    /// Starts all processes but the load. Creates `dir`, which must hold no logs of an earlier run. `listen` is the address of
+    /// the first gateway.
     pub fn start(
         program: Program,
         day: Day,
@@ -107,11 +115,11 @@
         let day_text =
             text::print(DAY_MESSAGE, &day).context("expected the day to have a text form")?;
         std::fs::write(&day_file, day_text)?;
-        let notes = EventLog::create(Some(&dir.join("run.jsonl")))?;
-        let counter = CounterPart::start(&program, dir, day.own_counter)?;
-        let keeper = day
+        let event_log = EventLog::create(Some(&dir.join("run.jsonl")))?;
+        let counter = CounterProcess::start(&program, dir, day.own_counter)?;
+        let coordinator = day
             .own_keeper
-            .then(|| KeeperPart::start(&program, dir))
+            .then(|| CoordinatorProcess::start(&program, dir))
             .transpose()?;
         let (cells, gateways, list) = (Vec::new(), Vec::new(), Vec::new());
         let clock = Clock::start();
@@ -123,17 +131,17 @@
             day_file,
             clock,
             counter,
-            keeper,
-            between: None,
-            before: None,
+            coordinator,
+            gateway_links: None,
+            client_links: None,
             cells,
             gateways,
             list,
-            notes,
+            event_log,
             fault,
         };
         for zone in 0..fleet.day.zones.len() {
-            fleet.first_cell(zone)?;
+            fleet.add_cell(zone)?;
         }
         let servers: Vec<String> = fleet
             .list
@@ -145,7 +153,7 @@
             let servers: Vec<(usize, SocketAddr)> =
                 fleet.list.iter().map(|s| (s.zone, s.address)).collect();
             let counter = fleet.counter.address();
-            fleet.between = Some(Between::start(
+            fleet.gateway_links = Some(RelayProcess::for_gateways(
                 &fleet.program,
                 &fleet.day,
                 &fleet.dir,
@@ -155,18 +163,18 @@
         }
         fleet.write_lists()?;
         for i in 0..fleet.day.gateways as usize {
-            let listen = reserve(if i == 0 { listen } else { any() })?;
-            let admin = reserve(any())?;
-            let process = fleet.gateway(i, listen.address(), admin.address())?;
-            fleet.gateways.push(GatewayPart {
+            let listen = reserve_port(if i == 0 { listen } else { any_port() })?;
+            let admin = reserve_port(any_port())?;
+            let process = fleet.start_gateway_process(i, listen.address(), admin.address())?;
+            fleet.gateways.push(Gateway {
                 process: Some(process),
                 listen,
                 admin,
             });
         }
         if fleet.day.links {
-            let gateways = fleet.gateways();
-            fleet.before = Some(Between::clients(
+            let gateways = fleet.gateway_addresses();
+            fleet.client_links = Some(RelayProcess::for_clients(
                 &fleet.program,
                 &fleet.day,
                 &fleet.dir,
@@ -176,11 +184,11 @@
         Ok(fleet)
     }
 
-    /// Where the keeper is, if there is one.
-    pub fn keeper(&self) -> Option<SocketAddr> {
-        self.keeper.as_ref().map(KeeperPart::address)
+    /// The address of the coordinator, if there is one.
+    pub fn coordinator_address(&self) -> Option<SocketAddr> {
+        self.coordinator.as_ref().map(CoordinatorProcess::address)
     }
-    /// Its gateways watch zones as sites.
+    /// Whether the gateways have site-loss handling on, with the zones as sites.
     pub fn watches_sites(&self) -> bool {
         self.day
             .gateway
@@ -188,57 +196,61 @@
             .and_then(|g| g.sites.as_ref())
             .is_some_and(|s| s.on)
     }
-    pub fn gateways(&self) -> Vec<SocketAddr> {
-        let at = |(i, g): (usize, &GatewayPart)| {
+    /// The addresses at which clients reach the gateways: the gateways' own, or those of the clients' links.
+    pub fn gateway_addresses(&self) -> Vec<SocketAddr> {
+        let address = |(i, g): (usize, &Gateway)| {
             let direct = g.listen.address();
-            self.before.as_ref().map_or(direct, |b| b.target(0, i))
+            self.client_links
+                .as_ref()
+                .map_or(direct, |relay| relay.target_address(0, i))
         };
-        self.gateways.iter().enumerate().map(at).collect()
+        self.gateways.iter().enumerate().map(address).collect()
     }
-    pub fn admin(&self, gateway: usize) -> SocketAddr {
+    pub fn admin_address(&self, gateway: usize) -> SocketAddr {
         self.gateways[gateway].admin.address()
     }
+    /// The process of a gateway; `None` if it isn't running.
     pub fn gateway_process(&self, gateway: usize) -> Option<&Process> {
         self.gateways[gateway].process.as_ref()
     }
-    pub fn servers(&self) -> Vec<SocketAddr> {
+    pub fn server_addresses(&self) -> Vec<SocketAddr> {
         self.list.iter().map(|s| s.address).collect()
     }
 
-    /// Where gateways find the counter, links aside.
-    pub fn counter(&self) -> SocketAddr {
+    /// The counter's own address; with links, gateways dial those of a relay.
+    pub fn counter_address(&self) -> SocketAddr {
         self.counter.address()
     }
 
-    fn first_cell(&mut self, zone: usize) -> anyhow::Result<()> {
+    fn add_cell(&mut self, zone: usize) -> anyhow::Result<()> {
         let count = self.day.zones[zone].servers as usize;
         let servers = (0..count)
-            .map(|_| reserve(any()))
+            .map(|_| reserve_port(any_port()))
             .collect::<anyhow::Result<Vec<ReservedPort>>>()?;
-        let control = reserve(any())?;
+        let control = reserve_port(any_port())?;
         let addresses = addresses_of(&servers);
-        let process = self.cell(zone, 0, &addresses, control.address())?;
+        let process = self.start_cell_process(zone, 0, &addresses, control.address())?;
         for address in addresses {
-            self.list.push(OnList {
+            self.list.push(ListedServer {
                 address,
                 zone,
-                listed: ListStatus::Healthy,
+                status: ListStatus::Healthy,
                 started_ms: None,
             });
         }
-        self.cells.push(CellPart {
+        self.cells.push(Cell {
             process: Some(process),
             servers,
             control,
-            lives: 1,
+            starts: 1,
         });
         Ok(())
     }
 
-    fn cell(
+    fn start_cell_process(
         &self,
         zone: usize,
-        life: u32,
+        start: u32,
         listen: &[SocketAddr],
         control: SocketAddr,
     ) -> anyhow::Result<Process> {
@@ -248,7 +260,7 @@
                 .collect::<Vec<_>>()
                 .join(",")
         };
-        let log = self.dir.join(format!("farm-{zone}-{life}.jsonl"));
+        let log = self.dir.join(format!("farm-{zone}-{start}.jsonl"));
         let mut args = vec![
             "farm".to_string(),
             "--day".to_string(),
@@ -260,8 +272,8 @@
             "--log".to_string(),
             log.display().to_string(),
         ];
-        // The servers of the first life have been up for long.
-        if life == 0 {
+        // The first servers count as warmed up; restarted ones are cold.
+        if start == 0 {
             args.push("--warm".to_string());
         }
         Process::start(
@@ -271,7 +283,7 @@
         )
     }
 
-    fn gateway(
+    fn start_gateway_process(
         &self,
         number: usize,
         listen: SocketAddr,
@@ -287,12 +299,12 @@
             .iter_mut()
             .for_each(|s| s.words_file = format!("sites-{number}.txtpb"));
         settings.zone = self.day.zones[number % self.day.zones.len()].name.clone();
-        match &self.keeper {
-            Some(keeper) => {
+        match &self.coordinator {
+            Some(coordinator) => {
                 let keepers = settings
                     .keepers
                     .get_or_insert_with(config::Keepers::default);
-                keepers.addresses = vec![keeper.address().to_string()];
+                keepers.addresses = vec![coordinator.address().to_string()];
             }
             None => settings.keepers = None,
         }
@@ -300,15 +312,15 @@
             .counter
             .get_or_insert_with(config::Counter::default);
         let zone = number % self.day.zones.len();
-        let counter_at = self
-            .between
+        let counter_address = self
+            .gateway_links
             .as_ref()
-            .map_or(self.counter.address(), |b| b.counter(zone));
-        counter.address = counter_at.to_string();
+            .map_or(self.counter.address(), |relay| relay.counter_address(zone));
+        counter.address = counter_address.to_string();
         let endpoints = settings
             .endpoints
             .get_or_insert_with(config::Endpoints::default);
-        endpoints.file = self.list_name(zone);
+        endpoints.file = self.list_file_name(zone);
         let customers = settings
             .customers
             .get_or_insert_with(config::Customers::default);
@@ -334,9 +346,10 @@
         )
     }
 
-    /// The list's file of the gateways in a zone: all have the same unless links stand between.
-    fn list_name(&self, zone: usize) -> String {
-        self.between
+    /// The file of the endpoint list for the gateways of a zone. With links, each zone has its own list, as it dials its own relay
+    /// addresses.
+    fn list_file_name(&self, zone: usize) -> String {
+        self.gateway_links
             .as_ref()
             .map_or("endpoints.txtpb".to_string(), |_| {
                 format!("endpoints-{zone}.txtpb")
@@ -344,58 +357,59 @@
     }
 
     fn write_lists(&self) -> anyhow::Result<()> {
-        let readers = if self.between.is_some() {
+        let lists = if self.gateway_links.is_some() {
             self.day.zones.len()
         } else {
             1
         };
-        (0..readers).try_for_each(|zone| self.write_list(zone))
+        (0..lists).try_for_each(|zone| self.write_list(zone))
     }
 
-    /// Replaces the list's file in one step, as Envoy's own sources ask for.
-    fn write_list(&self, reader: usize) -> anyhow::Result<()> {
+    /// Replaces the endpoint list of a zone's gateways by an atomic rename, as Envoy's file-based discovery requires.
+    fn write_list(&self, gateway_zone: usize) -> anyhow::Result<()> {
         let mut out = String::from("cluster_name: \"farm\"\n");
         for (z, zone) in self.day.zones.iter().enumerate() {
             out += &format!("endpoints {{\n  locality {{ zone: \"{}\" }}\n", zone.name);
             let in_zone = self.list.iter().enumerate().filter(|(_, s)| s.zone == z);
-            for (place, s) in in_zone.filter(|(_, s)| s.listed != ListStatus::Gone) {
-                let at = self
-                    .between
+            for (index, s) in in_zone.filter(|(_, s)| s.status != ListStatus::Gone) {
+                let address = self
+                    .gateway_links
                     .as_ref()
-                    .map_or(s.address, |b| b.target(reader, place));
-                out += &endpoint(s, at, &zone.name);
+                    .map_or(s.address, |relay| relay.target_address(gateway_zone, index));
+                out += &endpoint_entry(s, address, &zone.name);
             }
             out += "}\n";
         }
         let new = self.dir.join("endpoints.new");
         std::fs::write(&new, out)?;
-        std::fs::rename(new, self.dir.join(self.list_name(reader)))?;
+        std::fs::rename(new, self.dir.join(self.list_file_name(gateway_zone)))?;
         Ok(())
     }
 
-    /// Writes down what the run itself did.
+    /// Logs an action of the run itself for the audit.
     pub fn note(&mut self, what: &str, target: impl ToString) {
-        self.notes.append(&Entry::Note {
+        self.event_log.append(&Entry::Note {
             t: monotonic_micros(),
             what: what.to_string(),
             target: target.to_string(),
         });
-        self.notes.flush();
+        self.event_log.flush();
     }
 
-    /// Whether a gateway that has ended did so with status 0; `None`: it runs, or was ended by the run. Noted for the audit.
+    /// Whether a gateway that exited had exit status 0. `None`: it is running, or the run has killed it. Logs the exit for the
+    /// audit.
     pub fn gateway_exit(&mut self, gateway: usize) -> Option<bool> {
         let process = self.gateways[gateway].process.as_mut()?;
         if process.is_running() {
             return None;
         }
-        let well = process.wait();
+        let is_success = process.wait();
         self.gateways[gateway].process = None;
         self.note("gateway_ended", gateway);
-        Some(well)
+        Some(is_success)
     }
 
-    /// Stops the gateways by SIGTERM; whether all ended well.
+    /// Stops the gateways by SIGTERM; returns whether all exited with status 0.
     pub fn stop_gateways(&mut self) -> bool {
         let running: Vec<&mut Process> = self
             .gateways
@@ -410,14 +424,23 @@
             == 0
     }
 
-    /// Starts the load on all gateways.
-    pub fn load(&self, seconds: f64, more: &[&str]) -> anyhow::Result<Process> {
-        self.load_of(&self.day_file, seconds, more)
+    /// Starts the load of the day on all gateways, with more arguments of the `load` subcommand.
+    pub fn start_load(&self, seconds: f64, extra_args: &[&str]) -> anyhow::Result<Process> {
+        self.start_load_of_day(&self.day_file, seconds, extra_args)
     }
 
-    /// The same with the load of another day.
-    pub fn load_of(&self, day: &Path, seconds: f64, more: &[&str]) -> anyhow::Result<Process> {
-        let gateways: Vec<String> = self.gateways().iter().map(ToString::to_string).collect();
+    /// Starts the load of another day on all gateways.
+    pub fn start_load_of_day(
+        &self,
+        day: &Path,
+        seconds: f64,
+        extra_args: &[&str],
+    ) -> anyhow::Result<Process> {
+        let gateways: Vec<String> = self
+            .gateway_addresses()
+            .iter()
+            .map(ToString::to_string)
+            .collect();
         let mut args = vec![
             "load".to_string(),
             "--day".to_string(),
@@ -429,7 +452,7 @@
             "--control".to_string(),
             "127.0.0.1:0".to_string(),
         ];
-        args.extend(more.iter().map(|s| s.to_string()));
+        args.extend(extra_args.iter().map(|s| s.to_string()));
         Process::start(&self.program, &args, &self.dir.join("load.log"))
     }
 }
--- a/crates/testbed/src/rig/links/faults.rs
+++ b/crates/testbed/src/rig/links/faults.rs
@@ -1,77 +1,82 @@
-//! What may be wrong with a link, one way or both, and the words that set it.
+//! The faults of a link, in one direction or both, and the commands that set them.
 
 use std::collections::BTreeMap;
 
-/// How long a lost segment takes to be sent again, in microseconds.
-const RESEND: u64 = 200_000;
+/// Time after which a lost segment of a stream is retransmitted, in microseconds.
+const RETRANSMIT_DELAY_US: u64 = 200_000;
 
-/// One way of a link.
+/// The faults of one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Way {
-    /// Nothing gets through, and nobody is told: what was sent waits until the way heals, datagrams are lost.
-    pub cut: bool,
-    /// Time on the way and the most that chance adds, in microseconds.
-    pub delay: u64,
-    /// See `delay`.
-    pub jitter: u64,
-    /// Part that is lost: of datagrams for good, of streams until they are sent again.
+pub struct DirectionFaults {
+    /// Silently blocks all traffic: stream data waits until the direction is healed, datagrams are lost.
+    pub is_cut: bool,
+    /// Fixed delay, in microseconds.
+    pub delay_us: u64,
+    /// Maximum random delay that is added to `delay_us`, in microseconds.
+    pub jitter_us: u64,
+    /// Fraction that is lost: of datagrams for good, of stream data until its retransmission.
     pub loss: f64,
-    /// Bytes a second; 0: as many as there are.
-    pub trickle: u64,
+    /// Throughput limit of a stream; 0 means no limit.
+    pub bytes_per_second: u64,
 }
 
-impl Way {
-    /// When something that is sent now gets there; none: it is lost, as a datagram may be.
-    pub fn arrival(&self, now: u64, rng: &mut fastrand::Rng, stream: bool) -> Option<u64> {
-        let on_the_way = self.delay + (self.jitter as f64 * rng.f64()) as u64;
-        let lost = self.loss > 0.0 && rng.f64() < self.loss;
-        match (lost, stream) {
+impl DirectionFaults {
+    /// When data that is sent now arrives; `None` for a lost datagram. Lost stream data arrives after a retransmission.
+    pub fn arrival_time(&self, now: u64, rng: &mut fastrand::Rng, is_stream: bool) -> Option<u64> {
+        let delay_us = self.delay_us + (self.jitter_us as f64 * rng.f64()) as u64;
+        let is_lost = self.loss > 0.0 && rng.f64() < self.loss;
+        match (is_lost, is_stream) {
             (true, false) => None,
-            (true, true) => Some(now + on_the_way + RESEND),
-            (false, _) => Some(now + on_the_way),
+            (true, true) => Some(now + delay_us + RETRANSMIT_DELAY_US),
+            (false, _) => Some(now + delay_us),
         }
     }
 }
 
-/// Both ways of a link.
+/// The faults of both directions of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Faults {
-    /// From the one who connects, and back to it.
-    pub ways: [Way; 2],
+pub struct LinkFaults {
+    /// From the connecting side to the target (forward), and from the target to the connecting side (backward).
+    pub directions: [DirectionFaults; 2],
 }
 
-/// Which links a command means, and what becomes of them.
+/// A command: which links it applies to, and the faults to set on them.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Word {
+pub struct LinkCommand {
+    /// The connecting site; `None` for any.
     pub from: Option<String>,
+    /// The site of the target; `None` for any.
     pub to: Option<String>,
-    /// Connections are reset, once.
-    pub reset: bool,
-    /// Links of both directions between the two sites.
-    pub both: bool,
-    set: Vec<(String, f64)>,
-    /// Which ways it is about.
-    there: bool,
-    back: bool,
+    /// Resets the open connections, once.
+    pub has_reset: bool,
+    /// Applies to the links from `to` to `from` too.
+    pub is_bidirectional: bool,
+    /// Names and values of the faults to set.
+    settings: Vec<(String, f64)>,
+    /// Whether the command applies to the direction from `from` to `to`.
+    is_forward: bool,
+    /// Whether the command applies to the direction from `to` to `from`.
+    is_backward: bool,
 }
 
-impl Word {
-    /// `from`, `to` (sites; absent: any), `both=1` (also from `to` to `from`), `way` (there, back or both), and any of
-    /// `cut`, `delay_ms`, `jitter_ms`, `loss`, `trickle`, `heal`, `reset`.
-    pub fn read(pairs: &BTreeMap<String, String>) -> Result<Word, String> {
-        let mut word = Word {
-            there: true,
-            back: true,
-            ..Word::default()
+impl LinkCommand {
+    /// Parses the query parameters of a command: `from` and `to` (sites; any if absent), `both=1` (also the links from `to` to
+    /// `from`), `way` (the direction: `there`, `back` or `both`), and any of `cut`, `delay_ms`, `jitter_ms`, `loss`, `trickle`,
+    /// `heal` and `reset`.
+    pub fn parse(pairs: &BTreeMap<String, String>) -> Result<LinkCommand, String> {
+        let mut command = LinkCommand {
+            is_forward: true,
+            is_backward: true,
+            ..LinkCommand::default()
         };
         for (name, text) in pairs {
             match (name.as_str(), text.as_str()) {
-                ("from", site) => word.from = Some(site.to_string()),
-                ("to", site) => word.to = Some(site.to_string()),
-                ("both", on) => word.both = on == "1",
-                ("reset", _) => word.reset = true,
-                ("way", "there") => word.back = false,
-                ("way", "back") => word.there = false,
+                ("from", site) => command.from = Some(site.to_string()),
+                ("to", site) => command.to = Some(site.to_string()),
+                ("both", on) => command.is_bidirectional = on == "1",
+                ("reset", _) => command.has_reset = true,
+                ("way", "there") => command.is_backward = false,
+                ("way", "back") => command.is_forward = false,
                 ("way", "both") => {}
                 ("way", other) => {
                     return Err(format!(
@@ -87,49 +92,52 @@
                             "{name}: expected a number of 0 or more, found '{text}'\n"
                         ));
                     }
-                    word.set.push((name.clone(), value));
+                    command.settings.push((name.clone(), value));
                 }
                 (other, _) => return Err(format!("expected a fault of a link, found '{other}'\n")),
             }
         }
-        // What is healed is healed before anything else is set.
-        word.set.sort_by_key(|(name, _)| name != "heal");
-        Ok(word)
+        // `heal` comes first, as it clears all faults.
+        command.settings.sort_by_key(|(name, _)| name != "heal");
+        Ok(command)
     }
 
-    /// Whether a link between these sites is meant; one within a site only where both ends are named.
-    pub fn means(&self, from: &str, to: &str) -> bool {
+    /// Whether the command applies to a link between these sites. A link within a site matches only if the command names both
+    /// `from` and `to`.
+    pub fn applies_to(&self, from: &str, to: &str) -> bool {
         if from == to && (self.from.is_none() || self.to.is_none()) {
             return false;
         }
-        let one = |a: &str, b: &str| {
+        let matches = |a: &str, b: &str| {
             self.from.as_deref().is_none_or(|f| f == a) && self.to.as_deref().is_none_or(|t| t == b)
         };
-        one(from, to) || self.both && one(to, from)
+        matches(from, to) || self.is_bidirectional && matches(to, from)
     }
 
-    /// The faults of such a link afterwards. Ways are named from `from` to `to`, also where the link runs the other way.
-    pub fn on(&self, from: &str, faults: &mut Faults) {
-        let turned = self.both && self.from.as_deref().is_some_and(|site| site != from);
-        let chosen = if turned {
-            [self.back, self.there]
+    /// Sets the faults of a link that connects from the site `from`. `there` is the direction from the command's `from` to its `to`,
+    /// also for a link that connects the other way.
+    pub fn apply(&self, from: &str, faults: &mut LinkFaults) {
+        let is_reversed =
+            self.is_bidirectional && self.from.as_deref().is_some_and(|site| site != from);
+        let is_affected = if is_reversed {
+            [self.is_backward, self.is_forward]
         } else {
-            [self.there, self.back]
+            [self.is_forward, self.is_backward]
         };
-        for (way, _) in faults
-            .ways
+        for (direction, _) in faults
+            .directions
             .iter_mut()
-            .zip(chosen)
-            .filter(|(_, chosen)| *chosen)
+            .zip(is_affected)
+            .filter(|(_, is_affected)| *is_affected)
         {
-            for (name, value) in &self.set {
+            for (name, value) in &self.settings {
                 match name.as_str() {
-                    "cut" => way.cut = *value > 0.0,
-                    "delay_ms" => way.delay = (value * 1e3) as u64,
-                    "jitter_ms" => way.jitter = (value * 1e3) as u64,
-                    "loss" => way.loss = *value,
-                    "trickle" => way.trickle = *value as u64,
-                    _ => *way = Way::default(),
+                    "cut" => direction.is_cut = *value > 0.0,
+                    "delay_ms" => direction.delay_us = (value * 1e3) as u64,
+                    "jitter_ms" => direction.jitter_us = (value * 1e3) as u64,
+                    "loss" => direction.loss = *value,
+                    "trickle" => direction.bytes_per_second = *value as u64,
+                    _ => *direction = DirectionFaults::default(),
                 }
             }
         }
--- a/crates/testbed/src/rig/links/flow.rs
+++ b/crates/testbed/src/rig/links/flow.rs
@@ -1,93 +1,106 @@
-//! Bytes on their way in one direction, in their order, each with the time at which it gets there.
+//! The queue of one direction of a relayed connection. It keeps the order of the bytes and delivers each chunk at its due time.
 
-use crate::rig::links::faults::Way;
+use crate::rig::links::faults::DirectionFaults;
 use std::collections::VecDeque;
 use std::io::{self, Write};
 
-/// The most that is on the way in one direction; beyond, nothing is read.
-pub(crate) const MOST: usize = 256 << 10;
+/// Maximum number of queued bytes in one direction; while the queue is full, the relay reads no more from the sender.
+pub(crate) const MAX_QUEUED_BYTES: usize = 256 << 10;
 
 /// One direction of one connection.
 #[derive(Debug, Default)]
 pub(crate) struct Flow {
+    /// Due time and bytes of each chunk; times are in microseconds.
     queue: VecDeque<(u64, Vec<u8>)>,
-    bytes: usize,
-    /// Bytes of the first chunk that are through.
-    through: usize,
-    last: u64,
-    /// The sender has ended; told on once all is through.
-    pub(crate) ended: bool,
-    told: bool,
-    /// When a trickle lets the next byte through.
-    next: u64,
+    queued_bytes: usize,
+    /// Number of bytes of the first chunk that have been written.
+    written: usize,
+    /// Due time of the last chunk.
+    last_due: u64,
+    /// The sender has closed its side; the receiver's side is closed once the queue is empty.
+    pub(crate) has_ended: bool,
+    /// `WriteStatus::Ended` has been returned.
+    has_reported_end: bool,
+    /// With a throughput limit, the time of the next write.
+    next_write: u64,
 }
 
-/// What a look at a flow came to.
+/// Why a write stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Step {
-    /// Nothing more to do now.
+pub(crate) enum WriteStatus {
+    /// The queue is empty, or the direction is cut.
     Idle,
-    /// Again at that time.
-    At(u64),
-    /// The reader takes no more.
-    Full,
-    /// All is through, and the sender has ended.
+    /// The next chunk is due at this time.
+    WaitUntil(u64),
+    /// The receiver's socket buffer is full.
+    Blocked,
+    /// All bytes have been written, and the sender has closed its side. Returned once.
     Ended,
 }
 
 impl Flow {
     pub(crate) fn has_room(&self) -> bool {
-        self.bytes < MOST
+        self.queued_bytes < MAX_QUEUED_BYTES
     }
 
-    /// All that came is through.
-    pub(crate) fn is_through(&self) -> bool {
+    /// Whether all received bytes have been written.
+    pub(crate) fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
 
     pub(crate) fn push(&mut self, chunk: &[u8], due: u64) {
-        // A stream keeps its order, whatever chance does to single segments.
-        self.last = self.last.max(due);
-        self.bytes += chunk.len();
-        self.queue.push_back((self.last, chunk.to_vec()));
+        // Jitter and loss of single segments don't reorder a stream.
+        self.last_due = self.last_due.max(due);
+        self.queued_bytes += chunk.len();
+        self.queue.push_back((self.last_due, chunk.to_vec()));
     }
 
-    /// Writes what is due.
-    pub(crate) fn write(&mut self, now: u64, way: &Way, out: &mut impl Write) -> io::Result<Step> {
+    /// Writes the bytes that are due.
+    pub(crate) fn write(
+        &mut self,
+        now: u64,
+        faults: &DirectionFaults,
+        out: &mut impl Write,
+    ) -> io::Result<WriteStatus> {
         loop {
-            if way.cut {
-                return Ok(Step::Idle);
+            if faults.is_cut {
+                return Ok(WriteStatus::Idle);
             }
             let Some((due, chunk)) = self.queue.front() else {
-                let first = self.ended && !std::mem::replace(&mut self.told, self.ended);
-                return Ok(if first { Step::Ended } else { Step::Idle });
+                let is_first_report = self.has_ended
+                    && !std::mem::replace(&mut self.has_reported_end, self.has_ended);
+                return Ok(if is_first_report {
+                    WriteStatus::Ended
+                } else {
+                    WriteStatus::Idle
+                });
             };
             if *due > now {
-                return Ok(Step::At(*due));
+                return Ok(WriteStatus::WaitUntil(*due));
             }
-            if way.trickle > 0 && self.next > now {
-                return Ok(Step::At(self.next));
+            if faults.bytes_per_second > 0 && self.next_write > now {
+                return Ok(WriteStatus::WaitUntil(self.next_write));
             }
-            let rest = &chunk[self.through..];
-            // A trickle passes a tenth of a second's bytes at a time, one at the least.
-            let most = if way.trickle > 0 {
-                (way.trickle as usize / 10).max(1)
+            let rest = &chunk[self.written..];
+            // With a throughput limit, one write has the bytes of a tenth of a second, but at least one.
+            let max_bytes = if faults.bytes_per_second > 0 {
+                (faults.bytes_per_second as usize / 10).max(1)
             } else {
                 rest.len()
             };
-            match out.write(&rest[..most.min(rest.len())]) {
+            match out.write(&rest[..max_bytes.min(rest.len())]) {
                 Ok(n) => {
-                    self.through += n;
-                    self.bytes -= n;
-                    self.next = (n as u64 * 1_000_000)
-                        .checked_div(way.trickle)
+                    self.written += n;
+                    self.queued_bytes -= n;
+                    self.next_write = (n as u64 * 1_000_000)
+                        .checked_div(faults.bytes_per_second)
                         .map_or(0, |wait| now + wait);
-                    if self.through == chunk.len() {
+                    if self.written == chunk.len() {
                         self.queue.pop_front();
-                        self.through = 0;
+                        self.written = 0;
                     }
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(Step::Full),
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(WriteStatus::Blocked),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Err(e),
             }
--- a/crates/testbed/src/rig/links/flow/tests.rs
+++ b/crates/testbed/src/rig/links/flow/tests.rs
@@ -3,43 +3,47 @@
 use super::*;
 
 #[test]
-fn a_cut_holds_and_a_heal_lets_all_through_in_order() {
+fn a_cut_holds_bytes_and_healing_delivers_them_in_order() {
     let (mut flow, mut out) = (Flow::default(), Vec::new());
     flow.push(b"one ", 10);
     flow.push(b"two", 5);
-    flow.ended = true;
-    let cut = Way {
-        cut: true,
-        ..Way::default()
+    flow.has_ended = true;
+    let cut = DirectionFaults {
+        is_cut: true,
+        ..DirectionFaults::default()
     };
     assert_eq!(
-        flow.write(50, &cut, &mut out).expect("it takes all"),
-        Step::Idle
+        flow.write(50, &cut, &mut out)
+            .expect("the writer accepts all bytes"),
+        WriteStatus::Idle
     );
     assert!(out.is_empty());
     assert_eq!(
-        flow.write(5, &Way::default(), &mut out)
-            .expect("it takes all"),
-        Step::At(10)
+        flow.write(5, &DirectionFaults::default(), &mut out)
+            .expect("the writer accepts all bytes"),
+        WriteStatus::WaitUntil(10)
     );
     assert_eq!(
-        flow.write(10, &Way::default(), &mut out)
-            .expect("it takes all"),
-        Step::Ended
+        flow.write(10, &DirectionFaults::default(), &mut out)
+            .expect("the writer accepts all bytes"),
+        WriteStatus::Ended
     );
     assert_eq!(out, b"one two");
 }
 
 #[test]
-fn a_trickle_passes_so_many_bytes_a_second() {
+fn a_throughput_limit_delivers_that_many_bytes_a_second() {
     let (mut flow, mut out, mut now) = (Flow::default(), Vec::new(), 0);
     flow.push(&[7; 100], 0);
-    let way = Way {
-        trickle: 50,
-        ..Way::default()
+    let faults = DirectionFaults {
+        bytes_per_second: 50,
+        ..DirectionFaults::default()
     };
-    while let Step::At(at) = flow.write(now, &way, &mut out).expect("it takes all") {
-        now = at;
+    while let WriteStatus::WaitUntil(due) = flow
+        .write(now, &faults, &mut out)
+        .expect("the writer accepts all bytes")
+    {
+        now = due;
     }
     assert_eq!((out.len(), now), (100, 1_900_000));
 }
--- a/crates/testbed/src/rig/links/mod.rs
+++ b/crates/testbed/src/rig/links/mod.rs
@@ -1,5 +1,5 @@
-//! Links between the processes of a rig: a relay for TCP and UDP on loopback between any two parties, by sites, with the
-//! faults of networks.
+//! Links between the processes of a test rig: a relay for TCP and UDP on loopback that injects network faults, set for each pair
+//! of sites.
 
 pub mod command;
 pub mod faults;
@@ -8,5 +8,5 @@
 mod tcp;
 mod udp;
 
-pub use faults::{Faults, Way};
-pub use relay::{Link, Relay, Wire};
+pub use faults::{DirectionFaults, LinkFaults};
+pub use relay::{Link, Protocol, Relay};
--- a/crates/testbed/src/rig/links/relay.rs
+++ b/crates/testbed/src/rig/links/relay.rs
@@ -1,8 +1,8 @@
-//! The relay: listeners for links, connections and datagrams through them, faults by sites.
+//! The relay: listens for each link, relays its connections and datagrams, and applies the faults that are set for its sites.
 
-use crate::rig::links::faults::{Faults, Word};
-use crate::rig::links::tcp::{Fate, Pair};
-use crate::rig::links::udp::Datagrams;
+use crate::rig::links::faults::{LinkCommand, LinkFaults};
+use crate::rig::links::tcp::{ConnectionState, RelayedConnection};
+use crate::rig::links::udp::DatagramRelay;
 use chalkdeck_net::clock::monotonic_micros;
 use chalkdeck_net::ReservedPort;
 use mio::net::{TcpListener, UdpSocket};
@@ -15,60 +15,64 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Connections through one relay; more are closed at once.
-const PAIRS: usize = 16_384;
-/// How soon one who refused is tried again, in microseconds.
-const TRY: u64 = 50_000;
-/// Connections that the system completes before they are accepted.
+/// Maximum number of relayed connections; further ones are closed at once.
+const MAX_CONNECTIONS: usize = 16_384;
+/// Interval of the connection attempts to a target that refused a connection, in microseconds.
+const RETRY_INTERVAL_US: u64 = 50_000;
+/// Length of the system's queue of connections that are not accepted yet.
 const BACKLOG: i32 = 1_024;
-const WAKE: Token = Token(usize::MAX);
-/// Tokens: links, then pairs (two each), then the sockets behind datagrams.
-const PAIR_BASE: usize = 1 << 20;
-const UDP_BASE: usize = 1 << 40;
+const WAKER_TOKEN: Token = Token(usize::MAX);
+/// Tokens: the links' listeners from 0, then two for each relayed connection, then the sockets towards UDP targets.
+const CONNECTION_TOKEN_BASE: usize = 1 << 20;
+const UDP_TOKEN_BASE: usize = 1 << 40;
 
-/// What a link carries.
+/// The transport protocol of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wire {
+pub enum Protocol {
     Tcp,
     Udp,
 }
 
-/// A link that is wanted: whoever connects to it stands at `from`, its target at `to`.
+/// A link to open: clients at the site `from` connect to `target` at the site `to`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Link {
     pub from: String,
     pub to: String,
-    pub wire: Wire,
+    pub protocol: Protocol,
     pub target: SocketAddr,
 }
 
-enum Socketed {
-    /// The port is kept while nobody listens, so that connects are refused and nobody else takes it.
+enum LinkSocket {
+    /// The port stays reserved while the relay doesn't listen on it, so that connections are refused and no other process can
+    /// bind it.
     Tcp {
-        kept: ReservedPort,
+        port: ReservedPort,
         listener: Option<TcpListener>,
     },
-    Udp(Datagrams),
+    Udp(DatagramRelay),
 }
 
-struct Open {
+/// A link and the address that clients connect to.
+struct OpenLink {
     link: Link,
     address: SocketAddr,
-    faults: Faults,
-    socket: Socketed,
+    faults: LinkFaults,
+    socket: LinkSocket,
 }
 
-/// A relay under way.
+/// A running relay.
 pub struct Relay {
     poll: Poll,
-    links: Vec<Open>,
-    pairs: Vec<Option<Pair>>,
-    free: Vec<usize>,
-    due: BinaryHeap<Reverse<(u64, usize)>>,
+    links: Vec<OpenLink>,
+    connections: Vec<Option<RelayedConnection>>,
+    /// Indices in `connections` that can be reused.
+    free_slots: Vec<usize>,
+    /// Times at which links or connections have something to do, as (microseconds, token).
+    timers: BinaryHeap<Reverse<(u64, usize)>>,
     rng: fastrand::Rng,
 }
 
-fn listener(address: SocketAddr) -> io::Result<TcpListener> {
+fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
@@ -77,131 +81,146 @@
     Ok(TcpListener::from_std(socket.into()))
 }
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
 impl Relay {
-    /// Listens for all links.
+    /// Opens the links and listens for their clients. `seed` determines random delays and losses.
     pub fn start(links: Vec<Link>, seed: u64) -> io::Result<Relay> {
         let poll = Poll::new()?;
-        let mut open = Vec::new();
+        let mut open_links = Vec::new();
         for (i, link) in links.into_iter().enumerate() {
-            let (address, socket) = match link.wire {
-                Wire::Tcp => {
-                    let kept = ReservedPort::reserve(any())?;
-                    let address = kept.address();
-                    let mut listener = listener(address)?;
+            let (address, socket) = match link.protocol {
+                Protocol::Tcp => {
+                    let port = ReservedPort::reserve(any_port())?;
+                    let address = port.address();
+                    let mut listener = listen(address)?;
                     poll.registry()
                         .register(&mut listener, Token(i), Interest::READABLE)?;
                     (
                         address,
-                        Socketed::Tcp {
-                            kept,
+                        LinkSocket::Tcp {
+                            port,
                             listener: Some(listener),
                         },
                     )
                 }
-                Wire::Udp => {
-                    let mut socket = UdpSocket::bind(any())?;
+                Protocol::Udp => {
+                    let mut socket = UdpSocket::bind(any_port())?;
                     poll.registry()
                         .register(&mut socket, Token(i), Interest::READABLE)?;
                     (
                         socket.local_addr()?,
-                        Socketed::Udp(Datagrams::new(socket, link.target)),
+                        LinkSocket::Udp(DatagramRelay::new(socket, link.target)),
                     )
                 }
             };
-            open.push(Open {
+            open_links.push(OpenLink {
                 link,
                 address,
-                faults: Faults::default(),
+                faults: LinkFaults::default(),
                 socket,
             });
         }
         let rng = fastrand::Rng::with_seed(seed);
         Ok(Relay {
             poll,
-            links: open,
-            pairs: Vec::new(),
-            free: Vec::new(),
-            due: BinaryHeap::new(),
+            links: open_links,
+            connections: Vec::new(),
+            free_slots: Vec::new(),
+            timers: BinaryHeap::new(),
             rng,
         })
     }
 
-    /// Where each link is reached, in the order in which they were wanted.
+    /// The address that clients connect to for each link, in the order of the links.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.links.iter().map(|l| l.address).collect()
     }
-    /// Wakes the relay from another thread.
+    /// Returns a waker, which interrupts `poll_once` from another thread.
     pub fn waker(&self) -> io::Result<Arc<Waker>> {
-        Ok(Arc::new(Waker::new(self.poll.registry(), WAKE)?))
+        Ok(Arc::new(Waker::new(self.poll.registry(), WAKER_TOKEN)?))
     }
 
-    /// Sets faults of the links that the word means; how many those are.
-    pub fn set(&mut self, word: &Word) -> usize {
-        let meant: Vec<bool> = self
+    /// Applies a command; returns the number of links that it applies to.
+    pub fn apply(&mut self, command: &LinkCommand) -> usize {
+        let is_affected: Vec<bool> = self
             .links
             .iter()
-            .map(|l| word.means(&l.link.from, &l.link.to))
+            .map(|l| command.applies_to(&l.link.from, &l.link.to))
             .collect();
         for (link, _) in self
             .links
             .iter_mut()
-            .zip(&meant)
-            .filter(|(_, meant)| **meant)
+            .zip(&is_affected)
+            .filter(|(_, is_affected)| **is_affected)
         {
-            word.on(&link.link.from, &mut link.faults);
+            command.apply(&link.link.from, &mut link.faults);
         }
-        for slot in 0..self.pairs.len() {
-            if !self.pairs[slot].as_ref().is_some_and(|p| meant[p.link]) {
+        for slot in 0..self.connections.len() {
+            if !self.connections[slot]
+                .as_ref()
+                .is_some_and(|c| is_affected[c.link])
+            {
                 continue;
             }
-            if word.reset {
-                self.drop_pair(slot, true);
+            if command.has_reset {
+                self.close_connection(slot, true);
             } else {
-                self.pump(slot);
+                self.relay_connection(slot);
             }
         }
-        meant.into_iter().filter(|meant| *meant).count()
+        is_affected
+            .into_iter()
+            .filter(|is_affected| *is_affected)
+            .count()
     }
 
-    /// Waits for what happens, at most so long, and deals with it.
-    pub fn turn(&mut self, events: &mut Events, most: Duration) -> io::Result<()> {
+    /// Waits for events, at most for `timeout`, and handles them and expired timers.
+    pub fn poll_once(&mut self, events: &mut Events, timeout: Duration) -> io::Result<()> {
         let now = monotonic_micros();
-        let next = self
-            .due
-            .peek()
-            .map_or(most, |d| Duration::from_micros(d.0 .0.saturating_sub(now)));
-        match self.poll.poll(events, Some(next.min(most))) {
+        let next = self.timers.peek().map_or(timeout, |timer| {
+            Duration::from_micros(timer.0 .0.saturating_sub(now))
+        });
+        match self.poll.poll(events, Some(next.min(timeout))) {
             Err(e) if e.kind() != io::ErrorKind::Interrupted => return Err(e),
             _ => {}
         }
         for event in events.iter() {
             match event.token() {
-                WAKE => {}
-                Token(t) if t >= UDP_BASE => self.datagrams(t - UDP_BASE),
-                Token(t) if t >= PAIR_BASE => {
-                    let (slot, end) = ((t - PAIR_BASE) / 2, (t - PAIR_BASE) % 2);
-                    if let Some(Some(pair)) = self.pairs.get_mut(slot) {
-                        pair.readable(end);
-                        self.pump(slot);
+                WAKER_TOKEN => {}
+                Token(t) if t >= UDP_TOKEN_BASE => self.relay_datagrams(t - UDP_TOKEN_BASE),
+                Token(t) if t >= CONNECTION_TOKEN_BASE => {
+                    let (slot, end) = (
+                        (t - CONNECTION_TOKEN_BASE) / 2,
+                        (t - CONNECTION_TOKEN_BASE) % 2,
+                    );
+                    if let Some(Some(connection)) = self.connections.get_mut(slot) {
+                        connection.set_readable(end);
+                        self.relay_connection(slot);
                     }
                 }
-                Token(link) => match self.links[link].link.wire {
-                    Wire::Tcp => self.accept(link)?,
-                    Wire::Udp => self.datagrams(link),
+                Token(link) => match self.links[link].link.protocol {
+                    Protocol::Tcp => self.accept(link)?,
+                    Protocol::Udp => self.relay_datagrams(link),
                 },
             }
         }
         let now = monotonic_micros();
-        while let Some(Reverse((_, what))) = self.due.peek().filter(|d| d.0 .0 <= now).copied() {
-            self.due.pop();
-            match what {
-                t if t >= PAIR_BASE => self.pump(t - PAIR_BASE),
-                link if self.links[link].link.wire == Wire::Udp => self.datagrams(link),
-                link => self.try_again(link)?,
+        while let Some(Reverse((_, token))) = self
+            .timers
+            .peek()
+            .filter(|timer| timer.0 .0 <= now)
+            .copied()
+        {
+            self.timers.pop();
+            match token {
+                t if t >= CONNECTION_TOKEN_BASE => self.relay_connection(t - CONNECTION_TOKEN_BASE),
+                link if self.links[link].link.protocol == Protocol::Udp => {
+                    self.relay_datagrams(link)
+                }
+                link => self.retry_target(link)?,
             }
         }
         Ok(())
@@ -209,7 +228,7 @@
 
     fn accept(&mut self, link: usize) -> io::Result<()> {
         loop {
-            let Socketed::Tcp {
+            let LinkSocket::Tcp {
                 listener: Some(listener),
                 ..
             } = &self.links[link].socket
@@ -220,106 +239,110 @@
                 Ok((from, _)) => from,
                 Err(_) => return Ok(()),
             };
-            let slot = self.free.pop().unwrap_or(self.pairs.len());
-            if slot >= PAIRS {
+            let slot = self.free_slots.pop().unwrap_or(self.connections.len());
+            if slot >= MAX_CONNECTIONS {
                 continue;
             }
             from.set_nodelay(true)?;
-            let token = Token(PAIR_BASE + 2 * slot);
+            let token = Token(CONNECTION_TOKEN_BASE + 2 * slot);
             self.poll.registry().register(
                 &mut from,
                 token,
                 Interest::READABLE | Interest::WRITABLE,
             )?;
-            if slot == self.pairs.len() {
-                self.pairs.push(None);
+            if slot == self.connections.len() {
+                self.connections.push(None);
             }
-            self.pairs[slot] = Some(Pair::new(link, from));
-            self.pump(slot);
+            self.connections[slot] = Some(RelayedConnection::new(link, from));
+            self.relay_connection(slot);
         }
     }
 
-    /// Moves a pair's bytes on; dials for it once the way there is open.
-    fn pump(&mut self, slot: usize) {
-        let Some(Some(pair)) = self.pairs.get_mut(slot) else {
+    /// Relays a connection's bytes. Connects to the target first, once the forward direction isn't cut.
+    fn relay_connection(&mut self, slot: usize) {
+        let Some(Some(connection)) = self.connections.get_mut(slot) else {
             return;
         };
-        let link = &self.links[pair.link];
-        if pair.ends[1].is_none() && !link.faults.ways[0].cut {
-            let Ok(stream) = pair.dial(link.link.target) else {
-                return self.drop_pair(slot, true);
+        let link = &self.links[connection.link];
+        if connection.ends[1].is_none() && !link.faults.directions[0].is_cut {
+            let Ok(stream) = connection.connect(link.link.target) else {
+                return self.close_connection(slot, true);
             };
             stream.set_nodelay(true).ok();
-            let token = Token(PAIR_BASE + 2 * slot + 1);
-            let both = Interest::READABLE | Interest::WRITABLE;
-            if self.poll.registry().register(stream, token, both).is_err() {
-                return self.drop_pair(slot, true);
+            let token = Token(CONNECTION_TOKEN_BASE + 2 * slot + 1);
+            let interests = Interest::READABLE | Interest::WRITABLE;
+            if self
+                .poll
+                .registry()
+                .register(stream, token, interests)
+                .is_err()
+            {
+                return self.close_connection(slot, true);
             }
         }
-        match pair.pump(monotonic_micros(), &link.faults, &mut self.rng) {
-            Fate::Lives(again) => self
-                .due
-                .extend(again.map(|at| Reverse((at, PAIR_BASE + slot)))),
-            Fate::Over => self.drop_pair(slot, false),
-            Fate::Broken => self.drop_pair(slot, true),
-            Fate::Refused => {
-                let link = pair.link;
-                self.drop_pair(slot, true);
-                self.refuse(link);
+        match connection.relay(monotonic_micros(), &link.faults, &mut self.rng) {
+            ConnectionState::Open(next) => self
+                .timers
+                .extend(next.map(|due| Reverse((due, CONNECTION_TOKEN_BASE + slot)))),
+            ConnectionState::Closed => self.close_connection(slot, false),
+            ConnectionState::Broken => self.close_connection(slot, true),
+            ConnectionState::Refused => {
+                let link = connection.link;
+                self.close_connection(slot, true);
+                self.refuse_connections(link);
             }
         }
     }
 
-    fn drop_pair(&mut self, slot: usize, reset: bool) {
-        let Some(pair) = self.pairs[slot].take() else {
+    fn close_connection(&mut self, slot: usize, is_reset: bool) {
+        let Some(connection) = self.connections[slot].take() else {
             return;
         };
-        for mut stream in pair.ends.into_iter().flatten() {
+        for mut stream in connection.ends.into_iter().flatten() {
             let _ = self.poll.registry().deregister(&mut stream);
-            if reset {
-                // Whatever was not read is thrown away on both sides, as when a machine is gone.
+            if is_reset {
+                // Closes with RST and discards unread data, as after the loss of a machine.
                 let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
             }
         }
-        self.free.push(slot);
+        self.free_slots.push(slot);
     }
 
-    /// Nobody listens behind: nobody listens here either until somebody does there.
-    fn refuse(&mut self, link: usize) {
-        let Socketed::Tcp { listener, .. } = &mut self.links[link].socket else {
+    /// Stops listening for a link whose target refuses connections, so that clients are refused too.
+    fn refuse_connections(&mut self, link: usize) {
+        let LinkSocket::Tcp { listener, .. } = &mut self.links[link].socket else {
             return;
         };
         if let Some(mut listener) = listener.take() {
             let _ = self.poll.registry().deregister(&mut listener);
-            self.due.push(Reverse((monotonic_micros() + TRY, link)));
+            self.timers
+                .push(Reverse((monotonic_micros() + RETRY_INTERVAL_US, link)));
         }
     }
 
-    fn try_again(&mut self, link: usize) -> io::Result<()> {
+    /// Listens for a link again once its target accepts connections.
+    fn retry_target(&mut self, link: usize) -> io::Result<()> {
         let target = self.links[link].link.target;
-        let Socketed::Tcp {
-            kept,
-            listener: gone,
-        } = &mut self.links[link].socket
-        else {
+        let LinkSocket::Tcp { port, listener } = &mut self.links[link].socket else {
             return Ok(());
         };
-        // A connect on loopback is answered at once, either way.
+        // A connection attempt on loopback succeeds or fails at once.
         if std::net::TcpStream::connect_timeout(&target, Duration::from_millis(20)).is_err() {
-            self.due.push(Reverse((monotonic_micros() + TRY, link)));
+            self.timers
+                .push(Reverse((monotonic_micros() + RETRY_INTERVAL_US, link)));
             return Ok(());
         }
-        let mut new = listener(kept.address())?;
+        let mut new_listener = listen(port.address())?;
         self.poll
             .registry()
-            .register(&mut new, Token(link), Interest::READABLE)?;
-        *gone = Some(new);
+            .register(&mut new_listener, Token(link), Interest::READABLE)?;
+        *listener = Some(new_listener);
         self.accept(link)
     }
 
-    fn datagrams(&mut self, link: usize) {
-        let Open {
-            socket: Socketed::Udp(datagrams),
+    fn relay_datagrams(&mut self, link: usize) {
+        let OpenLink {
+            socket: LinkSocket::Udp(datagrams),
             faults,
             ..
         } = &mut self.links[link]
@@ -327,14 +350,14 @@
             return;
         };
         let now = monotonic_micros();
-        for place in datagrams.read(now, faults, &mut self.rng) {
+        for sender in datagrams.receive(now, faults, &mut self.rng) {
             let _ = self.poll.registry().register(
-                &mut datagrams.behind[place].1,
-                Token(UDP_BASE + link),
+                &mut datagrams.senders[sender].1,
+                Token(UDP_TOKEN_BASE + link),
                 Interest::READABLE,
             );
         }
-        self.due
-            .extend(datagrams.send(now).map(|at| Reverse((at, link))));
+        self.timers
+            .extend(datagrams.send_due(now).map(|due| Reverse((due, link))));
     }
 }
--- a/crates/testbed/src/rig/links/tcp.rs
+++ b/crates/testbed/src/rig/links/tcp.rs
@@ -1,124 +1,146 @@
 //! One relayed connection.
 
-use crate::rig::links::faults::Faults;
-use crate::rig::links::flow::{Flow, Step};
+use crate::rig::links::faults::LinkFaults;
+use crate::rig::links::flow::{Flow, WriteStatus};
 use mio::net::TcpStream;
 use std::io::{self, Read};
 use std::net::{Shutdown, SocketAddr};
 
-/// A connection from one party and ours to the other.
-pub(crate) struct Pair {
+/// A client's connection to the relay, and the relay's connection to the target.
+pub(crate) struct RelayedConnection {
     pub(crate) link: usize,
-    /// Who connected, and the one it wanted; none while the way there is cut.
+    /// The streams to the client and to the target; the latter is `None` while the forward direction is cut.
     pub(crate) ends: [Option<TcpStream>; 2],
+    /// From the client, and from the target.
     flows: [Flow; 2],
-    may_read: [bool; 2],
-    /// The other party has been reached.
-    reached: bool,
+    /// Whether each stream may have data to read.
+    is_readable: [bool; 2],
+    /// The connection to the target is established.
+    is_connected: bool,
 }
 
-/// What became of a pair.
+/// The state of a connection after its data has been relayed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Fate {
-    Lives(Option<u64>),
-    /// Both ways have ended and all is through.
-    Over,
-    /// One end broke off.
+pub(crate) enum ConnectionState {
+    /// With the time of the next due bytes, if there are any.
+    Open(Option<u64>),
+    /// Both sides have closed, and all bytes have been relayed.
+    Closed,
+    /// One side failed.
     Broken,
-    /// Nobody listens there.
+    /// The target refused the connection.
     Refused,
 }
 
-impl Pair {
-    pub(crate) fn new(link: usize, from: TcpStream) -> Pair {
-        Pair {
+impl RelayedConnection {
+    pub(crate) fn new(link: usize, client: TcpStream) -> RelayedConnection {
+        RelayedConnection {
             link,
-            ends: [Some(from), None],
+            ends: [Some(client), None],
             flows: Default::default(),
-            may_read: [true, false],
-            reached: false,
+            is_readable: [true, false],
+            is_connected: false,
         }
     }
 
-    /// Dials the other party.
-    pub(crate) fn dial(&mut self, target: SocketAddr) -> io::Result<&mut TcpStream> {
+    /// Starts to connect to the target.
+    pub(crate) fn connect(&mut self, target: SocketAddr) -> io::Result<&mut TcpStream> {
         let stream = TcpStream::connect(target)?;
-        self.may_read[1] = true;
+        self.is_readable[1] = true;
         Ok(self.ends[1].insert(stream))
     }
 
-    pub(crate) fn readable(&mut self, end: usize) {
-        self.may_read[end] = true;
+    /// Records that one of the streams has data to read.
+    pub(crate) fn set_readable(&mut self, end: usize) {
+        self.is_readable[end] = true;
     }
 
-    /// Moves bytes as far as they go now.
-    pub(crate) fn pump(&mut self, now: u64, faults: &Faults, rng: &mut fastrand::Rng) -> Fate {
-        if !self.reached {
-            match self.ends[1].as_ref().map(reached) {
-                None | Some(Ok(false)) => return Fate::Lives(None),
-                Some(Err(_)) => return Fate::Refused,
-                Some(Ok(true)) => self.reached = true,
+    /// Relays as many bytes as possible in both directions.
+    pub(crate) fn relay(
+        &mut self,
+        now: u64,
+        faults: &LinkFaults,
+        rng: &mut fastrand::Rng,
+    ) -> ConnectionState {
+        if !self.is_connected {
+            match self.ends[1].as_ref().map(is_established) {
+                None | Some(Ok(false)) => return ConnectionState::Open(None),
+                Some(Err(_)) => return ConnectionState::Refused,
+                Some(Ok(true)) => self.is_connected = true,
             }
         }
-        let mut again: Option<u64> = None;
-        for way in 0..2 {
-            match self.pump_way(way, now, faults, rng) {
-                Ok(Step::At(at)) => again = Some(again.map_or(at, |a| a.min(at))),
+        let mut next_due: Option<u64> = None;
+        for direction in 0..2 {
+            match self.relay_direction(direction, now, faults, rng) {
+                Ok(WriteStatus::WaitUntil(due)) => {
+                    next_due = Some(next_due.map_or(due, |next| next.min(due)))
+                }
                 Ok(_) => {}
-                // Of an end behind a cut nobody hears.
-                Err(_) if faults.ways[1 - way].cut || faults.ways[way].cut => {}
-                Err(_) => return Fate::Broken,
+                // A cut hides the failure of one side from the other.
+                Err(_)
+                    if faults.directions[1 - direction].is_cut
+                        || faults.directions[direction].is_cut => {}
+                Err(_) => return ConnectionState::Broken,
             }
         }
-        let over = (0..2).all(|way| self.flows[way].ended && self.flows[way].is_through());
-        let told = faults.ways.iter().all(|w| !w.cut);
-        if over && told {
-            Fate::Over
+        let has_ended = (0..2)
+            .all(|direction| self.flows[direction].has_ended && self.flows[direction].is_empty());
+        let is_uncut = faults.directions.iter().all(|d| !d.is_cut);
+        if has_ended && is_uncut {
+            ConnectionState::Closed
         } else {
-            Fate::Lives(again)
+            ConnectionState::Open(next_due)
         }
     }
 
-    fn pump_way(
+    fn relay_direction(
         &mut self,
-        way: usize,
+        direction: usize,
         now: u64,
-        faults: &Faults,
+        faults: &LinkFaults,
         rng: &mut fastrand::Rng,
-    ) -> io::Result<Step> {
-        let [a, b] = &mut self.ends;
-        let (Some(a), Some(b)) = (a, b) else {
-            return Ok(Step::Idle);
+    ) -> io::Result<WriteStatus> {
+        let [client, target] = &mut self.ends;
+        let (Some(client), Some(target)) = (client, target) else {
+            return Ok(WriteStatus::Idle);
         };
-        let (from, to) = if way == 0 { (a, b) } else { (b, a) };
-        let flow = &mut self.flows[way];
+        let (from, to) = if direction == 0 {
+            (client, target)
+        } else {
+            (target, client)
+        };
+        let flow = &mut self.flows[direction];
         let mut chunk = [0; 16 << 10];
-        let mut broke = None;
-        while self.may_read[way] && flow.has_room() && !flow.ended {
+        let mut read_error = None;
+        while self.is_readable[direction] && flow.has_room() && !flow.has_ended {
             match from.read(&mut chunk) {
-                Ok(0) => flow.ended = true,
+                Ok(0) => flow.has_ended = true,
                 Ok(n) => {
-                    let due = faults.ways[way].arrival(now, rng, true).unwrap_or(now);
+                    let due = faults.directions[direction]
+                        .arrival_time(now, rng, true)
+                        .unwrap_or(now);
                     flow.push(&chunk[..n], due);
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.may_read[way] = false,
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
+                    self.is_readable[direction] = false
+                }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => {
-                    flow.ended = true;
-                    broke = Some(e);
+                    flow.has_ended = true;
+                    read_error = Some(e);
                 }
             }
         }
-        let step = flow.write(now, &faults.ways[way], to)?;
-        if step == Step::Ended {
+        let status = flow.write(now, &faults.directions[direction], to)?;
+        if status == WriteStatus::Ended {
             to.shutdown(Shutdown::Write).ok();
         }
-        broke.map_or(Ok(step), Err)
+        read_error.map_or(Ok(status), Err)
     }
 }
 
-/// Whether a dialled stream is up.
-fn reached(stream: &TcpStream) -> io::Result<bool> {
+/// Whether a stream that started to connect is established. Fails if the connection attempt failed.
+fn is_established(stream: &TcpStream) -> io::Result<bool> {
     if let Some(e) = stream.take_error()? {
         return Err(e);
     }
--- a/crates/testbed/src/rig/links/udp.rs
+++ b/crates/testbed/src/rig/links/udp.rs
@@ -1,117 +1,125 @@
-//! Relayed datagrams.
+//! Relays the datagrams of a link.
 
-use crate::rig::links::faults::Faults;
+use crate::rig::links::faults::LinkFaults;
 use mio::net::UdpSocket;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::net::SocketAddr;
 
-/// Senders of one link that are told apart; more are dropped.
-const SENDERS: usize = 256;
-/// Datagrams on their way over one link.
-const MOST: usize = 4_096;
+/// Maximum number of senders on one link; datagrams of further senders are dropped.
+const MAX_SENDERS: usize = 256;
+/// Maximum number of queued datagrams of one link; further datagrams are dropped.
+const MAX_QUEUED_DATAGRAMS: usize = 4_096;
 
-/// When it gets there, its number, the sender's place, whether it goes there or back, and its bytes.
-type OnTheWay = Reverse<(u64, u64, usize, bool, Vec<u8>)>;
+/// Due time, serial number, index of the sender, whether it goes forward (to the target), and bytes.
+type QueuedDatagram = Reverse<(u64, u64, usize, bool, Vec<u8>)>;
 
-/// Both directions of one link's datagrams.
-pub(crate) struct Datagrams {
-    pub(crate) front: UdpSocket,
+/// Relays both directions of a link.
+pub(crate) struct DatagramRelay {
+    /// Receives from the senders, and sends the target's datagrams back to them.
+    pub(crate) listener: UdpSocket,
     target: SocketAddr,
-    /// The socket that stands for each sender.
-    pub(crate) behind: Vec<(SocketAddr, UdpSocket)>,
-    place_of: HashMap<SocketAddr, usize>,
-    on_the_way: BinaryHeap<OnTheWay>,
+    /// Each sender's address, and the relay's own socket for it towards the target.
+    pub(crate) senders: Vec<(SocketAddr, UdpSocket)>,
+    sender_indices: HashMap<SocketAddr, usize>,
+    queue: BinaryHeap<QueuedDatagram>,
     serial: u64,
     pub(crate) dropped: u64,
 }
 
-impl Datagrams {
-    pub(crate) fn new(front: UdpSocket, target: SocketAddr) -> Datagrams {
-        Datagrams {
-            front,
+impl DatagramRelay {
+    pub(crate) fn new(listener: UdpSocket, target: SocketAddr) -> DatagramRelay {
+        DatagramRelay {
+            listener,
             target,
-            behind: Vec::new(),
-            place_of: HashMap::new(),
-            on_the_way: BinaryHeap::new(),
+            senders: Vec::new(),
+            sender_indices: HashMap::new(),
+            queue: BinaryHeap::new(),
             serial: 0,
             dropped: 0,
         }
     }
 
-    fn take(
+    /// Queues a datagram, or drops it if it is lost or the queue is full.
+    fn enqueue(
         &mut self,
         now: u64,
-        place: usize,
-        there: bool,
+        sender: usize,
+        is_forward: bool,
         data: &[u8],
-        faults: &Faults,
+        faults: &LinkFaults,
         rng: &mut fastrand::Rng,
     ) {
-        let way = &faults.ways[usize::from(!there)];
-        match way
-            .arrival(now, rng, false)
-            .filter(|_| !way.cut && self.on_the_way.len() < MOST)
+        let direction = &faults.directions[usize::from(!is_forward)];
+        match direction
+            .arrival_time(now, rng, false)
+            .filter(|_| !direction.is_cut && self.queue.len() < MAX_QUEUED_DATAGRAMS)
         {
             Some(due) => {
                 self.serial += 1;
-                self.on_the_way
-                    .push(Reverse((due, self.serial, place, there, data.to_vec())));
+                self.queue.push(Reverse((
+                    due,
+                    self.serial,
+                    sender,
+                    is_forward,
+                    data.to_vec(),
+                )));
             }
             None => self.dropped += 1,
         }
     }
 
-    /// Reads what came; returns the place of a sender's new socket, which is to be watched.
-    pub(crate) fn read(
+    /// Receives the datagrams that have arrived. Returns the indices of new senders, whose sockets the caller has to register.
+    pub(crate) fn receive(
         &mut self,
         now: u64,
-        faults: &Faults,
+        faults: &LinkFaults,
         rng: &mut fastrand::Rng,
     ) -> Vec<usize> {
-        let (mut buffer, mut new) = ([0; 2_048], Vec::new());
-        while let Ok((n, from)) = self.front.recv_from(&mut buffer) {
-            let known = self.place_of.get(&from).copied();
-            let Some(place) = known.or_else(|| self.sender(from)) else {
+        let (mut buffer, mut new_senders) = ([0; 2_048], Vec::new());
+        while let Ok((n, from)) = self.listener.recv_from(&mut buffer) {
+            let known_sender = self.sender_indices.get(&from).copied();
+            let Some(sender) = known_sender.or_else(|| self.add_sender(from)) else {
                 self.dropped += 1;
                 continue;
             };
-            new.extend(known.is_none().then_some(place));
-            self.take(now, place, true, &buffer[..n], faults, rng);
+            new_senders.extend(known_sender.is_none().then_some(sender));
+            self.enqueue(now, sender, true, &buffer[..n], faults, rng);
         }
-        for place in 0..self.behind.len() {
-            while let Ok(n) = self.behind[place].1.recv(&mut buffer) {
-                self.take(now, place, false, &buffer[..n], faults, rng);
+        for sender in 0..self.senders.len() {
+            while let Ok(n) = self.senders[sender].1.recv(&mut buffer) {
+                self.enqueue(now, sender, false, &buffer[..n], faults, rng);
             }
         }
-        new
+        new_senders
     }
 
-    fn sender(&mut self, from: SocketAddr) -> Option<usize> {
-        if self.behind.len() >= SENDERS {
+    /// Opens a socket towards the target for a new sender; returns its index, or `None` if there are too many senders.
+    fn add_sender(&mut self, from: SocketAddr) -> Option<usize> {
+        if self.senders.len() >= MAX_SENDERS {
             return None;
         }
         let socket = UdpSocket::bind(SocketAddr::from(([127, 0, 0, 1], 0))).ok()?;
         socket.connect(self.target).ok()?;
-        self.behind.push((from, socket));
-        self.place_of.insert(from, self.behind.len() - 1);
-        Some(self.behind.len() - 1)
+        self.senders.push((from, socket));
+        self.sender_indices.insert(from, self.senders.len() - 1);
+        Some(self.senders.len() - 1)
     }
 
-    /// Sends what is due; when the next is.
-    pub(crate) fn send(&mut self, now: u64) -> Option<u64> {
-        while let Some(Reverse((due, _, place, there, data))) = self.on_the_way.peek() {
+    /// Sends the datagrams that are due; returns when the next one is due.
+    pub(crate) fn send_due(&mut self, now: u64) -> Option<u64> {
+        while let Some(Reverse((due, _, sender, is_forward, data))) = self.queue.peek() {
             if *due > now {
                 return Some(*due);
             }
-            let (sender, socket) = &self.behind[*place];
-            // A datagram that nobody takes is lost, as on any network.
-            let _ = if *there {
+            let (sender_address, socket) = &self.senders[*sender];
+            // A datagram that can't be sent is lost, as on any network.
+            let _ = if *is_forward {
                 socket.send(data)
             } else {
-                self.front.send_to(data, *sender)
+                self.listener.send_to(data, *sender_address)
             };
-            self.on_the_way.pop();
+            self.queue.pop();
         }
         None
     }
--- a/crates/testbed/src/rig/serve.rs
+++ b/crates/testbed/src/rig/serve.rs
@@ -1,4 +1,4 @@
-//! A gateway, and the bare relay, as processes.
+//! Subcommands that run a gateway, or the bare relay: the gateway's sockets without its decisions.
 
 use crate::common::process::{exit_with_parent, init_process};
 use chalkdeck_grpc_gateway::relay::Relay;
@@ -12,7 +12,7 @@
 pub struct ServeArgs {
     /// Settings, protobuf text of chalkdeck.config.v1.Gateway
     pub config: PathBuf,
-    /// A fault in the carrying code, to see a check fail: lose, repeat, drains, cold, ceiling, linger, leak, complain, shut
+    /// A fault to inject into the gateway's own code, which a check has to detect: lose, repeat, drains, cold, ceiling, linger, leak, complain, shut
     #[arg(long, hide = true)]
     pub fault: Option<String>,
     #[arg(long, hide = true)]
@@ -29,29 +29,34 @@
     pub with_parent: bool,
 }
 
-/// Runs a gateway until it is stopped.
+/// Runs a gateway until a signal stops it.
 pub fn serve(args: &ServeArgs) -> anyhow::Result<()> {
-    let set = Settings::load(&args.config)?;
-    logs::start(&set.log_level, set.log_json);
+    let settings = Settings::load(&args.config)?;
+    logs::start(&settings.log_level, settings.log_json);
     if args.with_parent {
         exit_with_parent();
     }
     let signals = Signals::install()?;
-    let mut shell = GatewayServer::start(set, Some(args.config.clone()), fastrand::u64(..), false)?;
+    let mut server = GatewayServer::start(
+        settings,
+        Some(args.config.clone()),
+        fastrand::u64(..),
+        false,
+    )?;
     if let Some(fault) = &args.fault {
-        shell.inject_fault(fault.parse().map_err(anyhow::Error::msg)?);
+        server.inject_fault(fault.parse().map_err(anyhow::Error::msg)?);
     }
-    let admin = shell
+    let admin = server
         .admin_address()
         .map_or("-".to_string(), |a| a.to_string());
-    let resp = shell
+    let resp = server
         .resp_address()
         .map_or(String::new(), |a| format!(" resp={a}"));
-    println!("ready grpc={} admin={admin}{resp}", shell.listen_address());
-    Ok(shell.run(&signals)?)
+    println!("ready grpc={} admin={admin}{resp}", server.listen_address());
+    Ok(server.run(&signals)?)
 }
 
-/// Runs the bare relay until it is stopped.
+/// Runs the bare relay until a signal stops it.
 pub fn relay(args: RelayArgs) -> anyhow::Result<()> {
     init_process(args.with_parent);
     let signals = Signals::install()?;
--- a/crates/testbed/src/soak/run.rs
+++ b/crates/testbed/src/soak/run.rs
@@ -7,7 +7,7 @@
 use crate::common::load_stats::LoadSummary;
 use crate::common::process::{memory_kib, Process, Program};
 use crate::common::script::{ScriptAction, DAY_MESSAGE};
-use crate::rig::fleet::{any, Fleet};
+use crate::rig::fleet::{any_port, Fleet};
 use anyhow::{bail, Context};
 use chalkdeck_net::clock::monotonic_micros;
 use chalkdeck_proto::chalkdeck::lab::v1::Day;
@@ -84,7 +84,7 @@
     fn start(plan: &'a SoakPlan, settings: &'a RunSettings) -> anyhow::Result<SoakRun<'a>> {
         let program = settings.program.clone();
         let fault = settings.fault.clone();
-        let fleet = Fleet::start(program, plan.day.clone(), &settings.dir, any(), fault)?;
+        let fleet = Fleet::start(program, plan.day.clone(), &settings.dir, any_port(), fault)?;
         Ok(SoakRun {
             plan,
             dir: &settings.dir,
@@ -108,7 +108,7 @@
         let usage_after = self.idle_usage()?;
         let (before, usage_before) = self.before.as_ref().context("expected a load before")?;
         self.breaches.extend(baseline_breach(before, &after));
-        let servers = self.fleet.servers().len();
+        let servers = self.fleet.server_addresses().len();
         self.breaches
             .extend(leak_breaches(usage_before, &usage_after, servers));
         Ok(())
@@ -129,7 +129,9 @@
             &out,
         ];
         let day = self.write_baseline_day(name)?;
-        let mut load = self.fleet.load_of(&day, BASELINE_SECONDS, &args)?;
+        let mut load = self
+            .fleet
+            .start_load_of_day(&day, BASELINE_SECONDS, &args)?;
         if !load.wait() {
             bail!("the baseline load {name} failed");
         }
@@ -156,7 +158,7 @@
     }
 
     fn idle_usage(&self) -> anyhow::Result<Vec<IdleUsage>> {
-        let gateways = 0..self.fleet.gateways().len();
+        let gateways = 0..self.fleet.gateway_addresses().len();
         gateways
             .map(|gateway| self.gateway_idle_usage(gateway))
             .collect()
@@ -178,7 +180,9 @@
         let log = self.path("client.jsonl");
         let out = self.path("summary.json");
         let seconds = f64::from(self.plan.day.seconds);
-        let mut load = self.fleet.load(seconds, &["--log", &log, "--out", &out])?;
+        let mut load = self
+            .fleet
+            .start_load(seconds, &["--log", &log, "--out", &out])?;
         let control = load.address("control").ok();
         let start = monotonic_micros();
         for step in sorted_steps(self.plan) {
@@ -198,14 +202,17 @@
 
     fn execute(&mut self, action: &SoakAction, control: Option<SocketAddr>) -> anyhow::Result<()> {
         match action {
-            SoakAction::Day(action) => self.fleet.act(action, control)?,
+            SoakAction::Day(action) => self.fleet.apply(action, control)?,
             SoakAction::Signal(gateway, signal) => self.signal(*gateway, *signal),
             SoakAction::ExpectExit(gateway) => self.expect_exit(*gateway)?,
             SoakAction::BreakSettings(gateway) => self.break_settings(*gateway)?,
             SoakAction::RestoreSettings(gateway) => self.restore_settings(*gateway)?,
             SoakAction::CrowdArrives => {
                 let args = ["--idle", "--connections", IDLE_CONNECTIONS, "--prefix", "i"];
-                self.idle_clients = Some(self.fleet.load(f64::from(self.plan.day.seconds), &args)?);
+                self.idle_clients = Some(
+                    self.fleet
+                        .start_load(f64::from(self.plan.day.seconds), &args)?,
+                );
             }
             SoakAction::CrowdLeaves => self.idle_clients = None,
         }
@@ -246,7 +253,8 @@
         self.poll_exits();
         if self.exiting.contains(&gateway) {
             self.record_exit(gateway, GatewayExit::TimedOut);
-            self.fleet.act(&ScriptAction::KillGateway(gateway), None)?;
+            self.fleet
+                .apply(&ScriptAction::KillGateway(gateway), None)?;
         }
         Ok(())
     }
@@ -274,7 +282,7 @@
     /// Stops all gateways by SIGTERM and checks that they exit in time.
     fn stop_gateways(&mut self) -> anyhow::Result<()> {
         self.idle_clients = None;
-        let gateways = 0..self.fleet.gateways().len();
+        let gateways = 0..self.fleet.gateway_addresses().len();
         gateways
             .clone()
             .for_each(|gateway| self.signal(gateway, Signal::TERM));
--- a/crates/testbed/tests/audit.rs
+++ b/crates/testbed/tests/audit.rs
@@ -70,7 +70,7 @@
 
 /// The rules that a log breaks.
 fn broken(lines: Vec<Entry>) -> Vec<u8> {
-    let day = demo::fleet().expect("the demo's day");
+    let day = demo::day().expect("the demo's day");
     let mut rules: Vec<u8> = audit(&Record { day, lines })
         .breaches
         .iter()
@@ -195,7 +195,7 @@
 
 #[test]
 fn work_for_a_site_that_is_held_out() {
-    let zone = demo::fleet().expect("the demo's day").zones[0].name.clone();
+    let zone = demo::day().expect("the demo's day").zones[0].name.clone();
     let lines = |late: u64, let_back: bool| {
         let back = let_back.then(|| note(4 * S, "site_let_back", &zone));
         let mut lines = vec![note(0, "server", "s1 0"), note(S, "site_held", &zone)];
--- a/crates/testbed/tests/days.rs
+++ b/crates/testbed/tests/days.rs
@@ -1,10 +1,10 @@
-//! Days played by real processes, and audits that must fail when a fault is put into the carrying code.
+//! Runs days with real processes. The audit must find no breach, and must find one if a fault is injected into the gateways' code.
 use chalkdeck_proto::chalkdeck::lab::v1::{Day, Trouble};
 use chalkdeck_testbed::audit::rules::{audit, Record, Verdict};
 use chalkdeck_testbed::common::load_stats::LoadSummary;
 use chalkdeck_testbed::common::process::Program;
 use chalkdeck_testbed::common::script;
-use chalkdeck_testbed::rig::day::Ways;
+use chalkdeck_testbed::rig::day::RunOptions;
 use chalkdeck_testbed::rig::{day, demo};
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, PoisonError};
@@ -16,31 +16,31 @@
     }
 }
 
-struct Played {
+struct DayResult {
     summary: LoadSummary,
     verdict: Verdict,
 }
 
-/// One day at a time: they share the machine, and a starved one would say nothing of the gateway.
-static TURN: Mutex<()> = Mutex::new(());
+/// Serializes the days: they share the machine, and the result of a starved day says nothing about the gateway.
+static DAY_LOCK: Mutex<()> = Mutex::new(());
 
-fn play(name: &str, day: Day, fault: Option<&str>) -> Played {
-    let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
+fn run_day(name: &str, day: Day, fault: Option<&str>) -> DayResult {
+    let _guard = DAY_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let dir = std::env::temp_dir().join(format!("chalkdeck-day-{}-{name}", std::process::id()));
-    let ways = Ways {
+    let options = RunOptions {
         fault: fault.map(String::from),
-        ..Ways::default()
+        ..RunOptions::default()
     };
-    let summary = day::run(program(), day, &dir, &ways).expect("the day is played");
-    let verdict = audit(&Record::read(&dir).expect("its logs are read"));
+    let summary = day::run(program(), day, &dir, &options).expect("the day runs");
+    let verdict = audit(&Record::read(&dir).expect("the logs can be read"));
     if fault.is_some() || verdict.breaches.is_empty() {
         let _ = std::fs::remove_dir_all(&dir);
     }
-    Played { summary, verdict }
+    DayResult { summary, verdict }
 }
 
 fn demo_day(seconds: u32, rate: f64, trouble: Trouble) -> Day {
-    let mut day = demo::fleet().expect("the demo's day");
+    let mut day = demo::day().expect("the demo's day");
     day.seconds = seconds;
     day.load.as_mut().expect("a load").rate = rate;
     day.troubles = if trouble.kind.is_empty() {
@@ -64,37 +64,37 @@
 #[test]
 fn a_short_bad_day_breaks_no_rule() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("days/short.txtpb");
-    let played = play("short", script::read(&path).expect("a sound day"), None);
-    assert_eq!(played.verdict.breaches, []);
-    let s = &played.summary;
+    let result = run_day("short", script::read(&path).expect("a valid day"), None);
+    assert_eq!(result.verdict.breaches, []);
+    let s = &result.summary;
     assert_eq!(
         s.sent,
         s.served + s.refused + s.failed + s.lost + s.silent + s.other,
-        "every call has one end"
+        "every call has one outcome"
     );
-    // Late answers are the audit's, which knows how far apart two sockets' times may lie.
+    // The audit checks late responses, as it tolerates clock differences between two sockets.
     assert_eq!((s.silent, s.other), (0, 0));
     assert!(
         s.served > s.sent / 3,
-        "most that is inside the quotas is served: {s:?}"
+        "most calls inside the quotas are served: {s:?}"
     );
 }
 
-/// The same day keeps the rule without the fault and breaks it with it.
-fn is_caught(rule: u8, fault: &str, day: Day) {
-    let sound = play(&format!("{fault}-sound"), day.clone(), None);
-    assert_eq!(sound.verdict.breaches, []);
-    let faulty = play(&format!("{fault}-faulty"), day, Some(fault));
+/// Runs a day without a fault, in which the audit must find no breach, and with it, in which the rule must be broken.
+fn assert_fault_is_detected(rule: u8, fault: &str, day: Day) {
+    let without_fault = run_day(&format!("{fault}-sound"), day.clone(), None);
+    assert_eq!(without_fault.verdict.breaches, []);
+    let with_fault = run_day(&format!("{fault}-faulty"), day, Some(fault));
     assert!(
-        faulty.verdict.broke(rule),
+        with_fault.verdict.broke(rule),
         "rule {rule}: {:?}",
-        faulty.verdict.breaches
+        with_fault.verdict.breaches
     );
 }
 
 #[test]
-fn lost_answers_are_caught() {
-    is_caught(
+fn lost_responses_are_detected() {
+    assert_fault_is_detected(
         1,
         "lose",
         demo_day(3, 120.0, trouble("tenant_burst", "seed", 200.0, 200, 2_000)),
@@ -102,24 +102,24 @@
 }
 
 #[test]
-fn repeated_effects_are_caught() {
-    is_caught(2, "repeat", demo_day(3, 150.0, Trouble::default()));
+fn repeated_effects_are_detected() {
+    assert_fault_is_detected(2, "repeat", demo_day(3, 150.0, Trouble::default()));
 }
 
 #[test]
-fn broken_drains_are_caught() {
-    // Two zones drain, and more comes than the third can serve: with one server of nine at a third of the load the gateways
-    // may leave it out by themselves, so that a broken drain goes unseen.
+fn calls_to_draining_servers_are_detected() {
+    // Drains two zones at a load above the capacity of the third. With a single draining server of nine and a third of the load,
+    // the gateways may avoid that server anyway, and the test would miss the fault.
     let mut day = demo_day(5, 170.0, Trouble::default());
     day.troubles = (3..9)
         .map(|server| trouble("drain", &server.to_string(), 0.0, 200, 4_700))
         .collect();
-    is_caught(3, "drains", day);
+    assert_fault_is_detected(3, "drains", day);
 }
 
 #[test]
-fn cold_servers_pushed_over_are_caught() {
-    is_caught(
+fn overloaded_cold_servers_are_detected() {
+    assert_fault_is_detected(
         4,
         "cold",
         demo_day(7, 230.0, trouble("zone_loss", "north", 0.0, 300, 1_000)),
@@ -127,8 +127,8 @@
 }
 
 #[test]
-fn ceilings_passed_are_caught() {
-    is_caught(
+fn exceeded_ceilings_are_detected() {
+    assert_fault_is_detected(
         5,
         "ceiling",
         demo_day(4, 100.0, trouble("hot_caller", "estate", 300.0, 200, 3_500)),
--- a/crates/testbed/tests/links.rs
+++ b/crates/testbed/tests/links.rs
@@ -1,49 +1,51 @@
-//! The relay between parties: what a network does to streams and datagrams.
+//! Tests that the relay passes streams and datagrams and injects network faults into them.
 use chalkdeck_testbed::common::control;
-use chalkdeck_testbed::rig::links::faults::Word;
-use chalkdeck_testbed::rig::links::{Link, Relay, Wire};
+use chalkdeck_testbed::rig::links::faults::LinkCommand;
+use chalkdeck_testbed::rig::links::{Link, Protocol, Relay};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::sync::mpsc::{channel, Sender};
 use std::time::Duration;
 
-/// A relay in a thread of its own, and where its links are reached.
-fn relay(links: Vec<Link>) -> (Vec<SocketAddr>, Sender<(Word, Sender<usize>)>) {
-    let mut relay = Relay::start(links, 3).expect("it listens");
+/// Starts a relay in a thread of its own; returns the addresses of its links and the channel for commands.
+fn start_relay(links: Vec<Link>) -> (Vec<SocketAddr>, Sender<(LinkCommand, Sender<usize>)>) {
+    let mut relay = Relay::start(links, 3).expect("the relay listens");
     let addresses = relay.addresses();
-    let (sender, words) = channel::<(Word, Sender<usize>)>();
+    let (sender, commands) = channel::<(LinkCommand, Sender<usize>)>();
     std::thread::spawn(move || {
         let mut events = mio::Events::with_capacity(64);
         loop {
             relay
-                .turn(&mut events, Duration::from_millis(2))
-                .expect("it turns");
-            for (word, done) in words.try_iter() {
-                let _ = done.send(relay.set(&word));
+                .poll_once(&mut events, Duration::from_millis(2))
+                .expect("the poll succeeds");
+            for (command, result) in commands.try_iter() {
+                let _ = result.send(relay.apply(&command));
             }
         }
     });
     (addresses, sender)
 }
 
-fn set(words: &Sender<(Word, Sender<usize>)>, text: &str) -> usize {
-    let (sender, done) = channel();
-    let word = Word::read(&control::parse_target(&format!("/set?{text}")).1).expect("a sound word");
-    words.send((word, sender)).expect("it runs");
-    done.recv().expect("it answers")
+/// Applies a command; returns the number of links that it applies to.
+fn apply(commands: &Sender<(LinkCommand, Sender<usize>)>, text: &str) -> usize {
+    let (sender, result) = channel();
+    let command = LinkCommand::parse(&control::parse_target(&format!("/set?{text}")).1)
+        .expect("a valid command");
+    commands.send((command, sender)).expect("the relay runs");
+    result.recv().expect("the relay responds")
 }
 
-fn link(wire: Wire, target: SocketAddr) -> Link {
+fn link(protocol: Protocol, target: SocketAddr) -> Link {
     Link {
         from: "a".into(),
         to: "b".into(),
-        wire,
+        protocol,
         target,
     }
 }
 
-/// Sends back what it is sent, on any number of connections.
-fn echo() -> SocketAddr {
+/// Starts an echo server for any number of connections; returns its address.
+fn start_echo_server() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     std::thread::spawn(move || {
@@ -61,7 +63,7 @@
     address
 }
 
-fn dial(address: SocketAddr) -> TcpStream {
+fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).expect("the relay listens");
     stream
         .set_read_timeout(Some(Duration::from_millis(200)))
@@ -69,7 +71,8 @@
     stream
 }
 
-fn ask(stream: &mut TcpStream, text: &[u8]) -> std::io::Result<Vec<u8>> {
+/// Sends bytes and reads as many back.
+fn round_trip(stream: &mut TcpStream, text: &[u8]) -> std::io::Result<Vec<u8>> {
     stream.write_all(text)?;
     let mut back = vec![0; text.len()];
     stream.read_exact(&mut back)?;
@@ -77,94 +80,115 @@
 }
 
 #[test]
-fn a_cut_holds_bytes_either_way_and_a_heal_brings_them() {
-    let (at, words) = relay(vec![link(Wire::Tcp, echo())]);
-    let mut stream = dial(at[0]);
-    assert_eq!(ask(&mut stream, b"one").expect("it passes"), b"one");
-    for way in ["there", "back"] {
-        assert_eq!(set(&words, &format!("from=a&to=b&way={way}&cut=1")), 1);
-        let kind = ask(&mut stream, b"two").expect_err("it is cut").kind();
+fn a_cut_holds_bytes_in_each_direction_and_healing_delivers_them() {
+    let (addresses, commands) = start_relay(vec![link(Protocol::Tcp, start_echo_server())]);
+    let mut stream = connect(addresses[0]);
+    assert_eq!(
+        round_trip(&mut stream, b"one").expect("the bytes pass"),
+        b"one"
+    );
+    for direction in ["there", "back"] {
+        assert_eq!(
+            apply(&commands, &format!("from=a&to=b&way={direction}&cut=1")),
+            1
+        );
+        let kind = round_trip(&mut stream, b"two")
+            .expect_err("the link is cut")
+            .kind();
         assert!(
             matches!(kind, ErrorKind::WouldBlock | ErrorKind::TimedOut),
             "{kind:?}"
         );
-        set(&words, "heal=1");
+        apply(&commands, "heal=1");
         stream
             .set_read_timeout(Some(Duration::from_secs(20)))
             .expect("a time-out");
         let mut back = [0; 3];
-        stream.read_exact(&mut back).expect("healed");
+        stream.read_exact(&mut back).expect("the link is healed");
         assert_eq!(&back, b"two");
         stream
             .set_read_timeout(Some(Duration::from_millis(200)))
             .expect("a time-out");
     }
-    assert_eq!(set(&words, "from=b&to=a&cut=1"), 0, "no link runs that way");
+    assert_eq!(
+        apply(&commands, "from=b&to=a&cut=1"),
+        0,
+        "no link from b to a"
+    );
 }
 
 #[test]
-fn a_reset_breaks_what_is_open_and_new_connects_pass() {
-    let (at, words) = relay(vec![link(Wire::Tcp, echo())]);
-    let mut stream = dial(at[0]);
-    assert_eq!(ask(&mut stream, b"one").expect("it passes"), b"one");
-    set(&words, "reset=1");
+fn a_reset_breaks_open_connections_and_new_ones_succeed() {
+    let (addresses, commands) = start_relay(vec![link(Protocol::Tcp, start_echo_server())]);
+    let mut stream = connect(addresses[0]);
+    assert_eq!(
+        round_trip(&mut stream, b"one").expect("the bytes pass"),
+        b"one"
+    );
+    apply(&commands, "reset=1");
     stream
         .set_read_timeout(Some(Duration::from_secs(20)))
         .expect("a time-out");
-    assert!(ask(&mut stream, b"two").is_err());
+    assert!(round_trip(&mut stream, b"two").is_err());
     assert_eq!(
-        ask(&mut dial(at[0]), b"three").expect("it passes"),
+        round_trip(&mut connect(addresses[0]), b"three").expect("the bytes pass"),
         b"three"
     );
 }
 
 #[test]
-fn while_nobody_listens_behind_connects_are_refused_and_pass_again_after() {
+fn connections_are_refused_while_the_target_does_not_listen() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let target = listener.local_addr().expect("bound");
     drop(listener);
-    let (at, _words) = relay(vec![link(Wire::Tcp, target)]);
-    let refused =
-        || TcpStream::connect(at[0]).is_err_and(|e| e.kind() == ErrorKind::ConnectionRefused);
+    let (addresses, _commands) = start_relay(vec![link(Protocol::Tcp, target)]);
+    let refused = || {
+        TcpStream::connect(addresses[0]).is_err_and(|e| e.kind() == ErrorKind::ConnectionRefused)
+    };
     assert!((0..2_000).any(|_| {
         std::thread::sleep(Duration::from_millis(5));
         refused()
     }));
-    let _again = TcpListener::bind(target).expect("the port is free");
+    let _listener = TcpListener::bind(target).expect("the port is free");
     assert!((0..2_000).any(|_| {
         std::thread::sleep(Duration::from_millis(5));
-        TcpStream::connect(at[0]).is_ok()
+        TcpStream::connect(addresses[0]).is_ok()
     }));
 }
 
 #[test]
-fn datagrams_pass_both_ways_and_what_a_cut_takes_is_lost() {
-    let far = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    far.set_read_timeout(Some(Duration::from_secs(20)))
+fn datagrams_pass_in_both_directions_and_a_cut_loses_them() {
+    let target = UdpSocket::bind("127.0.0.1:0").expect("a port");
+    target
+        .set_read_timeout(Some(Duration::from_secs(20)))
         .expect("a time-out");
-    let (at, words) = relay(vec![link(Wire::Udp, far.local_addr().expect("bound"))]);
-    let near = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    near.set_read_timeout(Some(Duration::from_secs(20)))
+    let (addresses, commands) = start_relay(vec![link(
+        Protocol::Udp,
+        target.local_addr().expect("bound"),
+    )]);
+    let client = UdpSocket::bind("127.0.0.1:0").expect("a port");
+    client
+        .set_read_timeout(Some(Duration::from_secs(20)))
         .expect("a time-out");
     let mut buffer = [0; 64];
-    let mut pass = |text: &[u8]| {
-        near.send_to(text, at[0]).expect("sent");
-        let (n, from) = far.recv_from(&mut buffer).expect("it comes");
-        let came = buffer[..n].to_vec();
-        far.send_to(&came, from).expect("sent back");
-        near.recv_from(&mut buffer).expect("it comes back");
-        came
+    let mut round_trip = |text: &[u8]| {
+        client.send_to(text, addresses[0]).expect("sent");
+        let (n, from) = target.recv_from(&mut buffer).expect("the datagram arrives");
+        let received = buffer[..n].to_vec();
+        target.send_to(&received, from).expect("sent back");
+        client.recv_from(&mut buffer).expect("the response arrives");
+        received
     };
-    assert_eq!(pass(b"one"), b"one");
-    set(&words, "cut=1");
-    near.send_to(b"lost", at[0]).expect("sent");
-    // The relay has read it once it has answered two words after.
-    set(&words, "cut=1");
+    assert_eq!(round_trip(b"one"), b"one");
+    apply(&commands, "cut=1");
+    client.send_to(b"lost", addresses[0]).expect("sent");
+    // After two more commands, the relay has read the datagram.
+    apply(&commands, "cut=1");
     std::thread::sleep(Duration::from_millis(50));
-    set(&words, "heal=1");
+    apply(&commands, "heal=1");
     assert_eq!(
-        pass(b"two"),
+        round_trip(b"two"),
         b"two",
-        "what the cut took does not come later"
+        "a datagram that a cut lost does not arrive later"
     );
 }
--- a/crates/testbed/tests/ports.rs
+++ b/crates/testbed/tests/ports.rs
@@ -7,7 +7,7 @@
 use chalkdeck_testbed::common::process::Program;
 use chalkdeck_testbed::common::script::ScriptAction;
 use chalkdeck_testbed::rig::demo;
-use chalkdeck_testbed::rig::fleet::{any, Fleet};
+use chalkdeck_testbed::rig::fleet::{any_port, Fleet};
 use socket2::{Domain, Socket, Type};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -22,13 +22,13 @@
 /// Kills a process, binds those of its addresses that can be bound, and restarts the process.
 fn kill_and_restart(fleet: &mut Fleet, addresses: &[SocketAddr], actions: [&ScriptAction; 2]) {
     let [kill, restart] = actions;
-    fleet.act(kill, None).expect("the process is killed");
+    fleet.apply(kill, None).expect("the process is killed");
     let bound: Vec<Socket> = addresses
         .iter()
         .filter_map(|a| bind_exclusively(*a))
         .collect();
     fleet
-        .act(restart, None)
+        .apply(restart, None)
         .unwrap_or_else(|e| panic!("{} ports were bound in the meantime: {e:#}", bound.len()));
 }
 
@@ -38,23 +38,23 @@
         exe: PathBuf::from(env!("CARGO_BIN_EXE_chalkdeck-lab")),
         leading_args: Vec::new(),
     };
-    let day = demo::fleet().expect("the demo's day");
+    let day = demo::day().expect("the demo's day");
     let dir = std::env::temp_dir().join(format!("chalkdeck-ports-{}", std::process::id()));
-    let mut fleet = Fleet::start(program, day, &dir, any(), None).expect("the fleet starts");
+    let mut fleet = Fleet::start(program, day, &dir, any_port(), None).expect("the fleet starts");
 
-    let servers = fleet.servers();
+    let servers = fleet.server_addresses();
     kill_and_restart(
         &mut fleet,
         &servers,
         [&ScriptAction::KillCell(0), &ScriptAction::StartCell(0)],
     );
-    let gateway = [fleet.gateways()[1], fleet.admin(1)];
+    let gateway = [fleet.gateway_addresses()[1], fleet.admin_address(1)];
     let actions = [
         &ScriptAction::KillGateway(1),
         &ScriptAction::StartGateway(1),
     ];
     kill_and_restart(&mut fleet, &gateway, actions);
-    let counter = [fleet.counter()];
+    let counter = [fleet.counter_address()];
     let actions = [&ScriptAction::KillCounter, &ScriptAction::StartCounter];
     kill_and_restart(&mut fleet, &counter, actions);
 
--- a/crates/testbed/tests/sites.rs
+++ b/crates/testbed/tests/sites.rs
@@ -7,7 +7,7 @@
 use chalkdeck_testbed::common::event_log::Entry;
 use chalkdeck_testbed::common::process::Program;
 use chalkdeck_testbed::common::script;
-use chalkdeck_testbed::rig::day::{self, Ways};
+use chalkdeck_testbed::rig::day::{self, RunOptions};
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, PoisonError};
 
@@ -85,7 +85,7 @@
         exe: PathBuf::from(env!("CARGO_BIN_EXE_chalkdeck-lab")),
         leading_args: Vec::new(),
     };
-    let summary = day::run(program, day, &dir, &Ways::default()).expect("the day is played");
+    let summary = day::run(program, day, &dir, &RunOptions::default()).expect("the day is played");
     let record = Record::read(&dir).expect("its logs are read");
     assert_eq!(audit(&record).breaches, [], "logs in {}", dir.display());
     let _ = std::fs::remove_dir_all(&dir);
