--- a/crates/testbed/src/rig/counter_process.rs
+++ b/crates/testbed/src/rig/counter_process.rs
@@ -80,8 +80,8 @@
         self.process = None;
     }
 
-    /// Injects a fault, given as a control command of the stand-in. The project's own counter supports only `silent`, by SIGSTOP and
-    /// SIGCONT, and keeps its counts.
+    /// Injects a fault, given as a control command of the stand-in. The project's own counter supports only `silent`, which stalls
+    /// and resumes it by signals; it keeps its counts.
     pub fn inject_fault(&self, query: &str) -> anyhow::Result<()> {
         if !self.is_own_counter {
             control::get(self.control.address(), &format!("/set?{query}"))?;
--- a/crates/testbed/src/rig/fleet.rs
+++ b/crates/testbed/src/rig/fleet.rs
@@ -188,7 +188,7 @@
     pub fn coordinator_address(&self) -> Option<SocketAddr> {
         self.coordinator.as_ref().map(CoordinatorProcess::address)
     }
-    /// Whether the gateways have site-loss handling on, with the zones as sites.
+    /// Whether the gateways have site failover on, with the zones as sites.
     pub fn watches_sites(&self) -> bool {
         self.day
             .gateway
@@ -222,6 +222,7 @@
         self.counter.address()
     }
 
+    /// Starts the servers of a zone and adds them to the endpoint list.
     fn add_cell(&mut self, zone: usize) -> anyhow::Result<()> {
         let count = self.day.zones[zone].servers as usize;
         let servers = (0..count)
@@ -247,6 +248,7 @@
         Ok(())
     }
 
+    /// Starts the process of a zone's servers. `start` is the number of earlier starts.
     fn start_cell_process(
         &self,
         zone: usize,
@@ -283,6 +285,7 @@
         )
     }
 
+    /// Writes the settings file of a gateway and starts its process.
     fn start_gateway_process(
         &self,
         number: usize,
@@ -346,8 +349,8 @@
         )
     }
 
-    /// The file of the endpoint list for the gateways of a zone. With links, each zone has its own list, as it dials its own relay
-    /// addresses.
+    /// The file of the endpoint list for the gateways of a zone. With links, each zone has its own list, as its gateways dial
+    /// relay addresses of their own; otherwise, all zones share one list.
     fn list_file_name(&self, zone: usize) -> String {
         self.gateway_links
             .as_ref()
@@ -429,7 +432,7 @@
         self.start_load_of_day(&self.day_file, seconds, extra_args)
     }
 
-    /// Starts the load of another day on all gateways.
+    /// Starts the load that a day's file describes, which may be another day than the fleet's, on all gateways.
     pub fn start_load_of_day(
         &self,
         day: &Path,
--- a/crates/testbed/src/rig/links/command.rs
+++ b/crates/testbed/src/rig/links/command.rs
@@ -30,7 +30,7 @@
 fn parse_link(text: &str) -> anyhow::Result<Link> {
     let fields: Vec<&str> = text.split(',').collect();
     let [from, to, protocol, target] = fields[..] else {
-        bail!("--link: expected FROM,TO,WIRE,TARGET, found '{text}'")
+        bail!("--link: expected FROM,TO,PROTOCOL,TARGET, found '{text}'")
     };
     let protocol = match protocol {
         "tcp" => Protocol::Tcp,
--- a/crates/testbed/src/rig/links/faults.rs
+++ b/crates/testbed/src/rig/links/faults.rs
@@ -114,8 +114,8 @@
         matches(from, to) || self.is_bidirectional && matches(to, from)
     }
 
-    /// Sets the faults of a link that connects from the site `from`. `there` is the direction from the command's `from` to its `to`,
-    /// also for a link that connects the other way.
+    /// Sets the faults of a link that connects from the site `from`. The command's forward direction is the one from its `from` to
+    /// its `to`, also for a link that connects the other way.
     pub fn apply(&self, from: &str, faults: &mut LinkFaults) {
         let is_reversed =
             self.is_bidirectional && self.from.as_deref().is_some_and(|site| site != from);
--- a/crates/testbed/src/rig/links/flow.rs
+++ b/crates/testbed/src/rig/links/flow.rs
@@ -30,7 +30,7 @@
 pub(crate) enum WriteStatus {
     /// The queue is empty, or the direction is cut.
     Idle,
-    /// The next chunk is due at this time.
+    /// Nothing can be written before this time: the next chunk isn't due, or the throughput limit is reached.
     WaitUntil(u64),
     /// The receiver's socket buffer is full.
     Blocked,
@@ -39,6 +39,7 @@
 }
 
 impl Flow {
+    /// Whether more bytes may be read from the sender.
     pub(crate) fn has_room(&self) -> bool {
         self.queued_bytes < MAX_QUEUED_BYTES
     }
@@ -48,6 +49,7 @@
         self.queue.is_empty()
     }
 
+    /// Queues bytes that are due at this time, or later if earlier bytes are.
     pub(crate) fn push(&mut self, chunk: &[u8], due: u64) {
         // Jitter and loss of single segments don't reorder a stream.
         self.last_due = self.last_due.max(due);
--- a/crates/testbed/src/rig/links/relay.rs
+++ b/crates/testbed/src/rig/links/relay.rs
@@ -67,7 +67,7 @@
     connections: Vec<Option<RelayedConnection>>,
     /// Indices in `connections` that can be reused.
     free_slots: Vec<usize>,
-    /// Times at which links or connections have something to do, as (microseconds, token).
+    /// Due time in microseconds, and the index of a link, or `CONNECTION_TOKEN_BASE` plus the index of a connection.
     timers: BinaryHeap<Reverse<(u64, usize)>>,
     rng: fastrand::Rng,
 }
@@ -143,7 +143,7 @@
         Ok(Arc::new(Waker::new(self.poll.registry(), WAKER_TOKEN)?))
     }
 
-    /// Applies a command; returns the number of links that it applies to.
+    /// Applies a command to its links and their open connections; returns the number of these links.
     pub fn apply(&mut self, command: &LinkCommand) -> usize {
         let is_affected: Vec<bool> = self
             .links
@@ -208,14 +208,14 @@
             }
         }
         let now = monotonic_micros();
-        while let Some(Reverse((_, token))) = self
+        while let Some(Reverse((_, due))) = self
             .timers
             .peek()
             .filter(|timer| timer.0 .0 <= now)
             .copied()
         {
             self.timers.pop();
-            match token {
+            match due {
                 t if t >= CONNECTION_TOKEN_BASE => self.relay_connection(t - CONNECTION_TOKEN_BASE),
                 link if self.links[link].link.protocol == Protocol::Udp => {
                     self.relay_datagrams(link)
@@ -235,25 +235,25 @@
             else {
                 return Ok(());
             };
-            let mut from = match listener.accept() {
-                Ok((from, _)) => from,
+            let mut client = match listener.accept() {
+                Ok((client, _)) => client,
                 Err(_) => return Ok(()),
             };
             let slot = self.free_slots.pop().unwrap_or(self.connections.len());
             if slot >= MAX_CONNECTIONS {
                 continue;
             }
-            from.set_nodelay(true)?;
+            client.set_nodelay(true)?;
             let token = Token(CONNECTION_TOKEN_BASE + 2 * slot);
             self.poll.registry().register(
-                &mut from,
+                &mut client,
                 token,
                 Interest::READABLE | Interest::WRITABLE,
             )?;
             if slot == self.connections.len() {
                 self.connections.push(None);
             }
-            self.connections[slot] = Some(RelayedConnection::new(link, from));
+            self.connections[slot] = Some(RelayedConnection::new(link, client));
             self.relay_connection(slot);
         }
     }
@@ -340,6 +340,7 @@
         self.accept(link)
     }
 
+    /// Receives and sends a link's datagrams, and registers the sockets of new senders.
     fn relay_datagrams(&mut self, link: usize) {
         let OpenLink {
             socket: LinkSocket::Udp(datagrams),
--- a/crates/testbed/src/rig/links/tcp.rs
+++ b/crates/testbed/src/rig/links/tcp.rs
@@ -9,9 +9,10 @@
 /// A client's connection to the relay, and the relay's connection to the target.
 pub(crate) struct RelayedConnection {
     pub(crate) link: usize,
-    /// The streams to the client and to the target; the latter is `None` while the forward direction is cut.
+    /// The streams to the client and to the target. The latter is `None` until the relay connects to the target, which it doesn't
+    /// while the forward direction is cut.
     pub(crate) ends: [Option<TcpStream>; 2],
-    /// From the client, and from the target.
+    /// The bytes from the client, and from the target.
     flows: [Flow; 2],
     /// Whether each stream may have data to read.
     is_readable: [bool; 2],
@@ -22,7 +23,7 @@
 /// The state of a connection after its data has been relayed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionState {
-    /// With the time of the next due bytes, if there are any.
+    /// The time at which to relay again, unless a socket event comes first; `None` if only a socket event can change anything.
     Open(Option<u64>),
     /// Both sides have closed, and all bytes have been relayed.
     Closed,
--- a/crates/testbed/src/rig/links/udp.rs
+++ b/crates/testbed/src/rig/links/udp.rs
@@ -23,6 +23,7 @@
     pub(crate) senders: Vec<(SocketAddr, UdpSocket)>,
     sender_indices: HashMap<SocketAddr, usize>,
     queue: BinaryHeap<QueuedDatagram>,
+    /// Serial number of the last queued datagram; those with the same due time are sent in this order.
     serial: u64,
     pub(crate) dropped: u64,
 }
--- a/crates/testbed/tests/days.rs
+++ b/crates/testbed/tests/days.rs
@@ -66,25 +66,30 @@
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("days/short.txtpb");
     let result = run_day("short", script::read(&path).expect("a valid day"), None);
     assert_eq!(result.verdict.breaches, []);
-    let s = &result.summary;
+    let summary = &result.summary;
     assert_eq!(
-        s.sent,
-        s.served + s.refused + s.failed + s.lost + s.silent + s.other,
+        summary.sent,
+        summary.served
+            + summary.refused
+            + summary.failed
+            + summary.lost
+            + summary.silent
+            + summary.other,
         "every call has one outcome"
     );
-    // The audit checks late responses, as it tolerates clock differences between two sockets.
-    assert_eq!((s.silent, s.other), (0, 0));
+    // The audit checks for late responses, as it allows for the difference between the times that two sockets record.
+    assert_eq!((summary.silent, summary.other), (0, 0));
     assert!(
-        s.served > s.sent / 3,
-        "most calls inside the quotas are served: {s:?}"
+        summary.served > summary.sent / 3,
+        "most calls inside the quotas are served: {summary:?}"
     );
 }
 
 /// Runs a day without a fault, in which the audit must find no breach, and with it, in which the rule must be broken.
 fn assert_fault_is_detected(rule: u8, fault: &str, day: Day) {
-    let without_fault = run_day(&format!("{fault}-sound"), day.clone(), None);
+    let without_fault = run_day(&format!("{fault}-off"), day.clone(), None);
     assert_eq!(without_fault.verdict.breaches, []);
-    let with_fault = run_day(&format!("{fault}-faulty"), day, Some(fault));
+    let with_fault = run_day(&format!("{fault}-on"), day, Some(fault));
     assert!(
         with_fault.verdict.broke(rule),
         "rule {rule}: {:?}",
--- a/crates/testbed/tests/links.rs
+++ b/crates/testbed/tests/links.rs
@@ -67,7 +67,7 @@
     let stream = TcpStream::connect(address).expect("the relay listens");
     stream
         .set_read_timeout(Some(Duration::from_millis(200)))
-        .expect("a time-out");
+        .expect("a timeout");
     stream
 }
 
@@ -102,13 +102,13 @@
         apply(&commands, "heal=1");
         stream
             .set_read_timeout(Some(Duration::from_secs(20)))
-            .expect("a time-out");
+            .expect("a timeout");
         let mut back = [0; 3];
         stream.read_exact(&mut back).expect("the link is healed");
         assert_eq!(&back, b"two");
         stream
             .set_read_timeout(Some(Duration::from_millis(200)))
-            .expect("a time-out");
+            .expect("a timeout");
     }
     assert_eq!(
         apply(&commands, "from=b&to=a&cut=1"),
@@ -128,7 +128,7 @@
     apply(&commands, "reset=1");
     stream
         .set_read_timeout(Some(Duration::from_secs(20)))
-        .expect("a time-out");
+        .expect("a timeout");
     assert!(round_trip(&mut stream, b"two").is_err());
     assert_eq!(
         round_trip(&mut connect(addresses[0]), b"three").expect("the bytes pass"),
@@ -161,7 +161,7 @@
     let target = UdpSocket::bind("127.0.0.1:0").expect("a port");
     target
         .set_read_timeout(Some(Duration::from_secs(20)))
-        .expect("a time-out");
+        .expect("a timeout");
     let (addresses, commands) = start_relay(vec![link(
         Protocol::Udp,
         target.local_addr().expect("bound"),
@@ -169,7 +169,7 @@
     let client = UdpSocket::bind("127.0.0.1:0").expect("a port");
     client
         .set_read_timeout(Some(Duration::from_secs(20)))
-        .expect("a time-out");
+        .expect("a timeout");
     let mut buffer = [0; 64];
     let mut round_trip = |text: &[u8]| {
         client.send_to(text, addresses[0]).expect("sent");
