--- a/crates/testbed/src/rig/demo.rs
+++ b/crates/testbed/src/rig/demo.rs
@@ -86,7 +86,7 @@
     Ok(())
 }
 
-/// The numbers of calls that the gateways accepted and completed, from their metrics.
+/// A line with the numbers of calls that the gateways accepted and completed, from their metrics.
 fn call_counts(fleet: &Fleet) -> anyhow::Result<String> {
     let mut sums = [0.0; 2];
     for gateway in 0..fleet.gateway_addresses().len() {
--- a/crates/testbed/src/rig/replay.rs
+++ b/crates/testbed/src/rig/replay.rs
@@ -23,6 +23,7 @@
     pub lines: bool,
 }
 
+/// A bench day, as far as it is used. The names of its fields are those of the JSON file, and its times are in microseconds.
 #[derive(Deserialize)]
 struct BenchDay {
     length: u64,
