--- a/crates/policy/src/api/messages.rs
+++ b/crates/policy/src/api/messages.rs
@@ -140,12 +140,12 @@
     pub accepts_overflow: bool,
 }
 
-/// Admission threshold of load shedding, in priority weight per unit.
+/// Admission threshold of load shedding. Requests are compared by their priority weight per unit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SheddingThreshold {
-    /// Requests at or above this density are admitted.
+    /// Requests with this priority weight per unit or more are admitted.
     pub admit_above: f64,
-    /// Requests below this density are rejected.
+    /// Requests with less than this priority weight per unit are rejected.
     pub reject_below: f64,
     /// Fraction of the requests between the two that is admitted.
     pub admit_fraction: f64,
--- a/crates/policy/src/api/settings.rs
+++ b/crates/policy/src/api/settings.rs
@@ -95,7 +95,7 @@
     pub allow_probes: bool,
     /// Whether rejections carry a retry-after.
     pub send_retry_after: bool,
-    /// The longest retry-after that clients honour.
+    /// The longest retry-after that clients honor.
     pub max_retry_after: TimeDelta,
     /// Whether the counter service is used.
     pub use_counter: bool,
@@ -156,9 +156,9 @@
 
 impl Class {
     fn check(&self) -> Result<(), SettingsError> {
-        let has_sound_weights =
+        let has_valid_weights =
             is_amount(self.priority_weight) && is_amount(self.late_priority_weight);
-        if has_sound_weights && self.deadline > TimeDelta::ZERO {
+        if has_valid_weights && self.deadline > TimeDelta::ZERO {
             Ok(())
         } else {
             Err(SettingsError::Class)
--- a/crates/policy/src/api/status.rs
+++ b/crates/policy/src/api/status.rs
@@ -9,7 +9,7 @@
     pub limit: f64,
     /// Units or slots still available.
     pub remaining: f64,
-    /// Time until the whole limit is available again.
+    /// Time until the current window ends; zero for concurrency slots.
     pub resets_in: TimeDelta,
 }
 
--- a/crates/policy/src/counter/sampling.rs
+++ b/crates/policy/src/counter/sampling.rs
@@ -22,16 +22,16 @@
 const SLOWER_REPLY_WEIGHT_DIVISOR: f64 = 100.0;
 /// Minimum neutral queueing, in seconds; prevents a division by zero.
 const MIN_NEUTRAL_QUEUEING_SECONDS: f64 = 1e-9;
-/// Maximum exponent, for requests of low value.
+/// Maximum exponent, for requests with few weighted units.
 const MAX_EXPONENT: f64 = 100.0;
 
 /// The sample rate, and the statistics that it is derived from.
 #[derive(Debug)]
 pub(crate) struct CounterSampler {
-    /// Fraction of the requests of mean value that call the counter.
+    /// Fraction of the requests with the mean of weighted units that call the counter.
     rate: f64,
-    /// Smoothed value (priority weight times units) of the requests with a quota.
-    mean_value: f64,
+    /// Smoothed weighted units (units times priority weight) of the requests with a quota.
+    mean_weighted_units: f64,
     /// Latency of the counter without queueing, in seconds; `None` before the first reply.
     base_latency: Option<f64>,
     /// When the rate was last reduced.
@@ -43,31 +43,31 @@
     pub(crate) fn new(gateways: u32) -> CounterSampler {
         CounterSampler {
             rate: initial_rate(gateways),
-            mean_value: 0.0,
+            mean_weighted_units: 0.0,
             base_latency: None,
             reduced_at: Timestamp::ZERO,
         }
     }
 
     /// Whether any request with a quota has arrived.
-    pub(crate) fn has_seen_value(&self) -> bool {
-        self.mean_value > 0.0
+    pub(crate) fn has_seen_request(&self) -> bool {
+        self.mean_weighted_units > 0.0
     }
 
-    /// Adds the value of a request with a quota to the mean.
-    pub(crate) fn observe_value(&mut self, value: f64) {
-        let weight = if self.has_seen_value() {
+    /// Adds the weighted units of a request with a quota to the mean.
+    pub(crate) fn observe_weighted_units(&mut self, weighted_units: f64) {
+        let weight = if self.has_seen_request() {
             SHARED_SAMPLE_WEIGHT
         } else {
             1.0
         };
-        smooth(&mut self.mean_value, weight, value);
+        smooth(&mut self.mean_weighted_units, weight, weighted_units);
     }
 
-    /// Exponent of the sample rate for a request of this value. A call costs the same for every
-    /// request, so requests of high value are sampled first.
-    pub(crate) fn exponent(&self, value: f64) -> f64 {
-        (self.mean_value / value.max(f64::MIN_POSITIVE)).min(MAX_EXPONENT)
+    /// Exponent of the sample rate for a request with these weighted units. A call costs the same
+    /// for every request, so requests with many weighted units are sampled first.
+    pub(crate) fn exponent(&self, weighted_units: f64) -> f64 {
+        (self.mean_weighted_units / weighted_units.max(f64::MIN_POSITIVE)).min(MAX_EXPONENT)
     }
 
     /// Probability that a request calls the counter.
@@ -76,7 +76,7 @@
     }
 
     /// Resets the rate to the initial one, after a successful probe.
-    pub(crate) fn restart(&mut self, gateways: u32) {
+    pub(crate) fn reset_rate(&mut self, gateways: u32) {
         self.rate = initial_rate(gateways);
     }
 
--- a/crates/policy/src/customer.rs
+++ b/crates/policy/src/customer.rs
@@ -15,7 +15,7 @@
 /// Weight of the newest window in the usage history.
 const NEWEST_WINDOW_WEIGHT: f64 = 0.3;
 
-/// The last rejection, by which retries are recognised.
+/// The last rejection, by which retries are recognized.
 #[derive(Debug)]
 pub(crate) struct Rejection {
     pub(crate) class: ClassId,
@@ -43,7 +43,7 @@
     pub(crate) gateways: f64,
     /// Units used in the current window of its quota.
     pub(crate) quota_counter: WindowCounter,
-    /// Attempts in flight in the current epoch.
+    /// Concurrency slots in use in the current epoch.
     pub(crate) concurrency_counter: WindowCounter,
     usage: UsageHistory,
     /// This gateway's share of the quota, used while the counter is unavailable.
@@ -128,7 +128,7 @@
         };
     }
 
-    /// Starts the count of attempts in flight of an epoch, unless it is already the current one.
+    /// Starts the count of concurrency slots of an epoch, unless it is already the current one.
     pub(crate) fn roll_concurrency_epoch(&mut self, index: u64) {
         if self.concurrency_counter.index == index {
             return;
--- a/crates/policy/src/engine/concurrency_slots.rs
+++ b/crates/policy/src/engine/concurrency_slots.rs
@@ -26,7 +26,7 @@
         let customer = request.incoming.customer;
         // A slot takes two calls, so if requests with a quota also call the counter, slots get the
         // lowest sample rate.
-        let exponent = if self.counter.sampler.has_seen_value() {
+        let exponent = if self.counter.sampler.has_seen_request() {
             RETRY_EXPONENT
         } else {
             1.0
--- a/crates/policy/src/engine/counter_replies.rs
+++ b/crates/policy/src/engine/counter_replies.rs
@@ -71,7 +71,7 @@
         let now = self.now;
         let counter = &mut self.counter;
         if call.is_probe {
-            counter.sampler.restart(self.settings.gateways);
+            counter.sampler.reset_rate(self.settings.gateways);
         }
         let timeout = self.settings.counter_timeout;
         counter
--- a/crates/policy/src/engine/pending.rs
+++ b/crates/policy/src/engine/pending.rs
@@ -11,8 +11,8 @@
 const MAX_WAIT_OBJECTIVE_FRACTION: f64 = 0.3;
 /// Interval at which pending requests are tried.
 const PENDING_POLL_INTERVAL: TimeDelta = TimeDelta::from_millis(10);
-/// Steps per unit of priority density in the integer sort key of pending requests.
-const DENSITY_STEPS_PER_UNIT: f64 = 1e6;
+/// Factor that converts a priority weight, or a priority weight per unit, into an integer sort key.
+const SORT_KEY_SCALE: f64 = 1e6;
 
 impl DecisionEngine {
     /// Keeps a request pending until an endpoint is free.
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Tries all pending requests in descending order of priority density, and rejects those that
+    /// Tries all pending requests in descending order of their sort keys, and rejects those that
     /// have waited too long.
     pub(super) fn send_pending(&mut self) {
         let mut waiting = self.pending.take_all();
@@ -42,7 +42,7 @@
                 .get(id)
                 .is_some_and(|request| !request.is_done && request.pending_since.is_some())
         });
-        waiting.sort_by_key(|id| (Reverse(self.density(&self.requests[id])), *id));
+        waiting.sort_by_key(|id| (Reverse(self.sort_key(&self.requests[id])), *id));
         for id in waiting {
             let is_overdue = self.has_waited_too_long(&self.requests[&id]);
             if let Some(endpoint) = self.select_endpoint(id) {
@@ -57,13 +57,13 @@
     }
 
     /// Sort key of a request: its priority weight, divided by its units if site failover is on.
-    fn density(&self, request: &OpenRequest) -> u64 {
-        let capacity = if self.shedder.threshold.is_some() {
+    fn sort_key(&self, request: &OpenRequest) -> u64 {
+        let divisor = if self.shedder.threshold.is_some() {
             request.incoming.units
         } else {
             1.0
         };
-        (request.priority_weight(&self.settings) / capacity * DENSITY_STEPS_PER_UNIT) as u64
+        (request.priority_weight(&self.settings) / divisor * SORT_KEY_SCALE) as u64
     }
 
     fn has_waited_too_long(&self, request: &OpenRequest) -> bool {
--- a/crates/policy/src/engine/quota.rs
+++ b/crates/policy/src/engine/quota.rs
@@ -60,8 +60,8 @@
         let customer = request.incoming.customer;
         let units = request.incoming.units;
         let is_retry = request.incoming.is_retry;
-        let value = request.priority_weight(&self.settings) * units;
-        self.counter.sampler.observe_value(value);
+        let weighted_units = request.priority_weight(&self.settings) * units;
+        self.counter.sampler.observe_weighted_units(weighted_units);
         let total = self.customers[&customer].quota_counter.known_total();
         let is_known_exhausted = self.available_units(customer, total) < units && total > 0.0;
         if is_known_exhausted && !self.counter.breaker.is_open() {
@@ -69,7 +69,7 @@
             return self.reject_or_fail(id);
         }
         let retry_factor = if is_retry { RETRY_EXPONENT } else { 1.0 };
-        let exponent = self.counter.sampler.exponent(value) * retry_factor;
+        let exponent = self.counter.sampler.exponent(weighted_units) * retry_factor;
         match self.draw_sample(exponent) {
             Some(represented) if self.try_reserve_call(customer) => {
                 // After a recent total, retries that are not sampled are counted as well, so a
--- a/crates/policy/src/engine/selection.rs
+++ b/crates/policy/src/engine/selection.rs
@@ -184,8 +184,15 @@
         let score = load * penalty + REPEAT_PENALTY * repeats;
         let jitter = mix_bits(selection.salt ^ endpoint.id.0) as f64 / u64::MAX as f64;
         let score = score * (1.0 + SCORE_JITTER * jitter + zone_penalty);
-        let is_probation = endpoint.is_on_probation && request.attempts.is_empty();
-        Some(score * if is_probation { PROBATION_FACTOR } else { 1.0 })
+        let is_probation_attempt = endpoint.is_on_probation && request.attempts.is_empty();
+        Some(
+            score
+                * if is_probation_attempt {
+                    PROBATION_FACTOR
+                } else {
+                    1.0
+                },
+        )
     }
 
     /// Whether an endpoint is healthy and below its limit. If no endpoint is healthy, every
--- a/crates/policy/src/engine/shedding.rs
+++ b/crates/policy/src/engine/shedding.rs
@@ -18,9 +18,10 @@
         let weight = request.priority_weight(&self.settings);
         // With site failover on, all gateways share one threshold on the priority weight per unit.
         if let Some(threshold) = self.shedder.threshold {
-            let density = weight / request.incoming.units;
-            return density < threshold.reject_below
-                || density < threshold.admit_above && self.rng.f64() >= threshold.admit_fraction;
+            let weight_per_unit = weight / request.incoming.units;
+            return weight_per_unit < threshold.reject_below
+                || weight_per_unit < threshold.admit_above
+                    && self.rng.f64() >= threshold.admit_fraction;
         }
         self.shedder.observe_weight(weight);
         let accept_probability = self.shedder.accept_probability(weight);
--- a/crates/policy/src/engine/subset.rs
+++ b/crates/policy/src/engine/subset.rs
@@ -68,7 +68,7 @@
     }
 
     /// The sum of the limits of the subset's healthy endpoints. For a large subset it is recomputed
-    /// at most once per tick, as one answer among hundreds hardly changes it.
+    /// at most once per timer resolution, as one answer among hundreds hardly changes it.
     pub(super) fn subset_limit(&mut self, subset_size: usize) -> f64 {
         let known = self.endpoints.limit_sum;
         let is_recent = self.now < known.computed_at + self.settings.timer_resolution;
--- a/crates/policy/tests/counter_sampling.rs
+++ b/crates/policy/tests/counter_sampling.rs
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn requests_of_high_value_are_sampled_first_while_calls_queue() {
+fn requests_with_many_weighted_units_are_sampled_first_while_calls_queue() {
     let mut harness = one_of_300_gateways(7);
     simulate_counter_queue(&mut harness);
     let mut called = [0, 0];
--- a/crates/policy/tests/many_gateways.rs
+++ b/crates/policy/tests/many_gateways.rs
@@ -1,4 +1,4 @@
-//! Behaviour with hundreds of gateways that each get one or two requests per second.
+//! Behavior with hundreds of gateways that each get one or two requests per second.
 mod common;
 use chalkdeck::api::*;
 use common::*;
@@ -95,11 +95,11 @@
         let is_retry = i % 2 == 1;
         let (id, mut actions) = request_of_many_gateways(&mut harness, is_retry);
         // Every third call is rejected, so the breaker stays closed.
-        let mut is_call_failed = false;
+        let mut has_call_failed = false;
         for (key, _) in counter_calls(&actions) {
             calls += 1;
-            is_call_failed = calls % 3 == 0;
-            let outcome = if is_call_failed {
+            has_call_failed = calls % 3 == 0;
+            let outcome = if has_call_failed {
                 Outcome::Rejected
             } else {
                 Outcome::Ok
@@ -110,7 +110,7 @@
                 total: 2.0,
             }));
         }
-        let is_admitted_locally = is_call_failed && !sent_attempts(&actions).is_empty();
+        let is_admitted_locally = has_call_failed && !sent_attempts(&actions).is_empty();
         admitted[usize::from(is_retry)] += u32::from(is_admitted_locally);
         sent_attempts(&actions)
             .iter()
--- a/crates/policy/tests/recording/settings.rs
+++ b/crates/policy/tests/recording/settings.rs
@@ -39,7 +39,7 @@
         is_streaming: true,
         ..class(Idempotency::Idempotent, KeyScope::All, random)
     };
-    let is_admission_only = Class {
+    let admission_only = Class {
         is_admission_only: true,
         ..class(Idempotency::NonIdempotent, KeyScope::All, random)
     };
@@ -51,7 +51,7 @@
         class(Idempotency::Keyed, KeyScope::All, random),
         class(Idempotency::NonIdempotent, KeyScope::All, random),
         streaming,
-        is_admission_only,
+        admission_only,
     ]
 }
 
--- a/crates/policy/tests/zone_shares.rs
+++ b/crates/policy/tests/zone_shares.rs
@@ -137,14 +137,14 @@
         };
         (0..400).map(|_| is_admitted(&mut harness)).sum::<usize>()
     };
-    // All requests weigh one, so the density falls with the units.
+    // All requests have a priority weight of one, so the weight per unit falls with the units.
     assert_eq!((count_admitted(1.0), count_admitted(4.0)), (400, 0));
     let half = count_admitted(2.0);
     assert!((140..260).contains(&half), "{half} of 400");
 }
 
 #[test]
-fn pending_requests_of_the_highest_priority_density_are_sent_first() {
+fn pending_requests_with_the_highest_priority_weight_per_unit_are_sent_first() {
     let mut settings = settings();
     settings.classes[0].priority_weight = 3.0;
     let mut harness = Harness::new(settings, 1);
