--- a/crates/access/src/call_history.rs
+++ b/crates/access/src/call_history.rs
@@ -3,7 +3,7 @@
 use crate::{Action, CallKind, CompiledRules, RuleSet};
 use std::collections::BTreeMap;
 
-/// The most kinds of calls that are counted separately for one customer in one period.
+/// Maximum number of kinds of calls that are counted separately for one customer in one period.
 const MAX_KINDS_PER_PERIOD: usize = 256;
 
 /// The result of applying a rule set to recent calls.
--- a/crates/access/src/decision_cache.rs
+++ b/crates/access/src/decision_cache.rs
@@ -4,7 +4,7 @@
 use rustc_hash::{FxHashMap, FxHasher};
 use std::hash::{Hash, Hasher};
 
-/// The most decisions in the cache. A full cache is cleared, which bounds its memory at the cost of evaluating the calls again.
+/// Maximum number of decisions in the cache. A full cache is cleared, which bounds its memory at the cost of evaluating the calls again.
 const MAX_ENTRIES: usize = 4_096;
 
 /// The result of a cache lookup.
--- a/crates/access/src/hit_totals.rs
+++ b/crates/access/src/hit_totals.rs
@@ -1,4 +1,4 @@
-//! Hit counts of one customer's rules, totalled over all gateways.
+//! Hit counts of one customer's rules, summed over all gateways.
 
 use std::collections::BTreeMap;
 
--- a/crates/access/src/region_table.rs
+++ b/crates/access/src/region_table.rs
@@ -4,7 +4,7 @@
 use prefix_trie::PrefixMap;
 use std::net::IpAddr;
 
-/// The most prefixes in one table.
+/// Maximum number of prefixes in one table.
 const MAX_PREFIXES: usize = 1_000_000;
 /// Starts a comment that extends to the end of the line.
 const COMMENT_START: char = '#';
--- a/crates/access/src/rule_set.rs
+++ b/crates/access/src/rule_set.rs
@@ -2,9 +2,9 @@
 
 use std::collections::HashSet;
 
-/// The most rules in one set.
+/// Maximum number of rules in one set.
 pub const MAX_RULES_PER_SET: usize = 20_000;
-/// The most values in one field of a rule.
+/// Maximum number of values in one field of a rule.
 pub const MAX_VALUES_PER_FIELD: usize = 64;
 /// The length limit of a name, a region or a route pattern, in bytes.
 pub const MAX_TEXT_BYTES: usize = 256;
@@ -22,7 +22,7 @@
     Deny,
 }
 
-/// How a gateway handles a customer's calls after its session with the replicated state has expired.
+/// How a gateway handles a customer's calls after its session with the coordinator has expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StalePolicy {
     /// Continue to apply the last known rule set.
--- a/crates/access/src/rule_store.rs
+++ b/crates/access/src/rule_store.rs
@@ -4,12 +4,12 @@
 use crate::{Action, Call, CompiledRules, RuleSet, StalePolicy, STALE_RULE_ID};
 use rustc_hash::FxHashMap;
 
-/// The most rules in all sets together.
+/// Maximum number of rules in all sets together.
 pub const MAX_STORED_RULES: usize = 200_000;
-/// The most customers with a rule set.
+/// Maximum number of customers with a rule set.
 pub const MAX_CUSTOMERS: usize = 10_000;
 
-/// Whether the gateway has a valid session with the replicated state.
+/// Whether the gateway has a valid session with the coordinator, which replicates the rule sets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionState {
     /// The session is valid, so the sets are up to date.
@@ -160,8 +160,8 @@
         })
     }
 
-    /// Returns the counter of this gateway's hits.
-    pub fn hit_counter(&mut self) -> &mut RuleHitCounter {
+    /// Returns the counter of this gateway's hits, mutably.
+    pub fn hit_counter_mut(&mut self) -> &mut RuleHitCounter {
         &mut self.hit_counter
     }
 }
--- a/crates/access/tests/hits.rs
+++ b/crates/access/tests/hits.rs
@@ -57,7 +57,7 @@
             reports.push(Report { incarnation: gateway as u64, hits });
         }
         for (gateway, store) in stores.iter_mut().enumerate() {
-            store.hit_counter().mark_all_changed();
+            store.hit_counter_mut().mark_all_changed();
             let hits = store.report_hits(ALL_CUSTOMERS);
             reports.push(Report { incarnation: gateway as u64, hits });
         }
@@ -126,9 +126,9 @@
         hits(2, "stale", 1),
     ];
     assert_eq!(store.report_hits(10), all);
-    store.hit_counter().mark_all_changed();
+    store.hit_counter_mut().mark_all_changed();
     assert_eq!(store.report_hits(10), all);
-    store.hit_counter().confirm_report();
+    store.hit_counter_mut().confirm_report();
     assert_eq!(store.report_hits(10), []);
     store.remove(CUSTOMER);
     assert_eq!(
--- a/crates/admission-queue/src/fair_queue.rs
+++ b/crates/admission-queue/src/fair_queue.rs
@@ -10,11 +10,11 @@
 
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
-/// The least weight for which an expected wait is computed.
+/// Minimum weight for which an expected wait is computed.
 const MIN_WAIT_WEIGHT: f64 = 1e-9;
-/// The least retry delay is the longest wait divided by this.
+/// The minimum retry delay is the maximum wait divided by this.
 const MIN_RETRY_DELAY_DIVISOR: f64 = 4.0;
-/// While no request can be admitted, the queue wakes up this often within the longest wait to reject expired requests.
+/// While no request can be admitted, the queue wakes up this often within the maximum wait to reject expired requests.
 const WAKES_PER_MAX_WAIT: u64 = 10;
 /// While more than half of the in-flight limit is used, a queue may have at most this multiple of its equal share in flight.
 const MAX_SHARE_MULTIPLE: usize = 2;
@@ -164,8 +164,8 @@
         }
     }
 
-    /// The most requests that a queue may have in flight. While more than half of the total limit is used, it is twice the queue's
-    /// equal share, so that a customer whose requests are all slow does not use up the limit.
+    /// Maximum number of requests that a queue may have in flight. While more than half of the total limit is used, it is twice the
+    /// queue's equal share, so that a customer whose requests are all slow does not use up the limit.
     fn max_in_flight_per_queue(&self) -> usize {
         let limit = self.settings.max_in_flight;
         if self.in_flight.len() * 2 <= limit {
@@ -174,7 +174,7 @@
         (limit * MAX_SHARE_MULTIPLE / (self.queues.busy_queues() + 1)).max(1)
     }
 
-    /// How long a request may wait: a fraction of the time to its deadline, up to the longest wait.
+    /// How long a request may wait: a fraction of the time to its deadline, up to the maximum wait.
     fn max_wait(&self, now: Timestamp, request: &Request) -> TimeDelta {
         let time_left = request.deadline - now;
         let fraction = time_left.mul_f64(self.settings.max_wait_fraction);
--- a/crates/admission-queue/src/heavy_hitters.rs
+++ b/crates/admission-queue/src/heavy_hitters.rs
@@ -22,7 +22,7 @@
 /// Multiplier of the seed generator (the golden ratio in 64 bits).
 const SEED_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// The customers with much traffic, and the hash seed that distributes all others over the shared queues.
+/// The customers with heavy traffic, and the hash seed that distributes all others over the shared queues.
 pub(crate) struct HeavyHitters {
     dedicated_queues: usize,
     /// Recent units of the tracked customers: those with dedicated queues and candidates for one.
--- a/crates/admission-queue/src/lib.rs
+++ b/crates/admission-queue/src/lib.rs
@@ -1,8 +1,8 @@
-//! Fair admission queue between a gateway's listeners and its policy engine, without I/O. It admits requests fairly over customers,
-//! lets requests wait for a short time, and rejects at once those that it could not admit in time, with the delay after which a
-//! retry may succeed.
+//! Fair admission queue between a gateway's listeners and its decision engine, without I/O. It admits requests fairly over
+//! customers, lets requests wait for a short time, and rejects at once those that it could not admit in time, with the delay after
+//! which a retry may succeed.
 //!
-//! The queue uses deficit round robin (Shreedhar and Varghese, 1995) over units. Customers with much traffic get dedicated queues;
+//! The queue uses deficit round robin (Shreedhar and Varghese, 1995) over units. Customers with heavy traffic get dedicated queues;
 //! all others share queues by a hash whose seed changes (stochastic fairness queueing, McKenney, 1990), so that memory is bounded
 //! for any number of customers.
 #![forbid(unsafe_code)]
--- a/crates/admission-queue/src/request.rs
+++ b/crates/admission-queue/src/request.rs
@@ -30,7 +30,7 @@
 /// The queue's verdict on a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    /// It is admitted to the policy engine.
+    /// It is admitted to the decision engine.
     Admit {
         /// Its id.
         id: RequestId,
--- a/crates/admission-queue/src/round_robin.rs
+++ b/crates/admission-queue/src/round_robin.rs
@@ -5,7 +5,7 @@
 use chalkdeck_time::Timestamp;
 use std::collections::VecDeque;
 
-/// The least weight of a queue, so that its deficit grows and it gets to send.
+/// Minimum weight of a queue, so that its deficit grows and its requests are admitted.
 const MIN_WEIGHT: f64 = 1e-3;
 
 /// The placement of a customer: which queue its requests use.
--- a/crates/admission-queue/src/settings.rs
+++ b/crates/admission-queue/src/settings.rs
@@ -5,20 +5,20 @@
 /// Settings of a [`FairQueue`](crate::FairQueue).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The most admitted requests that may be in flight.
+    /// Maximum number of admitted requests in flight.
     pub max_in_flight: usize,
-    /// The most requests that are admitted in one turn of the event loop, so that excess load waits in the queues and does not
+    /// Maximum number of requests that are admitted in one turn of the event loop, so that excess load waits in the queues and does not
     /// block the event loop.
     pub max_admitted_per_turn: usize,
-    /// The most requests that may wait in all queues together.
+    /// Maximum number of requests that wait in all queues together.
     pub max_queued: usize,
-    /// The most requests that may wait in one queue.
+    /// Maximum number of requests that wait in one queue.
     pub max_queued_per_queue: usize,
-    /// The longest time that a request may wait.
+    /// Maximum time that a request waits.
     pub max_wait: TimeDelta,
     /// The fraction of the time to its deadline that a request may wait.
     pub max_wait_fraction: f64,
-    /// The number of queues for customers with much traffic, one for each.
+    /// The number of queues for customers with heavy traffic, one for each.
     pub dedicated_queues: usize,
     /// The number of queues that all other customers share by hash.
     pub shared_queues: usize,
@@ -26,7 +26,7 @@
     pub quantum: f64,
     /// How often customers are redistributed over the shared queues by a new hash seed.
     pub reseed_interval: TimeDelta,
-    /// The largest random jitter of a retry delay, as a fraction of the delay.
+    /// Maximum random jitter of a retry delay, as a fraction of the delay.
     pub retry_jitter: f64,
     /// The seed of the random number generator and of the first hash.
     pub seed: u64,
--- a/crates/admission-queue/src/throughput.rs
+++ b/crates/admission-queue/src/throughput.rs
@@ -2,7 +2,7 @@
 
 use chalkdeck_time::{TimeDelta, Timestamp};
 
-/// The least time over which the throughput is measured.
+/// Minimum time over which the throughput is measured.
 const MEASUREMENT_INTERVAL: TimeDelta = TimeDelta::from_millis(200);
 /// Weight of the newest measurement in the moving average.
 const NEWEST_WEIGHT: f64 = 0.5;
--- a/crates/admission-queue/tests/fair_queue.rs
+++ b/crates/admission-queue/tests/fair_queue.rs
@@ -1,4 +1,5 @@
-//! Tests of the guarantees of the fair queue: fair shares, no starvation, work conservation, bounded memory and sound retry delays.
+//! Tests of the guarantees of the fair queue: fair shares, no starvation, work conservation, bounded memory and lower bounds of
+//! retry delays.
 
 use chalkdeck_admission_queue::{CustomerId, FairQueue, Request, RequestId, Settings, Verdict};
 use chalkdeck_time::{TimeDelta, Timestamp};
@@ -427,7 +428,7 @@
             }
             prop_assert!(queue.queued() <= settings.max_queued && queue.in_flight() <= settings.max_in_flight);
         }
-        // All waiting requests get their verdicts within 400 ms, several times the longest wait.
+        // All waiting requests get their verdicts within 400 ms, several times the maximum wait.
         for _ in 0..400 {
             now = now + TURN;
             let in_flight = verdicts.in_flight.len();
--- a/crates/admission-queue/tests/recorded_verdicts.rs
+++ b/crates/admission-queue/tests/recorded_verdicts.rs
@@ -6,20 +6,20 @@
 
 mod recording;
 
-use recording::{replay, CALLS_PER_SEED};
+use recording::{run_seed, CALLS_PER_SEED};
 
 const RECORDED: &str = include_str!("recorded_verdicts.txt");
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=24;
 
 #[test]
-fn replayed_calls_give_the_recorded_verdicts() {
-    let replayed: Vec<String> = SEEDS.map(|seed| replay(seed).to_string()).collect();
+fn simulated_calls_give_the_recorded_verdicts() {
+    let simulated: Vec<String> = SEEDS.map(|seed| run_seed(seed).to_string()).collect();
     let recorded: Vec<&str> = RECORDED.lines().collect();
     assert_eq!(
-        replayed,
+        simulated,
         recorded,
-        "the verdicts differ; replayed:\n{}\n",
-        replayed.join("\n")
+        "the verdicts differ; simulated:\n{}\n",
+        simulated.join("\n")
     );
 }
 
--- a/crates/admission-queue/tests/recording/mod.rs
+++ b/crates/admission-queue/tests/recording/mod.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::fmt::{self, Display};
 
-/// The least number of calls of the queue for one seed.
+/// Minimum number of calls of the queue for one seed.
 pub const CALLS_PER_SEED: u64 = 20_000;
 /// A millisecond in microseconds, the unit of all times in the simulation.
 const MILLISECOND: u64 = 1_000;
@@ -47,7 +47,7 @@
 }
 
 /// Simulates a seed and returns the result.
-pub fn replay(seed: u64) -> Summary {
+pub fn run_seed(seed: u64) -> Summary {
     let mut simulation = Simulation::new(seed);
     while simulation.count("calls") < CALLS_PER_SEED {
         simulation.step();
--- a/crates/capacity-planner/src/chart.rs
+++ b/crates/capacity-planner/src/chart.rs
@@ -28,7 +28,7 @@
 const X_AXIS_STRETCH: f64 = 1.02;
 /// Grid lines for each row; only those at the middle of a row have a label.
 const GRID_LINES_PER_ROW: usize = 4;
-/// The largest distance, as a fraction of a row, between the row's middle and the grid line with its label.
+/// Maximum distance, as a fraction of a row, between the row's middle and the grid line with its label.
 const LABEL_TOLERANCE: f64 = 0.01;
 /// Width of a class's color sample in the legend.
 const LEGEND_SAMPLE_WIDTH: i32 = 12;
@@ -124,19 +124,19 @@
     classes
 }
 
-/// Calls a second within the quotas.
+/// Calls per second within the quotas.
 fn offered_calls(case: &SiteLossCase) -> f64 {
     let within_quota = case.outcomes.iter().filter(|o| !o.is_over_quota);
     within_quota.map(|o| o.served + o.rejected).sum()
 }
 
-/// Calls a second within the quotas that are served.
+/// Calls per second within the quotas that are served.
 fn served_calls(case: &SiteLossCase) -> f64 {
     let within_quota = case.outcomes.iter().filter(|o| !o.is_over_quota);
     within_quota.map(|o| o.served).sum()
 }
 
-/// Calls a second of a class within the quotas that are served.
+/// Calls per second of a class within the quotas that are served.
 fn served_calls_of_class(case: &SiteLossCase, class: &str) -> f64 {
     let within_quota = case.outcomes.iter().filter(|o| !o.is_over_quota);
     within_quota
--- a/crates/capacity-planner/src/input/mod.rs
+++ b/crates/capacity-planner/src/input/mod.rs
@@ -8,11 +8,11 @@
 
 /// The full name of the protobuf message that an input file holds in text form.
 pub const MESSAGE_TYPE: &str = "chalkdeck.plan.v1.SiteLoss";
-/// The least number of sites.
+/// Minimum number of sites.
 pub const MIN_SITES: usize = 2;
-/// The most sites. The limit bounds the number of cases, as each pair of sites is one.
+/// Maximum number of sites. The limit bounds the number of cases, as each pair of sites is one.
 pub const MAX_SITES: usize = 32;
-/// The most demand entries.
+/// Maximum number of demand entries.
 pub const MAX_DEMAND_ENTRIES: usize = 1_000;
 
 /// A site.
@@ -20,7 +20,7 @@
 pub struct Site {
     /// The site's name.
     pub name: String,
-    /// Units a second that the site's servers can serve.
+    /// Units per second that the site's servers can serve.
     pub capacity: f64,
     /// The number of gateways at the site.
     pub gateways: f64,
@@ -35,7 +35,7 @@
     pub plan: String,
     /// Whether the calls are beyond the quotas.
     pub is_over_quota: bool,
-    /// Calls a second.
+    /// Calls per second.
     pub rate: f64,
     /// Units of one call.
     pub units: f64,
--- a/crates/capacity-planner/src/optimum.rs
+++ b/crates/capacity-planner/src/optimum.rs
@@ -10,28 +10,28 @@
 /// How many times more a call within the quotas weighs in the objective than one beyond them with the same value, so that calls beyond
 /// the quotas never displace it.
 const WITHIN_QUOTA_WEIGHT: f64 = 1e3;
-/// The least value of a call in the objective, so that calls without value are served where capacity remains.
+/// Minimum value of a call in the objective, so that calls without value are served where capacity remains.
 const MIN_VALUE: f64 = 1e-6;
 
-/// Calls a second that are served, by gateway site, server site and demand.
+/// Calls per second that are served, by gateway site, server site and demand.
 pub(crate) struct ServedRates {
     dimensions: Dimensions,
     rates: Vec<f64>,
 }
 
 impl ServedRates {
-    /// Calls a second of one demand that the gateways of site `from` send to site `to`.
+    /// Calls per second of one demand that the gateways of site `from` send to site `to`.
     pub(crate) fn rate(&self, from: usize, to: usize, demand: usize) -> f64 {
         self.rates[self.dimensions.index(from, to, demand)]
     }
 
-    /// Calls a second of one demand that all sites serve.
+    /// Calls per second of one demand that all sites serve.
     pub(crate) fn total_rate(&self, demand: usize) -> f64 {
         let pairs = self.dimensions.site_pairs();
         pairs.map(|(from, to)| self.rate(from, to, demand)).sum()
     }
 
-    /// Units a second that the gateways of site `from` send to site `to`.
+    /// Units per second that the gateways of site `from` send to site `to`.
     pub(crate) fn units(&self, from: usize, to: usize, demand: &[Demand]) -> f64 {
         let units = |(index, demand): (usize, &Demand)| self.rate(from, to, index) * demand.units;
         demand.iter().enumerate().map(units).sum()
--- a/crates/capacity-planner/src/scenario.rs
+++ b/crates/capacity-planner/src/scenario.rs
@@ -5,7 +5,7 @@
 use good_lp::ResolutionError;
 use serde::Serialize;
 
-/// The least flow that is reported, in units a second; smaller ones are rounding errors.
+/// Minimum flow that is reported, in units per second; smaller ones are rounding errors.
 const MIN_FLOW: f64 = 1e-9;
 /// Names the lost sites in an error if no site is lost.
 const NO_SITE: &str = "nothing";
@@ -20,9 +20,9 @@
     /// Whether the calls are beyond the quotas.
     #[serde(rename = "over")]
     pub is_over_quota: bool,
-    /// Calls a second that are served.
+    /// Calls per second that are served.
     pub served: f64,
-    /// Calls a second that are rejected.
+    /// Calls per second that are rejected.
     #[serde(rename = "refused")]
     pub rejected: f64,
 }
@@ -34,7 +34,7 @@
     pub from: String,
     /// The name of the servers' site.
     pub to: String,
-    /// Units a second.
+    /// Units per second.
     pub units: f64,
 }
 
@@ -54,10 +54,10 @@
     /// The names of the lost sites; empty if no site is lost.
     #[serde(rename = "lost")]
     pub lost_sites: Vec<String>,
-    /// Value a second of the served calls within the quotas.
+    /// Value per second of the served calls within the quotas.
     #[serde(rename = "worth")]
     pub served_value: f64,
-    /// Value a second of all calls within the quotas.
+    /// Value per second of all calls within the quotas.
     #[serde(rename = "worth_offered")]
     pub offered_value: f64,
     /// How much of each demand is served and rejected.
@@ -71,7 +71,7 @@
     /// The name of the site with the highest utilization; `None` if no site remains.
     #[serde(rename = "tightest")]
     pub most_utilized: Option<String>,
-    /// The additional capacity that the demand within the quotas needs, in units a second.
+    /// The additional capacity that the demand within the quotas needs, in units per second.
     #[serde(rename = "missing")]
     pub missing_capacity: f64,
 }
--- a/crates/capacity-planner/src/table.rs
+++ b/crates/capacity-planner/src/table.rs
@@ -2,7 +2,7 @@
 
 use crate::scenario::SiteLossCase;
 
-/// The lowest rate of rejections that is listed, in calls a second; lower ones are rounding errors.
+/// Minimum rate of rejections that is listed, in calls per second; lower ones are rounding errors.
 const MIN_REJECTED: f64 = 1e-6;
 
 /// The title of a case, which names the lost sites.
--- a/crates/contract/src/hold_back.rs
+++ b/crates/contract/src/hold_back.rs
@@ -1,28 +1,28 @@
-//! Holds back servers whose contract version was not admitted: they get no calls.
+//! Holds back endpoints whose contract version was not admitted: they get no calls.
 
-/// The contract that a server announces in the endpoint list.
+/// The contract that an endpoint announces in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ServerContract<'a> {
-    /// Whether the server is in service.
+pub struct EndpointContract<'a> {
+    /// Whether the endpoint is in service.
     pub is_in_service: bool,
-    /// The service and the version, separated by a space; `None` if the server announces no version.
+    /// The service and the version, separated by a space; `None` if the endpoint announces no version.
     pub contract: Option<&'a str>,
 }
 
-/// Which servers of a list are held back.
+/// Which endpoints of a list are held back.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HoldBack {
-    /// Whether each server is held back, in the order of the list.
+    /// Whether each endpoint is held back, in the order of the list.
     pub is_held_back: Vec<bool>,
-    /// Whether no server in service has an admitted version, so that none is held back. An unadmitted version may misread calls, but
-    /// holding it back helps only if another server can take them.
+    /// Whether no endpoint in service has an admitted version, so that none is held back. An unadmitted version may misread calls, but
+    /// holding it back helps only if another endpoint can serve them.
     pub is_last_resort: bool,
 }
 
-/// Holds back each server with a version for which `is_admitted` (given the service and the version) returns false, unless that would
-/// hold back all servers in service. A server that announces no version is not held back.
+/// Holds back each endpoint with a version for which `is_admitted` (given the service and the version) returns false, unless that would
+/// hold back all endpoints in service. An endpoint that announces no version is not held back.
 pub fn hold_back<'a>(
-    servers: impl Iterator<Item = ServerContract<'a>>,
+    endpoints: impl Iterator<Item = EndpointContract<'a>>,
     is_admitted: impl Fn(&str, &str) -> bool,
 ) -> HoldBack {
     let is_unadmitted = |contract: &str| {
@@ -32,9 +32,9 @@
     let mut is_held_back = Vec::new();
     let mut in_service_count = 0;
     let mut usable_count = 0;
-    for server in servers {
-        let has_unadmitted_version = server.contract.is_some_and(is_unadmitted);
-        if server.is_in_service {
+    for endpoint in endpoints {
+        let has_unadmitted_version = endpoint.contract.is_some_and(is_unadmitted);
+        if endpoint.is_in_service {
             in_service_count += 1;
             usable_count += usize::from(!has_unadmitted_version);
         }
--- a/crates/contract/src/hold_back/tests.rs
+++ b/crates/contract/src/hold_back/tests.rs
@@ -1,31 +1,31 @@
 //! Tests of `hold_back`.
 
-use super::{hold_back, HoldBack, ServerContract};
+use super::{hold_back, EndpointContract, HoldBack};
 
 const ADMITTED: Option<&str> = Some("farm.v1.Farm 1");
 const UNADMITTED: Option<&str> = Some("farm.v1.Farm 2");
 
-fn in_service(contract: Option<&str>) -> ServerContract<'_> {
-    ServerContract {
+fn in_service(contract: Option<&str>) -> EndpointContract<'_> {
+    EndpointContract {
         is_in_service: true,
         contract,
     }
 }
 
-fn draining(contract: Option<&str>) -> ServerContract<'_> {
-    ServerContract {
+fn draining(contract: Option<&str>) -> EndpointContract<'_> {
+    EndpointContract {
         is_in_service: false,
         contract,
     }
 }
 
-fn decide(servers: &[ServerContract]) -> HoldBack {
+fn decide(endpoints: &[EndpointContract]) -> HoldBack {
     let is_admitted = |service: &str, version: &str| service == "farm.v1.Farm" && version == "1";
-    hold_back(servers.iter().copied(), is_admitted)
+    hold_back(endpoints.iter().copied(), is_admitted)
 }
 
 #[test]
-fn unadmitted_versions_are_held_back_unless_all_servers_in_service_are_unadmitted() {
+fn unadmitted_versions_are_held_back_unless_all_endpoints_in_service_are_unadmitted() {
     assert_eq!(
         decide(&[
             in_service(ADMITTED),
@@ -40,7 +40,7 @@
         (all_unadmitted.is_held_back, all_unadmitted.is_last_resort),
         (vec![false, false], true)
     );
-    // A draining server with an admitted version cannot take the calls.
+    // A draining endpoint with an admitted version cannot serve the calls.
     assert!(decide(&[draining(ADMITTED), in_service(UNADMITTED)]).is_last_resort);
     assert!(!decide(&[draining(UNADMITTED)]).is_last_resort);
 }
--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -5,7 +5,7 @@
 //! A [`ServiceVersion`] holds the descriptors of a service and a [`Promise`] for each of its methods. [`find_incompatibilities`] reads
 //! requests of old subscribers with the new descriptors and responses of the new publisher with the old descriptors, at a
 //! [`CompatibilityLevel`], and returns each [`Incompatibility`] with a [`Witness`]. [`VersionsInUse`] tracks which versions are in
-//! use, and [`hold_back()`] finds the servers that get no calls because their version was not admitted.
+//! use, and [`hold_back()`] finds the endpoints that get no calls because their version was not admitted.
 #![forbid(unsafe_code)]
 
 mod hold_back;
@@ -21,7 +21,7 @@
 mod versions_in_use;
 mod witness;
 
-pub use hold_back::{hold_back, HoldBack, ServerContract};
+pub use hold_back::{hold_back, EndpointContract, HoldBack};
 pub use incompatibility::{Direction, Incompatibility, Witness};
 pub use promise::{Idempotency, KeyScope, Promise, SubscriberBounds};
 pub use rule::CompatibilityRule;
--- a/crates/contract/src/message_check/enums.rs
+++ b/crates/contract/src/message_check/enums.rs
@@ -36,11 +36,11 @@
         reader: &EnumDescriptor,
     ) -> Option<(CompatibilityRule, String)> {
         let (name, number) = (value.name(), value.number());
-        let names_read = names_of(reader, number);
-        if let Some(new_name) = names_read.first() {
+        let reader_names = names_of(reader, number);
+        if let Some(new_name) = reader_names.first() {
             // With aliases, an enum has several names for one number.
-            let names_written = names_of(writer, number);
-            if names_written.iter().any(|name| names_read.contains(name)) {
+            let writer_names = names_of(writer, number);
+            if writer_names.iter().any(|name| reader_names.contains(name)) {
                 return None;
             }
             let change = format!("number {number} was '{name}', and is '{new_name}'");
--- a/crates/contract/src/promise.rs
+++ b/crates/contract/src/promise.rs
@@ -13,15 +13,15 @@
     NonIdempotent,
 }
 
-/// The servers that together deduplicate retries with one idempotency key. The variants are ordered from the smallest scope to the
+/// The endpoints that together deduplicate retries with one idempotency key. The variants are ordered from the smallest scope to the
 /// largest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum KeyScope {
-    /// The servers of one cell.
+    /// The endpoints of one cell.
     Cell,
-    /// The servers of one zone.
+    /// The endpoints of one zone.
     Zone,
-    /// All servers.
+    /// All endpoints.
     All,
 }
 
@@ -30,18 +30,18 @@
 pub struct Promise {
     /// The effect of retrying a call.
     pub idempotency: Idempotency,
-    /// The servers that together deduplicate retries with one idempotency key.
+    /// The endpoints that together deduplicate retries with one idempotency key.
     pub key_scope: KeyScope,
-    /// How long the servers deduplicate retries, in milliseconds.
+    /// How long the endpoints deduplicate retries, in milliseconds.
     pub key_window_ms: u64,
     /// The latency objective in milliseconds.
     pub latency_objective_ms: u64,
-    /// The longest time that a call may take, in milliseconds.
+    /// Maximum time that a call may take, in milliseconds.
     pub deadline_ms: u64,
     /// The units that a call takes from the quota.
     pub units: f64,
-    /// The value of a call that is answered in time; decides which calls are shed first.
-    pub value: f64,
+    /// The priority weight of a call that is answered in time; decides which calls are shed first.
+    pub priority_weight: f64,
 }
 
 /// What the subscribers of a version rely on in addition to its promises.
@@ -55,9 +55,9 @@
 }
 
 impl Promise {
-    /// The value of a call for each of its units. When a site is lost, the calls with the least value per unit are shed first.
-    pub(crate) fn value_per_unit(&self) -> f64 {
-        self.value / self.units.max(f64::MIN_POSITIVE)
+    /// The priority weight of a call per unit. When a site is lost, the calls with the lowest weight per unit are shed first.
+    pub(crate) fn weight_per_unit(&self) -> f64 {
+        self.priority_weight / self.units.max(f64::MIN_POSITIVE)
     }
 }
 
--- a/crates/contract/src/promise_check.rs
+++ b/crates/contract/src/promise_check.rs
@@ -33,7 +33,7 @@
             self.new.latency_objective_ms,
         );
         self.check_units();
-        self.check_value();
+        self.check_weight_per_unit();
     }
 
     fn report(&mut self, rule: CompatibilityRule, change: String, call: String) {
@@ -122,8 +122,8 @@
         }
     }
 
-    fn check_value(&mut self) {
-        let (old, new) = (self.old.value_per_unit(), self.new.value_per_unit());
+    fn check_weight_per_unit(&mut self) {
+        let (old, new) = (self.old.weight_per_unit(), self.new.weight_per_unit());
         if new < old {
             self.report(
                 CompatibilityRule::PromiseWorth,
--- a/crates/contract/src/rule.rs
+++ b/crates/contract/src/rule.rs
@@ -37,9 +37,9 @@
     JsonForm,
     /// The promised [`Idempotency`](crate::Idempotency) became weaker.
     PromiseEffect,
-    /// Fewer servers deduplicate retries together: the [`KeyScope`](crate::KeyScope) became smaller.
+    /// Fewer endpoints deduplicate retries together: the [`KeyScope`](crate::KeyScope) became smaller.
     PromiseGroup,
-    /// Servers deduplicate retries for a shorter time than clients retry.
+    /// Endpoints deduplicate retries for a shorter time than clients retry.
     PromiseWindow,
     /// A call has a shorter deadline.
     PromiseDeadline,
@@ -47,7 +47,7 @@
     PromiseAim,
     /// A call takes more units than the burst of a plan, so that the plan never admits it.
     PromiseUnits,
-    /// A call has less value per unit, so that it is shed earlier when a site is lost.
+    /// A call has a lower priority weight per unit, so that it is shed earlier when a site is lost.
     PromiseWorth,
 }
 
--- a/crates/contract/src/service_version.rs
+++ b/crates/contract/src/service_version.rs
@@ -56,7 +56,7 @@
 /// A version of a service.
 #[derive(Clone, Debug)]
 pub struct ServiceVersion {
-    /// The version's name, as servers announce it and callers send it.
+    /// The version's name, as endpoints announce it and callers send it.
     pub name: String,
     /// The descriptor of the service.
     pub service: ServiceDescriptor,
--- a/crates/contract/tests/own_protobuf_schemas.rs
+++ b/crates/contract/tests/own_protobuf_schemas.rs
@@ -31,7 +31,7 @@
         latency_objective_ms: 100,
         deadline_ms: 1_000,
         units: 1.0,
-        value: 1.0,
+        priority_weight: 1.0,
     }
 }
 
--- a/crates/contract/tests/recorded_texts.rs
+++ b/crates/contract/tests/recorded_texts.rs
@@ -156,7 +156,7 @@
         latency_objective_ms: 90,
         deadline_ms: 450,
         units: 2.5,
-        value: 0.5,
+        priority_weight: 0.5,
     }
 }
 
--- a/crates/contract/tests/schemas/mod.rs
+++ b/crates/contract/tests/schemas/mod.rs
@@ -117,7 +117,7 @@
         latency_objective_ms: 100,
         deadline_ms: 500,
         units: 1.0,
-        value: 1.0,
+        priority_weight: 1.0,
     }
 }
 
--- a/crates/contract/tests/service_versions.rs
+++ b/crates/contract/tests/service_versions.rs
@@ -42,7 +42,7 @@
         latency_objective_ms: 500,
         deadline_ms: 2_000,
         units: 2.0,
-        value: 4.0,
+        priority_weight: 4.0,
     }
 }
 
@@ -122,7 +122,7 @@
 
 fn use_more_units(promise: &mut Promise) {
     promise.units = 3.0;
-    promise.value = 6.0;
+    promise.priority_weight = 6.0;
 }
 
 const PROMISE_CASES: [PromiseCase; 13] = [
@@ -167,7 +167,7 @@
     ),
     case(use_more_units, NO_BOUNDS, &[]),
     case(
-        |p| p.value = 3.9,
+        |p| p.priority_weight = 3.9,
         NO_BOUNDS,
         &[CompatibilityRule::PromiseWorth],
     ),
--- a/crates/coordinator/src/agent/mod.rs
+++ b/crates/coordinator/src/agent/mod.rs
@@ -214,7 +214,7 @@
             self.on_state_updated(update);
         }
         if outcome.is_report_acknowledged {
-            self.rule_store.hit_counter().confirm_report();
+            self.rule_store.hit_counter_mut().confirm_report();
         }
         if outcome.has_session_changed {
             self.is_reading_proposals = false;
@@ -273,7 +273,7 @@
             return;
         }
         self.report_at = now + self.report_interval;
-        if !self.rule_store.hit_counter().has_changes() && self.statistics.is_empty() {
+        if !self.rule_store.hit_counter_mut().has_changes() && self.statistics.is_empty() {
             return;
         }
         let hits = self
--- a/crates/coordinator/src/registrar/contract_version.rs
+++ b/crates/coordinator/src/registrar/contract_version.rs
@@ -71,7 +71,7 @@
         },
         deadline_ms: promise.deadline_ms,
         units: promise.units,
-        value: promise.worth,
+        priority_weight: promise.worth,
     })
 }
 
--- a/crates/grpc-gateway/src/coordinator_link/contracts.rs
+++ b/crates/grpc-gateway/src/coordinator_link/contracts.rs
@@ -3,7 +3,7 @@
 use super::CoordinatorLink;
 use crate::base::listed_endpoint::ListedEndpoint;
 use chalkdeck::api::EndpointState;
-use chalkdeck_contract::{hold_back, ServerContract};
+use chalkdeck_contract::{hold_back, EndpointContract};
 
 impl CoordinatorLink {
     /// Marks the endpoints of a list whose contract version was not admitted as draining. Keeps the list as it was read,
@@ -11,7 +11,7 @@
     pub(super) fn hold_back(&mut self, endpoints: &mut [ListedEndpoint]) {
         self.listed_endpoints = endpoints.to_vec();
         let state = self.agent.session().state();
-        let contracts = endpoints.iter().map(|endpoint| ServerContract {
+        let contracts = endpoints.iter().map(|endpoint| EndpointContract {
             is_in_service: endpoint.entry.state == EndpointState::InService,
             contract: endpoint.contract.as_deref(),
         });
--- a/crates/grpc-gateway/src/sites/events.rs
+++ b/crates/grpc-gateway/src/sites/events.rs
@@ -38,9 +38,9 @@
             return;
         }
         let plan = &policy.plans[request.plan.0];
-        let value_per_unit = class.priority_weight * plan.priority_multiplier / request.units;
+        let weight_per_unit = class.priority_weight * plan.priority_multiplier / request.units;
         self.report_to_sites(Event::RequestOffered {
-            value_per_unit,
+            weight_per_unit,
             units: request.units,
         });
     }
--- a/crates/grpc-gateway/src/sites/monitor.rs
+++ b/crates/grpc-gateway/src/sites/monitor.rs
@@ -88,7 +88,7 @@
     EndpointEntry {
         endpoint: EndpointId(endpoint.entry.endpoint.0),
         site: site_of(endpoint.entry.zone),
-        in_service: endpoint.entry.state == EndpointState::InService,
+        is_in_service: endpoint.entry.state == EndpointState::InService,
         weight: endpoint.entry.weight,
         started_at: endpoint.entry.started_at,
     }
--- a/crates/leader-election/src/lease.rs
+++ b/crates/leader-election/src/lease.rs
@@ -4,7 +4,7 @@
 use chalkdeck_time::Timestamp;
 use std::collections::VecDeque;
 
-/// The most renewals that wait for their grants. Older ones are dropped, and their grants no longer extend the lease.
+/// Maximum number of renewals that wait for their grants. Older ones are dropped, and their grants no longer extend the lease.
 const MAX_PENDING_RENEWALS: usize = 16;
 
 /// The number of a renewal, counted from 1 and echoed in its grant. 0 means no renewal.
--- a/crates/leader-election/src/placement.rs
+++ b/crates/leader-election/src/placement.rs
@@ -5,7 +5,7 @@
 use crate::SessionId;
 use std::cmp::Reverse;
 
-/// The least difference in led elections between two gateways, or two sites, at which an election is moved between them.
+/// Minimum difference in led elections between two gateways, or two sites, at which an election is moved between them.
 const MIN_IMBALANCE: usize = 2;
 
 /// A gateway that can lead elections.
--- a/crates/leader-election/src/terms.rs
+++ b/crates/leader-election/src/terms.rs
@@ -50,7 +50,7 @@
         TimeDelta::from_micros(self.lease.as_micros() / 2)
     }
 
-    /// The largest drift of a clock over one lease, rounded up. Whole seconds and the remainder are scaled separately, because the
+    /// Maximum drift of a clock over one lease, rounded up. Whole seconds and the remainder are scaled separately, because the
     /// product of a long lease in microseconds would overflow.
     fn max_drift(&self) -> TimeDelta {
         let lease = self.lease.as_micros();
--- a/crates/leader-election/tests/model.rs
+++ b/crates/leader-election/tests/model.rs
@@ -24,7 +24,7 @@
 const OPERATIONS_IN_ORDER: &str = "operations are executed in the order of their tokens";
 const ONE_LEADER: &str = "no two gateways consider themselves the leader at the same time";
 
-/// The safeguard that a run disables. Each variant describes the behaviour without the safeguard.
+/// The safeguard that a run disables. Each variant describes the behavior without the safeguard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DisabledSafeguard {
     None,
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -9,7 +9,7 @@
 };
 use std::collections::HashMap;
 
-/// The largest number of gateways over which one customer's requests can be spread.
+/// Maximum number of gateways over which one customer's requests can be spread.
 const MAX_CUSTOMER_GATEWAYS: f64 = 1e6;
 
 impl SimulatedGateway {
--- a/crates/simulator-adapter/src/settings.rs
+++ b/crates/simulator-adapter/src/settings.rs
@@ -5,7 +5,7 @@
 use chalkdeck::api::{Class, EndpointId, Idempotency, KeyScope, Plan, Settings, TimeDelta, ZoneId};
 use std::collections::HashMap;
 
-/// The largest number of classes or of plans.
+/// Maximum number of classes or of plans.
 const MAX_LIST_LENGTH: u64 = 10_000;
 /// Offset basis and prime of the 64-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
--- a/crates/site-failover/src/admission.rs
+++ b/crates/site-failover/src/admission.rs
@@ -14,7 +14,7 @@
 const LEVEL_DECREASE_REJECTED: f64 = 0.15;
 /// What an early answer adds to the level.
 const LEVEL_INCREASE: f64 = 0.003;
-/// The least level.
+/// Minimum level.
 const MIN_LEVEL: f64 = 0.05;
 /// The level is at least this fraction of the throughput in relation to the offered load.
 const MIN_FRACTION_OF_THROUGHPUT: f64 = 0.9;
--- a/crates/site-failover/src/core/endpoints.rs
+++ b/crates/site-failover/src/core/endpoints.rs
@@ -24,7 +24,7 @@
     fn update_endpoints(&mut self, entries: &[EndpointEntry]) -> Vec<SiteId> {
         for site in self.sites.values_mut() {
             for endpoint in site.endpoints.values_mut() {
-                endpoint.in_service = false;
+                endpoint.is_in_service = false;
             }
         }
         let mut new_sites = Vec::new();
--- a/crates/site-failover/src/core/mod.rs
+++ b/crates/site-failover/src/core/mod.rs
@@ -19,7 +19,7 @@
 /// A site's capacity is learned only from a throughput of at least this fraction of its proportional load: below it, congestion is
 /// due to the load of other gateways.
 const MIN_LEARNING_FRACTION: f64 = 0.5;
-/// The least offered load that is assumed.
+/// Minimum offered load that is assumed.
 const MIN_LOAD_UNITS_PER_SECOND: f64 = 1.0;
 /// Replaces a total weight of zero as a divisor.
 const MIN_TOTAL_WEIGHT: f64 = 1e-9;
@@ -38,7 +38,7 @@
     sites: BTreeMap<SiteId, Site>,
     site_by_endpoint: HashMap<EndpointId, SiteId>,
     offered_load: DecayingRate,
-    offered_by_value: OfferedLoadHistogram,
+    offered_by_weight: OfferedLoadHistogram,
     admission_level: AdmissionLevel,
     /// The weight of the responsive endpoints of all sites that get load, at the last update of the states.
     responsive_weight: f64,
@@ -53,7 +53,7 @@
             sites: BTreeMap::new(),
             site_by_endpoint: HashMap::new(),
             offered_load: DecayingRate::default(),
-            offered_by_value: OfferedLoadHistogram::default(),
+            offered_by_weight: OfferedLoadHistogram::default(),
             admission_level: AdmissionLevel::default(),
             responsive_weight: 0.0,
             counter: CounterHealth::default(),
@@ -66,11 +66,11 @@
         match event {
             Event::EndpointListUpdated(entries) => self.on_endpoint_list(now, entries),
             Event::RequestOffered {
-                value_per_unit,
+                weight_per_unit,
                 units,
             } => {
                 self.offered_load.add(now, units);
-                self.offered_by_value.record(value_per_unit, units);
+                self.offered_by_weight.record(weight_per_unit, units);
             }
             Event::AttemptSent(endpoint) => {
                 if let Some(site) = self.site_of_endpoint(endpoint) {
--- a/crates/site-failover/src/core/planning.rs
+++ b/crates/site-failover/src/core/planning.rs
@@ -11,18 +11,18 @@
 const DOUBTFUL_FRACTION: f64 = 0.25;
 /// Probes per second that all gateways together send to a site that is out of service.
 const FLEET_PROBES_PER_SECOND: f64 = 20.0;
-/// The shortest time between two probes of a site by one gateway.
+/// Minimum time between two probes of a site by one gateway.
 const MIN_PROBE_INTERVAL_SECONDS: f64 = 0.25;
-/// The longest time between two probes of a site by one gateway.
+/// Maximum time between two probes of a site by one gateway.
 const MAX_PROBE_INTERVAL_SECONDS: f64 = 4.0;
-/// The largest share of a gateway's load that probes of one site may take.
+/// Maximum share of a gateway's load that probes of one site may take.
 const MAX_PROBE_SHARE: f64 = 0.02;
 
 impl FailoverCore {
     /// Updates the states of all sites and returns the plan as of `now`.
     pub fn plan(&mut self, now: Timestamp) -> FailoverPlan {
         self.update_states(now);
-        self.offered_by_value.decay(now);
+        self.offered_by_weight.decay(now);
         let load = self
             .offered_load
             .per_second(now)
@@ -43,7 +43,7 @@
                 .map(|(site, share)| site_plan(now, site, share))
                 .collect(),
             admission_level,
-            threshold: self.offered_by_value.threshold(admission_level),
+            threshold: self.offered_by_weight.threshold(admission_level),
         }
     }
 
--- a/crates/site-failover/src/core/transitions.rs
+++ b/crates/site-failover/src/core/transitions.rs
@@ -135,7 +135,7 @@
 }
 
 fn is_recently_silent(now: Timestamp, site: &Site) -> bool {
-    let went_out_recently =
+    let left_service_recently =
         site.state.is_out_of_service() && now < site.state_since + PARTITION_WINDOW;
-    site.is_doubtful(now) || site.is_unresponsive(now) || went_out_recently
+    site.is_doubtful(now) || site.is_unresponsive(now) || left_service_recently
 }
--- a/crates/site-failover/src/distribution.rs
+++ b/crates/site-failover/src/distribution.rs
@@ -1,7 +1,7 @@
 //! Distribution of load over sites: the gateway's own site comes first, then the other sites by their weights. No site is loaded
 //! beyond its capacity while another has some left.
 
-/// The least weight of a site, so that each site with capacity gets some load.
+/// Minimum weight of a site, so that each site with capacity gets some load.
 const MIN_WEIGHT: f64 = 1e-6;
 /// A remainder of at most this fraction of the load is a rounding error.
 const NEGLIGIBLE_FRACTION: f64 = 1e-12;
--- a/crates/site-failover/src/event.rs
+++ b/crates/site-failover/src/event.rs
@@ -18,7 +18,7 @@
     /// The site that it belongs to.
     pub site: SiteId,
     /// Whether it accepts new requests.
-    pub in_service: bool,
+    pub is_in_service: bool,
     /// Its size relative to the other endpoints; 0 or less counts as 1.
     pub weight: f64,
     /// When it last started; `None` if that was long ago.
@@ -62,7 +62,7 @@
     pub endpoint: EndpointId,
     /// Attempts in flight.
     pub in_flight: f64,
-    /// The most attempts that may be in flight.
+    /// Maximum number of attempts in flight.
     pub limit: f64,
 }
 
@@ -104,8 +104,8 @@
     EndpointListUpdated(&'a [EndpointEntry]),
     /// A request arrived.
     RequestOffered {
-        /// Its value divided by its units.
-        value_per_unit: f64,
+        /// Its priority weight divided by its units.
+        weight_per_unit: f64,
         /// Its units.
         units: f64,
     },
--- a/crates/site-failover/src/loss_backoff.rs
+++ b/crates/site-failover/src/loss_backoff.rs
@@ -6,10 +6,10 @@
 const FIRST_BACKOFF: TimeDelta = TimeDelta::from_secs(1);
 /// The backoff stops growing after this many doublings.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
-/// The longest backoff.
+/// Maximum backoff.
 pub const MAX_BACKOFF: TimeDelta = TimeDelta::from_secs(1 << MAX_BACKOFF_DOUBLINGS);
-/// One loss is forgiven for each such period without a loss.
-const LOSS_FORGIVENESS_PERIOD: TimeDelta = TimeDelta::from_secs(120);
+/// One recorded loss expires for each such period without a loss.
+const LOSS_EXPIRY_PERIOD: TimeDelta = TimeDelta::from_secs(120);
 
 /// The recent losses of one site and the backoff that follows from them.
 #[derive(Clone, Debug, Default)]
@@ -20,7 +20,7 @@
 }
 
 impl LossBackoff {
-    /// The number of losses that are not yet forgiven.
+    /// The number of losses that have not expired.
     pub fn losses(&self) -> u32 {
         self.losses
     }
@@ -33,9 +33,9 @@
     /// Records a loss of the site and starts its backoff.
     pub fn record_loss(&mut self, now: Timestamp) {
         let periods_without_loss =
-            (now - self.last_loss).as_micros() / LOSS_FORGIVENESS_PERIOD.as_micros();
-        let forgiven = periods_without_loss.min(u64::from(self.losses)) as u32;
-        self.losses = self.losses - forgiven + 1;
+            (now - self.last_loss).as_micros() / LOSS_EXPIRY_PERIOD.as_micros();
+        let expired = periods_without_loss.min(u64::from(self.losses)) as u32;
+        self.losses = self.losses - expired + 1;
         self.last_loss = now;
         let doublings = (self.losses - 1).min(MAX_BACKOFF_DOUBLINGS);
         self.until = now + FIRST_BACKOFF * (1 << doublings);
--- a/crates/site-failover/src/plan.rs
+++ b/crates/site-failover/src/plan.rs
@@ -24,7 +24,7 @@
 pub struct Concurrency {
     /// Attempts in flight.
     pub in_flight: f64,
-    /// The most attempts that may be in flight.
+    /// Maximum number of attempts in flight.
     pub limit: f64,
 }
 
--- a/crates/site-failover/src/ramp.rs
+++ b/crates/site-failover/src/ramp.rs
@@ -21,7 +21,7 @@
 const MIN_LATE_ANSWERS_FOR_STEP_DOWN: u32 = 2;
 /// A step down requires that more than this fraction of the step's answers is late.
 const LATE_FRACTION_FOR_STEP_DOWN: f64 = 0.2;
-/// The least duration of a recovery that ends without the full load, because too few requests need the site.
+/// Minimum duration of a recovery that ends without the full load, because too few requests need the site.
 const MIN_IDLE_RECOVERY: TimeDelta = TimeDelta::from_secs(10);
 /// Timely answers in a row that such a recovery requires.
 const CONSECUTIVE_ANSWERS_FOR_IDLE_RECOVERY: u32 = 4;
--- a/crates/site-failover/src/shedding.rs
+++ b/crates/site-failover/src/shedding.rs
@@ -1,28 +1,29 @@
-//! Load shedding by value: requests with the least value per unit are shed first. The value follows from the settings and the
-//! request alone, so all gateways shed in the same order. The threshold of a gateway follows from its recently offered load.
+//! Load shedding by priority: requests with the lowest priority weight per unit are shed first. This weight follows from the
+//! settings and the request alone, so all gateways shed in the same order. The threshold of a gateway follows from its recently
+//! offered load.
 
 use chalkdeck_time::Timestamp;
 use std::collections::BTreeMap;
 
-/// Histogram buckets for each doubling of the value; values within one bucket count as equal.
+/// Histogram buckets for each doubling of the weight per unit; weights within one bucket count as equal.
 const BUCKETS_PER_DOUBLING: f64 = 8.0;
-/// The bucket of requests without value.
+/// The bucket of requests without priority weight.
 const MIN_BUCKET: i32 = -64;
-/// The bucket of the most valuable requests.
+/// The bucket of the requests with the highest weight per unit.
 const MAX_BUCKET: i32 = 128;
 /// Time constant, in seconds, of the exponential decay of recorded units.
 const DECAY_TIME_CONSTANT_SECONDS: f64 = 10.0;
 /// A bucket with fewer units than this is removed.
 const MIN_UNITS: f64 = 1e-3;
 
-/// Which requests are admitted: all from one value on, and a fraction of those in the bucket below it.
+/// Which requests are admitted: all whose weight per unit reaches a limit, and a fraction of those in the bucket below the limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SheddingThreshold {
-    /// Requests with this value per unit or more are admitted.
+    /// Requests with this priority weight per unit or more are admitted.
     pub admit_above: f64,
-    /// Requests with less than this value per unit are shed.
+    /// Requests with less than this priority weight per unit are shed.
     pub reject_below: f64,
-    /// The fraction of the requests between the two values that is admitted.
+    /// The fraction of the requests between the two weights that is admitted.
     pub admit_fraction: f64,
 }
 
@@ -34,11 +35,11 @@
         admit_fraction: 1.0,
     };
 
-    /// The fraction of the requests with that value per unit that is admitted, 0 to 1.
-    pub fn admitted_fraction(&self, value_per_unit: f64) -> f64 {
-        if value_per_unit >= self.admit_above {
+    /// The fraction of the requests with that priority weight per unit that is admitted, 0 to 1.
+    pub fn admitted_fraction(&self, weight_per_unit: f64) -> f64 {
+        if weight_per_unit >= self.admit_above {
             1.0
-        } else if value_per_unit >= self.reject_below {
+        } else if weight_per_unit >= self.reject_below {
             self.admit_fraction
         } else {
             0.0
@@ -46,7 +47,7 @@
     }
 }
 
-/// A histogram of the recently offered units by their value.
+/// A histogram of the recently offered units by priority weight per unit.
 #[derive(Clone, Debug, Default)]
 pub struct OfferedLoadHistogram {
     units_by_bucket: BTreeMap<i32, f64>,
@@ -54,9 +55,9 @@
 }
 
 impl OfferedLoadHistogram {
-    /// Records offered units with this value per unit.
-    pub fn record(&mut self, value_per_unit: f64, units: f64) {
-        let bucket = bucket_of(value_per_unit);
+    /// Records offered units with this priority weight per unit.
+    pub fn record(&mut self, weight_per_unit: f64, units: f64) {
+        let bucket = bucket_of(weight_per_unit);
         *self.units_by_bucket.entry(bucket).or_default() += units.max(0.0);
     }
 
@@ -71,7 +72,7 @@
         });
     }
 
-    /// The threshold that admits the fraction `admission_level` of the offered units, the most valuable first.
+    /// The threshold that admits the fraction `admission_level` of the offered units, those with the highest weight per unit first.
     pub fn threshold(&self, admission_level: f64) -> SheddingThreshold {
         let offered: f64 = self.units_by_bucket.values().sum();
         if admission_level >= 1.0 || offered <= 0.0 {
@@ -92,15 +93,15 @@
     }
 }
 
-fn bucket_of(value_per_unit: f64) -> i32 {
-    if value_per_unit <= 0.0 {
+fn bucket_of(weight_per_unit: f64) -> i32 {
+    if weight_per_unit <= 0.0 {
         return MIN_BUCKET;
     }
-    let bucket = (value_per_unit.log2() * BUCKETS_PER_DOUBLING).round() as i32;
+    let bucket = (weight_per_unit.log2() * BUCKETS_PER_DOUBLING).round() as i32;
     bucket.clamp(MIN_BUCKET, MAX_BUCKET)
 }
 
-/// The least value per unit in the bucket.
+/// The lowest weight per unit in the bucket.
 fn lower_bound(bucket: i32) -> f64 {
     if bucket == MIN_BUCKET {
         return 0.0;
--- a/crates/site-failover/src/site/endpoint.rs
+++ b/crates/site-failover/src/site/endpoint.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Endpoint {
     pub(crate) weight: f64,
-    pub(crate) in_service: bool,
+    pub(crate) is_in_service: bool,
     pub(crate) started_at: Option<Timestamp>,
     /// Attempts in a row that got no answer.
     consecutive_failures: u32,
@@ -25,7 +25,7 @@
         if self.started_at != entry.started_at && entry.started_at.is_some() {
             *self = Endpoint::default();
         }
-        self.in_service = entry.in_service;
+        self.is_in_service = entry.is_in_service;
         self.started_at = entry.started_at;
         self.weight = if entry.weight > 0.0 {
             entry.weight
@@ -51,7 +51,7 @@
 
     /// Whether it is in service and has not failed too many attempts in a row.
     pub(crate) fn is_responsive(&self) -> bool {
-        self.in_service && self.consecutive_failures < FAILURES_UNTIL_UNRESPONSIVE
+        self.is_in_service && self.consecutive_failures < FAILURES_UNTIL_UNRESPONSIVE
     }
 
     /// Whether the connection of its last attempt was refused or broke.
--- a/crates/site-failover/src/site/mod.rs
+++ b/crates/site-failover/src/site/mod.rs
@@ -81,7 +81,7 @@
 
     /// The endpoints that the list has in service.
     fn listed_endpoints(&self) -> impl Iterator<Item = &Endpoint> {
-        self.endpoints.values().filter(|e| e.in_service)
+        self.endpoints.values().filter(|e| e.is_in_service)
     }
 
     pub(crate) fn weights(&self) -> Weights {
--- a/crates/site-failover/src/site/slow_start.rs
+++ b/crates/site-failover/src/site/slow_start.rs
@@ -48,9 +48,9 @@
     if age >= settings.slow_start_duration {
         return 1.0;
     }
-    let warmth = age.as_micros() as f64 / settings.slow_start_duration.as_micros().max(1) as f64;
+    let progress = age.as_micros() as f64 / settings.slow_start_duration.as_micros().max(1) as f64;
     let capacity =
-        settings.slow_start_min_capacity + (1.0 - settings.slow_start_min_capacity) * warmth;
+        settings.slow_start_min_capacity + (1.0 - settings.slow_start_min_capacity) * progress;
     capacity * (settings.overload_multiple * SAFETY_FACTOR).min(1.0)
 }
 
--- a/crates/site-failover/tests/fleet/mod.rs
+++ b/crates/site-failover/tests/fleet/mod.rs
@@ -73,7 +73,7 @@
     EndpointEntry {
         endpoint: EndpointId(endpoint),
         site: SiteId(site),
-        in_service: true,
+        is_in_service: true,
         weight: 1.0,
         started_at,
     }
@@ -182,7 +182,7 @@
         self.requests += 1;
         let plan = self.plan(gateway);
         let offered = Event::RequestOffered {
-            value_per_unit: 1.0,
+            weight_per_unit: 1.0,
             units: 1.0,
         };
         self.handle(gateway, offered);
--- a/crates/site-failover/tests/properties.rs
+++ b/crates/site-failover/tests/properties.rs
@@ -7,7 +7,7 @@
 use chalkdeck_time::{TimeDelta, Timestamp};
 use proptest::prelude::*;
 
-/// Values whose base-2 logarithms differ by less than this may count as equal.
+/// Weights per unit whose base-2 logarithms differ by less than this may count as equal.
 const BUCKET_WIDTH: f64 = 0.13;
 
 fn any_site() -> impl Strategy<Value = SiteCapacity> {
@@ -41,28 +41,28 @@
     }
 
     #[test]
-    fn higher_admission_never_sheds_more_and_valuable_requests_are_shed_last(
+    fn higher_admission_never_sheds_more_and_requests_of_high_weight_are_shed_last(
         offered in prop::collection::vec((0.01..1e3f64, 0.1..10.0f64), 1..40),
         admission in 0.0..1.0f64, other_admission in 0.0..1.0f64,
-        value in 0.01..1e3f64, other_value in 0.01..1e3f64,
+        weight in 0.01..1e3f64, other_weight in 0.01..1e3f64,
     ) {
         let mut histogram = OfferedLoadHistogram::default();
-        for (value, units) in &offered {
-            histogram.record(*value, *units);
+        for (weight, units) in &offered {
+            histogram.record(*weight, *units);
         }
         let lower = histogram.threshold(admission.min(other_admission));
         let higher = histogram.threshold(admission.max(other_admission));
-        prop_assert!(lower.admitted_fraction(value) <= higher.admitted_fraction(value) + 1e-9);
-        let (least, most) = (value.min(other_value), value.max(other_value));
+        prop_assert!(lower.admitted_fraction(weight) <= higher.admitted_fraction(weight) + 1e-9);
+        let (least, most) = (weight.min(other_weight), weight.max(other_weight));
         prop_assert!(lower.admitted_fraction(least) <= lower.admitted_fraction(most) + 1e-9);
         let total: f64 = offered.iter().map(|(_, units)| units).sum();
-        let admitted: f64 = offered.iter().map(|(value, units)| units * higher.admitted_fraction(*value)).sum();
-        // An upper bound of the units in the bucket of `value`. Only one bucket is admitted in part.
-        let units_near = |value: f64| -> f64 {
-            let is_near = |other: f64| (other / value).log2().abs() < BUCKET_WIDTH;
+        let admitted: f64 = offered.iter().map(|(weight, units)| units * higher.admitted_fraction(*weight)).sum();
+        // An upper bound of the units in the bucket of `weight`. Only one bucket is admitted in part.
+        let units_near = |weight: f64| -> f64 {
+            let is_near = |other: f64| (other / weight).log2().abs() < BUCKET_WIDTH;
             offered.iter().filter(|(other, _)| is_near(*other)).map(|(_, units)| units).sum()
         };
-        let widest = offered.iter().map(|(value, _)| units_near(*value)).fold(0.0, f64::max);
+        let widest = offered.iter().map(|(weight, _)| units_near(*weight)).fold(0.0, f64::max);
         let expected = total * admission.max(other_admission);
         prop_assert!((admitted - expected).abs() <= widest + 1e-6);
     }
--- a/crates/site-failover/tests/recorded_plans.rs
+++ b/crates/site-failover/tests/recorded_plans.rs
@@ -9,7 +9,7 @@
 
 mod recording;
 
-use recording::{replay, EVENTS_PER_SEED, STATES};
+use recording::{run_seed, EVENTS_PER_SEED, STATES};
 
 const RECORDED: &str = include_str!("recorded_plans.txt");
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=24;
@@ -17,14 +17,14 @@
 const MIN_SEEDS_PER_STATE: usize = 5;
 
 #[test]
-fn replayed_event_streams_give_the_recorded_plans() {
-    let replayed: Vec<String> = SEEDS.map(|seed| replay(seed).to_string()).collect();
+fn simulated_event_streams_give_the_recorded_plans() {
+    let simulated: Vec<String> = SEEDS.map(|seed| run_seed(seed).to_string()).collect();
     let recorded: Vec<&str> = RECORDED.lines().collect();
     assert_eq!(
-        replayed,
+        simulated,
         recorded,
-        "the plans differ; replayed:\n{}\n",
-        replayed.join("\n")
+        "the plans differ; simulated:\n{}\n",
+        simulated.join("\n")
     );
 }
 
--- a/crates/site-failover/tests/recording/mod.rs
+++ b/crates/site-failover/tests/recording/mod.rs
@@ -59,7 +59,7 @@
 }
 
 /// Simulates a seed and returns the result.
-pub fn replay(seed: u64) -> Summary {
+pub fn run_seed(seed: u64) -> Summary {
     let mut simulation = Simulation::new(seed);
     while simulation.events < EVENTS_PER_SEED {
         simulation.step();
@@ -106,7 +106,7 @@
     /// Attempts in flight by the time of their end and their number.
     pending: BTreeMap<(u64, u64), PendingAttempt>,
     next_attempt: u64,
-    counter_answers: bool,
+    is_counter_answering: bool,
     events: u64,
     plans: u64,
     counts: BTreeMap<String, u64>,
@@ -133,7 +133,7 @@
             sites,
             pending: BTreeMap::new(),
             next_attempt: 0,
-            counter_answers: true,
+            is_counter_answering: true,
             events: 0,
             plans: 0,
             counts: BTreeMap::new(),
@@ -167,7 +167,7 @@
             890..930 => self.call_counter(),
             930..955 => self.publish_list(),
             955..962 => self.set_override(),
-            962..967 => self.counter_answers = !self.counter_answers,
+            962..967 => self.is_counter_answering = !self.is_counter_answering,
             967..970 => self.sites.change_list(&mut self.rng),
             _ => self.sites.change_behavior(&mut self.rng, self.now),
         }
@@ -196,18 +196,18 @@
     }
 
     fn send_request(&mut self) {
-        let value_per_unit = match self.rng.u32(0..20) {
+        let weight_per_unit = match self.rng.u32(0..20) {
             0 => 0.0,
             n => f64::from(n) * self.rng.f64() * 10.0,
         };
         let units = 0.5 + self.rng.f64() * 4.0;
         let offered = Event::RequestOffered {
-            value_per_unit,
+            weight_per_unit,
             units,
         };
         self.handle(self.now, offered);
         let plan = self.plan(self.now);
-        if self.rng.f64() >= plan.threshold.admitted_fraction(value_per_unit) {
+        if self.rng.f64() >= plan.threshold.admitted_fraction(weight_per_unit) {
             return self.report_completion(FinalAnswer::Rejected, OBJECTIVE / 4);
         }
         let endpoint = match self.rng.u32(0..100) {
@@ -295,7 +295,7 @@
     }
 
     fn call_counter(&mut self) {
-        let event = if self.counter_answers {
+        let event = if self.is_counter_answering {
             Event::CounterAnswered
         } else {
             Event::CounterFailed
--- a/crates/site-failover/tests/recording/sites.rs
+++ b/crates/site-failover/tests/recording/sites.rs
@@ -19,7 +19,7 @@
     site: u32,
     behavior: Behavior,
     started_at: Option<u64>,
-    in_service: bool,
+    is_in_service: bool,
     is_listed: bool,
     weight: f64,
 }
@@ -45,7 +45,7 @@
                     site,
                     behavior: HEALTHY,
                     started_at: (rng.u32(0..4) == 0).then_some(rng.u64(0..SECOND)),
-                    in_service: true,
+                    is_in_service: true,
                     is_listed: true,
                     weight: f64::from(rng.u32(0..5)),
                 });
@@ -117,12 +117,16 @@
     pub fn change_list(&mut self, rng: &mut Rng) {
         if rng.bool() {
             let index = rng.usize(0..self.endpoints.len());
-            self.endpoints[index].in_service = !self.endpoints[index].in_service;
+            self.endpoints[index].is_in_service = !self.endpoints[index].is_in_service;
             return;
         }
         let site = self.draw_site(rng);
         let is_listed = rng.u32(0..3) > 0;
-        for endpoint in self.endpoints.iter_mut().filter(|s| s.site == site) {
+        for endpoint in self
+            .endpoints
+            .iter_mut()
+            .filter(|endpoint| endpoint.site == site)
+        {
             endpoint.is_listed = is_listed;
         }
     }
@@ -133,7 +137,7 @@
         let entry = |endpoint: &Endpoint| EndpointEntry {
             endpoint: EndpointId(endpoint.id),
             site: SiteId(endpoint.site),
-            in_service: endpoint.in_service,
+            is_in_service: endpoint.is_in_service,
             weight: endpoint.weight,
             started_at: endpoint
                 .started_at
--- a/crates/site-failover/tests/site_loss.rs
+++ b/crates/site-failover/tests/site_loss.rs
@@ -260,7 +260,7 @@
     // The offered load becomes about twice the recent throughput.
     for _ in 0..400 {
         let offered = Event::RequestOffered {
-            value_per_unit: 1.0,
+            weight_per_unit: 1.0,
             units: 1.0,
         };
         fleet.handle(0, offered);
--- a/crates/site-failover/tests/state_model.rs
+++ b/crates/site-failover/tests/state_model.rs
@@ -14,7 +14,7 @@
 const BACKOFF_UPDATES: u8 = 2;
 /// Steps of a recovery ramp.
 const RAMP_STEPS: u8 = 2;
-/// The most losses, recoveries, partitions and repairs in one run of the model.
+/// Maximum number of losses, recoveries, partitions and repairs in one run of the model.
 const MAX_FAULTS: u8 = 5;
 
 /// One gateway's view of the site.
