--- a/crates/admission-queue/src/settings.rs
+++ b/crates/admission-queue/src/settings.rs
@@ -7,8 +7,8 @@
 pub struct Settings {
     /// Maximum number of admitted requests in flight.
     pub max_in_flight: usize,
-    /// Maximum number of requests that are admitted in one turn of the event loop, so that excess load waits in the queues and does not
-    /// block the event loop.
+    /// Maximum number of requests that are admitted in one turn of the event loop, so that excess load waits in the queues and does
+    /// not block the event loop.
     pub max_admitted_per_turn: usize,
     /// Maximum number of requests that wait in all queues together.
     pub max_queued: usize,
--- a/crates/admission-queue/tests/recorded_verdicts.rs
+++ b/crates/admission-queue/tests/recorded_verdicts.rs
@@ -1,5 +1,5 @@
-//! Regression test: the verdicts must equal the recorded ones, byte for byte. They were recorded before the package's names and
-//! modules were changed.
+//! Regression test: the verdicts must equal the recorded ones, byte for byte. The recording was made before the package's items and
+//! modules were renamed, which must not change any verdict.
 //!
 //! Each seed draws settings and simulates a closed loop of clients, the queue and servers. A digest covers the texts of all verdicts
 //! and of the queue's states. Each recorded line also has counts, which help to interpret a difference.
--- a/crates/admission-queue/tests/recording/mod.rs
+++ b/crates/admission-queue/tests/recording/mod.rs
@@ -85,7 +85,7 @@
     Flood,
     /// Each request is from another customer.
     ManyCustomers,
-    /// Some customers with much traffic and different weights.
+    /// Some customers with heavy traffic and different weights.
     HeavyCustomers,
     /// One customer whose requests take long to serve.
     SlowCustomer,
--- a/crates/capacity-planner/src/input/mod.rs
+++ b/crates/capacity-planner/src/input/mod.rs
@@ -20,20 +20,20 @@
 pub struct Site {
     /// The site's name.
     pub name: String,
-    /// Units per second that the site's servers can serve.
+    /// Units per second that the site's endpoints can serve.
     pub capacity: f64,
     /// The number of gateways at the site.
     pub gateways: f64,
 }
 
-/// Calls of one class and plan, either within the quotas or beyond them.
+/// Calls of one class and plan, either within the quotas or over them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Demand {
     /// The class's name.
     pub class: String,
     /// The plan's name.
     pub plan: String,
-    /// Whether the calls are beyond the quotas.
+    /// Whether the calls are over the quotas.
     pub is_over_quota: bool,
     /// Calls per second.
     pub rate: f64,
--- a/crates/capacity-planner/src/input/parse.rs
+++ b/crates/capacity-planner/src/input/parse.rs
@@ -133,7 +133,7 @@
     Ok(())
 }
 
-/// The demand within and beyond the quotas of one demand entry. Demand with a rate of zero is left out.
+/// The demand within and over the quotas of one demand entry. Demand with a rate of zero is left out.
 fn demand_of_entry(
     source: &Source,
     message: &wire::SiteLoss,
--- a/crates/capacity-planner/src/optimum.rs
+++ b/crates/capacity-planner/src/optimum.rs
@@ -1,4 +1,4 @@
-//! The linear program of the optimum: it finds the rates of calls, by gateway site, server site and demand, that maximize the served
+//! The linear program of the optimum: it finds the rates of calls, by gateway site, endpoint site and demand, that maximize the served
 //! value.
 
 use crate::input::{Demand, PlanningInput, Site};
@@ -7,13 +7,13 @@
     constraint, variable, variables, Expression, ResolutionError, Solution, SolverModel, Variable,
 };
 
-/// How many times more a call within the quotas weighs in the objective than one beyond them with the same value, so that calls beyond
+/// How many times more a call within the quotas weighs in the objective than one over them with the same value, so that calls over
 /// the quotas never displace it.
 const WITHIN_QUOTA_WEIGHT: f64 = 1e3;
 /// Minimum value of a call in the objective, so that calls without value are served where capacity remains.
 const MIN_VALUE: f64 = 1e-6;
 
-/// Calls per second that are served, by gateway site, server site and demand.
+/// Calls per second that are served, by gateway site, endpoint site and demand.
 pub(crate) struct ServedRates {
     dimensions: Dimensions,
     rates: Vec<f64>,
@@ -139,7 +139,7 @@
     constraints
 }
 
-/// Limits the units that the servers of a site receive to the site's capacity.
+/// Limits the units that the endpoints of a site receive to the site's capacity.
 fn capacity_constraints(
     input: &PlanningInput,
     remaining_sites: &[&Site],
--- a/crates/capacity-planner/src/scenario.rs
+++ b/crates/capacity-planner/src/scenario.rs
@@ -17,7 +17,7 @@
     pub class: String,
     /// The plan's name.
     pub plan: String,
-    /// Whether the calls are beyond the quotas.
+    /// Whether the calls are over the quotas.
     #[serde(rename = "over")]
     pub is_over_quota: bool,
     /// Calls per second that are served.
@@ -32,7 +32,7 @@
 pub struct Flow {
     /// The name of the gateways' site.
     pub from: String,
-    /// The name of the servers' site.
+    /// The name of the endpoints' site.
     pub to: String,
     /// Units per second.
     pub units: f64,
--- a/crates/capacity-planner/tests/optimum.rs
+++ b/crates/capacity-planner/tests/optimum.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn calls_beyond_quotas_are_served_only_from_spare_capacity() {
+fn calls_over_quotas_are_served_only_from_spare_capacity() {
     let served_over_quota = |case: &SiteLossCase| {
         case.outcomes
             .iter()
@@ -74,7 +74,7 @@
     };
     assert_eq!(served_over_quota(&case_without(&[0])), Some(0.0));
     let served_with_all_sites =
-        served_over_quota(&case_without(&[])).expect("some demand beyond quotas");
+        served_over_quota(&case_without(&[])).expect("some demand over quotas");
     assert!((served_with_all_sites - 10.0).abs() < TOLERANCE);
 }
 
--- a/crates/contract/src/promise.rs
+++ b/crates/contract/src/promise.rs
@@ -47,7 +47,7 @@
 /// What the subscribers of a version rely on in addition to its promises.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SubscriberBounds {
-    /// The longest time after the first attempt at which a client retries a call, in milliseconds; `None` stands for the window that the
+    /// The longest time after the first attempt at which a client retries a call, in milliseconds; `None` means the window that the
     /// old version promises.
     pub longest_retry_ms: Option<u64>,
     /// The smallest burst among the callers' plans, in units; `None` if no plan limits bursts.
--- a/crates/contract/src/versions_in_use.rs
+++ b/crates/contract/src/versions_in_use.rs
@@ -5,7 +5,7 @@
 
 /// Maximum number of customers that are tracked separately for one version; the use by further customers is tracked together.
 const MAX_CUSTOMERS_PER_VERSION: usize = 10_000;
-/// Stands for all customers beyond [`MAX_CUSTOMERS_PER_VERSION`].
+/// Represents all customers beyond [`MAX_CUSTOMERS_PER_VERSION`].
 const OTHER_CUSTOMERS: &str = "(others)";
 
 /// One customer's use of one version.
--- a/crates/contract/tests/schemas/descriptors.rs
+++ b/crates/contract/tests/schemas/descriptors.rs
@@ -108,7 +108,7 @@
     message
 }
 
-/// The type of a field in a message. The inner message has no fields of its own type, so strings take their place.
+/// The type of a field in a message. The inner message has no fields of its own type; they are strings instead.
 fn field_type(message: &str, field: &Field) -> Type {
     match field.kind() {
         Type::Message if message == INNER => Type::String,
--- a/crates/contract/tests/versions_in_use.rs
+++ b/crates/contract/tests/versions_in_use.rs
@@ -3,7 +3,7 @@
 use chalkdeck_contract::VersionsInUse;
 
 const DAY_MS: u64 = 86_400_000;
-/// A version that no customer declares is unused after so long without a call.
+/// A version that no customer declares is unused after this time without a call.
 const UNUSED_AFTER_MS: u64 = 30 * DAY_MS;
 
 #[test]
--- a/crates/grpc-gateway/src/sites/events.rs
+++ b/crates/grpc-gateway/src/sites/events.rs
@@ -86,7 +86,7 @@
     pub(crate) fn report_counter_results(&mut self, results: &[CounterResult]) {
         let Some(last) = results.last() else { return };
         let event = match last.outcome {
-            Outcome::Ok => Event::CounterAnswered,
+            Outcome::Ok => Event::CounterReplied,
             _ => Event::CounterFailed,
         };
         self.report_to_sites(event);
--- a/crates/leader-election/src/terms.rs
+++ b/crates/leader-election/src/terms.rs
@@ -14,7 +14,7 @@
 pub struct LeaseTerms {
     /// How long a lease lasts after its renewal was sent, measured by an exact clock.
     pub lease: TimeDelta,
-    /// By how much the rate of any clock may deviate from an exact clock, in parts per million.
+    /// Maximum deviation of the rate of any clock from an exact clock, in parts per million.
     pub drift_ppm: u32,
 }
 
--- a/crates/policy/src/engine/concurrency_slots.rs
+++ b/crates/policy/src/engine/concurrency_slots.rs
@@ -1,7 +1,7 @@
 //! Admission by a plan's concurrency limit: each request holds a slot until it has ended, counted
 //! over all gateways.
 
-use super::quota::{CounterAnswer, RETRY_EXPONENT};
+use super::quota::{CounterResult, RETRY_EXPONENT};
 use super::DecisionEngine;
 use crate::api::{Action, CustomerId, Plan, PlanId, RequestId};
 use crate::counter::calls::{CounterAdd, CounterPurpose};
@@ -42,12 +42,12 @@
                 unsampled_units: 0.0,
             });
         } else {
-            self.decide_by_concurrency(id, CounterAnswer::Unavailable);
+            self.decide_by_concurrency(id, CounterResult::Unavailable);
         }
     }
 
     /// Decides a request by the total of slots in use, or by this gateway's share of the slots.
-    pub(super) fn decide_by_concurrency(&mut self, id: RequestId, answer: CounterAnswer) {
+    pub(super) fn decide_by_concurrency(&mut self, id: RequestId, result: CounterResult) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -58,8 +58,8 @@
         if !self.customers.contains_key(&customer) {
             return;
         }
-        let has_slot = match answer {
-            CounterAnswer::Total(total) => total <= self.settings.plans[plan.0].max_concurrency,
+        let has_slot = match result {
+            CounterResult::Total(total) => total <= self.settings.plans[plan.0].max_concurrency,
             _ if is_retry && !self.is_counter_unavailable(customer) => false,
             _ => self.has_uncounted_slot(customer, plan),
         };
--- a/crates/policy/src/engine/counter_replies.rs
+++ b/crates/policy/src/engine/counter_replies.rs
@@ -1,7 +1,7 @@
 //! Handling of the counter's replies: updates of the counts, circuit breakers and sample rate, and
 //! the decision of the waiting request.
 
-use super::quota::CounterAnswer;
+use super::quota::CounterResult;
 use super::DecisionEngine;
 use crate::api::{CounterKey, Outcome};
 use crate::counter::calls::{CounterCall, CounterPurpose};
@@ -21,14 +21,14 @@
         if !self.customers.contains_key(&call.customer) {
             return;
         }
-        let answer = if outcome == Outcome::Ok {
-            CounterAnswer::Total(self.apply_total(&call, total))
+        let result = if outcome == Outcome::Ok {
+            CounterResult::Total(self.apply_total(&call, total))
         } else {
             self.apply_failed_call(&call, outcome);
-            CounterAnswer::Unavailable
+            CounterResult::Unavailable
         };
         if let Some(request) = call.request {
-            self.decide(request, call.purpose, answer);
+            self.decide(request, call.purpose, result);
         }
         if call.purpose == CounterPurpose::Quota && outcome == Outcome::Ok {
             self.post_remaining_units(&call);
--- a/crates/policy/src/engine/quota.rs
+++ b/crates/policy/src/engine/quota.rs
@@ -14,9 +14,9 @@
 /// requests, so the refund is posted with the next call.
 const MIN_USABLE_UNITS: f64 = 1.0;
 
-/// The counter's answer for a request, or why there is none.
+/// The counter's total for a request, or why there is none.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum CounterAnswer {
+pub(super) enum CounterResult {
     /// The total over all gateways, including this request.
     Total(f64),
     /// The request was not sampled, so the last total decides.
@@ -84,8 +84,8 @@
                     unsampled_units: self.unsampled_units(customer, units, represented),
                 });
             }
-            Some(_) => self.decide_by_quota(id, CounterAnswer::Unavailable),
-            None => self.decide_by_quota(id, CounterAnswer::NotSampled),
+            Some(_) => self.decide_by_quota(id, CounterResult::Unavailable),
+            None => self.decide_by_quota(id, CounterResult::NotSampled),
         }
     }
 
@@ -96,15 +96,15 @@
         ((represented - 1.0) * units).min(burst - units).max(0.0)
     }
 
-    /// Decides a request by the counter's answer.
-    pub(super) fn decide(&mut self, id: RequestId, purpose: CounterPurpose, answer: CounterAnswer) {
+    /// Decides a request by the result of its counter call.
+    pub(super) fn decide(&mut self, id: RequestId, purpose: CounterPurpose, result: CounterResult) {
         match purpose {
-            CounterPurpose::Quota => self.decide_by_quota(id, answer),
-            CounterPurpose::Concurrency => self.decide_by_concurrency(id, answer),
+            CounterPurpose::Quota => self.decide_by_quota(id, result),
+            CounterPurpose::Concurrency => self.decide_by_concurrency(id, result),
         }
     }
 
-    fn decide_by_quota(&mut self, id: RequestId, answer: CounterAnswer) {
+    fn decide_by_quota(&mut self, id: RequestId, result: CounterResult) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -112,8 +112,8 @@
             return;
         }
         let customer = request.incoming.customer;
-        let is_within_quota = self.is_within_quota(id, answer);
-        if let CounterAnswer::Total(_) = answer {
+        let is_within_quota = self.is_within_quota(id, result);
+        if let CounterResult::Total(_) = result {
             if let Some(customer) = self.customers.get_mut(&customer) {
                 customer.over_quota_at = (!is_within_quota).then_some(self.now);
             }
@@ -125,14 +125,14 @@
         }
     }
 
-    fn is_within_quota(&mut self, id: RequestId, answer: CounterAnswer) -> bool {
+    fn is_within_quota(&mut self, id: RequestId, result: CounterResult) -> bool {
         let request = &self.requests[&id].incoming;
         let customer = request.customer;
         let units = request.units;
         let is_retry = request.is_retry;
         let plan = request.plan;
-        match answer {
-            CounterAnswer::Total(total) => {
+        match result {
+            CounterResult::Total(total) => {
                 // The quota is exhausted. Units that the counter lost are part of the total, so
                 // under a ceiling they are paid off before any request is admitted.
                 if self.available_units(customer, total) < 0.0 {
@@ -149,11 +149,11 @@
                     && self.try_take_ceiling(customer, plan, units)
                     && self.count_later(id)
             }
-            CounterAnswer::NotSampled if !self.is_counter_unavailable(customer) => {
+            CounterResult::NotSampled if !self.is_counter_unavailable(customer) => {
                 let was_over_quota = self.customers[&customer].was_over_quota(self.now);
                 !was_over_quota && self.try_take_ceiling(customer, plan, units)
             }
-            CounterAnswer::NotSampled | CounterAnswer::Unavailable => {
+            CounterResult::NotSampled | CounterResult::Unavailable => {
                 self.try_take_ceiling(customer, plan, units)
                     && self.try_take_local(customer, plan, units)
             }
--- a/crates/policy/tests/large_subset.rs
+++ b/crates/policy/tests/large_subset.rs
@@ -1,4 +1,4 @@
-//! A gateway with much traffic and a large fleet: each selection compares a sample of the endpoints, and all
+//! A gateway with heavy traffic and a large fleet: each selection compares a sample of the endpoints, and all
 //! endpoints are used.
 mod common;
 use chalkdeck::api::*;
--- a/crates/site-failover/src/admission.rs
+++ b/crates/site-failover/src/admission.rs
@@ -1,5 +1,5 @@
 //! Admission control: the fraction of the offered units that is admitted. It falls when requests wait too long, whether they are
-//! then answered or rejected for want of a free endpoint, and rises while answers are early.
+//! then answered or rejected because no endpoint is free, and rises while answers are early.
 
 use crate::capacity::{congestion, congestion_between};
 use crate::{CompletedRequest, FinalAnswer};
--- a/crates/site-failover/src/capacity.rs
+++ b/crates/site-failover/src/capacity.rs
@@ -82,8 +82,8 @@
         self.throughput.per_second(now)
     }
 
-    /// Records an answer with its [`congestion`]. A throughput below `min_limit` sets no limit, and no limit is set below
-    /// `min_limit`.
+    /// Records an answer with its [`congestion`]; a rejection counts as an answer of no units. A throughput below `min_limit` sets
+    /// no limit, and no limit is set below `min_limit`.
     pub fn record_answer(&mut self, now: Timestamp, units: f64, congestion: f64, min_limit: f64) {
         self.throughput.add(now, units);
         let throughput = self.throughput(now);
--- a/crates/site-failover/src/core/mod.rs
+++ b/crates/site-failover/src/core/mod.rs
@@ -24,10 +24,10 @@
 /// Replaces a total weight of zero as a divisor.
 const MIN_TOTAL_WEIGHT: f64 = 1e-9;
 
-/// When the shared counter last answered and last failed to answer.
+/// When a call to the shared counter last succeeded and last failed.
 #[derive(Debug, Default)]
 struct CounterHealth {
-    last_answer: Option<Timestamp>,
+    last_reply: Option<Timestamp>,
     last_failure: Option<Timestamp>,
 }
 
@@ -80,7 +80,7 @@
             Event::AttemptEnded(attempt) => self.on_attempt_ended(now, &attempt),
             Event::ConcurrencyReported(endpoints) => self.on_concurrency_report(endpoints),
             Event::RequestCompleted(request) => self.on_request_completed(now, request),
-            Event::CounterAnswered => self.counter.last_answer = Some(now),
+            Event::CounterReplied => self.counter.last_reply = Some(now),
             Event::CounterFailed => self.counter.last_failure = Some(now),
             Event::OverrideSet {
                 site,
--- a/crates/site-failover/src/core/transitions.rs
+++ b/crates/site-failover/src/core/transitions.rs
@@ -64,7 +64,7 @@
             is_doubtful: site.is_doubtful(now),
             is_partitioned: is_unresponsive && self.is_partitioned_from(now, site),
             is_backoff_over: now >= site.backoff.until(),
-            has_answered: site.has_responded_since(after_entering),
+            has_responded: site.has_responded_since(after_entering),
             is_ramping: site.ramp.is_some(),
             is_ramp_complete: self.is_ramp_complete(now, site),
         }
@@ -129,8 +129,8 @@
         is_recent
             && self
                 .counter
-                .last_answer
-                .is_none_or(|last_answer| last_answer < last_failure)
+                .last_reply
+                .is_none_or(|last_reply| last_reply < last_failure)
     }
 }
 
--- a/crates/site-failover/src/event.rs
+++ b/crates/site-failover/src/event.rs
@@ -117,9 +117,9 @@
     ConcurrencyReported(&'a [EndpointConcurrency]),
     /// A request got its final answer.
     RequestCompleted(CompletedRequest),
-    /// The shared counter answered.
-    CounterAnswered,
-    /// The shared counter failed to answer.
+    /// The shared counter replied.
+    CounterReplied,
+    /// A call to the shared counter failed.
     CounterFailed,
     /// An operator set an override.
     OverrideSet {
--- a/crates/site-failover/src/plan.rs
+++ b/crates/site-failover/src/plan.rs
@@ -9,9 +9,9 @@
 pub struct SiteEvidence {
     /// The number of endpoints that the list has in service.
     pub listed_endpoints: usize,
-    /// How many of the listed endpoints did not answer their last attempts.
+    /// How many of the listed endpoints did not respond to their last attempts.
     pub silent_endpoints: usize,
-    /// How long attempts have been in flight at the site without any answer.
+    /// How long attempts have been in flight at the site without any response.
     pub silence: TimeDelta,
     /// The number of recent losses of the site.
     pub losses: u32,
--- a/crates/site-failover/src/site/endpoint.rs
+++ b/crates/site-failover/src/site/endpoint.rs
@@ -3,7 +3,7 @@
 use crate::{AttemptEvidence, EndpointEntry};
 use chalkdeck_time::Timestamp;
 
-/// An endpoint is unresponsive after this many attempts in a row without an answer.
+/// An endpoint is unresponsive after this many attempts in a row without a response.
 const FAILURES_UNTIL_UNRESPONSIVE: u32 = 2;
 /// The weight of an endpoint whose list entry gives none.
 const DEFAULT_WEIGHT: f64 = 1.0;
@@ -14,7 +14,7 @@
     pub(crate) weight: f64,
     pub(crate) is_in_service: bool,
     pub(crate) started_at: Option<Timestamp>,
-    /// Attempts in a row that got no answer.
+    /// Attempts in a row without a response.
     consecutive_failures: u32,
     is_unreachable: bool,
 }
--- a/crates/site-failover/src/site/mod.rs
+++ b/crates/site-failover/src/site/mod.rs
@@ -25,7 +25,7 @@
 pub(crate) struct Weights {
     /// The weight of the endpoints that the list has in service.
     pub(crate) listed: f64,
-    /// The weight of those of them that answered their last attempts.
+    /// The weight of those of them that responded to their last attempts.
     pub(crate) responsive: f64,
 }
 
--- a/crates/site-failover/src/state.rs
+++ b/crates/site-failover/src/state.rs
@@ -6,13 +6,13 @@
     /// It gets its share of the load.
     #[default]
     Serving,
-    /// It has not answered for longer than usual.
+    /// It has not responded for longer than usual.
     Doubtful,
-    /// It does not answer while other sites do, or the list has none of its endpoints in service.
+    /// It does not respond while other sites do, or the list has none of its endpoints in service.
     Lost,
-    /// Neither it nor most other sites answer, while the gateway's own site does: this gateway may be partitioned from them.
+    /// Neither it nor most other sites respond, while the gateway's own site does: this gateway may be partitioned from them.
     CutOff,
-    /// It answers again, and its share grows along the recovery ramp.
+    /// It responds again, and its share grows along the recovery ramp.
     Returning,
     /// An operator took it out of service.
     HeldOut,
@@ -43,16 +43,16 @@
 /// What this gateway observes of a site at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Observations {
-    /// It counts as lost: it has not answered for too long, refuses connections, or has no endpoint in service.
+    /// It counts as lost: it has not responded for too long, refuses connections, or has no endpoint in service.
     pub is_unresponsive: bool,
-    /// It has not answered for longer than usual.
+    /// It has not responded for longer than usual.
     pub is_doubtful: bool,
-    /// Most other sites do not answer either, while the gateway's own site does.
+    /// Most other sites do not respond either, while the gateway's own site does.
     pub is_partitioned: bool,
     /// The backoff that its earlier losses led to is over.
     pub is_backoff_over: bool,
-    /// It has answered since it entered its current state.
-    pub has_answered: bool,
+    /// It has responded since it entered its current state.
+    pub has_responded: bool,
     /// A recovery ramp is in progress.
     pub is_ramping: bool,
     /// The recovery ramp is complete.
@@ -67,7 +67,7 @@
         _ if observed.is_unresponsive && observed.is_partitioned => SiteState::CutOff,
         _ if observed.is_unresponsive => SiteState::Lost,
         SiteState::Lost | SiteState::CutOff
-            if observed.is_backoff_over && observed.has_answered =>
+            if observed.is_backoff_over && observed.has_responded =>
         {
             SiteState::Returning
         }
--- a/crates/site-failover/tests/recording/mod.rs
+++ b/crates/site-failover/tests/recording/mod.rs
@@ -296,7 +296,7 @@
 
     fn call_counter(&mut self) {
         let event = if self.is_counter_answering {
-            Event::CounterAnswered
+            Event::CounterReplied
         } else {
             Event::CounterFailed
         };
--- a/crates/site-failover/tests/site_loss.rs
+++ b/crates/site-failover/tests/site_loss.rs
@@ -85,7 +85,7 @@
 fn with_two_sites_the_counter_tells_a_partition_from_a_loss() {
     let cases = [
         (Event::CounterFailed, SiteState::CutOff),
-        (Event::CounterAnswered, SiteState::Lost),
+        (Event::CounterReplied, SiteState::Lost),
     ];
     for (counter, state) in cases {
         let mut fleet = Fleet::new();
--- a/crates/site-failover/tests/state_model.rs
+++ b/crates/site-failover/tests/state_model.rs
@@ -6,9 +6,9 @@
 use chalkdeck_site_failover::SiteState;
 use stateright::{Checker, Model, Property};
 
-/// Updates without an answer after which a site is doubtful.
+/// Updates without a response after which a site is doubtful.
 const DOUBTFUL_AFTER_UPDATES: u8 = 1;
-/// Updates without an answer after which a site is lost.
+/// Updates without a response after which a site is lost.
 const LOST_AFTER_UPDATES: u8 = 2;
 /// Updates that a backoff lasts.
 const BACKOFF_UPDATES: u8 = 2;
@@ -23,7 +23,7 @@
     state: SiteState,
     silent_updates: u8,
     backoff: u8,
-    has_answered: bool,
+    has_responded: bool,
     ramp_steps: u8,
 }
 
@@ -62,7 +62,7 @@
         } else {
             (view.silent_updates + 1).min(LOST_AFTER_UPDATES)
         };
-        view.has_answered |= answers && view.state.is_out_of_service();
+        view.has_responded |= answers && view.state.is_out_of_service();
         view.backoff = view.backoff.saturating_sub(1);
         let earns_step = answers && view.state == SiteState::Returning;
         view.ramp_steps = (view.ramp_steps + u8::from(earns_step)).min(RAMP_STEPS);
@@ -71,7 +71,7 @@
             is_doubtful: view.silent_updates >= DOUBTFUL_AFTER_UPDATES,
             is_partitioned: world.is_partitioned[gateway],
             is_backoff_over: view.backoff == 0,
-            has_answered: view.has_answered,
+            has_responded: view.has_responded,
             is_ramping: view.ramp_steps > 0,
             is_ramp_complete: view.ramp_steps >= RAMP_STEPS,
         };
@@ -79,7 +79,7 @@
         view.state = next_state(before, observed);
         if view.state.is_out_of_service() && !before.is_out_of_service() {
             view.backoff = BACKOFF_UPDATES;
-            view.has_answered = false;
+            view.has_responded = false;
             view.ramp_steps = 0;
         }
         if view.state == SiteState::Serving {
@@ -181,7 +181,7 @@
                         let after = SiteModel::update(world, gateway);
                         let starts =
                             before.state.is_out_of_service() && after.state == SiteState::Returning;
-                        !starts || after.has_answered && after.backoff == 0
+                        !starts || after.has_responded && after.backoff == 0
                     })
                 },
             ),
