--- a/crates/capacity-planner/tests/recorded_output.rs
+++ b/crates/capacity-planner/tests/recorded_output.rs
@@ -29,19 +29,19 @@
     ("# Three", "crossing_cost: 3 #"),
 ];
 
-fn planned(text: &str) -> Vec<SiteLossCase> {
+fn solved_cases(text: &str) -> Vec<SiteLossCase> {
     let input = PlanningInput::parse("three-sites.txtpb", text).expect("a valid input");
     solve_all_cases(&input).expect("an optimum")
 }
 
 #[test]
 fn table_of_the_example_is_the_recorded_one() {
-    assert_eq!(table::render(&planned(THREE_SITES)), RECORDED_TABLE);
+    assert_eq!(table::render(&solved_cases(THREE_SITES)), RECORDED_TABLE);
 }
 
 #[test]
 fn json_of_the_example_is_the_recorded_one() {
-    let json = serde_json::to_string_pretty(&planned(THREE_SITES)).expect("JSON");
+    let json = serde_json::to_string_pretty(&solved_cases(THREE_SITES)).expect("JSON");
     assert_eq!(json, RECORDED_JSON.trim_end());
 }
 
--- a/crates/policy/src/engine/selection.rs
+++ b/crates/policy/src/engine/selection.rs
@@ -217,10 +217,10 @@
         if preferred_zone == endpoint.zone {
             return Some(0.0);
         }
-        let is_closed = self
+        let rejects_overflow = self
             .zone_shares
             .iter()
             .any(|zone| zone.zone == endpoint.zone && !zone.accepts_overflow);
-        (!is_closed).then_some(NON_PREFERRED_ZONE_PENALTY)
+        (!rejects_overflow).then_some(NON_PREFERRED_ZONE_PENALTY)
     }
 }
--- a/crates/policy/tests/zone_shares.rs
+++ b/crates/policy/tests/zone_shares.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn requests_overflow_into_open_zones_only() {
+fn requests_overflow_only_into_zones_that_accept_it() {
     let mut harness = two_zone_harness();
     harness.handle(Event::ZoneSharesChanged {
         shares: shares((1.0, true), (0.0, false)),
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_keyed_request_that_may_have_run_in_a_closed_zone_is_not_retried_in_another() {
+fn a_keyed_request_that_may_have_run_in_a_zone_without_share_is_not_retried_in_another() {
     let mut harness = two_zone_harness();
     harness.handle(Event::ZoneSharesChanged {
         shares: shares((0.0, true), (1.0, true)),
--- a/crates/site-failover/src/site/silence_detector.rs
+++ b/crates/site-failover/src/site/silence_detector.rs
@@ -15,7 +15,7 @@
 /// Endpoints with unanswered attempts that are needed at least to judge a site.
 const MIN_ENDPOINTS: usize = 2;
 /// Weight of the newest answer in the average latency.
-const LATENCY_SMOOTHING: f64 = 0.1;
+const LATENCY_SAMPLE_WEIGHT: f64 = 0.1;
 
 /// The attempts and responses of one site, as seen from this gateway.
 #[derive(Clone, Debug, Default)]
@@ -57,7 +57,7 @@
         let weight = if self.average_latency_micros == 0.0 {
             1.0
         } else {
-            LATENCY_SMOOTHING
+            LATENCY_SAMPLE_WEIGHT
         };
         self.average_latency_micros +=
             weight * (latency.as_micros() as f64 - self.average_latency_micros);
--- a/crates/site-failover/src/site/slow_start.rs
+++ b/crates/site-failover/src/site/slow_start.rs
@@ -5,8 +5,8 @@
 use crate::FailoverSettings;
 use chalkdeck_time::Timestamp;
 
-/// A cold endpoint is loaded up to this fraction of the load under which it would fail.
-const SAFETY_FACTOR: f64 = 0.5;
+/// Fraction of the load that overloads an endpoint in slow start which is safe to send.
+const SAFE_OVERLOAD_FRACTION: f64 = 0.5;
 
 /// The fraction of the site's capacity that its endpoints can serve now for all gateways together, 0 to 1.
 pub(crate) fn sustainable_fraction(
@@ -51,7 +51,7 @@
     let progress = age.as_micros() as f64 / settings.slow_start_duration.as_micros().max(1) as f64;
     let capacity =
         settings.slow_start_min_capacity + (1.0 - settings.slow_start_min_capacity) * progress;
-    capacity * (settings.overload_multiple * SAFETY_FACTOR).min(1.0)
+    capacity * (settings.overload_multiple * SAFE_OVERLOAD_FRACTION).min(1.0)
 }
 
 /// The fraction, by weight, of a site's endpoints that are warm, whether or not the list has them in service.
--- a/crates/site-failover/tests/recording/mod.rs
+++ b/crates/site-failover/tests/recording/mod.rs
@@ -31,7 +31,7 @@
 /// A plan is computed and digested each time after this many events.
 const EVENTS_PER_PLAN: u64 = 4;
 /// The id of an endpoint and of a site that no list contains.
-const UNKNOWN: u32 = 999;
+const UNKNOWN_ID: u32 = 999;
 
 /// The result of one seed, as one line of the recorded file.
 pub struct Summary {
@@ -211,7 +211,7 @@
             return self.report_completion(FinalAnswer::Rejected, OBJECTIVE / 4);
         }
         let endpoint = match self.rng.u32(0..100) {
-            0 => u64::from(UNKNOWN),
+            0 => u64::from(UNKNOWN_ID),
             1..25 => self.sites.draw_endpoint(&mut self.rng),
             _ => self.draw_endpoint_by_share(&plan),
         };
@@ -310,7 +310,7 @@
 
     fn set_override(&mut self) {
         let site = match self.rng.u32(0..20) {
-            0 => UNKNOWN,
+            0 => UNKNOWN_ID,
             _ => self.sites.draw_site(&mut self.rng),
         };
         let site_override = match self.rng.u32(0..8) {
