--- a/crates/policy/src/counter/circuit_breaker.rs
+++ b/crates/policy/src/counter/circuit_breaker.rs
@@ -5,8 +5,8 @@
 #[cfg(test)]
 mod tests;
 
-/// Consecutive failures that open the breaker, as in the rate limiter that this one is derived
-/// from.
+/// Number of failures that opens the breaker; each success halves the number. Three failures in a
+/// row open it, as in the rate limiter that this one is derived from.
 const FAILURES_TO_OPEN: f64 = 3.0;
 /// Time that the breaker stays open before one call probes the counter, as in that rate limiter.
 const COOLDOWN: TimeDelta = TimeDelta::from_secs(5);
--- a/crates/policy/src/endpoint/fleet.rs
+++ b/crates/policy/src/endpoint/fleet.rs
@@ -1,4 +1,4 @@
-//! Statistics over all endpoints, which single endpoints are compared with.
+//! Statistics of the fleet, which is all endpoints. Single endpoints are compared with them.
 
 use crate::api::Timestamp;
 use crate::smoothing::{
--- a/crates/policy/src/engine/subset.rs
+++ b/crates/policy/src/engine/subset.rs
@@ -1,5 +1,5 @@
-//! Deterministic subsetting: each gateway prefers a subset of the fleet, and concurrency limits are
-//! scaled to its share.
+//! Deterministic subsetting: each gateway prefers a subset of the fleet, which is all endpoints in
+//! service, and concurrency limits are scaled to its share.
 //!
 //! A gateway with few requests would have no recent statistics about any endpoint if it spread them
 //! over a large fleet.
@@ -19,7 +19,7 @@
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
 /// Initial limit of the attempts of all gateways together at one endpoint. It is low, because a
 /// limit that has to be lowered first costs late answers.
-const INITIAL_FLEET_LIMIT: f64 = 6.0;
+const INITIAL_SHARED_LIMIT: f64 = 6.0;
 /// Maximum number of endpoints that one selection compares if the subset is larger.
 pub(super) const MAX_CANDIDATES: usize = 48;
 /// Minimum number of gateways per endpoint; prevents a division by zero.
@@ -52,8 +52,10 @@
         let endpoints = self.endpoints.in_service_count().max(1) as f64;
         let gateways_per_endpoint =
             f64::from(self.settings.gateways) * self.subset_size() as f64 / endpoints;
-        (INITIAL_FLEET_LIMIT / INITIAL_LIMIT / gateways_per_endpoint.max(MIN_GATEWAYS_PER_ENDPOINT))
-            .min(1.0)
+        (INITIAL_SHARED_LIMIT
+            / INITIAL_LIMIT
+            / gateways_per_endpoint.max(MIN_GATEWAYS_PER_ENDPOINT))
+        .min(1.0)
     }
 
     /// Whether so many gateways share the endpoints that initial limits are below one attempt, so
--- a/crates/site-failover/src/core/planning.rs
+++ b/crates/site-failover/src/core/planning.rs
@@ -10,7 +10,7 @@
 /// The fraction of its proportional load, or of its limit if that is lower, that a doubtful site still gets.
 const DOUBTFUL_FRACTION: f64 = 0.25;
 /// Probes per second that all gateways together send to a site that is out of service.
-const FLEET_PROBES_PER_SECOND: f64 = 20.0;
+const TOTAL_PROBES_PER_SECOND: f64 = 20.0;
 /// Minimum time between two probes of a site by one gateway.
 const MIN_PROBE_INTERVAL_SECONDS: f64 = 0.25;
 /// Maximum time between two probes of a site by one gateway.
@@ -81,7 +81,7 @@
         if !any_share || !any_in_service {
             return;
         }
-        let interval = (f64::from(self.settings.gateway_count) / FLEET_PROBES_PER_SECOND)
+        let interval = (f64::from(self.settings.gateway_count) / TOTAL_PROBES_PER_SECOND)
             .clamp(MIN_PROBE_INTERVAL_SECONDS, MAX_PROBE_INTERVAL_SECONDS);
         let probe_share = (1.0 / interval / load).min(MAX_PROBE_SHARE);
         let probed_sites = self.sites.values().filter(|site| is_probed(site)).count();
--- a/crates/site-failover/src/settings.rs
+++ b/crates/site-failover/src/settings.rs
@@ -8,9 +8,9 @@
 pub struct FailoverSettings {
     /// The site that the gateway itself belongs to.
     pub own_site: SiteId,
-    /// The gateway's index within its fleet, from 0. It varies the moments at which gateways take the steps of a recovery ramp.
+    /// The gateway's index among all gateways, from 0. It varies the moments at which gateways take the steps of a recovery ramp.
     pub gateway_index: u32,
-    /// The number of gateways in the fleet.
+    /// The number of gateways.
     pub gateway_count: u32,
     /// The fraction of its capacity that an endpoint has when it starts, 0 to 1.
     pub slow_start_min_capacity: f64,
