--- a/crates/admission-queue/tests/recorded_verdicts.rs
+++ b/crates/admission-queue/tests/recorded_verdicts.rs
@@ -1,25 +1,25 @@
-//! Regression test: the verdicts must equal the recorded ones, byte for byte. They were recorded before the package's names and
-//! modules were changed.
+//! Regression test: the verdicts must equal the recorded ones, byte for byte. The recording was made before the package's items and
+//! modules were renamed, which must not change any verdict.
 //!
 //! Each seed draws settings and simulates a closed loop of clients, the queue and servers. A digest covers the texts of all verdicts
 //! and of the queue's states. Each recorded line also has counts, which help to interpret a difference.
 
 mod recording;
 
-use recording::{replay, CALLS_PER_SEED};
+use recording::{run_seed, CALLS_PER_SEED};
 
 const RECORDED: &str = include_str!("recorded_verdicts.txt");
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=24;
 
 #[test]
-fn replayed_calls_give_the_recorded_verdicts() {
-    let replayed: Vec<String> = SEEDS.map(|seed| replay(seed).to_string()).collect();
+fn simulated_calls_give_the_recorded_verdicts() {
+    let simulated: Vec<String> = SEEDS.map(|seed| run_seed(seed).to_string()).collect();
     let recorded: Vec<&str> = RECORDED.lines().collect();
     assert_eq!(
-        replayed,
+        simulated,
         recorded,
-        "the verdicts differ; replayed:\n{}\n",
-        replayed.join("\n")
+        "the verdicts differ; simulated:\n{}\n",
+        simulated.join("\n")
     );
 }
 
--- a/crates/capacity-planner/src/optimum.rs
+++ b/crates/capacity-planner/src/optimum.rs
@@ -1,4 +1,4 @@
-//! The linear program of the optimum: it finds the rates of calls, by gateway site, server site and demand, that maximize the served
+//! The linear program of the optimum: it finds the rates of calls, by gateway site, endpoint site and demand, that maximize the served
 //! value.
 
 use crate::input::{Demand, PlanningInput, Site};
@@ -7,31 +7,31 @@
     constraint, variable, variables, Expression, ResolutionError, Solution, SolverModel, Variable,
 };
 
-/// How many times more a call within the quotas weighs in the objective than one beyond them with the same value, so that calls beyond
+/// How many times more a call within the quotas weighs in the objective than one over them with the same value, so that calls over
 /// the quotas never displace it.
 const WITHIN_QUOTA_WEIGHT: f64 = 1e3;
-/// The least value of a call in the objective, so that calls without value are served where capacity remains.
+/// Minimum value of a call in the objective, so that calls without value are served where capacity remains.
 const MIN_VALUE: f64 = 1e-6;
 
-/// Calls a second that are served, by gateway site, server site and demand.
+/// Calls per second that are served, by gateway site, endpoint site and demand.
 pub(crate) struct ServedRates {
     dimensions: Dimensions,
     rates: Vec<f64>,
 }
 
 impl ServedRates {
-    /// Calls a second of one demand that the gateways of site `from` send to site `to`.
+    /// Calls per second of one demand that the gateways of site `from` send to site `to`.
     pub(crate) fn rate(&self, from: usize, to: usize, demand: usize) -> f64 {
         self.rates[self.dimensions.index(from, to, demand)]
     }
 
-    /// Calls a second of one demand that all sites serve.
+    /// Calls per second of one demand that all sites serve.
     pub(crate) fn total_rate(&self, demand: usize) -> f64 {
         let pairs = self.dimensions.site_pairs();
         pairs.map(|(from, to)| self.rate(from, to, demand)).sum()
     }
 
-    /// Units a second that the gateways of site `from` send to site `to`.
+    /// Units per second that the gateways of site `from` send to site `to`.
     pub(crate) fn units(&self, from: usize, to: usize, demand: &[Demand]) -> f64 {
         let units = |(index, demand): (usize, &Demand)| self.rate(from, to, index) * demand.units;
         demand.iter().enumerate().map(units).sum()
@@ -139,7 +139,7 @@
     constraints
 }
 
-/// Limits the units that the servers of a site receive to the site's capacity.
+/// Limits the units that the endpoints of a site receive to the site's capacity.
 fn capacity_constraints(
     input: &PlanningInput,
     remaining_sites: &[&Site],
--- a/crates/site-failover/src/core/transitions.rs
+++ b/crates/site-failover/src/core/transitions.rs
@@ -64,7 +64,7 @@
             is_doubtful: site.is_doubtful(now),
             is_partitioned: is_unresponsive && self.is_partitioned_from(now, site),
             is_backoff_over: now >= site.backoff.until(),
-            has_answered: site.has_responded_since(after_entering),
+            has_responded: site.has_responded_since(after_entering),
             is_ramping: site.ramp.is_some(),
             is_ramp_complete: self.is_ramp_complete(now, site),
         }
@@ -129,13 +129,13 @@
         is_recent
             && self
                 .counter
-                .last_answer
-                .is_none_or(|last_answer| last_answer < last_failure)
+                .last_reply
+                .is_none_or(|last_reply| last_reply < last_failure)
     }
 }
 
 fn is_recently_silent(now: Timestamp, site: &Site) -> bool {
-    let went_out_recently =
+    let left_service_recently =
         site.state.is_out_of_service() && now < site.state_since + PARTITION_WINDOW;
-    site.is_doubtful(now) || site.is_unresponsive(now) || went_out_recently
+    site.is_doubtful(now) || site.is_unresponsive(now) || left_service_recently
 }
--- a/crates/site-failover/src/plan.rs
+++ b/crates/site-failover/src/plan.rs
@@ -9,9 +9,9 @@
 pub struct SiteEvidence {
     /// The number of endpoints that the list has in service.
     pub listed_endpoints: usize,
-    /// How many of the listed endpoints did not answer their last attempts.
+    /// How many of the listed endpoints did not respond to their last attempts.
     pub silent_endpoints: usize,
-    /// How long attempts have been in flight at the site without any answer.
+    /// How long attempts have been in flight at the site without any response.
     pub silence: TimeDelta,
     /// The number of recent losses of the site.
     pub losses: u32,
@@ -24,7 +24,7 @@
 pub struct Concurrency {
     /// Attempts in flight.
     pub in_flight: f64,
-    /// The most attempts that may be in flight.
+    /// Maximum number of attempts in flight.
     pub limit: f64,
 }
 
--- a/crates/site-failover/tests/site_loss.rs
+++ b/crates/site-failover/tests/site_loss.rs
@@ -85,7 +85,7 @@
 fn with_two_sites_the_counter_tells_a_partition_from_a_loss() {
     let cases = [
         (Event::CounterFailed, SiteState::CutOff),
-        (Event::CounterAnswered, SiteState::Lost),
+        (Event::CounterReplied, SiteState::Lost),
     ];
     for (counter, state) in cases {
         let mut fleet = Fleet::new();
@@ -260,7 +260,7 @@
     // The offered load becomes about twice the recent throughput.
     for _ in 0..400 {
         let offered = Event::RequestOffered {
-            value_per_unit: 1.0,
+            weight_per_unit: 1.0,
             units: 1.0,
         };
         fleet.handle(0, offered);
