--- a/crates/client/src/core.rs
+++ b/crates/client/src/core.rs
@@ -17,7 +17,7 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
 /// The next backoff is at most this multiple of the previous one.
-const BACKOFF_GROWTH: u64 = 3;
+const BACKOFF_GROWTH_FACTOR: u64 = 3;
 
 /// A deadline of a call or the end of its backoff. Ordered by time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -100,10 +100,10 @@
                 deadline,
             } => self.on_call_started(call, idempotency, deadline),
             Event::CallCancelled { call } => self.complete(call, Outcome::Cancelled),
-            Event::Connected { gateway } => self.gateways.connected(gateway),
+            Event::Connected { gateway } => self.gateways.on_connected(gateway),
             Event::Disconnected { gateway } => {
                 self.gateways
-                    .disconnected(gateway, self.now, &self.settings, &mut self.rng);
+                    .on_disconnected(gateway, self.now, &self.settings, &mut self.rng);
             }
             Event::RetryRuledOut { call } => self.on_retry_ruled_out(call),
             Event::AttemptEnded {
@@ -184,9 +184,9 @@
         };
         let attempt = call.attempts;
         call.attempts += 1;
-        call.in_flight_at = Some(gateway);
+        call.in_flight_gateway = Some(gateway);
         call.sent_at = self.now;
-        self.gateways.attempt_sent(gateway);
+        self.gateways.on_attempt_sent(gateway);
         self.actions.push(Action::SendAttempt {
             call: id,
             attempt,
@@ -207,7 +207,7 @@
         let Some(call) = call.filter(|call| call.attempts == attempt + 1) else {
             return;
         };
-        let Some(gateway) = call.in_flight_at.take() else {
+        let Some(gateway) = call.in_flight_gateway.take() else {
             return;
         };
         // A response that arrives after the deadline is never reported as an answer.
@@ -231,11 +231,11 @@
     fn record_gateway_health(&mut self, gateway: GatewayId, outcome: AttemptOutcome) {
         match outcome {
             AttemptOutcome::Answered | AttemptOutcome::Rejected { .. } => {
-                self.gateways.attempt_succeeded(gateway);
+                self.gateways.on_attempt_succeeded(gateway);
             }
             AttemptOutcome::NotProcessed | AttemptOutcome::MayHaveRun => {
                 self.gateways
-                    .attempt_failed(gateway, self.now, &self.settings);
+                    .on_attempt_failed(gateway, self.now, &self.settings);
             }
         }
     }
@@ -273,7 +273,7 @@
     fn next_backoff(&mut self, id: CallId) -> TimeDelta {
         let initial = self.settings.initial_backoff;
         let last = self.calls.get(&id).map_or(initial, |call| call.backoff);
-        let longest = (last * BACKOFF_GROWTH).max(initial);
+        let longest = (last * BACKOFF_GROWTH_FACTOR).max(initial);
         let drawn = self.rng.u64(initial.as_micros()..=longest.as_micros());
         TimeDelta::from_micros(drawn).min(self.settings.max_backoff)
     }
@@ -296,12 +296,12 @@
         if let Some(at) = call.retry_at {
             self.wakes.remove(&Wake { at, call: id });
         }
-        if let Some(gateway) = call.in_flight_at {
+        if let Some(gateway) = call.in_flight_gateway {
             if outcome == Outcome::Cancelled {
-                self.gateways.attempt_succeeded(gateway);
+                self.gateways.on_attempt_succeeded(gateway);
             } else {
                 self.gateways
-                    .attempt_failed(gateway, self.now, &self.settings);
+                    .on_attempt_failed(gateway, self.now, &self.settings);
             }
             let attempt = call.attempts - 1;
             self.actions
--- a/crates/client/src/core/call_state.rs
+++ b/crates/client/src/core/call_state.rs
@@ -11,7 +11,7 @@
     /// The number of attempts that were sent.
     pub(super) attempts: u32,
     /// The gateway of the attempt in flight, if there is one.
-    pub(super) in_flight_at: Option<GatewayId>,
+    pub(super) in_flight_gateway: Option<GatewayId>,
     /// When the first attempt that may have run was sent.
     pub(super) may_have_run_since: Option<Timestamp>,
     /// When the last attempt was sent.
@@ -34,7 +34,7 @@
             idempotency,
             deadline,
             attempts: 0,
-            in_flight_at: None,
+            in_flight_gateway: None,
             may_have_run_since: None,
             sent_at: Timestamp::ZERO,
             backoff,
@@ -77,7 +77,7 @@
 
     /// Whether the attempt in flight or an earlier one may have run.
     pub(super) fn may_have_run(&self) -> bool {
-        self.in_flight_at.is_some() || self.may_have_run_since.is_some()
+        self.in_flight_gateway.is_some() || self.may_have_run_since.is_some()
     }
 
     /// The outcome if the deadline passes now.
--- a/crates/client/src/core/gateways.rs
+++ b/crates/client/src/core/gateways.rs
@@ -92,7 +92,7 @@
     }
 
     /// Records that a connection was established.
-    pub(crate) fn connected(&mut self, id: GatewayId) {
+    pub(crate) fn on_connected(&mut self, id: GatewayId) {
         if let Some(gateway) = self.0.get_mut(id.0) {
             gateway.connection = Connection::Connected;
         }
@@ -100,7 +100,7 @@
 
     /// Records that a connection was lost or could not be established. The reconnect happens at a random time in a window that
     /// doubles with each consecutive loss.
-    pub(crate) fn disconnected(
+    pub(crate) fn on_disconnected(
         &mut self,
         id: GatewayId,
         now: Timestamp,
@@ -122,14 +122,14 @@
     }
 
     /// Records that an attempt was sent.
-    pub(crate) fn attempt_sent(&mut self, id: GatewayId) {
+    pub(crate) fn on_attempt_sent(&mut self, id: GatewayId) {
         if let Some(gateway) = self.0.get_mut(id.0) {
             gateway.in_flight += 1;
         }
     }
 
     /// Records that an attempt was answered, rejected or cancelled by its caller.
-    pub(crate) fn attempt_succeeded(&mut self, id: GatewayId) {
+    pub(crate) fn on_attempt_succeeded(&mut self, id: GatewayId) {
         if let Some(gateway) = self.0.get_mut(id.0) {
             gateway.in_flight = gateway.in_flight.saturating_sub(1);
             gateway.failures = 0;
@@ -138,7 +138,7 @@
     }
 
     /// Records that an attempt failed. A gateway with too many consecutive failures is ejected for a while.
-    pub(crate) fn attempt_failed(&mut self, id: GatewayId, now: Timestamp, settings: &Settings) {
+    pub(crate) fn on_attempt_failed(&mut self, id: GatewayId, now: Timestamp, settings: &Settings) {
         let Some(gateway) = self.0.get_mut(id.0) else {
             return;
         };
--- a/crates/client/src/driver.rs
+++ b/crates/client/src/driver.rs
@@ -18,9 +18,9 @@
 use std::sync::mpsc::Receiver;
 use std::sync::Arc;
 
-/// The longest response message that is accepted, in bytes.
+/// Maximum size of a response message.
 const MAX_RESPONSE_MESSAGE_BYTES: usize = 4 << 20;
-/// The longest wait of one turn of the event loop.
+/// Maximum time that one turn of the event loop waits for events.
 const MAX_WAIT: TimeDelta = TimeDelta::from_secs(1);
 /// The timer token for polling the gateway file. All other tokens are those of connect timeouts.
 const GATEWAY_FILE_TIMER: u64 = u64::MAX;
--- a/crates/client/src/driver/connections.rs
+++ b/crates/client/src/driver/connections.rs
@@ -9,7 +9,7 @@
 
 /// The interval between polls of the gateway file.
 const GATEWAY_FILE_POLL_INTERVAL: TimeDelta = TimeDelta::from_millis(200);
-/// The most streams that are open at once on one connection.
+/// Maximum number of streams that are open at once on one connection.
 const STREAMS_PER_CONNECTION: u32 = 10_000;
 
 /// A gateway and the connection to it.
@@ -51,7 +51,7 @@
         };
         let limits = Limits {
             max_streams: STREAMS_PER_CONNECTION,
-            keepalive_interval: self.keepalive_interval.as_micros(),
+            keepalive_interval_micros: self.keepalive_interval.as_micros(),
             ..Limits::default()
         };
         let Ok(connection) = self.engine.connect(address, limits) else {
--- a/crates/client/src/settings.rs
+++ b/crates/client/src/settings.rs
@@ -6,27 +6,27 @@
 
 use chalkdeck_time::TimeDelta;
 
-/// The largest valid value of `retry_jitter`.
+/// Maximum value of `retry_jitter`.
 const MAX_RETRY_JITTER: f64 = 10.0;
 
 /// The limits and times of a client.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The most attempts of one call, including the first.
+    /// Maximum number of attempts of one call, including the first.
     pub max_attempts: u32,
     /// The initial backoff between attempts of one call.
     pub initial_backoff: TimeDelta,
-    /// The longest backoff between attempts of one call.
+    /// Maximum backoff between attempts of one call.
     pub max_backoff: TimeDelta,
-    /// The largest fraction of a retry time that is added to it at random, so that rejected calls do not return together.
+    /// Maximum fraction of a retry time that is added to it at random, so that rejected calls do not return together.
     pub retry_jitter: f64,
-    /// The most retries that the retry budget can hold.
+    /// Maximum number of retries that the retry budget can hold.
     pub retry_budget: f64,
     /// The retries that each answered call adds to the retry budget.
     pub retry_budget_refill: f64,
     /// The initial window over which reconnects are spread at random.
     pub initial_reconnect_window: TimeDelta,
-    /// The longest window over which reconnects are spread.
+    /// Maximum window over which reconnects are spread.
     pub max_reconnect_window: TimeDelta,
     /// The time limit for establishing a connection.
     pub connect_timeout: TimeDelta,
@@ -34,9 +34,9 @@
     pub keepalive_interval: TimeDelta,
     /// How long a gateway is ejected after consecutive failures.
     pub ejection_time: TimeDelta,
-    /// The most attempts in flight at one gateway.
+    /// Maximum number of attempts in flight at one gateway.
     pub max_in_flight_per_gateway: usize,
-    /// The most calls that wait for a gateway.
+    /// Maximum number of calls that wait for a gateway.
     pub max_pending: usize,
     /// An attempt is not sent if less time than this is left until the deadline.
     pub min_time_left: TimeDelta,
@@ -72,7 +72,7 @@
     /// No attempt is permitted.
     #[error("tries: expected at least 1")]
     MaxAttempts,
-    /// The initial backoff is zero, or exceeds the longest.
+    /// The initial backoff is zero, or exceeds the maximum.
     #[error("backoff_first: expected above 0 and at most backoff_most")]
     Backoff,
     /// The jitter is not a number in its range.
@@ -81,7 +81,7 @@
     /// The retry budget or its refill is not a number of 0 or more.
     #[error("budget, earn: expected numbers of 0 or more")]
     RetryBudget,
-    /// The initial reconnect window exceeds the longest.
+    /// The initial reconnect window exceeds the maximum.
     #[error("reconnect_most: expected at least reconnect_first")]
     ReconnectWindow,
     /// No attempt may be in flight.
--- a/crates/client/src/stream.rs
+++ b/crates/client/src/stream.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// The most bytes of a stream that wait to be sent.
+/// Maximum number of bytes of a stream that wait to be sent.
 pub(crate) const MAX_QUEUED_BYTES: usize = 1 << 20;
 /// The size of a gRPC frame header.
 const FRAME_HEADER_BYTES: usize = 5;
--- a/crates/client/src/tower.rs
+++ b/crates/client/src/tower.rs
@@ -26,7 +26,7 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// The longest request message that is accepted, in bytes.
+/// Maximum size of a request message.
 const MAX_REQUEST_MESSAGE_BYTES: usize = 4 << 20;
 /// Headers that are not forwarded as metadata, because they are set for each attempt.
 const TRANSPORT_HEADERS: [&str; 6] = [
--- a/crates/client/src/tower/body.rs
+++ b/crates/client/src/tower/body.rs
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 use std::task::{Context, Poll};
 
-/// The most received bytes of a stream that wait to be read. A stream that exceeds it is cancelled.
+/// Maximum number of received bytes of a stream that wait to be read. A stream that exceeds it is cancelled.
 const MAX_UNREAD_BYTES: usize = 4 << 20;
 
 /// The body of a response: one message and the status of a unary call, or the messages and the status of a stream. Dropping the
--- a/crates/client/tests/common/mod.rs
+++ b/crates/client/tests/common/mod.rs
@@ -10,9 +10,9 @@
 use std::sync::mpsc::Receiver;
 use std::time::{Duration, Instant};
 
-/// The longest time that a test waits for an event.
+/// Maximum time that a test waits for an event.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
-/// The longest wait of one turn of the event loop, in microseconds.
+/// Maximum time that one turn of the event loop waits for events, in microseconds.
 const MAX_TURN_WAIT_MICROS: u64 = 500;
 
 /// A keyed call whose key window is longer than the calls of a test.
--- a/crates/client/tests/connections.rs
+++ b/crates/client/tests/connections.rs
@@ -9,7 +9,7 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::{Duration, Instant};
 
-const CALLS: usize = 500;
+const CALL_COUNT: usize = 500;
 
 /// The idempotency keys of the attempts that a gateway received.
 fn received_keys(gateway: &ScriptedGateway) -> Vec<Vec<u8>> {
@@ -26,10 +26,10 @@
     reply: Reply,
 }
 
-/// Starts `CALLS` calls. Those with even numbers are keyed, the others are non-idempotent.
+/// Starts `CALL_COUNT` calls. Those with even numbers are keyed, the others are non-idempotent.
 fn start_calls(client: &Client) -> Receiver<NumberedReply> {
     let (sender, replies) = channel();
-    for number in 0..CALLS {
+    for number in 0..CALL_COUNT {
         let sender = sender.clone();
         let idempotency = if number.is_multiple_of(2) {
             KEYED
@@ -48,7 +48,7 @@
     let mut gateway = ScriptedGateway::new();
     let client = start_client(&gateway);
     let replies = start_calls(&client);
-    gateway.wait_for_attempts(CALLS);
+    gateway.wait_for_attempts(CALL_COUNT);
     let first_keys: HashSet<Vec<u8>> = received_keys(&gateway).into_iter().collect();
     // All connections are lost, and the gateway restarts at the same address.
     let address = gateway.address;
@@ -57,7 +57,7 @@
     let mut ended = BTreeSet::new();
     let mut answered = 0;
     let deadline = Instant::now() + TIMEOUT;
-    while ended.len() < CALLS && Instant::now() < deadline {
+    while ended.len() < CALL_COUNT && Instant::now() < deadline {
         gateway.turn();
         while answered < gateway.received.len() {
             gateway.answer(answered);
@@ -71,9 +71,9 @@
             );
         }
     }
-    assert_eq!(ended.len(), CALLS);
+    assert_eq!(ended.len(), CALL_COUNT);
     assert!(
-        gateway.received.len() <= CALLS / 2 && !gateway.received.is_empty(),
+        gateway.received.len() <= CALL_COUNT / 2 && !gateway.received.is_empty(),
         "the retry budget does not bound the retries"
     );
     assert!(
--- a/crates/client/tests/core.rs
+++ b/crates/client/tests/core.rs
@@ -5,7 +5,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
 
-const GATEWAYS: usize = 3;
+const GATEWAY_COUNT: usize = 3;
 const START: Timestamp = Timestamp::from_millis(1_000);
 const SECOND: TimeDelta = TimeDelta::from_secs(1);
 
@@ -39,8 +39,10 @@
             now: START,
             recorded: Vec::new(),
         };
-        harness.handle(Event::GatewaysListed { count: GATEWAYS });
-        for index in 0..GATEWAYS {
+        harness.handle(Event::GatewaysListed {
+            count: GATEWAY_COUNT,
+        });
+        for index in 0..GATEWAY_COUNT {
             let gateway = GatewayId(index);
             harness.handle(Event::Connected { gateway });
         }
@@ -57,7 +59,7 @@
     }
 
     fn disconnect_all(&mut self) {
-        for index in 0..GATEWAYS {
+        for index in 0..GATEWAY_COUNT {
             let gateway = GatewayId(index);
             self.handle(Event::Disconnected { gateway });
         }
--- a/crates/client/tests/recording/mod.rs
+++ b/crates/client/tests/recording/mod.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::fmt::{self, Display};
 
-/// The least number of events that are simulated per seed.
+/// Minimum number of events that are simulated per seed.
 pub const EVENTS_PER_SEED: u64 = 20_000;
 /// A millisecond in microseconds.
 const MILLISECOND: u64 = 1_000;
--- a/crates/coordinator/src/agent/mod.rs
+++ b/crates/coordinator/src/agent/mod.rs
@@ -31,7 +31,7 @@
     Persist(Box<WatchEvent>),
     /// Check with [`GatewayAgent::may_continue`] whether open streams of these customers may continue.
     RecheckStreams(Vec<String>),
-    /// Check this for open streams of all customers, because the session became valid or invalid.
+    /// Do the same check for the open streams of all customers, because the session became valid or invalid.
     RecheckAllStreams,
     /// Check endpoints again, because the set of admitted contract versions changed.
     ContractsChanged,
--- a/crates/coordinator/src/cache_file.rs
+++ b/crates/coordinator/src/cache_file.rs
@@ -114,7 +114,7 @@
         let mut bytes = Vec::new();
         record::append_message(&mut bytes, &change);
         self.change_bytes += bytes.len() as u64;
-        if bytes.len() > record::MAX_BODY_LEN {
+        if bytes.len() > record::MAX_BODY_BYTES {
             return self.rewrite(state);
         }
         file.write_all(&bytes)?;
@@ -160,7 +160,7 @@
     let mut offset = 0;
     while let Some(body) = record::body_at(bytes, offset) {
         state.apply(&WatchEvent::decode(body).ok()?);
-        offset += record::HEADER_LEN + body.len();
+        offset += record::HEADER_BYTES + body.len();
     }
     // A torn record is tolerated only at the end, and only after a complete one.
     let is_torn = offset < bytes.len();
--- a/crates/coordinator/src/consensus.rs
+++ b/crates/coordinator/src/consensus.rs
@@ -122,7 +122,7 @@
     }
 
     /// Handles a re-established connection to a replica: earlier messages may be lost.
-    pub fn reconnected(&mut self, replica: ReplicaId) {
+    pub fn on_reconnected(&mut self, replica: ReplicaId) {
         if let Core::Replicated(core) = &mut self.core {
             core.reconnected(replica.0);
         }
--- a/crates/coordinator/src/replica/membership.rs
+++ b/crates/coordinator/src/replica/membership.rs
@@ -94,8 +94,8 @@
         self.request_configuration(self.settings.slot);
     }
 
-    /// Handles a message of a later configuration: this replica missed the end of its own one and requests the later one. It keeps its
-    /// id there, as its disk is intact.
+    /// Handles a message of a later configuration: this replica missed the end of its own configuration and requests the later one.
+    /// It keeps its id there, as its disk is intact.
     pub(super) fn catch_up(&mut self, message: &PeerMessage) {
         let is_for_this_replica = message.to == self.own_id().0;
         let is_due = self.now >= self.configuration_requested_at + CATCH_UP_RETRY_INTERVAL;
@@ -122,7 +122,8 @@
             .extend(others.map(|slot| Output::ReadMembers(slot, request.clone())));
     }
 
-    /// Handles the configuration of another replica, and enters it if it is later than the own one and has this replica as a member.
+    /// Handles the configuration of another replica, and enters it if it is later than this replica's own and has this replica as a
+    /// member.
     pub fn receive_members(&mut self, response: &ReadResponse) {
         if response.configuration <= self.configuration() {
             return;
--- a/crates/coordinator/src/replica/peers.rs
+++ b/crates/coordinator/src/replica/peers.rs
@@ -86,7 +86,7 @@
             return;
         };
         if self.peers.link(from).reset(run) {
-            consensus.reconnected(from);
+            consensus.on_reconnected(from);
         }
     }
 
@@ -96,7 +96,7 @@
         };
         let delivery = self.peers.link(from).receive(message.clone(), self.now);
         if delivery.is_new_run {
-            consensus.reconnected(from);
+            consensus.on_reconnected(from);
         }
         for body in &delivery.bodies {
             consensus.receive(body);
--- a/crates/coordinator/src/replica/sessions.rs
+++ b/crates/coordinator/src/replica/sessions.rs
@@ -63,7 +63,7 @@
     }
 
     /// Handles a closed stream. Its session lasts until it expires, as the gateway may reconnect on another stream.
-    pub fn stream_closed(&mut self, requester: RequesterId) {
+    pub fn on_stream_closed(&mut self, requester: RequesterId) {
         self.streams.remove(&requester);
     }
 
--- a/crates/coordinator/src/server/mod.rs
+++ b/crates/coordinator/src/server/mod.rs
@@ -54,9 +54,9 @@
 pub fn connection_limits() -> Limits {
     Limits {
         max_streams: 4_096,
-        stream_window: 1 << 20,
-        connection_window: 64 << 20,
-        keepalive_interval: KEEPALIVE_INTERVAL.as_micros(),
+        stream_window_bytes: 1 << 20,
+        connection_window_bytes: 64 << 20,
+        keepalive_interval_micros: KEEPALIVE_INTERVAL.as_micros(),
         ..Limits::default()
     }
 }
@@ -252,7 +252,7 @@
     fn remove_incoming(&mut self, stream: StreamId) {
         let incoming = self.incoming_streams.remove(&stream);
         if incoming.is_some_and(|incoming| incoming.method == Method::Session) {
-            self.replica.stream_closed(RequesterId(stream.0));
+            self.replica.on_stream_closed(RequesterId(stream.0));
         }
     }
 
--- a/crates/coordinator/src/server/peers.rs
+++ b/crates/coordinator/src/server/peers.rs
@@ -112,7 +112,7 @@
         self.peers.get_mut(slot.index())
     }
 
-    /// Sends a message, or drops it if there is no connection: the consensus core resends messages as needed.
+    /// Sends a message, or drops it if there is no connection: the consensus library resends messages as needed.
     pub(super) fn send(&mut self, engine: &mut Engine, slot: Slot, message: &PeerMessage) {
         let Some(peer) = self.peer(slot) else {
             return;
--- a/crates/coordinator/src/state/deduplication.rs
+++ b/crates/coordinator/src/state/deduplication.rs
@@ -52,7 +52,8 @@
             )
         };
         let Some(record) = self.records.get(&caller) else {
-            // An evicted caller had begun before its last command.
+            // The caller may have been evicted. It then had begun before its last command, whose index is at most
+            // `forgotten_at`.
             return (begun_version < self.forgotten_at).then(forgotten_rejection);
         };
         let known = record.responses.iter().find(|r| r.number == number);
--- a/crates/coordinator/src/state/rules.rs
+++ b/crates/coordinator/src/state/rules.rs
@@ -8,7 +8,7 @@
 
 /// Maximum number of versions of a customer's rule set whose behaviour without a session is stored.
 const MAX_SET_VERSIONS: usize = 16;
-/// Maximum number of stored removals. A gateway that lags behind by no more than these is sent changes instead of the whole state.
+/// Maximum number of stored removals. A gateway that lags behind by no more than these is sent changes instead of the full state.
 const MAX_REMOVED_SETS: usize = 1_024;
 
 /// Converts a rule set for decisions; `None` if its default action, its behaviour without a session or a rule's action is
--- a/crates/coordinator/src/state/watch.rs
+++ b/crates/coordinator/src/state/watch.rs
@@ -14,8 +14,8 @@
         }
     }
 
-    /// The changes since the version that a gateway has. Returns the whole state if the gateway has none, or if removals since
-    /// then are no longer remembered. For a gateway whose version is ahead of this replica, no changes are returned.
+    /// The changes since the version that a gateway has. Returns the full state if the gateway has none, or if removals since
+    /// then were evicted. For a gateway whose version is ahead of this replica, no changes are returned.
     pub fn events_since(&self, version: u64) -> WatchEvent {
         let whole = version == 0 || version < self.removed_before;
         let since = if whole { 0 } else { version };
--- a/crates/coordinator/src/storage/persisted_state.rs
+++ b/crates/coordinator/src/storage/persisted_state.rs
@@ -9,7 +9,7 @@
 /// Version of the format of records and snapshots.
 pub const FORMAT_VERSION: u32 = 1;
 /// Bytes of a snapshot in one record. Snapshots are split, as the size of a record is limited.
-const SNAPSHOT_CHUNK_BYTES: usize = record::MAX_BODY_LEN / 2;
+const SNAPSHOT_CHUNK_BYTES: usize = record::MAX_BODY_BYTES / 2;
 
 /// The state that a replica stores for the consensus library.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -162,7 +162,7 @@
             });
         };
         joined.extend_from_slice(body);
-        offset += record::HEADER_LEN + body.len();
+        offset += record::HEADER_BYTES + body.len();
     }
     Ok(joined)
 }
--- a/crates/coordinator/tests/simulated_faults.rs
+++ b/crates/coordinator/tests/simulated_faults.rs
@@ -14,7 +14,7 @@
 /// delays.
 const RECOVERY_LIMIT: u64 = 8 * SECOND;
 /// Time between two state changes of a flapping link, in microseconds.
-const FLAP_INTERVAL_US: std::ops::Range<u64> = 30_000..400_000;
+const FLAP_INTERVAL_MICROS: std::ops::Range<u64> = 30_000..400_000;
 
 /// The faults of a seed with their times.
 struct FaultPlan {
@@ -129,11 +129,11 @@
         let mut time = at;
         while time < end {
             let cut = time;
-            time += self.rng.u64(FLAP_INTERVAL_US);
+            time += self.rng.u64(FLAP_INTERVAL_MICROS);
             self.faults
                 .extend([(cut, Fault::Cut(one, other)), (cut, Fault::Cut(other, one))]);
             let healed = time;
-            time += self.rng.u64(FLAP_INTERVAL_US);
+            time += self.rng.u64(FLAP_INTERVAL_MICROS);
             self.faults.extend([
                 (healed, Fault::Heal(one, other)),
                 (healed, Fault::Heal(other, one)),
--- a/crates/coordinator/tests/simulation/gateways.rs
+++ b/crates/coordinator/tests/simulation/gateways.rs
@@ -186,7 +186,7 @@
         }
     }
 
-    pub(super) fn stream_accepted(&mut self, gateway: usize, stream: u64) {
+    pub(super) fn on_stream_accepted(&mut self, gateway: usize, stream: u64) {
         let node = &mut self.gateways[gateway];
         let now = node.clock.at(self.now);
         let is_current = stream == node.stream;
--- a/crates/coordinator/tests/simulation/network.rs
+++ b/crates/coordinator/tests/simulation/network.rs
@@ -138,7 +138,7 @@
         match to {
             Node::Replica(replica) => self.deliver_to_replica(from, replica, message),
             Node::Gateway(gateway) => match message {
-                Message::StreamAccepted(stream) => self.stream_accepted(gateway, stream),
+                Message::StreamAccepted(stream) => self.on_stream_accepted(gateway, stream),
                 Message::ToGateway(stream, message) => {
                     self.receive_at_gateway(gateway, stream, message);
                 }
--- a/crates/counter/src/batch/tests.rs
+++ b/crates/counter/src/batch/tests.rs
@@ -20,7 +20,7 @@
 fn encoded_body() -> Vec<u8> {
     let mut bytes = Vec::new();
     batch().encode(&mut bytes);
-    bytes.split_off(record::HEADER_LEN)
+    bytes.split_off(record::HEADER_BYTES)
 }
 
 #[test]
--- a/crates/counter/src/server.rs
+++ b/crates/counter/src/server.rs
@@ -28,12 +28,12 @@
 use std::net::SocketAddr;
 use streams::IncrementStream;
 
-/// Longest time that a turn of the event loop waits for an event, in microseconds.
-const MAX_TURN_WAIT_US: u64 = 50_000;
-/// Longest time that a turn waits for an event while the server drains, in microseconds.
-const MAX_DRAIN_TURN_WAIT_US: u64 = 5_000;
-/// Longest duration of a drain, in microseconds.
-const DRAIN_TIMEOUT_US: u64 = 2_000_000;
+/// Maximum time that a turn of the event loop waits for events, in microseconds.
+const MAX_TURN_WAIT_MICROS: u64 = 50_000;
+/// Maximum time that a turn waits for events while the server drains, in microseconds.
+const MAX_DRAIN_TURN_WAIT_MICROS: u64 = 5_000;
+/// Maximum duration of a drain, in microseconds.
+const DRAIN_TIMEOUT_MICROS: u64 = 2_000_000;
 
 /// Where a partition stores its log and snapshots.
 struct Storage {
@@ -78,7 +78,7 @@
     pub fn run(mut self, signals: &Signals) -> Result<(), ServerError> {
         let mut events = Vec::new();
         while !signals.is_stop_requested() {
-            self.turn(MAX_TURN_WAIT_US, &mut events)?;
+            self.turn(MAX_TURN_WAIT_MICROS, &mut events)?;
         }
         self.drain(&mut events)?;
         self.write_last_snapshot()
@@ -86,9 +86,9 @@
 
     fn drain(&mut self, events: &mut Vec<Event>) -> Result<(), ServerError> {
         self.engine.drain(self.grpc_listener);
-        let deadline = self.engine.now() + DRAIN_TIMEOUT_US;
+        let deadline = self.engine.now() + DRAIN_TIMEOUT_MICROS;
         while self.has_outstanding_increments() && self.engine.now() < deadline {
-            self.turn(MAX_DRAIN_TURN_WAIT_US, events)?;
+            self.turn(MAX_DRAIN_TURN_WAIT_MICROS, events)?;
         }
         // One more turn sends the last responses.
         self.turn(0, events)
@@ -98,10 +98,10 @@
         self.in_flight.is_some() || !self.pending.is_empty()
     }
 
-    fn turn(&mut self, max_wait_us: u64, events: &mut Vec<Event>) -> Result<(), ServerError> {
+    fn turn(&mut self, max_wait_micros: u64, events: &mut Vec<Event>) -> Result<(), ServerError> {
         let can_begin_batch = self.in_flight.is_none() && !self.pending.is_empty();
-        let wait_us = if can_begin_batch { 0 } else { max_wait_us };
-        self.engine.turn(wait_us, events)?;
+        let wait_micros = if can_begin_batch { 0 } else { max_wait_micros };
+        self.engine.turn(wait_micros, events)?;
         for event in events.drain(..) {
             self.on_event(event);
         }
--- a/crates/counter/src/server/batches.rs
+++ b/crates/counter/src/server/batches.rs
@@ -7,7 +7,7 @@
 use chalkdeck_net::StreamId;
 use chalkdeck_time::Timestamp;
 
-/// Maximum number of increments in a batch; keeps its record far below [`chalkdeck_wal::record::MAX_BODY_LEN`].
+/// Maximum number of increments in a batch; keeps its record far below [`chalkdeck_wal::record::MAX_BODY_BYTES`].
 const MAX_BATCH_LEN: usize = 16_384;
 
 /// An increment and the stream that gets the response to it.
--- a/crates/counter/src/server/completions.rs
+++ b/crates/counter/src/server/completions.rs
@@ -9,24 +9,24 @@
 
 /// Decides when the next snapshot is due.
 pub(super) struct SnapshotSchedule {
-    /// Bytes of log between two snapshots.
-    interval_bytes: u64,
+    /// Bytes of log after which the next snapshot is due.
+    threshold_bytes: u64,
     /// Bytes of log since the last snapshot was started.
     bytes_since_snapshot: u64,
     is_snapshot_in_progress: bool,
 }
 
 impl SnapshotSchedule {
-    pub(super) fn new(interval_bytes: u64) -> SnapshotSchedule {
+    pub(super) fn new(threshold_bytes: u64) -> SnapshotSchedule {
         SnapshotSchedule {
-            interval_bytes,
+            threshold_bytes,
             bytes_since_snapshot: 0,
             is_snapshot_in_progress: false,
         }
     }
 
     fn is_snapshot_due(&self) -> bool {
-        self.bytes_since_snapshot >= self.interval_bytes && !self.is_snapshot_in_progress
+        self.bytes_since_snapshot >= self.threshold_bytes && !self.is_snapshot_in_progress
     }
 }
 
--- a/crates/counter/src/server/startup.rs
+++ b/crates/counter/src/server/startup.rs
@@ -67,7 +67,7 @@
             responses: FxHashMap::default(),
             hot_name_sampler: HotNameSampler::default(),
             metrics: Metrics::new(),
-            snapshot_schedule: SnapshotSchedule::new(settings.snapshot_interval_bytes),
+            snapshot_schedule: SnapshotSchedule::new(settings.snapshot_threshold_bytes),
             is_log_closed: false,
         })
     }
--- a/crates/counter/src/server/streams.rs
+++ b/crates/counter/src/server/streams.rs
@@ -14,7 +14,7 @@
 /// Path of the method that accepts one increment.
 const ADD_METHOD: &str = "/chalkdeck.counter.v1.Counter/Add";
 /// Maximum length of a request, in bytes.
-const MAX_REQUEST_LEN: usize = 1_024;
+const MAX_REQUEST_BYTES: usize = 1_024;
 /// Maximum number of response bytes that are queued for a slow client; beyond it the stream is reset.
 const MAX_UNSENT_BYTES: usize = 4 << 20;
 
@@ -39,7 +39,7 @@
     fn next_request(&mut self) -> Result<Option<AddRequest>, MalformedRequest> {
         let message = self
             .deframer
-            .next(MAX_REQUEST_LEN)
+            .next(MAX_REQUEST_BYTES)
             .map_err(|_| MalformedRequest)?;
         let Some(message) = message else {
             return Ok(None);
--- a/crates/counter/src/settings.rs
+++ b/crates/counter/src/settings.rs
@@ -13,8 +13,8 @@
 const SETTINGS_MESSAGE: &str = "chalkdeck.counter.v1.Settings";
 /// Default of [`Settings::pending_capacity`].
 const DEFAULT_PENDING_CAPACITY: usize = 65_536;
-/// Default of [`Settings::snapshot_interval_bytes`].
-const DEFAULT_SNAPSHOT_INTERVAL_BYTES: u64 = 64 << 20;
+/// Default of [`Settings::snapshot_threshold_bytes`].
+const DEFAULT_SNAPSHOT_THRESHOLD_BYTES: u64 = 64 << 20;
 
 /// A settings file that cannot be used.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
@@ -104,8 +104,8 @@
     pub limits: Limits,
     /// Maximum number of increments that wait for a batch at one partition.
     pub pending_capacity: usize,
-    /// Bytes of log between two snapshots of a partition.
-    pub snapshot_interval_bytes: u64,
+    /// Bytes of log after which the next snapshot of a partition is written.
+    pub snapshot_threshold_bytes: u64,
 }
 
 impl Settings {
@@ -131,8 +131,8 @@
             sync_policy: sync_policy(wire.promise()),
             limits: limits(&wire),
             pending_capacity: count_or_default(wire.waiting, DEFAULT_PENDING_CAPACITY),
-            snapshot_interval_bytes: match wire.snapshot_bytes {
-                0 => DEFAULT_SNAPSHOT_INTERVAL_BYTES,
+            snapshot_threshold_bytes: match wire.snapshot_bytes {
+                0 => DEFAULT_SNAPSHOT_THRESHOLD_BYTES,
                 bytes => bytes,
             },
         })
--- a/crates/counter/src/snapshot.rs
+++ b/crates/counter/src/snapshot.rs
@@ -11,7 +11,7 @@
 
 /// Version of the snapshot and record format; other versions are rejected.
 pub const VERSION: u32 = 1;
-/// Maximum number of names, or of remembered increments, in one record; keeps records far below [`record::MAX_BODY_LEN`].
+/// Maximum number of names, or of remembered increments, in one record; keeps records far below [`record::MAX_BODY_BYTES`].
 const MAX_ENTRIES_PER_RECORD: usize = 32_768;
 
 /// Encodes the state as a snapshot.
--- a/crates/counter/src/writer/log_thread.rs
+++ b/crates/counter/src/writer/log_thread.rs
@@ -8,7 +8,7 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::{Duration, Instant};
 
-/// Longest time that a batch stays unsynced with [`SyncPolicy::Periodic`].
+/// Maximum time that a batch stays unsynced with [`SyncPolicy::Periodic`].
 const SYNC_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A request to the thread.
--- a/crates/counter/tests/kill.rs
+++ b/crates/counter/tests/kill.rs
@@ -22,8 +22,8 @@
 const MAX_UNACKNOWLEDGED: usize = 64;
 const DEFAULT_KILLS: u32 = 12;
 const TIMEOUT: Duration = Duration::from_secs(30);
-/// Longest time that a turn of the event loop waits for an event, in microseconds.
-const MAX_TURN_WAIT_US: u64 = 2_000;
+/// Maximum time that a turn of the event loop waits for events, in microseconds.
+const MAX_TURN_WAIT_MICROS: u64 = 2_000;
 
 /// The name of an acknowledged increment and the total in its response.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -179,7 +179,7 @@
     fn turn(&mut self, mode: SendMode) {
         let mut events = Vec::new();
         self.engine
-            .turn(MAX_TURN_WAIT_US, &mut events)
+            .turn(MAX_TURN_WAIT_MICROS, &mut events)
             .expect("a turn");
         for event in events {
             self.on_event(event);
--- a/crates/counter/tests/service.rs
+++ b/crates/counter/tests/service.rs
@@ -12,8 +12,8 @@
 use std::time::{Duration, Instant};
 
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// Longest time that a turn of the event loop waits for an event, in microseconds.
-const MAX_TURN_WAIT_US: u64 = 5_000;
+/// Maximum time that a turn of the event loop waits for events, in microseconds.
+const MAX_TURN_WAIT_MICROS: u64 = 5_000;
 
 /// Writes settings for a number of partitions and returns the path of the file.
 fn write_settings(folder: &Path, partitions: usize, extra_settings: &str) -> PathBuf {
@@ -46,7 +46,9 @@
             .any(|event| matches!(event, Event::Connected { .. }))
         {
             assert!(Instant::now() < deadline, "a connection in time");
-            engine.turn(MAX_TURN_WAIT_US, &mut events).expect("a turn");
+            engine
+                .turn(MAX_TURN_WAIT_MICROS, &mut events)
+                .expect("a turn");
         }
         let head = grpc::request_head(&address.to_string(), ADDS_METHOD).expect("a head");
         let stream = engine
@@ -80,7 +82,7 @@
         while !is_met(self) {
             assert!(Instant::now() < deadline, "not in time: {what}");
             self.engine
-                .turn(MAX_TURN_WAIT_US, &mut events)
+                .turn(MAX_TURN_WAIT_MICROS, &mut events)
                 .expect("a turn");
             for event in events.drain(..) {
                 self.on_event(event);
--- a/crates/grpc-gateway/src/endpoint_connections.rs
+++ b/crates/grpc-gateway/src/endpoint_connections.rs
@@ -60,7 +60,7 @@
     pub(crate) fn new(max_connections: usize, streams: u32, keepalive: u64) -> EndpointConnections {
         let limits = Limits {
             max_streams: streams,
-            keepalive_interval: keepalive,
+            keepalive_interval_micros: keepalive,
             ..Limits::default()
         };
         EndpointConnections {
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -19,8 +19,8 @@
     read_clock(ClockId::Monotonic)
 }
 
-/// The incarnation number of a process that started at `now`. It is higher than that of any earlier incarnation; random low bits
-/// distinguish processes that started in the same microsecond.
+/// The incarnation number of a process that started at `now`. It is higher than that of any earlier incarnation, unless the system
+/// clock was set back in between; random low bits distinguish processes that started in the same microsecond.
 pub fn generate_incarnation(now: u64) -> u64 {
     (now << INCARNATION_RANDOM_BITS) | fastrand::u64(..1 << INCARNATION_RANDOM_BITS)
 }
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -81,7 +81,7 @@
     pub(crate) reset_counter: ResetCounter,
     ping: Option<h2::PingPong>,
     /// A ping was sent and its answer has not arrived yet.
-    pub(crate) awaits_pong: bool,
+    pub(crate) is_awaiting_pong: bool,
     /// GOAWAY is sent, or will be as soon as the handshake is over.
     is_draining: bool,
 }
@@ -154,7 +154,7 @@
             was_established: false,
             reset_counter: ResetCounter::default(),
             ping: None,
-            awaits_pong: false,
+            is_awaiting_pong: false,
             is_draining: false,
         }
     }
@@ -190,7 +190,7 @@
     /// Sends a ping.
     pub(crate) fn send_ping(&mut self) {
         if let Some(ping) = &mut self.ping {
-            self.awaits_pong = ping.send_ping(h2::Ping::opaque()).is_ok();
+            self.is_awaiting_pong = ping.send_ping(h2::Ping::opaque()).is_ok();
             self.waker.wake_by_ref();
         }
     }
@@ -208,11 +208,11 @@
     }
 
     fn poll_pong(&mut self, context: &mut Context<'_>) {
-        let Some(ping) = self.ping.as_mut().filter(|_| self.awaits_pong) else {
+        let Some(ping) = self.ping.as_mut().filter(|_| self.is_awaiting_pong) else {
             return;
         };
         if ping.poll_pong(context).is_ready() {
-            self.awaits_pong = false;
+            self.is_awaiting_pong = false;
         }
     }
 
@@ -340,10 +340,10 @@
     let mut builder = h2::server::Builder::new();
     builder
         .max_concurrent_streams(limits.max_streams)
-        .initial_window_size(limits.stream_window)
-        .initial_connection_window_size(limits.connection_window)
+        .initial_window_size(limits.stream_window_bytes)
+        .initial_connection_window_size(limits.connection_window_bytes)
         .max_header_list_size(limits.max_header_bytes)
-        .max_send_buffer_size(limits.stream_window as usize)
+        .max_send_buffer_size(limits.stream_window_bytes as usize)
         .max_concurrent_reset_streams(MAX_REMEMBERED_RESETS)
         .max_pending_accept_reset_streams(MAX_REMEMBERED_RESETS);
     builder
@@ -354,9 +354,9 @@
     builder
         .enable_push(false)
         .initial_max_send_streams(limits.max_streams as usize)
-        .initial_window_size(limits.stream_window)
-        .initial_connection_window_size(limits.connection_window)
+        .initial_window_size(limits.stream_window_bytes)
+        .initial_connection_window_size(limits.connection_window_bytes)
         .max_header_list_size(limits.max_header_bytes)
-        .max_send_buffer_size(limits.stream_window as usize);
+        .max_send_buffer_size(limits.stream_window_bytes as usize);
     builder
 }
--- a/crates/net/src/engine.rs
+++ b/crates/net/src/engine.rs
@@ -24,12 +24,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Streams that clients may open in one turn of the loop. Without a limit, a flood of new streams would delay the streams that are
-/// already open, as each of their steps waits for the next turn.
+/// Maximum number of streams that clients may open in one turn of the loop. Without a limit, a flood of new streams would delay the
+/// streams that are already open, as each of their steps waits for the next turn.
 const OPENS_PER_TURN: usize = 64;
-/// Connections and streams that are polled in one turn of the loop, so that a busy peer does not delay timers.
+/// Maximum number of connections and streams that are polled in one turn of the loop, so that a busy peer does not delay timers.
 const POLLS_PER_TURN: usize = 8_192;
-/// The most readiness events that one `mio` poll returns.
+/// Maximum number of readiness events that one `mio` poll returns.
 const READINESS_CAPACITY: usize = 1_024;
 /// The mio token of the `LoopWaker`.
 const WAKER_TOKEN: Token = Token(usize::MAX);
--- a/crates/net/src/engine/connections.rs
+++ b/crates/net/src/engine/connections.rs
@@ -14,7 +14,7 @@
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 
-/// Streams that the peer of one connection may open before other connections are polled.
+/// Maximum number of streams that the peer of one connection may open before other connections are polled.
 const OPENS_PER_CONNECTION: usize = 8;
 
 impl Engine {
@@ -125,13 +125,13 @@
             let Some(connection) = self.connections.get_mut(&key) else {
                 continue;
             };
-            if connection.awaits_pong {
+            if connection.is_awaiting_pong {
                 let reason = CloseReason::Failed("no answer to a ping".to_string());
                 self.remove_connection(key, reason);
                 continue;
             }
             connection.send_ping();
-            let next = now + connection.limits.keepalive_interval;
+            let next = now + connection.limits.keepalive_interval_micros;
             self.pings.push(Reverse((next, key)));
         }
     }
@@ -175,7 +175,7 @@
         let keepalive_interval = self
             .connections
             .get(&key)
-            .map_or(0, |connection| connection.limits.keepalive_interval);
+            .map_or(0, |connection| connection.limits.keepalive_interval_micros);
         if keepalive_interval > 0 {
             self.pings
                 .push(Reverse((self.now() + keepalive_interval, key)));
--- a/crates/net/src/engine/listeners.rs
+++ b/crates/net/src/engine/listeners.rs
@@ -12,7 +12,8 @@
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 
-/// Connections that a listener accepts in one turn, so that open connections are not delayed while thousands of clients reconnect.
+/// Maximum number of connections that a listener accepts in one turn, so that open connections are not delayed while thousands of
+/// clients reconnect.
 pub(super) const ACCEPTS_PER_TURN: usize = 32;
 
 impl Engine {
--- a/crates/net/src/file_watch.rs
+++ b/crates/net/src/file_watch.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::time::SystemTime;
 
-/// The largest file that is read.
+/// Maximum size of a file that is read.
 const MAX_BYTES: u64 = 32 << 20;
 
 /// A watched file cannot be read.
--- a/crates/net/src/grpc.rs
+++ b/crates/net/src/grpc.rs
@@ -89,7 +89,7 @@
 
 /// The size of the header of a frame: a compression flag and the length of the message.
 const FRAME_HEADER_BYTES: usize = 5;
-/// The most digits of a timeout.
+/// Maximum number of digits of a timeout.
 const MAX_TIMEOUT_DIGITS: usize = 8;
 /// The message type in the status details that states when to retry.
 const RETRY_INFO: &str = "google.rpc.RetryInfo";
--- a/crates/net/src/http1.rs
+++ b/crates/net/src/http1.rs
@@ -3,11 +3,11 @@
 use mio::net::TcpStream;
 use std::io::{self, Read, Write};
 
-/// The longest request head that is accepted.
+/// Maximum size of a request head.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// The most headers of a request that are accepted.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 64;
-/// The most bytes of one read.
+/// Maximum number of bytes per read.
 const MAX_READ_BYTES: usize = 2_048;
 
 /// An HTTP/1.1 server connection.
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -8,7 +8,7 @@
 
 /// The delay before a listener retries a failed accept, in microseconds. Most failures mean that no file descriptor is left.
 const ACCEPT_RETRY_DELAY_MICROS: u64 = 50_000;
-/// The most established connections that wait in the kernel to be accepted.
+/// Maximum number of established connections that wait in the kernel to be accepted.
 const BACKLOG: i32 = 1_024;
 
 /// Whether other threads can listen at the same address.
--- a/crates/net/src/plain_connection.rs
+++ b/crates/net/src/plain_connection.rs
@@ -6,9 +6,9 @@
 use std::io::{self, Read, Write};
 use std::net::Shutdown;
 
-/// The most bytes of one read.
+/// Maximum number of bytes per read.
 const MAX_READ_BYTES: usize = 16 << 10;
-/// The most reads of discarded input in one poll, so that other connections are not delayed.
+/// Maximum number of reads of discarded input in one poll, so that other connections are not delayed.
 const MAX_DISCARD_READS_PER_POLL: usize = 16;
 
 /// What happens once the queued bytes are written.
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -13,7 +13,7 @@
 use std::pin::Pin;
 use std::task::{Context, Poll, Waker};
 
-/// The most send capacity that is reserved at once.
+/// Maximum send capacity that is reserved at once.
 const MAX_RESERVED_BYTES: usize = 1 << 20;
 
 /// The state of the receiving side.
--- a/crates/net/tests/flood.rs
+++ b/crates/net/tests/flood.rs
@@ -4,7 +4,7 @@
 use std::io::{ErrorKind, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// The most bytes of one connection that one turn reports.
+/// Maximum number of bytes of one connection that one turn reports.
 const MAX_BYTES_PER_TURN: usize = 16 << 10;
 
 #[test]
--- a/crates/wal/src/record.rs
+++ b/crates/wal/src/record.rs
@@ -3,9 +3,9 @@
 use prost::Message;
 
 /// Maximum length of a body, in bytes. Readers treat longer records as damaged, so writers must not exceed it.
-pub const MAX_BODY_LEN: usize = 4 << 20;
+pub const MAX_BODY_BYTES: usize = 4 << 20;
 /// Length of the header before each body, in bytes.
-pub const HEADER_LEN: usize = 8;
+pub const HEADER_BYTES: usize = 8;
 /// Offset of the checksum within the header.
 const CHECKSUM_OFFSET: usize = 4;
 
@@ -17,13 +17,13 @@
 /// Appends a message as a record.
 pub fn append_message(out: &mut Vec<u8>, message: &impl Message) {
     let start = out.len();
-    out.extend([0; HEADER_LEN]);
+    out.extend([0; HEADER_BYTES]);
     message.encode(out).expect("a vector grows as needed");
-    let body = &out[start + HEADER_LEN..];
+    let body = &out[start + HEADER_BYTES..];
     let len = body.len() as u32;
     let crc = checksum(body);
     out[start..start + CHECKSUM_OFFSET].copy_from_slice(&len.to_le_bytes());
-    out[start + CHECKSUM_OFFSET..start + HEADER_LEN].copy_from_slice(&crc.to_le_bytes());
+    out[start + CHECKSUM_OFFSET..start + HEADER_BYTES].copy_from_slice(&crc.to_le_bytes());
 }
 
 /// Appends bytes, which must not be empty, as a record.
@@ -38,10 +38,10 @@
     let len = read_u32(bytes, offset)? as usize;
     let crc = read_u32(bytes, offset + CHECKSUM_OFFSET)?;
     // Records are never empty: otherwise a tail of zeros would read as an empty record with a valid checksum.
-    if len == 0 || len > MAX_BODY_LEN {
+    if len == 0 || len > MAX_BODY_BYTES {
         return None;
     }
-    let body = bytes.get(offset + HEADER_LEN..offset + HEADER_LEN + len)?;
+    let body = bytes.get(offset + HEADER_BYTES..offset + HEADER_BYTES + len)?;
     (checksum(body) == crc).then_some(body)
 }
 
@@ -52,7 +52,7 @@
 
 /// Whether a valid record starts at this offset or anywhere after it.
 pub fn has_valid_record_from(bytes: &[u8], offset: usize) -> bool {
-    let end = bytes.len().saturating_sub(HEADER_LEN);
+    let end = bytes.len().saturating_sub(HEADER_BYTES);
     (offset..end).any(|candidate| body_at(bytes, candidate).is_some())
 }
 
@@ -95,7 +95,7 @@
     fn next(&mut self) -> Option<Record<'a>> {
         let offset = self.offset;
         let body = body_at(self.bytes, offset)?;
-        self.offset += HEADER_LEN + body.len();
+        self.offset += HEADER_BYTES + body.len();
         Some(Record { offset, body })
     }
 }
--- a/crates/wal/src/record/tests.rs
+++ b/crates/wal/src/record/tests.rs
@@ -21,7 +21,7 @@
 #[test]
 fn bytes_end_anywhere_then_only_complete_records_are_read() {
     let bytes = two_records();
-    let first_len = HEADER_LEN + b"first".len();
+    let first_len = HEADER_BYTES + b"first".len();
     for len in 0..bytes.len() {
         let mut reader = RecordReader::new(&bytes[..len]);
         assert_eq!(reader.by_ref().count(), usize::from(len >= first_len));
@@ -32,7 +32,7 @@
 #[test]
 fn bit_is_flipped_then_record_is_not_read() {
     let intact = two_records();
-    let first_len = HEADER_LEN + b"first".len();
+    let first_len = HEADER_BYTES + b"first".len();
     for bit in 0..first_len * 8 {
         let mut bytes = intact.clone();
         bytes[bit / 8] ^= 1 << (bit % 8);
--- a/crates/wal/src/recovery/tests.rs
+++ b/crates/wal/src/recovery/tests.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn empty_folder_then_state_is_empty() {
+fn folder_is_empty_then_state_is_empty() {
     let recovered = recover_all(&SimulatedDisk::new(1)).expect("a valid log");
     assert_eq!(recovered.state, Sum::default());
     assert_eq!(recovered.identity, Identity::default());
@@ -106,7 +106,7 @@
     let record_len = encode(0, 0).len();
     let damaged_offset = intact_len - 2 * record_len;
     edit(&disk, &name, |bytes| {
-        bytes[damaged_offset + record::HEADER_LEN] ^= 1;
+        bytes[damaged_offset + record::HEADER_BYTES] ^= 1;
     });
     let error = error_of(&disk);
     assert!(error.contains(&name), "{error}");
--- a/crates/wal/src/test_state.rs
+++ b/crates/wal/src/test_state.rs
@@ -113,7 +113,7 @@
             self.log.append(&record).expect("appended");
             self.log.sync().expect("synced");
             self.sum
-                .replay(&record[record::HEADER_LEN..])
+                .replay(&record[record::HEADER_BYTES..])
                 .expect("a valid record");
         }
     }
