--- a/crates/coordinator/src/replica/membership.rs
+++ b/crates/coordinator/src/replica/membership.rs
@@ -184,10 +184,11 @@
         let Some(member) = members.iter_mut().find(|m| m.slot == slot) else {
             return;
         };
-        let is_silent =
-            !self
-                .peers
-                .sent_message_within(member.id, MIN_SILENCE_BEFORE_REPLACEMENT, self.now);
+        let is_silent = !self.peers.has_sent_message_within(
+            member.id,
+            MIN_SILENCE_BEFORE_REPLACEMENT,
+            self.now,
+        );
         if member.incarnation == incarnation || !is_silent || member.id == own {
             return;
         }
--- a/crates/coordinator/src/replica/peers.rs
+++ b/crates/coordinator/src/replica/peers.rs
@@ -31,7 +31,8 @@
         self.last_message_at.insert(id, now);
     }
 
-    pub(super) fn sent_message_within(
+    /// Whether a message of a replica was received within the last `span`.
+    pub(super) fn has_sent_message_within(
         &self,
         id: ReplicaId,
         span: TimeDelta,
--- a/crates/coordinator/src/state/mod.rs
+++ b/crates/coordinator/src/state/mod.rs
@@ -33,8 +33,8 @@
 
 /// The protocol version of this program: it determines which commands it can apply.
 pub const PROTOCOL_VERSION: u32 = 1;
-/// Length of a span of recent calls, in milliseconds of the agreed time.
-const RECENT_CALLS_SPAN_MS: u64 = 120_000;
+/// Length of a period of recent calls, in milliseconds of the agreed time.
+const RECENT_CALLS_PERIOD_MS: u64 = 120_000;
 
 /// The replicated state.
 #[derive(Clone, Debug, Default)]
@@ -76,9 +76,9 @@
     hits: BTreeMap<String, HitTotals>,
     /// Incarnations of gateways that have ended and whose hits are not folded yet.
     ended_incarnations: BTreeSet<u64>,
-    /// Recent calls by customer, and the agreed time at which their current span began.
+    /// Recent calls by customer, and the agreed time at which their current period began.
     recent_calls: BTreeMap<String, CallHistory>,
-    recent_span_start_ms: u64,
+    recent_period_start_ms: u64,
     callers: CallerRecords,
 }
 
@@ -162,15 +162,15 @@
     /// Advances the agreed time; it never goes backwards.
     fn advance_time(&mut self, time_ms: u64) -> CommandResponse {
         self.time_ms = self.time_ms.max(time_ms);
-        if self.time_ms >= self.recent_span_start_ms + RECENT_CALLS_SPAN_MS {
-            self.begin_recent_span();
+        if self.time_ms >= self.recent_period_start_ms + RECENT_CALLS_PERIOD_MS {
+            self.start_recent_period();
         }
         done()
     }
 
     /// Drops calls that are no longer recent, and rule sets that have become redundant.
-    fn begin_recent_span(&mut self) {
-        self.recent_span_start_ms = self.time_ms;
+    fn start_recent_period(&mut self) {
+        self.recent_period_start_ms = self.time_ms;
         self.recent_calls
             .values_mut()
             .for_each(CallHistory::start_period);
--- a/crates/coordinator/src/state/rules.rs
+++ b/crates/coordinator/src/state/rules.rs
@@ -160,7 +160,7 @@
     }
 }
 
-/// Whether a gateway without a session that last acknowledged this version of the state continues to apply an earlier set.
+/// Whether a gateway that last acknowledged this version of the state continues to apply an earlier set without a session.
 fn applies_earlier_set(rules: &wire::CustomerRules, acknowledged_version: u64) -> bool {
     let last = rules
         .history
--- a/crates/coordinator/src/state/snapshot.rs
+++ b/crates/coordinator/src/state/snapshot.rs
@@ -79,7 +79,7 @@
             configuration: self.configuration,
             members: self.members.values().copied().collect(),
             contract_revision: self.contract_revision,
-            recent_span_start_ms: self.recent_span_start_ms,
+            recent_span_start_ms: self.recent_period_start_ms,
             forgotten_at: self.callers.forgotten_at(),
             cluster: self.cluster,
         }
@@ -116,7 +116,7 @@
             proposals: by_key(&snapshot.proposals, |proposal| proposal.id),
             verdicts: by_key(&snapshot.verdicts, |verdict| verdict.proposal),
             site_overrides: by_key(&snapshot.site_overrides, |o| o.site.clone()),
-            recent_span_start_ms: snapshot.recent_span_start_ms,
+            recent_period_start_ms: snapshot.recent_span_start_ms,
             callers,
             ..ReplicatedState::default()
         };
--- a/crates/coordinator/tests/simulation/replicas.rs
+++ b/crates/coordinator/tests/simulation/replicas.rs
@@ -27,7 +27,7 @@
     pub(super) disk: SimulatedDisk,
     clock: Clock,
     pub(super) stalled_until: u64,
-    starts: u64,
+    start_count: u64,
     replica_count: usize,
     /// An earlier copy of the disk.
     pub(super) disk_copy: Option<SimulatedDisk>,
@@ -42,7 +42,7 @@
             disk: SimulatedDisk::new(disk_seed),
             clock,
             stalled_until: 0,
-            starts: 0,
+            start_count: 0,
             replica_count,
             disk_copy: None,
             requesters: BTreeMap::new(),
@@ -70,7 +70,7 @@
             max_log_entries: MAX_LOG_ENTRIES,
             elections: vec![EFFECTS_ELECTION.into()],
             incarnation: if has_configuration {
-                identity.incarnation ^ (self.starts << 16)
+                identity.incarnation ^ (self.start_count << 16)
             } else {
                 identity.incarnation
             },
@@ -82,8 +82,8 @@
 impl Simulation {
     pub(super) fn start_replica(&mut self, replica: usize, start_mode: StartMode) {
         let node = &mut self.replicas[replica];
-        node.starts += 1;
-        let incarnation = (replica as u64 + 1) << 32 | node.starts;
+        node.start_count += 1;
+        let incarnation = (replica as u64 + 1) << 32 | node.start_count;
         let mut opened = match ReplicaLog::open(node.disk.clone(), incarnation) {
             Ok(opened) => opened,
             Err(error) => {
--- a/crates/counter/src/hot_names.rs
+++ b/crates/counter/src/hot_names.rs
@@ -24,7 +24,7 @@
     pub(crate) count: u64,
 }
 
-/// A space-saving sketch. It contains every name that gets more than one in `CAPACITY` of the recorded increments.
+/// A space-saving sketch. It retains the names that get much more than one in `CAPACITY` of the recorded increments.
 #[derive(Debug, Default)]
 pub(crate) struct HotNameSketch {
     counts: FxHashMap<NameId, u64>,
--- a/crates/counter/src/snapshot.rs
+++ b/crates/counter/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Encoding of the whole state as the records of a snapshot. Equal states give equal bytes.
+//! Encoding of the full state as the records of a snapshot. Equal states give equal bytes.
 
 use crate::state::{
     AcknowledgedIncrement, CallerId, CallerRecord, CounterState, Limits, NameEntry, NameId,
--- a/crates/counter/src/state.rs
+++ b/crates/counter/src/state.rs
@@ -163,10 +163,10 @@
         {
             return Ok(());
         }
-        let has_no_room =
+        let exceeds_name_limit =
             self.names.len() >= self.limits.names && !self.names.contains(increment.name);
-        // An expired name will be removed and makes room.
-        if has_no_room && !self.names.has_expired(self.time) {
+        // An expired name does not count: it will be removed when the increment is applied.
+        if exceeds_name_limit && !self.names.has_expired(self.time) {
             return Err(Rejection::TooManyNames);
         }
         Ok(())
--- a/crates/net/src/engine/connections.rs
+++ b/crates/net/src/engine/connections.rs
@@ -172,13 +172,13 @@
     fn on_connected(&mut self, key: u64) {
         let conn = ConnId(key);
         self.events.push_back(Event::Connected { conn });
-        let keepalive_interval = self
+        let keepalive_interval_micros = self
             .connections
             .get(&key)
             .map_or(0, |connection| connection.limits.keepalive_interval_micros);
-        if keepalive_interval > 0 {
+        if keepalive_interval_micros > 0 {
             self.pings
-                .push(Reverse((self.now() + keepalive_interval, key)));
+                .push(Reverse((self.now() + keepalive_interval_micros, key)));
         }
     }
 
--- a/crates/wal/src/lib.rs
+++ b/crates/wal/src/lib.rs
@@ -1,7 +1,7 @@
 //! A crash-safe write-ahead log with snapshots, for any state that can be rebuilt by replaying records.
 //!
 //! A state implements [`state::ReplayableState`]. [`log::Log`] appends its records to segment files on a
-//! [`disk::Disk`], [`snapshot`] writes the whole state to one file, and [`recovery`] restores the state from the newest
+//! [`disk::Disk`], [`snapshot`] writes the full state to one file, and [`recovery`] restores the state from the newest
 //! snapshot and the records after it. [`retention`] removes files that newer snapshots supersede.
 #![forbid(unsafe_code)]
 
--- a/crates/wal/src/snapshot.rs
+++ b/crates/wal/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Writing of snapshots: the whole state at one position.
+//! Writing of snapshots: the full state at one position.
 
 use crate::disk::Disk;
 use crate::file_names::{self, TEMPORARY_SNAPSHOT};
--- a/crates/wal/src/state.rs
+++ b/crates/wal/src/state.rs
@@ -56,7 +56,7 @@
     fn position(&self) -> u64;
     /// Applies the body of a record if the record starts at this state's position; otherwise the state stays unchanged.
     fn replay(&mut self, body: &[u8]) -> Result<Replayed, MalformedRecord>;
-    /// Encodes the whole state.
+    /// Encodes the full state.
     fn snapshot(&self, identity: Identity) -> Vec<u8>;
     /// Decodes a snapshot; returns an error unless all of it is valid.
     fn restore(bytes: &[u8], settings: &Self::Settings)
