--- a/crates/client/src/driver.rs
+++ b/crates/client/src/driver.rs
@@ -21,9 +21,9 @@
 /// Maximum size of a response message.
 const MAX_RESPONSE_MESSAGE_BYTES: usize = 4 << 20;
 /// Maximum time that one turn of the event loop waits for events.
-const MAX_WAIT: TimeDelta = TimeDelta::from_secs(1);
+const MAX_TURN_WAIT: TimeDelta = TimeDelta::from_secs(1);
 /// The timer token for polling the gateway file. All other tokens are those of connect timeouts.
-const GATEWAY_FILE_TIMER: u64 = u64::MAX;
+const GATEWAY_FILE_TIMER_TOKEN: u64 = u64::MAX;
 
 /// The state of the client's thread.
 pub(crate) struct Driver {
@@ -107,9 +107,9 @@
 
     fn max_wait(&self) -> TimeDelta {
         let Some(wake) = self.core.next_wake() else {
-            return MAX_WAIT;
+            return MAX_TURN_WAIT;
         };
-        (wake - self.now()).min(MAX_WAIT)
+        (wake - self.now()).min(MAX_TURN_WAIT)
     }
 
     /// Passes events to the core and executes its actions, until no new events result.
@@ -165,7 +165,7 @@
         match event {
             NetEvent::Connected { conn } => self.on_connected(conn),
             NetEvent::Closed { conn, .. } => self.on_closed(conn),
-            NetEvent::Timer(GATEWAY_FILE_TIMER) => self.poll_gateway_file(),
+            NetEvent::Timer(GATEWAY_FILE_TIMER_TOKEN) => self.poll_gateway_file(),
             NetEvent::Timer(token) => self.on_connect_timeout(token),
             NetEvent::ResponseHead {
                 stream,
--- a/crates/client/src/driver/connections.rs
+++ b/crates/client/src/driver/connections.rs
@@ -1,6 +1,6 @@
 //! The list of gateways and the connections to them.
 
-use super::{Driver, GATEWAY_FILE_TIMER};
+use super::{Driver, GATEWAY_FILE_TIMER_TOKEN};
 use crate::core::{Event, GatewayId};
 use crate::gateway_file::{self, GatewayFileError};
 use chalkdeck_net::{ConnId, Limits};
@@ -104,7 +104,7 @@
             return;
         };
         self.engine
-            .set_timer(next_poll_at.as_micros(), GATEWAY_FILE_TIMER);
+            .set_timer(next_poll_at.as_micros(), GATEWAY_FILE_TIMER_TOKEN);
         let Some(read) = watch.poll() else {
             return;
         };
--- a/crates/client/src/settings/text.rs
+++ b/crates/client/src/settings/text.rs
@@ -5,7 +5,7 @@
 use chalkdeck_time::TimeDelta;
 
 /// The full name of the message type of the settings.
-const MESSAGE: &str = "chalkdeck.client.v1.Settings";
+const MESSAGE_NAME: &str = "chalkdeck.client.v1.Settings";
 
 impl Settings {
     /// Parses `chalkdeck.client.v1.Settings` in text format. Fields that are absent or zero keep their defaults.
@@ -15,7 +15,7 @@
     /// The text is invalid, in which case the error has the line, or a value is out of range, in which case the error names the
     /// field.
     pub fn parse(text: &str) -> Result<Settings, TextError> {
-        let wire: wire::Settings = chalkdeck_proto::text::parse(MESSAGE, text)?;
+        let wire: wire::Settings = chalkdeck_proto::text::parse(MESSAGE_NAME, text)?;
         let settings = from_wire(&wire);
         settings.check().map_err(|error| TextError {
             line: 1,
--- a/crates/coordinator/src/server/mod.rs
+++ b/crates/coordinator/src/server/mod.rs
@@ -41,7 +41,7 @@
 /// Interval between keepalive pings. A connection is closed if a ping is not answered before the next one is due.
 const KEEPALIVE_INTERVAL: TimeDelta = TimeDelta::from_millis(1_000);
 /// Maximum time that an event-loop turn waits for events.
-const MAX_POLL_WAIT: TimeDelta = TimeDelta::from_millis(50);
+const MAX_TURN_WAIT: TimeDelta = TimeDelta::from_millis(50);
 /// Token of the tick timer.
 const TICK_TIMER_TOKEN: u64 = 1;
 /// Size of the log at which a snapshot is written, as a multiple of the configuration's initial state, because each snapshot
@@ -130,7 +130,7 @@
         self.end_turn()?;
         while !signals.is_stop_requested() {
             self.engine
-                .turn(MAX_POLL_WAIT.as_micros(), &mut events)
+                .turn(MAX_TURN_WAIT.as_micros(), &mut events)
                 .map_err(ServerError::Poll)?;
             let now = Timestamp::from_micros(self.engine.now());
             self.replica.advance_clock(now);
--- a/crates/counter/src/server/streams.rs
+++ b/crates/counter/src/server/streams.rs
@@ -9,11 +9,11 @@
 use chalkdeck_time::TimeDelta;
 use prost::Message;
 
-/// Path of the method that accepts any number of increments on one stream.
-const ADDS_METHOD: &str = "/chalkdeck.counter.v1.Counter/Adds";
-/// Path of the method that accepts one increment.
-const ADD_METHOD: &str = "/chalkdeck.counter.v1.Counter/Add";
-/// Maximum length of a request, in bytes.
+/// gRPC path of the method that accepts any number of increments on one stream.
+const ADDS_PATH: &str = "/chalkdeck.counter.v1.Counter/Adds";
+/// gRPC path of the method that accepts one increment.
+const ADD_PATH: &str = "/chalkdeck.counter.v1.Counter/Add";
+/// Maximum size of a request.
 const MAX_REQUEST_BYTES: usize = 1_024;
 /// Maximum number of response bytes that are queued for a slow client; beyond it the stream is reset.
 const MAX_UNSENT_BYTES: usize = 4 << 20;
@@ -58,11 +58,11 @@
 impl Server {
     pub(super) fn on_stream_opened(&mut self, connection: ConnId, stream: StreamId, path: &str) {
         match path {
-            ADDS_METHOD => {
+            ADDS_PATH => {
                 self.engine.respond(stream, grpc::response_head(), false);
                 self.add_stream(connection, stream, Method::Streaming);
             }
-            ADD_METHOD => self.add_stream(connection, stream, Method::Single),
+            ADD_PATH => self.add_stream(connection, stream, Method::Single),
             other => {
                 let message = format!("no method {other}");
                 let trailers = grpc::trailers(Code::Unimplemented, &message);
--- a/crates/counter/src/settings.rs
+++ b/crates/counter/src/settings.rs
@@ -10,7 +10,7 @@
 use std::path::{Path, PathBuf};
 
 /// Full name of the protobuf message of the settings.
-const SETTINGS_MESSAGE: &str = "chalkdeck.counter.v1.Settings";
+const MESSAGE_NAME: &str = "chalkdeck.counter.v1.Settings";
 /// Default of [`Settings::pending_capacity`].
 const DEFAULT_PENDING_CAPACITY: usize = 65_536;
 /// Default of [`Settings::snapshot_threshold_bytes`].
@@ -124,7 +124,7 @@
     /// Parses settings. A relative `folder` is resolved against `base`.
     pub fn parse(source: &str, base: &Path) -> Result<Settings, SettingsProblem> {
         let wire: wire::Settings =
-            text::parse(SETTINGS_MESSAGE, source).map_err(SettingsProblem::Malformed)?;
+            text::parse(MESSAGE_NAME, source).map_err(SettingsProblem::Malformed)?;
         check_consistency(&wire)?;
         Ok(Settings {
             partitions: partitions(&wire, base)?,
--- a/crates/counter/tests/common/program.rs
+++ b/crates/counter/tests/common/program.rs
@@ -6,8 +6,8 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
 
-/// Path of the gRPC method that the tests call.
-pub const ADDS_METHOD: &str = "/chalkdeck.counter.v1.Counter/Adds";
+/// gRPC path of the method that the tests call.
+pub const ADDS_PATH: &str = "/chalkdeck.counter.v1.Counter/Adds";
 
 /// Runs the program until it exits.
 pub fn run(args: &[&str]) -> Output {
--- a/crates/counter/tests/kill.rs
+++ b/crates/counter/tests/kill.rs
@@ -9,7 +9,7 @@
 use chalkdeck_net::{ConnId, Engine, Event, Limits, ReservedPort, StreamId};
 use chalkdeck_proto::chalkdeck::counter::v1::{AddRequest, AddResponse};
 use chalkdeck_wal::disk::Folder;
-use common::program::{temporary_folder, Program, ADDS_METHOD};
+use common::program::{temporary_folder, Program, ADDS_PATH};
 use prost::Message;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -79,7 +79,7 @@
 
     fn on_connected(&mut self, engine: &mut Engine, address: SocketAddr) {
         let Some(link) = &mut self.link else { return };
-        let head = grpc::request_head(&address.to_string(), ADDS_METHOD).expect("a head");
+        let head = grpc::request_head(&address.to_string(), ADDS_PATH).expect("a head");
         link.stream = engine.open_stream(link.connection, head, false);
         self.retries = self.unacknowledged.keys().copied().collect();
         // Also repeats an acknowledged increment, as a duplicate that arrives late would.
--- a/crates/counter/tests/service.rs
+++ b/crates/counter/tests/service.rs
@@ -5,7 +5,7 @@
 use chalkdeck_net::grpc::{self, Code, Deframer};
 use chalkdeck_net::{ConnId, Engine, Event, Limits, StreamId};
 use chalkdeck_proto::chalkdeck::counter::v1::{AddRequest, AddResponse};
-use common::program::{run, temporary_folder, text, Program, ADDS_METHOD};
+use common::program::{run, temporary_folder, text, Program, ADDS_PATH};
 use prost::Message;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -50,7 +50,7 @@
                 .turn(MAX_TURN_WAIT_MICROS, &mut events)
                 .expect("a turn");
         }
-        let head = grpc::request_head(&address.to_string(), ADDS_METHOD).expect("a head");
+        let head = grpc::request_head(&address.to_string(), ADDS_PATH).expect("a head");
         let stream = engine
             .open_stream(connection, head, false)
             .expect("a stream");
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Makes progress until there is one result.
+    /// Polls the transport until it yields a result.
     pub(crate) fn poll(&mut self) -> Progress {
         let waker = self.waker.clone();
         let mut context = Context::from_waker(&waker);
--- a/crates/net/src/engine.rs
+++ b/crates/net/src/engine.rs
@@ -127,15 +127,15 @@
         self.timers.push(Reverse((at, token)));
     }
 
-    /// Runs one turn of the loop: waits for an event, for at most `max_wait` microseconds, and appends what happened to `events`.
+    /// Runs one turn of the loop: waits for an event, for at most `max_wait_micros`, and appends what happened to `events`.
     ///
     /// # Errors
     /// The operating system fails to poll the sockets.
-    pub fn turn(&mut self, max_wait: u64, events: &mut Vec<Event>) -> io::Result<()> {
+    pub fn turn(&mut self, max_wait_micros: u64, events: &mut Vec<Event>) -> io::Result<()> {
         self.flush_plain();
         self.unhandled.clear();
         self.retry_accepts();
-        self.wait(max_wait)?;
+        self.wait(max_wait_micros)?;
         self.wake_ready();
         self.poll_ready();
         self.wake_unread();
@@ -146,7 +146,7 @@
         Ok(())
     }
 
-    fn wait(&mut self, max_wait: u64) -> io::Result<()> {
+    fn wait(&mut self, max_wait_micros: u64) -> io::Result<()> {
         let is_idle =
             self.ready.is_empty() && self.events.is_empty() && self.accepting_listeners.is_empty();
         let next = [self.timers.peek(), self.pings.peek()]
@@ -154,8 +154,12 @@
             .flatten()
             .map(|Reverse((at, _))| *at)
             .min();
-        let until_next = next.map_or(max_wait, |at| at.saturating_sub(self.now()));
-        let wait = if is_idle { until_next.min(max_wait) } else { 0 };
+        let until_next = next.map_or(max_wait_micros, |at| at.saturating_sub(self.now()));
+        let wait = if is_idle {
+            until_next.min(max_wait_micros)
+        } else {
+            0
+        };
         let wait = Some(Duration::from_micros(wait));
         match self.poll.poll(&mut self.readiness, wait) {
             Err(error) if error.kind() == io::ErrorKind::Interrupted => Ok(()),
--- a/crates/net/src/timer_queue.rs
+++ b/crates/net/src/timer_queue.rs
@@ -18,10 +18,10 @@
 }
 
 impl<T> TimerQueue<T> {
-    /// Sets a timer that fires after `after` microseconds.
-    pub fn set(&mut self, engine: &mut Engine, after: u64, payload: T) {
+    /// Sets a timer that fires after a delay.
+    pub fn set(&mut self, engine: &mut Engine, after_micros: u64, payload: T) {
         let token = self.payloads.insert(payload) as u64;
-        engine.set_timer(engine.now().saturating_add(after), token);
+        engine.set_timer(engine.now().saturating_add(after_micros), token);
     }
 
     /// Removes and returns the payload of the timer that fired with this token.
