--- a/crates/coordinator/src/replica/peers.rs
+++ b/crates/coordinator/src/replica/peers.rs
@@ -31,7 +31,8 @@
         self.last_message_at.insert(id, now);
     }
 
-    pub(super) fn sent_message_within(
+    /// Whether a message of a replica was received within the last `span`.
+    pub(super) fn has_sent_message_within(
         &self,
         id: ReplicaId,
         span: TimeDelta,
@@ -86,7 +87,7 @@
             return;
         };
         if self.peers.link(from).reset(run) {
-            consensus.reconnected(from);
+            consensus.on_reconnected(from);
         }
     }
 
@@ -96,7 +97,7 @@
         };
         let delivery = self.peers.link(from).receive(message.clone(), self.now);
         if delivery.is_new_run {
-            consensus.reconnected(from);
+            consensus.on_reconnected(from);
         }
         for body in &delivery.bodies {
             consensus.receive(body);
--- a/crates/counter/tests/kill.rs
+++ b/crates/counter/tests/kill.rs
@@ -9,7 +9,7 @@
 use chalkdeck_net::{ConnId, Engine, Event, Limits, ReservedPort, StreamId};
 use chalkdeck_proto::chalkdeck::counter::v1::{AddRequest, AddResponse};
 use chalkdeck_wal::disk::Folder;
-use common::program::{temporary_folder, Program, ADDS_METHOD};
+use common::program::{temporary_folder, Program, ADDS_PATH};
 use prost::Message;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -22,8 +22,8 @@
 const MAX_UNACKNOWLEDGED: usize = 64;
 const DEFAULT_KILLS: u32 = 12;
 const TIMEOUT: Duration = Duration::from_secs(30);
-/// Longest time that a turn of the event loop waits for an event, in microseconds.
-const MAX_TURN_WAIT_US: u64 = 2_000;
+/// Maximum time that a turn of the event loop waits for events, in microseconds.
+const MAX_TURN_WAIT_MICROS: u64 = 2_000;
 
 /// The name of an acknowledged increment and the total in its response.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -79,7 +79,7 @@
 
     fn on_connected(&mut self, engine: &mut Engine, address: SocketAddr) {
         let Some(link) = &mut self.link else { return };
-        let head = grpc::request_head(&address.to_string(), ADDS_METHOD).expect("a head");
+        let head = grpc::request_head(&address.to_string(), ADDS_PATH).expect("a head");
         link.stream = engine.open_stream(link.connection, head, false);
         self.retries = self.unacknowledged.keys().copied().collect();
         // Also repeats an acknowledged increment, as a duplicate that arrives late would.
@@ -179,7 +179,7 @@
     fn turn(&mut self, mode: SendMode) {
         let mut events = Vec::new();
         self.engine
-            .turn(MAX_TURN_WAIT_US, &mut events)
+            .turn(MAX_TURN_WAIT_MICROS, &mut events)
             .expect("a turn");
         for event in events {
             self.on_event(event);
--- a/crates/net/src/engine.rs
+++ b/crates/net/src/engine.rs
@@ -24,12 +24,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Streams that clients may open in one turn of the loop. Without a limit, a flood of new streams would delay the streams that are
-/// already open, as each of their steps waits for the next turn.
+/// Maximum number of streams that clients may open in one turn of the loop. Without a limit, a flood of new streams would delay the
+/// streams that are already open, as each of their steps waits for the next turn.
 const OPENS_PER_TURN: usize = 64;
-/// Connections and streams that are polled in one turn of the loop, so that a busy peer does not delay timers.
+/// Maximum number of connections and streams that are polled in one turn of the loop, so that a busy peer does not delay timers.
 const POLLS_PER_TURN: usize = 8_192;
-/// The most readiness events that one `mio` poll returns.
+/// Maximum number of readiness events that one `mio` poll returns.
 const READINESS_CAPACITY: usize = 1_024;
 /// The mio token of the `LoopWaker`.
 const WAKER_TOKEN: Token = Token(usize::MAX);
@@ -127,15 +127,15 @@
         self.timers.push(Reverse((at, token)));
     }
 
-    /// Runs one turn of the loop: waits for an event, for at most `max_wait` microseconds, and appends what happened to `events`.
+    /// Runs one turn of the loop: waits for an event, for at most `max_wait_micros`, and appends what happened to `events`.
     ///
     /// # Errors
     /// The operating system fails to poll the sockets.
-    pub fn turn(&mut self, max_wait: u64, events: &mut Vec<Event>) -> io::Result<()> {
+    pub fn turn(&mut self, max_wait_micros: u64, events: &mut Vec<Event>) -> io::Result<()> {
         self.flush_plain();
         self.unhandled.clear();
         self.retry_accepts();
-        self.wait(max_wait)?;
+        self.wait(max_wait_micros)?;
         self.wake_ready();
         self.poll_ready();
         self.wake_unread();
@@ -146,7 +146,7 @@
         Ok(())
     }
 
-    fn wait(&mut self, max_wait: u64) -> io::Result<()> {
+    fn wait(&mut self, max_wait_micros: u64) -> io::Result<()> {
         let is_idle =
             self.ready.is_empty() && self.events.is_empty() && self.accepting_listeners.is_empty();
         let next = [self.timers.peek(), self.pings.peek()]
@@ -154,8 +154,12 @@
             .flatten()
             .map(|Reverse((at, _))| *at)
             .min();
-        let until_next = next.map_or(max_wait, |at| at.saturating_sub(self.now()));
-        let wait = if is_idle { until_next.min(max_wait) } else { 0 };
+        let until_next = next.map_or(max_wait_micros, |at| at.saturating_sub(self.now()));
+        let wait = if is_idle {
+            until_next.min(max_wait_micros)
+        } else {
+            0
+        };
         let wait = Some(Duration::from_micros(wait));
         match self.poll.poll(&mut self.readiness, wait) {
             Err(error) if error.kind() == io::ErrorKind::Interrupted => Ok(()),
