--- a/crates/admission-queue/tests/recording/mod.rs
+++ b/crates/admission-queue/tests/recording/mod.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::fmt::{self, Display};
 
-/// The least number of calls of the queue for one seed.
+/// Minimum number of calls of the queue for one seed.
 pub const CALLS_PER_SEED: u64 = 20_000;
 /// A millisecond in microseconds, the unit of all times in the simulation.
 const MILLISECOND: u64 = 1_000;
@@ -47,7 +47,7 @@
 }
 
 /// Simulates a seed and returns the result.
-pub fn replay(seed: u64) -> Summary {
+pub fn run_seed(seed: u64) -> Summary {
     let mut simulation = Simulation::new(seed);
     while simulation.count("calls") < CALLS_PER_SEED {
         simulation.step();
@@ -85,7 +85,7 @@
     Flood,
     /// Each request is from another customer.
     ManyCustomers,
-    /// Some customers with much traffic and different weights.
+    /// Some customers with heavy traffic and different weights.
     HeavyCustomers,
     /// One customer whose requests take long to serve.
     SlowCustomer,
--- a/crates/cli/src/replica_args.rs
+++ b/crates/cli/src/replica_args.rs
@@ -6,13 +6,13 @@
 use clap::Args;
 use std::net::SocketAddr;
 
-/// Replicas to ask.
+/// Replicas of the coordinator, and the timeout of requests to them.
 #[derive(Args)]
 pub struct ReplicaArgs {
     /// Addresses of the replicas, as ip:port
     #[arg(long, alias = "keepers", value_delimiter = ',', required = true)]
     pub replicas: Vec<SocketAddr>,
-    /// Seconds to wait for a response
+    /// Seconds to wait for a response, and for a proposal to be in force
     #[arg(long, default_value_t = 10)]
     pub wait: u64,
 }
@@ -23,7 +23,7 @@
         Ok(CoordinatorClient::new(self.replicas.clone())?)
     }
 
-    /// How long a response is waited for.
+    /// The timeout of a request.
     pub fn timeout(&self) -> TimeDelta {
         TimeDelta::from_secs(self.wait)
     }
--- a/crates/client/src/driver/connections.rs
+++ b/crates/client/src/driver/connections.rs
@@ -1,6 +1,6 @@
 //! The list of gateways and the connections to them.
 
-use super::{Driver, GATEWAY_FILE_TIMER};
+use super::{Driver, GATEWAY_FILE_TIMER_TOKEN};
 use crate::core::{Event, GatewayId};
 use crate::gateway_file::{self, GatewayFileError};
 use chalkdeck_net::{ConnId, Limits};
@@ -9,7 +9,7 @@
 
 /// The interval between polls of the gateway file.
 const GATEWAY_FILE_POLL_INTERVAL: TimeDelta = TimeDelta::from_millis(200);
-/// The most streams that are open at once on one connection.
+/// Maximum number of streams that are open at once on one connection.
 const STREAMS_PER_CONNECTION: u32 = 10_000;
 
 /// A gateway and the connection to it.
@@ -51,7 +51,7 @@
         };
         let limits = Limits {
             max_streams: STREAMS_PER_CONNECTION,
-            keepalive_interval: self.keepalive_interval.as_micros(),
+            keepalive_interval_micros: self.keepalive_interval.as_micros(),
             ..Limits::default()
         };
         let Ok(connection) = self.engine.connect(address, limits) else {
@@ -104,7 +104,7 @@
             return;
         };
         self.engine
-            .set_timer(next_poll_at.as_micros(), GATEWAY_FILE_TIMER);
+            .set_timer(next_poll_at.as_micros(), GATEWAY_FILE_TIMER_TOKEN);
         let Some(read) = watch.poll() else {
             return;
         };
--- a/crates/coordinator/src/agent/mod.rs
+++ b/crates/coordinator/src/agent/mod.rs
@@ -31,7 +31,7 @@
     Persist(Box<WatchEvent>),
     /// Check with [`GatewayAgent::may_continue`] whether open streams of these customers may continue.
     RecheckStreams(Vec<String>),
-    /// Check this for open streams of all customers, because the session became valid or invalid.
+    /// Do the same check for the open streams of all customers, because the session became valid or invalid.
     RecheckAllStreams,
     /// Check endpoints again, because the set of admitted contract versions changed.
     ContractsChanged,
@@ -214,7 +214,7 @@
             self.on_state_updated(update);
         }
         if outcome.is_report_acknowledged {
-            self.rule_store.hit_counter().confirm_report();
+            self.rule_store.hit_counter_mut().confirm_report();
         }
         if outcome.has_session_changed {
             self.is_reading_proposals = false;
@@ -273,7 +273,7 @@
             return;
         }
         self.report_at = now + self.report_interval;
-        if !self.rule_store.hit_counter().has_changes() && self.statistics.is_empty() {
+        if !self.rule_store.hit_counter_mut().has_changes() && self.statistics.is_empty() {
             return;
         }
         let hits = self
--- a/crates/coordinator/src/server/mod.rs
+++ b/crates/coordinator/src/server/mod.rs
@@ -41,7 +41,7 @@
 /// Interval between keepalive pings. A connection is closed if a ping is not answered before the next one is due.
 const KEEPALIVE_INTERVAL: TimeDelta = TimeDelta::from_millis(1_000);
 /// Maximum time that an event-loop turn waits for events.
-const MAX_POLL_WAIT: TimeDelta = TimeDelta::from_millis(50);
+const MAX_TURN_WAIT: TimeDelta = TimeDelta::from_millis(50);
 /// Token of the tick timer.
 const TICK_TIMER_TOKEN: u64 = 1;
 /// Size of the log at which a snapshot is written, as a multiple of the configuration's initial state, because each snapshot
@@ -54,9 +54,9 @@
 pub fn connection_limits() -> Limits {
     Limits {
         max_streams: 4_096,
-        stream_window: 1 << 20,
-        connection_window: 64 << 20,
-        keepalive_interval: KEEPALIVE_INTERVAL.as_micros(),
+        stream_window_bytes: 1 << 20,
+        connection_window_bytes: 64 << 20,
+        keepalive_interval_micros: KEEPALIVE_INTERVAL.as_micros(),
         ..Limits::default()
     }
 }
@@ -130,7 +130,7 @@
         self.end_turn()?;
         while !signals.is_stop_requested() {
             self.engine
-                .turn(MAX_POLL_WAIT.as_micros(), &mut events)
+                .turn(MAX_TURN_WAIT.as_micros(), &mut events)
                 .map_err(ServerError::Poll)?;
             let now = Timestamp::from_micros(self.engine.now());
             self.replica.advance_clock(now);
@@ -252,7 +252,7 @@
     fn remove_incoming(&mut self, stream: StreamId) {
         let incoming = self.incoming_streams.remove(&stream);
         if incoming.is_some_and(|incoming| incoming.method == Method::Session) {
-            self.replica.stream_closed(RequesterId(stream.0));
+            self.replica.on_stream_closed(RequesterId(stream.0));
         }
     }
 
--- a/crates/counter/src/snapshot.rs
+++ b/crates/counter/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Encoding of the whole state as the records of a snapshot. Equal states give equal bytes.
+//! Encoding of the full state as the records of a snapshot. Equal states give equal bytes.
 
 use crate::state::{
     AcknowledgedIncrement, CallerId, CallerRecord, CounterState, Limits, NameEntry, NameId,
@@ -11,7 +11,7 @@
 
 /// Version of the snapshot and record format; other versions are rejected.
 pub const VERSION: u32 = 1;
-/// Maximum number of names, or of remembered increments, in one record; keeps records far below [`record::MAX_BODY_LEN`].
+/// Maximum number of names, or of remembered increments, in one record; keeps records far below [`record::MAX_BODY_BYTES`].
 const MAX_ENTRIES_PER_RECORD: usize = 32_768;
 
 /// Encodes the state as a snapshot.
--- a/crates/counter/tests/service.rs
+++ b/crates/counter/tests/service.rs
@@ -5,15 +5,15 @@
 use chalkdeck_net::grpc::{self, Code, Deframer};
 use chalkdeck_net::{ConnId, Engine, Event, Limits, StreamId};
 use chalkdeck_proto::chalkdeck::counter::v1::{AddRequest, AddResponse};
-use common::program::{run, temporary_folder, text, Program, ADDS_METHOD};
+use common::program::{run, temporary_folder, text, Program, ADDS_PATH};
 use prost::Message;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// Longest time that a turn of the event loop waits for an event, in microseconds.
-const MAX_TURN_WAIT_US: u64 = 5_000;
+/// Maximum time that a turn of the event loop waits for events, in microseconds.
+const MAX_TURN_WAIT_MICROS: u64 = 5_000;
 
 /// Writes settings for a number of partitions and returns the path of the file.
 fn write_settings(folder: &Path, partitions: usize, extra_settings: &str) -> PathBuf {
@@ -46,9 +46,11 @@
             .any(|event| matches!(event, Event::Connected { .. }))
         {
             assert!(Instant::now() < deadline, "a connection in time");
-            engine.turn(MAX_TURN_WAIT_US, &mut events).expect("a turn");
+            engine
+                .turn(MAX_TURN_WAIT_MICROS, &mut events)
+                .expect("a turn");
         }
-        let head = grpc::request_head(&address.to_string(), ADDS_METHOD).expect("a head");
+        let head = grpc::request_head(&address.to_string(), ADDS_PATH).expect("a head");
         let stream = engine
             .open_stream(connection, head, false)
             .expect("a stream");
@@ -80,7 +82,7 @@
         while !is_met(self) {
             assert!(Instant::now() < deadline, "not in time: {what}");
             self.engine
-                .turn(MAX_TURN_WAIT_US, &mut events)
+                .turn(MAX_TURN_WAIT_MICROS, &mut events)
                 .expect("a turn");
             for event in events.drain(..) {
                 self.on_event(event);
--- a/crates/grpc-gateway/src/base/errors.rs
+++ b/crates/grpc-gateway/src/base/errors.rs
@@ -30,7 +30,7 @@
         /// The error of the operating system.
         source: io::Error,
     },
-    /// The settings violate a bound of the decisions.
+    /// The settings violate a bound of the decision engine.
     #[error("{0}")]
     #[diagnostic(
         code(chalkdeck::gateway::decisions),
@@ -76,7 +76,7 @@
         /// What was expected there.
         what: String,
     },
-    /// The file holds out more sites than allowed.
+    /// The override would take more sites out of service than allowed.
     #[error("expected at most {0} sites kept out")]
     #[diagnostic(
         code(chalkdeck::gateway::words_most),
--- a/crates/grpc-gateway/src/call_flow/cancellation.rs
+++ b/crates/grpc-gateway/src/call_flow/cancellation.rs
@@ -15,7 +15,7 @@
         };
         let is_streaming_class = self.settings.policy.classes[call.request.class.0].is_streaming;
         match call.client_deadline {
-            // If the client set no deadline, a started stream has none.
+            // A response of a streaming class has no deadline once it has started, unless the client set one.
             None if is_streaming_class => {}
             // The client's deadline is later than the deadline of the class, which applies only until the response starts.
             Some(deadline) if is_streaming_class && deadline > now => {
@@ -51,8 +51,8 @@
         self.complete_for_client(id, CallEnd::Cancelled, streaming_attempt);
     }
 
-    /// Completes a call on the client's side. The decisions cancel the attempts of a call whose response has not started; the attempt
-    /// of one that streams is cancelled here.
+    /// Completes a call on the client's side. The decision engine cancels the attempts of a call whose response has not started;
+    /// the attempt of a call whose response is streaming is cancelled here.
     fn complete_for_client(
         &mut self,
         id: RequestId,
--- a/crates/grpc-gateway/src/endpoint_connections.rs
+++ b/crates/grpc-gateway/src/endpoint_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to the endpoints. The decisions choose the endpoint; this module finds or starts a connection to it.
+//! Connections to the endpoints. The decision engine chooses the endpoint; this module finds or starts a connection to it.
 //!
 //! Limits: `max_connections_per_endpoint` connections to each endpoint, `max_streams_per_connection` calls on each connection, and
 //! as many that wait for a connection to be established.
@@ -56,11 +56,11 @@
 }
 
 impl EndpointConnections {
-    /// Without connections. `keepalive`: the interval of pings, in microseconds.
+    /// An empty set of connections. `keepalive`: the interval of pings, in microseconds.
     pub(crate) fn new(max_connections: usize, streams: u32, keepalive: u64) -> EndpointConnections {
         let limits = Limits {
             max_streams: streams,
-            keepalive_interval: keepalive,
+            keepalive_interval_micros: keepalive,
             ..Limits::default()
         };
         EndpointConnections {
--- a/crates/grpc-gateway/src/gateway_server/event_loop.rs
+++ b/crates/grpc-gateway/src/gateway_server/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: waits for socket events, dispatches them to their handlers, and executes the actions of the decisions.
+//! The event loop: waits for socket events, dispatches them to their handlers, and executes the actions of the decision engine.
 
 use super::{GatewayServer, TimerPurpose};
 use crate::endpoint_connections::AttemptId;
@@ -11,7 +11,8 @@
 pub(super) const MAX_WAIT_MICROS: u64 = 100_000;
 
 impl GatewayServer {
-    /// Serves calls until a signal requests a shutdown and the shutdown is complete. It takes at most the longest deadline of a class.
+    /// Serves calls until a signal requests a shutdown and the shutdown is complete. A shutdown takes at most the longest deadline
+    /// of a class.
     ///
     /// # Errors
     /// The system call that waits for events failed.
@@ -37,14 +38,14 @@
     pub fn turn(&mut self, max_wait: u64) -> io::Result<()> {
         let mut events = std::mem::take(&mut self.events);
         self.engine
-            .turn(self.wait_until_queue_wakes(max_wait), &mut events)?;
+            .turn(self.next_turn_wait(max_wait), &mut events)?;
         for event in events.drain(..) {
             self.on_event(event);
-            self.run_decisions();
+            self.execute_actions();
         }
         self.events = events;
         self.admit_queued_requests();
-        self.run_decisions();
+        self.execute_actions();
         self.close_idle_resp_connections();
         if let Some(counter) = &mut self.counter {
             counter.flush(&mut self.engine);
@@ -60,8 +61,8 @@
                 stream,
                 conn,
                 head,
-                is_end_stream: ended,
-            } => self.on_call(stream, conn, &head, ended),
+                is_end_stream: is_ended,
+            } => self.on_call(stream, conn, &head, is_ended),
             NetEvent::Connected { conn } => self.on_connected(conn),
             NetEvent::Closed { conn, reason, .. } => {
                 self.on_resp_closed(conn);
@@ -70,8 +71,8 @@
             NetEvent::ResponseHead {
                 stream,
                 head,
-                is_end_stream: ended,
-            } => self.on_head(stream, head, ended),
+                is_end_stream: is_ended,
+            } => self.on_head(stream, head, is_ended),
             NetEvent::Data { stream, data } => self.on_data(stream, data),
             NetEvent::StreamEnded { stream, trailers } => self.on_stream_ended(stream, trailers),
             NetEvent::Sent { stream, bytes } => self.on_bytes_sent(stream, bytes),
@@ -81,14 +82,14 @@
         }
     }
 
-    /// Passes pending events to the decisions and executes their actions until there are no more.
-    pub(super) fn run_decisions(&mut self) {
+    /// Passes pending events to the decision engine and executes its actions until there are no more.
+    pub(super) fn execute_actions(&mut self) {
         while let Some(action) = self.decisions.next_action(self.now()) {
-            self.run_action(&action);
+            self.execute_action(&action);
         }
     }
 
-    fn run_action(&mut self, action: &Action) {
+    fn execute_action(&mut self, action: &Action) {
         match *action {
             Action::SendAttempt {
                 request,
--- a/crates/grpc-gateway/src/request_queue.rs
+++ b/crates/grpc-gateway/src/request_queue.rs
@@ -1,4 +1,4 @@
-//! Passes requests through the fair admission queue to the decisions.
+//! Passes requests through the fair admission queue to the decision engine.
 
 use crate::gateway_server::GatewayServer;
 use chalkdeck::api::{Event, IncomingRequest, RequestId, TimeDelta, Timestamp};
@@ -25,25 +25,29 @@
 }
 
 impl GatewayServer {
-    /// Adds a request to the queue; without a queue it goes to the decisions at once.
+    /// Adds a request to the queue; without a queue it goes to the decision engine at once.
     pub(crate) fn enqueue_request(&mut self, request: IncomingRequest) {
         self.report_request_offered(&request);
         if self.request_queue.is_none() {
             return self.decisions.push(Event::RequestArrived(request));
         }
         let now = self.now();
-        let queue_request = self.queue_request(now, &request);
+        let admission_request = self.admission_request(now, &request);
         let Some(requests) = &mut self.request_queue else {
             return;
         };
         requests.waiting.insert(request.id, request);
-        if let Some(verdict) = requests.queue.offer(now, queue_request) {
+        if let Some(verdict) = requests.queue.offer(now, admission_request) {
             self.apply_verdict(verdict);
         }
     }
 
-    /// The request in the form that the queue takes.
-    fn queue_request(&self, now: Timestamp, request: &IncomingRequest) -> admission_queue::Request {
+    /// The form of the request that the queue accepts.
+    fn admission_request(
+        &self,
+        now: Timestamp,
+        request: &IncomingRequest,
+    ) -> admission_queue::Request {
         let quota = self
             .decisions
             .engine
@@ -63,7 +67,7 @@
         }
     }
 
-    /// Passes the requests that the queue admits in this turn to the decisions.
+    /// Passes the requests that the queue admits in this turn to the decision engine.
     pub(crate) fn admit_queued_requests(&mut self) {
         let now = self.now();
         let Some(requests) = &mut self.request_queue else {
@@ -108,7 +112,7 @@
     }
 
     /// How long the next turn may wait for events, in microseconds: at most `max_wait`, and not beyond the queue's next admission.
-    pub(crate) fn wait_until_queue_wakes(&self, max_wait: u64) -> u64 {
+    pub(crate) fn next_turn_wait(&self, max_wait: u64) -> u64 {
         let now = self.now();
         let next_wake = self
             .request_queue
--- a/crates/grpc-gateway/src/sites/events.rs
+++ b/crates/grpc-gateway/src/sites/events.rs
@@ -38,9 +38,9 @@
             return;
         }
         let plan = &policy.plans[request.plan.0];
-        let value_per_unit = class.priority_weight * plan.priority_multiplier / request.units;
+        let weight_per_unit = class.priority_weight * plan.priority_multiplier / request.units;
         self.report_to_sites(Event::RequestOffered {
-            value_per_unit,
+            weight_per_unit,
             units: request.units,
         });
     }
@@ -86,7 +86,7 @@
     pub(crate) fn report_counter_results(&mut self, results: &[CounterResult]) {
         let Some(last) = results.last() else { return };
         let event = match last.outcome {
-            Outcome::Ok => Event::CounterAnswered,
+            Outcome::Ok => Event::CounterReplied,
             _ => Event::CounterFailed,
         };
         self.report_to_sites(event);
--- a/crates/grpc-gateway/src/sites/monitor.rs
+++ b/crates/grpc-gateway/src/sites/monitor.rs
@@ -16,7 +16,7 @@
 pub(crate) struct SiteMonitor {
     core: FailoverCore,
     pub(super) site_names: BTreeMap<SiteId, String>,
-    /// The plan that was last passed to the decisions; `None`: none was.
+    /// The plan that was last passed to the decision engine; `None`: none was.
     pub(super) applied_plan: Option<FailoverPlan>,
     pub(super) overrides: SiteOverrides,
 }
@@ -88,7 +88,7 @@
     EndpointEntry {
         endpoint: EndpointId(endpoint.entry.endpoint.0),
         site: site_of(endpoint.entry.zone),
-        in_service: endpoint.entry.state == EndpointState::InService,
+        is_in_service: endpoint.entry.state == EndpointState::InService,
         weight: endpoint.entry.weight,
         started_at: endpoint.entry.started_at,
     }
--- a/crates/leader-election/src/terms.rs
+++ b/crates/leader-election/src/terms.rs
@@ -14,7 +14,7 @@
 pub struct LeaseTerms {
     /// How long a lease lasts after its renewal was sent, measured by an exact clock.
     pub lease: TimeDelta,
-    /// By how much the rate of any clock may deviate from an exact clock, in parts per million.
+    /// Maximum deviation of the rate of any clock from an exact clock, in parts per million.
     pub drift_ppm: u32,
 }
 
@@ -50,7 +50,7 @@
         TimeDelta::from_micros(self.lease.as_micros() / 2)
     }
 
-    /// The largest drift of a clock over one lease, rounded up. Whole seconds and the remainder are scaled separately, because the
+    /// Maximum drift of a clock over one lease, rounded up. Whole seconds and the remainder are scaled separately, because the
     /// product of a long lease in microseconds would overflow.
     fn max_drift(&self) -> TimeDelta {
         let lease = self.lease.as_micros();
--- a/crates/policy/src/engine/counter_replies.rs
+++ b/crates/policy/src/engine/counter_replies.rs
@@ -1,7 +1,7 @@
 //! Handling of the counter's replies: updates of the counts, circuit breakers and sample rate, and
 //! the decision of the waiting request.
 
-use super::quota::CounterAnswer;
+use super::quota::CounterResult;
 use super::DecisionEngine;
 use crate::api::{CounterKey, Outcome};
 use crate::counter::calls::{CounterCall, CounterPurpose};
@@ -21,14 +21,14 @@
         if !self.customers.contains_key(&call.customer) {
             return;
         }
-        let answer = if outcome == Outcome::Ok {
-            CounterAnswer::Total(self.apply_total(&call, total))
+        let result = if outcome == Outcome::Ok {
+            CounterResult::Total(self.apply_total(&call, total))
         } else {
             self.apply_failed_call(&call, outcome);
-            CounterAnswer::Unavailable
+            CounterResult::Unavailable
         };
         if let Some(request) = call.request {
-            self.decide(request, call.purpose, answer);
+            self.decide(request, call.purpose, result);
         }
         if call.purpose == CounterPurpose::Quota && outcome == Outcome::Ok {
             self.post_remaining_units(&call);
@@ -71,7 +71,7 @@
         let now = self.now;
         let counter = &mut self.counter;
         if call.is_probe {
-            counter.sampler.restart(self.settings.gateways);
+            counter.sampler.reset_rate(self.settings.gateways);
         }
         let timeout = self.settings.counter_timeout;
         counter
--- a/crates/policy/tests/zone_shares.rs
+++ b/crates/policy/tests/zone_shares.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn requests_overflow_into_open_zones_only() {
+fn requests_overflow_only_into_zones_that_accept_it() {
     let mut harness = two_zone_harness();
     harness.handle(Event::ZoneSharesChanged {
         shares: shares((1.0, true), (0.0, false)),
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_keyed_request_that_may_have_run_in_a_closed_zone_is_not_retried_in_another() {
+fn a_keyed_request_that_may_have_run_in_a_zone_without_share_is_not_retried_in_another() {
     let mut harness = two_zone_harness();
     harness.handle(Event::ZoneSharesChanged {
         shares: shares((0.0, true), (1.0, true)),
@@ -137,14 +137,14 @@
         };
         (0..400).map(|_| is_admitted(&mut harness)).sum::<usize>()
     };
-    // All requests weigh one, so the density falls with the units.
+    // All requests have a priority weight of one, so the weight per unit falls with the units.
     assert_eq!((count_admitted(1.0), count_admitted(4.0)), (400, 0));
     let half = count_admitted(2.0);
     assert!((140..260).contains(&half), "{half} of 400");
 }
 
 #[test]
-fn pending_requests_of_the_highest_priority_density_are_sent_first() {
+fn pending_requests_with_the_highest_priority_weight_per_unit_are_sent_first() {
     let mut settings = settings();
     settings.classes[0].priority_weight = 3.0;
     let mut harness = Harness::new(settings, 1);
--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -10,10 +10,10 @@
 use crate::measure::reconnect::{self, ReconnectArgs};
 use crate::measure::resp_throughput::{self, AsksArgs};
 use crate::measure::site_loss::{self, SitesArgs};
-use crate::rig::counting::{self, OwnCounterArgs};
+use crate::rig::coordinator_process::{self, OwnCoordinatorArgs};
+use crate::rig::counter_process::{self, OwnCounterArgs};
 use crate::rig::day::{self, RunArgs};
 use crate::rig::demo::{self, DemoArgs};
-use crate::rig::keeping::{self, OwnKeeperArgs};
 use crate::rig::links::command::{self as links, LinksArgs};
 use crate::rig::replay::{self, ReplayArgs};
 use crate::rig::serve::{self, RelayArgs, ServeArgs};
@@ -42,7 +42,7 @@
     OwnCounter(OwnCounterArgs),
     /// Run one replica of the coordinator as part of the demo
     #[command(hide = true)]
-    OwnKeeper(OwnKeeperArgs),
+    OwnKeeper(OwnCoordinatorArgs),
     /// Run stand-ins for the servers of one cell
     Farm(FarmArgs),
     /// Generate open-loop gRPC load
@@ -98,15 +98,15 @@
         let program = Program::this(leading_args)?;
         match self {
             Command::Counter(args) => counter::command(&args),
-            Command::OwnCounter(args) => counting::command(&args),
-            Command::OwnKeeper(args) => keeping::command(&args),
+            Command::OwnCounter(args) => counter_process::command(&args),
+            Command::OwnKeeper(args) => coordinator_process::command(&args),
             Command::Farm(args) => farm::command(&args),
             Command::Load(args) => load::command(args),
             Command::Serve(args) => serve::serve(&args),
             Command::Relay(args) => serve::relay(args),
             Command::Links(args) => links::command(&args),
             Command::Run(args) => day::command(leading_args, args),
-            Command::Audit { dir } => day::report(&dir),
+            Command::Audit { dir } => day::audit_and_print(&dir),
             Command::Replay(args) => replay::command(leading_args, &args),
             Command::Timeline(args) => timeline::run(&args.dirs, args.svg.as_deref()),
             Command::Reconnect(args) => reconnect::run(&program, &args),
--- a/crates/testbed/src/measure/flood.rs
+++ b/crates/testbed/src/measure/flood.rs
@@ -6,7 +6,7 @@
 use crate::common::process::{memory_kib, Process, Program};
 use crate::common::script::DAY_MESSAGE;
 use crate::rig::demo;
-use crate::rig::fleet::{any, Fleet};
+use crate::rig::fleet::{any_port, Fleet};
 use anyhow::{bail, Context};
 use chalkdeck_proto::chalkdeck::config::v1::Door;
 use chalkdeck_proto::chalkdeck::lab::v1::{Customers, Day};
@@ -54,7 +54,7 @@
         let common_args = ["--prefix", name, "--out", &file_text];
         Ok((
             self.fleet
-                .load_of(day, seconds, &[&common_args, extra_args].concat())?,
+                .start_load_of_day(day, seconds, &[&common_args, extra_args].concat())?,
             summary_file,
         ))
     }
@@ -77,7 +77,7 @@
 
 /// The day of the gateway and the other customers, without the load of the flooding customer.
 fn day_without_flood(has_door: bool) -> anyhow::Result<Day> {
-    let mut day = demo::fleet()?;
+    let mut day = demo::day()?;
     day.gateways = 1;
     day.load
         .iter_mut()
@@ -140,7 +140,7 @@
     dir: &Path,
 ) -> anyhow::Result<()> {
     let day = day_without_flood(has_door)?;
-    let fleet = Fleet::start(program.clone(), day.clone(), dir, any(), None)?;
+    let fleet = Fleet::start(program.clone(), day.clone(), dir, any_port(), None)?;
     let id = fleet.gateway_process(0).context("expected a gateway")?.id();
     let run = FloodRun {
         dir,
@@ -163,7 +163,8 @@
     std::thread::sleep(FLOOD_LEAD);
     let during = run.run_other_customers("during")?;
     let rss_during_kib = memory_kib(id)?;
-    let refused_at_door = control::read_metric(run.fleet.admin(0), "chalkdeck_door_refused_total")?;
+    let refused_at_door =
+        control::read_metric(run.fleet.admin_address(0), "chalkdeck_door_refused_total")?;
     load.wait();
     let flood: LoadSummary = serde_json::from_str(&std::fs::read_to_string(summary_file)?)?;
     let ms = |us: u64| us as f64 / 1e3;
--- a/crates/testbed/src/measure/reconnect.rs
+++ b/crates/testbed/src/measure/reconnect.rs
@@ -6,7 +6,7 @@
 use crate::common::process::Program;
 use crate::common::script::ScriptAction;
 use crate::rig::demo;
-use crate::rig::fleet::{any, Fleet};
+use crate::rig::fleet::{any_port, Fleet};
 use anyhow::{bail, Context};
 use chalkdeck_client::core::{Action, ClientCore, Event, GatewayId};
 use chalkdeck_client::{Settings, TimeDelta, Timestamp};
@@ -311,23 +311,26 @@
     args: &ReconnectArgs,
     is_naive: bool,
 ) -> anyhow::Result<ConnectsBySlot> {
-    let mut day = demo::fleet()?;
+    let mut day = demo::day()?;
     day.gateways = 1;
-    let mut fleet = Fleet::start(program.clone(), day, &args.dir, any(), None)?;
-    let address = *fleet.gateways().first().context("expected a gateway")?;
+    let mut fleet = Fleet::start(program.clone(), day, &args.dir, any_port(), None)?;
+    let address = *fleet
+        .gateway_addresses()
+        .first()
+        .context("expected a gateway")?;
     let mut pool = ClientPool::new(args, address, is_naive)?;
     pool.start();
     pool.run_until("the first connections", 60.0, |c| {
         c.connected_count == c.cores.len()
     })?;
-    fleet.act(&ScriptAction::KillGateway(0), None)?;
+    fleet.apply(&ScriptAction::KillGateway(0), None)?;
     let lost_at = pool.engine.now();
     pool.lost_at = Some(lost_at);
     let restart_at = lost_at + (args.away * 1e6) as u64;
     while pool.engine.now() < restart_at {
         pool.turn()?;
     }
-    fleet.act(&ScriptAction::StartGateway(0), None)?;
+    fleet.apply(&ScriptAction::StartGateway(0), None)?;
     let started_at = pool.engine.now();
     pool.calls = Some(CallStats {
         next_at: 0,
--- a/crates/testbed/src/measure/site_loss.rs
+++ b/crates/testbed/src/measure/site_loss.rs
@@ -6,7 +6,7 @@
 use crate::audit::site_loss_chart;
 use crate::common::process::Program;
 use crate::common::script;
-use crate::rig::day::{self, Ways};
+use crate::rig::day::{self, RunOptions};
 use anyhow::bail;
 use chalkdeck_proto::chalkdeck::config::v1::Sites;
 use chalkdeck_proto::chalkdeck::lab::v1::Day;
@@ -48,8 +48,8 @@
 
 /// Plays a day and evaluates its run. Fails if it can't be played or the audit finds a breach.
 pub fn play_and_evaluate(program: &Program, day: Day, dir: &Path) -> anyhow::Result<SiteLossRun> {
-    day::clear(dir)?;
-    day::run(program.clone(), day, dir, &Ways::default())?;
+    day::remove_logs(dir)?;
+    day::run(program.clone(), day, dir, &RunOptions::default())?;
     let record = Record::read(dir)?;
     let verdict = audit(&record);
     if let Some(breach) = verdict.breaches.first() {
--- a/crates/testbed/tests/audit.rs
+++ b/crates/testbed/tests/audit.rs
@@ -71,7 +71,7 @@
 
 /// The rules that the audit reports as breached.
 fn breached_rules(events: Vec<Entry>) -> Vec<u8> {
-    let day = demo::fleet().expect("the demo's day");
+    let day = demo::day().expect("the demo's day");
     let mut rules: Vec<u8> = audit(&Record { day, events })
         .breaches
         .iter()
@@ -219,7 +219,7 @@
 
 #[test]
 fn call_to_a_held_out_site_after_the_grace_breaks_rule_3() {
-    let zone = demo::fleet().expect("the demo's day").zones[0].name.clone();
+    let zone = demo::day().expect("the demo's day").zones[0].name.clone();
     let events = |delay_us: u64, is_let_back: bool| {
         let back = is_let_back.then(|| note(4 * SECOND_US, "site_let_back", &zone));
         let mut events = vec![
