--- a/crates/coordinator/src/state/deduplication.rs
+++ b/crates/coordinator/src/state/deduplication.rs
@@ -52,8 +52,8 @@
             )
         };
         let Some(record) = self.records.get(&caller) else {
-            // The caller may have been evicted. It then had begun before its last command, whose index is at most
-            // `forgotten_at`.
+            // An evicted caller saw its `begun_version` before its last command was applied. A caller without a record whose
+            // version is below `forgotten_at` may therefore be an evicted one, and its command may already have been applied.
             return (begun_version < self.forgotten_at).then(forgotten_rejection);
         };
         let known = record.responses.iter().find(|r| r.number == number);
