--- a/crates/testbed/src/stand_ins/farm.rs
+++ b/crates/testbed/src/stand_ins/farm.rs
@@ -82,10 +82,10 @@
     key: String,
     work: Work,
     /// Identifies the call in the server's model.
-    job_id: u64,
+    job: u64,
     /// Messages of a streamed response that are still to be sent.
     messages_left: u32,
-    is_running: bool,
+    started: bool,
 }
 
 enum TimerEvent {
@@ -102,7 +102,7 @@
     /// Ports of the servers; they stay reserved while a server is down.
     ports: Vec<ReservedPort>,
     control: SocketAddr,
-    listener_of: HashMap<ListenerId, usize>,
+    listeners: HashMap<ListenerId, usize>,
     conns: HashMap<ConnId, usize>,
     calls: HashMap<StreamId, Call>,
     stream_by_job: HashMap<u64, StreamId>,
@@ -137,13 +137,13 @@
             ..Limits::default()
         };
         let control = engine.listen(control, Limits::default(), false, true)?.1;
-        let (mut servers, mut ports, mut listener_of) = (Vec::new(), Vec::new(), HashMap::new());
+        let (mut servers, mut ports, mut listeners) = (Vec::new(), Vec::new(), HashMap::new());
         let now = monotonic_micros();
         for address in listen {
             let port = ReservedPort::reserve(*address)?;
             let (listener, bound) = engine.listen(port.address(), limits, false, false)?;
             ports.push(port);
-            listener_of.insert(listener, servers.len());
+            listeners.insert(listener, servers.len());
             let model = ServerModel::new(config.spec.clone(), now);
             servers.push(Server {
                 name: bound.to_string(),
@@ -159,7 +159,7 @@
             servers,
             ports,
             control,
-            listener_of,
+            listeners,
             conns: HashMap::new(),
             calls: HashMap::new(),
             stream_by_job: HashMap::new(),
@@ -193,7 +193,7 @@
     fn on_event(&mut self, event: Event) {
         match event {
             Event::Accepted { listener, conn } => {
-                if let Some(&server) = self.listener_of.get(&listener) {
+                if let Some(&server) = self.listeners.get(&listener) {
                     self.conns.insert(conn, server);
                 }
             }
@@ -269,11 +269,11 @@
             return self.reply(server, &id, stream, Code::Unavailable, false);
         }
         self.last_id += 1;
-        let job_id = self.last_id;
+        let job = self.last_id;
         let duration_ms = work.min_ms + (work.max_ms - work.min_ms).max(0.0) * self.rng.f64();
         let admission = self.servers[server]
             .model
-            .arrive(t, job_id, (duration_ms * 1e3) as u64);
+            .arrive(t, job, (duration_ms * 1e3) as u64);
         match admission {
             Admission::QueueFull => return self.reject_unprocessed(server, &id, stream),
             Admission::Collapsed => return self.on_collapse(server),
@@ -287,12 +287,12 @@
                 id,
                 key,
                 work,
-                job_id,
+                job,
                 messages_left,
-                is_running: false,
+                started: false,
             },
         );
-        self.stream_by_job.insert(job_id, stream);
+        self.stream_by_job.insert(job, stream);
         if let Admission::Started(duration_us) = admission {
             self.start_work(stream, duration_us);
         }
@@ -314,7 +314,7 @@
         let Some(call) = self.calls.get_mut(&stream) else {
             return;
         };
-        call.is_running = true;
+        call.started = true;
         let (id, key) = (call.id.clone(), call.key.clone());
         let server = self.servers[call.server].name.clone();
         self.log.append(&Entry::Start {
@@ -326,12 +326,12 @@
         self.schedule(duration_us, TimerEvent::Done(stream));
     }
 
-    fn finish_work(&mut self, server: usize, job_id: u64, is_cancelled: bool) {
-        self.stream_by_job.remove(&job_id);
+    fn finish_work(&mut self, server: usize, job: u64, is_cancelled: bool) {
+        self.stream_by_job.remove(&job);
         if let Some((next, duration_us)) =
             self.servers[server]
                 .model
-                .finish(monotonic_micros(), job_id, is_cancelled)
+                .finish(monotonic_micros(), job, is_cancelled)
         {
             if let Some(&stream) = self.stream_by_job.get(&next) {
                 self.start_work(stream, duration_us);
@@ -344,8 +344,7 @@
         let Some(call) = self.calls.get(&stream) else {
             return;
         };
-        let (server, job_id, id, key) =
-            (call.server, call.job_id, call.id.clone(), call.key.clone());
+        let (server, job, id, key) = (call.server, call.job, call.id.clone(), call.key.clone());
         let name = self.servers[server].name.clone();
         if self.seen_keys.len() >= KEY_CLEANUP_THRESHOLD {
             let window = self.config.key_window_us;
@@ -366,7 +365,7 @@
             key,
             effect: !is_duplicate,
         });
-        self.finish_work(server, job_id, false);
+        self.finish_work(server, job, false);
         if self.servers[server].has_collapsed
             || self.servers[server].faults.silent
             || !self.engine.is_open(stream)
@@ -413,20 +412,18 @@
         let Some(call) = self.calls.get(&stream) else {
             return;
         };
-        let (server, job_id, id, is_running) =
-            (call.server, call.job_id, call.id.clone(), call.is_running);
+        let (server, job, id, started) = (call.server, call.job, call.id.clone(), call.started);
         self.log.append(&Entry::Cancel {
             t: monotonic_micros(),
             server: self.servers[server].name.clone(),
             id,
         });
         // A call that runs to its end is removed when its timer fires.
-        if is_running && self.config.spec.ignores_cancel && call.messages_left == call.work.messages
-        {
+        if started && self.config.spec.ignores_cancel && call.messages_left == call.work.messages {
             return;
         }
         self.calls.remove(&stream);
-        self.finish_work(server, job_id, true);
+        self.finish_work(server, job, true);
     }
 
     fn reject_unprocessed(&mut self, server: usize, id: &str, stream: StreamId) {
@@ -456,14 +453,10 @@
 
     /// Stops or starts a server. While it is down, its port refuses connections; it restarts without faults and in slow start.
     fn set_down(&mut self, server: usize, down: bool) -> Result<(), String> {
-        let listener = self
-            .listener_of
-            .iter()
-            .find(|l| *l.1 == server)
-            .map(|l| *l.0);
+        let listener = self.listeners.iter().find(|l| *l.1 == server).map(|l| *l.0);
         if let Some(listener) = listener.filter(|_| down) {
             self.engine.close_listener(listener);
-            self.listener_of.remove(&listener);
+            self.listeners.remove(&listener);
             self.close_connections(server..server + 1);
         }
         if listener.is_none() && !down {
@@ -474,7 +467,7 @@
             let address = self.ports[server].address();
             let listening = self.engine.listen(address, limits, false, false);
             let (listener, _) = listening.map_err(|e| format!("{address}: {e}\n"))?;
-            self.listener_of.insert(listener, server);
+            self.listeners.insert(listener, server);
             let s = &mut self.servers[server];
             s.model = ServerModel::new(self.config.spec.clone(), monotonic_micros());
             (s.faults, s.has_collapsed) = (Faults::default(), false);
@@ -530,7 +523,7 @@
                         s.model = ServerModel::new(self.config.spec.clone(), monotonic_micros())
                     }
                     "reset" => {}
-                    _ => return Err(format!("{name}: unknown parameter\n")),
+                    _ => return Err(format!("{name}: not known here\n")),
                 }
             }
         }
